--- /dev/null
+++ b/internal/bgp/golden_test.go
@@ -0,0 +1,230 @@
+// Golden tests of the speaker: every byte that it writes to a router must not change.
+package bgp_test
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"gaugerelay/internal/bgp"
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/metrics"
+)
+
+// compareGolden fails the test unless got equals testdata/golden/name.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// Types of messages by RFC 4271.
+const (
+	typeOpen      = 1
+	typeUpdate    = 2
+	typeNotify    = 3
+	typeKeepAlive = 4
+)
+
+const (
+	headerSize = 19
+	readTime   = 10 * time.Second
+	localAS    = 65001
+	wideAS     = 4200000001 // needs four octets
+	routerAS   = 65000
+	holdMs     = 90_000
+	startMs    = 1e12 // of the clock, which stands still unless a test moves it
+)
+
+func options(as uint32) bgp.Options {
+	return bgp.Options{LocalAS: as, PeerAS: routerAS, RouterID: netip.MustParseAddr("192.0.2.1"), HoldMs: holdMs,
+		NextHop:   netip.MustParseAddr("192.0.2.2"),
+		Addresses: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("198.51.100.0/24")}}
+}
+
+// frame returns a message with a header.
+func frame(messageType byte, body ...byte) []byte {
+	b := []byte(strings.Repeat("\xff", 16))
+	b = binary.BigEndian.AppendUint16(b, uint16(headerSize+len(body)))
+	return append(append(b, messageType), body...)
+}
+
+// openFrame returns the router's OPEN, with the optional parameters given.
+func openFrame(version byte, as, holdSeconds uint16, lastOctet byte, parameters ...byte) []byte {
+	body := binary.BigEndian.AppendUint16([]byte{version}, as)
+	body = binary.BigEndian.AppendUint16(body, holdSeconds)
+	body = append(body, 192, 0, 2, lastOctet, byte(len(parameters)))
+	return frame(typeOpen, append(body, parameters...)...)
+}
+
+// wideOpen returns the OPEN of a router that takes four-octet AS numbers.
+func wideOpen(as uint16) []byte {
+	return openFrame(4, as, 90, 9, 2, 6, 65, 4, 0, 0, byte(as>>8), byte(as))
+}
+
+// router is the far end of a session with a running speaker; it records what the speaker writes.
+type router struct {
+	t       *testing.T
+	conn    net.Conn
+	speaker *bgp.Speaker
+	clock   *clock.Manual
+	stop    context.CancelFunc
+	record  strings.Builder
+}
+
+// connect starts a speaker and accepts its connection.
+func connect(t *testing.T, o bgp.Options) *router {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	o.Peer = listener.Addr().String()
+	r := &router{t: t, clock: clock.NewManual(startMs)}
+	r.speaker = bgp.New(o, r.clock, metrics.New())
+	ctx, cancel := context.WithCancel(context.Background())
+	r.stop = cancel
+	go r.speaker.Run(ctx)
+	t.Cleanup(func() { cancel(); r.speaker.Wait() })
+	if r.conn, err = listener.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.conn.Close() })
+	r.conn.SetReadDeadline(time.Now().Add(readTime))
+	return r
+}
+
+// read records the speaker's next message.
+func (r *router) read() {
+	r.t.Helper()
+	b := make([]byte, headerSize)
+	if _, err := io.ReadFull(r.conn, b); err != nil {
+		r.t.Fatal(err)
+	}
+	b = append(b, make([]byte, max(0, int(binary.BigEndian.Uint16(b[16:]))-headerSize))...)
+	if _, err := io.ReadFull(r.conn, b[headerSize:]); err != nil {
+		r.t.Fatal(err)
+	}
+	fmt.Fprintf(&r.record, "%s\n", hex.EncodeToString(b))
+}
+
+// readEnd fails the test if anything comes before the end of the connection.
+func (r *router) readEnd() {
+	r.t.Helper()
+	if rest, err := io.ReadAll(r.conn); err != nil || len(rest) != 0 {
+		r.t.Errorf("after the last message: %x, %v", rest, err)
+	}
+}
+
+func (r *router) write(b []byte) {
+	r.t.Helper()
+	if _, err := r.conn.Write(b); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// A whole session: OPEN, KEEPALIVE, UPDATE that announces, UPDATE that withdraws, NOTIFICATION at the end.
+func TestGoldenSessions(t *testing.T) {
+	for _, c := range []struct {
+		golden  string
+		options bgp.Options
+		open    []byte
+	}{
+		{"external.txt", options(localAS), wideOpen(routerAS)},
+		{"external-two-octet-router.txt", options(localAS), openFrame(4, routerAS, 90, 9)},
+		{"wide-as.txt", options(wideAS), wideOpen(routerAS)},
+		{"wide-as-two-octet-router.txt", options(wideAS), openFrame(4, routerAS, 90, 9)},
+		{"internal.txt", options(routerAS), wideOpen(routerAS)},
+	} {
+		t.Run(c.golden, func(t *testing.T) {
+			r := connect(t, c.options)
+			r.read()
+			r.write(c.open)
+			r.read()
+			r.write(frame(typeKeepAlive))
+			r.speaker.SetReady(true)
+			r.read()
+			r.speaker.SetReady(false)
+			r.read()
+			r.stop()
+			r.read()
+			r.readEnd()
+			compareGolden(t, c.golden, r.record.String())
+		})
+	}
+}
+
+// What the speaker writes when its keepalive timer and then the hold timer runs out.
+func TestGoldenTimers(t *testing.T) {
+	r := connect(t, options(localAS))
+	r.read()
+	r.write(wideOpen(routerAS))
+	r.read()
+	r.clock.Advance(holdMs / 3)
+	r.read()
+	r.clock.Advance(holdMs)
+	r.read()
+	r.readEnd()
+	compareGolden(t, "timers.txt", r.record.String())
+}
+
+// What the speaker writes to a router that breaks the protocol, after the OPEN or in an established session.
+func TestGoldenNotifications(t *testing.T) {
+	badMarker := frame(typeKeepAlive)
+	badMarker[0] = 0
+	bodyMissing := frame(typeKeepAlive, 1)[:headerSize]
+	for _, c := range []struct {
+		name        string
+		options     bgp.Options
+		established bool
+		message     []byte
+	}{
+		{"connection not synchronized", options(localAS), false, badMarker},
+		{"length below the header", options(localAS), false, append([]byte(strings.Repeat("\xff", 16)), 0, 18, typeOpen)},
+		{"length above the maximum", options(localAS), false, append([]byte(strings.Repeat("\xff", 16)), 0xff, 0xff, typeOpen)},
+		{"KEEPALIVE with a body", options(localAS), false, bodyMissing},
+		{"unknown type", options(localAS), false, frame(9)},
+		{"unsupported version", options(localAS), false, openFrame(3, routerAS, 90, 9)},
+		{"bad peer AS", options(localAS), false, openFrame(4, routerAS+1, 90, 9)},
+		{"identifier of the speaker inside its AS", options(routerAS), false, openFrame(4, routerAS, 90, 1)},
+		{"unacceptable hold time", options(localAS), false, openFrame(4, routerAS, 1, 9)},
+		{"KEEPALIVE before OPEN", options(localAS), false, frame(typeKeepAlive)},
+		{"UPDATE before OPEN", options(localAS), false, frame(typeUpdate, 0, 0, 0, 0)},
+		{"second OPEN", options(localAS), true, wideOpen(routerAS)},
+		{"malformed UPDATE", options(localAS), true, frame(typeUpdate, 0, 9, 0, 0)},
+		{"NOTIFICATION gets no answer", options(localAS), true, frame(typeNotify, 6, 2)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := connect(t, c.options)
+			r.read()
+			if c.established {
+				r.write(wideOpen(routerAS))
+				r.read()
+				r.write(frame(typeKeepAlive))
+			}
+			r.write(c.message)
+			rest, err := io.ReadAll(r.conn)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&r.record, "%s\n", hex.EncodeToString(rest))
+			compareGolden(t, "notification-"+strings.ReplaceAll(c.name, " ", "-")+".txt", r.record.String())
+		})
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,314 @@
+// Golden tests of the simulator's wire: parsed batches, printed replies and error texts must not change.
+package wire_test
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"gaugerelay"
+	"gaugerelay/internal/wire"
+)
+
+// compareGolden fails the test unless got equals testdata/golden/name.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// fullSettings names every setting that the adapter reads, with a value of its own.
+const fullSettings = "Unknown.Path=1 Siblings=3 Discovery=ask TickMs=2.5" +
+	" Lanes.count=3" +
+	" Lanes.0.Name=get Lanes.0.PromiseMs=110 Lanes.0.AimStretch=1.5 Lanes.0.DeadlineMs=900 Lanes.0.Idempotency=repeatable" +
+	" Lanes.0.KeyScope=all Lanes.0.Worth=2 Lanes.0.LateValue=0.25 Lanes.0.Stream=true" +
+	" Lanes.1.Name=put Lanes.1.PromiseMs=210 Lanes.1.DeadlineMs=1900 Lanes.1.Idempotency=by_key Lanes.1.KeyScope=zone" +
+	" Lanes.1.DedupWindowMs=2500 Lanes.1.InTurn=1 Lanes.1.Worth=3" +
+	" Lanes.2.Name=run Lanes.2.PromiseMs=310 Lanes.2.DeadlineMs=2900 Lanes.2.Idempotency=later Lanes.2.KeyScope=rack Lanes.2.Worth=4" +
+	" Plans.count=2" +
+	" Plans.0.Name=small Plans.0.UsualRate=3.5 Plans.0.Reservation=1.5 Plans.0.Shares=1 Plans.0.Pays=0.75" +
+	" Plans.0.CeilingRate=20 Plans.0.CapDepth=40 Plans.0.CapSlack=5" +
+	" Plans.1.Name=large Plans.1.UsualRate=9 Plans.1.Shares=2 Plans.1.Pays=1.25" +
+	" FamilyInfo.ClassWrites=false,true,true FamilyInfo.NShards=4 FamilyInfo.MeanUnits=2.25 FamilyInfo.MostUnits=7" +
+	" FamilyInfo.FairWorth=0.6 FamilyInfo.IdleWorth=0.3 FamilyInfo.ColdBears=11 FamilyInfo.UsePeriodMs=1000" +
+	" FamilyInfo.TellsElsewhere=true" +
+	" Limits.AttemptsCap=3 Limits.MayDuplicate=true Limits.Cancel=1 Limits.Probing=true Limits.RetryAfter=true" +
+	" Limits.MaxRetryAfterMs=450" +
+	" Invariants.AskWithinMs=8000 Invariants.GraceToAnswerMs=60 Invariants.DrainGraceMs=1100 Invariants.StartCapacity=0.2" +
+	" Invariants.RampTimeMs=14000 Invariants.FallMultiple=2.5 Invariants.FallMs=3100 Invariants.KeyRestMs=240" +
+	" Invariants.CountedOverMs=9000 Invariants.ExtraFloor=10 Invariants.ExtraRatio=0.15" +
+	" Report.Fields=queue,util"
+
+// eventBatches holds every kind of event, with present, absent and unknown values.
+const eventBatches = `CLOCK 1000.5 1
+END
+CLOCK 1002.75 2
+TARGET_INSTANCE 3
+OPEN_INSTANCE 18446744073709551615 ` + fullSettings + `
+BACKENDS_CHANGED 41 stale_copy 3
+ITEM 1 live small - 0 501 east
+ITEM 1.5 quiescing big 610.25 1 502 west
+ITEM - resting - - 2 503 -
+NEW_REQUEST 7001 get small 42 240.5 9001 2.5 0 3 1
+NEW_REQUEST 7002 put - - 240 - - - - -
+NEW_REQUEST 7003 run large 9007199254740991 1000 9003 1 -1 2 6
+REMINDER 77
+TARGET_INSTANCE 4
+OPEN_INSTANCE 1 Lanes.count=0
+BACKENDS_CHANGED 42 patch 1
+ITEM 2 dead big 0 3 504 west
+BACKENDS_CHANGED 43 whole 0
+BACKENDS_CHANGED - broken -
+END
+CLOCK 1100 3
+TARGET_INSTANCE 3
+STREAMING 7001 9.25 501 1
+CLOSED_ATTEMPT 7001 18.5 86 1 10 3 501 0 7,0.5
+CLOSED_ATTEMPT 7001 18 - 0 20 - 501 1 -
+CLOSED_ATTEMPT 7001 18 0 0 30 - 501 2 7,-
+CLOSED_ATTEMPT 7001 - 1 0 40 0 501 3 -
+CLOSED_ATTEMPT 7001 18 - 0 50 0 501 4 -
+CLOSED_ATTEMPT 7001 18 - 0 60 0 501 5 -
+CLOSED_ATTEMPT 7001 18 - 0 70 0 501 6 -
+CLOSED_ATTEMPT 7001 18 - 0 80 0 501 7 -
+STATUS_BACK 1.4 10 502 3,0.25
+STATUS_BACK - 50 502 -
+FROM_PEER 2 68692037
+DROPPED 7002
+KILL
+SOLAR_FLARE 1 2 x
+END
+`
+
+// dump prints the values of a batch in the order of their declaration, without names.
+func dump(b *wire.Batch) string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "batch %q at %d\n", b.Seq, b.Now)
+	for _, item := range b.Items {
+		if item.Kind == wire.Opened {
+			fmt.Fprintf(&out, "%d %d seed %d %v\n", item.Kind, item.Instance, item.Seed, item.Settings)
+		} else {
+			fmt.Fprintf(&out, "%d %d %v\n", item.Kind, item.Instance, item.Event)
+		}
+	}
+	return out.String()
+}
+
+func TestGoldenEvents(t *testing.T) {
+	var out strings.Builder
+	for reader := wire.NewReader(strings.NewReader(eventBatches)); ; {
+		batch, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		out.WriteString(dump(batch))
+	}
+	compareGolden(t, "events.txt", out.String())
+}
+
+func TestGoldenMalformedInput(t *testing.T) {
+	const open = "CLOCK 1 1\nTARGET_INSTANCE 3\n"
+	var out strings.Builder
+	for _, c := range []struct{ name, text string }{
+		{"empty input", ""},
+		{"no CLOCK", "END\n"},
+		{"CLOCK without time", "CLOCK\nEND\n"},
+		{"CLOCK with a bad time", "CLOCK soon 1\nEND\n"},
+		{"CLOCK without number", "CLOCK 1\nEND\n"},
+		{"no END", open + "DROPPED 7\n"},
+		{"cut off", open + "DROPPED 7"},
+		{"no instance", "CLOCK 1 1\nDROPPED 7\nEND\n"},
+		{"bad instance", "CLOCK 1 1\nTARGET_INSTANCE x\nEND\n"},
+		{"bad seed", open + "OPEN_INSTANCE seed\nEND\n"},
+		{"bad setting", open + "OPEN_INSTANCE 5 Siblings=three\nEND\n"},
+		{"bad time setting", open + "OPEN_INSTANCE 5 TickMs=x\nEND\n"},
+		{"bad request id without key", open + "NEW_REQUEST 4294967296 get small - 1 1 1 0 1 0\nEND\n"},
+		{"bad request id with key", open + "NEW_REQUEST 4294967296 get small 1 1 1 1 0 1 0\nEND\n"}, // not refused: the key's result replaces the error
+		{"missing class", open + "NEW_REQUEST 7\nEND\n"},
+		{"bad key", open + "NEW_REQUEST 7 get small k 1 1 1 0 1 0\nEND\n"},
+		{"missing patience", open + "NEW_REQUEST 7 get small 1\nEND\n"},
+		{"bad units", open + "NEW_REQUEST 7 get small 1 1 1 NaN 0 1 0\nEND\n"},
+		{"bad shard", open + "NEW_REQUEST 7 get small 1 1 1 1 s 1 0\nEND\n"},
+		{"bad options", open + "NEW_REQUEST 7 get small 1 1 1 1 0 1 -2\nEND\n"},
+		{"bad timer", open + "REMINDER\nEND\n"},
+		{"bad stream", open + "STREAMING 7 1 5\nEND\n"},
+		{"bad drop", open + "DROPPED x7\nEND\n"},
+		{"unknown status", open + "CLOSED_ATTEMPT 7 1 - 0 11 0 5 0 -\nEND\n"},
+		{"bad latency", open + "CLOSED_ATTEMPT 7 Inf - 0 10 0 5 0 -\nEND\n"},
+		{"bad report", open + "CLOSED_ATTEMPT 7 1 - 0 10 0 5 0 1,x\nEND\n"},
+		{"missing status", open + "STATUS_BACK 1\nEND\n"},
+		{"bad node", open + "STATUS_BACK 1 10 n5 -\nEND\n"},
+		{"unknown scope", open + "BACKENDS_CHANGED 1 half 0\nEND\n"},
+		{"short list", open + "BACKENDS_CHANGED 1 whole 2\nITEM 1 live k 0 0 5 z\nEND\n"},
+		{"bad list entry", open + "BACKENDS_CHANGED 1 whole 1\nITEM 1 live k 0 0 n5 z\nEND\n"},
+		{"entry without state", open + "BACKENDS_CHANGED 1 whole 1\nITEM 1\nEND\n"},
+	} {
+		_, err := wire.NewReader(strings.NewReader(c.text)).Next()
+		fmt.Fprintf(&out, "%s: %v\n", c.name, err)
+	}
+	compareGolden(t, "malformed.txt", out.String())
+}
+
+func TestGoldenReplies(t *testing.T) {
+	var out bytes.Buffer
+	w := bufio.NewWriter(&out)
+	wire.Reply(w, 3, []gaugerelay.Action{
+		gaugerelay.Send{ID: 7001, Node: 501, Timeout: 80*time.Millisecond + 125*time.Microsecond},
+		gaugerelay.Send{ID: 4294967295, Node: 4294967295, Before: time.Second},
+		gaugerelay.Send{ID: 7001, Node: 501, Timeout: -time.Millisecond},
+		gaugerelay.Refuse{ID: 7002, ComeBack: 250 * time.Millisecond},
+		gaugerelay.Refuse{ID: 7003},
+		gaugerelay.Fail{ID: 7004},
+		gaugerelay.Cancel{ID: 7001, Attempt: 1},
+		gaugerelay.Subscribe{},
+		gaugerelay.Probe{Node: 502},
+		gaugerelay.WakeAt{At: 8912250 * time.Microsecond},
+		gaugerelay.Demand{},
+		gaugerelay.Log{Text: "two servers known"},
+	})
+	wire.Reply(w, 4, nil)
+	wire.GiveIn(w, 5, "index out of range\nsecond line")
+	wire.Finish(w, &wire.Batch{Seq: "12"})
+	w.Flush()
+	compareGolden(t, "replies.txt", out.String())
+}
+
+// roundsBatches are several rounds of two instances: requests, outcomes, a stream, a drain, a kill and a new start.
+// Some outcomes are of attempts that the scheduler never sent: they must not change anything either.
+const roundsBatches = `CLOCK 500 1
+END
+CLOCK 1000 2
+TARGET_INSTANCE 0
+OPEN_INSTANCE 11 ` + fullSettings + `
+BACKENDS_CHANGED 41 stale_copy 4
+ITEM 1 live small - 0 501 east
+ITEM 1 live small - 1 502 west
+ITEM 1 live big - 2 503 east
+ITEM 1 live big - 3 504 west
+TARGET_INSTANCE 1
+OPEN_INSTANCE 12 ` + fullSettings + `
+BACKENDS_CHANGED 41 stale_copy 2
+ITEM 1 live small - 0 501 east
+ITEM 1 live small 990.5 1 502 west
+END
+CLOCK 1010 3
+TARGET_INSTANCE 0
+BACKENDS_CHANGED 41 whole 4
+ITEM 1 live small - 0 501 east
+ITEM 1 live small - 1 502 west
+ITEM 1 live big - 2 503 east
+ITEM 1 live big - 3 504 west
+NEW_REQUEST 7001 get small 42 700 9001 2.5 0 3 0
+NEW_REQUEST 7002 put large 43 900 9002 1 1 3 4
+NEW_REQUEST 7003 put large 43 900 9002 1 1 3 4
+NEW_REQUEST 7004 run large - 900 9002 1 2 3 4
+NEW_REQUEST 7005 get large - 900 9003 1 -1 3 4
+NEW_REQUEST 7006 nothing large - 900 9003 1 0 3 0
+TARGET_INSTANCE 1
+BACKENDS_CHANGED - broken -
+NEW_REQUEST 8001 get small 42 700 9001 2 0 3 2
+END
+CLOCK 1020 4
+TARGET_INSTANCE 0
+REMINDER 1
+TARGET_INSTANCE 1
+REMINDER 1
+END
+CLOCK 1030 5
+TARGET_INSTANCE 0
+STREAMING 7001 15.5 501 0
+CLOSED_ATTEMPT 7002 18.5 86 1 10 3 502 0 7,0.5
+CLOSED_ATTEMPT 7004 18.5 - 0 30 - 503 0 9,0.9
+CLOSED_ATTEMPT 7005 18.5 - 0 50 - 504 0 -
+TARGET_INSTANCE 1
+CLOSED_ATTEMPT 8001 18.5 - 0 20 - 501 0 1,0.5
+END
+CLOCK 1300 6
+TARGET_INSTANCE 0
+REMINDER 1
+CLOSED_ATTEMPT 7001 250 - 1 10 - 501 0 1,0.1
+BACKENDS_CHANGED 42 patch 2
+ITEM 1 quiescing small - 0 501 east
+ITEM 1 live small 1200 1 502 west
+NEW_REQUEST 7007 get small 44 700 9001 2.5 0 3 0
+NEW_REQUEST 7008 get small 44 700 9001 2.5 1 3 0
+TARGET_INSTANCE 1
+REMINDER 1
+DROPPED 8001
+END
+CLOCK 2500 7
+TARGET_INSTANCE 0
+REMINDER 1
+TARGET_INSTANCE 1
+KILL
+OPEN_INSTANCE 13 ` + fullSettings + `
+BACKENDS_CHANGED 42 stale_copy 1
+ITEM 1 live small - 1 502 west
+NEW_REQUEST 8002 get large 45 700 9004 1 1 3 0
+END
+`
+
+// host answers batches as the simulator's adapter does.
+func host(t *testing.T, input string) string {
+	t.Helper()
+	var out bytes.Buffer
+	w := bufio.NewWriter(&out)
+	schedulers := map[int]*gaugerelay.Scheduler{}
+	for reader := wire.NewReader(strings.NewReader(input)); ; {
+		batch, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			w.Flush()
+			return out.String()
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		answer(t, w, schedulers, batch)
+		wire.Finish(w, batch)
+	}
+}
+
+// answer gives each instance's run of events to its scheduler in one step.
+func answer(t *testing.T, w *bufio.Writer, schedulers map[int]*gaugerelay.Scheduler, batch *wire.Batch) {
+	t.Helper()
+	var events []gaugerelay.Event
+	for i, item := range batch.Items {
+		switch item.Kind {
+		case wire.Killed:
+			delete(schedulers, item.Instance)
+		case wire.Opened:
+			scheduler, err := gaugerelay.New(item.Settings, item.Seed)
+			if err != nil {
+				t.Fatal(err)
+			}
+			schedulers[item.Instance] = scheduler
+		default:
+			events = append(events, item.Event)
+			if i+1 < len(batch.Items) && batch.Items[i+1].Kind == wire.Happened && batch.Items[i+1].Instance == item.Instance {
+				continue
+			}
+			wire.Reply(w, item.Instance, schedulers[item.Instance].Step(batch.Now, events))
+			events = nil
+		}
+	}
+}
+
+func TestGoldenRounds(t *testing.T) {
+	compareGolden(t, "rounds.txt", host(t, roundsBatches))
+}
