--- /dev/null
+++ b/internal/carrier/httpcarrier/golden_test.go
@@ -0,0 +1,119 @@
+package httpcarrier
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"gaugerelay/internal/core"
+	"gaugerelay/internal/standin"
+)
+
+// compareGolden compares the text with the golden file of that name.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// quoteLines writes each line of wire bytes as one quoted string, its line end included.
+func quoteLines(wire []byte) string {
+	var out strings.Builder
+	for _, line := range bytes.SplitAfter(wire, []byte("\n")) {
+		if len(line) > 0 {
+			fmt.Fprintf(&out, "%q\n", line)
+		}
+	}
+	return out.String()
+}
+
+// recordRequests starts a server that answers each request with 200 and sends its exact bytes to the channel.
+func recordRequests(t *testing.T) (addr string, requests <-chan []byte) {
+	recorded := make(chan []byte, 16)
+	addr = standin.Serve(t, func(c net.Conn) {
+		var wire bytes.Buffer
+		in := bufio.NewReader(io.TeeReader(c, &wire))
+		for {
+			r, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, r.Body)
+			recorded <- bytes.Clone(wire.Bytes())
+			wire.Reset()
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+		}
+	})
+	return addr, recorded
+}
+
+func TestGoldenAttempts(t *testing.T) {
+	for name, c := range map[string]struct {
+		load   Load
+		leftMs float64
+	}{
+		"read":                {Load{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-1"}}}, 1000},
+		"read-query":          {Load{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", RawQuery: "x=%2F&y=a+b", Header: http.Header{}}, 1000},
+		"read-escaped-path":   {Load{Method: "GET", Path: "/pull/a/b", RawPath: "/pull/a%2Fb", Header: http.Header{}}, 1000},
+		"read-short-deadline": {Load{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-2"}}}, 7.9},
+		"write": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("\x00data\r\n\xff"),
+			Header: http.Header{"X-Correlation-Id": {"id-3"}, "Content-Type": {"text/plain"}}}, 480},
+		"write-key": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
+			Header: http.Header{"X-Correlation-Id": {"id-4"}, "Idempotency-Key": {"k1"}}}, 480},
+		"write-retry-mark": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
+			Header: http.Header{"X-Correlation-Id": {"id-5"}, "Idempotency-Key": {"k1"}, "X-Repeat": {"1"}}}, 480},
+		"write-empty": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655",
+			Header: http.Header{"X-Correlation-Id": {"id-6"}, "Idempotency-Key": {"k2"}}}, 480},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr, requests := recordRequests(t)
+			b, s, _, now := newBackend()
+			defer b.Close()
+			b.Start(core.Attempt{Request: &core.Request{Load: &c.load}, Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + c.leftMs})
+			<-s.ends
+			compareGolden(t, "attempt-"+name, quoteLines(<-requests))
+		})
+	}
+}
+
+// The second of two attempts at a node is written like the first.
+func TestGoldenSecondAttemptOnConnection(t *testing.T) {
+	addr, requests := recordRequests(t)
+	b, s, _, now := newBackend()
+	defer b.Close()
+	var wire []byte
+	for n := range 2 {
+		b.Start(core.Attempt{Request: request(true), N: n + 1, Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + 900})
+		<-s.ends
+		wire = append(wire, <-requests...)
+		now.Advance(20)
+	}
+	compareGolden(t, "attempt-second", quoteLines(wire))
+}
+
+func TestGoldenProbes(t *testing.T) {
+	for name, fields := range map[string][]string{"health": nil, "load": {"queue"}} {
+		t.Run(name, func(t *testing.T) {
+			addr, requests := recordRequests(t)
+			b, s, _, _ := newBackend()
+			defer b.Close()
+			b.opt.ReportFields = fields
+			b.Probe(&core.Node{Addr: addr})
+			<-s.probes
+			wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
+			compareGolden(t, "probe-"+name, quoteLines(wire))
+		})
+	}
+}
