--- /dev/null
+++ b/internal/front/httpfront/golden_test.go
@@ -0,0 +1,171 @@
+package httpfront
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"gaugerelay/internal/core"
+	"gaugerelay/internal/standin"
+)
+
+const (
+	goldenWrite = "PUT /push/7f3a9c21e0b4d655?x=%2F HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: id-1\r\nX-Service-Class: push\r\n" +
+		"X-Plan: basic\r\nX-Time-Left-Ms: 480\r\nIdempotency-Key: k1\r\nX-IO: volume=1,units=2,shard=3,hosts=2\r\n" +
+		"Content-Length: 4\r\n\r\ndata"
+	goldenRead = "GET /pull/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: id-1\r\nX-Service-Class: pull\r\n" +
+		"X-Plan: basic\r\nX-Time-Left-Ms: 480\r\nX-IO: volume=1,units=2,shard=3,hosts=2\r\n\r\n"
+)
+
+var dateHeader = regexp.MustCompile(`(?m)^Date: .*GMT`)
+
+// compareGolden compares the text with the golden file of that name.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// quoteLines writes each line of wire bytes as one quoted string, its line end included.
+func quoteLines(wire []byte) string {
+	var out strings.Builder
+	for _, line := range bytes.SplitAfter(wire, []byte("\n")) {
+		if len(line) > 0 {
+			fmt.Fprintf(&out, "%q\n", line)
+		}
+	}
+	return out.String()
+}
+
+// exchangeRaw writes a request to a server of the front and returns all bytes of its response.
+func exchangeRaw(t *testing.T, f *Front, request string) []byte {
+	t.Helper()
+	ln := standin.Listen(t)
+	conns := &Conns{Most: 9, Clock: f.Clock, Metrics: f.Metrics}
+	server := &http.Server{Handler: f, ConnState: conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+		return conns.Context(f.ConnContext(ctx, nc), nc)
+	}}
+	go server.Serve(conns.Listen(ln, 9))
+	t.Cleanup(func() { server.Close() })
+	nc, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	// The second request ends the connection behind the response to the first.
+	io.WriteString(nc, request+"GET /ready HTTP/1.0\r\n\r\n")
+	wire, err := io.ReadAll(nc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return dateHeader.ReplaceAll(wire, []byte("Date: DATE"))
+}
+
+func TestGoldenAnswers(t *testing.T) {
+	for name, c := range map[string]struct {
+		request string
+		answer  core.Answer
+	}{
+		"served-write":    {goldenWrite, core.Answer{Result: []byte("\x00raw\r\n\xff")}},
+		"served-read":     {goldenRead, core.Answer{Result: []byte("content")}},
+		"served-empty":    {goldenRead, core.Answer{Result: []byte{}}},
+		"refused":         {goldenWrite, core.Answer{Verdict: core.Refused}},
+		"refused-retry":   {goldenWrite, core.Answer{Verdict: core.Refused, ComeBackMs: 90}},
+		"refused-seconds": {goldenWrite, core.Answer{Verdict: core.Refused, ComeBackMs: 12345}},
+		"failed":          {goldenWrite, core.Answer{Verdict: core.Failed}},
+		"duplicate-id":    {goldenWrite, core.Answer{Verdict: core.Rejected}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, _, _ := newFront(answering(c.answer))
+			compareGolden(t, "answer-"+name, quoteLines(exchangeRaw(t, f, c.request)))
+		})
+	}
+}
+
+func TestGoldenDeviceAnswers(t *testing.T) {
+	device := func(request, header string) string {
+		return strings.Replace(request, "X-Plan:", "X-Device-Id: dev\r\n"+header+"X-Plan:", 1)
+	}
+	read := strings.Replace(goldenRead, "X-Correlation-Id: id-1", "X-Correlation-Id: id-1\r\nIdempotency-Key: k1", 1)
+	for name, c := range map[string]struct {
+		request string
+		answer  core.Answer
+	}{
+		"write":         {device(goldenWrite, ""), core.Answer{Result: []byte("done"), ETag: 0xabc}},
+		"read":          {device(read, ""), core.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
+		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), core.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
+		"range-outside": {device(read, "Range: bytes=99-\r\n"), core.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
+		"refused":       {device(goldenWrite, ""), core.Answer{Verdict: core.Refused, ComeBackMs: 1500}},
+		"failed":        {device(goldenWrite, ""), core.Answer{Verdict: core.Failed}},
+		"conflict":      {device(goldenWrite, ""), core.Answer{Verdict: core.Conflict}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, _ := newDeviceFront(answering(c.answer))
+			f.Gateway = "gateway-1"
+			compareGolden(t, "device-"+name, quoteLines(exchangeRaw(t, f, c.request)))
+		})
+	}
+}
+
+func TestGoldenMalformed(t *testing.T) {
+	for name, c := range map[string]struct{ old, new string }{
+		"method":       {"PUT", "DELETE"},
+		"no-time":      {"X-Time-Left-Ms: 480\r\n", ""},
+		"no-id":        {"X-Correlation-Id: id-1\r\n", ""},
+		"two-ids":      {"X-Plan:", "X-Correlation-Id: id-2\r\nX-Plan:"},
+		"class":        {"Class: push", "Class: none"},
+		"plan":         {"Plan: basic", "Plan: none"},
+		"short-key":    {"7f3a9c21e0b4d655", "7f3a"},
+		"no-io":        {"X-IO: volume=1,units=2,shard=3,hosts=2\r\n", ""},
+		"no-upload":    {"Idempotency-Key: k1\r\n", ""},
+		"no-length":    {"Content-Length: 4\r\n\r\ndata", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
+		"large-body":   {"Content-Length: 4\r\n\r\ndata", "Content-Length: 62914560\r\n\r\n"},
+		"two-lengths":  {"Content-Length: 4\r\n", "Content-Length: 4\r\nContent-Length: 5\r\n"},
+		"double-slash": {"/push/", "/push//"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, _, _ := newFront(answering(core.Answer{}))
+			request := strings.Replace(goldenWrite, c.old, c.new, 1)
+			compareGolden(t, "malformed-"+name, quoteLines(exchangeRaw(t, f, request)))
+		})
+	}
+}
+
+func TestGoldenOperators(t *testing.T) {
+	for name, c := range map[string]struct {
+		path   string
+		change func(*Front, *fakeLoop)
+	}{
+		"ready":           {"/ready", func(*Front, *fakeLoop) {}},
+		"not-ready":       {"/ready", func(_ *Front, l *fakeLoop) { l.unready = true }},
+		"ready-draining":  {"/ready", func(f *Front, _ *fakeLoop) { f.Drain(1e12 + 100) }},
+		"closing":         {"/ready", func(f *Front, _ *fakeLoop) { f.Close() }},
+		"metrics-empty":   {"/metrics", func(*Front, *fakeLoop) {}},
+		"metrics-several": {"/metrics", func(f *Front, _ *fakeLoop) { f.Metrics.Add("b_second", 3); f.Metrics.Add("a_first", 12) }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, l, _ := newFront(nil)
+			c.change(f, l)
+			compareGolden(t, "operator-"+name, quoteLines(exchangeRaw(t, f, "GET "+c.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
+		})
+	}
+}
+
+func TestGoldenFullInbox(t *testing.T) {
+	f, l, _ := newFront(nil)
+	l.full = true
+	compareGolden(t, "answer-full-inbox", quoteLines(exchangeRaw(t, f, goldenWrite)))
+}
