--- /dev/null
+++ b/internal/carrier/filecarrier/golden_test.go
@@ -0,0 +1,152 @@
+package filecarrier
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	policy "gaugerelay"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/core"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/standin"
+)
+
+// compareGolden compares the text with the golden file of that name.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+var statusNames = map[policy.Status]string{policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.Reset: "reset"}
+
+// describeResult writes the end of an attempt as values.
+func describeResult(res core.Result) string {
+	text := "result: " + statusNames[res.Status] + "\n"
+	if rep, ok := res.Body.(*Reply); ok {
+		text += fmt.Sprintf("reply: code %d, text %q, data %q, size %d, mode %o, mtime %d\n",
+			rep.Code, rep.Text, rep.Data, rep.Attrs.Size, rep.Attrs.Mode, rep.Attrs.Mtime)
+	}
+	return text
+}
+
+// hexBytes turns written hex, blanks allowed, into bytes.
+func hexBytes(t *testing.T, text string) (out []byte) {
+	t.Helper()
+	if _, err := fmt.Sscanf(strings.ReplaceAll(text, " ", ""), "%x", &out); err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+// recordPackets starts a file port that sends the exact bytes of each packet to the channel. After VERSION it gives
+// the responses in turn: a type in the first byte, then what follows the packet's id. Behind them it answers OK.
+func recordPackets(t *testing.T, responses [][]byte) (addr string, packets <-chan []byte) {
+	recorded := make(chan []byte, 16)
+	addr = standin.Serve(t, func(c net.Conn) {
+		for n := -1; ; n++ {
+			var wire bytes.Buffer
+			_, body, err := readPacket(io.TeeReader(c, &wire))
+			if err != nil {
+				return
+			}
+			recorded <- wire.Bytes()
+			switch {
+			case n < 0:
+				c.Write([]byte{0, 0, 0, 5, 2, 0, 0, 0, 3})
+			case n < len(responses):
+				c.Write(frameResponse(responses[n], body[:4]))
+			default:
+				c.Write(frameResponse([]byte{101, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, body[:4]))
+			}
+		}
+	})
+	return addr, recorded
+}
+
+// frameResponse puts the length and the id into a response.
+func frameResponse(response, id []byte) []byte {
+	out := binary.BigEndian.AppendUint32(nil, uint32(len(response)+len(id)))
+	out = append(out, response[0])
+	out = append(out, id...)
+	return append(out, response[1:]...)
+}
+
+func TestGoldenPackets(t *testing.T) {
+	const (
+		handle       = "66 00000002 6831"
+		data         = "67 00000004 64617461"
+		attributes   = "69 0000000d 00000000 0000138b 000081a4 00000001 00000002"
+		statusOK     = "65 00000000 00000000 00000000"
+		endOfFile    = "65 00000001 00000003 656f66 00000000"
+		noSuchFile   = "65 00000002 00000004 6e6f6e65 00000000"
+		denied       = "65 00000003 00000000 00000000"
+		failure      = "65 00000004 00000004 6469736b 00000000"
+		unprocessed  = "65 00000004 0000000b 756e70726f636573736564 00000000"
+		badMessage   = "65 00000005 00000000 00000000"
+		unsupported  = "65 00000008 00000000 00000000"
+		codeAlone    = "65 00000002"
+		unknownReply = "63 00000000"
+	)
+	read := Command{Op: Read, Path: "/layers/a", Offset: 1 << 33, Length: 10}
+	write := Command{Op: Write, Path: "/layers/a", Offset: 3, Data: []byte("data\x00\xff"), Key: "k1"}
+	stat := Command{Op: Stat, Path: "/layers/a"}
+	for name, c := range map[string]struct {
+		command   Command
+		responses []string
+		packets   int // INIT included
+	}{
+		"read":              {read, []string{handle, data}, 4},
+		"write":             {write, []string{handle, statusOK}, 4},
+		"write-without-key": {Command{Op: Write, Path: "/a", Data: []byte("x")}, []string{handle, statusOK}, 4},
+		"open-read":         {Command{Op: Open, Path: "/layers/a", Flags: FlagRead}, []string{handle}, 3},
+		"open-create":       {Command{Op: Open, Path: "/layers/a", Flags: FlagWrite | FlagCreat | FlagTrunc, Key: "k2"}, []string{handle}, 3},
+		"open-exclusive":    {Command{Op: Open, Path: "/a", Flags: FlagRead | FlagWrite | FlagExcl, Key: "k3"}, []string{handle}, 3},
+		"stat":              {stat, []string{attributes}, 2},
+		"stat-missing":      {stat, []string{noSuchFile}, 2},
+		"stat-code-alone":   {stat, []string{codeAlone}, 2},
+		"open-missing":      {read, []string{noSuchFile}, 2},
+		"open-denied":       {write, []string{denied}, 2},
+		"open-unprocessed":  {write, []string{unprocessed}, 2},
+		"read-end":          {read, []string{handle, endOfFile}, 4},
+		"read-failure":      {read, []string{handle, failure}, 4},
+		"read-unprocessed":  {read, []string{handle, unprocessed}, 4},
+		"write-failure":     {write, []string{handle, failure}, 4},
+		"write-bad-message": {write, []string{handle, badMessage}, 4},
+		"write-unsupported": {write, []string{handle, unsupported}, 4},
+		"read-unknown":      {read, []string{handle, unknownReply}, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var responses [][]byte
+			for _, text := range c.responses {
+				responses = append(responses, hexBytes(t, text))
+			}
+			addr, packets := recordPackets(t, responses)
+			now, ends := clock.NewManual(1e12), make(chan core.Result, 1)
+			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
+				Address: func(*core.Node) (string, bool) { return addr, true }}, now, metrics.New(),
+				func(_ core.Attempt, r core.Result) { ends <- r })
+			defer b.Close()
+			b.Start(core.Attempt{Request: &core.Request{Load: &c.command}, Node: &core.Node{}, DeadlineMs: now.NowMs() + 750.9})
+			result := <-ends
+			var text strings.Builder
+			for range c.packets {
+				fmt.Fprintf(&text, "%x\n", <-packets)
+			}
+			compareGolden(t, "packets-"+name, text.String()+describeResult(result))
+		})
+	}
+}
