--- a/Makefile
+++ b/Makefile
@@ -17,34 +17,34 @@
 
 # The program at work: a minute of devices on poor links before a gateway whose nodes fail, on loopback.
 show: build
-	bin/gaugelab soak --seconds 60 --log
+	bin/faultbench soak --seconds 60 --log
 
 # The same for as long as wanted, beside a run without the exchange ledger; fails on a broken rule.
 SECONDS ?= 600
 SEED ?= 1
 soak: build
-	bin/gaugelab soak --seconds $(SECONDS) --seed $(SEED) $(SOAK)
+	bin/faultbench soak --seconds $(SECONDS) --seed $(SEED) $(SOAK)
 
 # Deployments drawn by seed, played in a bubble's time with the rules checked at the nodes and the clients.
 SEEDS ?= 200
 FROM ?= 1
 deployments:
 	@mkdir -p bin
-	@go test -count=1 -timeout 20m ./internal/standin/deployments -run TestDeployments -seeds $(SEEDS) -from $(FROM) -line $(CURDIR)/bin/deployments.txt; \
+	@go test -count=1 -timeout 20m ./internal/testbed/simulation -run TestDeployments -seeds $(SEEDS) -from $(FROM) -line $(CURDIR)/bin/deployments.txt; \
 	code=$$?; cat bin/deployments.txt; exit $$code
 
 # Several gateways, the real program, with faults between them and into them; counted at nodes and clients.
 N ?= 6
 fleet-soak: build
-	bin/gaugelab fleet --gateways $(N) --seconds $(SECONDS) --seed $(SEED) $(FLEET)
+	bin/faultbench fleet --gateways $(N) --seconds $(SECONDS) --seed $(SEED) $(FLEET)
 
 # Membership of fleets of any size, on a clock of its own.
 members-sim: build
-	bin/gaugelab members --seed $(SEED)
+	bin/faultbench members --seed $(SEED)
 
 # Several gateways, the real program, with random faults that overlap, judged at fakes of servers, clients and discovery by
 # the rules that must always hold. The program is built with the tag chaos: its system calls fail now and then.
 PROCESSES ?= 24
 chaos:
-	mkdir -p bin/chaos && go build -o bin/ ./cmd/gaugelab && go build -tags chaos -o bin/chaos/ ./cmd/gaugerelay
-	bin/gaugelab chaos --binary bin/chaos/gaugerelay --shims --processes $(PROCESSES) --seconds $(SECONDS) --seed $(SEED) $(CHAOS)
+	mkdir -p bin/chaos && go build -o bin/ ./cmd/faultbench && go build -tags chaos -o bin/chaos/ ./cmd/gaugerelay
+	bin/faultbench chaos --binary bin/chaos/gaugerelay --shims --processes $(PROCESSES) --seconds $(SECONDS) --seed $(SEED) $(CHAOS)
--- a/cmd/gaugelab/chaos.go
+++ b/cmd/faultbench/chaos.go
@@ -5,7 +5,7 @@
 	"os"
 	"path/filepath"
 
-	"gaugerelay/internal/standin/chaos"
+	"gaugerelay/internal/testbed/chaos"
 )
 
 type chaosCmd struct {
--- a/cmd/gaugelab/fleet.go
+++ b/cmd/faultbench/fleet.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"gaugerelay/internal/standin/fleet"
+	"gaugerelay/internal/testbed/cluster"
 )
 
 type fleetCmd struct {
@@ -31,7 +31,7 @@
 		c.Binary = filepath.Join(filepath.Dir(self), "gaugerelay")
 	}
 	fmt.Printf("seed %d: %d gateways, %d volumes through %d of them each\n", c.Seed, c.Gateways, c.Volumes, c.Hosts)
-	res, err := fleet.Run(fleet.Options{Binary: c.Binary, Gateways: c.Gateways, Hosts: min(c.Hosts, c.Gateways), Volumes: c.Volumes, Shards: 4,
+	res, err := cluster.Run(cluster.Options{Binary: c.Binary, Gateways: c.Gateways, Hosts: min(c.Hosts, c.Gateways), Volumes: c.Volumes, Shards: 4,
 		Seed: c.Seed, Fleet: !c.Without, LeaseMs: c.Lease}, time.Duration(c.Seconds*float64(time.Second)), c.Only, os.Stdout)
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	}
 	fmt.Printf("processes=%d kills=%d partitions=%d over_limit=%d wrong_ejections=%d doubled=%d crashed=%d lost=%d worst_over_units=%.1f bound_units=%.1f recover_ms=%.0f bound_ms=%.0f\n",
 		c.Gateways, res.Kills, res.Partitions, res.OverLimit, res.WrongEjections, res.Doubled, res.Crashed, res.Lost, res.WorstOver, res.BoundOver,
-		res.RecoverMs, fleet.RecoverBoundMs)
+		res.RecoverMs, cluster.RecoverBoundMs)
 	if n := len(res.Broken); n > 0 {
 		return fmt.Errorf("%d of what must never be", n)
 	}
--- a/cmd/gaugelab/main.go
+++ b/cmd/faultbench/main.go
@@ -1,4 +1,4 @@
-// Command gaugelab tries the gateway out: long soaks of its fronts for devices against stand-ins, on loopback.
+// Command faultbench tries the gateway out: long soaks of its fronts for devices against stand-ins, on loopback.
 package main
 
 import (
@@ -14,11 +14,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"gaugerelay/internal/event"
 	"gaugerelay/internal/gateway"
-	"gaugerelay/internal/standin/shaper"
-	"gaugerelay/internal/standin/soak"
-	"gaugerelay/internal/standin/storage"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/testbed/fakestorage"
+	"gaugerelay/internal/testbed/linkshaper"
+	"gaugerelay/internal/testbed/soak"
 )
 
 type soakCmd struct {
@@ -36,15 +36,15 @@
 // Run runs the soak; what must never be makes it fail.
 func (c *soakCmd) Run() error {
 	if !c.Log {
-		event.Setup(io.Discard, slog.LevelError)
+		logevent.Setup(io.Discard, slog.LevelError)
 	}
-	links := map[string][]shaper.Profile{"all": {shaper.Good, shaper.Middling, shaper.Bad}, "good": {shaper.Good},
-		"middling": {shaper.Middling}, "bad": {shaper.Bad}}[c.Links]
+	links := map[string][]linkshaper.Profile{"all": {linkshaper.Good, linkshaper.Middling, linkshaper.Bad}, "good": {linkshaper.Good},
+		"middling": {linkshaper.Middling}, "bad": {linkshaper.Bad}}[c.Links]
 	o := soak.Options{For: time.Duration(c.Seconds * float64(time.Second)), Seed: c.Seed, Devices: c.Devices, Links: links,
 		Wires: c.Wires, Ledger: true, Odd: c.Odd, Network: gateway.Machine()}
 	if !c.Calm {
 		o.Restarts, o.Drains = 45*time.Second, 8*time.Second
-		o.Faults = storage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
+		o.Faults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
 			SlowBy: 700 * time.Millisecond}
 	}
 	// Both at once: they share nothing but the machine.
@@ -100,10 +100,10 @@
 		Members membersCmd `cmd:"" help:"Membership of fleets of 3 to 1,000 gateways, with losses and deaths."`
 		Soak    soakCmd    `cmd:"" help:"Devices on poor links against a gateway whose nodes fail, drain and restart."`
 	}
-	ctx := kong.Parse(&cli, kong.Name("gaugelab"), kong.Description("Tries the gateway out against stand-ins, on loopback."),
+	ctx := kong.Parse(&cli, kong.Name("faultbench"), kong.Description("Tries the gateway out against stand-ins, on loopback."),
 		kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "gaugelab:", err)
+		fmt.Fprintln(os.Stderr, "faultbench:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/gaugerelay/machine_chaos.go
+++ b/cmd/gaugerelay/machine_chaos.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
 	"gaugerelay/internal/gateway"
-	"gaugerelay/internal/standin/faultnet"
+	"gaugerelay/internal/testbed/faultnet"
 )
 
 // faultsVariable names what fails of the machine, in faultnet's form.
--- a/cmd/gaugerelay/main.go
+++ b/cmd/gaugerelay/main.go
@@ -18,8 +18,8 @@
 	"github.com/alecthomas/kong"
 
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/event"
 	"gaugerelay/internal/gateway"
+	"gaugerelay/internal/logevent"
 )
 
 type serveCmd struct {
@@ -29,7 +29,7 @@
 
 // Run serves until the program is told to end.
 func (c *serveCmd) Run() error {
-	event.Setup(os.Stderr, c.LogLevel)
+	logevent.Setup(os.Stderr, c.LogLevel)
 	return run(c.Edge)
 }
 
--- a/cmd/gaugerelay/main_test.go
+++ b/cmd/gaugerelay/main_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/pkg/sftp"
 
-	"gaugerelay/internal/standin"
-	"gaugerelay/internal/standin/fileserver"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/testbed/fakefileserver"
 )
 
 // TestMain lets the test binary stand for the program.
@@ -99,9 +99,9 @@
 // The operator's file turns on file commands, which reach a node's file port, and announcements, which are
 // withdrawn before the program ends.
 func TestOperatorsFile(t *testing.T) {
-	files := fileserver.New(t)
+	files := fakefileserver.New(t)
 	files.Put("/layers/a", []byte("layer"))
-	router := standin.Listen(t)
+	router := testbed.Listen(t)
 	edge := filepath.Join(t.TempDir(), "edge.jsonc")
 	if err := os.WriteFile(edge, fmt.Appendf(nil, `// an operator's
 	{"sftp":{"listen":"127.0.0.1:0","read_class":"pull","write_class":"push","backends":{"s-1":"%s"},
@@ -256,7 +256,7 @@
 // Signals at bad moments: a gateway that is not ready yet, and never will be, ends well on the first SIGTERM, and neither
 // a second one nor a reload that comes with it changes that.
 func TestSignalsBeforeReady(t *testing.T) {
-	silent := standin.Listen(t) // a discovery that takes calls and says nothing
+	silent := testbed.Listen(t) // a discovery that takes calls and says nothing
 	text := strings.Replace(fmt.Sprintf(settings, "127.0.0.1:0", "127.0.0.1:1"), `"known":{"version":1,"servers":[{"id":"s-1","addr":"127.0.0.1:1","cell":0,"state":"Ready"}]},`, "", 1)
 	text = strings.Replace(text, `"Lanes":[{"Name":"pull","PromiseMs":60000,"DeadlineMs":60000`, `"Lanes":[{"Name":"pull","PromiseMs":50,"DeadlineMs":50`, 1)
 	text = strings.Replace(text, `"PromiseMs":60000,"DeadlineMs":60000,"DedupWindowMs"`, `"PromiseMs":50,"DeadlineMs":50,"DedupWindowMs"`, 1)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
-	"gaugerelay"
-	"gaugerelay/internal/wire"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/simwire"
 )
 
 func main() {
@@ -21,8 +21,8 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	hosts := map[int]*gaugerelay.Scheduler{}
+	r, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
+	hosts := map[int]*scheduler.Scheduler{}
 	for {
 		b, err := r.Next()
 		if errors.Is(err, io.EOF) {
@@ -34,20 +34,20 @@
 		for i := 0; i < len(b.Items); {
 			it := b.Items[i]
 			switch it.Kind {
-			case wire.Killed:
+			case simwire.Killed:
 				delete(hosts, it.Instance)
 				i++
-			case wire.Opened:
-				s, err := gaugerelay.New(it.Settings, it.Seed)
+			case simwire.Opened:
+				s, err := scheduler.New(it.Settings, it.Seed)
 				if err != nil {
 					return fmt.Errorf("instance %d: %w", it.Instance, err)
 				}
 				hosts[it.Instance] = s
 				i++
 			default: // all that follows for the same life of this instance is one step
-				var events []gaugerelay.Event
+				var events []scheduler.Event
 				for ; i < len(b.Items) && b.Items[i].Instance == it.Instance &&
-					b.Items[i].Kind == wire.Happened; i++ {
+					b.Items[i].Kind == simwire.Happened; i++ {
 					events = append(events, b.Items[i].Event)
 				}
 				if s := hosts[it.Instance]; s != nil {
@@ -55,7 +55,7 @@
 				}
 			}
 		}
-		wire.Finish(w, b)
+		simwire.Finish(w, b)
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -63,11 +63,11 @@
 }
 
 // step runs one instance; a panic there becomes GIVE_IN.
-func step(w *bufio.Writer, inst int, s *gaugerelay.Scheduler, b *wire.Batch, events []gaugerelay.Event) {
+func step(w *bufio.Writer, inst int, s *scheduler.Scheduler, b *simwire.Batch, events []scheduler.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			wire.GiveIn(w, inst, fmt.Sprint(p))
+			simwire.GiveIn(w, inst, fmt.Sprint(p))
 		}
 	}()
-	wire.Reply(w, inst, s.Step(b.Now, events))
+	simwire.Reply(w, inst, s.Step(b.Now, events))
 }
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -17,7 +17,7 @@
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/event"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
 )
 
@@ -69,7 +69,7 @@
 			return
 		}
 		s.metrics.Add("bgp_sessions_ended", 1)
-		slog.Warn(event.BGPSession, "peer", s.opt.Peer, "state", "ended", event.Error, err, "retry_within_ms", wait)
+		slog.Warn(logevent.BGPSession, "peer", s.opt.Peer, "state", "ended", logevent.Error, err, "retry_within_ms", wait)
 		due := make(chan struct{})
 		stop := s.clock.AfterFunc(wait*(0.75+0.25*rand.Float64()), func() { close(due) })
 		wait = min(2*wait, retryMaxMs)
@@ -131,7 +131,7 @@
 			}
 			s.metrics.Add("bgp_messages_sent", 1)
 			if m.Header.Type == bgp.BGP_MSG_UPDATE {
-				slog.Info(event.BGPAnnounced, "peer", opt.Peer, "announced", ses.announced)
+				slog.Info(logevent.BGPAnnounced, "peer", opt.Peer, "announced", ses.announced)
 			}
 		}
 		ses.out = nil
@@ -153,7 +153,7 @@
 			if !up && ses.state == Established {
 				up = true
 				s.metrics.Add("bgp_sessions_established", 1)
-				slog.Info(event.BGPSession, "peer", opt.Peer, "state", "established")
+				slog.Info(logevent.BGPSession, "peer", opt.Peer, "state", "established")
 			}
 		case *want = <-s.ready:
 			ses.setReady(*want)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,11 +14,11 @@
 
 	"github.com/valyala/fastjson"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
 	"gaugerelay/internal/discovery"
+	"gaugerelay/internal/lifecycle"
 )
 
 // What holds where the platform does not say: net's own defaults would wait and keep without end.
@@ -41,9 +41,9 @@
 	Seed                    uint64
 	Cores, MemoryMB         float64
 	Sockets                 int
-	Known                   core.List
+	Known                   lifecycle.List
 	KnownBad                int // entries of it that could not be read
-	Settings                policy.Settings
+	Settings                scheduler.Settings
 	Self                    int      // this gateway's number
 	PeerListen              string   // where it is reached by others; "": nowhere
 	Peers                   []string // where it reaches the gateways, itself included, in the order of their numbers
@@ -136,7 +136,7 @@
 	if known := v.Get("known"); known != nil && known.Type() == fastjson.TypeObject {
 		c.Known, c.KnownBad = discovery.Decode(known) // discovery's data, and old: not worth not starting for
 	}
-	c.Known.Scope = policy.Stale // whatever it says of itself, it is as last seen
+	c.Known.Scope = scheduler.Stale // whatever it says of itself, it is as last seen
 	s := v.Get("settings")
 	if s == nil || s.Type() != fastjson.TypeObject {
 		return nil, errors.New("settings is missing")
@@ -222,20 +222,20 @@
 	return int(n)
 }
 
-var effects = map[string]policy.Effect{
-	"repeatable": policy.Repeatable, "by_key": policy.ByKey, "once": policy.Once,
+var effects = map[string]scheduler.Effect{
+	"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once,
 }
 
-var groups = map[string]policy.Scope{
-	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
+var groups = map[string]scheduler.Scope{
+	"all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell,
 }
 
 // settings reads the object that an instance of the simulator gets in its first message. Unknown keys are
 // skipped, an unknown effect or group is read as the strictest.
-func (r *reader) settings(v *fastjson.Value) (s policy.Settings) {
+func (r *reader) settings(v *fastjson.Value) (s scheduler.Settings) {
 	writes := v.GetArray("FamilyInfo", "ClassWrites")
 	for i, l := range v.GetArray("Lanes") {
-		c := policy.Class{
+		c := scheduler.Class{
 			Name: r.str(l, "Name"), Aim: r.ms(l, "Promise"), AimStretch: r.num(l, "AimStretch"),
 			Deadline: r.ms(l, "Deadline"), DedupWindow: r.ms(l, "DedupWindow"),
 			InTurn: r.yes(l, "InTurn"), Stream: r.yes(l, "Stream"),
@@ -244,15 +244,15 @@
 		}
 		var ok bool
 		if c.Effect, ok = effects[r.str(l, "Idempotency")]; !ok {
-			c.Effect = policy.Once
+			c.Effect = scheduler.Once
 		}
 		if c.Scope, ok = groups[r.str(l, "KeyScope")]; !ok {
-			c.Scope = policy.ScopeCell
+			c.Scope = scheduler.ScopeCell
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for _, p := range v.GetArray("Plans") {
-		s.Plans = append(s.Plans, policy.Plan{
+		s.Plans = append(s.Plans, scheduler.Plan{
 			Name: r.str(p, "Name"), Rate: r.num(p, "UsualRate"), Reserve: r.num(p, "Reservation"),
 			Weight: r.num(p, "Shares"), Pays: r.num(p, "Pays"), Limit: r.num(p, "CeilingRate"),
 			LimitCap: r.num(p, "CapDepth"), LimitDebt: r.num(p, "CapSlack"),
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
@@ -32,16 +32,16 @@
 	}
 	s := c.Settings
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 || c.ConnIdleMs != 30000 ||
-		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Scope != policy.Stale || c.Known.Nodes[0].Shard != 3 {
+		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Scope != scheduler.Stale || c.Known.Nodes[0].Shard != 3 {
 		t.Errorf("%+v", c)
 	}
-	push := policy.Class{Name: "push", Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Effect: policy.ByKey,
-		Scope: policy.ScopeCell, DedupWindow: 3 * time.Second, Write: true, Worth: 2}
-	basic := policy.Plan{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, Pays: 0.96, Limit: 33, LimitCap: 53, LimitDebt: 6}
-	if len(s.Classes) != 3 || s.Classes[1] != push || s.Classes[0].Effect != policy.Repeatable || s.Plans[0] != basic {
+	push := scheduler.Class{Name: "push", Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Effect: scheduler.ByKey,
+		Scope: scheduler.ScopeCell, DedupWindow: 3 * time.Second, Write: true, Worth: 2}
+	basic := scheduler.Plan{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, Pays: 0.96, Limit: 33, LimitCap: 53, LimitDebt: 6}
+	if len(s.Classes) != 3 || s.Classes[1] != push || s.Classes[0].Effect != scheduler.Repeatable || s.Plans[0] != basic {
 		t.Errorf("%+v", s)
 	}
-	if odd := s.Classes[2]; odd.Effect != policy.Once || odd.Scope != policy.ScopeCell {
+	if odd := s.Classes[2]; odd.Effect != scheduler.Once || odd.Scope != scheduler.ScopeCell {
 		t.Errorf("an unknown effect is not read as the strictest: %+v", odd)
 	}
 	if s.Siblings != 3 || !s.AskList || s.Shards != 10 || !s.TellsElsewhere || s.MaxAttempts != 3 || s.ReportFields[0] != "queue" ||
@@ -132,7 +132,7 @@
 }
 
 func TestEdgeExample(t *testing.T) {
-	set := standin.Settings(4)
+	set := testbed.Settings(4)
 	e, err := LoadEdge("../../deploy/edge.example.jsonc", &set)
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 }
 
 func TestBadEdge(t *testing.T) {
-	set := standin.Settings(4)
+	set := testbed.Settings(4)
 	text, err := os.ReadFile("../../deploy/edge.example.jsonc")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/decide/exchange"
+	"gaugerelay/internal/dedup/exchange"
 )
 
 // Devices sets up the fronts for devices on poor links. An empty address is off.
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -13,7 +13,7 @@
 
 	"github.com/valyala/fastjson"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/bgp"
 )
@@ -31,8 +31,8 @@
 	Listen    string
 	MaxConns  int
 	UnitBytes float64
-	Read      policy.Class
-	Write     policy.Class
+	Read      scheduler.Class
+	Write     scheduler.Class
 	Roots     []FileRoot
 	Port      int               // of file commands, on the host of each node that Backends does not name
 	Backends  map[string]string // addresses by node id
@@ -63,7 +63,7 @@
 }
 
 // LoadEdge reads the operator's file.
-func LoadEdge(name string, set *policy.Settings) (*Edge, error) {
+func LoadEdge(name string, set *scheduler.Settings) (*Edge, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // ParseEdge reads the text: JSON in which lines that begin with // are comments.
-func ParseEdge(text []byte, set *policy.Settings) (*Edge, error) {
+func ParseEdge(text []byte, set *scheduler.Settings) (*Edge, error) {
 	var plain []byte
 	for line := range bytes.Lines(text) {
 		if !bytes.HasPrefix(bytes.TrimSpace(line), []byte("//")) {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func files(v *fastjson.Value, set *policy.Settings) (*Files, error) {
+func files(v *fastjson.Value, set *scheduler.Settings) (*Files, error) {
 	r := &reader{}
 	f := &Files{Listen: r.str(v, "listen"), MaxConns: int(r.num(v, "max_connections")),
 		UnitBytes: r.num(v, "unit_bytes"), Port: int(r.num(v, "backend_port")), Backends: map[string]string{}}
@@ -184,7 +184,7 @@
 		f.UnitBytes = 16 << 10
 	}
 	errs := []error{hostPort("listen", f.Listen)}
-	for name, at := range map[string]*policy.Class{"read_class": &f.Read, "write_class": &f.Write} {
+	for name, at := range map[string]*scheduler.Class{"read_class": &f.Read, "write_class": &f.Write} {
 		want, found := r.str(v, name), false
 		for _, c := range set.Classes {
 			if c.Name == want {
@@ -195,7 +195,7 @@
 			errs = append(errs, fmt.Errorf("%s: the settings have no class %q", name, want))
 		}
 	}
-	if f.Write.Effect == policy.Repeatable && f.Write.Name != "" {
+	if f.Write.Effect == scheduler.Repeatable && f.Write.Name != "" {
 		errs = append(errs, fmt.Errorf("write_class: repeats of %q need no key, so writes would be repeated freely", f.Write.Name))
 	}
 	if f.Port > 65535 || f.MaxConns < 1 || f.MaxConns > 4096 || f.UnitBytes < 1 {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"gaugerelay/internal/peer/fleet"
+	"gaugerelay/internal/peer"
 )
 
 // Fleet sets up how gateways agree with each other. What is left out comes from the platform's configuration.
@@ -14,12 +14,12 @@
 	Listen string
 	Self   int // below zero: the platform's
 	Peers  []string
-	Opt    fleet.Options // without Self, Peers, Life and Seed
+	Opt    peer.Options // without Self, Peers, Life and Seed
 }
 
 func fleetOf(v *fastjson.Value) (*Fleet, error) {
 	r := &reader{}
-	f := &Fleet{Listen: r.str(v, "listen"), Self: -1, Opt: fleet.Options{Key: []byte(r.str(v, "key")), PeriodMs: 500, LeaseMs: 2000,
+	f := &Fleet{Listen: r.str(v, "listen"), Self: -1, Opt: peer.Options{Key: []byte(r.str(v, "key")), PeriodMs: 500, LeaseMs: 2000,
 		Drift: 0.01, Lends: 0.5, MostVolumes: 4096}}
 	if v.Exists("self") {
 		f.Self = r.count(v, "self")
@@ -56,7 +56,7 @@
 }
 
 // With fills in what the platform tells, and makes the options of this gateway's side.
-func (f *Fleet) With(c *Config) (listen string, o fleet.Options, err error) {
+func (f *Fleet) With(c *Config) (listen string, o peer.Options, err error) {
 	listen, self, peers := f.Listen, f.Self, f.Peers
 	if listen == "" {
 		listen = c.PeerListen
@@ -68,7 +68,7 @@
 		self = c.Self
 	}
 	o = f.Opt
-	if o.Peers, err = fleet.Parse(peers); err != nil {
+	if o.Peers, err = peer.Parse(peers); err != nil {
 		return "", o, fmt.Errorf("fleet: %w", err)
 	}
 	if self >= len(o.Peers) || len(o.Peers) > 1<<16 {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -4,12 +4,12 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // The fleet's part of the operator's file: what is left out comes from the platform, and what cannot be is told.
 func TestFleet(t *testing.T) {
-	set := standin.Settings(2)
+	set := testbed.Settings(2)
 	c := &Config{Self: 1, PeerListen: "127.0.0.1:7946", Peers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 	e, err := ParseEdge([]byte(`{"fleet":{}}`), &set)
 	if err != nil {
--- a/internal/desk/desk.go
+++ b/internal/dedup/desk.go
@@ -1,7 +1,7 @@
 // Package desk stands between the fronts for devices and the core: it holds the bodies and answers of exchanges, and
 // carries out what the ledger (internal/decide/exchange) decides on each copy. The goroutine that owns the core owns
 // it too.
-package desk
+package dedup
 
 import (
 	"crypto/sha256"
@@ -9,18 +9,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/exchange"
+	"gaugerelay/internal/dedup/exchange"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 )
 
 // Options set a Desk up.
 type Options struct {
 	Settings exchange.Settings
-	Classes  []policy.Class
+	Classes  []scheduler.Class
 	// Name begins the ids by which nodes know the runs: one that no other gateway and no earlier start has.
 	Name string
 	// Gateway is how it names itself to devices: another at each start.
@@ -30,7 +30,7 @@
 	// After calls back on the owner's goroutine.
 	After func(ms float64, f func(nowMs float64)) (stop func())
 	// Take hands a request in to the core.
-	Take func(nowMs float64, r *core.Request)
+	Take func(nowMs float64, r *lifecycle.Request)
 }
 
 // Desk implements core.Desk.
@@ -38,7 +38,7 @@
 	opt     Options
 	ledger  *exchange.Ledger
 	classes map[string]exchange.Class
-	copies  map[uint64]*core.Request
+	copies  map[uint64]*lifecycle.Request
 	held    map[exchange.ID]*held
 	last    uint64
 	stop    func()
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Desk{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*core.Request{},
+	d := &Desk{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*lifecycle.Request{},
 		held: map[exchange.ID]*held{}, stop: func() {}}
 	for _, c := range opt.Classes {
 		d.classes[c.Name] = exchange.Class{Effect: c.Effect, Scope: c.Scope,
@@ -70,7 +70,7 @@
 }
 
 // Offer implements core.Desk.
-func (d *Desk) Offer(nowMs float64, r *core.Request) {
+func (d *Desk) Offer(nowMs float64, r *lifecycle.Request) {
 	d.last++
 	r.Device.Ticket = d.last
 	d.copies[d.last] = r
@@ -85,7 +85,7 @@
 }
 
 // offer makes the ledger's event of a whole copy.
-func (d *Desk) offer(r *core.Request, body [32]byte, size int) exchange.Offer {
+func (d *Desk) offer(r *lifecycle.Request, body [32]byte, size int) exchange.Offer {
 	v := r.Device
 	sum := sha256.Sum256(append(v.Head[:], body[:]...))
 	return exchange.Offer{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
@@ -93,12 +93,12 @@
 		History: d.history(r), Link: exchange.Sample(v.Link)}
 }
 
-func (d *Desk) history(r *core.Request) exchange.History {
+func (d *Desk) history(r *lifecycle.Request) exchange.History {
 	return exchange.History{Repeat: r.Repeat, Same: r.Device.SentTo != "" && r.Device.SentTo == d.opt.Gateway, AgeMs: r.Device.AgeMs}
 }
 
 // Gone implements core.Desk.
-func (d *Desk) Gone(nowMs float64, r *core.Request) {
+func (d *Desk) Gone(nowMs float64, r *lifecycle.Request) {
 	if t := r.Device.Ticket; t != 0 {
 		delete(d.copies, t)
 		d.step(nowMs, exchange.Left{Copy: exchange.CopyID(t)})
@@ -106,12 +106,12 @@
 }
 
 // Written implements core.Desk.
-func (d *Desk) Written(nowMs float64, r *core.Request, l core.Link) {
+func (d *Desk) Written(nowMs float64, r *lifecycle.Request, l lifecycle.Link) {
 	d.step(nowMs, exchange.Written{Copy: exchange.CopyID(r.Device.Ticket), Link: exchange.Sample(l)})
 }
 
 // Measured implements core.Desk.
-func (d *Desk) Measured(nowMs float64, device string, l core.Link) {
+func (d *Desk) Measured(nowMs float64, device string, l lifecycle.Link) {
 	d.step(nowMs, exchange.Measured{Device: device, Link: exchange.Sample(l)})
 }
 
@@ -188,10 +188,10 @@
 		body = d.held[a.ID].body
 	}
 	id := fmt.Sprintf("%s-%x-%x", d.opt.Name, uint64(a.ID), a.Run)
-	run := &core.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, LeftMs: a.LeftMs,
+	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, LeftMs: a.LeftMs,
 		CameMs: a.CameMs, Units: r.Units, Shard: a.Shard, Hosts: r.Hosts, Repeat: r.Repeat || a.Run > 1, Fresh: true,
 		Carrier: r.Carrier, Load: r.Device.Load(id, body)}
-	run.Reply = func(v core.Answer) { d.ended(a, v) }
+	run.Reply = func(v lifecycle.Answer) { d.ended(a, v) }
 	d.opt.Take(nowMs, run)
 }
 
@@ -199,11 +199,11 @@
 type sizer interface{ Size() int }
 
 // ended takes the one answer of a run. It is called by the core, in the midst of its own step.
-func (d *Desk) ended(a exchange.Run, v core.Answer) {
+func (d *Desk) ended(a exchange.Run, v lifecycle.Answer) {
 	ev := exchange.Ended{ID: a.ID, Run: a.Run, Verdict: exchange.Failed, Ran: v.Ran, RanMs: v.RanMs, Shard: v.Shard,
 		ComeBackMs: v.ComeBackMs}
 	switch v.Verdict {
-	case core.Served:
+	case lifecycle.Served:
 		h := d.hold(a.ID)
 		h.answer = v.Result
 		switch x := v.Result.(type) {
@@ -213,17 +213,17 @@
 			ev.Bytes = x.Size()
 		}
 		ev.Verdict = exchange.Served
-	case core.Refused:
+	case lifecycle.Refused:
 		ev.Verdict = exchange.Refused
 	}
 	d.step(d.opt.Now(), ev)
 }
 
-var verdicts = [...]core.Verdict{
-	exchange.ToldServed: core.Served, exchange.ToldRefused: core.Refused, exchange.ToldBusy: core.Refused,
-	exchange.ToldLate: core.Refused, exchange.ToldFailed: core.Failed, exchange.ToldConflict: core.Conflict,
-	exchange.ToldContinue: core.Continue, exchange.ToldIncomplete: core.Incomplete, exchange.ToldTooLarge: core.TooLarge,
-	exchange.ToldSuperseded: core.Superseded,
+var verdicts = [...]lifecycle.Verdict{
+	exchange.ToldServed: lifecycle.Served, exchange.ToldRefused: lifecycle.Refused, exchange.ToldBusy: lifecycle.Refused,
+	exchange.ToldLate: lifecycle.Refused, exchange.ToldFailed: lifecycle.Failed, exchange.ToldConflict: lifecycle.Conflict,
+	exchange.ToldContinue: lifecycle.Continue, exchange.ToldIncomplete: lifecycle.Incomplete, exchange.ToldTooLarge: lifecycle.TooLarge,
+	exchange.ToldSuperseded: lifecycle.Superseded,
 }
 
 // tell answers a copy.
@@ -233,7 +233,7 @@
 	if r == nil {
 		return
 	}
-	a := core.Answer{Verdict: verdicts[t.Outcome], ComeBackMs: t.ComeBackMs, Have: t.Have, Kept: t.Kept,
+	a := lifecycle.Answer{Verdict: verdicts[t.Outcome], ComeBackMs: t.ComeBackMs, Have: t.Have, Kept: t.Kept,
 		DeadMs: t.Advice.DeadMs, Block: t.Advice.Block}
 	if t.Outcome == exchange.ToldServed {
 		h := d.held[t.ID]
--- a/internal/desk/desk_test.go
+++ b/internal/dedup/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package dedup
 
 import (
 	"bytes"
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/exchange"
+	"gaugerelay/internal/dedup/exchange"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin/platform"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 // bench is a desk whose core is the test.
@@ -20,7 +20,7 @@
 	t     *testing.T
 	d     *Desk
 	now   float64
-	runs  []*core.Request
+	runs  []*lifecycle.Request
 	wake  func(float64)
 	wakes float64
 }
@@ -34,9 +34,9 @@
 	if change != nil {
 		change(&set)
 	}
-	classes := platform.Settings(4).Classes
-	classes = append(classes, policy.Class{Name: "zoned", Effect: policy.ByKey, Scope: policy.ScopeZone, DedupWindow: 3 * time.Second},
-		policy.Class{Name: "once", Effect: policy.Once})
+	classes := testsettings.Settings(4).Classes
+	classes = append(classes, scheduler.Class{Name: "zoned", Effect: scheduler.ByKey, Scope: scheduler.ScopeZone, DedupWindow: 3 * time.Second},
+		scheduler.Class{Name: "once", Effect: scheduler.Once})
 	var err error
 	b.d, err = New(Options{Settings: set, Classes: classes, Name: "gw", Metrics: metrics.New(),
 		Now: func() float64 { return b.now },
@@ -44,7 +44,7 @@
 			b.wake, b.wakes = f, b.now+ms
 			return func() { b.wake = nil }
 		},
-		Take: func(_ float64, r *core.Request) { b.runs = append(b.runs, r) }})
+		Take: func(_ float64, r *lifecycle.Request) { b.runs = append(b.runs, r) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 
 // copyOf is a copy, with the answers that it gets.
 type copyOf struct {
-	*core.Request
-	answers []core.Answer
+	*lifecycle.Request
+	answers []lifecycle.Answer
 }
 
-func (c *copyOf) told(t *testing.T) core.Answer {
+func (c *copyOf) told(t *testing.T) lifecycle.Answer {
 	t.Helper()
 	if len(c.answers) != 1 {
 		t.Fatalf("told %d times: %+v", len(c.answers), c.answers)
@@ -78,12 +78,12 @@
 }
 
 // send offers a copy of a request of a class; change makes it another.
-func (b *bench) send(class, key, body string, change func(*core.Request)) *copyOf {
+func (b *bench) send(class, key, body string, change func(*lifecycle.Request)) *copyOf {
 	c := &copyOf{}
-	c.Request = &core.Request{Class: class, Plan: "basic", LeftMs: 2500, Units: 1, Shard: 2, Hosts: 1,
-		Device: &core.Device{ID: "dev", Key: key, Body: []byte(body), BodySum: sha256.Sum256([]byte(body)), AgeMs: -1,
+	c.Request = &lifecycle.Request{Class: class, Plan: "basic", LeftMs: 2500, Units: 1, Shard: 2, Hosts: 1,
+		Device: &lifecycle.Device{ID: "dev", Key: key, Body: []byte(body), BodySum: sha256.Sum256([]byte(body)), AgeMs: -1,
 			Load: func(id string, body []byte) any { return fmt.Sprintf("%s %s", id, body) }},
-		Reply: func(a core.Answer) { c.answers = append(c.answers, a) }}
+		Reply: func(a lifecycle.Answer) { c.answers = append(c.answers, a) }}
 	if change != nil {
 		change(c.Request)
 	}
@@ -91,13 +91,13 @@
 	return c
 }
 
-func repeated(age float64) func(*core.Request) {
-	return func(r *core.Request) { r.Repeat, r.Device.AgeMs = true, age }
+func repeated(age float64) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) { r.Repeat, r.Device.AgeMs = true, age }
 }
 
-func part(offset int, more bool) func(*core.Request) {
-	return func(r *core.Request) {
-		r.Device.Block = &core.Block{Tag: "t", Offset: offset, More: more, Total: -1}
+func part(offset int, more bool) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) {
+		r.Device.Block = &lifecycle.Block{Tag: "t", Offset: offset, More: more, Total: -1}
 		r.Device.Link.RoundTripMs = 50
 	}
 }
@@ -109,7 +109,7 @@
 	first := b.send("push", "k", "body", nil)
 	second := b.send("push", "k", "body", nil)
 	other := b.send("push", "k", "changed", nil)
-	if len(b.runs) != 1 || other.told(t).Verdict != core.Conflict {
+	if len(b.runs) != 1 || other.told(t).Verdict != lifecycle.Conflict {
 		t.Fatalf("%d runs, the changed one was told %+v", len(b.runs), other.answers)
 	}
 	if load := b.runs[0].Load.(string); load[len(load)-5:] != " body" || !b.runs[0].Fresh || b.runs[0].LeftMs >= 2500 {
@@ -117,7 +117,7 @@
 	}
 	b.d.Gone(b.now, first.Request) // its connection is lost
 	b.pass(100)
-	b.runs[0].Reply(core.Answer{Result: []byte("done"), Ran: true, RanMs: b.now - 90, Shard: 2})
+	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now - 90, Shard: 2})
 	late := b.send("push", "k", "body", repeated(100))
 	if a := late.told(t); string(a.Result.([]byte)) != "done" || !a.Kept || a.ETag == 0 || second.told(t).ETag != a.ETag {
 		t.Errorf("a late copy was told %+v", a)
@@ -154,7 +154,7 @@
 		"a read":              {"pull", true, 500, false, -1},
 	} {
 		b := newBench(t, nil)
-		anywhere := func(r *core.Request) { r.Shard = -1 }
+		anywhere := func(r *lifecycle.Request) { r.Shard = -1 }
 		first := b.send(c.class, "k", "body", anywhere)
 		if !c.heard {
 			b.d.Gone(b.now, first.Request)
@@ -164,11 +164,11 @@
 			shard = 3
 		}
 		b.pass(20)
-		b.runs[0].Reply(core.Answer{Verdict: core.Failed, Ran: c.ran, RanMs: b.now - 10, Shard: shard})
+		b.runs[0].Reply(lifecycle.Answer{Verdict: lifecycle.Failed, Ran: c.ran, RanMs: b.now - 10, Shard: shard})
 		b.pass(c.wait)
-		second := b.send(c.class, "k", "body", func(r *core.Request) { repeated(c.wait)(r); anywhere(r) })
+		second := b.send(c.class, "k", "body", func(r *lifecycle.Request) { repeated(c.wait)(r); anywhere(r) })
 		if c.shard == -2 {
-			if len(b.runs) != 1 || second.told(t).Verdict != core.Failed {
+			if len(b.runs) != 1 || second.told(t).Verdict != lifecycle.Failed {
 				t.Errorf("%s: %d runs, told %+v", name, len(b.runs), second.answers)
 			}
 			continue
@@ -179,8 +179,8 @@
 		if over := b.now + b.runs[1].LeftMs; c.ran && c.class == "push" && over > 1e6+10+3000 {
 			t.Errorf("%s: it may go out up to %v", name, over-1e6)
 		}
-		b.runs[1].Reply(core.Answer{Verdict: core.Refused}) // of the second run; the first may have run
-		if v := second.told(t).Verdict; (v == core.Failed) != c.ran {
+		b.runs[1].Reply(lifecycle.Answer{Verdict: lifecycle.Refused}) // of the second run; the first may have run
+		if v := second.told(t).Verdict; (v == lifecycle.Failed) != c.ran {
 			t.Errorf("%s: told %d", name, v)
 		}
 	}
@@ -189,30 +189,30 @@
 // A gateway that has started anew knows nothing of what a marked repeat did.
 func TestAfterARestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*core.Request)
+		change func(*lifecycle.Request)
 		runs   bool
 	}{
 		"inside its window": {repeated(1000), true},
 		"outside":           {repeated(2990), false},
 		"of no known age":   {repeated(-1), false},
-		"in no known cell":  {func(r *core.Request) { repeated(1000)(r); r.Shard = -1 }, false},
-		"a first copy":      {func(r *core.Request) { r.Shard = -1 }, true},
-		"a read":            {func(r *core.Request) { repeated(-1)(r); r.Class = "pull" }, true},
-		"of a zone's class": {func(r *core.Request) { repeated(100)(r); r.Class = "zoned" }, false},
+		"in no known cell":  {func(r *lifecycle.Request) { repeated(1000)(r); r.Shard = -1 }, false},
+		"a first copy":      {func(r *lifecycle.Request) { r.Shard = -1 }, true},
+		"a read":            {func(r *lifecycle.Request) { repeated(-1)(r); r.Class = "pull" }, true},
+		"of a zone's class": {func(r *lifecycle.Request) { repeated(100)(r); r.Class = "zoned" }, false},
 	} {
 		b := newBench(t, nil)
 		k := b.send("push", "k", "body", c.change)
-		if (len(b.runs) == 1) != c.runs || !c.runs && k.told(t).Verdict != core.Failed {
+		if (len(b.runs) == 1) != c.runs || !c.runs && k.told(t).Verdict != lifecycle.Failed {
 			t.Errorf("%s: %d runs, told %+v", name, len(b.runs), k.answers)
 			continue
 		}
 		if !c.runs { // a first copy that was only slow must not run behind that
-			if late := b.send("push", "k", "body", func(r *core.Request) { r.Class, r.Shard = k.Class, k.Shard }); len(b.runs) != 0 || late.told(t).Verdict != core.Failed {
+			if late := b.send("push", "k", "body", func(r *lifecycle.Request) { r.Class, r.Shard = k.Class, k.Shard }); len(b.runs) != 0 || late.told(t).Verdict != lifecycle.Failed {
 				t.Errorf("%s: a late first copy: %d runs, told %+v", name, len(b.runs), late.answers)
 			}
 		} else if k.Repeat && k.Class == "push" {
-			b.runs[0].Reply(core.Answer{Verdict: core.Refused, ComeBackMs: 50})
-			if k.told(t).Verdict != core.Failed {
+			b.runs[0].Reply(lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 50})
+			if k.told(t).Verdict != lifecycle.Failed {
 				t.Errorf("%s: what may have run elsewhere was told %+v", name, k.answers)
 			}
 		}
@@ -223,18 +223,18 @@
 func TestUploads(t *testing.T) {
 	b := newBench(t, nil)
 	block := func(i int) string { return string(bytes.Repeat([]byte{byte('a' + i)}, 64)) }
-	want := func(what string, c *copyOf, v core.Verdict, have int) {
+	want := func(what string, c *copyOf, v lifecycle.Verdict, have int) {
 		t.Helper()
 		if a := c.told(t); a.Verdict != v || a.Have != have {
 			t.Errorf("%s: told %+v, want %d with %d bytes", what, a, v, have)
 		}
 	}
-	want("out of order", b.send("push", "k", block(1), part(64, true)), core.Incomplete, 0)
-	want("the first", b.send("push", "k", block(0), part(0, true)), core.Continue, 64)
-	want("a gap", b.send("push", "k", block(2), part(128, true)), core.Incomplete, 64)
-	want("the first twice", b.send("push", "k", block(0), part(0, true)), core.Continue, 64)
-	want("the second, on another connection", b.send("push", "k", block(1), part(64, true)), core.Continue, 128)
-	want("of another upload", b.send("push", "k", block(2), func(r *core.Request) { part(128, true)(r); r.Device.Block.Tag = "u" }), core.Incomplete, 0)
+	want("out of order", b.send("push", "k", block(1), part(64, true)), lifecycle.Incomplete, 0)
+	want("the first", b.send("push", "k", block(0), part(0, true)), lifecycle.Continue, 64)
+	want("a gap", b.send("push", "k", block(2), part(128, true)), lifecycle.Incomplete, 64)
+	want("the first twice", b.send("push", "k", block(0), part(0, true)), lifecycle.Continue, 64)
+	want("the second, on another connection", b.send("push", "k", block(1), part(64, true)), lifecycle.Continue, 128)
+	want("of another upload", b.send("push", "k", block(2), func(r *lifecycle.Request) { part(128, true)(r); r.Device.Block.Tag = "u" }), lifecycle.Incomplete, 0)
 	last := b.send("push", "k", "end", part(128, false))
 	again := b.send("push", "k", "end", part(128, false))
 	if len(b.runs) != 1 || len(last.answers)+len(again.answers) != 0 {
@@ -243,31 +243,31 @@
 	if load := b.runs[0].Load.(string); load[len(load)-131:] != block(0)+block(1)+"end" {
 		t.Errorf("run with %q", load)
 	}
-	want("an early block behind the last", b.send("push", "k", block(1), part(64, true)), core.Continue, 131)
-	want("another last", b.send("push", "k", "END", part(128, false)), core.Conflict, 0)
-	b.runs[0].Reply(core.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
-	if last.told(t).Verdict != core.Served || again.told(t).Verdict != core.Served {
+	want("an early block behind the last", b.send("push", "k", block(1), part(64, true)), lifecycle.Continue, 131)
+	want("another last", b.send("push", "k", "END", part(128, false)), lifecycle.Conflict, 0)
+	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
+	if last.told(t).Verdict != lifecycle.Served || again.told(t).Verdict != lifecycle.Served {
 		t.Errorf("told %+v and %+v", last.answers, again.answers)
 	}
 	// The whole body once more, in other blocks and in one piece: the same content, so the same answer.
 	all := block(0) + block(1) + "end"
-	want("in other blocks", b.send("push", "k", all[:128], part(0, true)), core.Continue, 128)
-	want("and the rest", b.send("push", "k", all[128:], part(128, false)), core.Served, 0)
-	want("in one piece", b.send("push", "k", all, nil), core.Served, 0)
+	want("in other blocks", b.send("push", "k", all[:128], part(0, true)), lifecycle.Continue, 128)
+	want("and the rest", b.send("push", "k", all[128:], part(128, false)), lifecycle.Served, 0)
+	want("in one piece", b.send("push", "k", all, nil), lifecycle.Served, 0)
 	// A changed body under the same key and tag is never run.
-	want("changed", b.send("push", "k", block(3), part(0, true)), core.Continue, 64)
-	want("and its end", b.send("push", "k", "end", part(64, false)), core.Conflict, 0)
+	want("changed", b.send("push", "k", block(3), part(0, true)), lifecycle.Continue, 64)
+	want("and its end", b.send("push", "k", "end", part(64, false)), lifecycle.Conflict, 0)
 	if len(b.runs) != 1 {
 		t.Errorf("%d runs", len(b.runs))
 	}
 	// A size that changes on the way, and one that is too large, end an upload.
-	sized := func(offset, total int, more bool) func(*core.Request) {
-		return func(r *core.Request) { part(offset, more)(r); r.Device.Block.Total = total }
+	sized := func(offset, total int, more bool) func(*lifecycle.Request) {
+		return func(r *lifecycle.Request) { part(offset, more)(r); r.Device.Block.Total = total }
 	}
-	want("sized", b.send("push", "s", block(0), sized(0, 128, true)), core.Continue, 64)
-	want("resized", b.send("push", "s", block(1), sized(64, 256, true)), core.Conflict, 0)
-	want("too large", b.send("push", "l", block(0), sized(0, 1<<20, true)), core.TooLarge, 0)
-	want("longer than told", b.send("push", "m", block(0), sized(0, 32, true)), core.TooLarge, 0)
+	want("sized", b.send("push", "s", block(0), sized(0, 128, true)), lifecycle.Continue, 64)
+	want("resized", b.send("push", "s", block(1), sized(64, 256, true)), lifecycle.Conflict, 0)
+	want("too large", b.send("push", "l", block(0), sized(0, 1<<20, true)), lifecycle.TooLarge, 0)
+	want("longer than told", b.send("push", "m", block(0), sized(0, 32, true)), lifecycle.TooLarge, 0)
 	b.pass(20_000)
 	if s := b.d.Stats(); s.Exchanges != 0 || s.Bytes != 0 || len(b.d.held) != 0 {
 		t.Errorf("left over: %+v", s)
@@ -279,20 +279,20 @@
 	b := newBench(t, func(s *exchange.Settings) { s.MostDevices = 20 })
 	kept := b.send("push", "precious", "body", nil)
 	b.d.Gone(b.now, kept.Request)
-	b.runs[0].Reply(core.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
+	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
 	busy := 0
 	for i := range 5000 {
-		c := b.send("push", fmt.Sprint("k", i), "12345678", func(r *core.Request) {
+		c := b.send("push", fmt.Sprint("k", i), "12345678", func(r *lifecycle.Request) {
 			part(0, true)(r)
 			r.Device.ID = fmt.Sprint("dev", i%8)
 		})
 		switch a := c.told(t); a.Verdict {
-		case core.Refused:
+		case lifecycle.Refused:
 			busy++
 			if a.ComeBackMs < 100 {
 				t.Fatalf("come back in %v ms", a.ComeBackMs)
 			}
-		case core.Continue:
+		case lifecycle.Continue:
 		default:
 			t.Fatalf("told %+v", a)
 		}
@@ -301,7 +301,7 @@
 			t.Fatalf("%+v, %d held, %d copies", s, len(b.d.held), len(b.d.copies))
 		}
 		if i == 1000 { // its window is still open
-			if a := b.send("push", "precious", "body", repeated(1000)).told(t); a.Verdict != core.Served || !a.Kept {
+			if a := b.send("push", "precious", "body", repeated(1000)).told(t); a.Verdict != lifecycle.Served || !a.Kept {
 				t.Fatalf("the write was forgotten: %+v", a)
 			}
 		}
@@ -318,10 +318,10 @@
 	b.send("push", "u", "part", part(0, true))
 	b.d.Gone(b.now, first.Request)
 	b.d.Drain(b.now)
-	if a := b.send("push", "new", "body", nil).told(t); a.Verdict != core.Refused || a.ComeBackMs == 0 {
+	if a := b.send("push", "new", "body", nil).told(t); a.Verdict != lifecycle.Refused || a.ComeBackMs == 0 {
 		t.Errorf("a new one was told %+v", a)
 	}
-	if a := b.send("push", "old", "body", repeated(100)).told(t); a.Verdict != core.Failed {
+	if a := b.send("push", "old", "body", repeated(100)).told(t); a.Verdict != lifecycle.Failed {
 		t.Errorf("a repeat that is not known here was told %+v", a)
 	}
 	joined := b.send("push", "k", "body", repeated(10))
@@ -329,8 +329,8 @@
 	if len(b.runs) != 2 {
 		t.Fatalf("%d runs: an upload that had begun must end", len(b.runs))
 	}
-	b.runs[0].Reply(core.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
-	if joined.told(t).Verdict != core.Served {
+	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
+	if joined.told(t).Verdict != lifecycle.Served {
 		t.Errorf("told %+v", joined.answers)
 	}
 }
--- a/internal/decide/exchange/contract.go
+++ b/internal/dedup/exchange/contract.go
@@ -9,7 +9,7 @@
 // Times are milliseconds as float64 on the caller's clock, sizes are bytes.
 package exchange
 
-import policy "gaugerelay"
+import "gaugerelay/internal/scheduler"
 
 // CopyID names one copy of a request, as one connection brought it. Ids are never used twice.
 type CopyID uint64
@@ -19,19 +19,19 @@
 
 // The kinds of effect and the groups of nodes that drop repeats are the decision module's.
 type (
-	Effect = policy.Effect
-	Scope  = policy.Scope
+	Effect = scheduler.Effect
+	Scope  = scheduler.Scope
 )
 
 // They by their names there.
 const (
-	Repeatable = policy.Repeatable
-	ByKey      = policy.ByKey
-	Once       = policy.Once
+	Repeatable = scheduler.Repeatable
+	ByKey      = scheduler.ByKey
+	Once       = scheduler.Once
 
-	ScopeAll  = policy.ScopeAll
-	ScopeZone = policy.ScopeZone
-	ScopeCell = policy.ScopeCell
+	ScopeAll  = scheduler.ScopeAll
+	ScopeZone = scheduler.ScopeZone
+	ScopeCell = scheduler.ScopeCell
 )
 
 // Class is what the ledger must know of a request's class.
--- a/internal/decide/exchange/ledger.go
+++ b/internal/dedup/exchange/ledger.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"gaugerelay/internal/ds/wheel"
+	"gaugerelay/internal/timerwheel"
 )
 
 const (
@@ -60,7 +60,7 @@
 	waiting  []waiter
 	up       *upload
 	touched  float64
-	timer    wheel.Timer[*entry]
+	timer    timerwheel.Timer[*entry]
 	list     *list.List // reads, uploads or past, of the ledger
 	at       *list.Element
 }
@@ -118,7 +118,7 @@
 	byID     map[ID]*entry
 	copies   map[CopyID]ID // that wait, or are being written an answer
 	lastID   ID
-	wheel    *wheel.Wheel[*entry]
+	wheel    *timerwheel.Wheel[*entry]
 	reads    list.List // ended exchanges that may be forgotten at once, the oldest first
 	uploads  list.List // exchanges that are receiving, the longest untouched first
 	past     list.List // ended writes whose window is over
@@ -162,10 +162,10 @@
 	l.out = nil
 	if !l.begun {
 		l.begun, l.startMs, l.now, l.lostMs = true, nowMs, nowMs, math.Inf(-1)
-		l.wheel = wheel.New[*entry](nowMs, tickMs)
+		l.wheel = timerwheel.New[*entry](nowMs, tickMs)
 	}
 	l.now = max(l.now, nowMs)
-	l.wheel.Advance(l.now, func(t *wheel.Timer[*entry]) { l.due(t.Value) })
+	l.wheel.Advance(l.now, func(t *timerwheel.Timer[*entry]) { l.due(t.Value) })
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case Offer:
--- a/internal/decide/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"gaugerelay/internal/ds/sketch"
+	"gaugerelay/internal/quantile"
 )
 
 // LinkSettings are an operator's bounds of what a link's history may decide.
@@ -42,7 +42,7 @@
 // Link is what is known of one device's link: 32 bytes and a sketch.
 type Link struct {
 	rtt, dev, rate float64
-	gaps           sketch.Sketch
+	gaps           quantile.Sketch
 }
 
 // Observe takes a sample in. What cannot be a measurement is left out: it comes from devices.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,13 +20,13 @@
 
 	"github.com/valyala/fastjson"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/incarnation"
-	"gaugerelay/internal/decide/nodelist"
-	"gaugerelay/internal/event"
+	"gaugerelay/internal/endpoints"
+	"gaugerelay/internal/incarnation"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
 )
 
@@ -46,8 +46,8 @@
 	againMostMs = 160
 )
 
-var states = map[string]policy.NodeState{
-	"Ready": policy.Live, "Terminating": policy.Draining, "Gone": policy.Gone,
+var states = map[string]scheduler.NodeState{
+	"Ready": scheduler.Live, "Terminating": scheduler.Draining, "Gone": scheduler.Gone,
 }
 
 var errSilent = errors.New("silent")
@@ -56,22 +56,22 @@
 
 // Decode reads a list or a change. Bad entries are left out and counted. A state of a later protocol is read
 // as draining: known, but not to be sent to.
-func Decode(v *fastjson.Value) (l core.List, bad int) {
-	l.Version, l.Scope = v.GetUint64("version"), policy.Patch
+func Decode(v *fastjson.Value) (l lifecycle.List, bad int) {
+	l.Version, l.Scope = v.GetUint64("version"), scheduler.Patch
 	if v.GetBool("full") {
-		l.Scope = policy.Whole
+		l.Scope = scheduler.Whole
 	}
 	for _, e := range v.GetArray("servers") {
-		n := &core.Node{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
+		n := &lifecycle.Node{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
 			Zone: string(e.GetStringBytes("zone")), Kind: string(e.GetStringBytes("kind")),
 			Shard: e.GetInt("cell"), Weight: e.GetFloat64("weight"), StartedMs: e.GetFloat64("started_ms")}
 		state, ok := states[string(e.GetStringBytes("state"))]
 		if !ok {
-			state = policy.Draining
+			state = scheduler.Draining
 		}
 		n.State = state
 		_, _, err := net.SplitHostPort(n.Addr)
-		if n.Name == "" || n.Shard < 0 || math.Abs(n.StartedMs) > 1e15 || err != nil && state != policy.Gone {
+		if n.Name == "" || n.Shard < 0 || math.Abs(n.StartedMs) > 1e15 || err != nil && state != scheduler.Gone {
 			bad++
 			continue
 		}
@@ -87,15 +87,15 @@
 	// Tell takes each change. A Broken list tells that a watch that was started has failed, an Ended one that it has ended
 	// after it had told of nodes, a Silent one that it was answered and then said nothing any more; when to ask again is
 	// not decided here.
-	Tell func(core.List)
+	Tell func(lifecycle.List)
 
 	client *http.Client
 	heard  heard
 
 	mu      sync.Mutex
 	addr    string
-	version uint64         // told last from addr
-	list    *nodelist.List // what of the news counts
+	version uint64          // told last from addr
+	list    *endpoints.List // what of the news counts
 	runs    incarnation.Tracker
 	follow  bool          // watches are taken up again when they end
 	open    bool          // a watch is open or on its way
@@ -105,12 +105,12 @@
 }
 
 // New returns a watcher that resumes after the list known. dial is the machine's if nil.
-func New(addr string, known core.List, c clock.Clock, m *metrics.Set, tell func(core.List),
+func New(addr string, known lifecycle.List, c clock.Clock, m *metrics.Set, tell func(lifecycle.List),
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Watcher {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
-	w := &Watcher{addr: addr, Clock: c, Metrics: m, Tell: tell, version: known.Version, list: nodelist.New(news(known))}
+	w := &Watcher{addr: addr, Clock: c, Metrics: m, Tell: tell, version: known.Version, list: endpoints.New(news(known))}
 	w.heard.clock = c
 	w.client = &http.Client{CheckRedirect: stay, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
 		DialContext: w.heard.listen(dial), MaxResponseHeaderBytes: 16 << 10}}
@@ -124,10 +124,10 @@
 func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // news is a list as nodelist judges it.
-func news(l core.List) nodelist.News {
-	n := nodelist.News{Version: l.Version, Whole: l.Scope != policy.Patch, Entries: make([]nodelist.Entry, len(l.Nodes))}
+func news(l lifecycle.List) endpoints.News {
+	n := endpoints.News{Version: l.Version, Whole: l.Scope != scheduler.Patch, Entries: make([]endpoints.Entry, len(l.Nodes))}
 	for i, e := range l.Nodes {
-		n.Entries[i] = nodelist.Entry{Name: e.Name, Live: e.State == policy.Live, Gone: e.State == policy.Gone, StartedMs: e.StartedMs}
+		n.Entries[i] = endpoints.Entry{Name: e.Name, Live: e.State == scheduler.Live, Gone: e.State == scheduler.Gone, StartedMs: e.StartedMs}
 	}
 	return n
 }
@@ -210,7 +210,7 @@
 		err := w.watch(ctx, &progress{held: func() {
 			if away {
 				away = false
-				slog.Info(event.AgentBack)
+				slog.Info(logevent.AgentBack)
 			}
 		}})
 		if ctx.Err() != nil {
@@ -219,7 +219,7 @@
 		w.Metrics.Add("watch_broken", 1)
 		if !away {
 			away = true
-			slog.Warn(event.AgentAway, event.Error, err)
+			slog.Warn(logevent.AgentAway, logevent.Error, err)
 		}
 		if w.Clock.NowMs()-began >= againMostMs {
 			pause = 0
@@ -244,7 +244,7 @@
 	w.mu.Lock()
 	version := w.version
 	w.mu.Unlock()
-	slog.Warn(event.DiscoveryCallFailed, event.Error, err, event.TookMs, w.Clock.NowMs()-seen.beganMs, "answered", seen.answered, event.Version, version)
+	slog.Warn(logevent.DiscoveryCallFailed, logevent.Error, err, logevent.TookMs, w.Clock.NowMs()-seen.beganMs, "answered", seen.answered, logevent.Version, version)
 }
 
 // progress is how far a watch has come.
@@ -263,31 +263,31 @@
 func (p *progress) proven(nowMs float64) bool { return p.told || nowMs-p.beganMs >= provenMs }
 
 // ended is what the end of a watch tells.
-func (p *progress) ended(nowMs float64, err error) core.List {
+func (p *progress) ended(nowMs float64, err error) lifecycle.List {
 	switch {
 	case p.answered && errors.Is(err, errSilent):
-		return core.List{Scope: policy.Silent} // the call had not failed
+		return lifecycle.List{Scope: scheduler.Silent} // the call had not failed
 	case p.answered && p.proven(nowMs):
-		return core.List{Scope: policy.Ended}
+		return lifecycle.List{Scope: scheduler.Ended}
 	}
-	return core.List{Scope: policy.Broken, AtMs: p.beganMs, Failure: failure(err)}
+	return lifecycle.List{Scope: scheduler.Broken, AtMs: p.beganMs, Failure: failure(err)}
 }
 
 // failure tells what a call that has failed by an error proves.
-func failure(err error) core.CallFailure {
+func failure(err error) lifecycle.CallFailure {
 	if errors.Is(err, errSilent) || errors.Is(err, errAnew) {
-		return core.Unproven
+		return lifecycle.Unproven
 	}
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "dial" {
-		return core.TurnedAway
+		return lifecycle.TurnedAway
 	}
 	for _, own := range ownErrors {
 		if errors.Is(err, own) {
-			return core.Unproven
+			return lifecycle.Unproven
 		}
 	}
-	return core.Unreachable
+	return lifecycle.Unreachable
 }
 
 // ownErrors are those of a connect that fails for want of something on this machine. They tell nothing of discovery.
@@ -300,7 +300,7 @@
 	addr, after := w.addr, w.version
 	w.mu.Unlock()
 	seen.beganMs = w.Clock.NowMs()
-	slog.Debug(event.DiscoveryCall, event.Address, addr, event.Version, after)
+	slog.Debug(logevent.DiscoveryCall, logevent.Address, addr, logevent.Version, after)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := func() {}
@@ -324,7 +324,7 @@
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
 	seen.answered = true
-	slog.Info(event.DiscoveryAnswered, event.Address, addr, event.TookMs, w.Clock.NowMs()-seen.beganMs)
+	slog.Info(logevent.DiscoveryAnswered, logevent.Address, addr, logevent.TookMs, w.Clock.NowMs()-seen.beganMs)
 	arm(silentMs)
 	values := newValues(resp.Body)
 	var parser fastjson.Parser
@@ -349,7 +349,7 @@
 				w.complete(at)
 			}
 			if seen.held == nil && seen.proven(at) { // where it is pushed, nobody has to know
-				w.Tell(core.List{Scope: policy.Alive, AtMs: at})
+				w.Tell(lifecycle.List{Scope: scheduler.Alive, AtMs: at})
 			}
 			continue
 		}
@@ -365,7 +365,7 @@
 		w.Metrics.Add("discovery_lines", int64(len(l.Nodes)))
 		w.mu.Lock()
 		stale := w.moving
-		var d nodelist.Decision
+		var d endpoints.Decision
 		if !stale {
 			if unnumbered {
 				l.Version = w.version
@@ -390,7 +390,7 @@
 			seen.told = true
 			took = w.Clock.NowMs() - seen.beganMs
 		}
-		slog.Debug(event.DiscoveryUpdate, event.Version, l.Version, "entries", len(d.Take), "whole", d.Whole)
+		slog.Debug(logevent.DiscoveryUpdate, logevent.Version, l.Version, "entries", len(d.Take), "whole", d.Whole)
 		news := counts(l, d)
 		news.TookMs = took
 		w.date(news.Nodes)
@@ -410,7 +410,7 @@
 }
 
 // date puts the starts of nodes on this gateway's clock.
-func (w *Watcher) date(nodes []*core.Node) {
+func (w *Watcher) date(nodes []*lifecycle.Node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.Clock.NowMs()
@@ -420,17 +420,17 @@
 }
 
 // Date puts the starts of nodes that were known before the start on this gateway's clock.
-func (w *Watcher) Date(known core.List) { w.date(known.Nodes) }
+func (w *Watcher) Date(known lifecycle.List) { w.date(known.Nodes) }
 
 // counts is what of a list counts.
-func counts(l core.List, d nodelist.Decision) core.List {
-	nodes := make([]*core.Node, len(d.Take))
+func counts(l lifecycle.List, d endpoints.Decision) lifecycle.List {
+	nodes := make([]*lifecycle.Node, len(d.Take))
 	for i, at := range d.Take {
 		nodes[i] = l.Nodes[at]
 	}
-	scope := policy.Patch
+	scope := scheduler.Patch
 	if d.Whole {
-		scope = policy.Whole
+		scope = scheduler.Whole
 	}
-	return core.List{Version: l.Version, Scope: scope, Nodes: nodes}
+	return lifecycle.List{Version: l.Version, Scope: scope, Nodes: nodes}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/valyala/fastjson"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 )
 
@@ -35,7 +35,7 @@
 			t.Errorf("%d nodes and %d bad of %d", len(l.Nodes), bad, len(v.GetArray("servers")))
 		}
 		for _, n := range l.Nodes {
-			if n.Name == "" || n.Shard < 0 || n.Addr == "" && n.State != policy.Gone {
+			if n.Name == "" || n.Shard < 0 || n.Addr == "" && n.State != scheduler.Gone {
 				t.Errorf("let through %q %q %d", n.Name, n.Addr, n.Shard)
 			}
 		}
@@ -43,10 +43,10 @@
 }
 
 func TestDecode(t *testing.T) {
-	for state, want := range map[string]policy.NodeState{"Ready": policy.Live, "Terminating": policy.Draining,
-		"Gone": policy.Gone, "Paused": policy.Draining} {
+	for state, want := range map[string]scheduler.NodeState{"Ready": scheduler.Live, "Terminating": scheduler.Draining,
+		"Gone": scheduler.Gone, "Paused": scheduler.Draining} {
 		l, bad := Decode(fastjson.MustParse(`{"version":7,"servers":[` + fmt.Sprintf(entry, state) + `]}`))
-		if n := l.Nodes[0]; bad != 0 || l.Version != 7 || l.Scope != policy.Patch || n.State != want || n.Shard != 3 ||
+		if n := l.Nodes[0]; bad != 0 || l.Version != 7 || l.Scope != scheduler.Patch || n.State != want || n.Shard != 3 ||
 			n.Addr != "127.0.0.1:7070" || n.Weight != 1.5 || n.StartedMs != 12 || n.Kind != "m2" || n.Zone != "a" {
 			t.Errorf("%s: %+v, %+v", state, l, n)
 		}
@@ -70,12 +70,12 @@
 	}))
 	defer srv.Close()
 	defer close(feed)
-	told := make(chan core.List, 10)
+	told := make(chan lifecycle.List, 10)
 	m, now := metrics.New(), clock.NewManual(1e12)
-	w := New(strings.TrimPrefix(srv.URL, "http://"), core.List{Version: 41}, now, m, func(l core.List) { told <- l }, nil)
+	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{Version: 41}, now, m, func(l lifecycle.List) { told <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	want := func(what string, scope policy.ListScope, version uint64) {
+	want := func(what string, scope scheduler.ListScope, version uint64) {
 		t.Helper()
 		if l := <-told; l.Scope != scope || l.Version != version {
 			t.Errorf("%s: %+v", what, l)
@@ -92,24 +92,24 @@
 	call("watch=1&after=41")
 	feed <- ""
 	feed <- `{"version":43,"servers":[` + fmt.Sprintf(entry, "Gone") + `]}`
-	want("a change", policy.Patch, 43)
+	want("a change", scheduler.Patch, 43)
 	feed <- `{"version":44,"full":true,"servers":[]}`
-	want("the whole list", policy.Whole, 44)
+	want("the whole list", scheduler.Whole, 44)
 	feed <- "end"
-	want("its end", policy.Ended, 0)
+	want("its end", scheduler.Ended, 0)
 	call("watch=1&after=44")
 	feed <- `[1,2]`
-	want("a bad line", policy.Broken, 0)
+	want("a bad line", scheduler.Broken, 0)
 	feed <- "end"
 	call("watch=1&after=44")
 	now.Advance(answerMs + 1)
-	want("no answer in time", policy.Broken, 0)
+	want("no answer in time", scheduler.Broken, 0)
 	feed <- "end"
 	call("watch=1&after=44")
 	feed <- `{"version":45,"servers":[]}`
-	want("a change", policy.Patch, 45)
+	want("a change", scheduler.Patch, 45)
 	now.Advance(silentMs + 1)
-	want("silence", policy.Silent, 0)
+	want("silence", scheduler.Silent, 0)
 	feed <- "end"
 	if len(calls) != 0 || m.Get("watch_broken") != 4 || m.Get("discovery_bad_lines") != 1 {
 		t.Errorf("%d calls more, %d broken, %d bad lines", len(calls), m.Get("watch_broken"), m.Get("discovery_bad_lines"))
@@ -118,11 +118,11 @@
 
 func TestRefusedWatch(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
-	told := make(chan core.List, 1)
-	w := New(strings.TrimPrefix(srv.URL, "http://"), core.List{}, clock.NewManual(0), metrics.New(), func(l core.List) { told <- l }, nil)
+	told := make(chan lifecycle.List, 1)
+	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{}, clock.NewManual(0), metrics.New(), func(l lifecycle.List) { told <- l }, nil)
 	for range 2 { // an error, then nobody there
 		w.Start(context.Background())
-		if l := <-told; l.Scope != policy.Broken {
+		if l := <-told; l.Scope != scheduler.Broken {
 			t.Errorf("%+v", l)
 		}
 		srv.Close()
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -13,12 +13,12 @@
 	"testing/synctest"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin/memnet"
+	"gaugerelay/internal/testbed/memnet"
 )
 
 // agent is this machine's agent: it tells the lines that the test gives it on the watch that is open.
@@ -82,14 +82,14 @@
 		var mu sync.Mutex
 		var told []string
 		m := metrics.New()
-		w := New("127.0.0.1:1", core.List{Version: 41, Scope: policy.Stale, Nodes: []*core.Node{{Name: "s-1"}, {Name: "s-2"}}},
-			clock.NewSystem(), m, func(l core.List) {
-				if l.Scope == policy.Broken {
+		w := New("127.0.0.1:1", lifecycle.List{Version: 41, Scope: scheduler.Stale, Nodes: []*lifecycle.Node{{Name: "s-1"}, {Name: "s-2"}}},
+			clock.NewSystem(), m, func(l lifecycle.List) {
+				if l.Scope == scheduler.Broken {
 					t.Error("a broken list")
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				told = append(told, fmt.Sprintf("%d: %d, whole %v", l.Version, len(l.Nodes), l.Scope == policy.Whole))
+				told = append(told, fmt.Sprintf("%d: %d, whole %v", l.Version, len(l.Nodes), l.Scope == scheduler.Whole))
 			}, n.Dial)
 		w.Follow(ctx)
 		time.Sleep(80 * time.Millisecond)
@@ -144,7 +144,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var apart []int64
 		last := time.Now()
-		w := New("127.0.0.1:1", core.List{}, clock.NewSystem(), metrics.New(), func(core.List) { t.Error("told") },
+		w := New("127.0.0.1:1", lifecycle.List{}, clock.NewSystem(), metrics.New(), func(lifecycle.List) { t.Error("told") },
 			func(context.Context, string, string) (net.Conn, error) {
 				apart = append(apart, time.Since(last).Milliseconds())
 				last = time.Now()
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/valyala/fastjson"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // compareGolden compares the text with the golden file of that name.
@@ -73,19 +73,19 @@
 		t.Run(name, func(t *testing.T) {
 			next := make(chan string, 1)
 			requests := make(chan []byte, 1)
-			addr := standin.Serve(t, func(c net.Conn) {
+			addr := testbed.Serve(t, func(c net.Conn) {
 				requests <- readHead(c)
 				io.WriteString(c, <-next)
 			})
-			lists := make(chan core.List, 16)
-			w := New(addr, core.List{Version: known}, clock.NewManual(1e12), metrics.New(), func(l core.List) { lists <- l }, nil)
+			lists := make(chan lifecycle.List, 16)
+			w := New(addr, lifecycle.List{Version: known}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) { lists <- l }, nil)
 			var wire []byte
 			for _, response := range responses {
 				next <- response
 				w.Start(t.Context())
 				wire = append(wire, <-requests...)
 				for l := range lists {
-					if l.Scope == policy.Ended || l.Scope == policy.Broken {
+					if l.Scope == scheduler.Ended || l.Scope == scheduler.Broken {
 						break
 					}
 				}
@@ -99,9 +99,9 @@
 // A watch at another address asks for the whole list.
 func TestGoldenCallAfterMove(t *testing.T) {
 	requests := make(chan []byte, 1)
-	addr := standin.Serve(t, func(c net.Conn) { requests <- readHead(c) })
-	lists := make(chan core.List, 16)
-	w := New("127.0.0.1:1", core.List{Version: 41}, clock.NewManual(1e12), metrics.New(), func(l core.List) { lists <- l }, nil)
+	addr := testbed.Serve(t, func(c net.Conn) { requests <- readHead(c) })
+	lists := make(chan lifecycle.List, 16)
+	w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) { lists <- l }, nil)
 	w.Move(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 	<-lists
@@ -109,10 +109,10 @@
 }
 
 // describeList writes a list as values, one entry a line.
-func describeList(l core.List, bad int) string {
+func describeList(l lifecycle.List, bad int) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Scope == policy.Whole, bad)
-	states := map[policy.NodeState]string{policy.Live: "live", policy.Draining: "draining", policy.Gone: "gone"}
+	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Scope == scheduler.Whole, bad)
+	states := map[scheduler.NodeState]string{scheduler.Live: "live", scheduler.Draining: "draining", scheduler.Gone: "gone"}
 	for _, n := range l.Nodes {
 		fmt.Fprintf(&out, "name %q, address %q, zone %q, kind %q, shard %d, weight %v, started %v ms, state %s\n",
 			n.Name, n.Addr, n.Zone, n.Kind, n.Shard, n.Weight, n.StartedMs, states[n.State])
--- a/internal/discovery/heard.go
+++ b/internal/discovery/heard.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/sockets"
+	"gaugerelay/internal/socketstate"
 )
 
 // catchUpMs bounds CatchUp: half of what the rules' times are longer by.
@@ -114,7 +114,7 @@
 		h.mu.Lock()
 		unread := false
 		if h.line != nil {
-			unread, _ = sockets.Waiting(h.line.Conn)
+			unread, _ = socketstate.Waiting(h.line.Conn)
 		}
 		if !h.busy && !unread {
 			h.mu.Unlock()
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -12,12 +12,12 @@
 	"testing/synctest"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin/memnet"
+	"gaugerelay/internal/testbed/memnet"
 )
 
 // What discovery answers badly, or not at all, ends the call in a bounded time, is counted, and leaves the list as it
@@ -33,7 +33,7 @@
 		told   int
 		lines  int64 // that could not be read
 		withMs float64
-		ends   policy.ListScope // Broken where it is left out
+		ends   scheduler.ListScope // Broken where it is left out
 	}{
 		"refused":                     {answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
 		"elsewhere":                   {answer: "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.9:1/v1/endpoints\r\nContent-Length: 0\r\n\r\n"},
@@ -42,26 +42,26 @@
 		"never answered":              {stays: true, withMs: answerMs},
 		"a head that stops":           {answer: head + "X-", stays: true, withMs: answerMs},
 		"a head without end":          {answer: head + strings.Repeat("X-A: "+strings.Repeat("a", 4000)+"\r\n", 8)},
-		"a head and no more":          {answer: head + "\r\n", stays: true, withMs: silentMs, ends: policy.Silent},
-		"cut off in a line":           {answer: head + "\r\n" + list + list[:40], told: 1, lines: 1, ends: policy.Ended},
-		"shorter than it says":        {answer: head + "Content-Length: 4000\r\n\r\n" + list, told: 1, ends: policy.Ended},
-		"indented":                    {answer: head + "\r\n\n" + indented(list) + " \r\n" + indented(list), told: 2, ends: policy.Ended},
-		"two objects in a line":       {answer: head + "\r\n" + strings.TrimSpace(list) + list, told: 2, ends: policy.Ended},
-		"more behind an object":       {answer: head + "\r\n" + strings.TrimSpace(list) + "]\n" + list, told: 1, lines: 1, ends: policy.Ended},
+		"a head and no more":          {answer: head + "\r\n", stays: true, withMs: silentMs, ends: scheduler.Silent},
+		"cut off in a line":           {answer: head + "\r\n" + list + list[:40], told: 1, lines: 1, ends: scheduler.Ended},
+		"shorter than it says":        {answer: head + "Content-Length: 4000\r\n\r\n" + list, told: 1, ends: scheduler.Ended},
+		"indented":                    {answer: head + "\r\n\n" + indented(list) + " \r\n" + indented(list), told: 2, ends: scheduler.Ended},
+		"two objects in a line":       {answer: head + "\r\n" + strings.TrimSpace(list) + list, told: 2, ends: scheduler.Ended},
+		"more behind an object":       {answer: head + "\r\n" + strings.TrimSpace(list) + "]\n" + list, told: 1, lines: 1, ends: scheduler.Ended},
 		"braces that do not match":    {answer: head + "\r\n" + `{"servers":[}]` + "\n", lines: 1},
 		"an object without end":       {answer: head + "\r\n{" + strings.Repeat(`"a":[`, maxValue/4)},
 		"longer than it says":         {answer: head + "Content-Length: 40\r\n\r\n" + list, lines: 1},
 		"two lengths":                 {answer: head + "Content-Length: 4\r\nContent-Length: 9\r\n\r\n" + list},
 		"a chunk of no size":          {answer: head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + list},
 		"a line without end":          {answer: head + "\r\n" + strings.Repeat(" ", maxValue+2)},
-		"silent behind a list":        {answer: head + "\r\n" + list, stays: true, told: 1, withMs: silentMs, ends: policy.Silent},
+		"silent behind a list":        {answer: head + "\r\n" + list, stays: true, told: 1, withMs: silentMs, ends: scheduler.Silent},
 		"a list of another kind":      {answer: head + "\r\n" + `{"version":44,"full":true,"servers":{"id":"s-1"}}` + "\n", lines: 1},
 		"a whole list without a list": {answer: head + "\r\n" + `{"version":44,"full":true}` + "\n", lines: 1},
 		"entries of no use":           {answer: head + "\r\n" + `{"version":44,"servers":[{"id":"x"},null,7]}` + "\n", told: 1},
 		"not JSON":                    {answer: head + "\r\n<html>\n", lines: 1},
 	} {
 		if c.ends == 0 {
-			c.ends = policy.Broken
+			c.ends = scheduler.Broken
 		}
 		synctest.Test(t, func(t *testing.T) {
 			n := &memnet.Net{}
@@ -85,21 +85,21 @@
 			}()
 			m, began := metrics.New(), time.Now()
 			told, broken := 0, make(chan float64, 2)
-			w := New("127.0.0.1:1", core.List{Version: 41}, clock.NewSystem(), m, func(l core.List) {
-				if l.Scope == policy.Alive {
+			w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewSystem(), m, func(l lifecycle.List) {
+				if l.Scope == scheduler.Alive {
 					if told == 0 || l.AtMs == 0 {
 						t.Errorf("%s: an empty line before anything else shows nothing yet: %+v", name, l)
 					}
 					return
 				}
-				if l.Scope >= policy.Broken {
+				if l.Scope >= scheduler.Broken {
 					if l.Scope != c.ends { // only a call that was answered has not failed
 						t.Errorf("%s: its end is told as %v, want %v", name, l.Scope, c.ends)
 					}
 					broken <- clock.Ms(time.Since(began))
 					return
 				}
-				if told++; l.Scope == policy.Whole && len(l.Nodes) == 0 {
+				if told++; l.Scope == scheduler.Whole && len(l.Nodes) == 0 {
 					t.Errorf("%s: the list is emptied", name)
 				}
 			}, n.Dial)
@@ -157,9 +157,9 @@
 				_, err = io.WriteString(nc, " \n")
 			}
 		}()
-		ended, alive := make(chan policy.ListScope, 1), 0
-		w := New("127.0.0.1:1", core.List{Version: 41}, clock.NewSystem(), metrics.New(), func(l core.List) {
-			if l.Scope == policy.Alive {
+		ended, alive := make(chan scheduler.ListScope, 1), 0
+		w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewSystem(), metrics.New(), func(l lifecycle.List) {
+			if l.Scope == scheduler.Alive {
 				alive++
 				return
 			}
@@ -167,7 +167,7 @@
 		}, n.Dial)
 		began := time.Now()
 		w.Start(context.Background())
-		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != policy.Silent || took != 5*lineMs+silentMs {
+		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != scheduler.Silent || took != 5*lineMs+silentMs {
 			t.Errorf("ended as %v after %v ms", scope, took)
 		}
 		if alive != 4 { // the first of five comes too soon to show that discovery has got to the call
--- a/internal/decide/nodelist/nodelist.go
+++ b/internal/endpoints/nodelist.go
@@ -4,7 +4,7 @@
 // comes back with an older list, or with none, and a service that was set up anew counts its versions from the
 // beginning. Taken at its word, the first would send requests to nodes of which this gateway has been told that they
 // drain or are gone, and the second would empty the list.
-package nodelist
+package endpoints
 
 // FallenMs is how long news may stay behind the version held before its numbering counts as a new one. Whatever the
 // service has to tell counts as told within 6 s: by then an older list has caught up, or there is nothing to catch up
--- a/internal/decide/nodelist/nodelist_test.go
+++ b/internal/endpoints/nodelist_test.go
@@ -1,4 +1,4 @@
-package nodelist
+package endpoints
 
 import (
 	"fmt"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,18 +1,18 @@
 // Package loop runs the one goroutine that owns the core and the decision module. Everyone else reaches them
 // through its bounded inbox.
-package loop
+package eventloop
 
 import (
 	"context"
 	"log/slog"
 	"sync/atomic"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/endpointlease"
-	"gaugerelay/internal/event"
+	"gaugerelay/internal/endpointlease"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
 )
 
@@ -26,11 +26,11 @@
 	Metrics *metrics.Set
 	// Watch is called when the module wants the changes of the node list, Prober when it wants a node probed.
 	Watch  func()
-	Prober func(n *core.Node)
+	Prober func(n *lifecycle.Node)
 	// BecameReady is called, once, when requests can be served.
 	BecameReady func()
 
-	core   *core.Core
+	core   *lifecycle.Core
 	inbox  chan func(nowMs float64)
 	done   chan struct{}
 	stop   func() // of the pending wake
@@ -39,10 +39,10 @@
 }
 
 // New returns a loop round a decision module; call Run to start it.
-func New(p core.Policy, c clock.Clock, m *metrics.Set) *Loop {
-	l := &Loop{Clock: c, Metrics: m, Watch: func() {}, Prober: func(*core.Node) {}, BecameReady: func() {},
+func New(p lifecycle.Policy, c clock.Clock, m *metrics.Set) *Loop {
+	l := &Loop{Clock: c, Metrics: m, Watch: func() {}, Prober: func(*lifecycle.Node) {}, BecameReady: func() {},
 		inbox: make(chan func(float64), inboxSize), done: make(chan struct{}), stop: func() {}}
-	l.core = core.New(p, outside{l})
+	l.core = lifecycle.New(p, outside{l})
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		l.core.TraceOn()
 	}
@@ -74,7 +74,7 @@
 }
 
 // Offer hands a request in. It returns false, having done nothing, when the inbox is too full or closed.
-func (l *Loop) Offer(r *core.Request) bool {
+func (l *Loop) Offer(r *lifecycle.Request) bool {
 	if len(l.inbox) > inboxSize*3/4 {
 		return false
 	}
@@ -82,18 +82,18 @@
 }
 
 // Gone tells that a request's client has gone away.
-func (l *Loop) Gone(r *core.Request) {
+func (l *Loop) Gone(r *lifecycle.Request) {
 	r.Leave()
 	l.post(func(now float64) { l.core.Gone(now, r) })
 }
 
 // Written tells that a device's answer was written whole to its connection.
-func (l *Loop) Written(r *core.Request, link core.Link) {
+func (l *Loop) Written(r *lifecycle.Request, link lifecycle.Link) {
 	l.post(func(now float64) { l.core.Desk().Written(now, r, link) })
 }
 
 // Measured tells what a device's link was found to be.
-func (l *Loop) Measured(device string, link core.Link) {
+func (l *Loop) Measured(device string, link lifecycle.Link) {
 	l.post(func(now float64) { l.core.Desk().Measured(now, device, link) })
 }
 
@@ -110,21 +110,21 @@
 func (l *Loop) Ending(atMs float64) { l.post(func(float64) { l.core.Ending(atMs) }) }
 
 // Desk is the desk, if there is one.
-func (l *Loop) Desk() core.Desk { return l.core.Desk() }
+func (l *Loop) Desk() lifecycle.Desk { return l.core.Desk() }
 
 // SetDesk puts a desk before the core; make builds it round a way to hand in requests. It is called before Run.
-func (l *Loop) SetDesk(make func(take func(nowMs float64, r *core.Request)) core.Desk) {
+func (l *Loop) SetDesk(make func(take func(nowMs float64, r *lifecycle.Request)) lifecycle.Desk) {
 	l.core.SetDesk(make(l.core.Take))
 }
 
 // Gate is what all attempts pass before their first byte.
-func (l *Loop) Gate() *core.Gate { return l.core.Gate() }
+func (l *Loop) Gate() *lifecycle.Gate { return l.core.Gate() }
 
 // SetLease bounds the time for which a node list is used that is not refreshed. It is called before Run.
 func (l *Loop) SetLease(lease *endpointlease.Lease) { l.core.SetLease(lease) }
 
 // SetFleet gives the core what speaks with other gateways. It is called before Run.
-func (l *Loop) SetFleet(f core.Fleet) { l.core.SetFleet(f) }
+func (l *Loop) SetFleet(f lifecycle.Fleet) { l.core.SetFleet(f) }
 
 // Post calls f on the loop's goroutine.
 func (l *Loop) Post(f func(nowMs float64)) { l.post(f) }
@@ -135,17 +135,17 @@
 }
 
 // Finish tells how an attempt ended.
-func (l *Loop) Finish(a core.Attempt, res core.Result) {
+func (l *Loop) Finish(a lifecycle.Attempt, res lifecycle.Result) {
 	l.post(func(now float64) { l.core.Finish(now, a.Request, a.N, res) })
 }
 
 // Probed tells what a probe found.
-func (l *Loop) Probed(n *core.Node, latencyMs float64, s policy.Status, report []float64) {
+func (l *Loop) Probed(n *lifecycle.Node, latencyMs float64, s scheduler.Status, report []float64) {
 	l.post(func(float64) { l.core.Probed(n, latencyMs, s, report) })
 }
 
 // Nodes brings news of the node list.
-func (l *Loop) Nodes(list core.List) { l.post(func(float64) { l.core.Nodes(list) }) }
+func (l *Loop) Nodes(list lifecycle.List) { l.post(func(float64) { l.core.Nodes(list) }) }
 
 // Ready tells whether requests can be served.
 func (l *Loop) Ready() bool { return l.ready.Load() }
@@ -178,10 +178,10 @@
 	})
 }
 
-func (o outside) Subscribe()         { o.l.Watch() }
-func (o outside) Probe(n *core.Node) { o.l.Prober(n) }
-func (o outside) Log(text string)    { slog.Info(event.SchedulerNote, "text", text) }
-func (o outside) Count(name string)  { o.l.Metrics.Add(name, 1) }
+func (o outside) Subscribe()              { o.l.Watch() }
+func (o outside) Probe(n *lifecycle.Node) { o.l.Prober(n) }
+func (o outside) Log(text string)         { slog.Info(logevent.SchedulerNote, "text", text) }
+func (o outside) Count(name string)       { o.l.Metrics.Add(name, 1) }
 
 func (o outside) Trace(name string, fields ...any) { slog.Debug(name, fields...) }
 
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,14 +1,14 @@
-package loop
+package eventloop
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 )
 
@@ -19,7 +19,7 @@
 	block chan struct{}
 }
 
-func (s *stepper) Step(now time.Duration, _ []policy.Event) []policy.Action {
+func (s *stepper) Step(now time.Duration, _ []scheduler.Event) []scheduler.Action {
 	if s.block != nil {
 		<-s.block
 	}
@@ -29,7 +29,7 @@
 	}
 	at := s.wake
 	s.wake = 0
-	return []policy.Action{policy.WakeAt{At: at}}
+	return []scheduler.Action{scheduler.WakeAt{At: at}}
 }
 
 // woken is a running loop whose module was stepped at 100 ms and asks to be woken at 150; end ends it.
@@ -38,7 +38,7 @@
 	l = New(s, now, metrics.New())
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	l.Nodes(core.List{})
+	l.Nodes(lifecycle.List{})
 	l.Sync()
 	return now, s, l, func() { cancel(); <-l.done }
 }
@@ -54,7 +54,7 @@
 	if len(s.at) != 2 || s.at[1] != 150*time.Millisecond || !l.Ready() {
 		t.Errorf("stepped at %v, ready %v", s.at, l.Ready())
 	}
-	if l.Offer(&core.Request{}) {
+	if l.Offer(&lifecycle.Request{}) {
 		t.Error("an ended loop took a request")
 	}
 }
@@ -75,21 +75,21 @@
 	s := &stepper{block: make(chan struct{})}
 	l := New(s, clock.NewManual(0), metrics.New())
 	taken := 0
-	for l.Offer(&core.Request{Reply: func(core.Answer) {}}) {
+	for l.Offer(&lifecycle.Request{Reply: func(lifecycle.Answer) {}}) {
 		taken++
 	}
 	if taken != inboxSize*3/4+1 {
 		t.Errorf("%d requests fitted", taken)
 	}
 	for range inboxSize / 4 / 2 {
-		l.Finish(core.Attempt{Request: &core.Request{}}, core.Result{}) // would block if there were no room
+		l.Finish(lifecycle.Attempt{Request: &lifecycle.Request{}}, lifecycle.Result{}) // would block if there were no room
 	}
 	close(s.block)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go l.Run(ctx)
 	l.Sync()
-	if !l.Offer(&core.Request{Reply: func(core.Answer) {}}) {
+	if !l.Offer(&lifecycle.Request{Reply: func(lifecycle.Answer) {}}) {
 		t.Error("no room once it is worked off")
 	}
 }
--- a/internal/front/devicefront/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -1,4 +1,4 @@
-package devicefront
+package coapserver
 
 import (
 	"bufio"
@@ -15,28 +15,28 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/coapwire"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/httpfront"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin/platform"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 // atOnce answers a request in the caller's goroutine, as far as the front can tell like a loop that has nothing to do.
 type atOnce struct{ body []byte }
 
-func (l *atOnce) Offer(r *core.Request) bool {
-	r.Reply(core.Answer{Result: l.body, ETag: 1})
+func (l *atOnce) Offer(r *lifecycle.Request) bool {
+	r.Reply(lifecycle.Answer{Result: l.body, ETag: 1})
 	return true
 }
-func (l *atOnce) Gone(*core.Request)               {}
-func (l *atOnce) Written(*core.Request, core.Link) {}
-func (l *atOnce) Ready() bool                      { return true }
-func (l *atOnce) Measured(string, core.Link)       {}
+func (l *atOnce) Gone(*lifecycle.Request)                    {}
+func (l *atOnce) Written(*lifecycle.Request, lifecycle.Link) {}
+func (l *atOnce) Ready() bool                                { return true }
+func (l *atOnce) Measured(string, lifecycle.Link)            {}
 
 // BenchmarkRequest is a write of 1 KiB with a short answer, over a loopback socket, one at a time: what a front and a
 // bare client take together. Only the fronts differ.
 func BenchmarkRequest(b *testing.B) {
-	set := platform.Settings(4)
+	set := testsettings.Settings(4)
 	body := bytes.Repeat([]byte("x"), 1024)
 	dial := func(b *testing.B, serve func(net.Listener)) net.Conn {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,7 +98,7 @@
 	})
 	for name, devices := range map[string]bool{"http": false, "http for devices": true} {
 		b.Run(name, func(b *testing.B) {
-			f := &httpfront.Front{Loop: &atOnce{[]byte("done")}, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Devices: devices}
+			f := &httpserver.Front{Loop: &atOnce{[]byte("done")}, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Devices: devices}
 			server := &http.Server{Handler: f, ConnContext: f.ConnContext}
 			nc := dial(b, func(ln net.Listener) { server.Serve(ln) })
 			raw := fmt.Appendf(nil, "PUT /push/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nX-Service-Class: push\r\nX-Plan: basic\r\nX-Time-Left-Ms: 2000\r\nIdempotency-Key: k1\r\nX-Device-Id: dev\r\nX-IO: volume=1,units=2,shard=3,hosts=1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/front/devicefront/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -1,4 +1,4 @@
-package devicefront
+package coapserver
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 	"github.com/plgd-dev/go-coap/v3/message"
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/coapwire"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/event"
-	"gaugerelay/internal/front/form"
-	"gaugerelay/internal/front/hangup"
+	"gaugerelay/internal/frontend/gracefulclose"
+	"gaugerelay/internal/frontend/requestparse"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 const (
@@ -37,7 +37,7 @@
 type outgoing struct {
 	raw    []byte
 	p      *pending
-	answer core.Answer
+	answer lifecycle.Answer
 	last   bool // the connection ends behind it
 }
 
@@ -45,7 +45,7 @@
 type pending struct {
 	token message.Token
 	in    *request
-	req   *core.Request
+	req   *lifecycle.Request
 	stop  func() // the guard
 }
 
@@ -60,7 +60,7 @@
 	began   time.Time
 	device  string
 	greeted bool
-	sample  core.Link
+	sample  lifecycle.Link
 	after   time.Time // whatever comes now was sent after this: the connecting, or a ping that has been answered
 
 	mu       sync.Mutex
@@ -144,10 +144,10 @@
 	}
 	c.queue = nil
 	c.room.Broadcast()
-	if !hangup.EndSending(c.nc) {
+	if !gracefulclose.EndSending(c.nc) {
 		c.nc.Close()
 	}
-	c.nc.SetReadDeadline(time.Now().Add(hangup.CloseMs * time.Millisecond))
+	c.nc.SetReadDeadline(time.Now().Add(gracefulclose.CloseMs * time.Millisecond))
 	c.mu.Unlock()
 	for _, p := range open {
 		p.stop()
@@ -165,7 +165,7 @@
 
 // serve reads until the connection ends.
 func (c *conn) serve() {
-	defer hangup.Close(c.nc) // closed over what has not been read it would be reset, and the last message lost
+	defer gracefulclose.Close(c.nc) // closed over what has not been read it would be reset, and the last message lost
 	defer c.close()
 	for c.await() {
 		n, err := c.nc.Read(c.buf[c.n:])
@@ -398,7 +398,7 @@
 		}
 		c.after = asked
 		if rtt := clock.Ms(now.Sub(asked)); c.device != "" { // what waits may have to be told sooner for it
-			c.f.Loop.Measured(c.device, core.Link{RoundTripMs: rtt})
+			c.f.Loop.Measured(c.device, lifecycle.Link{RoundTripMs: rtt})
 		} else {
 			c.sample.RoundTripMs = rtt
 		}
@@ -419,7 +419,7 @@
 		return
 	}
 	c.f.Metrics.Add("device_aborts", 1)
-	slog.Info(event.DeviceError, event.Client, c.nc.RemoteAddr().String(), event.Error, err)
+	slog.Info(logevent.DeviceError, logevent.Client, c.nc.RemoteAddr().String(), logevent.Error, err)
 	c.send(message.Message{Code: codes.Abort, Payload: []byte(err.Error())}, true)
 	// The writer closes behind it; whoever does not read it is cut off.
 	c.mu.Lock()
@@ -441,11 +441,11 @@
 	if len(r.device) > mostDevice {
 		return bad(codes.BadOption, "the device's name is too long")
 	}
-	req, class, err := form.Parse(c.f.Settings, r.fields)
+	req, class, err := requestparse.Parse(c.f.Settings, r.fields)
 	if err != nil {
 		return err
 	}
-	load := &httpcarrier.Load{Method: r.fields.Method, Path: r.fields.Path, RawQuery: r.query, Header: http.Header{}}
+	load := &httpclient.Load{Method: r.fields.Method, Path: r.fields.Path, RawQuery: r.query, Header: http.Header{}}
 	if r.contentType != "" {
 		load.Header.Set("Content-Type", r.contentType)
 	}
@@ -453,17 +453,17 @@
 		r.ageMs += clock.Ms(now.Sub(c.after))
 	}
 	link := c.sample
-	if err := form.Device(req, class, r.fields, form.Copy{Device: r.device, ID: r.fields.Key, AgeMs: r.ageMs, SentTo: r.sentTo, Link: link}, load); err != nil {
+	if err := requestparse.Device(req, class, r.fields, requestparse.Copy{Device: r.device, ID: r.fields.Key, AgeMs: r.ageMs, SentTo: r.sentTo, Link: link}, load); err != nil {
 		return err
 	}
 	c.device = r.device
-	c.sample = core.Link{}
+	c.sample = lifecycle.Link{}
 	d := req.Device
 	d.Body = bytes.Clone(m.Payload)
 	if p := r.block1; p != nil && (p.More || p.Offset > 0) {
-		d.Block = &core.Block{Tag: r.tag, Offset: p.Offset, More: p.More, Total: r.total}
+		d.Block = &lifecycle.Block{Tag: r.tag, Offset: p.Offset, More: p.More, Total: r.total}
 	} else {
-		if len(d.Body) > form.MaxBody {
+		if len(d.Body) > requestparse.MaxBody {
 			return bad(codes.RequestEntityTooLarge, "the body is over 64 KiB")
 		}
 		d.BodySum = sha256.Sum256(d.Body)
@@ -485,12 +485,12 @@
 	// a device that was told of its write by an earlier copy would be told now that it failed.
 	p.stop = c.f.Clock.AfterFunc(max(0, req.LeftMs)+clock.Ms(c.f.GuardTime), func() { c.late(p) })
 	c.mu.Unlock()
-	req.Reply = func(a core.Answer) { c.answered(p, a) }
+	req.Reply = func(a lifecycle.Answer) { c.answered(p, a) }
 	if !c.f.Loop.Offer(req) {
 		c.f.Metrics.Add("requests_inbox_full", 1)
-		a := core.Answer{Verdict: core.Refused, ComeBackMs: 250} // nothing of it has run
+		a := lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 250} // nothing of it has run
 		if req.Repeat && r.fields.Method == http.MethodPut {
-			a.Verdict = core.Failed // but an earlier copy may have
+			a.Verdict = lifecycle.Failed // but an earlier copy may have
 		}
 		c.answered(p, a)
 	}
@@ -515,7 +515,7 @@
 // ---- writing ----
 
 // answered takes the one answer to a request. It is called on the loop's goroutine and does not wait.
-func (c *conn) answered(p *pending, a core.Answer) {
+func (c *conn) answered(p *pending, a lifecycle.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.DeadMs > 0 {
@@ -529,7 +529,7 @@
 	}
 	delete(c.open, string(p.token))
 	p.stop()
-	c.push(outgoing{p: p, answer: a, last: a.Verdict == core.Superseded})
+	c.push(outgoing{p: p, answer: a, last: a.Verdict == lifecycle.Superseded})
 }
 
 // reply answers without the loop.
@@ -580,9 +580,9 @@
 			raw, whole = c.compose(o.p, o.answer)
 		}
 		err := c.put(raw, dead)
-		if o.p != nil && o.answer.Verdict == core.Served {
+		if o.p != nil && o.answer.Verdict == lifecycle.Served {
 			if err == nil && whole {
-				c.f.Loop.Written(o.p.req, core.Link{})
+				c.f.Loop.Written(o.p.req, lifecycle.Link{})
 			} else {
 				c.f.Loop.Gone(o.p.req) // the answer is kept, or more of it is asked for
 			}
@@ -614,19 +614,19 @@
 }
 
 // compose makes the message of an answer; whole tells whether the device then has all of it.
-func (c *conn) compose(p *pending, a core.Answer) (raw []byte, whole bool) {
+func (c *conn) compose(p *pending, a lifecycle.Answer) (raw []byte, whole bool) {
 	m := message.Message{Token: p.token}
 	text := func(code codes.Code, s string, opts ...message.Option) {
 		m.Code, m.Payload, m.Options = code, []byte(s), opts
 	}
 	switch a.Verdict {
-	case core.Served:
+	case lifecycle.Served:
 		whole = c.served(&m, p, a)
-	case core.Refused:
+	case lifecycle.Refused:
 		text(codes.ServiceUnavailable, "busy, nothing was done", coapwire.Uint(message.MaxAge, seconds(a.ComeBackMs)))
-	case core.Conflict:
+	case lifecycle.Conflict:
 		text(codes.Conflict, "another content than that of the exchange it names; nothing of it was done")
-	case core.Continue:
+	case lifecycle.Continue:
 		echo := *p.in.block1
 		c.mu.Lock()
 		if c.block > 0 && c.block < echo.Size { // the link does better with smaller ones
@@ -634,11 +634,11 @@
 		}
 		c.mu.Unlock()
 		m.Code, m.Options = codes.Continue, message.Options{echo.Option(message.Block1)}
-	case core.Incomplete:
+	case lifecycle.Incomplete:
 		text(codes.RequestEntityIncomplete, "a block does not fit on", coapwire.Uint(coapwire.OptHave, uint32(a.Have)))
-	case core.TooLarge:
-		text(codes.RequestEntityTooLarge, "too large", coapwire.Uint(message.Size1, form.MaxBody))
-	case core.Superseded:
+	case lifecycle.TooLarge:
+		text(codes.RequestEntityTooLarge, "too large", coapwire.Uint(message.Size1, requestparse.MaxBody))
+	case lifecycle.Superseded:
 		text(codes.Abort, "newer connections wait for the answer")
 		m.Token = nil
 	default:
@@ -648,7 +648,7 @@
 }
 
 // served makes the message of a served answer, or of the block of it that was asked for.
-func (c *conn) served(m *message.Message, p *pending, a core.Answer) (whole bool) {
+func (c *conn) served(m *message.Message, p *pending, a lifecycle.Answer) (whole bool) {
 	body := a.Result.([]byte)
 	etag := binary.BigEndian.AppendUint64(nil, a.ETag)
 	m.Code = codes.Content
--- a/internal/front/devicefront/front.go
+++ b/internal/frontend/coapserver/front.go
@@ -13,7 +13,7 @@
 //	5.04        no answer in time
 //
 // A frame that makes no sense ends its connection by Abort. What was open on it goes on; its device asks again.
-package devicefront
+package coapserver
 
 import (
 	"math"
@@ -22,10 +22,10 @@
 	"sync/atomic"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 )
 
@@ -45,20 +45,20 @@
 
 // Loop is what the front asks of the loop.
 type Loop interface {
-	Offer(*core.Request) bool
-	Gone(*core.Request)
-	Written(*core.Request, core.Link)
-	Measured(device string, l core.Link)
+	Offer(*lifecycle.Request) bool
+	Gone(*lifecycle.Request)
+	Written(*lifecycle.Request, lifecycle.Link)
+	Measured(device string, l lifecycle.Link)
 }
 
 // Front serves devices.
 type Front struct {
 	Options
 	Loop     Loop
-	Carrier  core.Carrier
+	Carrier  lifecycle.Carrier
 	Clock    clock.Clock
 	Metrics  *metrics.Set
-	Settings *policy.Settings
+	Settings *scheduler.Settings
 
 	endMs    atomic.Uint64 // bits of the float64: while stopping, when the last answer must be out; 0 before
 	mu       sync.Mutex
--- a/internal/front/devicefront/front_test.go
+++ b/internal/frontend/coapserver/front_test.go
@@ -1,4 +1,4 @@
-package devicefront
+package coapserver
 
 import (
 	"bytes"
@@ -20,15 +20,15 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/coapwire"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/event"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
-	"gaugerelay/internal/standin/platform"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 func TestMain(m *testing.M) {
-	event.Setup(io.Discard, slog.LevelError)
+	logevent.Setup(io.Discard, slog.LevelError)
 	os.Exit(m.Run())
 }
 
@@ -36,11 +36,11 @@
 type fakeLoop struct {
 	mu                   sync.Mutex
 	full                 bool
-	taken, gone, written []*core.Request
-	take                 func(*core.Request)
+	taken, gone, written []*lifecycle.Request
+	take                 func(*lifecycle.Request)
 }
 
-func (l *fakeLoop) Offer(r *core.Request) bool {
+func (l *fakeLoop) Offer(r *lifecycle.Request) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.full {
@@ -53,19 +53,19 @@
 	return true
 }
 
-func (l *fakeLoop) Gone(r *core.Request) {
+func (l *fakeLoop) Gone(r *lifecycle.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gone = append(l.gone, r)
 }
 
-func (l *fakeLoop) Written(r *core.Request, _ core.Link) {
+func (l *fakeLoop) Written(r *lifecycle.Request, _ lifecycle.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.written = append(l.written, r)
 }
 
-func (l *fakeLoop) Measured(string, core.Link) {}
+func (l *fakeLoop) Measured(string, lifecycle.Link) {}
 
 func (l *fakeLoop) counts() (taken, gone, written int) {
 	l.mu.Lock()
@@ -74,7 +74,7 @@
 }
 
 func testFront(l *fakeLoop) *Front {
-	set := platform.Settings(4)
+	set := testsettings.Settings(4)
 	return &Front{Loop: l, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Options: Options{MaxConns: 4,
 		MaxOpen: 2, MaxMessage: 4096, FirstTime: 5 * time.Second, IdleTime: time.Minute, LeastDead: time.Second,
 		MostDead: 4 * time.Second, HoldOff: 3 * time.Second, GuardTime: 25 * time.Millisecond}}
@@ -170,7 +170,7 @@
 }
 
 // inBubble runs a test in a bubble's time with one connected device.
-func inBubble(t *testing.T, most uint32, take func(*core.Request), f func(*Front, *fakeLoop, *client)) {
+func inBubble(t *testing.T, most uint32, take func(*lifecycle.Request), f func(*Front, *fakeLoop, *client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLoop{take: take}
@@ -185,37 +185,39 @@
 	})
 }
 
-func answering(a core.Answer) func(*core.Request) { return func(r *core.Request) { r.Reply(a) } }
+func answering(a lifecycle.Answer) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) { r.Reply(a) }
+}
 
 func TestAnswers(t *testing.T) {
 	block := coapwire.Place{Offset: 2048, Size: 1024, More: true}
 	for name, c := range map[string]struct {
-		answer core.Answer
+		answer lifecycle.Answer
 		code   codes.Code
 		check  func(*message.Message) bool
 	}{
-		"served": {core.Answer{Result: []byte("done"), ETag: 0x0102}, codes.Changed, func(m *message.Message) bool { return string(m.Payload) == "done" }},
-		"refused": {core.Answer{Verdict: core.Refused, ComeBackMs: 1200}, codes.ServiceUnavailable, func(m *message.Message) bool {
+		"served": {lifecycle.Answer{Result: []byte("done"), ETag: 0x0102}, codes.Changed, func(m *message.Message) bool { return string(m.Payload) == "done" }},
+		"refused": {lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 1200}, codes.ServiceUnavailable, func(m *message.Message) bool {
 			s, err := m.Options.GetUint32(message.MaxAge)
 			return err == nil && s == 2
 		}},
-		"at once": {core.Answer{Verdict: core.Refused}, codes.ServiceUnavailable, func(m *message.Message) bool {
+		"at once": {lifecycle.Answer{Verdict: lifecycle.Refused}, codes.ServiceUnavailable, func(m *message.Message) bool {
 			s, err := m.Options.GetUint32(message.MaxAge)
 			return err == nil && s == 1
 		}},
-		"failed": {core.Answer{Verdict: core.Failed}, codes.BadGateway, nil},
-		"other":  {core.Answer{Verdict: core.Conflict}, codes.Conflict, nil},
-		"large":  {core.Answer{Verdict: core.TooLarge}, codes.RequestEntityTooLarge, nil},
-		"gap": {core.Answer{Verdict: core.Incomplete, Have: 1024}, codes.RequestEntityIncomplete, func(m *message.Message) bool {
+		"failed": {lifecycle.Answer{Verdict: lifecycle.Failed}, codes.BadGateway, nil},
+		"other":  {lifecycle.Answer{Verdict: lifecycle.Conflict}, codes.Conflict, nil},
+		"large":  {lifecycle.Answer{Verdict: lifecycle.TooLarge}, codes.RequestEntityTooLarge, nil},
+		"gap": {lifecycle.Answer{Verdict: lifecycle.Incomplete, Have: 1024}, codes.RequestEntityIncomplete, func(m *message.Message) bool {
 			n, err := m.Options.GetUint32(coapwire.OptHave)
 			return err == nil && n == 1024
 		}},
-		"more": {core.Answer{Verdict: core.Continue, Have: 3072}, codes.Continue, func(m *message.Message) bool {
+		"more": {lifecycle.Answer{Verdict: lifecycle.Continue, Have: 3072}, codes.Continue, func(m *message.Message) bool {
 			b, _ := m.Options.GetBytes(message.Block1)
 			p, ok := coapwire.ReadPlace(b)
 			return ok && p == block
 		}},
-		"more, smaller": {core.Answer{Verdict: core.Continue, Have: 3072, Block: 256}, codes.Continue, func(m *message.Message) bool {
+		"more, smaller": {lifecycle.Answer{Verdict: lifecycle.Continue, Have: 3072, Block: 256}, codes.Continue, func(m *message.Message) bool {
 			b, _ := m.Options.GetBytes(message.Block1)
 			p, ok := coapwire.ReadPlace(b)
 			return ok && p.Offset == 2048 && p.Size == 256
@@ -283,7 +285,7 @@
 		"BERT that is not full":    {codes.PUT, strings.Repeat("x", 1025), add(coapwire.Place{Size: 1024, BERT: true, More: true}.Option(message.Block1)), codes.BadRequest},
 		"a bad block":              {codes.PUT, "x", add(message.Option{ID: message.Block1, Value: []byte("1234")}), codes.BadOption},
 	} {
-		inBubble(t, 4096, answering(core.Answer{Result: []byte("fine")}), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, 4096, answering(lifecycle.Answer{Result: []byte("fine")}), func(f *Front, l *fakeLoop, k *client) {
 			k.put(ask(c.code, 1, []byte(c.payload), c.change))
 			k.want(c.want)
 			if taken, _, _ := l.counts(); taken != 0 {
@@ -343,7 +345,7 @@
 		most           uint32
 		advised, first int
 	}{{1152, 0, 1024}, {1152, 256, 256}, {4000, 0, 3072}, {4000, 2048, 2048}, {8000, 0, 5000}, {8000, 1024, 1024}} {
-		inBubble(t, c.most, answering(core.Answer{Result: body, ETag: 77, Block: c.advised}), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, c.most, answering(lifecycle.Answer{Result: body, ETag: 77, Block: c.advised}), func(f *Front, l *fakeLoop, k *client) {
 			k.put(ask(codes.GET, 1, nil, nil))
 			m := k.want(codes.Content)
 			if len(m.Payload) != c.first {
@@ -432,7 +434,7 @@
 		f.End()
 	})
 	synctest.Test(t, func(t *testing.T) { // who does not read its answer
-		l := &fakeLoop{take: answering(core.Answer{Result: make([]byte, 3000)})}
+		l := &fakeLoop{take: answering(lifecycle.Answer{Result: make([]byte, 3000)})}
 		f := testFront(l)
 		near, far := net.Pipe()
 		f.Take(far)
@@ -504,7 +506,7 @@
 			t.Error("ended with a request open")
 		default:
 		}
-		l.taken[0].Reply(core.Answer{Result: []byte("late")})
+		l.taken[0].Reply(lifecycle.Answer{Result: []byte("late")})
 		k.want(codes.Content)
 		<-over
 	})
@@ -548,19 +550,19 @@
 	seed(csm, []byte{0xf0, 0xff, 0xff, 0xff, 0xff, 1}, get)
 	seed(get, csm)
 	f.Fuzz(func(t *testing.T, data []byte, cut uint8) {
-		answers := []core.Answer{{Result: make([]byte, 3000), ETag: 5}, {Verdict: core.Refused}, {Verdict: core.Failed},
-			{Verdict: core.Incomplete, Have: 7}, {Verdict: core.Continue, Block: 64}, {Verdict: core.Superseded}}
+		answers := []lifecycle.Answer{{Result: make([]byte, 3000), ETag: 5}, {Verdict: lifecycle.Refused}, {Verdict: lifecycle.Failed},
+			{Verdict: lifecycle.Incomplete, Have: 7}, {Verdict: lifecycle.Continue, Block: 64}, {Verdict: lifecycle.Superseded}}
 		var mu sync.Mutex
-		ends := map[*core.Request]int{}
+		ends := map[*lifecycle.Request]int{}
 		l := &fakeLoop{}
-		l.take = func(r *core.Request) {
+		l.take = func(r *lifecycle.Request) {
 			mu.Lock()
 			n := len(ends)
 			ends[r] = 0
 			mu.Unlock()
 			a := answers[(n+int(cut))%len(answers)]
-			if a.Verdict == core.Continue && r.Device.Block == nil {
-				a.Verdict = core.Failed
+			if a.Verdict == lifecycle.Continue && r.Device.Block == nil {
+				a.Verdict = lifecycle.Failed
 			}
 			r.Reply(a)
 		}
@@ -593,7 +595,7 @@
 		front.End()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, r := range append(append([]*core.Request(nil), l.gone...), l.written...) {
+		for _, r := range append(append([]*lifecycle.Request(nil), l.gone...), l.written...) {
 			mu.Lock()
 			ends[r]++
 			if ends[r] > 1 {
@@ -632,9 +634,9 @@
 // A message whose last byte comes when its device's time is up still gets the loop's answer, not the guard's: an
 // earlier copy may have been told that it was served.
 func TestTheGuardWaitsForTheLoop(t *testing.T) {
-	slow := func(r *core.Request) {
+	slow := func(r *lifecycle.Request) {
 		time.Sleep(5 * time.Millisecond)
-		r.Reply(core.Answer{Verdict: core.Served, Result: []byte("kept"), Kept: true})
+		r.Reply(lifecycle.Answer{Verdict: lifecycle.Served, Result: []byte("kept"), Kept: true})
 	}
 	inBubble(t, 4096, slow, func(f *Front, l *fakeLoop, k *client) {
 		raw := coapwire.Encode(ask(codes.PUT, 1, []byte("x"), func(o message.Options) message.Options {
@@ -658,7 +660,7 @@
 
 // Behind a message that ends the connection there may be more: the device gets the last one, and no reset.
 func TestLastMessageOutlivesBytesNotRead(t *testing.T) {
-	ln := standin.Listen(t)
+	ln := testbed.Listen(t)
 	f := testFront(&fakeLoop{})
 	go f.Serve(ln)
 	c, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/front/devicefront/message.go
+++ b/internal/frontend/coapserver/message.go
@@ -1,4 +1,4 @@
-package devicefront
+package coapserver
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 
 	"gaugerelay/internal/coapwire"
-	"gaugerelay/internal/front/form"
+	"gaugerelay/internal/frontend/requestparse"
 )
 
 const maxOptionLen = 1034 // RFC 7252 allows no more in any option that it defines
 
 // request is what a message asks for.
 type request struct {
-	fields      form.Fields
+	fields      requestparse.Fields
 	device      string
 	sentTo      string
 	ageMs       float64
--- a/internal/front/hangup/hangup.go
+++ b/internal/frontend/gracefulclose/hangup.go
@@ -1,5 +1,5 @@
 // Package hangup closes clients' connections without taking their last answers away.
-package hangup
+package gracefulclose
 
 import (
 	"io"
--- a/internal/front/httpfront/conns.go
+++ b/internal/frontend/httpserver/conns.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"container/list"
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/front/hangup"
+	"gaugerelay/internal/frontend/gracefulclose"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 const (
@@ -26,7 +26,7 @@
 	speakMs = 500
 	// aheadMost is what is kept of what a client sends while its request is open: one more request, as large as it may
 	// be. What comes beyond is dropped, and the connection ends behind the answer; floodMost of that is read.
-	aheadMost = 16<<10 + httpcarrier.MaxBody
+	aheadMost = 16<<10 + httpclient.MaxBody
 	floodMost = 1 << 20
 )
 
@@ -260,8 +260,8 @@
 		return
 	}
 	k.ending = c.closing.PushBack(k)
-	k.unguard = c.Clock.AfterFunc(hangup.CloseMs, k.finish)
-	if !hangup.EndSending(k.Conn) {
+	k.unguard = c.Clock.AfterFunc(gracefulclose.CloseMs, k.finish)
+	if !gracefulclose.EndSending(k.Conn) {
 		k.close()
 	}
 	if c.quiet == nil && c.closing.Len() > max(1, c.Most/16) {
--- a/internal/front/httpfront/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bytes"
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/form"
+	"gaugerelay/internal/frontend/requestparse"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 // This file is what the front does otherwise for devices on poor links.
@@ -57,11 +57,11 @@
 }
 
 // measured is what that tells of the link. What comes all at once tells of buffers, not of the link.
-func (t *timed) measured() core.Link {
+func (t *timed) measured() lifecycle.Link {
 	if t.span < 1 {
-		return core.Link{}
+		return lifecycle.Link{}
 	}
-	return core.Link{Bytes: t.n, BytesMs: t.span, GapMs: t.longest}
+	return lifecycle.Link{Bytes: t.n, BytesMs: t.span, GapMs: t.longest}
 }
 
 // since holds, in a connection's context, the time after which whatever comes now was sent: its connecting, or the
@@ -84,9 +84,9 @@
 }
 
 // device makes a request a copy of an exchange.
-func (f *Front) device(req *core.Request, class *policy.Class, fields form.Fields, r *http.Request, load *httpcarrier.Load, link core.Link) error {
+func (f *Front) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpclient.Load, link lifecycle.Link) error {
 	h := r.Header
-	c := form.Copy{Device: h.Get("X-Device-Id"), ID: fields.ID, AgeMs: -1, SentTo: h.Get("X-Sent-To"), Link: link}
+	c := requestparse.Copy{Device: h.Get("X-Device-Id"), ID: fields.ID, AgeMs: -1, SentTo: h.Get("X-Sent-To"), Link: link}
 	if len(h["X-Device-Id"]) > 1 {
 		return errors.New("X-Device-Id is there more than once")
 	}
@@ -104,7 +104,7 @@
 	if c.AgeMs >= 0 { // told when it was sent; how long it was on its way is known only to be less than this
 		c.AgeMs += f.Clock.NowMs() - math.Float64frombits(f.after(r.Context()).Load())
 	}
-	if err := form.Device(req, class, fields, c, load); err != nil {
+	if err := requestparse.Device(req, class, fields, c, load); err != nil {
 		return err
 	}
 	req.Device.Body, req.Device.BodySum = load.Body, sha256.Sum256(load.Body)
@@ -112,7 +112,7 @@
 }
 
 // serveDevice writes a device's answer, or the part of it that the device lacks, and tells whether that went out.
-func (f *Front) serveDevice(w http.ResponseWriter, r *http.Request, req *core.Request, a core.Answer) {
+func (f *Front) serveDevice(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Answer) {
 	body := a.Result.([]byte)
 	began := f.Clock.NowMs()
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -133,7 +133,7 @@
 		f.Loop.Gone(req) // the answer is kept
 		return
 	}
-	f.Loop.Written(req, core.Link{Bytes: out.n, BytesMs: f.Clock.NowMs() - began})
+	f.Loop.Written(req, lifecycle.Link{Bytes: out.n, BytesMs: f.Clock.NowMs() - began})
 }
 
 // answerTime is the least time that an answer gets on the slowest link that is of use: 1 KiB a second.
--- a/internal/front/httpfront/front.go
+++ b/internal/frontend/httpserver/front.go
@@ -1,5 +1,5 @@
 // Package httpfront takes clients' requests over HTTP and writes their answers. It holds no decisions.
-package httpfront
+package httpserver
 
 import (
 	"errors"
@@ -15,15 +15,15 @@
 	"sync/atomic"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/leaving"
-	"gaugerelay/internal/front/form"
+	"gaugerelay/internal/frontend/requestparse"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/sockets"
+	"gaugerelay/internal/shutdown"
+	"gaugerelay/internal/socketstate"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 const (
@@ -38,19 +38,19 @@
 
 // Loop is what the front asks of the loop.
 type Loop interface {
-	Offer(*core.Request) bool
-	Gone(*core.Request)
-	Written(*core.Request, core.Link)
+	Offer(*lifecycle.Request) bool
+	Gone(*lifecycle.Request)
+	Written(*lifecycle.Request, lifecycle.Link)
 	Ready() bool
 }
 
 // Front is an http.Handler.
 type Front struct {
 	Loop     Loop
-	Carrier  core.Carrier
+	Carrier  lifecycle.Carrier
 	Clock    clock.Clock
 	Metrics  *metrics.Set
-	Settings *policy.Settings
+	Settings *scheduler.Settings
 	// Devices makes it the front for devices on poor links: requests are copies of exchanges, told by X-Device-Id.
 	Devices bool
 	// Fleet answers what this gateway knows of its fleet; nil: it is in none.
@@ -62,7 +62,7 @@
 	HoldUps *clock.HoldUps
 
 	paceMu  sync.Mutex
-	pace    leaving.Pace
+	pace    shutdown.Pace
 	keepMs  atomic.Uint64 // bits of the float64: from when on connections are kept free; 0: not yet
 	endMs   atomic.Uint64 // bits of the float64: while stopping, when the last answer must be out; 0 before
 	closing atomic.Bool
@@ -109,7 +109,7 @@
 		panic(http.ErrAbortHandler) // its client has been told that it was not taken
 	}
 	if k := clientOf(r.Context()); k != nil {
-		defer k.owe(func() bool { return r.Context().Err() == nil && !sockets.HungUp(k.Conn) })()
+		defer k.owe(func() bool { return r.Context().Err() == nil && !socketstate.HungUp(k.Conn) })()
 	}
 	if f.closing.Load() {
 		w.Header().Set("Connection", "close")
@@ -148,15 +148,15 @@
 	// The server's time to read the request ends here. It would also end the watch on the client's leaving, and
 	// with it the request, under one that only waits for its answer.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	answers := make(chan core.Answer, 1) // one answer fits, so the loop never waits
-	req.Reply = func(a core.Answer) { answers <- a }
+	answers := make(chan lifecycle.Answer, 1) // one answer fits, so the loop never waits
+	req.Reply = func(a lifecycle.Answer) { answers <- a }
 	req.CameMs = f.Clock.NowMs() - arrived
 	req.LeftMs -= req.CameMs
 	if !f.Devices { // what a device's link takes the desk knows
 		req.LeftMs -= marginMs
 	}
 	if k := clientOf(r.Context()); k != nil && !f.Devices { // what devices ask for goes on without them
-		if req.Away = func() bool { return sockets.HungUp(k.Conn) }; req.Away() {
+		if req.Away = func() bool { return socketstate.HungUp(k.Conn) }; req.Away() {
 			f.Metrics.Add("requests_abandoned", 1) // it waited for longer, unread, than its client did
 			panic(http.ErrAbortHandler)
 		}
@@ -204,12 +204,12 @@
 	}
 }
 
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, req *core.Request, a core.Answer) {
+func (f *Front) answer(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Answer) {
 	if f.closing.Load() { // it may have begun while the request was out: what is told to end crosses no request
 		w.Header().Set("Connection", "close")
 	}
 	switch a.Verdict {
-	case core.Served:
+	case lifecycle.Served:
 		if f.Devices {
 			f.serveDevice(w, r, req, a)
 			return
@@ -218,14 +218,14 @@
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		w.Write(body)
-	case core.Refused:
+	case lifecycle.Refused:
 		f.refuse(w, a.ComeBackMs)
-	case core.Rejected:
+	case lifecycle.Rejected:
 		w.Header().Set("Connection", "close")
 		http.Error(w, "a request with this X-Correlation-Id is open", http.StatusConflict)
-	case core.Conflict:
+	case lifecycle.Conflict:
 		http.Error(w, "another content than that of the exchange it names; nothing of it was done", http.StatusConflict)
-	case core.Superseded:
+	case lifecycle.Superseded:
 		panic(http.ErrAbortHandler) // its device waits on newer connections
 	default:
 		http.Error(w, "failed", http.StatusBadGateway)
@@ -240,8 +240,8 @@
 }
 
 // parse reads a client's request; what is malformed never reaches the module.
-func (f *Front) parse(r *http.Request) (*core.Request, int, error) {
-	bad := func(format string, args ...any) (*core.Request, int, error) {
+func (f *Front) parse(r *http.Request) (*lifecycle.Request, int, error) {
+	bad := func(format string, args ...any) (*lifecycle.Request, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
 	// net/http drops a Content-Length that comes beside a Transfer-Encoding, as RFC 9112 lets it, so the two
@@ -267,24 +267,24 @@
 	if err != nil {
 		return bad("X-Time-Left-Ms is not a whole number")
 	}
-	fields := form.Fields{Method: r.Method, Path: r.URL.Path, Class: r.Header.Get("X-Service-Class"),
+	fields := requestparse.Fields{Method: r.Method, Path: r.URL.Path, Class: r.Header.Get("X-Service-Class"),
 		Plan: r.Header.Get("X-Plan"), IO: r.Header.Get("X-IO"), ID: r.Header.Get("X-Correlation-Id"),
 		Key: r.Header.Get("Idempotency-Key"), LeftMs: left, Repeat: r.Header.Get("X-Repeat") == "1"}
-	if !form.Visible(fields.ID) {
+	if !requestparse.Visible(fields.ID) {
 		return bad("X-Correlation-Id is missing, too long or not plain text")
 	}
-	req, class, err := form.Parse(f.Settings, fields)
+	req, class, err := requestparse.Parse(f.Settings, fields)
 	if err != nil {
 		return bad("%w", err)
 	}
 	if r.Method == http.MethodGet && r.ContentLength > 0 {
 		return bad("a read has no body")
 	}
-	if r.ContentLength > httpcarrier.MaxBody { // none of it is read
+	if r.ContentLength > httpclient.MaxBody { // none of it is read
 		return nil, http.StatusRequestEntityTooLarge, errors.New("the body is over 64 KiB")
 	}
 	reader := &timed{r: r.Body, clock: f.Clock}
-	body, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(reader), httpcarrier.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(reader), httpclient.MaxBody))
 	if err != nil {
 		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 			return nil, http.StatusRequestEntityTooLarge, errors.New("the body is over 64 KiB")
@@ -298,7 +298,7 @@
 	if ct := r.Header.Get("Content-Type"); ct != "" {
 		header.Set("Content-Type", ct)
 	}
-	load := &httpcarrier.Load{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath,
+	load := &httpclient.Load{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath,
 		RawQuery: r.URL.RawQuery, Header: header, Body: body}
 	req.Carrier, req.Load = f.Carrier, load
 	if f.Devices {
--- a/internal/front/httpfront/front_test.go
+++ b/internal/frontend/httpserver/front_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"context"
@@ -11,23 +11,23 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 // fakeLoop takes requests and lets the test answer them.
 type fakeLoop struct {
 	full, unready bool
-	taken         []*core.Request
-	written       []*core.Request
+	taken         []*lifecycle.Request
+	written       []*lifecycle.Request
 	gone          int
-	take          func(*core.Request)
+	take          func(*lifecycle.Request)
 }
 
-func (l *fakeLoop) Offer(r *core.Request) bool {
+func (l *fakeLoop) Offer(r *lifecycle.Request) bool {
 	if l.full {
 		return false
 	}
@@ -35,12 +35,12 @@
 	l.take(r)
 	return true
 }
-func (l *fakeLoop) Gone(*core.Request)                   { l.gone++ }
-func (l *fakeLoop) Ready() bool                          { return !l.unready }
-func (l *fakeLoop) Written(r *core.Request, _ core.Link) { l.written = append(l.written, r) }
+func (l *fakeLoop) Gone(*lifecycle.Request)                        { l.gone++ }
+func (l *fakeLoop) Ready() bool                                    { return !l.unready }
+func (l *fakeLoop) Written(r *lifecycle.Request, _ lifecycle.Link) { l.written = append(l.written, r) }
 
-func newFront(take func(*core.Request)) (*Front, *fakeLoop, *clock.Manual) {
-	set := standin.Settings(4)
+func newFront(take func(*lifecycle.Request)) (*Front, *fakeLoop, *clock.Manual) {
+	set := testbed.Settings(4)
 	l, now := &fakeLoop{take: take}, clock.NewManual(1e12)
 	return &Front{Loop: l, Clock: now, Metrics: metrics.New(), Settings: &set}, l, now
 }
@@ -59,19 +59,21 @@
 	return r
 }
 
-func answering(a core.Answer) func(*core.Request) { return func(r *core.Request) { r.Reply(a) } }
+func answering(a lifecycle.Answer) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) { r.Reply(a) }
+}
 
 func TestAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer     core.Answer
+		answer     lifecycle.Answer
 		code       int
 		body, come string
 	}{
-		"served":         {core.Answer{Result: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
-		"refused":        {core.Answer{Verdict: core.Refused}, 503, "busy\n", ""},
-		"refused, later": {core.Answer{Verdict: core.Refused, ComeBackMs: 90}, 503, "busy\n", "0.090"},
-		"failed":         {core.Answer{Verdict: core.Failed}, 502, "failed\n", ""},
-		"an open id":     {core.Answer{Verdict: core.Rejected}, 409, "a request with this X-Correlation-Id is open\n", ""},
+		"served":         {lifecycle.Answer{Result: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
+		"refused":        {lifecycle.Answer{Verdict: lifecycle.Refused}, 503, "busy\n", ""},
+		"refused, later": {lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 90}, 503, "busy\n", "0.090"},
+		"failed":         {lifecycle.Answer{Verdict: lifecycle.Failed}, 502, "failed\n", ""},
+		"an open id":     {lifecycle.Answer{Verdict: lifecycle.Rejected}, 409, "a request with this X-Correlation-Id is open\n", ""},
 	} {
 		f, l, _ := newFront(answering(c.answer))
 		w := httptest.NewRecorder()
@@ -80,7 +82,7 @@
 			t.Errorf("%s: %d %q, come back %q", name, w.Code, w.Body, w.Header().Get("Retry-After"))
 		}
 		r := l.taken[0]
-		load := r.Load.(*httpcarrier.Load)
+		load := r.Load.(*httpclient.Load)
 		if r.Key != 0x7f3a9c21e0b4d655 || r.Volume != 0x3b4d60021 || r.Units != 2 || r.Shard != 3 || r.Hosts != 2 ||
 			r.LeftMs != 480-marginMs || load.RawQuery != "x=%2F" || string(load.Body) != "data" ||
 			load.Header.Get("Idempotency-Key") != "k1" || load.Header.Get("X-Correlation-Id") != "9b1f03aa5c7e2d41" {
@@ -129,10 +131,10 @@
 		"encoded body":   {func(r *http.Request) { r.TransferEncoding, r.ContentLength = []string{"chunked"}, -1 }, 411},
 		"unknown length": {func(r *http.Request) { r.ContentLength = -1 }, 411},
 		"large body": {func(r *http.Request) {
-			r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", httpcarrier.MaxBody+1)))
+			r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", httpclient.MaxBody+1)))
 		}, 413},
 	} {
-		f, l, _ := newFront(answering(core.Answer{}))
+		f, l, _ := newFront(answering(lifecycle.Answer{}))
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, request(c.change))
 		if w.Code != c.code || len(l.taken) != 0 || strings.Count(w.Body.String(), "\n") != 1 ||
@@ -159,7 +161,7 @@
 		"bad class, a body":   {strings.Replace(head, "Class: push", "Class: none", 1) + "Content-Length: 4\r\n\r\n" + hidden, "400"},
 		"no request at all":   {"\x00\x01\x02\r\n\r\n" + hidden, "400"},
 	} {
-		f, l, _ := newFront(answering(core.Answer{}))
+		f, l, _ := newFront(answering(lifecycle.Answer{}))
 		srv := httptest.NewServer(f)
 		nc, err := net.Dial("tcp", srv.Listener.Addr().String())
 		if err != nil {
@@ -188,7 +190,7 @@
 
 // Where the loop gives no answer the front fails the request by itself: it may have run, so it is no refusal.
 func TestGuard(t *testing.T) {
-	f, l, now := newFront(func(*core.Request) {})
+	f, l, now := newFront(func(*lifecycle.Request) {})
 	w := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() { f.ServeHTTP(w, request(nil)); close(done) }()
@@ -208,7 +210,7 @@
 
 func TestClientGone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f, l, _ := newFront(func(*core.Request) { cancel() })
+	f, l, _ := newFront(func(*lifecycle.Request) { cancel() })
 	defer func() {
 		if r := recover(); r != http.ErrAbortHandler || l.gone != 1 {
 			t.Errorf("gone %d times, ended by %v: the server would write an answer of its own", l.gone, r)
@@ -243,7 +245,7 @@
 
 // While the gateway stops a request gets its answer before the program ends, and at last its connection closes.
 func TestDrain(t *testing.T) {
-	f, l, now := newFront(answering(core.Answer{Result: []byte("x")}))
+	f, l, now := newFront(answering(lifecycle.Answer{Result: []byte("x")}))
 	f.Drain(now.NowMs() + 100)
 	for _, closes := range []string{"", "close"} {
 		w := httptest.NewRecorder()
--- a/internal/front/httpfront/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed"
 )
 
 const (
@@ -53,7 +53,7 @@
 // exchangeRaw writes a request to a server of the front and returns all bytes of its response.
 func exchangeRaw(t *testing.T, f *Front, request string) []byte {
 	t.Helper()
-	ln := standin.Listen(t)
+	ln := testbed.Listen(t)
 	conns := &Conns{Most: 9, Clock: f.Clock, Metrics: f.Metrics}
 	server := &http.Server{Handler: f, ConnState: conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 		return conns.Context(f.ConnContext(ctx, nc), nc)
@@ -77,16 +77,16 @@
 func TestGoldenAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
-		answer  core.Answer
+		answer  lifecycle.Answer
 	}{
-		"served-write":    {goldenWrite, core.Answer{Result: []byte("\x00raw\r\n\xff")}},
-		"served-read":     {goldenRead, core.Answer{Result: []byte("content")}},
-		"served-empty":    {goldenRead, core.Answer{Result: []byte{}}},
-		"refused":         {goldenWrite, core.Answer{Verdict: core.Refused}},
-		"refused-retry":   {goldenWrite, core.Answer{Verdict: core.Refused, ComeBackMs: 90}},
-		"refused-seconds": {goldenWrite, core.Answer{Verdict: core.Refused, ComeBackMs: 12345}},
-		"failed":          {goldenWrite, core.Answer{Verdict: core.Failed}},
-		"duplicate-id":    {goldenWrite, core.Answer{Verdict: core.Rejected}},
+		"served-write":    {goldenWrite, lifecycle.Answer{Result: []byte("\x00raw\r\n\xff")}},
+		"served-read":     {goldenRead, lifecycle.Answer{Result: []byte("content")}},
+		"served-empty":    {goldenRead, lifecycle.Answer{Result: []byte{}}},
+		"refused":         {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Refused}},
+		"refused-retry":   {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 90}},
+		"refused-seconds": {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 12345}},
+		"failed":          {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Failed}},
+		"duplicate-id":    {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Rejected}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _, _ := newFront(answering(c.answer))
@@ -102,15 +102,15 @@
 	read := strings.Replace(goldenRead, "X-Correlation-Id: id-1", "X-Correlation-Id: id-1\r\nIdempotency-Key: k1", 1)
 	for name, c := range map[string]struct {
 		request string
-		answer  core.Answer
+		answer  lifecycle.Answer
 	}{
-		"write":         {device(goldenWrite, ""), core.Answer{Result: []byte("done"), ETag: 0xabc}},
-		"read":          {device(read, ""), core.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
-		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), core.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
-		"range-outside": {device(read, "Range: bytes=99-\r\n"), core.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
-		"refused":       {device(goldenWrite, ""), core.Answer{Verdict: core.Refused, ComeBackMs: 1500}},
-		"failed":        {device(goldenWrite, ""), core.Answer{Verdict: core.Failed}},
-		"conflict":      {device(goldenWrite, ""), core.Answer{Verdict: core.Conflict}},
+		"write":         {device(goldenWrite, ""), lifecycle.Answer{Result: []byte("done"), ETag: 0xabc}},
+		"read":          {device(read, ""), lifecycle.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
+		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), lifecycle.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
+		"range-outside": {device(read, "Range: bytes=99-\r\n"), lifecycle.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
+		"refused":       {device(goldenWrite, ""), lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 1500}},
+		"failed":        {device(goldenWrite, ""), lifecycle.Answer{Verdict: lifecycle.Failed}},
+		"conflict":      {device(goldenWrite, ""), lifecycle.Answer{Verdict: lifecycle.Conflict}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := newDeviceFront(answering(c.answer))
@@ -137,7 +137,7 @@
 		"double-slash": {"/push/", "/push//"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _, _ := newFront(answering(core.Answer{}))
+			f, _, _ := newFront(answering(lifecycle.Answer{}))
 			request := strings.Replace(goldenWrite, c.old, c.new, 1)
 			compareGolden(t, "malformed-"+name, quoteLines(exchangeRaw(t, f, request)))
 		})
--- a/internal/front/httpfront/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"bufio"
@@ -14,19 +14,19 @@
 	"time"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/hangup"
+	"gaugerelay/internal/frontend/gracefulclose"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // holder is a loop that keeps what it takes until the test answers it, and tells who has left.
-type holder struct{ taken, gone chan *core.Request }
+type holder struct{ taken, gone chan *lifecycle.Request }
 
-func (h holder) Offer(r *core.Request) bool     { h.taken <- r; return true }
-func (h holder) Gone(r *core.Request)           { h.gone <- r }
-func (holder) Written(*core.Request, core.Link) {}
-func (holder) Ready() bool                      { return true }
+func (h holder) Offer(r *lifecycle.Request) bool          { h.taken <- r; return true }
+func (h holder) Gone(r *lifecycle.Request)                { h.gone <- r }
+func (holder) Written(*lifecycle.Request, lifecycle.Link) {}
+func (holder) Ready() bool                                { return true }
 
 // server is the front on a real listener.
 type server struct {
@@ -39,8 +39,8 @@
 
 // serving starts it; change is made before, if there is one.
 func serving(t *testing.T, change func(*server, net.Listener) net.Listener) *server {
-	ln, set := standin.Listen(t), standin.Settings(4)
-	s := &server{holder: holder{make(chan *core.Request, 16), make(chan *core.Request, 16)}, clock: clock.NewManual(1e12),
+	ln, set := testbed.Listen(t), testbed.Settings(4)
+	s := &server{holder: holder{make(chan *lifecycle.Request, 16), make(chan *lifecycle.Request, 16)}, clock: clock.NewManual(1e12),
 		addr: ln.Addr().String()}
 	m := metrics.New()
 	s.conns = &Conns{Most: 9, Clock: s.clock, Metrics: m}
@@ -229,7 +229,7 @@
 	in := bufio.NewReader(c)
 	answer := func(what string) {
 		t.Helper()
-		soon(t, what, s.taken).Reply(core.Answer{Result: []byte(what)})
+		soon(t, what, s.taken).Reply(lifecycle.Answer{Result: []byte(what)})
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
@@ -281,7 +281,7 @@
 			sent <- err
 		}()
 		if name == "stopping" {
-			soon(t, name, s.taken).Reply(core.Answer{Result: []byte("x")})
+			soon(t, name, s.taken).Reply(lifecycle.Answer{Result: []byte("x")})
 		}
 		if err := soon(t, name, sent); err != nil {
 			t.Errorf("%s: cut while sending: %v", name, err)
@@ -310,7 +310,7 @@
 	if n != 1 {
 		t.Errorf("%d linger, want 1", n)
 	}
-	s.clock.Advance(hangup.CloseMs) // and none for longer than that
+	s.clock.Advance(gracefulclose.CloseMs) // and none for longer than that
 	for _, c := range all {
 		for _, err := io.WriteString(c, "more"); err == nil; _, err = io.WriteString(c, "more") {
 			runtime.Gosched()
@@ -325,7 +325,7 @@
 	c := s.dial(t)
 	in := bufio.NewReader(c)
 	io.WriteString(c, get(1))
-	soon(t, "the first", s.taken).Reply(core.Answer{Result: []byte("x")})
+	soon(t, "the first", s.taken).Reply(lifecycle.Answer{Result: []byte("x")})
 	if resp, err := http.ReadResponse(in, nil); err != nil {
 		t.Fatal(err)
 	} else {
@@ -364,7 +364,7 @@
 	})
 	c := s.dial(t)
 	io.WriteString(c, get(1)+get(2))
-	soon(t, "the first", s.taken).Reply(core.Answer{Result: []byte("x")})
+	soon(t, "the first", s.taken).Reply(lifecycle.Answer{Result: []byte("x")})
 	quiet := soon(t, "shed", drained)
 	b, err := io.ReadAll(c)
 	if err != nil || strings.Count(string(b), "HTTP/1.1 ") != 1 {
--- a/internal/front/httpfront/yield_test.go
+++ b/internal/frontend/httpserver/yield_test.go
@@ -1,4 +1,4 @@
-package httpfront
+package httpserver
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 )
 
@@ -24,9 +24,9 @@
 		f.Conns.State(c, http.StateNew)
 		open = append(open, c)
 	}
-	l.take = func(r *core.Request) { // 30 ms for each, a hundred requests a second
+	l.take = func(r *lifecycle.Request) { // 30 ms for each, a hundred requests a second
 		now.Advance(30)
-		r.Reply(core.Answer{Result: []byte("data")})
+		r.Reply(lifecycle.Answer{Result: []byte("data")})
 	}
 	ask := func(busy int) (yielded int64) {
 		for i, c := range open {
--- a/internal/front/form/form.go
+++ b/internal/frontend/requestparse/form.go
@@ -1,6 +1,6 @@
 // Package form reads the platform's form of a request, whatever wire its parts came over: what is malformed must never
 // reach the module, and is told in plain words.
-package form
+package requestparse
 
 import (
 	"crypto/sha256"
@@ -12,15 +12,15 @@
 	"strconv"
 	"strings"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 // MaxBody bounds the bodies of requests.
-const MaxBody = httpcarrier.MaxBody
+const MaxBody = httpclient.MaxBody
 
 // Fields are the parts of a request as a client gave them.
 type Fields struct {
@@ -32,7 +32,7 @@
 }
 
 // Parse checks the fields and makes a request of them. Its carrier and load are the caller's to set.
-func Parse(set *policy.Settings, f Fields) (*core.Request, *policy.Class, error) {
+func Parse(set *scheduler.Settings, f Fields) (*lifecycle.Request, *scheduler.Class, error) {
 	class := classOf(set, f.Class)
 	parts := strings.Split(strings.TrimPrefix(f.Path, "/"), "/")
 	if class == nil || len(parts) < 2 || parts[0] != class.Name {
@@ -47,13 +47,13 @@
 	if most := 2 * clock.Ms(class.Deadline); float64(f.LeftMs) > most {
 		return nil, nil, fmt.Errorf("X-Time-Left-Ms is over %.0f", most)
 	}
-	if class.Effect == policy.ByKey && f.Key == "" {
+	if class.Effect == scheduler.ByKey && f.Key == "" {
 		return nil, nil, fmt.Errorf("class %s needs an Idempotency-Key", class.Name)
 	}
 	if f.Key != "" && !Visible(f.Key) {
 		return nil, nil, errors.New("Idempotency-Key is too long or not plain text")
 	}
-	req := &core.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, LeftMs: float64(f.LeftMs), Repeat: f.Repeat}
+	req := &lifecycle.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, LeftMs: float64(f.LeftMs), Repeat: f.Repeat}
 	if !hasPlan(set, f.Plan) {
 		return nil, nil, errors.New("unknown plan")
 	}
@@ -69,7 +69,7 @@
 }
 
 // extras reads X-IO. Unknown names are skipped.
-func extras(req *core.Request, text string) error {
+func extras(req *lifecycle.Request, text string) error {
 	seen := 0
 	for _, kv := range strings.Split(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(kv), "=")
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func classOf(set *policy.Settings, name string) *policy.Class {
+func classOf(set *scheduler.Settings, name string) *scheduler.Class {
 	for i := range set.Classes {
 		if set.Classes[i].Name == name {
 			return &set.Classes[i]
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func hasPlan(set *policy.Settings, name string) bool {
+func hasPlan(set *scheduler.Settings, name string) bool {
 	for i := range set.Plans {
 		if set.Plans[i].Name == name {
 			return true
@@ -127,17 +127,17 @@
 	ID     string  // of a read, which has no upload key
 	AgeMs  float64 // since it first sent it; below zero: not told
 	SentTo string  // the gateway that it sent earlier copies to
-	Link   core.Link
+	Link   lifecycle.Link
 }
 
 // Device makes a parsed request a copy of a device's exchange. load is what the carrier would send; its header and
 // body are replaced for each run. The same request gives the same exchange whichever front it came over.
-func Device(req *core.Request, class *policy.Class, f Fields, c Copy, load *httpcarrier.Load) error {
+func Device(req *lifecycle.Request, class *scheduler.Class, f Fields, c Copy, load *httpclient.Load) error {
 	if !Visible(c.Device) {
 		return errors.New("the device's name is missing, too long or not plain text")
 	}
 	key := f.Key
-	if class.Effect == policy.Repeatable {
+	if class.Effect == scheduler.Repeatable {
 		key = c.ID
 	} else if key == "" { // of a class that must not run twice
 		return fmt.Errorf("class %s needs an Idempotency-Key from a device", class.Name)
@@ -145,7 +145,7 @@
 	if !Visible(key) {
 		return errors.New("the request's id is missing, too long or not plain text")
 	}
-	if class.Effect == policy.Repeatable != (f.Method == http.MethodGet) {
+	if class.Effect == scheduler.Repeatable != (f.Method == http.MethodGet) {
 		return fmt.Errorf("class %s does not go with this method", class.Name)
 	}
 	h := sha256.New()
@@ -158,16 +158,16 @@
 	own := sha256.Sum256([]byte(c.Device + "\x00" + key))
 	nodeKey := hex.EncodeToString(own[:16])
 	prefix := "r\x00"
-	if class.Effect != policy.Repeatable {
+	if class.Effect != scheduler.Repeatable {
 		prefix = "w\x00"
 	}
 	req.ClientID = ""
-	req.Device = &core.Device{ID: c.Device, Key: prefix + key, Head: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, SentTo: c.SentTo, Link: c.Link,
+	req.Device = &lifecycle.Device{ID: c.Device, Key: prefix + key, Head: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, SentTo: c.SentTo, Link: c.Link,
 		Load: func(id string, body []byte) any {
 			l := *load
 			l.Header = load.Header.Clone()
 			l.Header.Set("X-Correlation-Id", id)
-			if class.Effect != policy.Repeatable {
+			if class.Effect != scheduler.Repeatable {
 				l.Header.Set("Idempotency-Key", nodeKey)
 			}
 			l.Body = body
--- a/internal/front/filefront/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -1,4 +1,4 @@
-package filefront
+package sftpserver
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"gaugerelay/internal/carrier/filecarrier"
-	"gaugerelay/internal/front/hangup"
+	"gaugerelay/internal/frontend/gracefulclose"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // frames follows the packets in a stream of bytes.
@@ -28,7 +28,7 @@
 			p = p[1:]
 			if len(f.head) == 5 {
 				n := binary.BigEndian.Uint32(f.head)
-				if n < 1 || n > filecarrier.MaxPacket {
+				if n < 1 || n > sftpclient.MaxPacket {
 					return errOversized
 				}
 				f.left = int(n) - 1
@@ -122,7 +122,7 @@
 	c.mu.Lock()
 	c.lost()
 	c.mu.Unlock()
-	if !hangup.EndSending(c.Conn) {
+	if !gracefulclose.EndSending(c.Conn) {
 		return c.Conn.Close()
 	}
 	return c.SetReadDeadline(time.Now())
--- a/internal/front/filefront/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -1,4 +1,4 @@
-package filefront
+package sftpserver
 
 import (
 	"io"
--- a/internal/front/filefront/export_test.go
+++ b/internal/frontend/sftpserver/export_test.go
@@ -1,4 +1,4 @@
-package filefront
+package sftpserver
 
 // Ending tells whether no connection of a front that shuts down is read any more.
 func Ending(f *Front) bool {
--- a/internal/front/filefront/front.go
+++ b/internal/frontend/sftpserver/front.go
@@ -10,7 +10,7 @@
 //	SSH_FX_FAILURE "failed ..."                      failed, or no answer in time: it may have taken effect
 //	SSH_FX_BAD_MESSAGE                               malformed: over 64 KiB, a negative offset, a NUL in a path
 //	SSH_FX_OP_UNSUPPORTED                            commands that are not served, and appending
-package filefront
+package sftpserver
 
 import (
 	"context"
@@ -32,15 +32,15 @@
 
 	"github.com/pkg/sftp"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/filecarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/event"
-	"gaugerelay/internal/front/hangup"
+	"gaugerelay/internal/frontend/gracefulclose"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/sockets"
+	"gaugerelay/internal/socketstate"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 const (
@@ -62,8 +62,8 @@
 type Options struct {
 	MaxConns  int
 	UnitBytes float64 // data of a command that counts one unit
-	Read      policy.Class
-	Write     policy.Class
+	Read      scheduler.Class
+	Write     scheduler.Class
 	Roots     []Root
 	Shards    int
 	MostUnits float64
@@ -74,16 +74,16 @@
 
 // Loop is what the front asks of the loop.
 type Loop interface {
-	Offer(*core.Request) bool
-	Gone(*core.Request)
-	Written(*core.Request, core.Link)
+	Offer(*lifecycle.Request) bool
+	Gone(*lifecycle.Request)
+	Written(*lifecycle.Request, lifecycle.Link)
 }
 
 // Front serves file commands.
 type Front struct {
 	Options
 	Loop    Loop
-	Carrier core.Carrier
+	Carrier lifecycle.Carrier
 	Clock   clock.Clock
 	Metrics *metrics.Set
 
@@ -150,24 +150,24 @@
 	}
 	f.mu.Unlock()
 	defer func() {
-		hangup.Close(nc) // more may have been sent than is answered
+		gracefulclose.Close(nc) // more may have been sent than is answered
 		f.mu.Lock()
 		delete(f.conns, c)
 		f.mu.Unlock()
 	}()
 	f.Metrics.Add("file_connections", 1)
 	host, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
-	h := &handler{f, ctx, host, func() bool { return sockets.HungUp(nc) }}
+	h := &handler{f, ctx, host, func() bool { return socketstate.HungUp(nc) }}
 	err := sftp.NewRequestServer(c, sftp.Handlers{FileGet: h, FilePut: h, FileCmd: h, FileList: h},
-		sftp.WithRSMaxTxPacket(filecarrier.MaxData)).Serve()
+		sftp.WithRSMaxTxPacket(sftpclient.MaxData)).Serve()
 	c.drain() // the library's writer may still have answers in hand
 	if cut, typ := c.in.cut(); cut {
 		// Its end is this one: it was never whole, so it never became a request, and its client is gone.
 		f.Metrics.Add("file_commands_cut_off", 1)
-		slog.Info(event.FileClientError, event.Client, nc.RemoteAddr().String(), event.Reason, "cut off inside a packet", "type", typ)
+		slog.Info(logevent.FileClientError, logevent.Client, nc.RemoteAddr().String(), logevent.Reason, "cut off inside a packet", "type", typ)
 	} else if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && // with handles left open
 		!errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		slog.Info(event.FileClientError, event.Client, nc.RemoteAddr().String(), event.Error, err)
+		slog.Info(logevent.FileClientError, logevent.Client, nc.RemoteAddr().String(), logevent.Error, err)
 	}
 }
 
@@ -190,7 +190,7 @@
 	if r.Method != "Stat" {
 		return nil, errNotServed
 	}
-	rep, err := h.do(r.Filepath, &filecarrier.Command{Op: filecarrier.Stat}, -1)
+	rep, err := h.do(r.Filepath, &sftpclient.Command{Op: sftpclient.Stat}, -1)
 	if err != nil {
 		return nil, err
 	}
@@ -217,8 +217,8 @@
 	if r.Pflags().Append { // a repeat would append twice, which no offset can prevent
 		return nil, fmt.Errorf("appending: %w", sftp.ErrSSHFxOpUnsupported)
 	}
-	cmd := &filecarrier.Command{Op: filecarrier.Open, Flags: r.Flags}
-	if r.Flags&^filecarrier.FlagRead != 0 {
+	cmd := &sftpclient.Command{Op: sftpclient.Open, Flags: r.Flags}
+	if r.Flags&^sftpclient.FlagRead != 0 {
 		cmd.Key = newKey()
 	}
 	if _, err := h.do(r.Filepath, cmd, -1); err != nil {
@@ -229,19 +229,19 @@
 
 // do hands a command to the core and waits for its one answer. again is how long ago it was first sent by a connection
 // that was lost; below zero: it was not.
-func (h *handler) do(name string, cmd *filecarrier.Command, again float64) (*filecarrier.Reply, error) {
+func (h *handler) do(name string, cmd *sftpclient.Command, again float64) (*sftpclient.Reply, error) {
 	req, err := h.request(name, cmd)
 	if err != nil {
 		h.Metrics.Add("file_commands_malformed", 1)
 		return nil, err
 	}
-	if cmd.Op == filecarrier.Write && h.KeepMs > 0 {
+	if cmd.Op == sftpclient.Write && h.KeepMs > 0 {
 		h.exchange(req, cmd, again)
 	} else {
 		req.Away = h.away
 	}
-	answers := make(chan core.Answer, 1)
-	req.Reply = func(a core.Answer) { answers <- a }
+	answers := make(chan lifecycle.Answer, 1)
+	req.Reply = func(a lifecycle.Answer) { answers <- a }
 	if !h.Loop.Offer(req) {
 		h.Metrics.Add("requests_inbox_full", 1)
 		return nil, busy(250)
@@ -250,8 +250,8 @@
 	defer h.Clock.AfterFunc(req.LeftMs+guardMs, func() { close(late) })()
 	select {
 	case a := <-answers:
-		if req.Device != nil && a.Verdict == core.Served {
-			h.Loop.Written(req, core.Link{}) // the library writes it next; if that fails it is kept
+		if req.Device != nil && a.Verdict == lifecycle.Served {
+			h.Loop.Written(req, lifecycle.Link{}) // the library writes it next; if that fails it is kept
 		}
 		return result(a)
 	case <-h.ctx.Done():
@@ -276,18 +276,18 @@
 }
 
 // result turns the core's answer into the client's.
-func result(a core.Answer) (*filecarrier.Reply, error) {
+func result(a lifecycle.Answer) (*sftpclient.Reply, error) {
 	switch a.Verdict {
-	case core.Refused:
+	case lifecycle.Refused:
 		return nil, busy(a.ComeBackMs)
-	case core.Served:
+	case lifecycle.Served:
 	default:
 		return nil, errMayHaveRun
 	}
-	rep := a.Result.(*filecarrier.Reply)
-	codes := map[uint32]error{filecarrier.StatusOK: nil, filecarrier.StatusEOF: io.EOF,
-		filecarrier.StatusNoSuchFile: sftp.ErrSSHFxNoSuchFile, filecarrier.StatusUnsupported: sftp.ErrSSHFxOpUnsupported,
-		filecarrier.StatusPermissionDenied: sftp.ErrSSHFxPermissionDenied}
+	rep := a.Result.(*sftpclient.Reply)
+	codes := map[uint32]error{sftpclient.StatusOK: nil, sftpclient.StatusEOF: io.EOF,
+		sftpclient.StatusNoSuchFile: sftp.ErrSSHFxNoSuchFile, sftpclient.StatusUnsupported: sftp.ErrSSHFxOpUnsupported,
+		sftpclient.StatusPermissionDenied: sftp.ErrSSHFxPermissionDenied}
 	err, known := codes[rep.Code]
 	if !known {
 		err = sftp.ErrSSHFxFailure
@@ -297,7 +297,7 @@
 
 // request makes a core request of a command. READ, STAT and an OPEN for reading are of the reading class, the
 // others of the writing one.
-func (h *handler) request(name string, cmd *filecarrier.Command) (*core.Request, error) {
+func (h *handler) request(name string, cmd *sftpclient.Command) (*lifecycle.Request, error) {
 	name = path.Clean("/" + name) // the library cleans too; nothing climbs above the root
 	root := h.root(name)
 	switch {
@@ -305,7 +305,7 @@
 		return nil, fmt.Errorf("path: %w", sftp.ErrSSHFxBadMessage)
 	case root == nil:
 		return nil, fmt.Errorf("under no root: %w", sftp.ErrSSHFxNoSuchFile)
-	case len(cmd.Data) > filecarrier.MaxData || cmd.Offset > math.MaxInt64:
+	case len(cmd.Data) > sftpclient.MaxData || cmd.Offset > math.MaxInt64:
 		return nil, fmt.Errorf("over 64 KiB, or a bad offset: %w", sftp.ErrSSHFxBadMessage)
 	}
 	cmd.Path = name
@@ -317,7 +317,7 @@
 	io.WriteString(sum, name)
 	key := sum.Sum64()
 	units := math.Ceil(float64(len(cmd.Data)+int(cmd.Length)) / h.UnitBytes)
-	return &core.Request{Class: class.Name, Plan: root.Plan, Volume: root.Volume, Key: key,
+	return &lifecycle.Request{Class: class.Name, Plan: root.Plan, Volume: root.Volume, Key: key,
 		LeftMs: clock.Ms(class.Deadline), Units: min(max(1, units), max(1, h.MostUnits)),
 		Shard: int(key % uint64(max(1, h.Shards))), Hosts: root.Hosts, Fresh: true, Carrier: h.Carrier, Load: cmd}, nil
 }
@@ -354,10 +354,10 @@
 
 // ReadAt implements io.ReaderAt: one READ is one request.
 func (f *file) ReadAt(p []byte, off int64) (int, error) {
-	if f.flags&filecarrier.FlagRead == 0 {
+	if f.flags&sftpclient.FlagRead == 0 {
 		return 0, fmt.Errorf("not open for reading: %w", sftp.ErrSSHFxPermissionDenied)
 	}
-	rep, err := f.h.do(f.path, &filecarrier.Command{Op: filecarrier.Read, Offset: uint64(off), Length: uint32(len(p))}, -1)
+	rep, err := f.h.do(f.path, &sftpclient.Command{Op: sftpclient.Read, Offset: uint64(off), Length: uint32(len(p))}, -1)
 	if err != nil {
 		return 0, err
 	}
@@ -370,11 +370,11 @@
 
 // WriteAt implements io.WriterAt: one WRITE is one request.
 func (f *file) WriteAt(p []byte, off int64) (int, error) {
-	if f.flags&filecarrier.FlagWrite == 0 {
+	if f.flags&sftpclient.FlagWrite == 0 {
 		return 0, fmt.Errorf("not open for writing: %w", sftp.ErrSSHFxPermissionDenied)
 	}
 	w, again := f.keyFor(p, off)
-	_, err := f.h.do(f.path, &filecarrier.Command{Op: filecarrier.Write, Offset: uint64(off), Data: p, Key: w.key}, again)
+	_, err := f.h.do(f.path, &sftpclient.Command{Op: sftpclient.Write, Offset: uint64(off), Data: p, Key: w.key}, again)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
@@ -390,7 +390,7 @@
 // stat is the one entry that a STAT answers.
 type stat struct {
 	name string
-	filecarrier.Attrs
+	sftpclient.Attrs
 }
 
 func (s stat) ListAt(out []os.FileInfo, at int64) (int, error) {
--- a/internal/front/filefront/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -1,4 +1,4 @@
-package filefront_test
+package sftpserver_test
 
 import (
 	"bytes"
@@ -17,26 +17,26 @@
 
 	"github.com/pkg/sftp"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/filecarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/filefront"
-	"gaugerelay/internal/loop"
+	"gaugerelay/internal/eventloop"
+	"gaugerelay/internal/frontend/sftpserver"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
-	"gaugerelay/internal/standin/fileserver"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/testbed/fakefileserver"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // rig is a gateway with its file front before one stand-in file server.
 type rig struct {
 	t      *testing.T
 	clock  *clock.Manual
-	loop   *loop.Loop
+	loop   *eventloop.Loop
 	counts *metrics.Set
-	files  *fileserver.Server
-	front  *filefront.Front
+	files  *fakefileserver.Server
+	front  *sftpserver.Front
 	ln     net.Listener
 }
 
@@ -44,28 +44,28 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	set := standin.Settings(1)
-	scheduler, err := policy.New(set, 1)
+	set := testbed.Settings(1)
+	decisions, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, clock: clock.NewManual(start), counts: metrics.New(), files: fileserver.New(t), ln: standin.Listen(t)}
-	r.loop = loop.New(scheduler, r.clock, r.counts)
+	r := &rig{t: t, clock: clock.NewManual(start), counts: metrics.New(), files: fakefileserver.New(t), ln: testbed.Listen(t)}
+	r.loop = eventloop.New(decisions, r.clock, r.counts)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.loop.Run(ctx)
-	r.list(policy.Live)
-	back := filecarrier.New(filecarrier.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 64,
-		Address: func(*core.Node) (string, bool) { return r.files.Addr, true }}, r.clock, r.counts, r.loop.Finish)
-	r.front = &filefront.Front{Loop: r.loop, Carrier: back, Clock: r.clock, Metrics: r.counts,
-		Options: filefront.Options{MaxConns: 32, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
-			MostUnits: set.MostUnits, Roots: []filefront.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
+	r.list(scheduler.Live)
+	back := sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 64,
+		Address: func(*lifecycle.Node) (string, bool) { return r.files.Addr, true }}, r.clock, r.counts, r.loop.Finish)
+	r.front = &sftpserver.Front{Loop: r.loop, Carrier: back, Clock: r.clock, Metrics: r.counts,
+		Options: sftpserver.Options{MaxConns: 32, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
+			MostUnits: set.MostUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
 	go r.front.Serve(r.ln)
 	return r
 }
 
-func (r *rig) list(state policy.NodeState) {
-	r.loop.Nodes(core.List{Scope: policy.Whole, Nodes: []*core.Node{{Name: "n0", Addr: "127.0.0.1:1", State: state}}})
+func (r *rig) list(state scheduler.NodeState) {
+	r.loop.Nodes(lifecycle.List{Scope: scheduler.Whole, Nodes: []*lifecycle.Node{{Name: "n0", Addr: "127.0.0.1:1", State: state}}})
 	r.loop.Sync()
 }
 
@@ -114,7 +114,7 @@
 }
 
 // held is the number of requests that the module holds, or -1 while an attempt is out.
-func held(l *loop.Loop, m *metrics.Set) int {
+func held(l *eventloop.Loop, m *metrics.Set) int {
 	l.Sync()
 	if m.Get("attempts_started") != ended(m) {
 		return -1
@@ -136,9 +136,9 @@
 	case errors.As(err, &s):
 		return s.Code
 	case errors.Is(err, os.ErrNotExist):
-		return filecarrier.StatusNoSuchFile
+		return sftpclient.StatusNoSuchFile
 	case errors.Is(err, os.ErrPermission):
-		return filecarrier.StatusPermissionDenied
+		return sftpclient.StatusPermissionDenied
 	}
 	return 0
 }
@@ -208,15 +208,15 @@
 		err  error
 		want uint32
 	}{
-		"no root":      {second(cl.Open("/etc/passwd")), filecarrier.StatusNoSuchFile},
-		"path escape":  {second(cl.Open("/layers/../etc/passwd")), filecarrier.StatusNoSuchFile},
-		"climbing out": {second(cl.Open("../../layers/../x")), filecarrier.StatusNoSuchFile},
-		"like a root":  {second(cl.Open("/layers2/x")), filecarrier.StatusNoSuchFile},
-		"NUL":          {second(cl.Open("/layers/a\x00b")), filecarrier.StatusBadMessage},
-		"append":       {second(cl.OpenFile("/layers/a", os.O_WRONLY|os.O_APPEND)), filecarrier.StatusUnsupported},
-		"mkdir":        {cl.Mkdir("/layers/a"), filecarrier.StatusUnsupported},
-		"list":         {second(cl.ReadDir("/layers")), filecarrier.StatusUnsupported},
-		"rename":       {cl.Rename("/layers/a", "/layers/b"), filecarrier.StatusUnsupported},
+		"no root":      {second(cl.Open("/etc/passwd")), sftpclient.StatusNoSuchFile},
+		"path escape":  {second(cl.Open("/layers/../etc/passwd")), sftpclient.StatusNoSuchFile},
+		"climbing out": {second(cl.Open("../../layers/../x")), sftpclient.StatusNoSuchFile},
+		"like a root":  {second(cl.Open("/layers2/x")), sftpclient.StatusNoSuchFile},
+		"NUL":          {second(cl.Open("/layers/a\x00b")), sftpclient.StatusBadMessage},
+		"append":       {second(cl.OpenFile("/layers/a", os.O_WRONLY|os.O_APPEND)), sftpclient.StatusUnsupported},
+		"mkdir":        {cl.Mkdir("/layers/a"), sftpclient.StatusUnsupported},
+		"list":         {second(cl.ReadDir("/layers")), sftpclient.StatusUnsupported},
+		"rename":       {cl.Rename("/layers/a", "/layers/b"), sftpclient.StatusUnsupported},
 	} {
 		if c.err == nil || code(c.err) != c.want {
 			t.Errorf("%s: %v, want code %d", what, c.err, c.want)
@@ -225,7 +225,7 @@
 	if n := r.counts.Get("requests_taken"); n != 0 {
 		t.Errorf("%d requests reached the module", n)
 	}
-	if _, err := cl.Open("/layers/none"); code(err) != filecarrier.StatusNoSuchFile {
+	if _, err := cl.Open("/layers/none"); code(err) != sftpclient.StatusNoSuchFile {
 		t.Errorf("a missing file: %v", err)
 	}
 }
@@ -261,7 +261,7 @@
 	body := binary.BigEndian.AppendUint32(nil, 1)
 	body = append(binary.BigEndian.AppendUint32(body, 2), "99"...)
 	c.send(5, append(body, make([]byte, 12)...)) // READ
-	if got := c.status(); got != filecarrier.StatusFailure {
+	if got := c.status(); got != sftpclient.StatusFailure {
 		t.Errorf("code %d", got)
 	}
 	if n := r.counts.Get("requests_taken"); n != 0 {
@@ -273,11 +273,11 @@
 func TestOversizedPacket(t *testing.T) {
 	r := newRig(t)
 	c := raw{t, r.dial()}
-	c.Write(append(binary.BigEndian.AppendUint32(nil, filecarrier.MaxPacket+1), 6))
+	c.Write(append(binary.BigEndian.AppendUint32(nil, sftpclient.MaxPacket+1), 6))
 	if n, err := c.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes came back", n)
 	}
-	if _, err := r.client().Stat("/layers/none"); code(err) != filecarrier.StatusNoSuchFile {
+	if _, err := r.client().Stat("/layers/none"); code(err) != sftpclient.StatusNoSuchFile {
 		t.Errorf("another connection: %v", err)
 	}
 }
@@ -303,7 +303,7 @@
 	r := newRig(t)
 	r.files.Put("/layers/a", []byte("data"))
 	reached, release := make(chan struct{}), make(chan struct{})
-	r.files.Answer = func(c fileserver.Command) error {
+	r.files.Answer = func(c fakefileserver.Command) error {
 		if c.Op == "read" {
 			close(reached)
 			<-release
@@ -336,7 +336,7 @@
 	r := newRig(t)
 	r.files.Put("/layers/a", nil)
 	var failures atomic.Int32
-	r.files.After = func(c fileserver.Command) error {
+	r.files.After = func(c fakefileserver.Command) error {
 		if c.Op == "write" && failures.Add(-1) >= 0 {
 			return errors.New("no answer made it out")
 		}
@@ -384,12 +384,12 @@
 // A refusal says when to come back, and a drained node gets nothing.
 func TestRefusalOnADrain(t *testing.T) {
 	r := newRig(t)
-	r.list(policy.Draining)
+	r.list(scheduler.Draining)
 	done := make(chan error, 1)
 	go func() { _, err := r.client().Open("/layers/a"); done <- err }()
 	r.until(func() bool { return r.counts.Get("requests_taken") == 1 })
 	err := r.while(done)
-	if code(err) != filecarrier.StatusFailure || !strings.Contains(err.Error(), "retry after ") {
+	if code(err) != sftpclient.StatusFailure || !strings.Contains(err.Error(), "retry after ") {
 		t.Errorf("%v", err)
 	}
 	if log := r.files.Log(); len(log) != 0 {
@@ -408,7 +408,7 @@
 	reached, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
 	var once sync.Once
-	r.files.Answer = func(c fileserver.Command) error {
+	r.files.Answer = func(c fakefileserver.Command) error {
 		if c.Op == "write" {
 			once.Do(func() { close(reached) })
 			<-release
@@ -419,7 +419,7 @@
 	go func() { _, err := f.WriteAt([]byte("x"), 0); done <- err }()
 	<-reached
 	r.clock.Advance(3100)
-	if err := <-done; code(err) != filecarrier.StatusFailure || !strings.Contains(err.Error(), "may have taken effect") {
+	if err := <-done; code(err) != sftpclient.StatusFailure || !strings.Contains(err.Error(), "may have taken effect") {
 		t.Errorf("%v", err)
 	}
 	r.until(func() bool { return r.counts.Get("attempts_timed_out") == 1 })
@@ -434,7 +434,7 @@
 		t.Fatal(err)
 	}
 	reached, release := make(chan struct{}), make(chan struct{})
-	r.files.Answer = func(c fileserver.Command) error {
+	r.files.Answer = func(c fakefileserver.Command) error {
 		if c.Op == "read" {
 			close(reached)
 			<-release
@@ -462,7 +462,7 @@
 	stat := append([]byte{0, 0, 0, 18, 17, 0, 0, 0, 9, 0, 0, 0, 9}, "/layers/a"...)
 	reached, release := make(chan struct{}), make(chan struct{})
 	r.files.Put("/layers/a", []byte("data"))
-	r.files.Answer = func(fileserver.Command) error {
+	r.files.Answer = func(fakefileserver.Command) error {
 		close(reached)
 		<-release
 		return nil
@@ -474,7 +474,7 @@
 	go func() { r.front.Shutdown(); close(ended) }()
 	for stopping := false; !stopping; { // it has ended reading; what comes now stays unread
 		runtime.Gosched()
-		stopping = filefront.Ending(r.front)
+		stopping = sftpserver.Ending(r.front)
 	}
 	c.Write(stat)
 	close(release)
@@ -490,7 +490,7 @@
 // for its node's connection does not go out.
 func TestAClientThatLeavesBehindManyCommands(t *testing.T) {
 	r := newRig(t)
-	got := make(chan *core.Request, 64)
+	got := make(chan *lifecycle.Request, 64)
 	r.front.Loop = taking{got}
 	c := r.dial()
 	c.Write([]byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
@@ -510,15 +510,15 @@
 }
 
 // taking is a loop that answers nothing.
-type taking struct{ got chan *core.Request }
+type taking struct{ got chan *lifecycle.Request }
 
-func (l taking) Offer(r *core.Request) bool     { l.got <- r; return true }
-func (taking) Gone(*core.Request)               {}
-func (taking) Written(*core.Request, core.Link) {}
+func (l taking) Offer(r *lifecycle.Request) bool          { l.got <- r; return true }
+func (taking) Gone(*lifecycle.Request)                    {}
+func (taking) Written(*lifecycle.Request, lifecycle.Link) {}
 
 // The library's client sends a second READ after a short one, which is why filecarrier has its own codec.
 func TestLibraryClientSendsASecondRead(t *testing.T) {
-	files := fileserver.New(t)
+	files := fakefileserver.New(t)
 	files.Put("/a", []byte("1234"))
 	c, err := net.Dial("tcp", files.Addr)
 	if err != nil {
@@ -568,12 +568,12 @@
 			if known {
 				h = open[int(s>>4)%len(open)]
 			}
-			off, want := uint64(s>>5), uint32(filecarrier.StatusOK)
+			off, want := uint64(s>>5), uint32(sftpclient.StatusOK)
 			switch s % 5 {
 			case 0: // OPEN, creating on some
-				flags := uint32(filecarrier.FlagRead | filecarrier.FlagWrite)
+				flags := uint32(sftpclient.FlagRead | sftpclient.FlagWrite)
 				if s&16 != 0 {
-					flags |= filecarrier.FlagCreat
+					flags |= sftpclient.FlagCreat
 				}
 				opens++
 				c.send(3, binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(str(b, "/layers/f"), flags), 0))
@@ -582,14 +582,14 @@
 					c.answer(102, id)
 					continue
 				}
-				want = filecarrier.StatusNoSuchFile
+				want = sftpclient.StatusNoSuchFile
 			case 1: // CLOSE
 				c.send(4, str(b, h))
 				if known {
 					closed = h
 					open = remove(open, h)
 				} else {
-					want = filecarrier.StatusFailure
+					want = sftpclient.StatusFailure
 				}
 			case 2: // WRITE
 				c.send(6, str(binary.BigEndian.AppendUint64(str(b, h), off), "xyz"))
@@ -597,7 +597,7 @@
 					model = append(model, make([]byte, max(0, int(off)+3-len(model)))...)
 					copy(model[off:], "xyz")
 				} else {
-					want = filecarrier.StatusFailure
+					want = sftpclient.StatusFailure
 				}
 			case 3: // READ
 				c.send(5, binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(str(b, h), off), 4))
@@ -607,9 +607,9 @@
 					}
 					continue
 				}
-				want = filecarrier.StatusFailure
+				want = sftpclient.StatusFailure
 				if known {
-					want = filecarrier.StatusEOF
+					want = sftpclient.StatusEOF
 				}
 			case 4: // STAT
 				c.send(17, str(b, "/layers/f"))
@@ -619,7 +619,7 @@
 					}
 					continue
 				}
-				want = filecarrier.StatusNoSuchFile
+				want = sftpclient.StatusNoSuchFile
 			}
 			if got := binary.BigEndian.Uint32(c.answer(101, id)); got != want {
 				t.Fatalf("step %d (%d): code %d, want %d", id, s, got, want)
--- a/internal/front/filefront/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -1,4 +1,4 @@
-package filefront_test
+package sftpserver_test
 
 import (
 	"encoding/binary"
@@ -10,12 +10,12 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/carrier/filecarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/filefront"
+	"gaugerelay/internal/frontend/sftpserver"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // The packet types of SFTP version 3 that the sessions send.
@@ -45,10 +45,10 @@
 // cannedLoop answers each request at once. The answer is changed only between packets.
 type cannedLoop struct {
 	full   bool
-	answer core.Answer
+	answer lifecycle.Answer
 }
 
-func (l *cannedLoop) Offer(r *core.Request) bool {
+func (l *cannedLoop) Offer(r *lifecycle.Request) bool {
 	if l.full {
 		return false
 	}
@@ -56,8 +56,8 @@
 	return true
 }
 
-func (*cannedLoop) Gone(*core.Request)               {}
-func (*cannedLoop) Written(*core.Request, core.Link) {}
+func (*cannedLoop) Gone(*lifecycle.Request)                    {}
+func (*cannedLoop) Written(*lifecycle.Request, lifecycle.Link) {}
 
 // rawSession is a client's connection whose packets are recorded.
 type rawSession struct {
@@ -69,12 +69,12 @@
 }
 
 func newRawSession(t *testing.T) *rawSession {
-	set := standin.Settings(1)
+	set := testbed.Settings(1)
 	s := &rawSession{t: t, loop: &cannedLoop{}}
-	front := &filefront.Front{Loop: s.loop, Clock: clock.NewManual(start), Metrics: metrics.New(),
-		Options: filefront.Options{MaxConns: 4, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
-			MostUnits: set.MostUnits, Roots: []filefront.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
-	ln := standin.Listen(t)
+	front := &sftpserver.Front{Loop: s.loop, Clock: clock.NewManual(start), Metrics: metrics.New(),
+		Options: sftpserver.Options{MaxConns: 4, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
+			MostUnits: set.MostUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
+	ln := testbed.Listen(t)
 	go front.Serve(ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -126,17 +126,17 @@
 // open opens a file for reading and writing.
 func (s *rawSession) open() {
 	s.t.Helper()
-	s.loop.answer = core.Answer{Result: &filecarrier.Reply{}}
-	s.send("open", packetOpen, "/layers/a", uint32(filecarrier.FlagRead|filecarrier.FlagWrite|filecarrier.FlagCreat), uint32(0))
+	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{}}
+	s.send("open", packetOpen, "/layers/a", uint32(sftpclient.FlagRead|sftpclient.FlagWrite|sftpclient.FlagCreat), uint32(0))
 }
 
 func TestGoldenSession(t *testing.T) {
 	s := newRawSession(t)
 	s.open()
-	s.loop.answer = core.Answer{Result: &filecarrier.Reply{Data: []byte("0123456789")}}
+	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{Data: []byte("0123456789")}}
 	s.send("read", packetRead, "1", uint64(3), uint32(10))
 	s.send("short read", packetRead, "1", uint64(3), uint32(20))
-	s.loop.answer = core.Answer{Result: &filecarrier.Reply{Attrs: filecarrier.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
+	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{Attrs: sftpclient.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
 	s.send("write", packetWrite, "1", uint64(3), "data\x00\xff")
 	s.send("stat", packetStat, "/layers/a")
 	s.send("lstat", packetLstat, "/layers/a")
@@ -146,22 +146,22 @@
 }
 
 func TestGoldenStatuses(t *testing.T) {
-	reply := func(code uint32) core.Answer {
-		return core.Answer{Result: &filecarrier.Reply{Code: code, Text: "the node's own words"}}
+	reply := func(code uint32) lifecycle.Answer {
+		return lifecycle.Answer{Result: &sftpclient.Reply{Code: code, Text: "the node's own words"}}
 	}
-	for name, a := range map[string]core.Answer{
-		"end-of-file":   reply(filecarrier.StatusEOF),
-		"no-such-file":  reply(filecarrier.StatusNoSuchFile),
-		"denied":        reply(filecarrier.StatusPermissionDenied),
-		"failure":       reply(filecarrier.StatusFailure),
-		"bad-message":   reply(filecarrier.StatusBadMessage),
-		"unsupported":   reply(filecarrier.StatusUnsupported),
+	for name, a := range map[string]lifecycle.Answer{
+		"end-of-file":   reply(sftpclient.StatusEOF),
+		"no-such-file":  reply(sftpclient.StatusNoSuchFile),
+		"denied":        reply(sftpclient.StatusPermissionDenied),
+		"failure":       reply(sftpclient.StatusFailure),
+		"bad-message":   reply(sftpclient.StatusBadMessage),
+		"unsupported":   reply(sftpclient.StatusUnsupported),
 		"unknown-code":  reply(99),
-		"refused":       {Verdict: core.Refused, ComeBackMs: 90},
-		"refused-now":   {Verdict: core.Refused},
-		"failed":        {Verdict: core.Failed},
-		"duplicate-id":  {Verdict: core.Rejected},
-		"exchange-kept": {Verdict: core.Conflict},
+		"refused":       {Verdict: lifecycle.Refused, ComeBackMs: 90},
+		"refused-now":   {Verdict: lifecycle.Refused},
+		"failed":        {Verdict: lifecycle.Failed},
+		"duplicate-id":  {Verdict: lifecycle.Rejected},
+		"exchange-kept": {Verdict: lifecycle.Conflict},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newRawSession(t)
@@ -170,7 +170,7 @@
 			s.send("read", packetRead, "1", uint64(0), uint32(10))
 			s.send("write", packetWrite, "1", uint64(0), "data")
 			s.send("stat", packetStat, "/layers/a")
-			s.send("second open", packetOpen, "/layers/b", uint32(filecarrier.FlagRead), uint32(0))
+			s.send("second open", packetOpen, "/layers/b", uint32(sftpclient.FlagRead), uint32(0))
 			compareGolden(t, "status-"+name, s.text.String())
 		})
 	}
@@ -179,7 +179,7 @@
 func TestGoldenFullInbox(t *testing.T) {
 	s := newRawSession(t)
 	s.loop.full = true
-	s.send("open", packetOpen, "/layers/a", uint32(filecarrier.FlagRead), uint32(0))
+	s.send("open", packetOpen, "/layers/a", uint32(sftpclient.FlagRead), uint32(0))
 	s.send("stat", packetStat, "/layers/a")
 	compareGolden(t, "full-inbox", s.text.String())
 }
@@ -187,12 +187,12 @@
 func TestGoldenRejectedCommands(t *testing.T) {
 	const appendFlag = 4
 	s := newRawSession(t)
-	s.loop.answer = core.Answer{Result: &filecarrier.Reply{}}
-	s.send("open under no root", packetOpen, "/other/a", uint32(filecarrier.FlagRead), uint32(0))
-	s.send("open to append", packetOpen, "/layers/a", uint32(filecarrier.FlagWrite|appendFlag), uint32(0))
+	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{}}
+	s.send("open under no root", packetOpen, "/other/a", uint32(sftpclient.FlagRead), uint32(0))
+	s.send("open to append", packetOpen, "/layers/a", uint32(sftpclient.FlagWrite|appendFlag), uint32(0))
 	s.send("stat with a NUL", packetStat, "/layers/a\x00b")
 	s.send("remove", packetRemove, "/layers/a")
-	s.send("open to read", packetOpen, "/layers/a", uint32(filecarrier.FlagRead), uint32(0))
+	s.send("open to read", packetOpen, "/layers/a", uint32(sftpclient.FlagRead), uint32(0))
 	s.send("write to it", packetWrite, "3", uint64(0), "data")
 	s.send("read of an unknown handle", packetRead, "9", uint64(0), uint32(10))
 	compareGolden(t, "rejected", s.text.String())
--- a/internal/front/filefront/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -1,4 +1,4 @@
-package filefront_test
+package sftpserver_test
 
 import (
 	"context"
@@ -16,25 +16,25 @@
 
 	"github.com/pkg/sftp"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/filecarrier"
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/filefront"
-	"gaugerelay/internal/front/httpfront"
-	"gaugerelay/internal/loop"
+	"gaugerelay/internal/eventloop"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/frontend/sftpserver"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
-	"gaugerelay/internal/standin/fileserver"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/testbed/fakefileserver"
+	"gaugerelay/internal/upstream/httpclient"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // meter is the limit's store of each volume, kept where the nodes are, as the rule counts it.
 type meter struct {
 	mu       sync.Mutex
 	clock    clock.Clock
-	plan     policy.Plan
+	plan     scheduler.Plan
 	level    map[uint64]float64
 	last     map[uint64]float64
 	units    map[string]float64 // by wire
@@ -61,20 +61,20 @@
 // that went round the core would fail both.
 func TestMixedTrafficKeepsLimits(t *testing.T) {
 	const unit, workers, steps = 1000, 4, 400
-	set := standin.Settings(2)
+	set := testbed.Settings(2)
 	now := clock.NewManual(start)
 	m := &meter{clock: now, plan: set.Plans[0], level: map[uint64]float64{}, last: map[uint64]float64{}, units: map[string]float64{}}
 	counts := metrics.New()
-	scheduler, err := policy.New(set, 1)
+	decisions, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lp := loop.New(scheduler, now, counts)
+	lp := eventloop.New(decisions, now, counts)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go lp.Run(ctx)
 
-	list := core.List{Scope: policy.Whole}
+	list := lifecycle.List{Scope: scheduler.Whole}
 	ports := map[string]string{}
 	for shard := range 2 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -85,33 +85,33 @@
 			io.WriteString(w, "data")
 		}))
 		defer node.Close()
-		files := fileserver.New(t)
-		files.Answer = func(c fileserver.Command) error {
+		files := fakefileserver.New(t)
+		files.Answer = func(c fakefileserver.Command) error {
 			volume, _ := strconv.ParseUint(strings.Split(c.Path, "/")[1], 10, 64)
 			switch {
 			case c.Op != "open":
 				m.take("file", volume, max(1, float64((c.Bytes+unit-1)/unit)))
-			case c.Flags&filecarrier.FlagCreat != 0: // a client's own OPEN; the others belong to a READ or WRITE
+			case c.Flags&sftpclient.FlagCreat != 0: // a client's own OPEN; the others belong to a READ or WRITE
 				m.take("file", volume, 1)
 			}
 			return nil
 		}
 		name := fmt.Sprint("n", shard)
-		list.Nodes = append(list.Nodes, &core.Node{Name: name, Addr: node.Listener.Addr().String(), Shard: shard})
+		list.Nodes = append(list.Nodes, &lifecycle.Node{Name: name, Addr: node.Listener.Addr().String(), Shard: shard})
 		ports[name] = files.Addr
 	}
 	lp.Nodes(list)
 	lp.Sync()
 
-	web := httptest.NewServer(&httpfront.Front{Loop: lp, Clock: now, Metrics: counts, Settings: &set,
-		Carrier: httpcarrier.New(httpcarrier.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 200}, now, counts, lp)})
+	web := httptest.NewServer(&httpserver.Front{Loop: lp, Clock: now, Metrics: counts, Settings: &set,
+		Carrier: httpclient.New(httpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 200}, now, counts, lp)})
 	defer web.Close()
-	ln := standin.Listen(t)
-	front := &filefront.Front{Loop: lp, Clock: now, Metrics: counts,
-		Options: filefront.Options{MaxConns: 32, UnitBytes: unit, Read: set.Classes[0], Write: set.Classes[1], Shards: 2,
-			MostUnits: 6, Roots: []filefront.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}},
-		Carrier: filecarrier.New(filecarrier.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 200,
-			Address: func(n *core.Node) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Finish)}
+	ln := testbed.Listen(t)
+	front := &sftpserver.Front{Loop: lp, Clock: now, Metrics: counts,
+		Options: sftpserver.Options{MaxConns: 32, UnitBytes: unit, Read: set.Classes[0], Write: set.Classes[1], Shards: 2,
+			MostUnits: 6, Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}},
+		Carrier: sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 200,
+			Address: func(n *lifecycle.Node) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Finish)}
 	go front.Serve(ln)
 	advance := func(ms float64) { // in steps small enough for the module's wakes
 		for ; ms > 0; ms -= 10 {
--- a/internal/front/filefront/repeat.go
+++ b/internal/frontend/sftpserver/repeat.go
@@ -1,4 +1,4 @@
-package filefront
+package sftpserver
 
 import (
 	"container/list"
@@ -6,9 +6,9 @@
 	"fmt"
 	"sync"
 
-	"gaugerelay/internal/carrier/filecarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // This file tells a WRITE that comes again from a new one. The protocol has no name for a WRITE, so its place, its
@@ -151,8 +151,8 @@
 }
 
 // exchange makes a WRITE a copy of an exchange.
-func (h *handler) exchange(req *core.Request, cmd *filecarrier.Command, again float64) {
-	req.Device = &core.Device{ID: "file " + h.host, Key: "f" + cmd.Key, AgeMs: again,
+func (h *handler) exchange(req *lifecycle.Request, cmd *sftpclient.Command, again float64) {
+	req.Device = &lifecycle.Device{ID: "file " + h.host, Key: "f" + cmd.Key, AgeMs: again,
 		Head: sha256.Sum256(fmt.Appendf(nil, "%d %s", cmd.Offset, cmd.Path)), Body: cmd.Data, BodySum: sha256.Sum256(cmd.Data),
 		Load: func(_ string, body []byte) any {
 			c := *cmd
--- a/internal/front/filefront/repeat_test.go
+++ b/internal/frontend/sftpserver/repeat_test.go
@@ -1,4 +1,4 @@
-package filefront
+package sftpserver
 
 import (
 	"context"
@@ -6,23 +6,27 @@
 	"fmt"
 	"testing"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/filecarrier"
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // told takes requests and answers them as the test says; the ledger's part is not played.
 type told struct {
-	taken []*core.Request
-	a     core.Answer
+	taken []*lifecycle.Request
+	a     lifecycle.Answer
 }
 
-func (l *told) Offer(r *core.Request) bool       { l.taken = append(l.taken, r); r.Reply(l.a); return true }
-func (l *told) Gone(*core.Request)               {}
-func (l *told) Written(*core.Request, core.Link) {}
+func (l *told) Offer(r *lifecycle.Request) bool {
+	l.taken = append(l.taken, r)
+	r.Reply(l.a)
+	return true
+}
+func (l *told) Gone(*lifecycle.Request)                    {}
+func (l *told) Written(*lifecycle.Request, lifecycle.Link) {}
 
 // What a client writes on which handles, and whether it is the first's repeat, by its upload key.
 func TestWhichWritesAreRepeats(t *testing.T) {
@@ -54,10 +58,10 @@
 		"behind its window":              {false, []step{w(1, 0, "aa", -1), lose(1), pass(5000), w(2, 0, "aa", 0)}},
 		"a repeat's repeat, of the last": {false, []step{w(1, 0, "aa", -1), lose(1), w(2, 0, "bb", -1), lose(2), w(3, 0, "bb", 1), w(4, 0, "aa", -1)}},
 	} {
-		l := &told{a: core.Answer{Result: &filecarrier.Reply{}}}
+		l := &told{a: lifecycle.Answer{Result: &sftpclient.Reply{}}}
 		now := clock.NewManual(1e6)
 		f := &Front{Loop: l, Clock: now, Metrics: metrics.New(), Options: Options{UnitBytes: 1024, Shards: 1, MostUnits: 6, KeepMs: 5000,
-			Write: policy.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9}, Roots: []Root{{Path: "/", Plan: "basic"}}}}
+			Write: scheduler.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9}, Roots: []Root{{Path: "/", Plan: "basic"}}}}
 		ctxs := map[int]*ctl{}
 		handles := map[int]*file{}
 		get := func(n int) *file {
@@ -67,7 +71,7 @@
 					host = "b"
 				}
 				ctxs[n] = newCtl()
-				handles[n] = &file{h: &handler{f, ctxs[n].ctx, host, nil}, path: "/f", flags: filecarrier.FlagWrite, openedMs: now.NowMs(), last: map[int64]written{}}
+				handles[n] = &file{h: &handler{f, ctxs[n].ctx, host, nil}, path: "/f", flags: sftpclient.FlagWrite, openedMs: now.NowMs(), last: map[int64]written{}}
 			}
 			return handles[n]
 		}
@@ -99,7 +103,7 @@
 				if want != s.same || r.Repeat != (s.same >= 0) || r.Repeat != (r.Device.AgeMs >= 0) {
 					t.Errorf("%s: step %d has the key of write %d, want %d; repeat %v, age %v", name, i, want, s.same, r.Repeat, r.Device.AgeMs)
 				}
-				if r.Device.BodySum != sha256.Sum256([]byte(s.body)) || fmt.Sprint(r.Device.Load("", r.Device.Body).(*filecarrier.Command).Data) != fmt.Sprint([]byte(s.body)) {
+				if r.Device.BodySum != sha256.Sum256([]byte(s.body)) || fmt.Sprint(r.Device.Load("", r.Device.Body).(*sftpclient.Command).Data) != fmt.Sprint([]byte(s.body)) {
 					t.Errorf("%s: step %d hands in other bytes", name, i)
 				}
 				keys = append(keys, key)
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -13,10 +13,10 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/desk"
-	"gaugerelay/internal/front/devicefront"
-	"gaugerelay/internal/front/httpfront"
+	"gaugerelay/internal/dedup"
+	"gaugerelay/internal/frontend/coapserver"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/lifecycle"
 )
 
 // devices are the fronts for devices on poor links, with the desk that they share.
@@ -24,22 +24,22 @@
 	base
 	g     *Gateway
 	opt   *config.Devices
-	coap  *devicefront.Front
-	http  *httpfront.Front
-	conns *httpfront.Conns
+	coap  *coapserver.Front
+	http  *httpserver.Front
+	conns *httpserver.Conns
 	lns   []net.Listener
 	serve *http.Server
 }
 
 func newDevices(g *Gateway, o *config.Devices) (*devices, error) {
 	p := &devices{g: g, opt: o}
-	var d *desk.Desk
+	var d *dedup.Desk
 	var err error
 	// Nodes know runs by this, and devices the gateway: no other and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gateway := strconv.FormatUint(xxhash.Sum64String(name), 16)
-	g.loop.SetDesk(func(take func(float64, *core.Request)) core.Desk {
-		d, err = desk.New(desk.Options{Settings: o.Ledger, Classes: g.cfg.Settings.Classes,
+	g.loop.SetDesk(func(take func(float64, *lifecycle.Request)) lifecycle.Desk {
+		d, err = dedup.New(dedup.Options{Settings: o.Ledger, Classes: g.cfg.Settings.Classes,
 			Name: name, Gateway: gateway,
 			Metrics: g.Metrics, Now: g.Clock.NowMs, After: g.loop.After, Take: take})
 		return d
@@ -48,16 +48,16 @@
 		return nil, err
 	}
 	if o.CoAP != "" {
-		p.coap = &devicefront.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, Options: devicefront.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpen,
+		p.coap = &coapserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpen,
 				MaxMessage: o.MaxMessage, FirstTime: o.FirstTime, IdleTime: o.IdleTime,
 				LeastDead: clock.Duration(o.Ledger.Link.LeastDeadMs), MostDead: clock.Duration(o.Ledger.Link.MostDeadMs),
 				HoldOff: o.HoldOff, GuardTime: 25 * time.Millisecond}}
 	}
 	if o.HTTP != "" {
-		p.http = &httpfront.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
+		p.http = &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
 			Settings: &g.cfg.Settings, Devices: true, Gateway: gateway}
-		p.conns = &httpfront.Conns{Most: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
+		p.conns = &httpserver.Conns{Most: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
 	}
 	return p, nil
 }
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/httpfront"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // While the program stops, new connections are taken at first and kept ones nearly to the end; then each answer
 // closes its own.
 func TestDrainKeepsServing(t *testing.T) {
-	ln := standin.Listen(t)
-	front := &httpfront.Front{Clock: clock.NewManual(0), Loop: ready{}, Metrics: metrics.New()}
-	conns := &httpfront.Conns{Most: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
+	ln := testbed.Listen(t)
+	front := &httpserver.Front{Clock: clock.NewManual(0), Loop: ready{}, Metrics: metrics.New()}
+	conns := &httpserver.Conns{Most: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
 	server := &http.Server{Handler: front, ConnState: conns.State}
 	go server.Serve(conns.Listen(ln, 9))
 	defer server.Close()
@@ -69,10 +69,10 @@
 // ready is a loop that is never asked for more.
 type ready struct{}
 
-func (ready) Offer(*core.Request) bool         { return false }
-func (ready) Gone(*core.Request)               {}
-func (ready) Written(*core.Request, core.Link) {}
-func (ready) Ready() bool                      { return true }
+func (ready) Offer(*lifecycle.Request) bool              { return false }
+func (ready) Gone(*lifecycle.Request)                    {}
+func (ready) Written(*lifecycle.Request, lifecycle.Link) {}
+func (ready) Ready() bool                                { return true }
 
 // Whatever the longest deadline is, new connections are accepted for as long as they come, what is out when connections
 // begin to close has its whole time or 0.35 s, and the program has ended before the platform may kill it.
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -9,13 +9,13 @@
 	"testing/synctest"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/standin/memnet"
-	settings "gaugerelay/internal/standin/platform"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed/memnet"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 // What was taken before SIGTERM and has longer than the platform leaves the program is answered before its end: a
@@ -45,12 +45,12 @@
 			}
 		}()
 		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, ConnectMs: 250,
-			ConnIdleMs: 30_000, Settings: settings.Settings(1)}
+			ConnIdleMs: 30_000, Settings: testsettings.Settings(1)}
 		for i := range cfg.Settings.Classes {
 			c := &cfg.Settings.Classes[i]
 			c.Deadline, c.Aim = deadline, min(c.Aim, deadline/2)
 		}
-		cfg.Known = core.List{Scope: policy.Stale, Nodes: []*core.Node{{Name: "a", Addr: "127.0.0.2:1"}}}
+		cfg.Known = lifecycle.List{Scope: scheduler.Stale, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.2:1"}}}
 		g, err := New(cfg, &config.Edge{}, clock.NewSystem(), Network{Dial: n.Dial, Listen: n.Listen})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/peer/fleet"
+	"gaugerelay/internal/peer"
 )
 
 // peers is what this gateway shares with the others of its fleet.
@@ -17,7 +17,7 @@
 	base
 	g      *Gateway
 	listen string
-	fleet  *fleet.Fleet
+	fleet  *peer.Fleet
 }
 
 func newPeers(g *Gateway, f *config.Fleet) (*peers, error) {
@@ -29,7 +29,7 @@
 	p.listen = listen
 	// Another at each start, also where the seed is the same: what an earlier life has been told or lent is its own.
 	o.Life, o.Seed = uint32(g.cfg.Seed)^uint32(int64(g.Clock.NowMs()))^uint32(os.Getpid())<<16, g.cfg.Seed
-	if p.fleet, err = fleet.New(o, g.Metrics, slog.Default()); err != nil {
+	if p.fleet, err = peer.New(o, g.Metrics, slog.Default()); err != nil {
 		return nil, err
 	}
 	return p, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -14,19 +14,19 @@
 	"sync"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/carrier/httpcarrier"
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/endpointlease"
-	"gaugerelay/internal/decide/permission"
 	"gaugerelay/internal/discovery"
-	"gaugerelay/internal/event"
-	"gaugerelay/internal/front/accept"
-	"gaugerelay/internal/loop"
+	"gaugerelay/internal/endpointlease"
+	"gaugerelay/internal/eventloop"
+	"gaugerelay/internal/frontend/accept"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/permission"
+	"gaugerelay/internal/upstream/httpclient"
 )
 
 // The platform's own times, in milliseconds.
@@ -110,8 +110,8 @@
 
 	cfg     *config.Config
 	net     Network
-	loop    *loop.Loop
-	back    *httpcarrier.Backend
+	loop    *eventloop.Loop
+	back    *httpclient.Backend
 	watcher *discovery.Watcher
 	holdUps *clock.HoldUps
 	parts   []part // in the order of their start
@@ -135,7 +135,7 @@
 		}
 		settings.Shares, settings.StartPart = true, others.fleet.StartPart()
 	}
-	scheduler, err := policy.New(settings, cfg.Seed)
+	scheduler, err := scheduler.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -143,8 +143,8 @@
 	for _, class := range cfg.Settings.Classes {
 		g.longest, g.shortest = max(g.longest, class.Deadline), min(g.shortest, class.Deadline)
 	}
-	g.loop = loop.New(scheduler, c, g.Metrics)
-	g.back = httpcarrier.New(httpcarrier.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
+	g.loop = eventloop.New(scheduler, c, g.Metrics)
+	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
 		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.ReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
 	gate := g.loop.Gate()
@@ -207,7 +207,7 @@
 }
 
 // denied counts an attempt that was not allowed to begin.
-func (g *Gateway) denied(_ *core.Attempt, why permission.Denial) {
+func (g *Gateway) denied(_ *lifecycle.Attempt, why permission.Denial) {
 	g.Metrics.Add("attempts_denied_"+why.String(), 1)
 }
 
@@ -224,11 +224,11 @@
 func (g *Gateway) Ended() <-chan error { return g.ended }
 
 // Nodes brings news of the node list from another source than discovery.
-func (g *Gateway) Nodes(l core.List) { g.loop.Nodes(l) }
+func (g *Gateway) Nodes(l lifecycle.List) { g.loop.Nodes(l) }
 
 // Stop drains the gateway and ends it.
 func (g *Gateway) Stop() {
-	slog.Info(event.Stopping, "name", g.cfg.Name)
+	slog.Info(logevent.Stopping, "name", g.cfg.Name)
 	t := stopTimesFor(clock.Ms(g.longest))
 	for _, p := range g.parts {
 		p.stopping(t)
@@ -257,18 +257,18 @@
 func (g *Gateway) Reload() {
 	next, err := g.cfg.Reload(os.Getenv)
 	if err == nil {
-		_, err = policy.New(next.Settings, next.Seed) // also what a later start would refuse
+		_, err = scheduler.New(next.Settings, next.Seed) // also what a later start would refuse
 	}
 	if err != nil {
 		g.Metrics.Add("reloads_failed", 1)
-		slog.Error(event.ReloadFailed, event.Error, err)
+		slog.Error(logevent.ReloadFailed, logevent.Error, err)
 		return
 	}
 	g.Metrics.Add("reloads", 1)
 	if names := g.cfg.Restart(next); len(names) > 0 {
-		slog.Warn(event.ReloadRestartRequired, "changed", strings.Join(names, ", "))
+		slog.Warn(logevent.ReloadRestartRequired, "changed", strings.Join(names, ", "))
 	}
-	slog.Info(event.ReloadDone, "discovery", next.Discovery)
+	slog.Info(logevent.ReloadDone, "discovery", next.Discovery)
 	g.cfg = next
 	g.watcher.Move(g.ctx, next.Discovery)
 }
@@ -296,7 +296,7 @@
 
 // listening logs that clients or peers can reach an address.
 func (g *Gateway) listening(what, addr string) {
-	slog.Info(event.ListenerStarted, "name", g.cfg.Name, "for", what, event.Address, addr)
+	slog.Info(logevent.ListenerStarted, "name", g.cfg.Name, "for", what, logevent.Address, addr)
 }
 
 func wait(ms float64) <-chan time.Time { return time.After(clock.Duration(ms)) }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -9,10 +9,10 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/exchange"
-	"gaugerelay/internal/standin/memnet"
-	settings "gaugerelay/internal/standin/platform"
+	"gaugerelay/internal/dedup/exchange"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed/memnet"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 // The platform's start opens its one listener and no more, and has no desk: what the operator's file does not name
@@ -38,7 +38,7 @@
 				opened = append(opened, addr)
 				return n.Listen(addr)
 			}}
-			cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: settings.Settings(2)}
+			cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2)}
 			before := runtime.NumGoroutine()
 			g, err := New(cfg, c.edge, clock.NewSystem(), network)
 			if err != nil {
@@ -73,8 +73,8 @@
 			t.Fatal(err)
 		}
 		defer taken.Close()
-		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: settings.Settings(2),
-			Known: core.List{}}
+		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2),
+			Known: lifecycle.List{}}
 		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MostExchanges: 1,
 			MostDevices: 1, MostPerDevice: 1, MostWaiting: 1, MostBytes: 1 << 20, MostBody: 1 << 10, MostBlocks: 1, KeepMs: 1,
 			UploadIdleMs: 1, LeastRunMs: 1, MostWaitMs: 100, Link: exchange.LinkSettings{LeastDeadMs: 1, MostDeadMs: 1, LeastBlock: 16, MostBlock: 16, BlockMs: 1}}}}
--- a/internal/gateway/news_test.go
+++ b/internal/gateway/news_test.go
@@ -11,12 +11,12 @@
 	"syscall"
 	"testing"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed"
 )
 
 // unreadConn leaves what comes in the system while the test has the lock.
@@ -70,11 +70,11 @@
 	var lock sync.RWMutex
 	now := clock.NewManual(1e12)
 	opened, attempts := make(chan bool), 0
-	ln := standin.Listen(t)
+	ln := testbed.Listen(t)
 	cfg := &config.Config{Name: "gw", Listen: "x", Discovery: list.Listener.Addr().String(), Sockets: 64, ConnectMs: 5000,
-		ConnIdleMs: 30_000, Settings: standin.Settings(1)}
+		ConnIdleMs: 30_000, Settings: testbed.Settings(1)}
 	cfg.Settings.AskList = false
-	cfg.Known = core.List{Scope: policy.Stale}
+	cfg.Known = lifecycle.List{Scope: scheduler.Stale}
 	g, err := New(cfg, &config.Edge{}, now, Network{Listen: func(string) (net.Listener, error) { return ln, nil },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"gaugerelay/internal/bgp"
-	"gaugerelay/internal/carrier/filecarrier"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/front/filefront"
-	"gaugerelay/internal/front/httpfront"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/frontend/sftpserver"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // A client has these times. The first two count from its connecting, or from the first byte of a further request;
@@ -32,16 +32,16 @@
 	base
 	g     *Gateway
 	ln    net.Listener
-	front *httpfront.Front
-	conns *httpfront.Conns
+	front *httpserver.Front
+	conns *httpserver.Conns
 	serve *http.Server
 }
 
 func newPlatform(g *Gateway) *platform {
 	clients := max(1, g.cfg.Sockets*3/8)
-	conns := &httpfront.Conns{Most: max(1, clients*15/16), Clock: g.Clock, Metrics: g.Metrics,
+	conns := &httpserver.Conns{Most: max(1, clients*15/16), Clock: g.Clock, Metrics: g.Metrics,
 		MostAhead: int(g.cfg.MemoryMB * aheadPart * (1 << 20))}
-	return &platform{g: g, conns: conns, front: &httpfront.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock,
+	return &platform{g: g, conns: conns, front: &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock,
 		Metrics: g.Metrics, Settings: &g.cfg.Settings, Conns: conns, HoldUps: g.holdUps}}
 }
 
@@ -69,7 +69,7 @@
 
 // drain ends an HTTP front inside the time that the platform gives. A client that is told nothing goes on using
 // the connections it has; closed too soon, they would leave it without a gateway until the next start.
-func drain(ln net.Listener, front *httpfront.Front, conns *httpfront.Conns, t stopTimes, after func(ms float64) <-chan time.Time) {
+func drain(ln net.Listener, front *httpserver.Front, conns *httpserver.Conns, t stopTimes, after func(ms float64) <-chan time.Time) {
 	<-after(t.accept)
 	ln.Close()
 	<-after(t.close - t.accept)
@@ -86,23 +86,23 @@
 	g     *Gateway
 	opt   *config.Files
 	ln    net.Listener
-	front *filefront.Front
-	back  *filecarrier.Backend
+	front *sftpserver.Front
+	back  *sftpclient.Backend
 }
 
 func newFiles(g *Gateway, f *config.Files, d *config.Devices) *files {
 	p := &files{g: g, opt: f}
-	p.back = filecarrier.New(filecarrier.Options{ConnectMs: g.cfg.ConnectMs, ConnIdleMs: g.cfg.ConnIdleMs,
+	p.back = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectMs, ConnIdleMs: g.cfg.ConnIdleMs,
 		MaxSessions: max(1, g.cfg.Sockets/16), Dial: g.net.Dial,
-		Address: func(n *core.Node) (string, bool) { return f.Address(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Finish)
-	p.front = &filefront.Front{Loop: g.loop, Carrier: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: filefront.Options{
+		Address: func(n *lifecycle.Node) (string, bool) { return f.Address(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Finish)
+	p.front = &sftpserver.Front{Loop: g.loop, Carrier: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
 		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.Read, Write: f.Write,
 		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MostUnits}}
 	if d != nil {
 		p.front.KeepMs = d.Ledger.KeepMs
 	}
 	for _, r := range f.Roots {
-		p.front.Roots = append(p.front.Roots, filefront.Root(r))
+		p.front.Roots = append(p.front.Roots, sftpserver.Root(r))
 	}
 	return p
 }
