--- a/internal/core/contract.go
+++ b/internal/lifecycle/contract.go
@@ -1,10 +1,10 @@
-package core
+package lifecycle
 
 import (
 	"sync/atomic"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 )
 
 // This file holds what fronts, carriers and the rest of the program share with the core.
@@ -30,7 +30,7 @@
 	// Away tells at any time, to anyone, whether the client has gone, though nobody may have seen it yet. nil: it cannot be told.
 	Away func() bool
 
-	id   policy.RequestID
+	id   scheduler.RequestID
 	left atomic.Bool
 }
 
@@ -105,9 +105,9 @@
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	ComeBackMs float64       // with Refused: when to try again; 0: no advice
-	Reason     policy.Reason // with Refused and Failed
-	Result     any           // with Served: what the node answered; opaque here
+	ComeBackMs float64          // with Refused: when to try again; 0: no advice
+	Reason     scheduler.Reason // with Refused and Failed
+	Result     any              // with Served: what the node answered; opaque here
 
 	// To the desk: whether an attempt may have run, when the first such was sent, and where.
 	Ran   bool
@@ -125,14 +125,14 @@
 // Fleet is what other gateways have agreed with this one. It is called on the goroutine that owns the core.
 type Fleet interface {
 	// Before is called at the start of each step, before anything is decided: what holds by time alone may have ended.
-	Before(nowMs float64) []policy.Event
-	Demand(nowMs float64, d policy.Demand)
+	Before(nowMs float64) []scheduler.Event
+	Demand(nowMs float64, d scheduler.Demand)
 	// Listed tells which nodes there are now by this gateway's own list, and which are gone since it was last told.
 	Listed(nowMs float64, nodes, gone []*Node)
 	// Ended tells how an attempt at a node ended.
-	Ended(nowMs float64, n *Node, s policy.Status, latencyMs float64)
+	Ended(nowMs float64, n *Node, s scheduler.Status, latencyMs float64)
 	// Until is when the part of a volume's limit that is in force now ends, as far as it is borrowed; 0: it does not.
-	Until(v policy.VolumeID) float64
+	Until(v scheduler.VolumeID) float64
 }
 
 // Node is a storage node as listed. Its fields never change; a new entry replaces it, and what the list says
@@ -141,10 +141,10 @@
 	Name, Addr, Zone, Kind string
 	Shard                  int
 	Weight, StartedMs      float64
-	State                  policy.NodeState
+	State                  scheduler.NodeState
 
 	closed *atomic.Bool
-	known  policy.NodeID
+	known  scheduler.NodeID
 }
 
 // Closed tells whether the list has since named the node draining, gone or moved. A carrier checks it before
@@ -152,12 +152,12 @@
 func (n *Node) Closed() bool { return n.closed != nil && n.closed.Load() }
 
 // ID is how the module knows the node.
-func (n *Node) ID() policy.NodeID { return n.known }
+func (n *Node) ID() scheduler.NodeID { return n.known }
 
 // List is news of the node list.
 type List struct {
 	Version uint64
-	Scope   policy.ListScope
+	Scope   scheduler.ListScope
 	Nodes   []*Node
 	AtMs    float64     // as of when nothing is missing; with Broken, when the call began
 	TookMs  float64     // with the first news of a call: how long its answer took; 0: not the first
@@ -186,7 +186,7 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Status       policy.Status
+	Status       scheduler.Status
 	Use          float64 // the volume's use, as part of its plan's rate
 	HasUse       bool
 	ForeignUnits float64
@@ -213,5 +213,5 @@
 
 // Policy is the decision module.
 type Policy interface {
-	Step(now time.Duration, events []policy.Event) []policy.Action
+	Step(now time.Duration, events []scheduler.Event) []scheduler.Action
 }
--- a/internal/core/core.go
+++ b/internal/lifecycle/core.go
@@ -1,6 +1,6 @@
 // Package core holds the life of requests: it feeds the decision module and carries out what it decides.
 // It does no I/O and knows no wire. One goroutine (package loop) owns a Core; Node alone is shared.
-package core
+package lifecycle
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/decide/endpointlease"
-	"gaugerelay/internal/event"
+	"gaugerelay/internal/endpointlease"
+	"gaugerelay/internal/logevent"
 )
 
 type attempt struct {
@@ -42,13 +42,13 @@
 	// For the fleet: whether the list has changed since it was told, and what is gone since then.
 	relisted bool
 	gone     []*Node
-	events   []policy.Event
-	open     map[policy.RequestID]*entry
+	events   []scheduler.Event
+	open     map[scheduler.RequestID]*entry
 	byName   map[string]*entry // of open, those that have a ClientID
-	nodes    map[policy.NodeID]*Node
-	ids      map[string]policy.NodeID
-	lastID   policy.RequestID
-	lastNo   policy.NodeID
+	nodes    map[scheduler.NodeID]*Node
+	ids      map[string]scheduler.NodeID
+	lastID   scheduler.RequestID
+	lastNo   scheduler.NodeID
 	listed   bool
 	wakeAt   time.Duration // as last asked for
 	woken    bool
@@ -59,8 +59,8 @@
 
 // New returns a core round a module.
 func New(p Policy, out Outside) *Core {
-	return &Core{policy: p, out: out, gate: NewGate(), open: map[policy.RequestID]*entry{}, byName: map[string]*entry{},
-		nodes: map[policy.NodeID]*Node{}, ids: map[string]policy.NodeID{}}
+	return &Core{policy: p, out: out, gate: NewGate(), open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
+		nodes: map[scheduler.NodeID]*Node{}, ids: map[string]scheduler.NodeID{}}
 }
 
 // TraceOn makes the core log the life of each request. It is called before the first of them.
@@ -122,10 +122,10 @@
 	}
 	c.out.Count("requests_taken")
 	if c.traced {
-		c.out.Trace(event.RequestTaken, event.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.LeftMs)
+		c.out.Trace(logevent.RequestTaken, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.LeftMs)
 	}
-	c.events = append(c.events, policy.Arrival{ID: r.id, Class: r.Class, Plan: r.Plan,
-		Volume: policy.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.LeftMs), Came: clock.Duration(r.CameMs),
+	c.events = append(c.events, scheduler.Arrival{ID: r.id, Class: r.Class, Plan: r.Plan,
+		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.LeftMs), Came: clock.Duration(r.CameMs),
 		Units: r.Units, Shard: r.Shard, Hosts: r.Hosts, Repeat: r.Repeat, Fresh: r.Fresh})
 }
 
@@ -143,9 +143,9 @@
 	e.answered = true
 	c.out.Count("requests_dropped")
 	if c.traced {
-		c.out.Trace(event.RequestDropped, event.Request, r.ClientID, "id", r.id)
+		c.out.Trace(logevent.RequestDropped, logevent.Request, r.ClientID, "id", r.id)
 	}
-	c.events = append(c.events, policy.Dropped{ID: r.id})
+	c.events = append(c.events, scheduler.Dropped{ID: r.id})
 	c.settle(e)
 }
 
@@ -157,20 +157,20 @@
 	}
 	t := e.tries[n]
 	t.ended = true
-	t.unrun = res.Status == policy.Full || res.Status == policy.ConnectFailed || res.Status == policy.Moot
+	t.unrun = res.Status == scheduler.Full || res.Status == scheduler.ConnectFailed || res.Status == scheduler.Moot
 	e.out--
 	c.out.Count("attempts_" + statusNames[res.Status])
 	if c.traced {
-		c.out.Trace(event.AttemptEnded, event.Request, r.ClientID, "id", r.id, event.Attempt, n, event.Server, t.node.Name,
-			event.Status, statusNames[res.Status], event.TookMs, nowMs-t.sentMs)
+		c.out.Trace(logevent.AttemptEnded, logevent.Request, r.ClientID, "id", r.id, logevent.Attempt, n, logevent.Server, t.node.Name,
+			logevent.Status, statusNames[res.Status], logevent.TookMs, nowMs-t.sentMs)
 	}
 	if c.fleet != nil {
 		c.fleet.Ended(nowMs, t.node, res.Status, nowMs-t.sentMs)
 	}
-	if res.Status == policy.OK && !e.answered { // the first answer of a node goes to the client as it is
+	if res.Status == scheduler.OK && !e.answered { // the first answer of a node goes to the client as it is
 		c.answer(e, Answer{Verdict: Served, Result: res.Body})
 	}
-	c.events = append(c.events, policy.Outcome{ID: r.id, Attempt: n, Node: t.node.known, Status: res.Status,
+	c.events = append(c.events, scheduler.Outcome{ID: r.id, Attempt: n, Node: t.node.known, Status: res.Status,
 		Latency: clock.Duration(nowMs - t.sentMs), Terminal: e.answered, VolumeUse: res.Use, HasUse: res.HasUse,
 		ForeignUnits: res.ForeignUnits, Report: res.Report})
 	c.settle(e)
@@ -179,8 +179,8 @@
 var statusNames = [...]string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
 // Probed tells what a probe found.
-func (c *Core) Probed(n *Node, latencyMs float64, s policy.Status, report []float64) {
-	c.events = append(c.events, policy.Probed{Node: n.known, Status: s,
+func (c *Core) Probed(n *Node, latencyMs float64, s scheduler.Status, report []float64) {
+	c.events = append(c.events, scheduler.Probed{Node: n.known, Status: s,
 		Latency: clock.Duration(latencyMs), Report: report})
 }
 
@@ -193,11 +193,11 @@
 		c.lease.Answered(l.TookMs)
 	}
 	switch {
-	case l.Scope == policy.Patch || l.Scope == policy.Whole || l.Scope == policy.Alive:
+	case l.Scope == scheduler.Patch || l.Scope == scheduler.Whole || l.Scope == scheduler.Alive:
 		c.lease.Heard(l.AtMs)
-	case l.Scope == policy.Broken && l.Failure == Unreachable:
+	case l.Scope == scheduler.Broken && l.Failure == Unreachable:
 		c.lease.Unreachable(l.AtMs)
-	case l.Scope == policy.Broken && l.Failure == TurnedAway:
+	case l.Scope == scheduler.Broken && l.Failure == TurnedAway:
 		c.lease.Refused(l.AtMs)
 	}
 	c.gate.SetListUntil(c.lease.UntilMs())
@@ -214,12 +214,12 @@
 // Nodes brings news of the node list.
 func (c *Core) Nodes(l List) {
 	c.renew(l)
-	ev := policy.NodeList{Version: l.Version, Scope: l.Scope, Until: c.listUntil()}
-	listed := map[policy.NodeID]bool{}
+	ev := scheduler.NodeList{Version: l.Version, Scope: l.Scope, Until: c.listUntil()}
+	listed := map[scheduler.NodeID]bool{}
 	for _, n := range l.Nodes {
 		id := c.ids[n.Name]
 		if id == 0 {
-			if n.State == policy.Gone {
+			if n.State == scheduler.Gone {
 				continue // nothing is known of it, and nothing will be
 			}
 			c.lastNo++
@@ -236,15 +236,15 @@
 				old.closed.Store(true) // moved
 			}
 		}
-		n.closed.Store(n.State != policy.Live)
+		n.closed.Store(n.State != scheduler.Live)
 		c.nodes[id] = n
-		ev.Nodes = append(ev.Nodes, policy.Node{ID: id, State: n.State, Shard: n.Shard, Kind: n.Kind, Zone: n.Zone,
+		ev.Nodes = append(ev.Nodes, scheduler.Node{ID: id, State: n.State, Shard: n.Shard, Kind: n.Kind, Zone: n.Zone,
 			StartedAt: clock.Duration(n.StartedMs), Size: n.Weight})
-		if n.State == policy.Gone {
+		if n.State == scheduler.Gone {
 			c.forget(n)
 		}
 	}
-	if l.Scope == policy.Whole || l.Scope == policy.Stale {
+	if l.Scope == scheduler.Whole || l.Scope == scheduler.Stale {
 		for id, n := range c.nodes {
 			if !listed[id] {
 				n.closed.Store(true)
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	if l.Scope < policy.Broken && (l.Scope != policy.Stale || len(l.Nodes) > 0) {
+	if l.Scope < scheduler.Broken && (l.Scope != scheduler.Stale || len(l.Nodes) > 0) {
 		c.listed = true
 	}
 	c.events = append(c.events, ev)
@@ -272,13 +272,13 @@
 // Ending tells that the gateway ends, and by when all that is open must have been answered: also what was taken
 // before anyone knew, and may wait for longer than the platform leaves the program.
 func (c *Core) Ending(atMs float64) {
-	c.events = append(c.events, policy.Ending{At: clock.Duration(atMs)})
+	c.events = append(c.events, scheduler.Ending{At: clock.Duration(atMs)})
 }
 
 // Wake tells that a time asked for with Outside.WakeAt has come.
 func (c *Core) Wake() {
 	c.woken = true
-	c.events = append(c.events, policy.Wake{})
+	c.events = append(c.events, scheduler.Wake{})
 }
 
 // roundOff is more than what a time loses on its way to a timer and back as float64 milliseconds since the epoch.
@@ -312,30 +312,30 @@
 	c.events = nil
 	for _, a := range c.policy.Step(c.now(nowMs), events) {
 		switch a := a.(type) {
-		case policy.Send:
+		case scheduler.Send:
 			c.send(nowMs, a)
-		case policy.Refuse:
+		case scheduler.Refuse:
 			c.end(a.ID, Answer{Verdict: Refused, ComeBackMs: clock.Ms(a.ComeBack), Reason: a.Reason})
-		case policy.Fail:
+		case scheduler.Fail:
 			c.end(a.ID, Answer{Verdict: Failed, Reason: a.Reason})
-		case policy.Cancel:
+		case scheduler.Cancel:
 			if e := c.open[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.tries) && !e.tries[a.Attempt].ended {
 				e.tries[a.Attempt].cancel()
 			}
-		case policy.Subscribe:
+		case scheduler.Subscribe:
 			c.out.Subscribe()
-		case policy.Probe:
+		case scheduler.Probe:
 			if n := c.nodes[a.Node]; n != nil {
 				c.out.Probe(n)
 			}
-		case policy.Demand:
+		case scheduler.Demand:
 			if c.fleet != nil {
 				c.fleet.Demand(nowMs, a)
 			}
-		case policy.WakeAt:
+		case scheduler.WakeAt:
 			c.wakeAt = a.At
 			c.out.WakeAt(clock.Ms(a.At))
-		case policy.Log:
+		case scheduler.Log:
 			c.out.Log(a.Text)
 		default:
 			c.out.Log(fmt.Sprintf("unknown action %T", a))
@@ -343,7 +343,7 @@
 	}
 }
 
-func (c *Core) send(nowMs float64, a policy.Send) {
+func (c *Core) send(nowMs float64, a scheduler.Send) {
 	e, n := c.open[a.ID], c.nodes[a.Node]
 	if e == nil || n == nil {
 		c.out.Log(fmt.Sprintf("send of request %d to node %d: not known", a.ID, a.Node))
@@ -355,7 +355,7 @@
 	}
 	begin := 0.0
 	if c.fleet != nil {
-		begin = c.fleet.Until(policy.VolumeID(e.req.Volume))
+		begin = c.fleet.Until(scheduler.VolumeID(e.req.Volume))
 	}
 	if before := clock.Ms(a.Before); before != 0 && (begin == 0 || before < begin) {
 		begin = before
@@ -365,13 +365,13 @@
 	e.out++
 	c.out.Count("attempts_started")
 	if c.traced {
-		c.out.Trace(event.AttemptStarted, event.Request, e.req.ClientID, "id", a.ID, event.Attempt, len(e.tries)-1, event.Server, n.Name)
+		c.out.Trace(logevent.AttemptStarted, logevent.Request, e.req.ClientID, "id", a.ID, logevent.Attempt, len(e.tries)-1, logevent.Server, n.Name)
 	}
 	t.cancel = e.req.Carrier.Start(Attempt{Request: e.req, N: len(e.tries) - 1, Node: n, DeadlineMs: deadline,
 		BeginMs: begin, Gate: c.gate})
 }
 
-func (c *Core) end(id policy.RequestID, a Answer) {
+func (c *Core) end(id scheduler.RequestID, a Answer) {
 	if e := c.open[id]; e != nil && !e.answered {
 		c.answer(e, a)
 		c.settle(e)
@@ -381,10 +381,10 @@
 var verdictNames = [...]string{"answers_served", "answers_refused", "answers_failed"}
 
 // reasonCounters are the names of the counters of refused and failed answers by reason.
-var reasonCounters = func() (names [len(verdictNames)][policy.ReasonsNumber]string) {
+var reasonCounters = func() (names [len(verdictNames)][scheduler.ReasonsNumber]string) {
 	for v, verdict := range verdictNames {
 		for r := range names[v] {
-			names[v][r] = verdict + "_" + policy.Reason(r).String()
+			names[v][r] = verdict + "_" + scheduler.Reason(r).String()
 		}
 	}
 	return names
@@ -398,7 +398,7 @@
 		c.out.Count(reasonCounters[a.Verdict][a.Reason])
 	}
 	if c.traced {
-		c.out.Trace(event.RequestAnswered, event.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Verdict], event.Reason, a.Reason.String())
+		c.out.Trace(logevent.RequestAnswered, logevent.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Verdict], logevent.Reason, a.Reason.String())
 	}
 	a.Shard = -1
 	for _, t := range e.tries {
--- a/internal/core/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -1,22 +1,22 @@
-package core_test
+package lifecycle_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 )
 
 // script is a module that does what a fuzzer's bytes say, as far as the module's own contract allows.
 type script struct {
-	actions []policy.Action
-	seen    []policy.Event
+	actions []scheduler.Action
+	seen    []scheduler.Event
 }
 
-func (s *script) Step(_ time.Duration, events []policy.Event) []policy.Action {
+func (s *script) Step(_ time.Duration, events []scheduler.Event) []scheduler.Action {
 	s.seen = append(s.seen, events...)
 	out := s.actions
 	s.actions = nil
@@ -25,21 +25,24 @@
 
 type quiet struct{ probes, watches int }
 
-func (*quiet) WakeAt(float64)       {}
-func (q *quiet) Subscribe()         { q.watches++ }
-func (q *quiet) Probe(*core.Node)   { q.probes++ }
-func (*quiet) Log(string)           {}
-func (*quiet) Count(string)         {}
-func (*quiet) Trace(string, ...any) {}
+func (*quiet) WakeAt(float64)          {}
+func (q *quiet) Subscribe()            { q.watches++ }
+func (q *quiet) Probe(*lifecycle.Node) { q.probes++ }
+func (*quiet) Log(string)              {}
+func (*quiet) Count(string)            {}
+func (*quiet) Trace(string, ...any)    {}
 
-type carrier struct{ started []core.Attempt }
+type carrier struct{ started []lifecycle.Attempt }
 
-func (c *carrier) Start(a core.Attempt) func() { c.started = append(c.started, a); return func() {} }
+func (c *carrier) Start(a lifecycle.Attempt) func() {
+	c.started = append(c.started, a)
+	return func() {}
+}
 
-func nodes(states ...policy.NodeState) (l core.List) {
-	l.Scope = policy.Whole
+func nodes(states ...scheduler.NodeState) (l lifecycle.List) {
+	l.Scope = scheduler.Whole
 	for i, s := range states {
-		l.Nodes = append(l.Nodes, &core.Node{Name: string(rune('a' + i)), Addr: "127.0.0.1:1", State: s})
+		l.Nodes = append(l.Nodes, &lifecycle.Node{Name: string(rune('a' + i)), Addr: "127.0.0.1:1", State: s})
 	}
 	return l
 }
@@ -54,23 +57,23 @@
 	f.Add([]byte{0, 1, 3, 2, 2, 0, 1, 6, 7, 2})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		type model struct {
-			req      *core.Request
-			id       policy.RequestID
+			req      *lifecycle.Request
+			id       scheduler.RequestID
 			answers  int
 			over     bool // answered, or its client is gone
 			attempts []bool
 		}
 		mod, car := &script{}, &carrier{}
-		c := core.New(mod, &quiet{})
-		c.Nodes(nodes(policy.Live))
+		c := lifecycle.New(mod, &quiet{})
+		c.Nodes(nodes(scheduler.Live))
 		c.Step(0)
 		var all []*model
 		for i, s := range steps {
 			now := float64(i)
 			mod.seen = nil
 			if s%8 == 0 || len(all) == 0 {
-				m := &model{id: policy.RequestID(len(all) + 1)}
-				m.req = &core.Request{LeftMs: 1000, Carrier: car, Reply: func(core.Answer) { m.answers++ }}
+				m := &model{id: scheduler.RequestID(len(all) + 1)}
+				m.req = &lifecycle.Request{LeftMs: 1000, Carrier: car, Reply: func(lifecycle.Answer) { m.answers++ }}
 				all = append(all, m)
 				c.Take(now, m.req)
 				c.Step(now)
@@ -81,20 +84,20 @@
 			switch s % 8 {
 			case 1: // the module sends
 				if !m.over {
-					mod.actions = []policy.Action{policy.Send{ID: m.id, Node: 1}}
+					mod.actions = []scheduler.Action{scheduler.Send{ID: m.id, Node: 1}}
 					m.attempts = append(m.attempts, false)
 				}
 				c.Wake()
 				want = 1
 			case 2, 3: // an attempt ends, perhaps for the second time
-				n, status := int(s>>5), policy.Error
+				n, status := int(s>>5), scheduler.Error
 				if s%8 == 2 {
-					status = policy.OK
+					status = scheduler.OK
 				}
-				c.Finish(now, m.req, n, core.Result{Status: status})
+				c.Finish(now, m.req, n, lifecycle.Result{Status: status})
 				if n < len(m.attempts) && !m.attempts[n] {
 					m.attempts[n], want = true, 1
-					m.over = m.over || status == policy.OK
+					m.over = m.over || status == scheduler.OK
 				}
 			case 4: // the client goes
 				c.Gone(now, m.req)
@@ -102,15 +105,15 @@
 					m.over, want = true, 1
 				}
 			case 5, 6: // the module gives up, perhaps on what is over
-				mod.actions = []policy.Action{policy.Fail{ID: m.id}}
+				mod.actions = []scheduler.Action{scheduler.Fail{ID: m.id}}
 				if s%8 == 6 {
-					mod.actions = []policy.Action{policy.Refuse{ID: m.id}}
+					mod.actions = []scheduler.Action{scheduler.Refuse{ID: m.id}}
 				}
 				c.Wake()
 				m.over, want = true, 1
 			case 7:
-				mod.actions = []policy.Action{policy.Cancel{ID: m.id, Attempt: int(s >> 5)}, policy.Probe{Node: 9},
-					policy.Send{ID: 999, Node: 1}, policy.Send{ID: m.id, Node: 99}, policy.Fail{ID: 999}}
+				mod.actions = []scheduler.Action{scheduler.Cancel{ID: m.id, Attempt: int(s >> 5)}, scheduler.Probe{Node: 9},
+					scheduler.Send{ID: 999, Node: 1}, scheduler.Send{ID: m.id, Node: 99}, scheduler.Fail{ID: 999}}
 				c.Wake()
 				want = 1
 			}
@@ -119,7 +122,7 @@
 				t.Fatalf("step %d (%d): the module saw %v, want %d events", i, s, mod.seen, want)
 			}
 			if want == 1 {
-				if o, ok := mod.seen[0].(policy.Outcome); ok && (o.Terminal != m.over || o.ID != m.id) {
+				if o, ok := mod.seen[0].(scheduler.Outcome); ok && (o.Terminal != m.over || o.ID != m.id) {
 					t.Fatalf("step %d: %+v, over is %v", i, o, m.over)
 				}
 			}
@@ -145,20 +148,20 @@
 
 // A carrier that holds an attempt back must see that its node has drained, moved or gone.
 func TestClosedNodes(t *testing.T) {
-	for name, change := range map[string]core.List{
-		"draining": nodes(policy.Draining),
-		"gone":     nodes(policy.Gone),
-		"missing":  {Scope: policy.Whole},
-		"moved":    {Scope: policy.Patch, Nodes: []*core.Node{{Name: "a", Addr: "127.0.0.1:2"}}},
+	for name, change := range map[string]lifecycle.List{
+		"draining": nodes(scheduler.Draining),
+		"gone":     nodes(scheduler.Gone),
+		"missing":  {Scope: scheduler.Whole},
+		"moved":    {Scope: scheduler.Patch, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.1:2"}}},
 	} {
-		c := core.New(&script{}, &quiet{})
-		l := nodes(policy.Live)
+		c := lifecycle.New(&script{}, &quiet{})
+		l := nodes(scheduler.Live)
 		c.Nodes(l)
 		if l.Nodes[0].Closed() {
 			t.Errorf("%s: closed from the start", name)
 		}
-		c.Nodes(core.List{Scope: policy.Broken})
-		c.Nodes(core.List{Scope: policy.Patch})
+		c.Nodes(lifecycle.List{Scope: scheduler.Broken})
+		c.Nodes(lifecycle.List{Scope: scheduler.Patch})
 		if l.Nodes[0].Closed() {
 			t.Errorf("%s: a broken watch or an empty change closed it", name)
 		}
@@ -171,11 +174,11 @@
 // An attempt may hold an entry that a refreshed one has replaced: the drain closes both. A node that comes back
 // does not reopen what was meant for the process before.
 func TestARefreshedEntryClosesWithItsNode(t *testing.T) {
-	c := core.New(&script{}, &quiet{})
-	var held []*core.Node
-	for _, state := range []policy.NodeState{policy.Live, policy.Live, policy.Draining, policy.Live} {
+	c := lifecycle.New(&script{}, &quiet{})
+	var held []*lifecycle.Node
+	for _, state := range []scheduler.NodeState{scheduler.Live, scheduler.Live, scheduler.Draining, scheduler.Live} {
 		l := nodes(state)
-		l.Scope = policy.Patch
+		l.Scope = scheduler.Patch
 		c.Nodes(l)
 		held = append(held, l.Nodes[0])
 	}
@@ -189,8 +192,8 @@
 // A client may be gone before the loop has come to its request.
 func TestGoneBeforeTaken(t *testing.T) {
 	mod := &script{}
-	c := core.New(mod, &quiet{})
-	r := &core.Request{Reply: func(core.Answer) { t.Error("answered") }}
+	c := lifecycle.New(mod, &quiet{})
+	r := &lifecycle.Request{Reply: func(lifecycle.Answer) { t.Error("answered") }}
 	c.Gone(0, r)
 	c.Take(1, r)
 	if c.Step(1); len(mod.seen) != 0 || c.Open() != 0 {
@@ -205,12 +208,12 @@
 	awake bool
 }
 
-func (s *sleeper) Step(now time.Duration, events []policy.Event) []policy.Action {
-	if _, ok := events[0].(policy.Wake); ok {
+func (s *sleeper) Step(now time.Duration, events []scheduler.Event) []scheduler.Action {
+	if _, ok := events[0].(scheduler.Wake); ok {
 		s.awake = now >= s.at
 		return nil
 	}
-	return []policy.Action{policy.WakeAt{At: s.at}}
+	return []scheduler.Action{scheduler.WakeAt{At: s.at}}
 }
 
 type alarm struct {
@@ -226,8 +229,8 @@
 	rounded := 0
 	for ns := range time.Duration(2000) {
 		m, a := &sleeper{at: 1_796_000_000_123_456_789 + 7*ns}, &alarm{}
-		c := core.New(m, a)
-		c.Nodes(core.List{})
+		c := lifecycle.New(m, a)
+		c.Nodes(lifecycle.List{})
 		c.Step(1.796e12)
 		if time.Duration(a.ms*1e6) < m.at {
 			rounded++
@@ -247,18 +250,18 @@
 }
 
 func TestReady(t *testing.T) {
-	c := core.New(&script{}, &quiet{})
-	for _, l := range []core.List{{Scope: policy.Stale}, {Scope: policy.Broken}} {
+	c := lifecycle.New(&script{}, &quiet{})
+	for _, l := range []lifecycle.List{{Scope: scheduler.Stale}, {Scope: scheduler.Broken}} {
 		if c.Nodes(l); c.Ready() {
 			t.Errorf("ready by %+v", l)
 		}
 	}
-	if c.Nodes(core.List{Scope: policy.Whole}); !c.Ready() {
+	if c.Nodes(lifecycle.List{Scope: scheduler.Whole}); !c.Ready() {
 		t.Error("not ready though discovery has answered")
 	}
-	c = core.New(&script{}, &quiet{})
-	known := nodes(policy.Live)
-	known.Scope = policy.Stale
+	c = lifecycle.New(&script{}, &quiet{})
+	known := nodes(scheduler.Live)
+	known.Scope = scheduler.Stale
 	if c.Nodes(known); !c.Ready() {
 		t.Error("not ready with a known node")
 	}
@@ -268,29 +271,29 @@
 // all its attempts are over the name is free.
 func TestNameOfAnOpenRequest(t *testing.T) {
 	mod, car := &script{}, &carrier{}
-	c := core.New(mod, &quiet{})
-	c.Nodes(nodes(policy.Live))
+	c := lifecycle.New(mod, &quiet{})
+	c.Nodes(nodes(scheduler.Live))
 	c.Step(0)
-	var got []core.Verdict
-	take := func() *core.Request {
-		r := &core.Request{ClientID: "a", LeftMs: 100, Carrier: car, Reply: func(a core.Answer) { got = append(got, a.Verdict) }}
+	var got []lifecycle.Verdict
+	take := func() *lifecycle.Request {
+		r := &lifecycle.Request{ClientID: "a", LeftMs: 100, Carrier: car, Reply: func(a lifecycle.Answer) { got = append(got, a.Verdict) }}
 		mod.seen = nil
 		c.Take(1, r)
 		c.Step(1)
 		return r
 	}
 	first := take()
-	mod.actions = []policy.Action{policy.Send{ID: 1, Node: 1}}
+	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: 1}}
 	c.Wake()
 	c.Step(1)
-	if take(); len(mod.seen) != 0 || len(got) != 1 || got[0] != core.Rejected {
+	if take(); len(mod.seen) != 0 || len(got) != 1 || got[0] != lifecycle.Rejected {
 		t.Errorf("the module saw %v; answers %v", mod.seen, got)
 	}
 	c.Gone(0, first)
 	if take(); len(mod.seen) != 1 || len(got) != 2 { // its attempt is still out
 		t.Errorf("the module saw %v; answers %v", mod.seen, got)
 	}
-	c.Finish(2, first, 0, core.Result{Status: policy.OK})
+	c.Finish(2, first, 0, lifecycle.Result{Status: scheduler.OK})
 	if take(); len(got) != 2 || c.Open() != 1 {
 		t.Errorf("answers %v, %d open", got, c.Open())
 	}
@@ -299,19 +302,19 @@
 // Nodes come and go with ever new names; what is held of them does not grow, and no id is used twice.
 func TestGoneNodesAreForgotten(t *testing.T) {
 	mod := &script{}
-	c := core.New(mod, &quiet{})
-	ids := map[policy.NodeID]bool{}
+	c := lifecycle.New(mod, &quiet{})
+	ids := map[scheduler.NodeID]bool{}
 	for i := range 1000 {
 		name := fmt.Sprint("s-", i)
-		c.Nodes(core.List{Nodes: []*core.Node{{Name: name, Addr: "127.0.0.1:1"}}})
-		last := core.List{Nodes: []*core.Node{{Name: name, State: policy.Gone}, {Name: "unheard of", State: policy.Gone}}}
+		c.Nodes(lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, Addr: "127.0.0.1:1"}}})
+		last := lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, State: scheduler.Gone}, {Name: "unheard of", State: scheduler.Gone}}}
 		if i%2 == 1 { // or the next whole list lacks it
-			last = core.List{Scope: policy.Whole}
+			last = lifecycle.List{Scope: scheduler.Whole}
 		}
 		c.Nodes(last)
 		c.Step(float64(i))
 		for _, e := range mod.seen {
-			for _, n := range e.(policy.NodeList).Nodes {
+			for _, n := range e.(scheduler.NodeList).Nodes {
 				ids[n.ID] = true
 			}
 		}
@@ -327,16 +330,16 @@
 func TestAListOfDoubles(t *testing.T) {
 	const names = 200
 	mod := &script{}
-	c := core.New(mod, &quiet{})
-	list := func(states ...policy.NodeState) (l core.List) {
+	c := lifecycle.New(mod, &quiet{})
+	list := func(states ...scheduler.NodeState) (l lifecycle.List) {
 		for _, s := range states {
 			for i := range names {
-				l.Nodes = append(l.Nodes, &core.Node{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Shard: i, State: s})
+				l.Nodes = append(l.Nodes, &lifecycle.Node{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Shard: i, State: s})
 			}
 		}
 		return l
 	}
-	l := list(policy.Live, policy.Draining)
+	l := list(scheduler.Live, scheduler.Draining)
 	c.Nodes(l)
 	c.Step(0)
 	if c.Known() != names {
@@ -347,19 +350,19 @@
 			t.Fatalf("entry %d of a node that drains by a later one is open", i)
 		}
 	}
-	last := map[policy.NodeID]policy.NodeState{}
-	for _, n := range mod.seen[0].(policy.NodeList).Nodes {
+	last := map[scheduler.NodeID]scheduler.NodeState{}
+	for _, n := range mod.seen[0].(scheduler.NodeList).Nodes {
 		last[n.ID] = n.State
 	}
 	if len(last) != names {
 		t.Errorf("the module was told of %d nodes", len(last))
 	}
 	for id, s := range last {
-		if s != policy.Draining {
+		if s != scheduler.Draining {
 			t.Errorf("node %d is told last as %v", id, s)
 		}
 	}
-	c.Nodes(list(policy.Gone, policy.Gone))
+	c.Nodes(list(scheduler.Gone, scheduler.Gone))
 	c.Step(0)
 	if c.Known() != 0 {
 		t.Errorf("%d nodes known, and all are gone", c.Known())
@@ -369,11 +372,11 @@
 // An attempt begins before the module's time for it.
 func TestAttemptsHaveTheModulesTimeToBegin(t *testing.T) {
 	mod, car := &script{}, &carrier{}
-	c := core.New(mod, &quiet{})
-	c.Nodes(nodes(policy.Live))
+	c := lifecycle.New(mod, &quiet{})
+	c.Nodes(nodes(scheduler.Live))
 	c.Step(0)
-	c.Take(0, &core.Request{LeftMs: 1000, Carrier: car, Reply: func(core.Answer) {}})
-	mod.actions = []policy.Action{policy.Send{ID: 1, Node: 1}, policy.Send{ID: 1, Node: 1, Before: 700 * time.Millisecond}}
+	c.Take(0, &lifecycle.Request{LeftMs: 1000, Carrier: car, Reply: func(lifecycle.Answer) {}})
+	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: 1}, scheduler.Send{ID: 1, Node: 1, Before: 700 * time.Millisecond}}
 	c.Step(1)
 	if len(car.started) != 2 || car.started[0].Over(999) || !car.started[0].Over(999.1) || car.started[1].Over(699.9) || !car.started[1].Over(700) {
 		t.Errorf("%d started: %+v", len(car.started), car.started)
--- a/internal/core/gate.go
+++ b/internal/lifecycle/gate.go
@@ -1,11 +1,11 @@
-package core
+package lifecycle
 
 import (
 	"math"
 	"sync/atomic"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/decide/permission"
+	"gaugerelay/internal/permission"
 )
 
 // Gate is what every attempt passes before its first byte: it gathers the facts of that moment for package permission.
--- a/internal/event/event.go
+++ b/internal/logevent/event.go
@@ -1,6 +1,6 @@
 // Package event names what the program logs, so that every record of one kind carries the same message and the same
 // fields and can be searched for. It sets up the program's logger.
-package event
+package logevent
 
 import (
 	"io"
--- a/internal/decide/members/contract.go
+++ b/internal/membership/contract.go
@@ -8,7 +8,7 @@
 // change nothing in the end. Only a member itself raises its incarnation, to contradict what is said of it.
 //
 // The package is pure: no clock, no I/O, no goroutine, no order of maps. Times are milliseconds of the caller's clock.
-package members
+package membership
 
 // Settings are what a Book is made with.
 type Settings struct {
--- a/internal/decide/members/members.go
+++ b/internal/membership/members.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/decide/verdict/contract.go
+++ b/internal/outlier/contract.go
@@ -8,7 +8,7 @@
 // trying it a little. So a wrong verdict ends by what the tries find, or by age.
 //
 // The package is pure: no clock, no I/O, no goroutine, no order of maps. Times are milliseconds of the caller's clock.
-package verdict
+package outlier
 
 // Settings are what a Book is made with.
 type Settings struct {
--- a/internal/decide/verdict/verdict_test.go
+++ b/internal/outlier/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package outlier
 
 import (
 	"math"
--- a/internal/peer/datagram/codec.go
+++ b/internal/peer/datagram/codec.go
@@ -21,10 +21,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gaugerelay/internal/decide/latency"
-	"gaugerelay/internal/decide/members"
-	"gaugerelay/internal/decide/share"
-	"gaugerelay/internal/decide/verdict"
+	"gaugerelay/internal/membership"
+	"gaugerelay/internal/outlier"
+	"gaugerelay/internal/peerlatency"
+	"gaugerelay/internal/quota"
 )
 
 // Most is the longest datagram.
@@ -56,10 +56,10 @@
 	From    uint16
 	Life    uint32
 	Count   uint64
-	Members []members.Message // each datagram has the rumours of all of its messages; decoded, the first has them
-	Share   []share.Message
-	Words   []verdict.Evidence
-	Samples []latency.Sample
+	Members []membership.Message // each datagram has the rumours of all of its messages; decoded, the first has them
+	Share   []quota.Message
+	Words   []outlier.Evidence
+	Samples []peerlatency.Sample
 }
 
 // Why a datagram is dropped.
@@ -115,7 +115,7 @@
 			b = binary.BigEndian.AppendUint64(b, m.Pot)
 			b = binary.BigEndian.AppendUint32(b, m.To)
 			b = binary.BigEndian.AppendUint32(b, m.Seq)
-			return binary.BigEndian.AppendUint32(b, fixed(m.Part, m.Kind != share.Grant))
+			return binary.BigEndian.AppendUint32(b, fixed(m.Part, m.Kind != quota.Grant))
 		})
 	}
 	for _, e := range p.Words {
@@ -178,7 +178,7 @@
 		return p, ErrCheck
 	}
 	p.From, p.Life, p.Count = binary.BigEndian.Uint16(b[4:]), binary.BigEndian.Uint32(b[6:]), binary.BigEndian.Uint64(b[10:])
-	var rumours []members.Rumour
+	var rumours []membership.Rumour
 	for items := b[headerSize:end]; len(items) > 0; {
 		if len(items) < 2 || len(items) < 2+int(items[1]) {
 			return Packet{}, ErrItem
@@ -187,23 +187,23 @@
 		items = items[2+len(x):]
 		switch {
 		case kind == typeMember && len(x) >= memberSize:
-			p.Members = append(p.Members, members.Message{Kind: members.Kind(x[0]), Peer: p.From,
+			p.Members = append(p.Members, membership.Message{Kind: membership.Kind(x[0]), Peer: p.From,
 				Seq: binary.BigEndian.Uint32(x[1:]), Target: binary.BigEndian.Uint16(x[5:])})
 		case kind == typeRumour && len(x) >= rumourSize:
-			rumours = append(rumours, members.Rumour{Member: binary.BigEndian.Uint16(x), State: members.State(x[2]),
+			rumours = append(rumours, membership.Rumour{Member: binary.BigEndian.Uint16(x), State: membership.State(x[2]),
 				Incarnation: binary.BigEndian.Uint64(x[3:]), Life: binary.BigEndian.Uint32(x[11:]), By: binary.BigEndian.Uint16(x[15:])})
 		case kind == typeShare && len(x) >= shareSize:
 			part := binary.BigEndian.Uint32(x[17:])
 			if part > whole {
 				return Packet{}, ErrItem
 			}
-			p.Share = append(p.Share, share.Message{Kind: share.Kind(x[0]), Peer: p.From, Life: p.Life, Pot: binary.BigEndian.Uint64(x[1:]),
+			p.Share = append(p.Share, quota.Message{Kind: quota.Kind(x[0]), Peer: p.From, Life: p.Life, Pot: binary.BigEndian.Uint64(x[1:]),
 				To: binary.BigEndian.Uint32(x[9:]), Seq: binary.BigEndian.Uint32(x[13:]), Part: float64(part) / whole})
 		case kind == typeWord && len(x) >= wordSize:
-			p.Words = append(p.Words, verdict.Evidence{Peer: p.From, Kind: verdict.Kind(x[0]), Node: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
+			p.Words = append(p.Words, outlier.Evidence{Peer: p.From, Kind: outlier.Kind(x[0]), Node: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
 				Stamp: binary.BigEndian.Uint64(x[10:]), AgeMs: float64(binary.BigEndian.Uint16(x[18:]))})
 		case kind == typeSample && len(x) >= sampleSize:
-			p.Samples = append(p.Samples, latency.Sample{Peer: p.From, Node: binary.BigEndian.Uint64(x),
+			p.Samples = append(p.Samples, peerlatency.Sample{Peer: p.From, Node: binary.BigEndian.Uint64(x),
 				Ms: float64(binary.BigEndian.Uint16(x[8:])) * sampleStep, AgeMs: float64(binary.BigEndian.Uint16(x[10:]))})
 		case kind >= typeMember && kind <= typeSample:
 			return Packet{}, ErrItem
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -6,18 +6,18 @@
 	"reflect"
 	"testing"
 
-	"gaugerelay/internal/decide/latency"
-	"gaugerelay/internal/decide/members"
-	"gaugerelay/internal/decide/share"
-	"gaugerelay/internal/decide/verdict"
+	"gaugerelay/internal/membership"
+	"gaugerelay/internal/outlier"
+	"gaugerelay/internal/peerlatency"
+	"gaugerelay/internal/quota"
 )
 
 func sample() Packet {
-	return Packet{From: 3, Life: 77, Members: []members.Message{{Kind: members.Ack, Peer: 3, Seq: 5, Target: 1, Rumours: []members.Rumour{
-		{Member: 3, Incarnation: 9, Life: 77}, {Member: 2, State: members.Suspect, Incarnation: 1 << 40, By: 4}}}},
-		Share:   []share.Message{{Kind: share.Grant, Pot: 0xb4d60021, Peer: 3, Life: 77, To: 5, Seq: 8, Part: 0.25}},
-		Words:   []verdict.Evidence{{Peer: 3, Node: 1 << 60, Kind: verdict.Closed, Percent: 80, Stamp: 1 << 41, AgeMs: 250}},
-		Samples: []latency.Sample{{Peer: 3, Node: 77, Ms: 12.5, AgeMs: 40}}}
+	return Packet{From: 3, Life: 77, Members: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Rumours: []membership.Rumour{
+		{Member: 3, Incarnation: 9, Life: 77}, {Member: 2, State: membership.Suspect, Incarnation: 1 << 40, By: 4}}}},
+		Share:   []quota.Message{{Kind: quota.Grant, Pot: 0xb4d60021, Peer: 3, Life: 77, To: 5, Seq: 8, Part: 0.25}},
+		Words:   []outlier.Evidence{{Peer: 3, Node: 1 << 60, Kind: outlier.Closed, Percent: 80, Stamp: 1 << 41, AgeMs: 250}},
+		Samples: []peerlatency.Sample{{Peer: 3, Node: 77, Ms: 12.5, AgeMs: 40}}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -52,14 +52,14 @@
 	p := sample()
 	p.Share = nil
 	for i := range 60 {
-		p.Share = append(p.Share, share.Message{Kind: share.Kind(1 + i%3), Pot: rnd.Uint64(), Seq: uint32(i), Part: rnd.Float64()})
+		p.Share = append(p.Share, quota.Message{Kind: quota.Kind(1 + i%3), Pot: rnd.Uint64(), Seq: uint32(i), Part: rnd.Float64()})
 	}
 	for range 40 {
-		p.Members[0].Rumours = append(p.Members[0].Rumours, members.Rumour{Member: 1})
+		p.Members[0].Rumours = append(p.Members[0].Rumours, membership.Rumour{Member: 1})
 	}
 	var count uint64
 	c := New(nil)
-	var got []share.Message
+	var got []quota.Message
 	for i, b := range c.Encode(p, &count) {
 		if len(b) > Most {
 			t.Errorf("%d bytes", len(b))
@@ -75,7 +75,7 @@
 	}
 	for i, m := range got {
 		sent := p.Share[i].Part
-		if m.Kind == share.Grant && m.Part > sent || m.Kind == share.Back && m.Part < sent || m.Part-sent > 1e-9 || sent-m.Part > 1e-9 {
+		if m.Kind == quota.Grant && m.Part > sent || m.Kind == quota.Back && m.Part < sent || m.Part-sent > 1e-9 || sent-m.Part > 1e-9 {
 			t.Errorf("message %d of kind %d: %v became %v", i, m.Kind, sent, m.Part)
 		}
 	}
@@ -88,9 +88,9 @@
 	var count uint64
 	b := c.Encode(sample(), &count)[0]
 	body := bytes.Clone(b[:len(b)-checkSize])
-	body = append(body, 200, 3, 1, 2, 3)                      // a type that is not known
-	body = append(body, typeMember, memberSize+2)             // an item with more than is known
-	body = append(body, byte(members.Ping), 0, 0, 0, 9, 0, 2) //
+	body = append(body, 200, 3, 1, 2, 3)                         // a type that is not known
+	body = append(body, typeMember, memberSize+2)                // an item with more than is known
+	body = append(body, byte(membership.Ping), 0, 0, 0, 9, 0, 2) //
 	body = append(body, 42, 43)
 	sum := c.check(body)
 	p, err := c.Decode(append(bytes.Clone(body), sum[:]...))
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -10,11 +10,11 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/decide/latency"
-	"gaugerelay/internal/decide/members"
-	"gaugerelay/internal/decide/share"
-	"gaugerelay/internal/decide/verdict"
+	"gaugerelay/internal/membership"
+	"gaugerelay/internal/outlier"
 	"gaugerelay/internal/peer/datagram"
+	"gaugerelay/internal/peerlatency"
+	"gaugerelay/internal/quota"
 )
 
 // compareGolden fails the test unless got equals testdata/golden/name.
@@ -39,45 +39,45 @@
 
 func packet() datagram.Packet { return datagram.Packet{From: sender, Life: senderLife} }
 
-func memberPacket(kind members.Kind, rumours ...members.Rumour) datagram.Packet {
+func memberPacket(kind membership.Kind, rumours ...membership.Rumour) datagram.Packet {
 	p := packet()
-	p.Members = []members.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Rumours: rumours}}
+	p.Members = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Rumours: rumours}}
 	return p
 }
 
-func sharePacket(kind share.Kind, part float64) datagram.Packet {
+func sharePacket(kind quota.Kind, part float64) datagram.Packet {
 	p := packet()
-	p.Share = []share.Message{{Kind: kind, Pot: 0x3132333435363738, Peer: sender, Life: senderLife, To: 0x41424344,
+	p.Share = []quota.Message{{Kind: kind, Pot: 0x3132333435363738, Peer: sender, Life: senderLife, To: 0x41424344,
 		Seq: 0x45464748, Part: part}}
 	return p
 }
 
-func evidencePacket(kind verdict.Kind) datagram.Packet {
+func evidencePacket(kind outlier.Kind) datagram.Packet {
 	p := packet()
-	p.Words = []verdict.Evidence{{Peer: sender, Node: 0x5152535455565758, Kind: kind, Percent: 80, Stamp: 0x6162636465666768,
+	p.Words = []outlier.Evidence{{Peer: sender, Node: 0x5152535455565758, Kind: kind, Percent: 80, Stamp: 0x6162636465666768,
 		AgeMs: 250}}
 	return p
 }
 
 func samplePacket(milliseconds, ageMs float64) datagram.Packet {
 	p := packet()
-	p.Samples = []latency.Sample{{Peer: sender, Node: 0x7172737475767778, Ms: milliseconds, AgeMs: ageMs}}
+	p.Samples = []peerlatency.Sample{{Peer: sender, Node: 0x7172737475767778, Ms: milliseconds, AgeMs: ageMs}}
 	return p
 }
 
-func allRumours() []members.Rumour {
-	return []members.Rumour{
-		{Member: 1, State: members.Alive, Incarnation: 0x8182838485868788, Life: 0x91929394, By: 2},
-		{Member: 3, State: members.Suspect, Incarnation: 4, Life: 5, By: 6},
-		{Member: 7, State: members.Dead, Incarnation: 8, Life: 9, By: 10},
-		{Member: 11, State: members.Left, Incarnation: 12, Life: 13, By: 14},
+func allRumours() []membership.Rumour {
+	return []membership.Rumour{
+		{Member: 1, State: membership.Alive, Incarnation: 0x8182838485868788, Life: 0x91929394, By: 2},
+		{Member: 3, State: membership.Suspect, Incarnation: 4, Life: 5, By: 6},
+		{Member: 7, State: membership.Dead, Incarnation: 8, Life: 9, By: 10},
+		{Member: 11, State: membership.Left, Incarnation: 12, Life: 13, By: 14},
 	}
 }
 
 func fullPacket() datagram.Packet {
-	p := memberPacket(members.Ack, allRumours()...)
-	p.Share = sharePacket(share.Grant, 0.25).Share
-	p.Words = evidencePacket(verdict.Closed).Words
+	p := memberPacket(membership.Ack, allRumours()...)
+	p.Share = sharePacket(quota.Grant, 0.25).Share
+	p.Words = evidencePacket(outlier.Closed).Words
 	p.Samples = samplePacket(12.5, 40).Samples
 	return p
 }
@@ -98,20 +98,20 @@
 	packet datagram.Packet
 	exact  bool // decoding gives back what was encoded, in one datagram
 }{
-	{"member ping", memberPacket(members.Ping), true},
-	{"member ping by relay", memberPacket(members.PingBy), true},
-	{"member ack", memberPacket(members.Ack), true},
-	{"member nack", memberPacket(members.Nack), true},
-	{"member ping with rumours", memberPacket(members.Ping, allRumours()...), true},
-	{"share ask", sharePacket(share.Ask, 0.5), true},
-	{"share grant", sharePacket(share.Grant, 0.125), true},
-	{"share return", sharePacket(share.Back, 1), true},
-	{"share recall", sharePacket(share.Recall, 0), true},
-	{"share grant is rounded down", sharePacket(share.Grant, 0.1), false},
-	{"share return is rounded up", sharePacket(share.Back, 0.1), false},
-	{"share part beyond the whole", sharePacket(share.Ask, 7), false},
-	{"evidence failing", evidencePacket(verdict.Failing), true},
-	{"evidence closed", evidencePacket(verdict.Closed), true},
+	{"member ping", memberPacket(membership.Ping), true},
+	{"member ping by relay", memberPacket(membership.PingBy), true},
+	{"member ack", memberPacket(membership.Ack), true},
+	{"member nack", memberPacket(membership.Nack), true},
+	{"member ping with rumours", memberPacket(membership.Ping, allRumours()...), true},
+	{"share ask", sharePacket(quota.Ask, 0.5), true},
+	{"share grant", sharePacket(quota.Grant, 0.125), true},
+	{"share return", sharePacket(quota.Back, 1), true},
+	{"share recall", sharePacket(quota.Recall, 0), true},
+	{"share grant is rounded down", sharePacket(quota.Grant, 0.1), false},
+	{"share return is rounded up", sharePacket(quota.Back, 0.1), false},
+	{"share part beyond the whole", sharePacket(quota.Ask, 7), false},
+	{"evidence failing", evidencePacket(outlier.Failing), true},
+	{"evidence closed", evidencePacket(outlier.Closed), true},
 	{"latency sample", samplePacket(12.5, 40), true},
 	{"latency sample too large", samplePacket(1e9, 1e9), false},
 	{"every section", fullPacket(), true},
--- a/internal/peer/fleet/fleet.go
+++ b/internal/peer/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet is one gateway's side of what a fleet of gateways has agreed: it brings what others say to the pure
 // modules that decide, and sends what those have to say. All of it but the socket runs on the loop's goroutine.
-package fleet
+package peer
 
 import (
 	"fmt"
@@ -13,16 +13,16 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/latency"
-	"gaugerelay/internal/decide/members"
-	"gaugerelay/internal/decide/share"
-	"gaugerelay/internal/decide/verdict"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/membership"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/outlier"
 	"gaugerelay/internal/peer/datagram"
+	"gaugerelay/internal/peerlatency"
+	"gaugerelay/internal/quota"
 )
 
 // Options set up a fleet.
@@ -49,13 +49,13 @@
 // mostInbox bounds the messages of one step; what is beyond is lost, as datagrams may be.
 const mostInbox = 1024
 
-func (o Options) share() share.Settings {
-	return share.Settings{Self: o.Self, Life: o.Life, LeaseMs: o.LeaseMs, Drift: o.Drift, Lends: o.Lends, AskMs: o.LeaseMs / askEvery,
+func (o Options) share() quota.Settings {
+	return quota.Settings{Self: o.Self, Life: o.Life, LeaseMs: o.LeaseMs, Drift: o.Drift, Lends: o.Lends, AskMs: o.LeaseMs / askEvery,
 		IdleMs: idleMs, MostPots: o.MostVolumes, MostPeers: min(len(o.Peers), 64)}
 }
 
-func (o Options) members() members.Settings {
-	s := members.Defaults(o.Self, len(o.Peers), o.Life, o.Seed)
+func (o Options) members() membership.Settings {
+	s := membership.Defaults(o.Self, len(o.Peers), o.Life, o.Seed)
 	s.PeriodMs, s.TimeoutMs = o.PeriodMs, o.TimeoutMs
 	return s
 }
@@ -71,8 +71,8 @@
 	mostTold   = 16  // gateways that hear a finding at once
 )
 
-func (o Options) verdict() verdict.Settings {
-	return verdict.Settings{FadeMs: 2000, LeastFailures: 3, LeastPart: 0.5, MostTries: 10, MostAgeMs: wordAgeMs, TellMs: wordTellMs, Origins: 2, OfAlive: 0.34,
+func (o Options) verdict() outlier.Settings {
+	return outlier.Settings{FadeMs: 2000, LeastFailures: 3, LeastPart: 0.5, MostTries: 10, MostAgeMs: wordAgeMs, TellMs: wordTellMs, Origins: 2, OfAlive: 0.34,
 		MostOut: 0.34, MostNodes: 4096, MostPeers: min(len(o.Peers), 64)}
 }
 
@@ -82,8 +82,8 @@
 	seenTellMs = 200
 )
 
-func (o Options) latency() latency.Settings {
-	return latency.Settings{FadeMs: 500, MostAgeMs: seenAgeMs, TellMs: seenTellMs, MostTold: 14, MostNodes: 4096, MostPeers: min(max(2, len(o.Peers)), 64)}
+func (o Options) latency() peerlatency.Settings {
+	return peerlatency.Settings{FadeMs: 500, MostAgeMs: seenAgeMs, TellMs: seenTellMs, MostTold: 14, MostNodes: 4096, MostPeers: min(max(2, len(o.Peers)), 64)}
 }
 
 // Bounds are the times that the settings lead to.
@@ -116,19 +116,19 @@
 	loop    Loop
 	socket  *datagram.Socket
 
-	members *members.Book
-	share   *share.Book
-	verdict *verdict.Book
-	latency *latency.Book
-	nodes   map[uint64]*core.Node // as listed, by what all gateways call them
-	gone    map[uint64]float64    // when
+	members *membership.Book
+	share   *quota.Book
+	verdict *outlier.Book
+	latency *peerlatency.Book
+	nodes   map[uint64]*lifecycle.Node // as listed, by what all gateways call them
+	gone    map[uint64]float64         // when
 	seen    []datagram.Seen
 	count   uint64
-	asked   []share.Demand
-	toM     []members.Message
-	toS     []share.Message
-	toV     []verdict.Evidence
-	toL     []latency.Sample
+	asked   []quota.Demand
+	toM     []membership.Message
+	toS     []quota.Message
+	toV     []outlier.Evidence
+	toL     []peerlatency.Sample
 	turn    int // of those who hear findings
 	shunAt  float64
 	nextMs  float64
@@ -138,18 +138,18 @@
 // New returns the side of a gateway that has just started, or an error if the options cannot be used.
 func New(o Options, m *metrics.Set, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{opt: o, codec: datagram.New(o.Key), metrics: m, log: log, seen: make([]datagram.Seen, len(o.Peers)), stop: func() {},
-		nodes: map[uint64]*core.Node{}, gone: map[uint64]float64{}}
+		nodes: map[uint64]*lifecycle.Node{}, gone: map[uint64]float64{}}
 	var err error
-	if f.members, err = members.New(o.members()); err != nil {
+	if f.members, err = membership.New(o.members()); err != nil {
 		return nil, err
 	}
-	if f.share, err = share.New(o.share()); err != nil {
+	if f.share, err = quota.New(o.share()); err != nil {
 		return nil, err
 	}
-	if f.verdict, err = verdict.New(o.verdict()); err != nil {
+	if f.verdict, err = outlier.New(o.verdict()); err != nil {
 		return nil, err
 	}
-	if f.latency, err = latency.New(o.latency()); err != nil {
+	if f.latency, err = peerlatency.New(o.latency()); err != nil {
 		return nil, err
 	}
 	f.share.Peers(f.members.Alive())
@@ -206,9 +206,9 @@
 }
 
 // Demand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
-func (f *Fleet) Demand(nowMs float64, d policy.Demand) {
+func (f *Fleet) Demand(nowMs float64, d scheduler.Demand) {
 	if len(f.asked) < mostInbox {
-		f.asked = append(f.asked, share.Demand{Pot: uint64(d.Volume), Hosts: d.Hosts, Part: d.Part, Fresh: d.Fresh})
+		f.asked = append(f.asked, quota.Demand{Pot: uint64(d.Volume), Hosts: d.Hosts, Part: d.Part, Fresh: d.Fresh})
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
@@ -218,10 +218,10 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s %.0f", id, startedMs))
 }
 
-func name(n *core.Node) uint64 { return NodeName(n.Name, n.StartedMs) }
+func name(n *lifecycle.Node) uint64 { return NodeName(n.Name, n.StartedMs) }
 
 // Listed implements core.Fleet.
-func (f *Fleet) Listed(nowMs float64, nodes, gone []*core.Node) {
+func (f *Fleet) Listed(nowMs float64, nodes, gone []*lifecycle.Node) {
 	for _, n := range gone {
 		f.gone[name(n)] = nowMs
 	}
@@ -231,7 +231,7 @@
 		id := name(n)
 		f.nodes[id] = n
 		ids = append(ids, id)
-		if n.State != policy.Live {
+		if n.State != scheduler.Live {
 			closed = append(closed, id)
 		}
 	}
@@ -252,21 +252,21 @@
 }
 
 // Ended implements core.Fleet.
-func (f *Fleet) Ended(nowMs float64, n *core.Node, s policy.Status, latencyMs float64) {
+func (f *Fleet) Ended(nowMs float64, n *lifecycle.Node, s scheduler.Status, latencyMs float64) {
 	id := name(n)
 	switch s {
-	case policy.OK:
+	case scheduler.OK:
 		f.verdict.Observe(nowMs, id, false)
 		f.latency.Observe(nowMs, id, latencyMs)
 		f.wake(nowMs, min(f.nextMs, max(nowMs+5, f.latency.NextMs(nowMs))))
-	case policy.Error, policy.TimedOut, policy.ConnectFailed, policy.Reset:
+	case scheduler.Error, scheduler.TimedOut, scheduler.ConnectFailed, scheduler.Reset:
 		f.verdict.Observe(nowMs, id, true)
 		f.wake(nowMs, min(f.nextMs, nowMs+20))
 	}
 }
 
 // judge lets findings be told and heard, and tells the module which nodes to leave nearly alone.
-func (f *Fleet) judge(nowMs float64, in []verdict.Evidence) (tell []verdict.Evidence, events []policy.Event) {
+func (f *Fleet) judge(nowMs float64, in []outlier.Evidence) (tell []outlier.Evidence, events []scheduler.Event) {
 	tell, out := f.verdict.Step(nowMs, in)
 	f.metrics.Add("fleet_findings_told", int64(len(tell)))
 	if len(out) == 0 || nowMs < f.shunAt {
@@ -275,7 +275,7 @@
 	f.shunAt = nowMs + shunMs
 	for _, v := range out {
 		if n := f.nodes[v.Node]; n != nil {
-			events = append(events, policy.Shun{Node: n.ID(), Rest: clock.Duration(restMs)})
+			events = append(events, scheduler.Shun{Node: n.ID(), Rest: clock.Duration(restMs)})
 			f.metrics.Add("fleet_nodes_shunned", 1)
 		}
 	}
@@ -297,10 +297,10 @@
 }
 
 // Until implements core.Fleet.
-func (f *Fleet) Until(v policy.VolumeID) float64 { return f.share.UntilMs(uint64(v)) }
+func (f *Fleet) Until(v scheduler.VolumeID) float64 { return f.share.UntilMs(uint64(v)) }
 
 // Before implements core.Fleet.
-func (f *Fleet) Before(nowMs float64) []policy.Event {
+func (f *Fleet) Before(nowMs float64) []scheduler.Event {
 	if nowMs < f.nextMs {
 		return nil
 	}
@@ -324,12 +324,12 @@
 	samples, merged := f.latency.Step(nowMs, toL)
 	for _, m := range merged {
 		if n := f.nodes[m.Node]; n != nil {
-			events = append(events, policy.Seen{Node: n.ID(), Latency: clock.Duration(m.Ms)})
+			events = append(events, scheduler.Seen{Node: n.ID(), Latency: clock.Duration(m.Ms)})
 		}
 	}
 	sOut, parts := f.share.Step(nowMs, asked, toS)
 	for _, p := range parts {
-		events = append(events, policy.Part{Volume: policy.VolumeID(p.Pot), Part: p.Part})
+		events = append(events, scheduler.Part{Volume: scheduler.VolumeID(p.Pot), Part: p.Part})
 		f.metrics.Add("fleet_parts_changed", 1)
 	}
 	f.send(mOut, sOut, tell, samples)
@@ -357,7 +357,7 @@
 }
 
 // send makes datagrams of what goes to each member.
-func (f *Fleet) send(mOut []members.Message, sOut []share.Message, tell []verdict.Evidence, samples []latency.Sample) {
+func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Evidence, samples []peerlatency.Sample) {
 	if f.socket == nil {
 		return
 	}
--- a/internal/peer/fleet/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package peer
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/metrics"
 )
@@ -131,7 +131,7 @@
 func (s *side) step(now float64) {
 	s.h.turn(now)
 	for _, e := range s.f.Before(now) {
-		if p, ok := e.(policy.Part); ok && p.Volume == 7 {
+		if p, ok := e.(scheduler.Part); ok && p.Volume == 7 {
 			s.part = p.Part
 		}
 	}
@@ -149,7 +149,7 @@
 			if i == 0 {
 				need = 0.9
 			}
-			s.f.Demand(now, policy.Demand{Volume: 7, Hosts: 3, Part: need, Fresh: now == 0})
+			s.f.Demand(now, scheduler.Demand{Volume: 7, Hosts: 3, Part: need, Fresh: now == 0})
 			s.step(now)
 		}
 		runtime.Gosched()
--- a/internal/decide/latency/latency.go
+++ b/internal/peerlatency/latency.go
@@ -6,7 +6,7 @@
 // grows old, so where all others fall silent a gateway goes by its own answers alone.
 //
 // The package is pure: no clock, no I/O, no goroutine, no order of maps. Times are milliseconds of the caller's clock.
-package latency
+package peerlatency
 
 import (
 	"fmt"
--- a/internal/decide/latency/latency_test.go
+++ b/internal/peerlatency/latency_test.go
@@ -1,4 +1,4 @@
-package latency
+package peerlatency
 
 import (
 	"math"
--- a/internal/ds/sketch/sketch.go
+++ b/internal/quantile/sketch.go
@@ -3,7 +3,7 @@
 // A Sketch counts values in logarithmic buckets of 16 bits, four to a doubling, from 1 ms to 4.6 hours. A quantile
 // is within 9.1 % of a value of that rank, as long as values lie in that range. When a bucket is full all are
 // halved: old values fade, and what is told follows the stream. A Sketch is not safe for concurrent use.
-package sketch
+package quantile
 
 import "math"
 
--- a/internal/ds/sketch/sketch_test.go
+++ b/internal/quantile/sketch_test.go
@@ -1,4 +1,4 @@
-package sketch
+package quantile
 
 import (
 	"fmt"
--- a/internal/decide/share/contract.go
+++ b/internal/quota/contract.go
@@ -15,7 +15,7 @@
 //
 // The package is pure: no clock, no I/O, no goroutine, no order of maps. Times are milliseconds of the gateway's own
 // clock, which may show anything as long as it runs on evenly.
-package share
+package quota
 
 // Settings are what a Book is made with.
 type Settings struct {
--- a/internal/decide/share/share_test.go
+++ b/internal/quota/share_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"flag"
--- a/books.go
+++ b/internal/scheduler/books.go
@@ -1,4 +1,4 @@
-package gaugerelay
+package scheduler
 
 import (
 	"math"
--- a/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -1,20 +1,20 @@
-package gaugerelay_test
+package scheduler_test
 
 import (
 	"fmt"
 	"time"
 
-	"gaugerelay"
+	"gaugerelay/internal/scheduler"
 )
 
 // A gateway feeds what happens to Step and carries out the actions it returns.
 func Example() {
-	settings := gaugerelay.Settings{
+	settings := scheduler.Settings{
 		Siblings: 1, Shards: 1, MeanUnits: 2, MostUnits: 6, MaxAttempts: 3, Tick: 2 * time.Millisecond,
-		Classes: []gaugerelay.Class{{Name: "read", Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 2}},
-		Plans:   []gaugerelay.Plan{{Name: "standard", Weight: 1, Pays: 1}},
+		Classes: []scheduler.Class{{Name: "read", Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 2}},
+		Plans:   []scheduler.Plan{{Name: "standard", Weight: 1, Pays: 1}},
 	}
-	s, err := gaugerelay.New(settings, 42)
+	s, err := scheduler.New(settings, 42)
 	if err != nil {
 		panic(err)
 	}
@@ -22,22 +22,22 @@
 	clock := func() time.Duration { return time.Since(start) + time.Second } // any zero, only forwards
 
 	// First the node list, then requests as they come.
-	s.Step(clock(), []gaugerelay.Event{gaugerelay.NodeList{Scope: gaugerelay.Whole,
-		Nodes: []gaugerelay.Node{{ID: 51, Shard: 0}}}})
-	actions := s.Step(clock(), []gaugerelay.Event{gaugerelay.Arrival{ID: 7, Class: "read", Plan: "standard",
+	s.Step(clock(), []scheduler.Event{scheduler.NodeList{Scope: scheduler.Whole,
+		Nodes: []scheduler.Node{{ID: 51, Shard: 0}}}})
+	actions := s.Step(clock(), []scheduler.Event{scheduler.Arrival{ID: 7, Class: "read", Plan: "standard",
 		Volume: 1, Key: 99, TTL: 3 * time.Second, Units: 2, Shard: 0, Hosts: 1}})
 	for _, a := range actions {
 		switch a := a.(type) {
-		case gaugerelay.Send:
+		case scheduler.Send:
 			fmt.Printf("send request %d to node %d\n", a.ID, a.Node)
-		case gaugerelay.Refuse:
+		case scheduler.Refuse:
 			fmt.Printf("tell client %d to try again\n", a.ID)
-		case gaugerelay.Fail:
+		case scheduler.Fail:
 			fmt.Printf("tell client %d that it failed\n", a.ID)
-		case gaugerelay.WakeAt: // arm a timer for a.At, then Step with a Wake event
+		case scheduler.WakeAt: // arm a timer for a.At, then Step with a Wake event
 		}
 	}
-	s.Step(clock(), []gaugerelay.Event{gaugerelay.Outcome{ID: 7, Node: 51, Status: gaugerelay.OK,
+	s.Step(clock(), []scheduler.Event{scheduler.Outcome{ID: 7, Node: 51, Status: scheduler.OK,
 		Latency: 40 * time.Millisecond, Terminal: true}})
 	// Output: send request 7 to node 51
 }
--- a/permission.go
+++ b/internal/scheduler/permission.go
@@ -1,4 +1,4 @@
-package gaugerelay
+package scheduler
 
 // This file holds what the rules allow to be sent or repeated now.
 
--- a/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,7 +15,7 @@
 //	window.go          congestion control: the window of each node
 //	outcome.go         ends of attempts and requests
 //	books.go           plain data: queues, buckets, records
-package gaugerelay
+package scheduler
 
 import (
 	"math"
--- a/internal/decide/leaving/leaving.go
+++ b/internal/shutdown/leaving.go
@@ -6,7 +6,7 @@
 // request that is refused at once leaves a connection free for all that come after it.
 //
 // The package is pure: no clock, no I/O, no goroutine. Times are milliseconds. A Pace is not safe for concurrent use.
-package leaving
+package shutdown
 
 import "math"
 
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/shutdown/leaving_test.go
@@ -1,4 +1,4 @@
-package leaving
+package shutdown
 
 import (
 	"math"
--- a/internal/wire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,5 +1,5 @@
 // Golden tests of the simulator's wire: parsed batches, printed replies and error texts must not change.
-package wire_test
+package simwire_test
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"gaugerelay"
-	"gaugerelay/internal/wire"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/simwire"
 )
 
 // compareGolden fails the test unless got equals testdata/golden/name.
@@ -94,11 +94,11 @@
 `
 
 // dump prints the values of a batch in the order of their declaration, without names.
-func dump(b *wire.Batch) string {
+func dump(b *simwire.Batch) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "batch %q at %d\n", b.Seq, b.Now)
 	for _, item := range b.Items {
-		if item.Kind == wire.Opened {
+		if item.Kind == simwire.Opened {
 			fmt.Fprintf(&out, "%d %d seed %d %v\n", item.Kind, item.Instance, item.Seed, item.Settings)
 		} else {
 			fmt.Fprintf(&out, "%d %d %v\n", item.Kind, item.Instance, item.Event)
@@ -109,7 +109,7 @@
 
 func TestGoldenEvents(t *testing.T) {
 	var out strings.Builder
-	for reader := wire.NewReader(strings.NewReader(eventBatches)); ; {
+	for reader := simwire.NewReader(strings.NewReader(eventBatches)); ; {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			break
@@ -159,7 +159,7 @@
 		{"bad list entry", open + "BACKENDS_CHANGED 1 whole 1\nITEM 1 live k 0 0 n5 z\nEND\n"},
 		{"entry without state", open + "BACKENDS_CHANGED 1 whole 1\nITEM 1\nEND\n"},
 	} {
-		_, err := wire.NewReader(strings.NewReader(c.text)).Next()
+		_, err := simwire.NewReader(strings.NewReader(c.text)).Next()
 		fmt.Fprintf(&out, "%s: %v\n", c.name, err)
 	}
 	compareGolden(t, "malformed.txt", out.String())
@@ -168,23 +168,23 @@
 func TestGoldenReplies(t *testing.T) {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	wire.Reply(w, 3, []gaugerelay.Action{
-		gaugerelay.Send{ID: 7001, Node: 501, Timeout: 80*time.Millisecond + 125*time.Microsecond},
-		gaugerelay.Send{ID: 4294967295, Node: 4294967295, Before: time.Second},
-		gaugerelay.Send{ID: 7001, Node: 501, Timeout: -time.Millisecond},
-		gaugerelay.Refuse{ID: 7002, ComeBack: 250 * time.Millisecond},
-		gaugerelay.Refuse{ID: 7003},
-		gaugerelay.Fail{ID: 7004},
-		gaugerelay.Cancel{ID: 7001, Attempt: 1},
-		gaugerelay.Subscribe{},
-		gaugerelay.Probe{Node: 502},
-		gaugerelay.WakeAt{At: 8912250 * time.Microsecond},
-		gaugerelay.Demand{},
-		gaugerelay.Log{Text: "two servers known"},
+	simwire.Reply(w, 3, []scheduler.Action{
+		scheduler.Send{ID: 7001, Node: 501, Timeout: 80*time.Millisecond + 125*time.Microsecond},
+		scheduler.Send{ID: 4294967295, Node: 4294967295, Before: time.Second},
+		scheduler.Send{ID: 7001, Node: 501, Timeout: -time.Millisecond},
+		scheduler.Refuse{ID: 7002, ComeBack: 250 * time.Millisecond},
+		scheduler.Refuse{ID: 7003},
+		scheduler.Fail{ID: 7004},
+		scheduler.Cancel{ID: 7001, Attempt: 1},
+		scheduler.Subscribe{},
+		scheduler.Probe{Node: 502},
+		scheduler.WakeAt{At: 8912250 * time.Microsecond},
+		scheduler.Demand{},
+		scheduler.Log{Text: "two servers known"},
 	})
-	wire.Reply(w, 4, nil)
-	wire.GiveIn(w, 5, "index out of range\nsecond line")
-	wire.Finish(w, &wire.Batch{Seq: "12"})
+	simwire.Reply(w, 4, nil)
+	simwire.GiveIn(w, 5, "index out of range\nsecond line")
+	simwire.Finish(w, &simwire.Batch{Seq: "12"})
 	w.Flush()
 	compareGolden(t, "replies.txt", out.String())
 }
@@ -269,8 +269,8 @@
 	t.Helper()
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	schedulers := map[int]*gaugerelay.Scheduler{}
-	for reader := wire.NewReader(strings.NewReader(input)); ; {
+	schedulers := map[int]*scheduler.Scheduler{}
+	for reader := simwire.NewReader(strings.NewReader(input)); ; {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			w.Flush()
@@ -280,30 +280,30 @@
 			t.Fatal(err)
 		}
 		answer(t, w, schedulers, batch)
-		wire.Finish(w, batch)
+		simwire.Finish(w, batch)
 	}
 }
 
 // answer gives each instance's run of events to its scheduler in one step.
-func answer(t *testing.T, w *bufio.Writer, schedulers map[int]*gaugerelay.Scheduler, batch *wire.Batch) {
+func answer(t *testing.T, w *bufio.Writer, schedulers map[int]*scheduler.Scheduler, batch *simwire.Batch) {
 	t.Helper()
-	var events []gaugerelay.Event
+	var events []scheduler.Event
 	for i, item := range batch.Items {
 		switch item.Kind {
-		case wire.Killed:
+		case simwire.Killed:
 			delete(schedulers, item.Instance)
-		case wire.Opened:
-			scheduler, err := gaugerelay.New(item.Settings, item.Seed)
+		case simwire.Opened:
+			scheduler, err := scheduler.New(item.Settings, item.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			schedulers[item.Instance] = scheduler
 		default:
 			events = append(events, item.Event)
-			if i+1 < len(batch.Items) && batch.Items[i+1].Kind == wire.Happened && batch.Items[i+1].Instance == item.Instance {
+			if i+1 < len(batch.Items) && batch.Items[i+1].Kind == simwire.Happened && batch.Items[i+1].Instance == item.Instance {
 				continue
 			}
-			wire.Reply(w, item.Instance, schedulers[item.Instance].Step(batch.Now, events))
+			simwire.Reply(w, item.Instance, schedulers[item.Instance].Step(batch.Now, events))
 			events = nil
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gaugerelay"
+	"gaugerelay/internal/scheduler"
 )
 
 // pairs is the Setup of an instance; the first bad value is kept in err.
@@ -30,16 +30,16 @@
 func (p *pairs) ms(path string) time.Duration { return ms(p.num(path + "Ms")) }
 func (p *pairs) yes(path string) bool         { return p.vals[path] == "true" || p.vals[path] == "1" }
 
-var effects = map[string]gaugerelay.Effect{
-	"repeatable": gaugerelay.Repeatable, "by_key": gaugerelay.ByKey, "once": gaugerelay.Once,
+var effects = map[string]scheduler.Effect{
+	"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once,
 }
 
-var groups = map[string]gaugerelay.Scope{
-	"all": gaugerelay.ScopeAll, "zone": gaugerelay.ScopeZone, "cell": gaugerelay.ScopeCell,
+var groups = map[string]scheduler.Scope{
+	"all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell,
 }
 
 // settings reads the Setup pairs. Unknown paths are skipped.
-func settings(f *fields) (s gaugerelay.Settings) {
+func settings(f *fields) (s scheduler.Settings) {
 	p := &pairs{vals: make(map[string]string, len(f.vals))}
 	for _, kv := range f.vals {
 		if k, v, ok := strings.Cut(kv, "="); ok {
@@ -49,7 +49,7 @@
 	writes := strings.Split(p.vals["FamilyInfo.ClassWrites"], ",")
 	for i := range int(p.num("Lanes.count")) {
 		at := fmt.Sprintf("Lanes.%d.", i)
-		c := gaugerelay.Class{
+		c := scheduler.Class{
 			Name: p.vals[at+"Name"], Aim: p.ms(at + "Promise"), AimStretch: p.num(at + "AimStretch"),
 			Deadline: p.ms(at + "Deadline"), DedupWindow: p.ms(at + "DedupWindow"),
 			InTurn: p.yes(at + "InTurn"), Stream: p.yes(at + "Stream"),
@@ -59,16 +59,16 @@
 		var ok, ok2 bool
 		c.Effect, ok = effects[p.vals[at+"Idempotency"]]
 		if c.Scope, ok2 = groups[p.vals[at+"KeyScope"]]; !ok2 {
-			c.Scope = gaugerelay.ScopeCell // an unknown group: the narrowest
+			c.Scope = scheduler.ScopeCell // an unknown group: the narrowest
 		}
 		if !ok {
-			c.Effect = gaugerelay.Once // an unknown effect: the strictest
+			c.Effect = scheduler.Once // an unknown effect: the strictest
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range int(p.num("Plans.count")) {
 		at := fmt.Sprintf("Plans.%d.", i)
-		s.Plans = append(s.Plans, gaugerelay.Plan{
+		s.Plans = append(s.Plans, scheduler.Plan{
 			Name: p.vals[at+"Name"], Rate: p.num(at + "UsualRate"), Reserve: p.num(at + "Reservation"),
 			Weight: p.num(at + "Shares"), Pays: p.num(at + "Pays"), Limit: p.num(at + "CeilingRate"),
 			LimitCap: p.num(at + "CapDepth"), LimitDebt: p.num(at + "CapSlack"),
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package wire parses the simulator's text wire and prints replies to it. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"gaugerelay"
+	"gaugerelay/internal/scheduler"
 )
 
 // Kind is what an Item holds.
@@ -27,9 +27,9 @@
 type Item struct {
 	Kind     Kind
 	Instance int
-	Seed     uint64              // with Opened
-	Settings gaugerelay.Settings // with Opened
-	Event    gaugerelay.Event    // with Happened
+	Seed     uint64             // with Opened
+	Settings scheduler.Settings // with Opened
+	Event    scheduler.Event    // with Happened
 }
 
 // Batch is everything that happens at one moment.
@@ -134,20 +134,20 @@
 	return out
 }
 
-var statuses = map[uint64]gaugerelay.Status{
-	10: gaugerelay.OK, 20: gaugerelay.Error, 30: gaugerelay.Full, 40: gaugerelay.TimedOut,
-	50: gaugerelay.ConnectFailed, 60: gaugerelay.Reset, 70: gaugerelay.Cancelled, 80: gaugerelay.Moot,
+var statuses = map[uint64]scheduler.Status{
+	10: scheduler.OK, 20: scheduler.Error, 30: scheduler.Full, 40: scheduler.TimedOut,
+	50: scheduler.ConnectFailed, 60: scheduler.Reset, 70: scheduler.Cancelled, 80: scheduler.Moot,
 }
 
-var scopes = map[string]gaugerelay.ListScope{
-	"patch": gaugerelay.Patch, "whole": gaugerelay.Whole, "stale_copy": gaugerelay.Stale, "broken": gaugerelay.Broken,
+var scopes = map[string]scheduler.ListScope{
+	"patch": scheduler.Patch, "whole": scheduler.Whole, "stale_copy": scheduler.Stale, "broken": scheduler.Broken,
 }
 
-var states = map[string]gaugerelay.NodeState{
-	"live": gaugerelay.Live, "quiescing": gaugerelay.Draining, "dead": gaugerelay.Gone,
+var states = map[string]scheduler.NodeState{
+	"live": scheduler.Live, "quiescing": scheduler.Draining, "dead": scheduler.Gone,
 }
 
-func (f *fields) status() gaugerelay.Status {
+func (f *fields) status() scheduler.Status {
 	code := f.whole("Status", 32, false)
 	s, ok := statuses[code]
 	if !ok && f.err == nil {
@@ -211,15 +211,15 @@
 	case "BACKENDS_CHANGED":
 		it.Event, err = r.nodeList(f)
 	case "NEW_REQUEST":
-		a := gaugerelay.Arrival{ID: gaugerelay.RequestID(f.whole("Ref", 32, false)),
-			Class: f.text("TierClass", false), Plan: f.text("PolicyNo", true), Key: gaugerelay.NoKey}
+		a := scheduler.Arrival{ID: scheduler.RequestID(f.whole("Ref", 32, false)),
+			Class: f.text("TierClass", false), Plan: f.text("PolicyNo", true), Key: scheduler.NoKey}
 		if k := f.text("Region", true); k != "" {
 			one := fields{name: f.name, vals: []string{k}}
 			a.Key = one.whole("Region", 64, false)
 			f.err = one.err
 		}
 		a.TTL = f.ms("TtlMs", false)
-		a.Volume = gaugerelay.VolumeID(f.whole("StoreUser", 64, true))
+		a.Volume = scheduler.VolumeID(f.whole("StoreUser", 64, true))
 		a.Units = f.number("QuotaUnits", true)
 		if sh := f.text("Shard", true); sh == "" {
 			a.Shard = -1
@@ -235,22 +235,22 @@
 		it.Event = a
 	case "REMINDER":
 		f.whole("KeyBack", 63, false)
-		it.Event = gaugerelay.Wake{}
+		it.Event = scheduler.Wake{}
 	case "STREAMING":
-		s := gaugerelay.Started{ID: gaugerelay.RequestID(f.whole("Ref", 32, false))}
+		s := scheduler.Started{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
 		s.Latency = f.ms("LagMs", true)
-		s.Node = gaugerelay.NodeID(f.whole("Store", 32, false))
+		s.Node = scheduler.NodeID(f.whole("Store", 32, false))
 		s.Attempt = int(f.whole("Shot", 31, false))
 		it.Event = s
 	case "DROPPED":
-		it.Event = gaugerelay.Dropped{ID: gaugerelay.RequestID(f.whole("Ref", 32, false))}
+		it.Event = scheduler.Dropped{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
 	case "STATUS_BACK":
-		p := gaugerelay.Probed{Latency: f.ms("LagMs", true), Status: f.status()}
-		p.Node = gaugerelay.NodeID(f.whole("Store", 32, false))
+		p := scheduler.Probed{Latency: f.ms("LagMs", true), Status: f.status()}
+		p.Node = scheduler.NodeID(f.whole("Store", 32, false))
 		p.Report = f.row("ServerStats")
 		it.Event = p
 	case "CLOSED_ATTEMPT":
-		o := gaugerelay.Outcome{ID: gaugerelay.RequestID(f.whole("Ref", 32, false))}
+		o := scheduler.Outcome{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
 		o.Latency = f.ms("LagMs", true)
 		if use := f.number("VolumeUse", true); use > 0 {
 			o.VolumeUse, o.HasUse = (use-1)/100, true
@@ -258,7 +258,7 @@
 		o.Terminal = f.text("Terminal", true) == "1"
 		o.Status = f.status()
 		o.ForeignUnits = f.number("ForeignUnits", true)
-		o.Node = gaugerelay.NodeID(f.whole("Store", 32, false))
+		o.Node = scheduler.NodeID(f.whole("Store", 32, false))
 		o.Attempt = int(f.whole("Shot", 31, false))
 		o.Report = f.row("ServerStats")
 		it.Event = o
@@ -268,8 +268,8 @@
 	return it, true, err
 }
 
-func (r *Reader) nodeList(f *fields) (gaugerelay.Event, error) {
-	l := gaugerelay.NodeList{Version: f.whole("Epoch", 64, true)}
+func (r *Reader) nodeList(f *fields) (scheduler.Event, error) {
+	l := scheduler.NodeList{Version: f.whole("Epoch", 64, true)}
 	name := f.text("Scope", false)
 	scope, ok := scopes[name]
 	if !ok && f.err == nil {
@@ -283,17 +283,17 @@
 			return nil, fmt.Errorf("line %d: %d of %d ITEM lines came", r.line, i, count)
 		}
 		g := &fields{name: "ITEM", vals: vals[1:]}
-		n := gaugerelay.Node{Size: g.number("Share", true)}
+		n := scheduler.Node{Size: g.number("Share", true)}
 		st := g.text("Readiness", false)
 		state, ok := states[st]
 		if !ok {
-			state = gaugerelay.Draining // a state of a later wire: known, not to be sent to
+			state = scheduler.Draining // a state of a later wire: known, not to be sent to
 		}
 		n.State = state
 		n.Kind = g.text("ClassOfHost", true)
 		n.StartedAt = g.ms("CameUpMs", true)
 		n.Shard = int(g.number("Block", true))
-		n.ID = gaugerelay.NodeID(g.whole("Store", 32, false))
+		n.ID = scheduler.NodeID(g.whole("Store", 32, false))
 		n.Zone = g.text("Dc", true)
 		f.err = g.err
 		l.Nodes = append(l.Nodes, n)
@@ -302,28 +302,28 @@
 }
 
 // Reply prints the actions of one instance.
-func Reply(w *bufio.Writer, inst int, actions []gaugerelay.Action) {
+func Reply(w *bufio.Writer, inst int, actions []scheduler.Action) {
 	if len(actions) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "FOR %d\n", inst)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case gaugerelay.Send:
+		case scheduler.Send:
 			fmt.Fprintf(w, "FORWARD %d %s %d\n", a.ID, printMs(a.Timeout), a.Node)
-		case gaugerelay.Refuse:
+		case scheduler.Refuse:
 			fmt.Fprintf(w, "NOT_NOW %d %s\n", a.ID, printMs(a.ComeBack))
-		case gaugerelay.Fail:
+		case scheduler.Fail:
 			fmt.Fprintf(w, "END_FAILED %d\n", a.ID)
-		case gaugerelay.Cancel:
+		case scheduler.Cancel:
 			fmt.Fprintf(w, "CANCEL %d %d\n", a.ID, a.Attempt)
-		case gaugerelay.Subscribe:
+		case scheduler.Subscribe:
 			fmt.Fprintf(w, "LISTEN 1\n")
-		case gaugerelay.Probe:
+		case scheduler.Probe:
 			fmt.Fprintf(w, "PROBE %d\n", a.Node)
-		case gaugerelay.WakeAt:
+		case scheduler.WakeAt:
 			fmt.Fprintf(w, "SET_TIMER 1 %s\n", printMs(a.At))
-		case gaugerelay.Log:
+		case scheduler.Log:
 			fmt.Fprintf(w, "DEBUG %s\n", a.Text)
 		}
 	}
--- a/internal/sockets/sockets.go
+++ b/internal/socketstate/sockets.go
@@ -1,6 +1,6 @@
 // Package sockets asks the system about connections without reading from them. Of connections that are none of the
 // system's it knows nothing.
-package sockets
+package socketstate
 
 import (
 	"io"
--- a/internal/sockets/sockets_test.go
+++ b/internal/socketstate/sockets_test.go
@@ -1,11 +1,11 @@
-package sockets
+package socketstate
 
 import (
 	"io"
 	"net"
 	"testing"
 
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // What a connection's other side has done is told, whether or not anything has been read of it.
@@ -22,7 +22,7 @@
 		"a reset":         {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, false, true, true},
 		"bytes and reset": {func(c *net.TCPConn) { io.WriteString(c, "x"); c.SetLinger(0); c.Close() }, true, false, true},
 	} {
-		ln := standin.Listen(t)
+		ln := testbed.Listen(t)
 		there, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/standin/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"gaugerelay/internal/standin/process"
+	"gaugerelay/internal/testbed/process"
 )
 
 // Options are a run.
--- a/internal/standin/fleet/liar.go
+++ b/internal/testbed/cluster/liar.go
@@ -1,13 +1,13 @@
-package fleet
+package cluster
 
 import (
 	"net"
 
-	"gaugerelay/internal/decide/members"
-	"gaugerelay/internal/decide/share"
-	"gaugerelay/internal/decide/verdict"
+	"gaugerelay/internal/membership"
+	"gaugerelay/internal/outlier"
+	"gaugerelay/internal/peer"
 	"gaugerelay/internal/peer/datagram"
-	peer "gaugerelay/internal/peer/fleet"
+	"gaugerelay/internal/quota"
 )
 
 // fleetKey is what all processes of a run seal their datagrams with.
@@ -35,18 +35,18 @@
 func (l *liar) lie(to net.Addr, shards, volumes int, round uint64) {
 	p := datagram.Packet{From: uint16(l.n), Life: 1}
 	for s := range shards {
-		for _, k := range []verdict.Kind{verdict.Failing, verdict.Closed} {
-			p.Words = append(p.Words, verdict.Evidence{Node: peer.NodeName(nodeID(s), 0), Kind: k, Percent: 100, Stamp: round<<32 + 1})
+		for _, k := range []outlier.Kind{outlier.Failing, outlier.Closed} {
+			p.Words = append(p.Words, outlier.Evidence{Node: peer.NodeName(nodeID(s), 0), Kind: k, Percent: 100, Stamp: round<<32 + 1})
 		}
 	}
 	for v := range volumes {
-		for _, k := range []share.Kind{share.Ask, share.Grant, share.Back, share.Recall} {
-			p.Share = append(p.Share, share.Message{Kind: k, Pot: volumeID(v), Seq: uint32(round), Part: 1})
+		for _, k := range []quota.Kind{quota.Ask, quota.Grant, quota.Back, quota.Recall} {
+			p.Share = append(p.Share, quota.Message{Kind: k, Pot: volumeID(v), Seq: uint32(round), Part: 1})
 		}
 	}
-	m := members.Message{Kind: members.Ack, Seq: uint32(round)}
+	m := membership.Message{Kind: membership.Ack, Seq: uint32(round)}
 	for g := range l.n {
-		m.Rumours = append(m.Rumours, members.Rumour{Member: uint16(g), State: members.Dead, Incarnation: round})
+		m.Rumours = append(m.Rumours, membership.Rumour{Member: uint16(g), State: membership.Dead, Incarnation: round})
 	}
 	p.Members = append(p.Members, m)
 	for _, b := range l.codec.Encode(p, &l.count) {
--- a/internal/standin/fleet/rig.go
+++ b/internal/testbed/cluster/rig.go
@@ -3,7 +3,7 @@
 // never be. It knows a gateway by its command line, its ports and its answers only.
 //
 // A scenario is plain Go with a seed. The schedule that the seed draws is printed, so that it can be played again.
-package fleet
+package cluster
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"gaugerelay/internal/standin/process"
+	"gaugerelay/internal/testbed/process"
 )
 
 // RecoverBoundMs bounds Result.RecoverMs: what gateways found fades, the rest between two tries passes, and the count
--- a/internal/standin/fleet/tcp.go
+++ b/internal/testbed/cluster/tcp.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"net"
--- a/internal/standin/device/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -1,4 +1,4 @@
-package device
+package fakedevice
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 
 	"gaugerelay/internal/coapwire"
-	"gaugerelay/internal/standin/checker"
+	"gaugerelay/internal/testbed/invariants"
 )
 
 // CoAP is the CoAP wire of a device.
@@ -182,16 +182,16 @@
 	res.note = fmt.Sprint(m.Code, " ", string(m.Payload[:min(len(m.Payload), 40)]))
 	switch m.Code {
 	case codes.Content, codes.Changed:
-		res.outcome, res.content = checker.Served, content(m.Payload)
+		res.outcome, res.content = invariants.Served, content(m.Payload)
 	case codes.ServiceUnavailable, codes.TooManyRequests:
-		res.outcome = checker.Refused
+		res.outcome = invariants.Refused
 		if s, err := m.Options.GetUint32(message.MaxAge); err == nil {
 			res.after = time.Duration(s) * time.Second
 		}
 	case codes.Conflict:
-		res.outcome = checker.Conflict
+		res.outcome = invariants.Conflict
 	default:
-		res.outcome = checker.Failed
+		res.outcome = invariants.Failed
 	}
 }
 
@@ -263,7 +263,7 @@
 			got = append(append([]byte(nil), got[:p.Offset]...), m.Payload...)
 		}
 		if !p.More && p.Offset+len(m.Payload) == len(got) {
-			res.outcome, res.content = checker.Served, content(got)
+			res.outcome, res.content = invariants.Served, content(got)
 			return res, nil
 		}
 		res.have = got
--- a/internal/standin/device/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -1,6 +1,6 @@
 // Package device is a stand-in for devices on poor links, as real ones behave: they give up on a silent connection,
 // reconnect and send again, unchanged or changed, over two connections at once, or come back after their answer.
-package device
+package fakedevice
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"net"
 	"time"
 
-	"gaugerelay/internal/standin/checker"
-	"gaugerelay/internal/standin/storage"
+	"gaugerelay/internal/testbed/fakestorage"
+	"gaugerelay/internal/testbed/invariants"
 )
 
 // Job is one exchange of a device.
@@ -40,7 +40,7 @@
 
 // result is what a copy came to.
 type result struct {
-	outcome checker.Outcome
+	outcome invariants.Outcome
 	content string
 	after   time.Duration // of a refusal: when to come back
 	sent    bool          // to its last byte
@@ -85,7 +85,7 @@
 	Name     string
 	Wire     Wire
 	Twin     Wire // for two connections at once; nil: none
-	Check    *checker.Checker
+	Check    *invariants.Checker
 	Rnd      *rand.Rand
 	Patience time.Duration // before it gives a silent connection up
 	Odd      float64       // part of its jobs in which it behaves oddly
@@ -172,9 +172,9 @@
 	}
 	d.Check.Answer(c.Piece, c.n, res.outcome, res.content, res.note)
 	switch res.outcome {
-	case checker.Served, checker.Failed, checker.Conflict: // a conflict is no answer to the exchange, but to the copy
+	case invariants.Served, invariants.Failed, invariants.Conflict: // a conflict is no answer to the exchange, but to the copy
 		return true
-	case checker.Refused:
+	case invariants.Refused:
 		c.repeat, c.began, c.sentTo = false, time.Now(), "" // nothing of it was done: the next copy is a first one
 		if res.after <= 0 {
 			res.after = 100 * time.Millisecond
@@ -191,4 +191,4 @@
 }
 
 // content names an answer's bytes.
-func content(b []byte) string { return storage.Content(b) }
+func content(b []byte) string { return fakestorage.Content(b) }
--- a/internal/standin/device/file.go
+++ b/internal/testbed/fakedevice/file.go
@@ -1,4 +1,4 @@
-package device
+package fakedevice
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/pkg/sftp"
 
-	"gaugerelay/internal/standin/checker"
+	"gaugerelay/internal/testbed/invariants"
 )
 
 // File is the wire of a client for file commands: each write opens the job's file, writes its body as one WRITE and
@@ -82,11 +82,11 @@
 	var status *sftp.StatusError
 	switch {
 	case err == nil:
-		res.outcome, res.content = checker.Served, ""
+		res.outcome, res.content = invariants.Served, ""
 	case errors.As(err, &status) && (open || strings.Contains(err.Error(), "nothing was done")):
-		res.outcome, res.after = checker.Refused, 200*time.Millisecond
+		res.outcome, res.after = invariants.Refused, 200*time.Millisecond
 	case errors.As(err, &status):
-		res.outcome = checker.Failed
+		res.outcome = invariants.Failed
 	default:
 		return res, ErrLost
 	}
--- a/internal/standin/device/http.go
+++ b/internal/testbed/fakedevice/http.go
@@ -1,4 +1,4 @@
-package device
+package fakedevice
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"gaugerelay/internal/standin/checker"
+	"gaugerelay/internal/testbed/invariants"
 )
 
 // HTTP is the HTTP wire of a device.
@@ -152,18 +152,18 @@
 	res.note = resp.Status
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusPartialContent:
-		res.outcome, res.content = checker.Served, content(got)
+		res.outcome, res.content = invariants.Served, content(got)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		res.outcome = checker.Refused
+		res.outcome = invariants.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 			res.after = time.Duration(s * float64(time.Second))
 		}
 	case http.StatusConflict:
-		res.outcome = checker.Conflict
+		res.outcome = invariants.Conflict
 	case http.StatusRequestedRangeNotSatisfiable: // it had all of it
-		res.outcome, res.content = checker.Served, content(c.have)
+		res.outcome, res.content = invariants.Served, content(c.have)
 	default:
-		res.outcome = checker.Failed
+		res.outcome = invariants.Failed
 	}
 	return res, nil
 }
--- a/internal/standin/fileserver/fileserver.go
+++ b/internal/testbed/fakefileserver/fileserver.go
@@ -1,5 +1,5 @@
 // Package fileserver is a stand-in for the file port of a storage node: SFTP packets over loopback.
-package fileserver
+package fakefileserver
 
 import (
 	"encoding/binary"
@@ -12,8 +12,8 @@
 
 	"github.com/pkg/sftp"
 
-	"gaugerelay/internal/carrier/filecarrier"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // Command is what a file server has been asked to do.
@@ -46,7 +46,7 @@
 func New(t testing.TB) *Server {
 	t.Helper()
 	s := Plain()
-	s.Addr = standin.Serve(t, s.handle)
+	s.Addr = testbed.Serve(t, s.handle)
 	return s
 }
 
@@ -56,7 +56,7 @@
 
 func (s *Server) handle(c net.Conn) {
 	sftp.NewRequestServer(c, sftp.Handlers{FileGet: s, FilePut: s, FileCmd: s, FileList: s},
-		sftp.WithRSMaxTxPacket(filecarrier.MaxData)).Serve()
+		sftp.WithRSMaxTxPacket(sftpclient.MaxData)).Serve()
 }
 
 // Serve serves a port until its listener closes, and then resets its connections.
@@ -127,10 +127,10 @@
 	h := &handle{s: s, path: r.Filepath, key: uploadKey(r.Attrs)}
 	err := s.run(&Command{Op: "open", Path: h.path, Flags: r.Flags, Key: h.key}, func() error {
 		_, there := s.files[h.path]
-		if !there && r.Flags&filecarrier.FlagCreat == 0 {
+		if !there && r.Flags&sftpclient.FlagCreat == 0 {
 			return sftp.ErrSSHFxNoSuchFile
 		}
-		if !there || r.Flags&filecarrier.FlagTrunc != 0 {
+		if !there || r.Flags&sftpclient.FlagTrunc != 0 {
 			s.files[h.path] = nil
 		}
 		return nil
@@ -153,7 +153,7 @@
 	}
 	count := binary.BigEndian.Uint32(attrs)
 	for attrs = attrs[4:]; count > 0; count-- {
-		if name, value := next(), next(); name == filecarrier.UploadKey {
+		if name, value := next(), next(); name == sftpclient.UploadKey {
 			return value
 		}
 	}
--- a/internal/standin/storage/storage.go
+++ b/internal/testbed/fakestorage/storage.go
@@ -1,6 +1,6 @@
 // Package storage is a stand-in for storage nodes over HTTP: cells that drop repeats by upload key for a while, and
 // nodes that sometimes fail, hang up, turn away, are slow, drain and start anew.
-package storage
+package fakestorage
 
 import (
 	"crypto/sha256"
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"gaugerelay/internal/standin/checker"
+	"gaugerelay/internal/testbed/invariants"
 )
 
 // Cell is what the nodes of one shard share.
@@ -58,7 +58,7 @@
 	Cell   *Cell
 	Work   time.Duration
 	Faults Faults
-	Check  *checker.Checker
+	Check  *invariants.Checker
 
 	server *http.Server
 	mu     sync.Mutex
@@ -116,7 +116,7 @@
 		return draw < 0 && draw >= -part
 	}
 	if told {
-		n.Check.Ran(piece, checker.Run{Node: n.Name, Cell: n.Cell.Name, Key: r.Header.Get("Idempotency-Key"),
+		n.Check.Ran(piece, invariants.Run{Node: n.Name, Cell: n.Cell.Name, Key: r.Header.Get("Idempotency-Key"),
 			Content: Content(body), At: now, Told: true})
 	}
 	if drains || hit(n.Faults.TurnAway) {
@@ -130,7 +130,7 @@
 	answer := Answer(piece, 40)
 	if r.Method == http.MethodPut {
 		key := r.Header.Get("Idempotency-Key")
-		run := checker.Run{Node: n.Name, Cell: n.Cell.Name, Key: key, Content: Content(body), At: now}
+		run := invariants.Run{Node: n.Name, Cell: n.Cell.Name, Key: key, Content: Content(body), At: now}
 		var done string
 		run.Dropped, done = n.Cell.repeat(key, run.Content, now)
 		n.Check.Ran(piece, run)
--- a/internal/standin/checker/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -1,5 +1,5 @@
 // Package checker holds what devices saw against what storage nodes ran, and counts what must never be.
-package checker
+package invariants
 
 import (
 	"fmt"
--- a/internal/standin/shaper/shaper.go
+++ b/internal/testbed/linkshaper/shaper.go
@@ -1,7 +1,7 @@
 // Package shaper makes a good connection a poor one: rate, delay, jitter, losses as the waits that they cause on TCP,
 // stalls of seconds, resets in mid-byte, and links that go dark with neither side told. The same seed shapes the
 // same way, as far as what goes over the link comes at the same times.
-package shaper
+package linkshaper
 
 import (
 	"math/rand/v2"
--- a/internal/standin/membersim/sim.go
+++ b/internal/testbed/membershipsim/sim.go
@@ -1,6 +1,6 @@
 // Package membersim plays fleets of any size in one process, on a clock of its own: members of internal/decide/members
 // on a network that delays and loses, with deaths, pauses, halves and returns. It measures what the bounds promise.
-package membersim
+package membershipsim
 
 import (
 	"container/heap"
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"gaugerelay/internal/decide/members"
+	"gaugerelay/internal/membership"
 	"gaugerelay/internal/peer/datagram"
 )
 
@@ -38,11 +38,11 @@
 }
 
 type node struct {
-	book      *members.Book
+	book      *membership.Book
 	dead      bool
 	paused    bool
 	wake      float64 // the latest that was asked for
-	inbox     []members.Message
+	inbox     []membership.Message
 	deadSince []float64 // of each other: when this one came to hold it for dead; NaN: it does not
 }
 
@@ -51,7 +51,7 @@
 	no   int
 	to   int
 	wake bool
-	m    members.Message
+	m    membership.Message
 }
 
 type queue struct {
@@ -82,14 +82,14 @@
 }
 
 // Settings are those of a member.
-func (s *Sim) Settings(i int) members.Settings {
-	return members.Defaults(uint16(i), s.opt.Members, s.lives, s.opt.Seed<<20+uint64(s.lives))
+func (s *Sim) Settings(i int) membership.Settings {
+	return membership.Defaults(uint16(i), s.opt.Members, s.lives, s.opt.Seed<<20+uint64(s.lives))
 }
 
 // Start starts a member anew, with nothing that it knew.
 func (s *Sim) Start(i int) {
 	s.lives++
-	book, err := members.New(s.Settings(i))
+	book, err := membership.New(s.Settings(i))
 	if err != nil {
 		panic(err) // they are this package's own
 	}
@@ -142,7 +142,7 @@
 		case n.paused:
 			n.inbox = append(n.inbox, e.m)
 		default:
-			s.step(e.to, []members.Message{e.m})
+			s.step(e.to, []membership.Message{e.m})
 		}
 	}
 	s.NowMs = end
@@ -154,14 +154,14 @@
 	heap.Push(&s.events, e)
 }
 
-func (s *Sim) step(i int, in []members.Message) {
+func (s *Sim) step(i int, in []membership.Message) {
 	n := s.all[i]
 	out, changes := n.book.Step(s.NowMs, in)
 	for _, c := range changes {
 		if c.Taken {
 			continue
 		}
-		if c.State != members.Dead {
+		if c.State != membership.Dead {
 			n.deadSince[c.Member] = math.NaN()
 			continue
 		}
@@ -173,7 +173,7 @@
 	for _, m := range out {
 		to := int(m.Peer)
 		var count uint64
-		for _, b := range s.codec.Encode(datagram.Packet{From: uint16(i), Members: []members.Message{m}}, &count) {
+		for _, b := range s.codec.Encode(datagram.Packet{From: uint16(i), Members: []membership.Message{m}}, &count) {
 			s.Sent++
 			s.Bytes += len(b)
 		}
@@ -190,7 +190,7 @@
 }
 
 // Held tells how many of the members that run hold a member for being in a state.
-func (s *Sim) Held(i int, state members.State) (n int) {
+func (s *Sim) Held(i int, state membership.State) (n int) {
 	for j, other := range s.all {
 		if j != i && !other.dead && !other.paused && other.book.State(uint16(i)) == state {
 			n++
--- a/internal/standin/membersim/sim_test.go
+++ b/internal/testbed/membershipsim/sim_test.go
@@ -1,9 +1,9 @@
-package membersim
+package membershipsim
 
 import (
 	"testing"
 
-	"gaugerelay/internal/decide/members"
+	"gaugerelay/internal/membership"
 )
 
 func fleet(n int, loss float64, seed uint64) *Sim {
@@ -32,14 +32,14 @@
 	s.Cut(func(from, to int) bool { return from%2 != to%2 })
 	s.Run(s.Settings(0).DetectMs())
 	for i := range 6 {
-		if got := s.Held(i, members.Dead); got != 3 {
+		if got := s.Held(i, membership.Dead); got != 3 {
 			t.Errorf("member %d is held for dead by %d of the other half", i, got)
 		}
 	}
 	s.Cut(nil)
 	s.Run(s.Settings(0).DetectMs())
 	for i := range 6 {
-		if got := s.Held(i, members.Alive); got != 5 {
+		if got := s.Held(i, membership.Alive); got != 5 {
 			t.Errorf("member %d is held for alive by %d behind the cut", i, got)
 		}
 	}
@@ -50,7 +50,7 @@
 	s := fleet(6, 0, 8)
 	s.Cut(func(from, to int) bool { return from == 1 && to == 2 })
 	s.Run(60_000)
-	if s.False > 0 || s.Held(2, members.Dead)+s.Held(1, members.Dead) > 0 {
+	if s.False > 0 || s.Held(2, membership.Dead)+s.Held(1, membership.Dead) > 0 {
 		t.Errorf("%d held for dead", s.False)
 	}
 }
@@ -61,19 +61,19 @@
 	s.Run(3000)
 	s.Pause(2, true)
 	s.Run(s.Settings(0).DetectMs())
-	if got := s.Held(2, members.Dead); got != 5 {
+	if got := s.Held(2, membership.Dead); got != 5 {
 		t.Errorf("%d hold the paused one for dead", got)
 	}
 	s.Pause(2, false)
 	for range 20 {
 		for i := range 6 {
-			if i != 2 && s.all[2].book.State(uint16(i)) == members.Dead {
+			if i != 2 && s.all[2].book.State(uint16(i)) == membership.Dead {
 				t.Fatalf("the one that was paused holds %d for dead", i)
 			}
 		}
 		s.Run(500)
 	}
-	if got := s.Held(2, members.Alive); got != 5 {
+	if got := s.Held(2, membership.Alive); got != 5 {
 		t.Errorf("%d hold the woken one for alive", got)
 	}
 }
@@ -84,12 +84,12 @@
 	for range 3 {
 		s.Kill(1)
 		s.Run(s.Settings(0).DetectMs())
-		if got := s.Held(1, members.Dead); got != 4 {
+		if got := s.Held(1, membership.Dead); got != 4 {
 			t.Errorf("%d hold it for dead", got)
 		}
 		s.Start(1)
 		s.Run(10_000)
-		if got := s.Held(1, members.Alive); got != 4 {
+		if got := s.Held(1, membership.Alive); got != 4 {
 			t.Errorf("%d hold it for alive", got)
 		}
 	}
@@ -101,7 +101,7 @@
 	s.Run(2000)
 	s.all[3].book.Leave()
 	s.Run(6000)
-	if got := s.Held(3, members.Left); got != 4 {
+	if got := s.Held(3, membership.Left); got != 4 {
 		t.Errorf("%d know that it has left", got)
 	}
 }
--- a/internal/standin/deployments/deployments_test.go
+++ b/internal/testbed/simulation/deployments_test.go
@@ -1,4 +1,4 @@
-package deployments
+package simulation
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"gaugerelay/internal/event"
+	"gaugerelay/internal/logevent"
 )
 
 var (
@@ -20,7 +20,7 @@
 )
 
 func TestMain(m *testing.M) {
-	event.Setup(io.Discard, slog.LevelError)
+	logevent.Setup(io.Discard, slog.LevelError)
 	os.Exit(m.Run())
 }
 
--- a/internal/standin/deployments/draw.go
+++ b/internal/testbed/simulation/draw.go
@@ -1,7 +1,7 @@
 // Package deployments plays deployments that nobody has yet: settings drawn from ranges wider than those of any known
 // one, real gateways, and stand-ins for clients, nodes and discovery that check the rules. It runs in the settable time
 // of a test's bubble; what must never be is counted where requests arrive and where answers do.
-package deployments
+package simulation
 
 import (
 	"encoding/json"
--- a/internal/standin/deployments/node.go
+++ b/internal/testbed/simulation/node.go
@@ -1,4 +1,4 @@
-package deployments
+package simulation
 
 import (
 	"context"
--- a/internal/standin/deployments/world.go
+++ b/internal/testbed/simulation/world.go
@@ -1,4 +1,4 @@
-package deployments
+package simulation
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
 	"gaugerelay/internal/gateway"
-	"gaugerelay/internal/standin/memnet"
+	"gaugerelay/internal/testbed/memnet"
 )
 
 const (
--- a/internal/standin/soak/resend_test.go
+++ b/internal/testbed/soak/resend_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"gaugerelay/internal/standin/shaper"
+	"gaugerelay/internal/testbed/linkshaper"
 )
 
 // Devices whose patience is shorter than a node's answer send each push at least twice. With the ledger none of them
@@ -17,7 +17,7 @@
 	}{{"c", 8 * time.Millisecond, true}, {"h", 8 * time.Millisecond, true}, {"f", 8 * time.Millisecond, true},
 		{"h", 8 * time.Millisecond, false}, {"f", 8 * time.Millisecond, false}} {
 		rep := inBubble(t, Options{For: 8 * time.Second, Seed: 3, Devices: 6, Wires: c.wires, Ledger: c.ledger,
-			Links: []shaper.Profile{{}}, Patience: c.patience, WritesOnly: true})
+			Links: []linkshaper.Profile{{}}, Patience: c.patience, WritesOnly: true})
 		again := rep.WriteRuns - rep.Writes
 		if c.ledger && (rep.Writes < 60 || again != 0 || rep.Bad() != 0 || rep.ServedInTime != rep.Writes) {
 			t.Errorf("%+v: %d writes, %d runs, %d served in time, %v", c, rep.Writes, rep.WriteRuns, rep.ServedInTime, rep.Faults)
--- a/internal/standin/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -16,19 +16,19 @@
 	"sync"
 	"time"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/exchange"
+	"gaugerelay/internal/dedup/exchange"
 	"gaugerelay/internal/gateway"
-	"gaugerelay/internal/standin/checker"
-	"gaugerelay/internal/standin/device"
-	"gaugerelay/internal/standin/fileserver"
-	"gaugerelay/internal/standin/platform"
-	"gaugerelay/internal/standin/shaper"
-	"gaugerelay/internal/standin/storage"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed/fakedevice"
+	"gaugerelay/internal/testbed/fakefileserver"
+	"gaugerelay/internal/testbed/fakestorage"
+	"gaugerelay/internal/testbed/invariants"
+	"gaugerelay/internal/testbed/linkshaper"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 // Options are a run.
@@ -36,12 +36,12 @@
 	For      time.Duration
 	Seed     uint64
 	Devices  int
-	Links    []shaper.Profile // dealt out in turn
-	Ledger   bool             // without it the same devices speak as the platform's clients do
-	Wires    string           // of "chf": CoAP, HTTP, file commands, dealt out in turn
-	Restarts time.Duration    // mean time between restarts of the gateway; 0: none
-	Drains   time.Duration    // mean time between a node's replacements; 0: none
-	Faults   storage.Faults
+	Links    []linkshaper.Profile // dealt out in turn
+	Ledger   bool                 // without it the same devices speak as the platform's clients do
+	Wires    string               // of "chf": CoAP, HTTP, file commands, dealt out in turn
+	Restarts time.Duration        // mean time between restarts of the gateway; 0: none
+	Drains   time.Duration        // mean time between a node's replacements; 0: none
+	Faults   fakestorage.Faults
 	Odd      float64 // part of the jobs in which devices behave oddly
 	Network  gateway.Network
 
@@ -61,7 +61,7 @@
 
 // Report is what came of a run.
 type Report struct {
-	*checker.Result
+	*invariants.Result
 	Restarts, Drains int
 	Counters         map[string]int64
 }
@@ -69,9 +69,9 @@
 // rig is the run.
 type rig struct {
 	Options
-	check *checker.Checker
-	cells [shards]*storage.Cell
-	files [shards]*fileserver.Server
+	check *invariants.Checker
+	cells [shards]*fakestorage.Cell
+	files [shards]*fakefileserver.Server
 
 	mu       sync.Mutex
 	rnd      *rand.Rand
@@ -89,21 +89,21 @@
 }
 
 type running struct {
-	node  *storage.Node
-	entry *core.Node
+	node  *fakestorage.Node
+	entry *lifecycle.Node
 	ln    net.Listener
 	fileL net.Listener
 }
 
 // Run runs it.
 func Run(o Options) (*Report, error) {
-	r := &rig{Options: o, check: checker.New(), rnd: rand.New(rand.NewPCG(o.Seed, 1)), addrs: map[string]string{},
+	r := &rig{Options: o, check: invariants.New(), rnd: rand.New(rand.NewPCG(o.Seed, 1)), addrs: map[string]string{},
 		counters: map[string]int64{}, lives: map[string]int{}}
 	for i := range shards {
-		r.cells[i] = &storage.Cell{Name: fmt.Sprint("cell", i), Window: window}
-		r.files[i] = fileserver.Plain()
+		r.cells[i] = &fakestorage.Cell{Name: fmt.Sprint("cell", i), Window: window}
+		r.files[i] = fakefileserver.Plain()
 		r.files[i].After = r.fileRan(i)
-		r.files[i].Answer = func(c fileserver.Command) error {
+		r.files[i].Answer = func(c fakefileserver.Command) error {
 			if c.Op == "write" {
 				r.mu.Lock()
 				r.lives[c.Key] = len(r.ups) // of the gateway that sent it; it may be another when it is done
@@ -159,9 +159,9 @@
 	if err != nil {
 		return err
 	}
-	n := &running{ln: ln, fileL: fileL, node: &storage.Node{Name: name, Cell: r.cells[cell], Work: work,
+	n := &running{ln: ln, fileL: fileL, node: &fakestorage.Node{Name: name, Cell: r.cells[cell], Work: work,
 		Faults: r.Faults, Check: r.check},
-		entry: &core.Node{Name: name, Addr: ln.Addr().String(), Shard: cell, Weight: 1, StartedMs: startedMs}}
+		entry: &lifecycle.Node{Name: name, Addr: ln.Addr().String(), Shard: cell, Weight: 1, StartedMs: startedMs}}
 	n.node.Start(ln, r.Seed+uint64(r.number))
 	go r.files[cell].Serve(fileL)
 	r.mu.Lock()
@@ -172,9 +172,9 @@
 }
 
 // list is the present node list.
-func (r *rig) list() core.List {
+func (r *rig) list() lifecycle.List {
 	r.version++
-	l := core.List{Version: r.version, Scope: policy.Whole}
+	l := lifecycle.List{Version: r.version, Scope: scheduler.Whole}
 	for _, n := range r.nodes {
 		e := *n.entry
 		l.Nodes = append(l.Nodes, &e)
@@ -195,11 +195,11 @@
 		r.mu.Lock()
 		var old *running
 		for _, n := range r.nodes {
-			if n.entry.State == policy.Live && (old == nil || r.rnd.IntN(shards) == 0) {
+			if n.entry.State == scheduler.Live && (old == nil || r.rnd.IntN(shards) == 0) {
 				old = n
 			}
 		}
-		old.entry.State = policy.Draining
+		old.entry.State = scheduler.Draining
 		r.mu.Unlock()
 		if r.addNode(old.entry.Shard, clock.Ms(time.Duration(time.Now().UnixNano()))) != nil {
 			return
@@ -271,8 +271,8 @@
 
 // startGateway starts it at the addresses it had.
 func (r *rig) startGateway() error {
-	set := platform.Settings(shards)
-	var push policy.Class
+	set := testsettings.Settings(shards)
+	var push scheduler.Class
 	for _, c := range set.Classes {
 		if c.Name == "push" {
 			push = c
@@ -280,7 +280,7 @@
 	}
 	r.mu.Lock()
 	known := r.list()
-	known.Scope = policy.Stale
+	known.Scope = scheduler.Stale
 	r.mu.Unlock()
 	for _, what := range []string{"platform", "coap", "http", "files"} {
 		if r.addrs[what] == "" {
@@ -364,23 +364,23 @@
 }
 
 // fileRan tells the checker of WRITEs that reached a file port.
-func (r *rig) fileRan(cell int) func(fileserver.Command) error {
-	return func(c fileserver.Command) error {
+func (r *rig) fileRan(cell int) func(fakefileserver.Command) error {
+	return func(c fakefileserver.Command) error {
 		if c.Op == "write" {
 			r.mu.Lock()
 			life := r.lives[c.Key] // a file client can't mark a repeat: to a gateway that has started anew it is new
 			delete(r.lives, c.Key)
 			r.mu.Unlock()
-			r.check.Ran(path.Base(c.Path), checker.Run{Node: "file", Cell: fmt.Sprint("cell", cell), Key: c.Key,
-				Content: storage.Content(c.Data), At: time.Now(), Dropped: c.Dropped, Life: life})
+			r.check.Ran(path.Base(c.Path), invariants.Run{Node: "file", Cell: fmt.Sprint("cell", cell), Key: c.Key,
+				Content: fakestorage.Content(c.Data), At: time.Now(), Dropped: c.Dropped, Life: life})
 		}
 		return nil
 	}
 }
 
 // dial connects a device to a front over a link.
-func (r *rig) dial(what string, s *shaper.Shaper) device.Dialer {
-	return func(ctx context.Context) (net.Conn, device.Link, error) {
+func (r *rig) dial(what string, s *linkshaper.Shaper) fakedevice.Dialer {
+	return func(ctx context.Context) (net.Conn, fakedevice.Link, error) {
 		r.mu.Lock()
 		addr := r.addrs[what]
 		r.mu.Unlock()
@@ -401,7 +401,7 @@
 
 // restartable is a link to a gateway that may have been killed.
 type restartable struct {
-	*shaper.Link
+	*linkshaper.Link
 	r     *rig
 	began time.Time
 }
@@ -419,25 +419,25 @@
 // device is one device's life.
 func (r *rig) device(i int, end time.Time) {
 	rnd := rand.New(rand.NewPCG(r.Seed, uint64(1000+i)))
-	link := &shaper.Shaper{Profile: r.Links[i%len(r.Links)], Seed: r.Seed*1_000_003 + uint64(i)}
+	link := &linkshaper.Shaper{Profile: r.Links[i%len(r.Links)], Seed: r.Seed*1_000_003 + uint64(i)}
 	name := fmt.Sprint("device-", i)
-	d := &device.Device{Name: name, Check: r.check, Rnd: rnd, Odd: r.Odd,
+	d := &fakedevice.Device{Name: name, Check: r.check, Rnd: rnd, Odd: r.Odd,
 		Patience: time.Duration(1500+rnd.IntN(2000)) * time.Millisecond}
 	if r.Patience > 0 {
 		d.Patience = r.Patience
 	}
 	kind := r.Wires[(i/len(r.Links))%len(r.Wires)]
 	block := []int{0, 1024, 4096, 8192}[rnd.IntN(4)]
-	wire := func() device.Wire {
+	wire := func() fakedevice.Wire {
 		switch {
 		case kind == 'f':
-			return &device.File{Dial: r.dial("files", link), Root: root, Waits: window}
+			return &fakedevice.File{Dial: r.dial("files", link), Root: root, Waits: window}
 		case !r.Ledger:
-			return &device.HTTP{Device: name, Dial: r.dial("platform", link), Plain: true}
+			return &fakedevice.HTTP{Device: name, Dial: r.dial("platform", link), Plain: true}
 		case kind == 'h':
-			return &device.HTTP{Device: name, Dial: r.dial("http", link)}
+			return &fakedevice.HTTP{Device: name, Dial: r.dial("http", link)}
 		}
-		return &device.CoAP{Device: name, Dial: r.dial("coap", link), BlockSize: block, MostRead: 16 << 10}
+		return &fakedevice.CoAP{Device: name, Dial: r.dial("coap", link), BlockSize: block, MostRead: 16 << 10}
 	}
 	if kind == 'f' { // it can't mark a copy: what it sends on purpose is another WRITE
 		d.Odd = 0
@@ -463,18 +463,18 @@
 }
 
 // job draws an exchange.
-func (r *rig) job(rnd *rand.Rand, dev, n int, kind byte) device.Job {
+func (r *rig) job(rnd *rand.Rand, dev, n int, kind byte) fakedevice.Job {
 	var id [8]byte
 	binary.BigEndian.PutUint32(id[:4], uint32(dev+1))
 	binary.BigEndian.PutUint32(id[4:], uint32(n+1))
-	j := device.Job{Piece: hex.EncodeToString(id[:]), Key: fmt.Sprintf("key-%d", n), Shard: rnd.IntN(shards+1) - 1}
+	j := fakedevice.Job{Piece: hex.EncodeToString(id[:]), Key: fmt.Sprintf("key-%d", n), Shard: rnd.IntN(shards+1) - 1}
 	size := 100 + rnd.IntN(1500)
 	if rnd.IntN(4) == 0 {
 		size = 2000 + rnd.IntN(12_000)
 	}
 	if kind == 'f' || r.WritesOnly || rnd.Float64() < 0.6 {
 		j.Write, j.Class, j.Deadline = true, "push", time.Now().Add(pushTime)
-		j.Body = storage.Answer("body-"+j.Piece, size)
+		j.Body = fakestorage.Answer("body-"+j.Piece, size)
 		return j
 	}
 	if j.Shard < 0 {
--- a/internal/standin/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -11,19 +11,19 @@
 	"testing/synctest"
 	"time"
 
-	"gaugerelay/internal/event"
 	"gaugerelay/internal/gateway"
-	"gaugerelay/internal/standin/memnet"
-	"gaugerelay/internal/standin/shaper"
-	"gaugerelay/internal/standin/storage"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/testbed/fakestorage"
+	"gaugerelay/internal/testbed/linkshaper"
+	"gaugerelay/internal/testbed/memnet"
 )
 
 func TestMain(m *testing.M) {
-	event.Setup(io.Discard, slog.LevelError)
+	logevent.Setup(io.Discard, slog.LevelError)
 	os.Exit(m.Run())
 }
 
-var someFaults = storage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05, SlowBy: 700 * time.Millisecond}
+var someFaults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05, SlowBy: 700 * time.Millisecond}
 
 // inBubble runs a soak in memory, in a bubble's time.
 func inBubble(t *testing.T, o Options) (rep *Report) {
@@ -45,7 +45,7 @@
 // All protocols over all kinds of links, with everything that may go wrong, must show none of what must never be.
 func TestSoak(t *testing.T) {
 	counts := map[string]int64{}
-	links := []shaper.Profile{shaper.Good, shaper.Middling, shaper.Bad}
+	links := []linkshaper.Profile{linkshaper.Good, linkshaper.Middling, linkshaper.Bad}
 	if os.Getenv("SOAK_LINKS") == "bad" {
 		links = links[2:]
 	}
--- a/internal/standin/standin.go
+++ b/internal/testbed/standin.go
@@ -1,17 +1,17 @@
 // Package standin holds what tests put in the place of the platform: loopback servers, and settings like its own.
-package standin
+package testbed
 
 import (
 	"net"
 	"testing"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
-	"gaugerelay/internal/standin/platform"
+	"gaugerelay/internal/testbed/testsettings"
 )
 
 // Settings are like the platform's, for one gateway.
-func Settings(shards int) policy.Settings { return platform.Settings(shards) }
+func Settings(shards int) scheduler.Settings { return testsettings.Settings(shards) }
 
 // Listen opens a loopback port that closes with the test.
 func Listen(t testing.TB) net.Listener {
--- a/internal/ds/wheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -4,7 +4,7 @@
 // Times are float64 milliseconds on the caller's clock. A timer is due at the first tick at or after its time,
 // never before it. What is due at one tick fires in the order of adding, so that runs repeat. A Wheel is not
 // safe for concurrent use.
-package wheel
+package timerwheel
 
 import (
 	"cmp"
--- a/internal/ds/wheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
--- a/internal/carrier/httpcarrier/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -1,5 +1,5 @@
 // Package httpcarrier carries attempts to storage nodes over HTTP and tells how each of them ended.
-package httpcarrier
+package httpclient
 
 import (
 	"bytes"
@@ -16,10 +16,10 @@
 
 	"github.com/valyala/fastjson"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 )
 
@@ -48,16 +48,16 @@
 	opt       Options
 	clock     clock.Clock
 	metrics   *metrics.Set
-	finish    func(core.Attempt, core.Result)
-	probed    func(*core.Node, float64, policy.Status, []float64)
+	finish    func(lifecycle.Attempt, lifecycle.Result)
+	probed    func(*lifecycle.Node, float64, scheduler.Status, []float64)
 	transport *http.Transport
 	conns     atomic.Int64
 }
 
 // Sink takes the ends of attempts and probes.
 type Sink interface {
-	Finish(core.Attempt, core.Result)
-	Probed(*core.Node, float64, policy.Status, []float64)
+	Finish(lifecycle.Attempt, lifecycle.Result)
+	Probed(*lifecycle.Node, float64, scheduler.Status, []float64)
 }
 
 // New returns a backend.
@@ -97,7 +97,7 @@
 }
 
 // Start implements core.Carrier.
-func (b *Backend) Start(a core.Attempt) func() {
+func (b *Backend) Start(a lifecycle.Attempt) func() {
 	ctx, cancel := clock.WithDeadline(b.clock, a.DeadlineMs)
 	go func() {
 		defer cancel(nil) // the body of an answer has been read by then
@@ -107,20 +107,20 @@
 }
 
 // attempt runs one attempt to its end.
-func (b *Backend) attempt(ctx context.Context, a core.Attempt) core.Result {
+func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) lifecycle.Result {
 	for {
 		t := &try{Attempt: a, ctx: ctx, body: len(a.Request.Load.(*Load).Body)}
 		res := b.attemptOnce(ctx, a, t)
 		// A kept connection that turns out to be stale is gone by that, and nothing went out on it: taking another
 		// is no resend.
-		if !t.stale.Load() || res.Status == policy.OK || ctx.Err() != nil {
+		if !t.stale.Load() || res.Status == scheduler.OK || ctx.Err() != nil {
 			return res
 		}
 		b.metrics.Add("connections_stale", 1)
 	}
 }
 
-func (b *Backend) attemptOnce(ctx context.Context, a core.Attempt, t *try) core.Result {
+func (b *Backend) attemptOnce(ctx context.Context, a lifecycle.Attempt, t *try) lifecycle.Result {
 	load := a.Request.Load.(*Load)
 	req := (&http.Request{
 		Method: load.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -143,55 +143,55 @@
 		if t.unbegun() {
 			t.stale.Store(true)
 		}
-		return core.Result{Status: b.ended(ctx, t)}
+		return lifecycle.Result{Status: b.ended(ctx, t)}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	if err != nil {
-		return core.Result{Status: b.ended(ctx, t)}
+		return lifecycle.Result{Status: b.ended(ctx, t)}
 	}
-	res := core.Result{}
+	res := lifecycle.Result{}
 	b.told(&res, resp.Header)
 	switch {
 	case len(body) > MaxBody:
 		b.metrics.Add("node_answers_spoilt", 1)
-		res.Status = policy.Error
+		res.Status = scheduler.Error
 	case resp.StatusCode == http.StatusOK:
-		res.Status, res.Body = policy.OK, body
+		res.Status, res.Body = scheduler.OK, body
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
-		res.Status = policy.Full
+		res.Status = scheduler.Full
 	default:
-		res.Status = policy.Error
+		res.Status = scheduler.Error
 	}
 	return res
 }
 
 // ended tells how an attempt without an answer ended.
-func (b *Backend) ended(ctx context.Context, t *try) policy.Status {
+func (b *Backend) ended(ctx context.Context, t *try) scheduler.Status {
 	whole := t.whole.Load()
 	switch cause := context.Cause(ctx); {
 	case !whole && t.Request.Left(): // nothing that its node has to answer for
-		return policy.Cancelled
+		return scheduler.Cancelled
 	case !whole && t.denied.Harmless():
-		return policy.Moot // it did not run, and that tells nothing of its node
+		return scheduler.Moot // it did not run, and that tells nothing of its node
 	case !whole && (cause == nil || !errors.Is(cause, context.Canceled)):
-		return policy.ConnectFailed
+		return scheduler.ConnectFailed
 	case errors.Is(cause, context.DeadlineExceeded):
-		return policy.TimedOut
+		return scheduler.TimedOut
 	case cause != nil:
-		return policy.Cancelled
+		return scheduler.Cancelled
 	case t.broke.Load():
-		return policy.Reset
+		return scheduler.Reset
 	}
 	// The node answers, if badly, and its other connections are as good as before: it is not held back as one
 	// that resets them.
 	b.metrics.Add("node_answers_spoilt", 1)
-	return policy.Error
+	return scheduler.Error
 }
 
 // told takes in what an answer tells beside its body. What cannot be read is counted and left out.
-func (b *Backend) told(res *core.Result, h http.Header) {
+func (b *Backend) told(res *lifecycle.Result, h http.Header) {
 	number := func(name string) (float64, bool) {
 		text := h.Get(name)
 		if text == "" {
@@ -236,13 +236,13 @@
 }
 
 // Probe asks a node for its load and tells the loop what it found.
-func (b *Backend) Probe(n *core.Node) {
+func (b *Backend) Probe(n *lifecycle.Node) {
 	path := "/health"
 	if len(b.opt.ReportFields) > 0 {
 		path = "/status/load"
 	}
 	go func() {
-		start, status, report := b.clock.NowMs(), policy.ConnectFailed, []float64(nil)
+		start, status, report := b.clock.NowMs(), scheduler.ConnectFailed, []float64(nil)
 		defer func() { b.probed(n, b.clock.NowMs()-start, status, report) }()
 		if n.Closed() {
 			return
@@ -261,11 +261,11 @@
 		body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
 		switch {
 		case err != nil:
-			status = policy.Reset
+			status = scheduler.Reset
 		case resp.StatusCode != http.StatusOK:
-			status = policy.Error
+			status = scheduler.Error
 		default:
-			status = policy.OK
+			status = scheduler.OK
 			if len(b.opt.ReportFields) > 0 {
 				report = b.report(string(body))
 			}
--- a/internal/carrier/httpcarrier/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -1,4 +1,4 @@
-package httpcarrier
+package httpclient
 
 import (
 	"bufio"
@@ -13,22 +13,22 @@
 	"sync/atomic"
 	"testing"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // sink collects the ends of attempts and probes.
 type sink struct {
-	ends   chan core.Result
-	probes chan policy.Status
+	ends   chan lifecycle.Result
+	probes chan scheduler.Status
 }
 
-func (s *sink) Finish(_ core.Attempt, r core.Result) { s.ends <- r }
-func (s *sink) Probed(_ *core.Node, _ float64, st policy.Status, _ []float64) {
+func (s *sink) Finish(_ lifecycle.Attempt, r lifecycle.Result) { s.ends <- r }
+func (s *sink) Probed(_ *lifecycle.Node, _ float64, st scheduler.Status, _ []float64) {
 	s.probes <- st
 }
 
@@ -63,13 +63,13 @@
 	acts
 )
 
-var outcomes = [acts]policy.Status{policy.OK, policy.OK, policy.Error, policy.Full, policy.Error, policy.Reset,
-	policy.Error, policy.Reset, policy.Error, policy.OK, policy.Error, policy.Error, policy.Error, policy.Error,
-	policy.OK, policy.OK, policy.OK, policy.OK, policy.Reset}
+var outcomes = [acts]scheduler.Status{scheduler.OK, scheduler.OK, scheduler.Error, scheduler.Full, scheduler.Error, scheduler.Reset,
+	scheduler.Error, scheduler.Reset, scheduler.Error, scheduler.OK, scheduler.Error, scheduler.Error, scheduler.Error, scheduler.Error,
+	scheduler.OK, scheduler.OK, scheduler.OK, scheduler.OK, scheduler.Reset}
 
 func newStand(t testing.TB) *stand {
 	s := &stand{acts: make(chan byte, 1)}
-	s.addr = standin.Serve(t, s.connection)
+	s.addr = testbed.Serve(t, s.connection)
 	return s
 }
 
@@ -141,16 +141,16 @@
 }
 
 func newBackend() (*Backend, *sink, *metrics.Set, *clock.Manual) {
-	s, m, now := &sink{make(chan core.Result, 1), make(chan policy.Status, 1)}, metrics.New(), clock.NewManual(1e12)
+	s, m, now := &sink{make(chan lifecycle.Result, 1), make(chan scheduler.Status, 1)}, metrics.New(), clock.NewManual(1e12)
 	return New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 10, ReportFields: []string{"queue"}}, now, m, s), s, m, now
 }
 
-func request(put bool) *core.Request {
+func request(put bool) *lifecycle.Request {
 	l := &Load{Method: "GET", Path: "/pull/1", RawQuery: "a=%20b", Header: http.Header{"Idempotency-Key": {"k"}}}
 	if put {
 		l.Method, l.Body = "PUT", []byte("data")
 	}
-	return &core.Request{Load: l}
+	return &lifecycle.Request{Load: l}
 }
 
 // FuzzAttempts checks random acts of a node, and a model of what they amount to, on connections that are reused:
@@ -168,17 +168,17 @@
 		node := newStand(t)
 		b, s, _, now := newBackend()
 		defer b.Close()
-		n := &core.Node{Addr: node.addr}
+		n := &lifecycle.Node{Addr: node.addr}
 		for i, x := range script[:min(len(script), 12)] {
 			act, put := int(x&127)%acts, x >= 128
 			node.acts <- byte(act)
-			b.Start(core.Attempt{Request: request(put), Node: n, DeadlineMs: now.NowMs() + 1000})
+			b.Start(lifecycle.Attempt{Request: request(put), Node: n, DeadlineMs: now.NowMs() + 1000})
 			res := <-s.ends
 			if res.Status != outcomes[act] || int(node.seen.Load()) != i+1 {
 				t.Fatalf("attempt %d, act %d: status %d, want %d; the node saw %d requests", i, act, res.Status,
 					outcomes[act], node.seen.Load())
 			}
-			if want := map[bool]string{false: "GET/pull/1?a=%20b", true: "PUT/pull/1?a=%20bdata"}[put]; res.Status == policy.OK && string(res.Body.([]byte)) != want {
+			if want := map[bool]string{false: "GET/pull/1?a=%20b", true: "PUT/pull/1?a=%20bdata"}[put]; res.Status == scheduler.OK && string(res.Body.([]byte)) != want {
 				t.Fatalf("body %q, want %q", res.Body, want)
 			}
 			if act == serve && (res.Use != 0.85 || !res.HasUse || res.ForeignUnits != 3 || res.Report[0] != 7) {
@@ -193,10 +193,10 @@
 
 func TestNeverRanWithoutAConnection(t *testing.T) {
 	b, s, _, now := newBackend()
-	ln := standin.Listen(t)
+	ln := testbed.Listen(t)
 	ln.Close()
-	b.Start(core.Attempt{Request: request(true), Node: &core.Node{Addr: ln.Addr().String()}, DeadlineMs: now.NowMs() + 1000})
-	if res := <-s.ends; res.Status != policy.ConnectFailed {
+	b.Start(lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: ln.Addr().String()}, DeadlineMs: now.NowMs() + 1000})
+	if res := <-s.ends; res.Status != scheduler.ConnectFailed {
 		t.Errorf("status %d", res.Status)
 	}
 }
@@ -234,7 +234,7 @@
 func TestLateSurplus(t *testing.T) {
 	var conns atomic.Int32
 	late := make(chan bool)
-	addr := standin.Serve(t, func(c net.Conn) {
+	addr := testbed.Serve(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
 		in := bufio.NewReader(c)
 		for {
@@ -251,10 +251,10 @@
 	})
 	b, s, m, now := newBackend()
 	defer b.Close()
-	a := core.Attempt{Request: request(false), Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
+	a := lifecycle.Attempt{Request: request(false), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	for i := range 2 {
 		b.Start(a)
-		if res := <-s.ends; res.Status != policy.OK || string(res.Body.([]byte)) != "its" {
+		if res := <-s.ends; res.Status != scheduler.OK || string(res.Body.([]byte)) != "its" {
 			t.Errorf("attempt %d: %+v", i, res)
 		}
 		if i == 0 {
@@ -287,7 +287,7 @@
 	var conns atomic.Int32
 	second := make(chan bool, 1) // the next attempt has come, or it rests
 	written := make(chan bool, 1)
-	addr := standin.Serve(t, func(c net.Conn) {
+	addr := testbed.Serve(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		if _, err := http.ReadRequest(in); err != nil {
 			return
@@ -313,15 +313,15 @@
 	b, s, _, now := newBackend()
 	b.clock, b.opt.RestMs = armed{now, second}, 5
 	defer b.Close()
-	a := core.Attempt{Request: request(false), Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
+	a := lifecycle.Attempt{Request: request(false), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	b.Start(a)
-	if res := <-s.ends; res.Status != policy.OK || string(res.Body.([]byte)) != "old" {
+	if res := <-s.ends; res.Status != scheduler.OK || string(res.Body.([]byte)) != "old" {
 		t.Fatalf("the first attempt: %+v", res)
 	}
 	b.Start(a)
 	<-written
 	now.Advance(5)
-	if res := <-s.ends; res.Status != policy.OK || string(res.Body.([]byte)) != "its" {
+	if res := <-s.ends; res.Status != scheduler.OK || string(res.Body.([]byte)) != "its" {
 		t.Errorf("the second attempt: %s", res.Body)
 	}
 }
@@ -330,7 +330,7 @@
 // all of it, would be taken for the next one's.
 func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
 	came := make(chan string, 1)
-	addr := standin.Serve(t, func(nc net.Conn) {
+	addr := testbed.Serve(t, func(nc net.Conn) {
 		in := bufio.NewReader(nc)
 		http.ReadRequest(in)
 		io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nfull")
@@ -344,7 +344,7 @@
 	}
 	c := nc.(*conn)
 	begin := func(body int) *try {
-		y := &try{Attempt: core.Attempt{Request: request(true), Node: &core.Node{}, DeadlineMs: 1e14}, ctx: t.Context(), body: body, conn: c}
+		y := &try{Attempt: lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{}, DeadlineMs: 1e14}, ctx: t.Context(), body: body, conn: c}
 		c.try.Store(y)
 		return y
 	}
@@ -373,14 +373,14 @@
 		"head": "HTTP/1.1 200 OK\r\nX-A: b\r\n", "body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
 		"no length": "HTTP/1.1 200 OK\r\n\r\nabc",
 	} {
-		addr := standin.Serve(t, func(c net.Conn) {
+		addr := testbed.Serve(t, func(c net.Conn) {
 			http.ReadRequest(bufio.NewReader(c))
 			io.WriteString(c, begin)
 			c.Read(make([]byte, 1)) // until the gateway closes
 		})
 		b, s, m, now := newBackend()
-		b.Start(core.Attempt{Request: request(true), Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1e9})
-		var res core.Result
+		b.Start(lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1e9})
+		var res lifecycle.Result
 		for done := false; !done; {
 			select {
 			case res = <-s.ends:
@@ -390,7 +390,7 @@
 				runtime.Gosched()
 			}
 		}
-		if res.Status != policy.Error || m.Get("node_answers_spoilt") != 1 {
+		if res.Status != scheduler.Error || m.Get("node_answers_spoilt") != 1 {
 			t.Errorf("%s: status %d, %d spoilt", name, res.Status, m.Get("node_answers_spoilt"))
 		}
 	}
@@ -412,12 +412,12 @@
 
 // What the node has read in part has not run: the connection breaks before the request's last byte is written.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
-	addr := standin.Serve(t, func(c net.Conn) { c.Read(make([]byte, 10)) })
+	addr := testbed.Serve(t, func(c net.Conn) { c.Read(make([]byte, 10)) })
 	b, s, _, now := newBackend()
 	r := request(true)
 	r.Load.(*Load).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets take in
-	b.Start(core.Attempt{Request: r, Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000})
-	if res := <-s.ends; res.Status != policy.ConnectFailed {
+	b.Start(lifecycle.Attempt{Request: r, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000})
+	if res := <-s.ends; res.Status != scheduler.ConnectFailed {
 		t.Errorf("status %d", res.Status)
 	}
 }
@@ -428,18 +428,18 @@
 func TestNothingIsWrittenTooLate(t *testing.T) {
 	var away atomic.Bool
 	for name, c := range map[string]struct {
-		up   func(r *core.Request, giveUp func(), now *clock.Manual)
-		want policy.Status
+		up   func(r *lifecycle.Request, giveUp func(), now *clock.Manual)
+		want scheduler.Status
 	}{
-		"left":               {func(r *core.Request, _ func(), _ *clock.Manual) { r.Leave() }, policy.Cancelled},
-		"left and given up":  {func(r *core.Request, giveUp func(), _ *clock.Manual) { r.Leave(); giveUp() }, policy.Cancelled},
-		"given up by itself": {func(_ *core.Request, giveUp func(), _ *clock.Manual) { giveUp() }, policy.Cancelled},
-		"away, unseen":       {func(r *core.Request, _ func(), _ *clock.Manual) { away.Store(true) }, policy.Cancelled},
-		"a window closed":    {func(_ *core.Request, _ func(), now *clock.Manual) { now.Advance(500) }, policy.ConnectFailed},
+		"left":               {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { r.Leave() }, scheduler.Cancelled},
+		"left and given up":  {func(r *lifecycle.Request, giveUp func(), _ *clock.Manual) { r.Leave(); giveUp() }, scheduler.Cancelled},
+		"given up by itself": {func(_ *lifecycle.Request, giveUp func(), _ *clock.Manual) { giveUp() }, scheduler.Cancelled},
+		"away, unseen":       {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { away.Store(true) }, scheduler.Cancelled},
+		"a window closed":    {func(_ *lifecycle.Request, _ func(), now *clock.Manual) { now.Advance(500) }, scheduler.ConnectFailed},
 	} {
 		for range 20 {
 			read := make(chan string, 1)
-			addr := standin.Serve(t, func(c net.Conn) {
+			addr := testbed.Serve(t, func(c net.Conn) {
 				b := make([]byte, 1) // it ends the attempt with its first byte
 				n, _ := c.Read(b)
 				read <- string(b[:n])
@@ -447,7 +447,7 @@
 			b, s, _, now := newBackend()
 			cancel := make(chan func(), 1)
 			away.Store(false)
-			a := core.Attempt{Request: request(true), Node: &core.Node{Addr: addr}, DeadlineMs: 1e12 + 1000, BeginMs: 1e12 + 500}
+			a := lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: 1e12 + 1000, BeginMs: 1e12 + 500}
 			a.Request.Away = away.Load
 			b.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				nc, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, addr)
@@ -472,12 +472,12 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	node := newStand(t)
 	b, s, _, now := newBackend()
-	c := core.New(nil, nil)
-	n := &core.Node{Name: "a", Addr: node.addr}
-	c.Nodes(core.List{Scope: policy.Whole, Nodes: []*core.Node{n}})
-	c.Nodes(core.List{Scope: policy.Whole}) // the module sent just before
-	b.Start(core.Attempt{Request: request(false), Node: n, DeadlineMs: now.NowMs() + 1000})
-	if res := <-s.ends; res.Status != policy.ConnectFailed || node.seen.Load() != 0 {
+	c := lifecycle.New(nil, nil)
+	n := &lifecycle.Node{Name: "a", Addr: node.addr}
+	c.Nodes(lifecycle.List{Scope: scheduler.Whole, Nodes: []*lifecycle.Node{n}})
+	c.Nodes(lifecycle.List{Scope: scheduler.Whole}) // the module sent just before
+	b.Start(lifecycle.Attempt{Request: request(false), Node: n, DeadlineMs: now.NowMs() + 1000})
+	if res := <-s.ends; res.Status != scheduler.ConnectFailed || node.seen.Load() != 0 {
 		t.Errorf("status %d, the node saw %d", res.Status, node.seen.Load())
 	}
 }
@@ -485,7 +485,7 @@
 func TestTimeoutCancelAndCap(t *testing.T) {
 	node := newStand(t)
 	b, s, m, now := newBackend()
-	a := core.Attempt{Request: request(true), Node: &core.Node{Addr: node.addr}, DeadlineMs: now.NowMs() + 1000}
+	a := lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: node.addr}, DeadlineMs: now.NowMs() + 1000}
 	seen := func(n int32) { // the node holds the request, since no act has been given
 		for node.seen.Load() < n {
 			runtime.Gosched()
@@ -494,19 +494,19 @@
 	b.Start(a)
 	seen(1)
 	now.Advance(1001)
-	if res := <-s.ends; res.Status != policy.TimedOut {
+	if res := <-s.ends; res.Status != scheduler.TimedOut {
 		t.Errorf("timed out: status %d", res.Status)
 	}
 	a.DeadlineMs = now.NowMs() + 1000
 	cancel := b.Start(a)
 	seen(2)
 	cancel()
-	if res := <-s.ends; res.Status != policy.Cancelled {
+	if res := <-s.ends; res.Status != scheduler.Cancelled {
 		t.Errorf("cancelled: status %d", res.Status)
 	}
 	b.opt.MaxConns = 0
 	b.Start(a)
-	if res := <-s.ends; res.Status != policy.ConnectFailed || m.Get("connections_capped") != 1 {
+	if res := <-s.ends; res.Status != scheduler.ConnectFailed || m.Get("connections_capped") != 1 {
 		t.Errorf("over the cap: status %d, %d capped", res.Status, m.Get("connections_capped"))
 	}
 }
@@ -516,10 +516,10 @@
 	b, s, _, _ := newBackend()
 	for _, c := range []struct {
 		act  byte
-		want policy.Status
-	}{{serve, policy.OK}, {turnAway, policy.Error}, {halfAnswer, policy.Reset}} {
+		want scheduler.Status
+	}{{serve, scheduler.OK}, {turnAway, scheduler.Error}, {halfAnswer, scheduler.Reset}} {
 		node.acts <- c.act
-		if b.Probe(&core.Node{Addr: node.addr}); <-s.probes != c.want {
+		if b.Probe(&lifecycle.Node{Addr: node.addr}); <-s.probes != c.want {
 			t.Errorf("act %d: not %d", c.act, c.want)
 		}
 	}
--- a/internal/carrier/httpcarrier/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -1,4 +1,4 @@
-package httpcarrier
+package httpclient
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"syscall"
 
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/permission"
-	"gaugerelay/internal/sockets"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/permission"
+	"gaugerelay/internal/socketstate"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // try follows one attempt through the transport.
 type try struct {
-	core.Attempt
+	lifecycle.Attempt
 	ctx    context.Context
 	head   []byte            // as far as the transport has written it, until its end is found; none of it is out before
 	body   int               // bytes of it still to be written once head is
@@ -291,7 +291,7 @@
 
 // pending tells whether something has come that has not been read: surplus of an answer, or the connection's end.
 func (c *conn) pending() bool {
-	bytes, err := sockets.Waiting(c.Conn)
+	bytes, err := socketstate.Waiting(c.Conn)
 	return bytes || err != nil
 }
 
--- a/internal/carrier/httpcarrier/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -1,4 +1,4 @@
-package httpcarrier
+package httpclient
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed"
 )
 
 // compareGolden compares the text with the golden file of that name.
@@ -42,7 +42,7 @@
 // recordRequests starts a server that answers each request with 200 and sends its exact bytes to the channel.
 func recordRequests(t *testing.T) (addr string, requests <-chan []byte) {
 	recorded := make(chan []byte, 16)
-	addr = standin.Serve(t, func(c net.Conn) {
+	addr = testbed.Serve(t, func(c net.Conn) {
 		var wire bytes.Buffer
 		in := bufio.NewReader(io.TeeReader(c, &wire))
 		for {
@@ -81,7 +81,7 @@
 			addr, requests := recordRequests(t)
 			b, s, _, now := newBackend()
 			defer b.Close()
-			b.Start(core.Attempt{Request: &core.Request{Load: &c.load}, Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + c.leftMs})
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: &c.load}, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + c.leftMs})
 			<-s.ends
 			compareGolden(t, "attempt-"+name, quoteLines(<-requests))
 		})
@@ -95,7 +95,7 @@
 	defer b.Close()
 	var wire []byte
 	for n := range 2 {
-		b.Start(core.Attempt{Request: request(true), N: n + 1, Node: &core.Node{Addr: addr}, DeadlineMs: now.NowMs() + 900})
+		b.Start(lifecycle.Attempt{Request: request(true), N: n + 1, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 900})
 		<-s.ends
 		wire = append(wire, <-requests...)
 		now.Advance(20)
@@ -110,7 +110,7 @@
 			b, s, _, _ := newBackend()
 			defer b.Close()
 			b.opt.ReportFields = fields
-			b.Probe(&core.Node{Addr: addr})
+			b.Probe(&lifecycle.Node{Addr: addr})
 			<-s.probes
 			wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 			compareGolden(t, "probe-"+name, quoteLines(wire))
--- a/internal/carrier/filecarrier/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -1,6 +1,6 @@
 // Package filecarrier carries attempts to the file ports of storage nodes as SFTP version 3 packets over plain
 // TCP, and tells how each of them ended.
-package filecarrier
+package sftpclient
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"strings"
 	"sync"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
-	"gaugerelay/internal/decide/permission"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/permission"
 )
 
 // Op is what a command does.
@@ -66,7 +66,7 @@
 	ConnectMs, ConnIdleMs float64
 	MaxSessions           int // connections open at once, to all nodes
 	// Address tells where a node takes file commands.
-	Address func(n *core.Node) (addr string, ok bool)
+	Address func(n *lifecycle.Node) (addr string, ok bool)
 	// Dial opens connections; nil: the machine's network.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -76,7 +76,7 @@
 	opt     Options
 	clock   clock.Clock
 	metrics *metrics.Set
-	finish  func(core.Attempt, core.Result)
+	finish  func(lifecycle.Attempt, lifecycle.Result)
 
 	mu    sync.Mutex
 	idle  map[string][]*session
@@ -93,12 +93,12 @@
 }
 
 // New returns a backend; finish takes the ends of attempts.
-func New(opt Options, c clock.Clock, m *metrics.Set, finish func(core.Attempt, core.Result)) *Backend {
+func New(opt Options, c clock.Clock, m *metrics.Set, finish func(lifecycle.Attempt, lifecycle.Result)) *Backend {
 	return &Backend{opt: opt, clock: c, metrics: m, finish: finish, idle: map[string][]*session{}}
 }
 
 // Start implements core.Carrier.
-func (b *Backend) Start(a core.Attempt) func() {
+func (b *Backend) Start(a lifecycle.Attempt) func() {
 	ctx, cancel := clock.WithDeadline(b.clock, a.DeadlineMs)
 	go func() {
 		defer cancel(nil)
@@ -115,24 +115,24 @@
 // attempt runs one attempt to its end. An attempt that never ran is reported as Full, also where the connection
 // failed: the file port may be down while the node serves others well, and ConnectFailed would make the module
 // hold the node back for all of them.
-func (b *Backend) attempt(ctx context.Context, a core.Attempt) {
+func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) {
 	cmd := a.Request.Load.(*Command)
 	addr, ok := b.opt.Address(a.Node)
 	if !ok || a.Node.Closed() {
-		b.finish(a, core.Result{Status: policy.Full})
+		b.finish(a, lifecycle.Result{Status: scheduler.Full})
 		return
 	}
 	s, err := b.session(ctx, addr)
 	if err != nil {
 		b.metrics.Add("file_connects_failed", 1)
-		b.finish(a, core.Result{Status: b.ended(ctx, false)})
+		b.finish(a, lifecycle.Result{Status: b.ended(ctx, false)})
 		return
 	}
 	// Told while the session was opened: nothing new goes to the node, nor anything for a client that has left.
 	leftMs, why := a.MayBegin(b.clock)
 	if why != permission.Allowed {
 		b.rest(s)
-		b.finish(a, core.Result{Status: unbegun(why)})
+		b.finish(a, lifecycle.Result{Status: unbegun(why)})
 		return
 	}
 	// Closing the connection is how an attempt is given up.
@@ -140,16 +140,16 @@
 	reply, handle, ran, err := s.run(cmd, a, leftMs)
 	switch {
 	case err != nil && !errors.Is(err, errMalformed):
-		b.finish(a, core.Result{Status: b.ended(ctx, ran)})
+		b.finish(a, lifecycle.Result{Status: b.ended(ctx, ran)})
 	case err != nil:
 		b.metrics.Add("file_answers_malformed", 1)
-		b.finish(a, core.Result{Status: policy.Error})
+		b.finish(a, lifecycle.Result{Status: scheduler.Error})
 	case reply.Code == StatusFailure && strings.HasPrefix(reply.Text, Unprocessed):
-		b.finish(a, core.Result{Status: policy.Full})
+		b.finish(a, lifecycle.Result{Status: scheduler.Full})
 	case reply.Code == StatusFailure || reply.Code == StatusBadMessage:
-		b.finish(a, core.Result{Status: policy.Error})
+		b.finish(a, lifecycle.Result{Status: scheduler.Error})
 	default: // the node has done its work, also where it tells that there is no such file
-		b.finish(a, core.Result{Status: policy.OK, Body: reply})
+		b.finish(a, lifecycle.Result{Status: scheduler.OK, Body: reply})
 	}
 	if err == nil && handle != nil { // its answer is out; the session serves again once the handle is closed
 		_, _, err = s.call(newPacket(typeClose, s.next()).text(string(handle)))
@@ -162,14 +162,14 @@
 }
 
 // unbegun is how an attempt ended that was not let through.
-func unbegun(why permission.Denial) policy.Status {
+func unbegun(why permission.Denial) scheduler.Status {
 	switch {
 	case why == permission.ClientGone:
-		return policy.Cancelled
+		return scheduler.Cancelled
 	case why.Harmless():
-		return policy.Moot
+		return scheduler.Moot
 	}
-	return policy.Full
+	return scheduler.Full
 }
 
 // rest gives a session back.
@@ -181,16 +181,16 @@
 }
 
 // ended tells how an attempt without an answer ended.
-func (b *Backend) ended(ctx context.Context, ran bool) policy.Status {
+func (b *Backend) ended(ctx context.Context, ran bool) scheduler.Status {
 	switch cause := context.Cause(ctx); {
 	case !ran:
-		return policy.Full
+		return scheduler.Full
 	case errors.Is(cause, context.DeadlineExceeded):
-		return policy.TimedOut
+		return scheduler.TimedOut
 	case cause != nil:
-		return policy.Cancelled
+		return scheduler.Cancelled
 	}
-	return policy.Reset
+	return scheduler.Reset
 }
 
 // session takes an idle session or opens one.
@@ -307,7 +307,7 @@
 
 // run sends a command. ran tells whether its own packet (not the OPEN before a READ or WRITE, which changes
 // nothing) has been written whole.
-func (s *session) run(cmd *Command, a core.Attempt, leftMs float64) (rep *Reply, handle []byte, ran bool, err error) {
+func (s *session) run(cmd *Command, a lifecycle.Attempt, leftMs float64) (rep *Reply, handle []byte, ran bool, err error) {
 	if cmd.Op == Stat {
 		typ, f, err := s.call(newPacket(typeStat, s.next()).text(cmd.Path))
 		ran = written(err)
--- a/internal/carrier/filecarrier/backend_test.go
+++ b/internal/upstream/sftpclient/backend_test.go
@@ -1,4 +1,4 @@
-package filecarrier
+package sftpclient
 
 import (
 	"encoding/binary"
@@ -8,12 +8,12 @@
 	"sync/atomic"
 	"testing"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // The acts of a stand-in file port on the packet that carries the command, or on the OPEN before it.
@@ -37,7 +37,7 @@
 
 func newPort(t testing.TB) *port {
 	p := &port{acts: make(chan byte, 2)}
-	p.addr = standin.Serve(t, p.connection)
+	p.addr = testbed.Serve(t, p.connection)
 	return p
 }
 
@@ -92,16 +92,16 @@
 	f.Add([]byte{16 * garbage, garbage, wrongID, 16 * tooLong, tooLong, 128 + serve})
 	f.Add([]byte{16 * status, status, 16 * turnAway, turnAway, serve, 128 + turnAway})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		p, now, ends := newPort(t), clock.NewManual(1e12), make(chan core.Result, 1)
+		p, now, ends := newPort(t), clock.NewManual(1e12), make(chan lifecycle.Result, 1)
 		// Sessions come back only once their handle is closed, after the answer: there must be enough of them.
 		b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 100,
-			Address: func(*core.Node) (string, bool) { return p.addr, true }}, now, metrics.New(),
-			func(_ core.Attempt, r core.Result) { ends <- r })
+			Address: func(*lifecycle.Node) (string, bool) { return p.addr, true }}, now, metrics.New(),
+			func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
 		defer b.Close()
 		commands := int32(0)
 		for i, x := range script[:min(len(script), 12)] {
 			onOpen, onCommand, write := x>>4&7%acts, x&15%acts, x >= 128
-			want := [acts]policy.Status{policy.OK, policy.Error, policy.Full, policy.Reset, policy.Error, policy.Error, policy.Error}
+			want := [acts]scheduler.Status{scheduler.OK, scheduler.Error, scheduler.Full, scheduler.Reset, scheduler.Error, scheduler.Error, scheduler.Error}
 			cmd := &Command{Op: Read, Path: "/a", Length: 10}
 			if write {
 				cmd = &Command{Op: Write, Path: "/a", Data: []byte("data"), Key: "k"}
@@ -113,9 +113,9 @@
 				end = want[onCommand]
 				commands++
 			} else if onOpen == breakOff {
-				end = policy.Full // the command itself never went out
+				end = scheduler.Full // the command itself never went out
 			}
-			b.Start(core.Attempt{Request: &core.Request{Load: cmd}, Node: &core.Node{}, DeadlineMs: now.NowMs() + 1000})
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: cmd}, Node: &lifecycle.Node{}, DeadlineMs: now.NowMs() + 1000})
 			if res := <-ends; res.Status != end || p.commands.Load() != commands {
 				t.Fatalf("attempt %d (%d, %d): status %d, want %d; %d commands, want %d", i, onOpen, onCommand, res.Status, end,
 					p.commands.Load(), commands)
@@ -138,11 +138,11 @@
 
 // A session that has stood idle too long is not used any more, and over the cap attempts are turned away unrun.
 func TestSessionsAgeAndAreCapped(t *testing.T) {
-	p, now, ends, m := newPort(t), clock.NewManual(1e12), make(chan core.Result, 1), metrics.New()
+	p, now, ends, m := newPort(t), clock.NewManual(1e12), make(chan lifecycle.Result, 1), metrics.New()
 	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
-		Address: func(*core.Node) (string, bool) { return p.addr, true }}, now, m, func(_ core.Attempt, r core.Result) { ends <- r })
+		Address: func(*lifecycle.Node) (string, bool) { return p.addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
 	defer b.Close()
-	a := core.Attempt{Request: &core.Request{Load: &Command{Op: Read, Path: "/a", Length: 4}}, Node: &core.Node{}, DeadlineMs: 2e12}
+	a := lifecycle.Attempt{Request: &lifecycle.Request{Load: &Command{Op: Read, Path: "/a", Length: 4}}, Node: &lifecycle.Node{}, DeadlineMs: 2e12}
 	idle := func() *session {
 		for {
 			b.mu.Lock()
@@ -157,7 +157,7 @@
 	p.acts <- serve
 	p.acts <- serve
 	b.Start(a)
-	if r := <-ends; r.Status != policy.OK {
+	if r := <-ends; r.Status != scheduler.OK {
 		t.Fatalf("status %d", r.Status)
 	}
 	first := idle()
@@ -168,30 +168,30 @@
 		runtime.Gosched()
 	}
 	b.Start(a)
-	if r := <-ends; r.Status != policy.Full {
+	if r := <-ends; r.Status != scheduler.Full {
 		t.Errorf("over the cap: status %d", r.Status)
 	}
 	p.acts <- serve
-	if r := <-ends; r.Status != policy.OK || idle() == first {
+	if r := <-ends; r.Status != scheduler.OK || idle() == first {
 		t.Errorf("status %d, the old session in use: %v", r.Status, idle() == first)
 	}
 }
 
 // A WRITE that the node cuts off before its last byte has not run, and ends once.
 func TestWriteCutOffByTheNode(t *testing.T) {
-	addr := standin.Serve(t, func(c net.Conn) {
+	addr := testbed.Serve(t, func(c net.Conn) {
 		readPacket(c) // INIT
 		c.Write(newPacket(typeVersion, version).done())
 		_, body, _ := readPacket(c) // OPEN
 		c.Write(newPacket(typeHandle, binary.BigEndian.Uint32(body)).text("h").done())
 		c.Read(make([]byte, 10))
 	})
-	now, ends, m := clock.NewManual(1e12), make(chan core.Result, 2), metrics.New()
+	now, ends, m := clock.NewManual(1e12), make(chan lifecycle.Result, 2), metrics.New()
 	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
-		Address: func(*core.Node) (string, bool) { return addr, true }}, now, m, func(_ core.Attempt, r core.Result) { ends <- r })
+		Address: func(*lifecycle.Node) (string, bool) { return addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
 	cmd := &Command{Op: Write, Path: "/a", Key: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
-	b.Start(core.Attempt{Request: &core.Request{Load: cmd}, Node: &core.Node{}, DeadlineMs: 2e12})
-	if r := <-ends; r.Status != policy.Full {
+	b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: cmd}, Node: &lifecycle.Node{}, DeadlineMs: 2e12})
+	if r := <-ends; r.Status != scheduler.Full {
 		t.Errorf("status %d", r.Status)
 	}
 	for free := false; !free; { // the session is given back, so nothing of the attempt is left
@@ -209,25 +209,25 @@
 func TestNothingIsWrittenTooLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		up   func(left, over *atomic.Bool)
-		want policy.Status
+		want scheduler.Status
 	}{
-		"away":        {func(left, _ *atomic.Bool) { left.Store(true) }, policy.Cancelled},
-		"window over": {func(_, over *atomic.Bool) { over.Store(true) }, policy.Full},
+		"away":        {func(left, _ *atomic.Bool) { left.Store(true) }, scheduler.Cancelled},
+		"window over": {func(_, over *atomic.Bool) { over.Store(true) }, scheduler.Full},
 	} {
 		for _, op := range []Op{Open, Read, Write, Stat} {
 			var left, over atomic.Bool
 			read := make(chan int, 1)
-			addr := standin.Serve(t, func(nc net.Conn) {
+			addr := testbed.Serve(t, func(nc net.Conn) {
 				readPacket(nc) // INIT
 				c.up(&left, &over)
 				nc.Write(newPacket(typeVersion, version).done())
 				n, _ := nc.Read(make([]byte, 1))
 				read <- n
 			})
-			now, ends := clock.NewManual(1e12), make(chan core.Result, 2)
-			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1, Address: func(*core.Node) (string, bool) { return addr, true }},
-				passing{now, &over}, metrics.New(), func(_ core.Attempt, r core.Result) { ends <- r })
-			b.Start(core.Attempt{Request: &core.Request{Load: &Command{Op: op, Path: "/a", Key: "k"}, Away: left.Load}, Node: &core.Node{},
+			now, ends := clock.NewManual(1e12), make(chan lifecycle.Result, 2)
+			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1, Address: func(*lifecycle.Node) (string, bool) { return addr, true }},
+				passing{now, &over}, metrics.New(), func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: &Command{Op: op, Path: "/a", Key: "k"}, Away: left.Load}, Node: &lifecycle.Node{},
 				DeadlineMs: 2e12, BeginMs: 1.5e12})
 			if r := <-ends; r.Status != c.want {
 				t.Errorf("%s, %d: ended as %v", name, op, r.Status)
--- a/internal/carrier/filecarrier/codec.go
+++ b/internal/upstream/sftpclient/codec.go
@@ -1,4 +1,4 @@
-package filecarrier
+package sftpclient
 
 import (
 	"encoding/binary"
--- a/internal/carrier/filecarrier/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -1,4 +1,4 @@
-package filecarrier
+package sftpclient
 
 import (
 	"bytes"
@@ -11,12 +11,12 @@
 	"strings"
 	"testing"
 
-	policy "gaugerelay"
+	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/core"
+	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/standin"
+	"gaugerelay/internal/testbed"
 )
 
 // compareGolden compares the text with the golden file of that name.
@@ -31,10 +31,10 @@
 	}
 }
 
-var statusNames = map[policy.Status]string{policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.Reset: "reset"}
+var statusNames = map[scheduler.Status]string{scheduler.OK: "ok", scheduler.Error: "error", scheduler.Full: "full", scheduler.Reset: "reset"}
 
 // describeResult writes the end of an attempt as values.
-func describeResult(res core.Result) string {
+func describeResult(res lifecycle.Result) string {
 	text := "result: " + statusNames[res.Status] + "\n"
 	if rep, ok := res.Body.(*Reply); ok {
 		text += fmt.Sprintf("reply: code %d, text %q, data %q, size %d, mode %o, mtime %d\n",
@@ -56,7 +56,7 @@
 // the responses in turn: a type in the first byte, then what follows the packet's id. Behind them it answers OK.
 func recordPackets(t *testing.T, responses [][]byte) (addr string, packets <-chan []byte) {
 	recorded := make(chan []byte, 16)
-	addr = standin.Serve(t, func(c net.Conn) {
+	addr = testbed.Serve(t, func(c net.Conn) {
 		for n := -1; ; n++ {
 			var wire bytes.Buffer
 			_, body, err := readPacket(io.TeeReader(c, &wire))
@@ -135,12 +135,12 @@
 				responses = append(responses, hexBytes(t, text))
 			}
 			addr, packets := recordPackets(t, responses)
-			now, ends := clock.NewManual(1e12), make(chan core.Result, 1)
+			now, ends := clock.NewManual(1e12), make(chan lifecycle.Result, 1)
 			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
-				Address: func(*core.Node) (string, bool) { return addr, true }}, now, metrics.New(),
-				func(_ core.Attempt, r core.Result) { ends <- r })
+				Address: func(*lifecycle.Node) (string, bool) { return addr, true }}, now, metrics.New(),
+				func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
 			defer b.Close()
-			b.Start(core.Attempt{Request: &core.Request{Load: &c.command}, Node: &core.Node{}, DeadlineMs: now.NowMs() + 750.9})
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: &c.command}, Node: &lifecycle.Node{}, DeadlineMs: now.NowMs() + 750.9})
 			result := <-ends
 			var text strings.Builder
 			for range c.packets {
