--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -136,7 +136,7 @@
 	if known := v.Get("known"); known != nil && known.Type() == fastjson.TypeObject {
 		c.Known, c.KnownBad = discovery.Decode(known) // discovery's data, and old: not worth not starting for
 	}
-	c.Known.Scope = scheduler.Stale // whatever it says of itself, it is as last seen
+	c.Known.Scope = scheduler.CachedSnapshot // whatever it says of itself, it is as last seen
 	s := v.Get("settings")
 	if s == nil || s.Type() != fastjson.TypeObject {
 		return nil, errors.New("settings is missing")
@@ -222,12 +222,12 @@
 	return int(n)
 }
 
-var effects = map[string]scheduler.Effect{
-	"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once,
+var effects = map[string]scheduler.Idempotency{
+	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
 }
 
-var groups = map[string]scheduler.Scope{
-	"all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell,
+var groups = map[string]scheduler.DedupScope{
+	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
 }
 
 // settings reads the object that an instance of the simulator gets in its first message. Unknown keys are
@@ -236,50 +236,50 @@
 	writes := v.GetArray("FamilyInfo", "ClassWrites")
 	for i, l := range v.GetArray("Lanes") {
 		c := scheduler.Class{
-			Name: r.str(l, "Name"), Aim: r.ms(l, "Promise"), AimStretch: r.num(l, "AimStretch"),
+			Name: r.str(l, "Name"), LatencyObjective: r.ms(l, "Promise"), ObjectiveStretch: r.num(l, "AimStretch"),
 			Deadline: r.ms(l, "Deadline"), DedupWindow: r.ms(l, "DedupWindow"),
-			InTurn: r.yes(l, "InTurn"), Stream: r.yes(l, "Stream"),
-			Worth: r.num(l, "Worth"), LateValue: r.num(l, "LateValue"),
+			OrderedByKey: r.yes(l, "InTurn"), Stream: r.yes(l, "Stream"),
+			PriorityWeight: r.num(l, "Worth"), LateFraction: r.num(l, "LateValue"),
 			Write: i < len(writes) && writes[i].Type() == fastjson.TypeTrue,
 		}
 		var ok bool
-		if c.Effect, ok = effects[r.str(l, "Idempotency")]; !ok {
-			c.Effect = scheduler.Once
+		if c.Idempotency, ok = effects[r.str(l, "Idempotency")]; !ok {
+			c.Idempotency = scheduler.NotIdempotent
 		}
-		if c.Scope, ok = groups[r.str(l, "KeyScope")]; !ok {
-			c.Scope = scheduler.ScopeCell
+		if c.DedupScope, ok = groups[r.str(l, "KeyScope")]; !ok {
+			c.DedupScope = scheduler.DedupCell
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for _, p := range v.GetArray("Plans") {
 		s.Plans = append(s.Plans, scheduler.Plan{
 			Name: r.str(p, "Name"), Rate: r.num(p, "UsualRate"), Reserve: r.num(p, "Reservation"),
-			Weight: r.num(p, "Shares"), Pays: r.num(p, "Pays"), Limit: r.num(p, "CeilingRate"),
-			LimitCap: r.num(p, "CapDepth"), LimitDebt: r.num(p, "CapSlack"),
+			Weight: r.num(p, "Shares"), PriorityFactor: r.num(p, "Pays"), Limit: r.num(p, "CeilingRate"),
+			LimitBurst: r.num(p, "CapDepth"), LimitOverdraft: r.num(p, "CapSlack"),
 		})
 	}
-	s.Siblings, s.Shards = r.count(v, "Siblings"), r.count(v, "FamilyInfo", "NShards")
-	s.MeanUnits, s.MostUnits = r.num(v, "FamilyInfo", "MeanUnits"), r.num(v, "FamilyInfo", "MostUnits")
-	s.FairWorth, s.IdleWorth = r.num(v, "FamilyInfo", "FairWorth"), r.num(v, "FamilyInfo", "IdleWorth")
-	s.AskList = r.str(v, "Discovery") == "ask"
-	s.AskWithin = r.ms(v, "Invariants", "AskWithin")
+	s.Gateways, s.Shards = r.count(v, "Siblings"), r.count(v, "FamilyInfo", "NShards")
+	s.MeanUnits, s.MaxUnits = r.num(v, "FamilyInfo", "MeanUnits"), r.num(v, "FamilyInfo", "MostUnits")
+	s.FairShareWeight, s.SurplusWeight = r.num(v, "FamilyInfo", "FairWorth"), r.num(v, "FamilyInfo", "IdleWorth")
+	s.PollEndpoints = r.str(v, "Discovery") == "ask"
+	s.MaxPollInterval = r.ms(v, "Invariants", "AskWithin")
 	s.MaxAttempts = r.count(v, "Limits", "AttemptsCap")
-	s.MayDuplicate, s.MayCancel = r.yes(v, "Limits", "MayDuplicate"), r.yes(v, "Limits", "Cancel")
-	s.MayProbe = r.yes(v, "Limits", "Probing")
+	s.AllowHedging, s.AllowCancel = r.yes(v, "Limits", "MayDuplicate"), r.yes(v, "Limits", "Cancel")
+	s.AllowProbes = r.yes(v, "Limits", "Probing")
 	if r.yes(v, "Limits", "RetryAfter") {
-		s.MaxComeBack = r.ms(v, "Limits", "MaxRetryAfter")
+		s.MaxRetryAfter = r.ms(v, "Limits", "MaxRetryAfter")
 	}
-	s.AnswerGrace, s.DrainGrace = r.ms(v, "Invariants", "GraceToAnswer"), r.ms(v, "Invariants", "DrainGrace")
-	s.StartCapacity, s.RampTime = r.num(v, "Invariants", "StartCapacity"), r.ms(v, "Invariants", "RampTime")
-	s.FallMultiple, s.FallWindow = r.num(v, "Invariants", "FallMultiple"), r.ms(v, "Invariants", "Fall")
-	s.ColdBears, s.KeyRest = r.num(v, "FamilyInfo", "ColdBears"), r.ms(v, "Invariants", "KeyRest")
-	s.ExtraFloor, s.ExtraRatio = r.num(v, "Invariants", "ExtraFloor"), r.num(v, "Invariants", "ExtraRatio")
-	s.ExtraWindow, s.UsePeriod = r.ms(v, "Invariants", "CountedOver"), r.ms(v, "FamilyInfo", "UsePeriod")
-	s.TellsElsewhere = r.yes(v, "FamilyInfo", "TellsElsewhere")
+	s.ResponseGrace, s.DrainGrace = r.ms(v, "Invariants", "GraceToAnswer"), r.ms(v, "Invariants", "DrainGrace")
+	s.InitialCapacity, s.SlowStartDuration = r.num(v, "Invariants", "StartCapacity"), r.ms(v, "Invariants", "RampTime")
+	s.OverloadMultiple, s.OverloadWindow = r.num(v, "Invariants", "FallMultiple"), r.ms(v, "Invariants", "Fall")
+	s.SlowStartUnits, s.KeyCooldown = r.num(v, "FamilyInfo", "ColdBears"), r.ms(v, "Invariants", "KeyRest")
+	s.RetryBudgetMin, s.RetryBudgetRatio = r.num(v, "Invariants", "ExtraFloor"), r.num(v, "Invariants", "ExtraRatio")
+	s.RetryBudgetWindow, s.UsagePeriod = r.ms(v, "Invariants", "CountedOver"), r.ms(v, "FamilyInfo", "UsePeriod")
+	s.ReportsForeignUnits = r.yes(v, "FamilyInfo", "TellsElsewhere")
 	for _, f := range v.GetArray("Report", "Fields") {
 		name, _ := f.StringBytes()
-		s.ReportFields = append(s.ReportFields, string(name))
+		s.LoadReportFields = append(s.LoadReportFields, string(name))
 	}
-	s.Tick = r.ms(v, "Tick")
+	s.MinStepInterval = r.ms(v, "Tick")
 	return s
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,20 +32,20 @@
 	}
 	s := c.Settings
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 || c.ConnIdleMs != 30000 ||
-		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Scope != scheduler.Stale || c.Known.Nodes[0].Shard != 3 {
+		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Scope != scheduler.CachedSnapshot || c.Known.Nodes[0].Shard != 3 {
 		t.Errorf("%+v", c)
 	}
-	push := scheduler.Class{Name: "push", Aim: 400 * time.Millisecond, Deadline: 3 * time.Second, Effect: scheduler.ByKey,
-		Scope: scheduler.ScopeCell, DedupWindow: 3 * time.Second, Write: true, Worth: 2}
-	basic := scheduler.Plan{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, Pays: 0.96, Limit: 33, LimitCap: 53, LimitDebt: 6}
-	if len(s.Classes) != 3 || s.Classes[1] != push || s.Classes[0].Effect != scheduler.Repeatable || s.Plans[0] != basic {
+	push := scheduler.Class{Name: "push", LatencyObjective: 400 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: scheduler.IdempotentWithKey,
+		DedupScope: scheduler.DedupCell, DedupWindow: 3 * time.Second, Write: true, PriorityWeight: 2}
+	basic := scheduler.Plan{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, PriorityFactor: 0.96, Limit: 33, LimitBurst: 53, LimitOverdraft: 6}
+	if len(s.Classes) != 3 || s.Classes[1] != push || s.Classes[0].Idempotency != scheduler.Idempotent || s.Plans[0] != basic {
 		t.Errorf("%+v", s)
 	}
-	if odd := s.Classes[2]; odd.Effect != scheduler.Once || odd.Scope != scheduler.ScopeCell {
+	if odd := s.Classes[2]; odd.Idempotency != scheduler.NotIdempotent || odd.DedupScope != scheduler.DedupCell {
 		t.Errorf("an unknown effect is not read as the strictest: %+v", odd)
 	}
-	if s.Siblings != 3 || !s.AskList || s.Shards != 10 || !s.TellsElsewhere || s.MaxAttempts != 3 || s.ReportFields[0] != "queue" ||
-		s.MaxComeBack != 500*time.Millisecond || s.AskWithin != 10*time.Second || s.FallWindow != 3*time.Second || s.Tick != 2*time.Millisecond {
+	if s.Gateways != 3 || !s.PollEndpoints || s.Shards != 10 || !s.ReportsForeignUnits || s.MaxAttempts != 3 || s.LoadReportFields[0] != "queue" ||
+		s.MaxRetryAfter != 500*time.Millisecond || s.MaxPollInterval != 10*time.Second || s.OverloadWindow != 3*time.Second || s.MinStepInterval != 2*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
 }
@@ -98,8 +98,8 @@
 			continue
 		}
 		s := cfg.Settings
-		if s.Classes[1].DedupWindow <= 0 || s.AskWithin <= 0 || cfg.ConnIdleMs > mostMs ||
-			time.Duration(2e18)+s.Classes[1].DedupWindow+s.AskWithin < time.Duration(2e18) {
+		if s.Classes[1].DedupWindow <= 0 || s.MaxPollInterval <= 0 || cfg.ConnIdleMs > mostMs ||
+			time.Duration(2e18)+s.Classes[1].DedupWindow+s.MaxPollInterval < time.Duration(2e18) {
 			t.Errorf("%s: %+v", c.new, s)
 		}
 	}
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -195,7 +195,7 @@
 			errs = append(errs, fmt.Errorf("%s: the settings have no class %q", name, want))
 		}
 	}
-	if f.Write.Effect == scheduler.Repeatable && f.Write.Name != "" {
+	if f.Write.Idempotency == scheduler.Idempotent && f.Write.Name != "" {
 		errs = append(errs, fmt.Errorf("write_class: repeats of %q need no key, so writes would be repeated freely", f.Write.Name))
 	}
 	if f.Port > 65535 || f.MaxConns < 1 || f.MaxConns > 4096 || f.UnitBytes < 1 {
@@ -213,7 +213,7 @@
 			errs = append(errs, fmt.Errorf("root %q: wants a clean absolute path, a volume in hex and a known plan", root.Path))
 		}
 		if root.Hosts == 0 {
-			root.Hosts = max(1, set.Siblings) // the volume's limit is dealt out over all gateways
+			root.Hosts = max(1, set.Gateways) // the volume's limit is dealt out over all gateways
 		}
 		f.Roots = append(f.Roots, root)
 	}
--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -63,7 +63,7 @@
 	d := &Desk{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*lifecycle.Request{},
 		held: map[exchange.ID]*held{}, stop: func() {}}
 	for _, c := range opt.Classes {
-		d.classes[c.Name] = exchange.Class{Effect: c.Effect, Scope: c.Scope,
+		d.classes[c.Name] = exchange.Class{Effect: c.Idempotency, Scope: c.DedupScope,
 			WindowMs: clock.Ms(c.DedupWindow)}
 	}
 	return d, nil
--- a/internal/dedup/desk_test.go
+++ b/internal/dedup/desk_test.go
@@ -35,8 +35,8 @@
 		change(&set)
 	}
 	classes := testsettings.Settings(4).Classes
-	classes = append(classes, scheduler.Class{Name: "zoned", Effect: scheduler.ByKey, Scope: scheduler.ScopeZone, DedupWindow: 3 * time.Second},
-		scheduler.Class{Name: "once", Effect: scheduler.Once})
+	classes = append(classes, scheduler.Class{Name: "zoned", Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupZone, DedupWindow: 3 * time.Second},
+		scheduler.Class{Name: "once", Idempotency: scheduler.NotIdempotent})
 	var err error
 	b.d, err = New(Options{Settings: set, Classes: classes, Name: "gw", Metrics: metrics.New(),
 		Now: func() float64 { return b.now },
--- a/internal/dedup/exchange/contract.go
+++ b/internal/dedup/exchange/contract.go
@@ -19,19 +19,19 @@
 
 // The kinds of effect and the groups of nodes that drop repeats are the decision module's.
 type (
-	Effect = scheduler.Effect
-	Scope  = scheduler.Scope
+	Effect = scheduler.Idempotency
+	Scope  = scheduler.DedupScope
 )
 
 // They by their names there.
 const (
-	Repeatable = scheduler.Repeatable
-	ByKey      = scheduler.ByKey
-	Once       = scheduler.Once
+	Repeatable = scheduler.Idempotent
+	ByKey      = scheduler.IdempotentWithKey
+	Once       = scheduler.NotIdempotent
 
-	ScopeAll  = scheduler.ScopeAll
-	ScopeZone = scheduler.ScopeZone
-	ScopeCell = scheduler.ScopeCell
+	ScopeAll  = scheduler.DedupAll
+	ScopeZone = scheduler.DedupZone
+	ScopeCell = scheduler.DedupCell
 )
 
 // Class is what the ledger must know of a request's class.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -46,8 +46,8 @@
 	againMostMs = 160
 )
 
-var states = map[string]scheduler.NodeState{
-	"Ready": scheduler.Live, "Terminating": scheduler.Draining, "Gone": scheduler.Gone,
+var states = map[string]scheduler.ServerState{
+	"Ready": scheduler.Ready, "Terminating": scheduler.Draining, "Gone": scheduler.Removed,
 }
 
 var errSilent = errors.New("silent")
@@ -57,9 +57,9 @@
 // Decode reads a list or a change. Bad entries are left out and counted. A state of a later protocol is read
 // as draining: known, but not to be sent to.
 func Decode(v *fastjson.Value) (l lifecycle.List, bad int) {
-	l.Version, l.Scope = v.GetUint64("version"), scheduler.Patch
+	l.Version, l.Scope = v.GetUint64("version"), scheduler.Delta
 	if v.GetBool("full") {
-		l.Scope = scheduler.Whole
+		l.Scope = scheduler.Snapshot
 	}
 	for _, e := range v.GetArray("servers") {
 		n := &lifecycle.Node{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
@@ -71,7 +71,7 @@
 		}
 		n.State = state
 		_, _, err := net.SplitHostPort(n.Addr)
-		if n.Name == "" || n.Shard < 0 || math.Abs(n.StartedMs) > 1e15 || err != nil && state != scheduler.Gone {
+		if n.Name == "" || n.Shard < 0 || math.Abs(n.StartedMs) > 1e15 || err != nil && state != scheduler.Removed {
 			bad++
 			continue
 		}
@@ -125,9 +125,9 @@
 
 // news is a list as nodelist judges it.
 func news(l lifecycle.List) endpoints.News {
-	n := endpoints.News{Version: l.Version, Whole: l.Scope != scheduler.Patch, Entries: make([]endpoints.Entry, len(l.Nodes))}
+	n := endpoints.News{Version: l.Version, Whole: l.Scope != scheduler.Delta, Entries: make([]endpoints.Entry, len(l.Nodes))}
 	for i, e := range l.Nodes {
-		n.Entries[i] = endpoints.Entry{Name: e.Name, Live: e.State == scheduler.Live, Gone: e.State == scheduler.Gone, StartedMs: e.StartedMs}
+		n.Entries[i] = endpoints.Entry{Name: e.Name, Live: e.State == scheduler.Ready, Gone: e.State == scheduler.Removed, StartedMs: e.StartedMs}
 	}
 	return n
 }
@@ -266,11 +266,11 @@
 func (p *progress) ended(nowMs float64, err error) lifecycle.List {
 	switch {
 	case p.answered && errors.Is(err, errSilent):
-		return lifecycle.List{Scope: scheduler.Silent} // the call had not failed
+		return lifecycle.List{Scope: scheduler.WatchIdle} // the call had not failed
 	case p.answered && p.proven(nowMs):
-		return lifecycle.List{Scope: scheduler.Ended}
+		return lifecycle.List{Scope: scheduler.WatchClosed}
 	}
-	return lifecycle.List{Scope: scheduler.Broken, AtMs: p.beganMs, Failure: failure(err)}
+	return lifecycle.List{Scope: scheduler.WatchFailed, AtMs: p.beganMs, Failure: failure(err)}
 }
 
 // failure tells what a call that has failed by an error proves.
@@ -349,7 +349,7 @@
 				w.complete(at)
 			}
 			if seen.held == nil && seen.proven(at) { // where it is pushed, nobody has to know
-				w.Tell(lifecycle.List{Scope: scheduler.Alive, AtMs: at})
+				w.Tell(lifecycle.List{Scope: scheduler.Heartbeat, AtMs: at})
 			}
 			continue
 		}
@@ -428,9 +428,9 @@
 	for i, at := range d.Take {
 		nodes[i] = l.Nodes[at]
 	}
-	scope := scheduler.Patch
+	scope := scheduler.Delta
 	if d.Whole {
-		scope = scheduler.Whole
+		scope = scheduler.Snapshot
 	}
 	return lifecycle.List{Version: l.Version, Scope: scope, Nodes: nodes}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("%d nodes and %d bad of %d", len(l.Nodes), bad, len(v.GetArray("servers")))
 		}
 		for _, n := range l.Nodes {
-			if n.Name == "" || n.Shard < 0 || n.Addr == "" && n.State != scheduler.Gone {
+			if n.Name == "" || n.Shard < 0 || n.Addr == "" && n.State != scheduler.Removed {
 				t.Errorf("let through %q %q %d", n.Name, n.Addr, n.Shard)
 			}
 		}
@@ -43,10 +43,10 @@
 }
 
 func TestDecode(t *testing.T) {
-	for state, want := range map[string]scheduler.NodeState{"Ready": scheduler.Live, "Terminating": scheduler.Draining,
-		"Gone": scheduler.Gone, "Paused": scheduler.Draining} {
+	for state, want := range map[string]scheduler.ServerState{"Ready": scheduler.Ready, "Terminating": scheduler.Draining,
+		"Gone": scheduler.Removed, "Paused": scheduler.Draining} {
 		l, bad := Decode(fastjson.MustParse(`{"version":7,"servers":[` + fmt.Sprintf(entry, state) + `]}`))
-		if n := l.Nodes[0]; bad != 0 || l.Version != 7 || l.Scope != scheduler.Patch || n.State != want || n.Shard != 3 ||
+		if n := l.Nodes[0]; bad != 0 || l.Version != 7 || l.Scope != scheduler.Delta || n.State != want || n.Shard != 3 ||
 			n.Addr != "127.0.0.1:7070" || n.Weight != 1.5 || n.StartedMs != 12 || n.Kind != "m2" || n.Zone != "a" {
 			t.Errorf("%s: %+v, %+v", state, l, n)
 		}
@@ -75,7 +75,7 @@
 	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{Version: 41}, now, m, func(l lifecycle.List) { told <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	want := func(what string, scope scheduler.ListScope, version uint64) {
+	want := func(what string, scope scheduler.UpdateKind, version uint64) {
 		t.Helper()
 		if l := <-told; l.Scope != scope || l.Version != version {
 			t.Errorf("%s: %+v", what, l)
@@ -92,24 +92,24 @@
 	call("watch=1&after=41")
 	feed <- ""
 	feed <- `{"version":43,"servers":[` + fmt.Sprintf(entry, "Gone") + `]}`
-	want("a change", scheduler.Patch, 43)
+	want("a change", scheduler.Delta, 43)
 	feed <- `{"version":44,"full":true,"servers":[]}`
-	want("the whole list", scheduler.Whole, 44)
+	want("the whole list", scheduler.Snapshot, 44)
 	feed <- "end"
-	want("its end", scheduler.Ended, 0)
+	want("its end", scheduler.WatchClosed, 0)
 	call("watch=1&after=44")
 	feed <- `[1,2]`
-	want("a bad line", scheduler.Broken, 0)
+	want("a bad line", scheduler.WatchFailed, 0)
 	feed <- "end"
 	call("watch=1&after=44")
 	now.Advance(answerMs + 1)
-	want("no answer in time", scheduler.Broken, 0)
+	want("no answer in time", scheduler.WatchFailed, 0)
 	feed <- "end"
 	call("watch=1&after=44")
 	feed <- `{"version":45,"servers":[]}`
-	want("a change", scheduler.Patch, 45)
+	want("a change", scheduler.Delta, 45)
 	now.Advance(silentMs + 1)
-	want("silence", scheduler.Silent, 0)
+	want("silence", scheduler.WatchIdle, 0)
 	feed <- "end"
 	if len(calls) != 0 || m.Get("watch_broken") != 4 || m.Get("discovery_bad_lines") != 1 {
 		t.Errorf("%d calls more, %d broken, %d bad lines", len(calls), m.Get("watch_broken"), m.Get("discovery_bad_lines"))
@@ -122,7 +122,7 @@
 	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{}, clock.NewManual(0), metrics.New(), func(l lifecycle.List) { told <- l }, nil)
 	for range 2 { // an error, then nobody there
 		w.Start(context.Background())
-		if l := <-told; l.Scope != scheduler.Broken {
+		if l := <-told; l.Scope != scheduler.WatchFailed {
 			t.Errorf("%+v", l)
 		}
 		srv.Close()
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -82,14 +82,14 @@
 		var mu sync.Mutex
 		var told []string
 		m := metrics.New()
-		w := New("127.0.0.1:1", lifecycle.List{Version: 41, Scope: scheduler.Stale, Nodes: []*lifecycle.Node{{Name: "s-1"}, {Name: "s-2"}}},
+		w := New("127.0.0.1:1", lifecycle.List{Version: 41, Scope: scheduler.CachedSnapshot, Nodes: []*lifecycle.Node{{Name: "s-1"}, {Name: "s-2"}}},
 			clock.NewSystem(), m, func(l lifecycle.List) {
-				if l.Scope == scheduler.Broken {
+				if l.Scope == scheduler.WatchFailed {
 					t.Error("a broken list")
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				told = append(told, fmt.Sprintf("%d: %d, whole %v", l.Version, len(l.Nodes), l.Scope == scheduler.Whole))
+				told = append(told, fmt.Sprintf("%d: %d, whole %v", l.Version, len(l.Nodes), l.Scope == scheduler.Snapshot))
 			}, n.Dial)
 		w.Follow(ctx)
 		time.Sleep(80 * time.Millisecond)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -85,7 +85,7 @@
 				w.Start(t.Context())
 				wire = append(wire, <-requests...)
 				for l := range lists {
-					if l.Scope == scheduler.Ended || l.Scope == scheduler.Broken {
+					if l.Scope == scheduler.WatchClosed || l.Scope == scheduler.WatchFailed {
 						break
 					}
 				}
@@ -111,8 +111,8 @@
 // describeList writes a list as values, one entry a line.
 func describeList(l lifecycle.List, bad int) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Scope == scheduler.Whole, bad)
-	states := map[scheduler.NodeState]string{scheduler.Live: "live", scheduler.Draining: "draining", scheduler.Gone: "gone"}
+	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Scope == scheduler.Snapshot, bad)
+	states := map[scheduler.ServerState]string{scheduler.Ready: "live", scheduler.Draining: "draining", scheduler.Removed: "gone"}
 	for _, n := range l.Nodes {
 		fmt.Fprintf(&out, "name %q, address %q, zone %q, kind %q, shard %d, weight %v, started %v ms, state %s\n",
 			n.Name, n.Addr, n.Zone, n.Kind, n.Shard, n.Weight, n.StartedMs, states[n.State])
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -62,7 +62,7 @@
 	w.Start(ctx)         // one is open
 	w.Move(ctx, newAddr) // and there already
 	newFeed <- `{"version":2,"full":true,"servers":[]}`
-	if l := <-told; l.Version != 2 || l.Scope != scheduler.Whole {
+	if l := <-told; l.Version != 2 || l.Scope != scheduler.Snapshot {
 		t.Errorf("%+v", l)
 	}
 	if len(told) != 0 || len(newAsked) != 0 || m.Get("watch_broken") != 0 {
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -33,7 +33,7 @@
 		told   int
 		lines  int64 // that could not be read
 		withMs float64
-		ends   scheduler.ListScope // Broken where it is left out
+		ends   scheduler.UpdateKind // Broken where it is left out
 	}{
 		"refused":                     {answer: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
 		"elsewhere":                   {answer: "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.9:1/v1/endpoints\r\nContent-Length: 0\r\n\r\n"},
@@ -42,26 +42,26 @@
 		"never answered":              {stays: true, withMs: answerMs},
 		"a head that stops":           {answer: head + "X-", stays: true, withMs: answerMs},
 		"a head without end":          {answer: head + strings.Repeat("X-A: "+strings.Repeat("a", 4000)+"\r\n", 8)},
-		"a head and no more":          {answer: head + "\r\n", stays: true, withMs: silentMs, ends: scheduler.Silent},
-		"cut off in a line":           {answer: head + "\r\n" + list + list[:40], told: 1, lines: 1, ends: scheduler.Ended},
-		"shorter than it says":        {answer: head + "Content-Length: 4000\r\n\r\n" + list, told: 1, ends: scheduler.Ended},
-		"indented":                    {answer: head + "\r\n\n" + indented(list) + " \r\n" + indented(list), told: 2, ends: scheduler.Ended},
-		"two objects in a line":       {answer: head + "\r\n" + strings.TrimSpace(list) + list, told: 2, ends: scheduler.Ended},
-		"more behind an object":       {answer: head + "\r\n" + strings.TrimSpace(list) + "]\n" + list, told: 1, lines: 1, ends: scheduler.Ended},
+		"a head and no more":          {answer: head + "\r\n", stays: true, withMs: silentMs, ends: scheduler.WatchIdle},
+		"cut off in a line":           {answer: head + "\r\n" + list + list[:40], told: 1, lines: 1, ends: scheduler.WatchClosed},
+		"shorter than it says":        {answer: head + "Content-Length: 4000\r\n\r\n" + list, told: 1, ends: scheduler.WatchClosed},
+		"indented":                    {answer: head + "\r\n\n" + indented(list) + " \r\n" + indented(list), told: 2, ends: scheduler.WatchClosed},
+		"two objects in a line":       {answer: head + "\r\n" + strings.TrimSpace(list) + list, told: 2, ends: scheduler.WatchClosed},
+		"more behind an object":       {answer: head + "\r\n" + strings.TrimSpace(list) + "]\n" + list, told: 1, lines: 1, ends: scheduler.WatchClosed},
 		"braces that do not match":    {answer: head + "\r\n" + `{"servers":[}]` + "\n", lines: 1},
 		"an object without end":       {answer: head + "\r\n{" + strings.Repeat(`"a":[`, maxValue/4)},
 		"longer than it says":         {answer: head + "Content-Length: 40\r\n\r\n" + list, lines: 1},
 		"two lengths":                 {answer: head + "Content-Length: 4\r\nContent-Length: 9\r\n\r\n" + list},
 		"a chunk of no size":          {answer: head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + list},
 		"a line without end":          {answer: head + "\r\n" + strings.Repeat(" ", maxValue+2)},
-		"silent behind a list":        {answer: head + "\r\n" + list, stays: true, told: 1, withMs: silentMs, ends: scheduler.Silent},
+		"silent behind a list":        {answer: head + "\r\n" + list, stays: true, told: 1, withMs: silentMs, ends: scheduler.WatchIdle},
 		"a list of another kind":      {answer: head + "\r\n" + `{"version":44,"full":true,"servers":{"id":"s-1"}}` + "\n", lines: 1},
 		"a whole list without a list": {answer: head + "\r\n" + `{"version":44,"full":true}` + "\n", lines: 1},
 		"entries of no use":           {answer: head + "\r\n" + `{"version":44,"servers":[{"id":"x"},null,7]}` + "\n", told: 1},
 		"not JSON":                    {answer: head + "\r\n<html>\n", lines: 1},
 	} {
 		if c.ends == 0 {
-			c.ends = scheduler.Broken
+			c.ends = scheduler.WatchFailed
 		}
 		synctest.Test(t, func(t *testing.T) {
 			n := &memnet.Net{}
@@ -86,20 +86,20 @@
 			m, began := metrics.New(), time.Now()
 			told, broken := 0, make(chan float64, 2)
 			w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewSystem(), m, func(l lifecycle.List) {
-				if l.Scope == scheduler.Alive {
+				if l.Scope == scheduler.Heartbeat {
 					if told == 0 || l.AtMs == 0 {
 						t.Errorf("%s: an empty line before anything else shows nothing yet: %+v", name, l)
 					}
 					return
 				}
-				if l.Scope >= scheduler.Broken {
+				if l.Scope >= scheduler.WatchFailed {
 					if l.Scope != c.ends { // only a call that was answered has not failed
 						t.Errorf("%s: its end is told as %v, want %v", name, l.Scope, c.ends)
 					}
 					broken <- clock.Ms(time.Since(began))
 					return
 				}
-				if told++; l.Scope == scheduler.Whole && len(l.Nodes) == 0 {
+				if told++; l.Scope == scheduler.Snapshot && len(l.Nodes) == 0 {
 					t.Errorf("%s: the list is emptied", name)
 				}
 			}, n.Dial)
@@ -157,9 +157,9 @@
 				_, err = io.WriteString(nc, " \n")
 			}
 		}()
-		ended, alive := make(chan scheduler.ListScope, 1), 0
+		ended, alive := make(chan scheduler.UpdateKind, 1), 0
 		w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewSystem(), metrics.New(), func(l lifecycle.List) {
-			if l.Scope == scheduler.Alive {
+			if l.Scope == scheduler.Heartbeat {
 				alive++
 				return
 			}
@@ -167,7 +167,7 @@
 		}, n.Dial)
 		began := time.Now()
 		w.Start(context.Background())
-		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != scheduler.Silent || took != 5*lineMs+silentMs {
+		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != scheduler.WatchIdle || took != 5*lineMs+silentMs {
 			t.Errorf("ended as %v after %v ms", scope, took)
 		}
 		if alive != 4 { // the first of five comes too soon to show that discovery has got to the call
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -29,7 +29,7 @@
 	}
 	at := s.wake
 	s.wake = 0
-	return []scheduler.Action{scheduler.WakeAt{At: at}}
+	return []scheduler.Action{scheduler.SetTimer{At: at}}
 }
 
 // woken is a running loop whose module was stepped at 100 ms and asks to be woken at 150; end ends it.
--- a/internal/frontend/httpserver/front.go
+++ b/internal/frontend/httpserver/front.go
@@ -166,7 +166,7 @@
 	}
 	if f.yields(arrived, endMs) {
 		f.Metrics.Add("requests_yielded", 1)
-		f.refuse(w, min(250, clock.Ms(f.Settings.MaxComeBack)))
+		f.refuse(w, min(250, clock.Ms(f.Settings.MaxRetryAfter)))
 		return
 	}
 	defer f.answered(arrived)
@@ -177,7 +177,7 @@
 			return
 		}
 		// Nothing of it has run, so a refusal is true to any class.
-		f.refuse(w, min(250, clock.Ms(f.Settings.MaxComeBack)))
+		f.refuse(w, min(250, clock.Ms(f.Settings.MaxRetryAfter)))
 		return
 	}
 	late := make(chan struct{})
--- a/internal/frontend/requestparse/form.go
+++ b/internal/frontend/requestparse/form.go
@@ -47,7 +47,7 @@
 	if most := 2 * clock.Ms(class.Deadline); float64(f.LeftMs) > most {
 		return nil, nil, fmt.Errorf("X-Time-Left-Ms is over %.0f", most)
 	}
-	if class.Effect == scheduler.ByKey && f.Key == "" {
+	if class.Idempotency == scheduler.IdempotentWithKey && f.Key == "" {
 		return nil, nil, fmt.Errorf("class %s needs an Idempotency-Key", class.Name)
 	}
 	if f.Key != "" && !Visible(f.Key) {
@@ -137,7 +137,7 @@
 		return errors.New("the device's name is missing, too long or not plain text")
 	}
 	key := f.Key
-	if class.Effect == scheduler.Repeatable {
+	if class.Idempotency == scheduler.Idempotent {
 		key = c.ID
 	} else if key == "" { // of a class that must not run twice
 		return fmt.Errorf("class %s needs an Idempotency-Key from a device", class.Name)
@@ -145,7 +145,7 @@
 	if !Visible(key) {
 		return errors.New("the request's id is missing, too long or not plain text")
 	}
-	if class.Effect == scheduler.Repeatable != (f.Method == http.MethodGet) {
+	if class.Idempotency == scheduler.Idempotent != (f.Method == http.MethodGet) {
 		return fmt.Errorf("class %s does not go with this method", class.Name)
 	}
 	h := sha256.New()
@@ -158,7 +158,7 @@
 	own := sha256.Sum256([]byte(c.Device + "\x00" + key))
 	nodeKey := hex.EncodeToString(own[:16])
 	prefix := "r\x00"
-	if class.Effect != scheduler.Repeatable {
+	if class.Idempotency != scheduler.Idempotent {
 		prefix = "w\x00"
 	}
 	req.ClientID = ""
@@ -167,7 +167,7 @@
 			l := *load
 			l.Header = load.Header.Clone()
 			l.Header.Set("X-Correlation-Id", id)
-			if class.Effect != scheduler.Repeatable {
+			if class.Idempotency != scheduler.Idempotent {
 				l.Header.Set("Idempotency-Key", nodeKey)
 			}
 			l.Body = body
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -54,18 +54,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.loop.Run(ctx)
-	r.list(scheduler.Live)
+	r.list(scheduler.Ready)
 	back := sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 64,
 		Address: func(*lifecycle.Node) (string, bool) { return r.files.Addr, true }}, r.clock, r.counts, r.loop.Finish)
 	r.front = &sftpserver.Front{Loop: r.loop, Carrier: back, Clock: r.clock, Metrics: r.counts,
 		Options: sftpserver.Options{MaxConns: 32, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
-			MostUnits: set.MostUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
+			MostUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
 	go r.front.Serve(r.ln)
 	return r
 }
 
-func (r *rig) list(state scheduler.NodeState) {
-	r.loop.Nodes(lifecycle.List{Scope: scheduler.Whole, Nodes: []*lifecycle.Node{{Name: "n0", Addr: "127.0.0.1:1", State: state}}})
+func (r *rig) list(state scheduler.ServerState) {
+	r.loop.Nodes(lifecycle.List{Scope: scheduler.Snapshot, Nodes: []*lifecycle.Node{{Name: "n0", Addr: "127.0.0.1:1", State: state}}})
 	r.loop.Sync()
 }
 
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -73,7 +73,7 @@
 	s := &rawSession{t: t, loop: &cannedLoop{}}
 	front := &sftpserver.Front{Loop: s.loop, Clock: clock.NewManual(start), Metrics: metrics.New(),
 		Options: sftpserver.Options{MaxConns: 4, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
-			MostUnits: set.MostUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
+			MostUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
 	ln := testbed.Listen(t)
 	go front.Serve(ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -47,9 +47,9 @@
 	defer m.mu.Unlock()
 	now := m.clock.NowMs()
 	if _, ok := m.level[volume]; !ok {
-		m.level[volume], m.last[volume] = m.plan.LimitCap, now
+		m.level[volume], m.last[volume] = m.plan.LimitBurst, now
 	}
-	m.level[volume] = min(m.plan.LimitCap, m.level[volume]+m.plan.Limit*(now-m.last[volume])/1000) - units
+	m.level[volume] = min(m.plan.LimitBurst, m.level[volume]+m.plan.Limit*(now-m.last[volume])/1000) - units
 	m.last[volume] = now
 	m.worst = min(m.worst, m.level[volume])
 	m.units[wire] += units
@@ -74,7 +74,7 @@
 	defer cancel()
 	go lp.Run(ctx)
 
-	list := lifecycle.List{Scope: scheduler.Whole}
+	list := lifecycle.List{Scope: scheduler.Snapshot}
 	ports := map[string]string{}
 	for shard := range 2 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -201,8 +201,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t.Logf("lowest level %.1f, units %v, refused %d of %d", m.worst, m.units, counts.Get("answers_refused"), counts.Get("requests_taken"))
-	if m.worst < -m.plan.LimitDebt {
-		t.Errorf("a store fell to %.1f, the slack is %.1f", m.worst, m.plan.LimitDebt)
+	if m.worst < -m.plan.LimitOverdraft {
+		t.Errorf("a store fell to %.1f, the slack is %.1f", m.worst, m.plan.LimitOverdraft)
 	}
 	if m.arrivals != counts.Get("attempts_started") {
 		t.Errorf("%d requests reached the nodes, the core sent %d", m.arrivals, counts.Get("attempts_started"))
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -48,9 +48,9 @@
 			ConnIdleMs: 30_000, Settings: testsettings.Settings(1)}
 		for i := range cfg.Settings.Classes {
 			c := &cfg.Settings.Classes[i]
-			c.Deadline, c.Aim = deadline, min(c.Aim, deadline/2)
+			c.Deadline, c.LatencyObjective = deadline, min(c.LatencyObjective, deadline/2)
 		}
-		cfg.Known = lifecycle.List{Scope: scheduler.Stale, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.2:1"}}}
+		cfg.Known = lifecycle.List{Scope: scheduler.CachedSnapshot, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.2:1"}}}
 		g, err := New(cfg, &config.Edge{}, clock.NewSystem(), Network{Dial: n.Dial, Listen: n.Listen})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -133,7 +133,7 @@
 		if others, err = newPeers(g, edge.Fleet); err != nil {
 			return nil, err
 		}
-		settings.Shares, settings.StartPart = true, others.fleet.StartPart()
+		settings.QuotaLeases, settings.InitialQuotaShare = true, others.fleet.StartPart()
 	}
 	scheduler, err := scheduler.New(settings, cfg.Seed)
 	if err != nil {
@@ -145,11 +145,11 @@
 	}
 	g.loop = eventloop.New(scheduler, c, g.Metrics)
 	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
-		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.ReportFields, Dial: network.Dial},
+		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
 	gate := g.loop.Gate()
 	gate.CatchUp, gate.Denied = g.catchUp, g.denied
-	if cfg.Settings.AskList { // where it is pushed, what this machine's agent has counts, and it can always be asked
+	if cfg.Settings.PollEndpoints { // where it is pushed, what this machine's agent has counts, and it can always be asked
 		g.loop.SetLease(endpointlease.New(endpointlease.Settings{NotifyWithinMs: notifyWithinMs,
 			GraceMs: clock.Ms(cfg.Settings.DrainGrace), MarginMs: heldUpMs}, c.NowMs()))
 	}
@@ -189,7 +189,7 @@
 	go g.loop.Run(g.ctx)
 	g.watcher.Date(g.cfg.Known)
 	g.loop.Nodes(g.cfg.Known)
-	if !g.cfg.Settings.AskList { // the module asks for nothing then, and what the agent has counts as told
+	if !g.cfg.Settings.PollEndpoints { // the module asks for nothing then, and what the agent has counts as told
 		g.watcher.Follow(g.ctx)
 	}
 	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.KnownBad))
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -97,7 +97,7 @@
 		Address: func(n *lifecycle.Node) (string, bool) { return f.Address(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Finish)
 	p.front = &sftpserver.Front{Loop: g.loop, Carrier: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
 		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.Read, Write: f.Write,
-		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MostUnits}}
+		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MaxUnits}}
 	if d != nil {
 		p.front.KeepMs = d.Ledger.KeepMs
 	}
--- a/internal/lifecycle/contract.go
+++ b/internal/lifecycle/contract.go
@@ -126,7 +126,7 @@
 type Fleet interface {
 	// Before is called at the start of each step, before anything is decided: what holds by time alone may have ended.
 	Before(nowMs float64) []scheduler.Event
-	Demand(nowMs float64, d scheduler.Demand)
+	Demand(nowMs float64, d scheduler.QuotaDemand)
 	// Listed tells which nodes there are now by this gateway's own list, and which are gone since it was last told.
 	Listed(nowMs float64, nodes, gone []*Node)
 	// Ended tells how an attempt at a node ended.
@@ -141,10 +141,10 @@
 	Name, Addr, Zone, Kind string
 	Shard                  int
 	Weight, StartedMs      float64
-	State                  scheduler.NodeState
+	State                  scheduler.ServerState
 
 	closed *atomic.Bool
-	known  scheduler.NodeID
+	known  scheduler.ServerID
 }
 
 // Closed tells whether the list has since named the node draining, gone or moved. A carrier checks it before
@@ -152,12 +152,12 @@
 func (n *Node) Closed() bool { return n.closed != nil && n.closed.Load() }
 
 // ID is how the module knows the node.
-func (n *Node) ID() scheduler.NodeID { return n.known }
+func (n *Node) ID() scheduler.ServerID { return n.known }
 
 // List is news of the node list.
 type List struct {
 	Version uint64
-	Scope   scheduler.ListScope
+	Scope   scheduler.UpdateKind
 	Nodes   []*Node
 	AtMs    float64     // as of when nothing is missing; with Broken, when the call began
 	TookMs  float64     // with the first news of a call: how long its answer took; 0: not the first
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -45,10 +45,10 @@
 	events   []scheduler.Event
 	open     map[scheduler.RequestID]*entry
 	byName   map[string]*entry // of open, those that have a ClientID
-	nodes    map[scheduler.NodeID]*Node
-	ids      map[string]scheduler.NodeID
+	nodes    map[scheduler.ServerID]*Node
+	ids      map[string]scheduler.ServerID
 	lastID   scheduler.RequestID
-	lastNo   scheduler.NodeID
+	lastNo   scheduler.ServerID
 	listed   bool
 	wakeAt   time.Duration // as last asked for
 	woken    bool
@@ -60,7 +60,7 @@
 // New returns a core round a module.
 func New(p Policy, out Outside) *Core {
 	return &Core{policy: p, out: out, gate: NewGate(), open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
-		nodes: map[scheduler.NodeID]*Node{}, ids: map[string]scheduler.NodeID{}}
+		nodes: map[scheduler.ServerID]*Node{}, ids: map[string]scheduler.ServerID{}}
 }
 
 // TraceOn makes the core log the life of each request. It is called before the first of them.
@@ -124,9 +124,9 @@
 	if c.traced {
 		c.out.Trace(logevent.RequestTaken, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.LeftMs)
 	}
-	c.events = append(c.events, scheduler.Arrival{ID: r.id, Class: r.Class, Plan: r.Plan,
-		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.LeftMs), Came: clock.Duration(r.CameMs),
-		Units: r.Units, Shard: r.Shard, Hosts: r.Hosts, Repeat: r.Repeat, Fresh: r.Fresh})
+	c.events = append(c.events, scheduler.RequestArrived{ID: r.id, Class: r.Class, Plan: r.Plan,
+		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.LeftMs), ClientDelay: clock.Duration(r.CameMs),
+		Units: r.Units, Shard: r.Shard, Gateways: r.Hosts, IsRetry: r.Repeat, IsFirstAttempt: r.Fresh})
 }
 
 // Gone tells that a request's client has gone away: it gets no answer any more.
@@ -145,7 +145,7 @@
 	if c.traced {
 		c.out.Trace(logevent.RequestDropped, logevent.Request, r.ClientID, "id", r.id)
 	}
-	c.events = append(c.events, scheduler.Dropped{ID: r.id})
+	c.events = append(c.events, scheduler.RequestCanceled{ID: r.id})
 	c.settle(e)
 }
 
@@ -157,7 +157,7 @@
 	}
 	t := e.tries[n]
 	t.ended = true
-	t.unrun = res.Status == scheduler.Full || res.Status == scheduler.ConnectFailed || res.Status == scheduler.Moot
+	t.unrun = res.Status == scheduler.StatusOverloaded || res.Status == scheduler.StatusConnectFailed || res.Status == scheduler.StatusNotSent
 	e.out--
 	c.out.Count("attempts_" + statusNames[res.Status])
 	if c.traced {
@@ -167,12 +167,12 @@
 	if c.fleet != nil {
 		c.fleet.Ended(nowMs, t.node, res.Status, nowMs-t.sentMs)
 	}
-	if res.Status == scheduler.OK && !e.answered { // the first answer of a node goes to the client as it is
+	if res.Status == scheduler.StatusOK && !e.answered { // the first answer of a node goes to the client as it is
 		c.answer(e, Answer{Verdict: Served, Result: res.Body})
 	}
-	c.events = append(c.events, scheduler.Outcome{ID: r.id, Attempt: n, Node: t.node.known, Status: res.Status,
-		Latency: clock.Duration(nowMs - t.sentMs), Terminal: e.answered, VolumeUse: res.Use, HasUse: res.HasUse,
-		ForeignUnits: res.ForeignUnits, Report: res.Report})
+	c.events = append(c.events, scheduler.AttemptEnded{ID: r.id, Attempt: n, Server: t.node.known, Status: res.Status,
+		Latency: clock.Duration(nowMs - t.sentMs), RequestDone: e.answered, VolumeUsage: res.Use, HasVolumeUsage: res.HasUse,
+		ForeignUnits: res.ForeignUnits, LoadReport: res.Report})
 	c.settle(e)
 }
 
@@ -180,8 +180,8 @@
 
 // Probed tells what a probe found.
 func (c *Core) Probed(n *Node, latencyMs float64, s scheduler.Status, report []float64) {
-	c.events = append(c.events, scheduler.Probed{Node: n.known, Status: s,
-		Latency: clock.Duration(latencyMs), Report: report})
+	c.events = append(c.events, scheduler.ProbeEnded{Server: n.known, Status: s,
+		Latency: clock.Duration(latencyMs), LoadReport: report})
 }
 
 // renew renews the lease on the list by what has come of discovery.
@@ -193,11 +193,11 @@
 		c.lease.Answered(l.TookMs)
 	}
 	switch {
-	case l.Scope == scheduler.Patch || l.Scope == scheduler.Whole || l.Scope == scheduler.Alive:
+	case l.Scope == scheduler.Delta || l.Scope == scheduler.Snapshot || l.Scope == scheduler.Heartbeat:
 		c.lease.Heard(l.AtMs)
-	case l.Scope == scheduler.Broken && l.Failure == Unreachable:
+	case l.Scope == scheduler.WatchFailed && l.Failure == Unreachable:
 		c.lease.Unreachable(l.AtMs)
-	case l.Scope == scheduler.Broken && l.Failure == TurnedAway:
+	case l.Scope == scheduler.WatchFailed && l.Failure == TurnedAway:
 		c.lease.Refused(l.AtMs)
 	}
 	c.gate.SetListUntil(c.lease.UntilMs())
@@ -214,12 +214,12 @@
 // Nodes brings news of the node list.
 func (c *Core) Nodes(l List) {
 	c.renew(l)
-	ev := scheduler.NodeList{Version: l.Version, Scope: l.Scope, Until: c.listUntil()}
-	listed := map[scheduler.NodeID]bool{}
+	ev := scheduler.EndpointUpdate{Version: l.Version, Kind: l.Scope, ValidUntil: c.listUntil()}
+	listed := map[scheduler.ServerID]bool{}
 	for _, n := range l.Nodes {
 		id := c.ids[n.Name]
 		if id == 0 {
-			if n.State == scheduler.Gone {
+			if n.State == scheduler.Removed {
 				continue // nothing is known of it, and nothing will be
 			}
 			c.lastNo++
@@ -236,15 +236,15 @@
 				old.closed.Store(true) // moved
 			}
 		}
-		n.closed.Store(n.State != scheduler.Live)
+		n.closed.Store(n.State != scheduler.Ready)
 		c.nodes[id] = n
-		ev.Nodes = append(ev.Nodes, scheduler.Node{ID: id, State: n.State, Shard: n.Shard, Kind: n.Kind, Zone: n.Zone,
+		ev.Servers = append(ev.Servers, scheduler.Server{ID: id, State: n.State, Shard: n.Shard, Kind: n.Kind, Zone: n.Zone,
 			StartedAt: clock.Duration(n.StartedMs), Size: n.Weight})
-		if n.State == scheduler.Gone {
+		if n.State == scheduler.Removed {
 			c.forget(n)
 		}
 	}
-	if l.Scope == scheduler.Whole || l.Scope == scheduler.Stale {
+	if l.Scope == scheduler.Snapshot || l.Scope == scheduler.CachedSnapshot {
 		for id, n := range c.nodes {
 			if !listed[id] {
 				n.closed.Store(true)
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	if l.Scope < scheduler.Broken && (l.Scope != scheduler.Stale || len(l.Nodes) > 0) {
+	if l.Scope < scheduler.WatchFailed && (l.Scope != scheduler.CachedSnapshot || len(l.Nodes) > 0) {
 		c.listed = true
 	}
 	c.events = append(c.events, ev)
@@ -272,13 +272,13 @@
 // Ending tells that the gateway ends, and by when all that is open must have been answered: also what was taken
 // before anyone knew, and may wait for longer than the platform leaves the program.
 func (c *Core) Ending(atMs float64) {
-	c.events = append(c.events, scheduler.Ending{At: clock.Duration(atMs)})
+	c.events = append(c.events, scheduler.ShutdownStarted{Deadline: clock.Duration(atMs)})
 }
 
 // Wake tells that a time asked for with Outside.WakeAt has come.
 func (c *Core) Wake() {
 	c.woken = true
-	c.events = append(c.events, scheduler.Wake{})
+	c.events = append(c.events, scheduler.TimerFired{})
 }
 
 // roundOff is more than what a time loses on its way to a timer and back as float64 milliseconds since the epoch.
@@ -314,25 +314,25 @@
 		switch a := a.(type) {
 		case scheduler.Send:
 			c.send(nowMs, a)
-		case scheduler.Refuse:
-			c.end(a.ID, Answer{Verdict: Refused, ComeBackMs: clock.Ms(a.ComeBack), Reason: a.Reason})
+		case scheduler.Reject:
+			c.end(a.ID, Answer{Verdict: Refused, ComeBackMs: clock.Ms(a.RetryAfter), Reason: a.Reason})
 		case scheduler.Fail:
 			c.end(a.ID, Answer{Verdict: Failed, Reason: a.Reason})
-		case scheduler.Cancel:
+		case scheduler.CancelAttempt:
 			if e := c.open[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.tries) && !e.tries[a.Attempt].ended {
 				e.tries[a.Attempt].cancel()
 			}
-		case scheduler.Subscribe:
+		case scheduler.WatchEndpoints:
 			c.out.Subscribe()
-		case scheduler.Probe:
-			if n := c.nodes[a.Node]; n != nil {
+		case scheduler.ProbeServer:
+			if n := c.nodes[a.Server]; n != nil {
 				c.out.Probe(n)
 			}
-		case scheduler.Demand:
+		case scheduler.QuotaDemand:
 			if c.fleet != nil {
 				c.fleet.Demand(nowMs, a)
 			}
-		case scheduler.WakeAt:
+		case scheduler.SetTimer:
 			c.wakeAt = a.At
 			c.out.WakeAt(clock.Ms(a.At))
 		case scheduler.Log:
@@ -344,9 +344,9 @@
 }
 
 func (c *Core) send(nowMs float64, a scheduler.Send) {
-	e, n := c.open[a.ID], c.nodes[a.Node]
+	e, n := c.open[a.ID], c.nodes[a.Server]
 	if e == nil || n == nil {
-		c.out.Log(fmt.Sprintf("send of request %d to node %d: not known", a.ID, a.Node))
+		c.out.Log(fmt.Sprintf("send of request %d to node %d: not known", a.ID, a.Server))
 		return
 	}
 	deadline := e.expiryMs
@@ -357,7 +357,7 @@
 	if c.fleet != nil {
 		begin = c.fleet.Until(scheduler.VolumeID(e.req.Volume))
 	}
-	if before := clock.Ms(a.Before); before != 0 && (begin == 0 || before < begin) {
+	if before := clock.Ms(a.StartDeadline); before != 0 && (begin == 0 || before < begin) {
 		begin = before
 	}
 	t := &attempt{node: n, sentMs: nowMs}
@@ -381,7 +381,7 @@
 var verdictNames = [...]string{"answers_served", "answers_refused", "answers_failed"}
 
 // reasonCounters are the names of the counters of refused and failed answers by reason.
-var reasonCounters = func() (names [len(verdictNames)][scheduler.ReasonsNumber]string) {
+var reasonCounters = func() (names [len(verdictNames)][scheduler.ReasonCount]string) {
 	for v, verdict := range verdictNames {
 		for r := range names[v] {
 			names[v][r] = verdict + "_" + scheduler.Reason(r).String()
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -39,8 +39,8 @@
 	return func() {}
 }
 
-func nodes(states ...scheduler.NodeState) (l lifecycle.List) {
-	l.Scope = scheduler.Whole
+func nodes(states ...scheduler.ServerState) (l lifecycle.List) {
+	l.Scope = scheduler.Snapshot
 	for i, s := range states {
 		l.Nodes = append(l.Nodes, &lifecycle.Node{Name: string(rune('a' + i)), Addr: "127.0.0.1:1", State: s})
 	}
@@ -65,7 +65,7 @@
 		}
 		mod, car := &script{}, &carrier{}
 		c := lifecycle.New(mod, &quiet{})
-		c.Nodes(nodes(scheduler.Live))
+		c.Nodes(nodes(scheduler.Ready))
 		c.Step(0)
 		var all []*model
 		for i, s := range steps {
@@ -84,20 +84,20 @@
 			switch s % 8 {
 			case 1: // the module sends
 				if !m.over {
-					mod.actions = []scheduler.Action{scheduler.Send{ID: m.id, Node: 1}}
+					mod.actions = []scheduler.Action{scheduler.Send{ID: m.id, Server: 1}}
 					m.attempts = append(m.attempts, false)
 				}
 				c.Wake()
 				want = 1
 			case 2, 3: // an attempt ends, perhaps for the second time
-				n, status := int(s>>5), scheduler.Error
+				n, status := int(s>>5), scheduler.StatusError
 				if s%8 == 2 {
-					status = scheduler.OK
+					status = scheduler.StatusOK
 				}
 				c.Finish(now, m.req, n, lifecycle.Result{Status: status})
 				if n < len(m.attempts) && !m.attempts[n] {
 					m.attempts[n], want = true, 1
-					m.over = m.over || status == scheduler.OK
+					m.over = m.over || status == scheduler.StatusOK
 				}
 			case 4: // the client goes
 				c.Gone(now, m.req)
@@ -107,13 +107,13 @@
 			case 5, 6: // the module gives up, perhaps on what is over
 				mod.actions = []scheduler.Action{scheduler.Fail{ID: m.id}}
 				if s%8 == 6 {
-					mod.actions = []scheduler.Action{scheduler.Refuse{ID: m.id}}
+					mod.actions = []scheduler.Action{scheduler.Reject{ID: m.id}}
 				}
 				c.Wake()
 				m.over, want = true, 1
 			case 7:
-				mod.actions = []scheduler.Action{scheduler.Cancel{ID: m.id, Attempt: int(s >> 5)}, scheduler.Probe{Node: 9},
-					scheduler.Send{ID: 999, Node: 1}, scheduler.Send{ID: m.id, Node: 99}, scheduler.Fail{ID: 999}}
+				mod.actions = []scheduler.Action{scheduler.CancelAttempt{ID: m.id, Attempt: int(s >> 5)}, scheduler.ProbeServer{Server: 9},
+					scheduler.Send{ID: 999, Server: 1}, scheduler.Send{ID: m.id, Server: 99}, scheduler.Fail{ID: 999}}
 				c.Wake()
 				want = 1
 			}
@@ -122,7 +122,7 @@
 				t.Fatalf("step %d (%d): the module saw %v, want %d events", i, s, mod.seen, want)
 			}
 			if want == 1 {
-				if o, ok := mod.seen[0].(scheduler.Outcome); ok && (o.Terminal != m.over || o.ID != m.id) {
+				if o, ok := mod.seen[0].(scheduler.AttemptEnded); ok && (o.RequestDone != m.over || o.ID != m.id) {
 					t.Fatalf("step %d: %+v, over is %v", i, o, m.over)
 				}
 			}
@@ -150,18 +150,18 @@
 func TestClosedNodes(t *testing.T) {
 	for name, change := range map[string]lifecycle.List{
 		"draining": nodes(scheduler.Draining),
-		"gone":     nodes(scheduler.Gone),
-		"missing":  {Scope: scheduler.Whole},
-		"moved":    {Scope: scheduler.Patch, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.1:2"}}},
+		"gone":     nodes(scheduler.Removed),
+		"missing":  {Scope: scheduler.Snapshot},
+		"moved":    {Scope: scheduler.Delta, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.1:2"}}},
 	} {
 		c := lifecycle.New(&script{}, &quiet{})
-		l := nodes(scheduler.Live)
+		l := nodes(scheduler.Ready)
 		c.Nodes(l)
 		if l.Nodes[0].Closed() {
 			t.Errorf("%s: closed from the start", name)
 		}
-		c.Nodes(lifecycle.List{Scope: scheduler.Broken})
-		c.Nodes(lifecycle.List{Scope: scheduler.Patch})
+		c.Nodes(lifecycle.List{Scope: scheduler.WatchFailed})
+		c.Nodes(lifecycle.List{Scope: scheduler.Delta})
 		if l.Nodes[0].Closed() {
 			t.Errorf("%s: a broken watch or an empty change closed it", name)
 		}
@@ -176,9 +176,9 @@
 func TestARefreshedEntryClosesWithItsNode(t *testing.T) {
 	c := lifecycle.New(&script{}, &quiet{})
 	var held []*lifecycle.Node
-	for _, state := range []scheduler.NodeState{scheduler.Live, scheduler.Live, scheduler.Draining, scheduler.Live} {
+	for _, state := range []scheduler.ServerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Ready} {
 		l := nodes(state)
-		l.Scope = scheduler.Patch
+		l.Scope = scheduler.Delta
 		c.Nodes(l)
 		held = append(held, l.Nodes[0])
 	}
@@ -209,11 +209,11 @@
 }
 
 func (s *sleeper) Step(now time.Duration, events []scheduler.Event) []scheduler.Action {
-	if _, ok := events[0].(scheduler.Wake); ok {
+	if _, ok := events[0].(scheduler.TimerFired); ok {
 		s.awake = now >= s.at
 		return nil
 	}
-	return []scheduler.Action{scheduler.WakeAt{At: s.at}}
+	return []scheduler.Action{scheduler.SetTimer{At: s.at}}
 }
 
 type alarm struct {
@@ -251,17 +251,17 @@
 
 func TestReady(t *testing.T) {
 	c := lifecycle.New(&script{}, &quiet{})
-	for _, l := range []lifecycle.List{{Scope: scheduler.Stale}, {Scope: scheduler.Broken}} {
+	for _, l := range []lifecycle.List{{Scope: scheduler.CachedSnapshot}, {Scope: scheduler.WatchFailed}} {
 		if c.Nodes(l); c.Ready() {
 			t.Errorf("ready by %+v", l)
 		}
 	}
-	if c.Nodes(lifecycle.List{Scope: scheduler.Whole}); !c.Ready() {
+	if c.Nodes(lifecycle.List{Scope: scheduler.Snapshot}); !c.Ready() {
 		t.Error("not ready though discovery has answered")
 	}
 	c = lifecycle.New(&script{}, &quiet{})
-	known := nodes(scheduler.Live)
-	known.Scope = scheduler.Stale
+	known := nodes(scheduler.Ready)
+	known.Scope = scheduler.CachedSnapshot
 	if c.Nodes(known); !c.Ready() {
 		t.Error("not ready with a known node")
 	}
@@ -272,7 +272,7 @@
 func TestNameOfAnOpenRequest(t *testing.T) {
 	mod, car := &script{}, &carrier{}
 	c := lifecycle.New(mod, &quiet{})
-	c.Nodes(nodes(scheduler.Live))
+	c.Nodes(nodes(scheduler.Ready))
 	c.Step(0)
 	var got []lifecycle.Verdict
 	take := func() *lifecycle.Request {
@@ -283,7 +283,7 @@
 		return r
 	}
 	first := take()
-	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: 1}}
+	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}}
 	c.Wake()
 	c.Step(1)
 	if take(); len(mod.seen) != 0 || len(got) != 1 || got[0] != lifecycle.Rejected {
@@ -293,7 +293,7 @@
 	if take(); len(mod.seen) != 1 || len(got) != 2 { // its attempt is still out
 		t.Errorf("the module saw %v; answers %v", mod.seen, got)
 	}
-	c.Finish(2, first, 0, lifecycle.Result{Status: scheduler.OK})
+	c.Finish(2, first, 0, lifecycle.Result{Status: scheduler.StatusOK})
 	if take(); len(got) != 2 || c.Open() != 1 {
 		t.Errorf("answers %v, %d open", got, c.Open())
 	}
@@ -303,18 +303,18 @@
 func TestGoneNodesAreForgotten(t *testing.T) {
 	mod := &script{}
 	c := lifecycle.New(mod, &quiet{})
-	ids := map[scheduler.NodeID]bool{}
+	ids := map[scheduler.ServerID]bool{}
 	for i := range 1000 {
 		name := fmt.Sprint("s-", i)
 		c.Nodes(lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, Addr: "127.0.0.1:1"}}})
-		last := lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, State: scheduler.Gone}, {Name: "unheard of", State: scheduler.Gone}}}
+		last := lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, State: scheduler.Removed}, {Name: "unheard of", State: scheduler.Removed}}}
 		if i%2 == 1 { // or the next whole list lacks it
-			last = lifecycle.List{Scope: scheduler.Whole}
+			last = lifecycle.List{Scope: scheduler.Snapshot}
 		}
 		c.Nodes(last)
 		c.Step(float64(i))
 		for _, e := range mod.seen {
-			for _, n := range e.(scheduler.NodeList).Nodes {
+			for _, n := range e.(scheduler.EndpointUpdate).Servers {
 				ids[n.ID] = true
 			}
 		}
@@ -331,7 +331,7 @@
 	const names = 200
 	mod := &script{}
 	c := lifecycle.New(mod, &quiet{})
-	list := func(states ...scheduler.NodeState) (l lifecycle.List) {
+	list := func(states ...scheduler.ServerState) (l lifecycle.List) {
 		for _, s := range states {
 			for i := range names {
 				l.Nodes = append(l.Nodes, &lifecycle.Node{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Shard: i, State: s})
@@ -339,7 +339,7 @@
 		}
 		return l
 	}
-	l := list(scheduler.Live, scheduler.Draining)
+	l := list(scheduler.Ready, scheduler.Draining)
 	c.Nodes(l)
 	c.Step(0)
 	if c.Known() != names {
@@ -350,8 +350,8 @@
 			t.Fatalf("entry %d of a node that drains by a later one is open", i)
 		}
 	}
-	last := map[scheduler.NodeID]scheduler.NodeState{}
-	for _, n := range mod.seen[0].(scheduler.NodeList).Nodes {
+	last := map[scheduler.ServerID]scheduler.ServerState{}
+	for _, n := range mod.seen[0].(scheduler.EndpointUpdate).Servers {
 		last[n.ID] = n.State
 	}
 	if len(last) != names {
@@ -362,7 +362,7 @@
 			t.Errorf("node %d is told last as %v", id, s)
 		}
 	}
-	c.Nodes(list(scheduler.Gone, scheduler.Gone))
+	c.Nodes(list(scheduler.Removed, scheduler.Removed))
 	c.Step(0)
 	if c.Known() != 0 {
 		t.Errorf("%d nodes known, and all are gone", c.Known())
@@ -373,10 +373,10 @@
 func TestAttemptsHaveTheModulesTimeToBegin(t *testing.T) {
 	mod, car := &script{}, &carrier{}
 	c := lifecycle.New(mod, &quiet{})
-	c.Nodes(nodes(scheduler.Live))
+	c.Nodes(nodes(scheduler.Ready))
 	c.Step(0)
 	c.Take(0, &lifecycle.Request{LeftMs: 1000, Carrier: car, Reply: func(lifecycle.Answer) {}})
-	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: 1}, scheduler.Send{ID: 1, Node: 1, Before: 700 * time.Millisecond}}
+	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}, scheduler.Send{ID: 1, Server: 1, StartDeadline: 700 * time.Millisecond}}
 	c.Step(1)
 	if len(car.started) != 2 || car.started[0].Over(999) || !car.started[0].Over(999.1) || car.started[1].Over(699.9) || !car.started[1].Over(700) {
 		t.Errorf("%d started: %+v", len(car.started), car.started)
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -206,9 +206,9 @@
 }
 
 // Demand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
-func (f *Fleet) Demand(nowMs float64, d scheduler.Demand) {
+func (f *Fleet) Demand(nowMs float64, d scheduler.QuotaDemand) {
 	if len(f.asked) < mostInbox {
-		f.asked = append(f.asked, quota.Demand{Pot: uint64(d.Volume), Hosts: d.Hosts, Part: d.Part, Fresh: d.Fresh})
+		f.asked = append(f.asked, quota.Demand{Pot: uint64(d.Volume), Hosts: d.Gateways, Part: d.Share, Fresh: d.First})
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
@@ -231,7 +231,7 @@
 		id := name(n)
 		f.nodes[id] = n
 		ids = append(ids, id)
-		if n.State != scheduler.Live {
+		if n.State != scheduler.Ready {
 			closed = append(closed, id)
 		}
 	}
@@ -255,11 +255,11 @@
 func (f *Fleet) Ended(nowMs float64, n *lifecycle.Node, s scheduler.Status, latencyMs float64) {
 	id := name(n)
 	switch s {
-	case scheduler.OK:
+	case scheduler.StatusOK:
 		f.verdict.Observe(nowMs, id, false)
 		f.latency.Observe(nowMs, id, latencyMs)
 		f.wake(nowMs, min(f.nextMs, max(nowMs+5, f.latency.NextMs(nowMs))))
-	case scheduler.Error, scheduler.TimedOut, scheduler.ConnectFailed, scheduler.Reset:
+	case scheduler.StatusError, scheduler.StatusTimedOut, scheduler.StatusConnectFailed, scheduler.StatusConnectionReset:
 		f.verdict.Observe(nowMs, id, true)
 		f.wake(nowMs, min(f.nextMs, nowMs+20))
 	}
@@ -275,7 +275,7 @@
 	f.shunAt = nowMs + shunMs
 	for _, v := range out {
 		if n := f.nodes[v.Node]; n != nil {
-			events = append(events, scheduler.Shun{Node: n.ID(), Rest: clock.Duration(restMs)})
+			events = append(events, scheduler.EjectServer{Server: n.ID(), MinInterval: clock.Duration(restMs)})
 			f.metrics.Add("fleet_nodes_shunned", 1)
 		}
 	}
@@ -324,12 +324,12 @@
 	samples, merged := f.latency.Step(nowMs, toL)
 	for _, m := range merged {
 		if n := f.nodes[m.Node]; n != nil {
-			events = append(events, scheduler.Seen{Node: n.ID(), Latency: clock.Duration(m.Ms)})
+			events = append(events, scheduler.PeerLatency{Server: n.ID(), Latency: clock.Duration(m.Ms)})
 		}
 	}
 	sOut, parts := f.share.Step(nowMs, asked, toS)
 	for _, p := range parts {
-		events = append(events, scheduler.Part{Volume: scheduler.VolumeID(p.Pot), Part: p.Part})
+		events = append(events, scheduler.QuotaShare{Volume: scheduler.VolumeID(p.Pot), Share: p.Part})
 		f.metrics.Add("fleet_parts_changed", 1)
 	}
 	f.send(mOut, sOut, tell, samples)
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -131,8 +131,8 @@
 func (s *side) step(now float64) {
 	s.h.turn(now)
 	for _, e := range s.f.Before(now) {
-		if p, ok := e.(scheduler.Part); ok && p.Volume == 7 {
-			s.part = p.Part
+		if p, ok := e.(scheduler.QuotaShare); ok && p.Volume == 7 {
+			s.part = p.Share
 		}
 	}
 }
@@ -149,7 +149,7 @@
 			if i == 0 {
 				need = 0.9
 			}
-			s.f.Demand(now, scheduler.Demand{Volume: 7, Hosts: 3, Part: need, Fresh: now == 0})
+			s.f.Demand(now, scheduler.QuotaDemand{Volume: 7, Gateways: 3, Share: need, First: now == 0})
 			s.step(now)
 		}
 		runtime.Gosched()
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -14,28 +14,28 @@
 )
 
 // arrive takes a request: it is held in its volume's flow at its shard.
-func (s *Scheduler) arrive(a *Arrival) {
-	if s.set.ExtraWindow > 0 {
+func (s *Scheduler) arrive(a *RequestArrived) {
+	if s.set.RetryBudgetWindow > 0 {
 		s.taken = append(s.taken, s.now)
 	}
 	if s.reqs[a.ID] != nil {
 		return
 	}
-	r, plan := &request{Arrival: *a, class: s.classes[a.Class], expiry: s.now + a.TTL}, s.plans[a.Plan]
+	r, plan := &request{RequestArrived: *a, class: s.classes[a.Class], expiry: s.now + a.TTL}, s.plans[a.Plan]
 	if len(s.set.Plans) == 1 {
 		plan = &s.set.Plans[0]
 	}
-	if r.class == nil || plan == nil || a.Shard >= len(s.shards) || a.Shard < -1 || a.TTL <= 0 || a.Came < 0 ||
+	if r.class == nil || plan == nil || a.Shard >= len(s.shards) || a.Shard < -1 || a.TTL <= 0 || a.ClientDelay < 0 ||
 		!(a.Units >= 0 && a.Units < 1e9) {
-		s.do(Refuse{ID: a.ID, Reason: Unusable}) // it has not run
+		s.do(Reject{ID: a.ID, Reason: ReasonInvalidRequest}) // it has not run
 		return
 	}
 	// A client's repeat has used up part of its aim: what it lacks of the longest time seen in its class
 	// tells how much, less what it was on its way. Less than half of that is an impatient client: a repeat so
 	// old has nothing to lose.
-	r.due = s.now + r.class.Aim
-	if !a.Fresh {
-		whole := a.TTL + a.Came
+	r.due = s.now + r.class.LatencyObjective
+	if !a.IsFirstAttempt {
+		whole := a.TTL + a.ClientDelay
 		s.longest[r.class] = max(s.longest[r.class], whole)
 		if age := s.longest[r.class] - whole; age < whole {
 			r.due -= age
@@ -51,14 +51,14 @@
 		r.shard = s.shards[a.Shard]
 	}
 	if r.shard == nil {
-		s.do(Refuse{ID: a.ID, Reason: NoServer})
+		s.do(Reject{ID: a.ID, Reason: ReasonNoServer})
 		return
 	}
 	r.vol = s.volume(a, plan)
-	if s.set.RampTime > 0 {
-		r.shard.ask(s.now, s.set.RampTime, r.Units)
+	if s.set.SlowStartDuration > 0 {
+		r.shard.ask(s.now, s.set.SlowStartDuration, r.Units)
 	}
-	if s.set.Shares && plan.Limit > 0 && r.vol.wants(s.now, a.Units) {
+	if s.set.QuotaLeases && plan.Limit > 0 && r.vol.wants(s.now, a.Units) {
 		s.do(r.vol.demand(a.Volume))
 	}
 	s.reqs[a.ID] = r
@@ -105,25 +105,25 @@
 }
 
 // volume finds or opens the books of a volume.
-func (s *Scheduler) volume(a *Arrival, plan *Plan) *volume {
-	hosts := float64(a.Hosts)
-	if a.Hosts < 1 || a.Hosts > s.set.Siblings {
-		hosts = float64(s.set.Siblings)
+func (s *Scheduler) volume(a *RequestArrived, plan *Plan) *volume {
+	hosts := float64(a.Gateways)
+	if a.Gateways < 1 || a.Gateways > s.set.Gateways {
+		hosts = float64(s.set.Gateways)
 	}
 	v := s.volumes[a.Volume]
 	if v == nil {
 		v = &volume{plan: plan, hosts: hosts}
-		v.reserve.set(plan.Reserve/hosts, plan.Reserve/hosts+s.set.MostUnits, s.now)
+		v.reserve.set(plan.Reserve/hosts, plan.Reserve/hosts+s.set.MaxUnits, s.now)
 		v.reserve.level = v.reserve.most
-		v.usual.set(plan.Rate/hosts, plan.Rate/hosts+s.set.MostUnits, s.now)
+		v.usual.set(plan.Rate/hosts, plan.Rate/hosts+s.set.MaxUnits, s.now)
 		v.usual.level = v.usual.most
-		v.limit.set(plan.Limit/hosts*s.set.StartPart, plan.LimitCap/hosts*s.set.StartPart, s.openedAt)
+		v.limit.set(plan.Limit/hosts*s.set.InitialQuotaShare, plan.LimitBurst/hosts*s.set.InitialQuotaShare, s.openedAt)
 		s.volumes[a.Volume] = v
 	}
 	if hosts > v.hosts { // told of through another front, with more gateways: each one's part is less
 		v.hosts = hosts
 		v.limit.at(s.now)
-		v.limit.rate, v.limit.most = min(v.limit.rate, plan.Limit/hosts), min(v.limit.most, plan.LimitCap/hosts)
+		v.limit.rate, v.limit.most = min(v.limit.rate, plan.Limit/hosts), min(v.limit.most, plan.LimitBurst/hosts)
 	}
 	v.askedAt = s.now
 	s.deal(v)
--- a/internal/scheduler/books.go
+++ b/internal/scheduler/books.go
@@ -57,7 +57,7 @@
 
 // request is one that the gateway has taken; it is kept until over and without an attempt out.
 type request struct {
-	Arrival
+	RequestArrived
 	class     *Class
 	vol       *volume
 	shard     *shard
@@ -76,7 +76,7 @@
 // repeatBefore is until when a repeat of what may have run may begin, on the clock: nodes drop repeats for a while from the
 // first attempt on, and one that has to wait for its connection may be later than the decision. 0: there is no such time.
 func (r *request) repeatBefore() time.Duration {
-	if !r.mayRun || r.class.Effect != ByKey {
+	if !r.mayRun || r.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
 	return r.mayRunAt + r.class.DedupWindow
@@ -112,8 +112,8 @@
 }
 
 // demand is what the volume could use of its limit here.
-func (v *volume) demand(id VolumeID) Demand {
-	d := Demand{Volume: id, Hosts: int(v.hosts), Part: v.asked / demandFade.Seconds() / v.plan.Limit, Fresh: v.tellAt == 0}
+func (v *volume) demand(id VolumeID) QuotaDemand {
+	d := QuotaDemand{Volume: id, Gateways: int(v.hosts), Share: v.asked / demandFade.Seconds() / v.plan.Limit, First: v.tellAt == 0}
 	v.tellAt = v.askedTo + demandEvery
 	return d
 }
@@ -121,7 +121,7 @@
 // limitTo sets the part of its limit that is in force here. What is held beyond its store is gone.
 func (v *volume) limitTo(now time.Duration, part float64) {
 	v.limit.at(now)
-	v.limit.rate, v.limit.most = v.plan.Limit*part, v.plan.LimitCap*part
+	v.limit.rate, v.limit.most = v.plan.Limit*part, v.plan.LimitBurst*part
 }
 
 // flow is a volume's held requests at one shard.
@@ -158,7 +158,7 @@
 
 // node is a process that serves a shard.
 type node struct {
-	Node
+	Server
 	window    float64
 	spare     float64       // the same for what volumes ask beyond their usual rate
 	latency   time.Duration // L
--- a/internal/scheduler/discoverycalls.go
+++ b/internal/scheduler/discoverycalls.go
@@ -25,9 +25,9 @@
 
 // ask keeps a subscription to the list where it must be asked for.
 func (s *Scheduler) ask() {
-	if s.set.AskList && s.now >= s.askAgain {
-		s.do(Subscribe{})
-		s.askedAt, s.askAgain, s.asking = s.now, s.now+max(s.set.AskWithin/2, time.Second), true // unless answered
+	if s.set.PollEndpoints && s.now >= s.askAgain {
+		s.do(WatchEndpoints{})
+		s.askedAt, s.askAgain, s.asking = s.now, s.now+max(s.set.MaxPollInterval/2, time.Second), true // unless answered
 	}
 }
 
@@ -37,13 +37,13 @@
 	if call == 0 {
 		call = callGuess
 	}
-	return time.Duration(s.set.Siblings) * call
+	return time.Duration(s.set.Gateways) * call
 }
 
 // answered notes that the call that was out has been answered. The quickest answer tells what a call takes, since it
 // waited least for others; one without entries may come before discovery has got to the call.
-func (s *Scheduler) answered(l *NodeList) {
-	if s.asking && (l.Scope == Whole || len(l.Nodes) > 0) {
+func (s *Scheduler) answered(l *EndpointUpdate) {
+	if s.asking && (l.Kind == Snapshot || len(l.Servers) > 0) {
 		took := max(s.now-s.askedAt, time.Millisecond/2)
 		if s.callTook == 0 || took < s.callTook {
 			s.callTook = took
@@ -75,10 +75,10 @@
 
 // callWithin draws the time of the next call, inside half of the time in which the settings want one.
 func (s *Scheduler) callWithin(spread time.Duration) {
-	if s.set.AskWithin > 0 {
-		spread = min(spread, s.set.AskWithin/2)
+	if s.set.MaxPollInterval > 0 {
+		spread = min(spread, s.set.MaxPollInterval/2)
 	}
-	s.askAgain = s.now + time.Duration(s.rnd.Float64()*float64(max(spread, s.set.Tick)))
+	s.askAgain = s.now + time.Duration(s.rnd.Float64()*float64(max(spread, s.set.MinStepInterval)))
 }
 
 // callBehindFailure sets the time of the call behind one that failed: discovery is down, or has too many callers. From
@@ -93,7 +93,7 @@
 	s.callsFailed++
 	drawn := time.Duration(float64(cycle) * (1 + jitter*(2*s.rnd.Float64()-1)))
 	pause := time.Duration(s.rnd.Float64() * float64(min(all, leastCycle)) / 4)
-	s.askAgain = max(s.askedAt+drawn, s.now+max(pause, s.set.Tick))
+	s.askAgain = max(s.askedAt+drawn, s.now+max(pause, s.set.MinStepInterval))
 }
 
 // callCycle is longer than all gateways' calls take together, so that they don't keep each other from being answered, as
@@ -111,7 +111,7 @@
 // guessedCycle is the cycle of a gateway that has never been answered, in a fleet so large that the calls of all may take
 // far too long for discovery.
 func (s *Scheduler) guessedCycle(all time.Duration) time.Duration {
-	cycle, most := guessCycle, max(s.set.AskWithin, min(2*all, s.set.AskWithin*5/2))
+	cycle, most := guessCycle, max(s.set.MaxPollInterval, min(2*all, s.set.MaxPollInterval*5/2))
 	for range s.callsFailed - (guessCalls - 1) {
 		cycle = min(time.Duration(guessGrowth*float64(cycle)), most)
 	}
--- a/internal/scheduler/discoverycalls_test.go
+++ b/internal/scheduler/discoverycalls_test.go
@@ -32,17 +32,17 @@
 		gate int
 		from time.Duration
 	}
-	list := func() Event { return NodeList{Scope: Whole, Nodes: []Node{{ID: 1}, {ID: 2, Shard: 1}}} }
+	list := func() Event { return EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}, {ID: 2, Shard: 1}}} }
 	ss, news := make([]*Scheduler, gates), make([][]Event, gates)
 	watching, out := make([]bool, gates), make([]bool, gates)
 	for i := range ss {
 		set := testSettings()
-		set.Siblings, set.AskList, set.AskWithin = gates, true, 10*time.Second
+		set.Gateways, set.PollEndpoints, set.MaxPollInterval = gates, true, 10*time.Second
 		s, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ss[i], news[i] = s, []Event{NodeList{Scope: Stale, Nodes: []Node{{ID: 1}}}}
+		ss[i], news[i] = s, []Event{EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1}}}}
 	}
 	var waiting []call
 	now, free := time.Hour, time.Hour
@@ -50,7 +50,7 @@
 	play := func(until time.Duration, up bool) {
 		for ; now < until && (!up || told < gates); now += step {
 			for len(waiting) > 0 && now >= waiting[0].from+giveUp {
-				news[waiting[0].gate] = append(news[waiting[0].gate], NodeList{Scope: Broken})
+				news[waiting[0].gate] = append(news[waiting[0].gate], EndpointUpdate{Kind: WatchFailed})
 				out[waiting[0].gate] = false
 				waiting = waiting[1:]
 			}
@@ -62,8 +62,8 @@
 				news[g] = append(news[g], list())
 			}
 			for i, s := range ss {
-				for _, a := range s.Step(now, append(news[i], Wake{})) {
-					if _, ok := a.(Subscribe); !ok {
+				for _, a := range s.Step(now, append(news[i], TimerFired{})) {
+					if _, ok := a.(WatchEndpoints); !ok {
 						continue
 					}
 					if watching[i] || out[i] {
@@ -83,7 +83,7 @@
 	now += time.Minute
 	for i := range ss {
 		watching[i] = false
-		news[i] = append(news[i], NodeList{Scope: Ended})
+		news[i] = append(news[i], EndpointUpdate{Kind: WatchClosed})
 	}
 	play(now+outage, false)
 	told, free = 0, now
@@ -97,21 +97,21 @@
 
 // Nothing is sent by a list that may no longer be used, and what is held leaves as soon as it is renewed.
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.AskList = true })
-	nodes := []Node{{ID: 1}, {ID: 2, Shard: 1}}
+	g := newGate(t, func(s *Settings) { s.PollEndpoints = true })
+	nodes := []Server{{ID: 1}, {ID: 2, Shard: 1}}
 	until := g.now + 10*time.Second
-	g.step(NodeList{Scope: Whole, Nodes: nodes, Until: until})
+	g.step(EndpointUpdate{Kind: Snapshot, Servers: nodes, ValidUntil: until})
 	g.now = until - 1
 	sent := sendsOf(g.step(g.ask("read", "gold", 1, 2, 1)))
 	if len(sent) != 1 {
 		t.Fatalf("sent %v in the last moment of a list that holds", sent)
 	}
-	g.step(Outcome{ID: sent[0], Node: 1, Status: OK, Latency: ms, Terminal: true})
+	g.step(AttemptEnded{ID: sent[0], Server: 1, Status: StatusOK, Latency: ms, RequestDone: true})
 	g.now = until
 	if got := sendsOf(g.step(g.ask("read", "gold", 1, 2, 1))); len(got) != 0 {
 		t.Errorf("sent %v by an expired list", got)
 	}
-	if got := sendsOf(g.step(NodeList{Scope: Alive, Until: until + time.Second})); len(got) != 1 {
+	if got := sendsOf(g.step(EndpointUpdate{Kind: Heartbeat, ValidUntil: until + time.Second})); len(got) != 1 {
 		t.Errorf("sent %v once the list was renewed", got)
 	}
 	g.now = until + time.Second
@@ -120,12 +120,12 @@
 	for _, a := range append(g.step(last), g.after(5*time.Second)...) {
 		switch a := a.(type) {
 		case Send:
-			t.Errorf("sent to %d by a list that has expired again", a.Node)
-		case Refuse:
+			t.Errorf("sent to %d by a list that has expired again", a.Server)
+		case Reject:
 			if a.ID == last.ID {
 				refusals++
 			}
-			if a.Reason != ListExpired {
+			if a.Reason != ReasonEndpointsExpired {
 				t.Errorf("refused for %v", a.Reason)
 			}
 		}
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -12,27 +12,27 @@
 )
 
 // list applies news of the nodes. A node that drains or is gone gets nothing more from now on.
-func (s *Scheduler) list(l *NodeList) {
-	s.listUntil = l.Until
-	switch l.Scope {
-	case Alive:
+func (s *Scheduler) list(l *EndpointUpdate) {
+	s.listUntil = l.ValidUntil
+	switch l.Kind {
+	case Heartbeat:
 		s.watching()
 		return
-	case Silent:
+	case WatchIdle:
 		s.callBehindWatch(silentSpread)
 		return
-	case Ended:
+	case WatchClosed:
 		s.callBehindWatch(mostSpread)
 		return
-	case Broken:
+	case WatchFailed:
 		s.callBehindFailure()
 		return
 	}
-	if l.Scope != Stale {
+	if l.Kind != CachedSnapshot {
 		s.answered(l)
 	}
-	named := map[NodeID]bool{}
-	for _, e := range l.Nodes {
+	named := map[ServerID]bool{}
+	for _, e := range l.Servers {
 		if e.Shard < 0 || e.Shard >= max(mostShards, s.set.Shards) {
 			continue
 		}
@@ -47,15 +47,15 @@
 			n.failures, n.turned, n.holdUntil, n.answered, n.erredAt = 0, 0, 0, 0, 0 // the old process's
 			n.starting = s.newSlowStartBudget()
 		}
-		n.Node = e
+		n.Server = e
 		for len(s.shards) <= e.Shard {
 			s.shards = append(s.shards, &shard{byVol: map[VolumeID]*flow{}})
 		}
 	}
-	if l.Scope != Patch {
+	if l.Kind != Delta {
 		for id, n := range s.nodes {
 			if !named[id] {
-				n.State = Gone
+				n.State = Removed
 			}
 		}
 	}
@@ -63,9 +63,9 @@
 		sh.nodes = sh.nodes[:0]
 	}
 	for id, n := range s.nodes {
-		if n.State == Live {
+		if n.State == Ready {
 			s.shards[n.Shard].nodes = append(s.shards[n.Shard].nodes, n)
-		} else if n.State == Gone {
+		} else if n.State == Removed {
 			delete(s.nodes, id) // its attempts keep it as long as they need it
 		}
 	}
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -11,10 +11,10 @@
 const fleet = 300
 
 // fleetNodes is a list of one node a shard.
-func fleetNodes(n int) (l NodeList) {
-	l.Scope = Stale
+func fleetNodes(n int) (l EndpointUpdate) {
+	l.Kind = CachedSnapshot
 	for i := range n {
-		l.Nodes = append(l.Nodes, Node{ID: NodeID(i + 1), Shard: i})
+		l.Servers = append(l.Servers, Server{ID: ServerID(i + 1), Shard: i})
 	}
 	return l
 }
@@ -26,9 +26,9 @@
 	for hosts := 1; hosts <= 3; hosts++ {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			set := testSettings()
-			set.Siblings, set.Shards = fleet, 20
+			set.Gateways, set.Shards = fleet, 20
 			plan := &set.Plans[3]
-			plan.LimitCap, plan.LimitDebt = 2*6*float64(hosts), 6
+			plan.LimitBurst, plan.LimitOverdraft = 2*6*float64(hosts), 6
 			rnd := rand.New(rand.NewPCG(uint64(hosts), 5))
 			ss := make([]*Scheduler, hosts)
 			for i := range ss {
@@ -40,7 +40,7 @@
 				s.Step(time.Hour, []Event{fleetNodes(set.Shards)})
 			}
 			id, units, sent := RequestID(0), map[RequestID]float64{}, 0.0
-			store := bucket{rate: plan.Limit, most: plan.LimitCap, level: plan.LimitCap, last: time.Hour}
+			store := bucket{rate: plan.Limit, most: plan.LimitBurst, level: plan.LimitBurst, last: time.Hour}
 			const length = 20 * time.Second
 			for now := time.Hour; now < time.Hour+length; now += 5 * ms {
 				events := make([][]Event, hosts)
@@ -49,19 +49,19 @@
 					u := float64(1 + rnd.IntN(6))
 					units[id] = u
 					i := rnd.IntN(hosts)
-					events[i] = append(events[i], Arrival{ID: id, Class: "read", Plan: plan.Name, Volume: 7, Key: uint64(id),
-						TTL: time.Second, Units: u, Shard: rnd.IntN(set.Shards), Hosts: hosts})
+					events[i] = append(events[i], RequestArrived{ID: id, Class: "read", Plan: plan.Name, Volume: 7, Key: uint64(id),
+						TTL: time.Second, Units: u, Shard: rnd.IntN(set.Shards), Gateways: hosts})
 				}
 				for i, s := range ss {
-					for _, a := range s.Step(now, append(events[i], Wake{})) {
+					for _, a := range s.Step(now, append(events[i], TimerFired{})) {
 						if a, ok := a.(Send); ok {
 							store.take(now, units[a.ID])
 							sent += units[a.ID]
-							s.Step(now, []Event{Outcome{ID: a.ID, Node: a.Node, Status: OK, Latency: 5 * ms, Terminal: true}})
+							s.Step(now, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Status: StatusOK, Latency: 5 * ms, RequestDone: true}})
 						}
 					}
 				}
-				if store.level < -plan.LimitDebt {
+				if store.level < -plan.LimitOverdraft {
 					t.Fatalf("the limit's store is at %.1f, %v after the start", store.level, now-time.Hour)
 				}
 			}
@@ -75,7 +75,7 @@
 // BenchmarkFleetList is what news of the list costs one gateway: all of 200 nodes, and one of them.
 func BenchmarkFleetList(b *testing.B) {
 	set := testSettings()
-	set.Siblings, set.Shards = fleet, 200
+	set.Gateways, set.Shards = fleet, 200
 	for name, nodes := range map[string]int{"whole": 200, "change": 1} {
 		b.Run(name, func(b *testing.B) {
 			s, err := New(set, 1)
@@ -84,9 +84,9 @@
 			}
 			l := fleetNodes(200)
 			s.Step(time.Hour, []Event{l})
-			l.Scope, l.Nodes = Patch, l.Nodes[:nodes]
+			l.Kind, l.Servers = Delta, l.Servers[:nodes]
 			if nodes > 1 {
-				l.Scope = Whole
+				l.Kind = Snapshot
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -99,7 +99,7 @@
 // BenchmarkFleetRequest is what a request costs the module, from its arrival to its answer, with 200 nodes known.
 func BenchmarkFleetRequest(b *testing.B) {
 	set := testSettings()
-	set.Siblings, set.Shards = fleet, 200
+	set.Gateways, set.Shards = fleet, 200
 	for name, shard := range map[string]int{"named": 0, "new": -1} {
 		b.Run(name, func(b *testing.B) {
 			s, err := New(set, 1)
@@ -111,15 +111,15 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				a := Arrival{ID: id, Class: "read", Plan: "gold", Volume: VolumeID(id % 20), Key: uint64(id),
-					TTL: time.Second, Units: 2, Shard: shard, Hosts: 2}
+				a := RequestArrived{ID: id, Class: "read", Plan: "gold", Volume: VolumeID(id % 20), Key: uint64(id),
+					TTL: time.Second, Units: 2, Shard: shard, Gateways: 2}
 				if a.Shard == 0 {
 					a.Shard = int(id) % 200
 				}
 				now += 30 * ms
 				for _, a := range s.Step(now, []Event{a}) {
 					if a, ok := a.(Send); ok {
-						s.Step(now+5*ms, []Event{Outcome{ID: a.ID, Node: a.Node, Status: OK, Latency: 5 * ms, Terminal: true}})
+						s.Step(now+5*ms, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Status: StatusOK, Latency: 5 * ms, RequestDone: true}})
 					}
 				}
 			}
@@ -131,8 +131,8 @@
 // gateway has not sent to before costs a connection; in sum they stay at fewMet for each gateway. None probes.
 func TestAFleetOpensFewConnections(t *testing.T) {
 	set := testSettings()
-	set.Siblings, set.Shards, set.AskList = fleet, 200, true
-	dials, perNode := 0, map[NodeID]int{}
+	set.Gateways, set.Shards, set.PollEndpoints = fleet, 200, true
+	dials, perNode := 0, map[ServerID]int{}
 	for seed := range uint64(fleet) {
 		s, err := New(set, seed)
 		if err != nil {
@@ -140,7 +140,7 @@
 		}
 		now, id := time.Hour, RequestID(0)
 		s.Step(now, []Event{fleetNodes(set.Shards)})
-		for n := range newObjects(t, s, &now, &id, 100, func(NodeID) Status { return OK }) {
+		for n := range newObjects(t, s, &now, &id, 100, func(ServerID) Status { return StatusOK }) {
 			dials++
 			perNode[n]++
 		}
@@ -165,20 +165,20 @@
 	}
 	now := time.Hour
 	s.Step(now, []Event{fleetNodes(2)})
-	last, attempts := NodeID(0), map[RequestID]int{}
+	last, attempts := ServerID(0), map[RequestID]int{}
 	for k := range 40 * 60 * 10 {
 		now += 100 * ms
-		n := NodeID(10 + k)
-		news := NodeList{Scope: Patch, Nodes: []Node{{ID: n, Shard: 0}, {ID: last, Shard: 0, State: Gone}}}
+		n := ServerID(10 + k)
+		news := EndpointUpdate{Kind: Delta, Servers: []Server{{ID: n, Shard: 0}, {ID: last, Shard: 0, State: Removed}}}
 		last = n
 		class := []string{"read", "bulk", "once"}[k%3]
-		a := Arrival{ID: RequestID(k + 1), Class: class, Plan: set.Plans[k%4].Name, Volume: VolumeID(k), Key: uint64(k),
-			TTL: time.Second, Units: 2, Shard: k % 2, Hosts: 1}
-		for todo := s.Step(now, []Event{news, a, Wake{}}); len(todo) > 0; todo = todo[1:] {
+		a := RequestArrived{ID: RequestID(k + 1), Class: class, Plan: set.Plans[k%4].Name, Volume: VolumeID(k), Key: uint64(k),
+			TTL: time.Second, Units: 2, Shard: k % 2, Gateways: 1}
+		for todo := s.Step(now, []Event{news, a, TimerFired{}}); len(todo) > 0; todo = todo[1:] {
 			if a, ok := todo[0].(Send); ok {
-				status := []Status{OK, OK, Error, Reset, TimedOut}[k%5]
-				todo = append(todo, s.Step(now+5*ms, []Event{Outcome{ID: a.ID, Attempt: attempts[a.ID], Node: a.Node,
-					Status: status, Latency: 5 * ms, Terminal: status == OK}})...)
+				status := []Status{StatusOK, StatusOK, StatusError, StatusConnectionReset, StatusTimedOut}[k%5]
+				todo = append(todo, s.Step(now+5*ms, []Event{AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Server: a.Server,
+					Status: status, Latency: 5 * ms, RequestDone: status == StatusOK}})...)
 				attempts[a.ID]++
 			}
 		}
@@ -194,7 +194,7 @@
 		}
 	}
 	for k := range 20 {
-		s.Step(now+time.Duration(k)*time.Second, []Event{Wake{}})
+		s.Step(now+time.Duration(k)*time.Second, []Event{TimerFired{}})
 	}
 	if len(s.reqs) != 0 || len(s.expiries) != 0 {
 		t.Errorf("%d requests, %d expiries at the end", len(s.reqs), len(s.expiries))
@@ -204,18 +204,18 @@
 // Parts of a limit that move: a volume starts with what no gateway ever lends, tells what it could use, and is held to
 // the part that it is told. Where gateways do not share, nothing of that is there.
 func TestPartsOfALimit(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.Shares, s.StartPart = true, 0.5 })
-	ask := func(units float64) (demands []Demand) {
+	g := newGate(t, func(s *Settings) { s.QuotaLeases, s.InitialQuotaShare = true, 0.5 })
+	ask := func(units float64) (demands []QuotaDemand) {
 		a := g.ask("read", "capped", 7, units, 1)
-		a.Hosts = 2
+		a.Gateways = 2
 		for _, a := range append(g.step(a), g.after(10*ms)...) {
-			if d, ok := a.(Demand); ok {
+			if d, ok := a.(QuotaDemand); ok {
 				demands = append(demands, d)
 			}
 		}
 		return demands
 	}
-	if d := ask(1); len(d) != 1 || !d[0].Fresh || d[0].Volume != 7 || d[0].Hosts != 2 {
+	if d := ask(1); len(d) != 1 || !d[0].First || d[0].Volume != 7 || d[0].Gateways != 2 {
 		t.Fatalf("told %+v of a new volume", d)
 	}
 	v := g.s.volumes[7]
@@ -225,7 +225,7 @@
 	told := 0
 	for range 100 { // a second at 100 units/s, five times the limit
 		for _, d := range ask(1) {
-			if told++; d.Fresh {
+			if told++; d.First {
 				t.Error("told as new again")
 			}
 		}
@@ -233,21 +233,21 @@
 	if told < 5 || told > 11 {
 		t.Errorf("told %d times in a second", told)
 	}
-	if got := v.demand(7).Part; got < 2 || got > 5 {
+	if got := v.demand(7).Share; got < 2 || got > 5 {
 		t.Errorf("%.2f of the limit could be used, asked for was about 3", got)
 	}
-	g.step(Part{Volume: 7, Part: 0.9}, Part{Volume: 99, Part: 1})
+	g.step(QuotaShare{Volume: 7, Share: 0.9}, QuotaShare{Volume: 99, Share: 1})
 	if v.limit.rate != 18 || v.limit.most != 24*0.9 {
 		t.Errorf("told of nine tenths: %v units a second, up to %v", v.limit.rate, v.limit.most)
 	}
 	g.after(3 * time.Second)
-	if g.step(Part{Volume: 7, Part: 0.1}); v.limit.at(g.now) > 2.4+1e-9 {
+	if g.step(QuotaShare{Volume: 7, Share: 0.1}); v.limit.at(g.now) > 2.4+1e-9 {
 		t.Errorf("%v units are left of a part whose store holds 2.4", v.limit.level)
 	}
-	plain := newGate(t, func(s *Settings) { s.StartPart = 0.5 })
+	plain := newGate(t, func(s *Settings) { s.InitialQuotaShare = 0.5 })
 	a := plain.ask("read", "capped", 7, 1, 1)
 	for _, a := range plain.step(a) {
-		if _, ok := a.(Demand); ok {
+		if _, ok := a.(QuotaDemand); ok {
 			t.Error("told though nobody shares")
 		}
 	}
@@ -261,13 +261,13 @@
 func TestAShunnedNodeIsTriedALittle(t *testing.T) {
 	g := newGate(t, nil)
 	const rest = 400 * ms
-	sends := map[NodeID]int{}
+	sends := map[ServerID]int{}
 	play := func(d time.Duration, shun bool) {
 		clear(sends)
 		for end := g.now + d; g.now < end; {
-			events := []Event{Wake{}}
+			events := []Event{TimerFired{}}
 			if shun {
-				events = append(events, Shun{Node: 1, Rest: rest}, Shun{Node: 99, Rest: rest})
+				events = append(events, EjectServer{Server: 1, MinInterval: rest}, EjectServer{Server: 99, MinInterval: rest})
 			}
 			a := g.ask("read", "gold", int(g.id%5), 1, uint64(g.id))
 			if a.Shard = int(g.id % 2); g.id%4 == 3 {
@@ -275,8 +275,8 @@
 			}
 			for _, act := range g.step(append(events, a)...) {
 				if s, ok := act.(Send); ok {
-					sends[s.Node]++
-					g.step(Outcome{ID: s.ID, Node: s.Node, Status: OK, Latency: 5 * ms, Terminal: true})
+					sends[s.Server]++
+					g.step(AttemptEnded{ID: s.ID, Server: s.Server, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 				}
 			}
 			g.now += 10 * ms
@@ -305,13 +305,13 @@
 		for end := g.now + d; g.now < end; g.now += 100 * ms {
 			a := g.ask("read", "gold", 7, 1, 1) // one request a second keeps the shard busy
 			a.Shard = 0
-			events := []Event{Seen{Node: 1, Latency: latency}, Seen{Node: 99, Latency: latency}}
+			events := []Event{PeerLatency{Server: 1, Latency: latency}, PeerLatency{Server: 99, Latency: latency}}
 			if g.now%time.Second == 0 {
 				events = append(events, a)
 			}
 			for _, act := range g.step(events...) {
 				if s, ok := act.(Send); ok {
-					g.step(Outcome{ID: s.ID, Node: s.Node, Status: OK, Latency: latency, Terminal: true})
+					g.step(AttemptEnded{ID: s.ID, Server: s.Server, Status: StatusOK, Latency: latency, RequestDone: true})
 				}
 			}
 		}
@@ -330,7 +330,7 @@
 	}
 	other := g.s.nodes[2]
 	for range 1000 {
-		g.step(Seen{Node: 2, Latency: 30 * ms})
+		g.step(PeerLatency{Server: 2, Latency: 30 * ms})
 	}
 	if other.answers > mostSeen || other.sum > mostSeen*30*ms {
 		t.Errorf("%v answers of %v are kept", other.answers, other.sum)
@@ -344,7 +344,7 @@
 	var asked []time.Duration
 	for i := range gates {
 		set := testSettings()
-		set.Siblings, set.AskList = gates, true
+		set.Gateways, set.PollEndpoints = gates, true
 		s, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -352,11 +352,11 @@
 		now := time.Hour
 		calls := func(until time.Duration) (at []time.Duration) {
 			for ; now < until; now += 10 * ms {
-				for _, a := range s.Step(now, []Event{Wake{}}) {
-					if _, ok := a.(Subscribe); ok {
+				for _, a := range s.Step(now, []Event{TimerFired{}}) {
+					if _, ok := a.(WatchEndpoints); ok {
 						at = append(at, now)
 						now += 10 * ms // what a call takes: those of all gateways take 3 s
-						s.Step(now, []Event{NodeList{Scope: Whole, Nodes: []Node{{ID: 1}}}})
+						s.Step(now, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
 					}
 				}
 			}
@@ -365,7 +365,7 @@
 		if at := calls(time.Hour + 10*time.Second); len(at) != 1 {
 			t.Fatalf("%d first calls", len(at))
 		}
-		s.Step(now, []Event{NodeList{Scope: Silent}})
+		s.Step(now, []Event{EndpointUpdate{Kind: WatchIdle}})
 		fell := now
 		at := calls(now + 3*time.Second)
 		if len(at) != 1 || at[0] > fell+silentSpread+20*ms {
@@ -375,16 +375,16 @@
 	}
 	// A few gateways need no spread: their calls take no longer than that together.
 	set := testSettings()
-	set.Siblings, set.AskList = 5, true
+	set.Gateways, set.PollEndpoints = 5, true
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(time.Hour, []Event{NodeList{Scope: Whole, Nodes: []Node{{ID: 1}}}})
+	s.Step(time.Hour, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
 	if s.callTook != 0 {
 		t.Errorf("a list that nobody asked for tells that a call takes %v", s.callTook)
 	}
-	s.Step(time.Hour+time.Minute, []Event{NodeList{Scope: Silent}})
+	s.Step(time.Hour+time.Minute, []Event{EndpointUpdate{Kind: WatchIdle}})
 	if wait := s.askAgain - s.now; wait > 5*callGuess {
 		t.Errorf("one of five gateways asks %v behind a silence", wait)
 	}
@@ -406,21 +406,21 @@
 	for _, siblings := range []int{1, 5, 300} {
 		for seed := range uint64(40) {
 			set := testSettings()
-			set.Siblings, set.AskList, set.AskWithin = siblings, true, 8*time.Second
+			set.Gateways, set.PollEndpoints, set.MaxPollInterval = siblings, true, 8*time.Second
 			s, err := New(set, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := time.Hour
-			next := func(scope ListScope) (wait time.Duration) {
-				s.Step(now, []Event{NodeList{Scope: scope}})
+			next := func(scope UpdateKind) (wait time.Duration) {
+				s.Step(now, []Event{EndpointUpdate{Kind: scope}})
 				from := now
 				for s.askAgain > now {
 					now = s.askAgain
 				}
 				called := false
-				for _, a := range s.Step(now, []Event{Wake{}}) {
-					if _, ok := a.(Subscribe); ok {
+				for _, a := range s.Step(now, []Event{TimerFired{}}) {
+					if _, ok := a.(WatchEndpoints); ok {
 						called = true
 					}
 				}
@@ -430,14 +430,14 @@
 				return now - from
 			}
 			for i := range 12 {
-				if wait := next(Broken); wait > 4*set.AskWithin-set.AskWithin/2 {
+				if wait := next(WatchFailed); wait > 4*set.MaxPollInterval-set.MaxPollInterval/2 {
 					t.Fatalf("%d gateways: %v behind failed call %d", siblings, wait, i)
 				}
 			}
 			for i := range 12 {
-				s.Step(now, []Event{NodeList{Scope: Patch, Nodes: []Node{{ID: 1, State: Draining}}}})
+				s.Step(now, []Event{EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, State: Draining}}}})
 				now += 100 * ms
-				if wait := next(Ended); wait > set.AskWithin/2 {
+				if wait := next(WatchClosed); wait > set.MaxPollInterval/2 {
 					t.Fatalf("%d gateways: %v behind end %d of a watch that told", siblings, wait, i)
 				}
 			}
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -51,21 +51,21 @@
 // goldenPolledSettings has idempotent and keyed classes, a retry budget and slow start over many gateways.
 func goldenPolledSettings() Settings {
 	return Settings{
-		Siblings: 40, Shards: 12, MeanUnits: 2, MostUnits: 8, FairWorth: 0.35, IdleWorth: 0.08,
-		AskList: true, AskWithin: 8 * time.Second, MaxAttempts: 3, MayCancel: true, MaxComeBack: 900 * ms,
-		AnswerGrace: 30 * ms, DrainGrace: 300 * ms, StartCapacity: 0.25, RampTime: 15 * time.Second,
-		FallMultiple: 2.5, FallWindow: time.Second, ColdBears: 30, KeyRest: 200 * ms,
-		ExtraFloor: 3, ExtraRatio: 0.15, ExtraWindow: 10 * time.Second, UsePeriod: time.Second, TellsElsewhere: true, Tick: 2 * ms,
+		Gateways: 40, Shards: 12, MeanUnits: 2, MaxUnits: 8, FairShareWeight: 0.35, SurplusWeight: 0.08,
+		PollEndpoints: true, MaxPollInterval: 8 * time.Second, MaxAttempts: 3, AllowCancel: true, MaxRetryAfter: 900 * ms,
+		ResponseGrace: 30 * ms, DrainGrace: 300 * ms, InitialCapacity: 0.25, SlowStartDuration: 15 * time.Second,
+		OverloadMultiple: 2.5, OverloadWindow: time.Second, SlowStartUnits: 30, KeyCooldown: 200 * ms,
+		RetryBudgetMin: 3, RetryBudgetRatio: 0.15, RetryBudgetWindow: 10 * time.Second, UsagePeriod: time.Second, ReportsForeignUnits: true, MinStepInterval: 2 * ms,
 		Classes: []Class{
-			{Name: "read", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 2, LateValue: 0.2},
-			{Name: "write", Aim: 900 * ms, Deadline: 4 * time.Second, Worth: 3, Effect: ByKey, Scope: ScopeCell,
+			{Name: "read", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, LateFraction: 0.2},
+			{Name: "write", LatencyObjective: 900 * ms, Deadline: 4 * time.Second, PriorityWeight: 3, Idempotency: IdempotentWithKey, DedupScope: DedupCell,
 				DedupWindow: 2500 * ms, Write: true},
-			{Name: "once", Aim: 700 * ms, Deadline: 3 * time.Second, Worth: 1, Effect: Once, Write: true},
+			{Name: "once", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: NotIdempotent, Write: true},
 		},
 		Plans: []Plan{
-			{Name: "base", Rate: 12, Weight: 1, Pays: 1},
-			{Name: "reserved", Rate: 20, Weight: 2, Pays: 1.5, Reserve: 25},
-			{Name: "limited", Rate: 10, Weight: 1, Pays: 0.5, Limit: 30, LimitCap: 60, LimitDebt: 8},
+			{Name: "base", Rate: 12, Weight: 1, PriorityFactor: 1},
+			{Name: "reserved", Rate: 20, Weight: 2, PriorityFactor: 1.5, Reserve: 25},
+			{Name: "limited", Rate: 10, Weight: 1, PriorityFactor: 0.5, Limit: 30, LimitBurst: 60, LimitOverdraft: 8},
 		},
 	}
 }
@@ -73,21 +73,21 @@
 // goldenPushedSettings has few gateways, no retry budget, no cancels and keys dropped inside a zone.
 func goldenPushedSettings() Settings {
 	settings := goldenPolledSettings()
-	settings.Siblings, settings.Shards = 4, 8
-	settings.AskList, settings.AskWithin = false, 0
-	settings.ExtraWindow, settings.MayCancel, settings.MaxAttempts = 0, false, 4
-	settings.ColdBears, settings.StartCapacity = 0, 0.1
-	settings.Classes[1].Scope = ScopeZone
-	settings.TellsElsewhere = false
+	settings.Gateways, settings.Shards = 4, 8
+	settings.PollEndpoints, settings.MaxPollInterval = false, 0
+	settings.RetryBudgetWindow, settings.AllowCancel, settings.MaxAttempts = 0, false, 4
+	settings.SlowStartUnits, settings.InitialCapacity = 0, 0.1
+	settings.Classes[1].DedupScope = DedupZone
+	settings.ReportsForeignUnits = false
 	return settings
 }
 
 // goldenOrderedSettings has per-key order and keys dropped everywhere.
 func goldenOrderedSettings() Settings {
 	settings := goldenPolledSettings()
-	settings.Siblings, settings.AskWithin = 3, 2*time.Second
-	settings.Classes[1].Scope, settings.Classes[1].InTurn = ScopeAll, true
-	settings.Classes[2].InTurn = true
+	settings.Gateways, settings.MaxPollInterval = 3, 2*time.Second
+	settings.Classes[1].DedupScope, settings.Classes[1].OrderedByKey = DedupAll, true
+	settings.Classes[2].OrderedByKey = true
 	settings.Plans = settings.Plans[:1]
 	return settings
 }
@@ -95,14 +95,14 @@
 // goldenQuotaSettings has parts of limits that move between gateways.
 func goldenQuotaSettings() Settings {
 	settings := goldenPushedSettings()
-	settings.Shares, settings.StartPart = true, 0.5
+	settings.QuotaLeases, settings.InitialQuotaShare = true, 0.5
 	return settings
 }
 
 // goldenOutageSettings has so many gateways that discovery can't answer all of them in time.
 func goldenOutageSettings() Settings {
 	settings := goldenPolledSettings()
-	settings.Siblings, settings.MeanUnits = 300, 0
+	settings.Gateways, settings.MeanUnits = 300, 0
 	return settings
 }
 
@@ -116,7 +116,7 @@
 	nextID    RequestID
 	lifetimes int // how many schedulers there were
 	version   uint64
-	servers   []Node
+	servers   []Server
 	attempts  map[RequestID]int
 	pending   []goldenPending
 	counts    map[string]int
@@ -136,7 +136,7 @@
 	}
 	for shard := range scenario.settings.Shards {
 		zone := fmt.Sprintf("zone-%d", shard%2)
-		world.servers = append(world.servers, Node{ID: NodeID(shard + 1), Shard: shard, Zone: zone, Kind: "disk", Size: 1})
+		world.servers = append(world.servers, Server{ID: ServerID(shard + 1), Shard: shard, Zone: zone, Kind: "disk", Size: 1})
 	}
 	world.restart(t, seed)
 	return world
@@ -151,11 +151,11 @@
 	}
 	w.scheduler, w.attempts, w.pending = scheduler, map[RequestID]int{}, nil
 	w.lifetimes++
-	w.deliver(NodeList{Version: w.version, Scope: Stale, Nodes: w.listed()})
+	w.deliver(EndpointUpdate{Version: w.version, Kind: CachedSnapshot, Servers: w.listed()})
 }
 
 // listed copies the list of servers.
-func (w *goldenWorld) listed() []Node { return append([]Node(nil), w.servers...) }
+func (w *goldenWorld) listed() []Server { return append([]Server(nil), w.servers...) }
 
 // deliver steps the scheduler and carries out its actions.
 func (w *goldenWorld) deliver(events ...Event) {
@@ -168,26 +168,26 @@
 func (w *goldenWorld) carryOut(action Action) {
 	switch action := action.(type) {
 	case Send:
-		w.record("send", action.ID, action.Node, action.Timeout, action.Before)
+		w.record("send", action.ID, action.Server, action.Timeout, action.StartDeadline)
 		w.serve(action)
-	case Refuse:
-		w.record("reject", action.ID, action.ComeBack, action.Reason.String() != "", int(action.Reason))
+	case Reject:
+		w.record("reject", action.ID, action.RetryAfter, action.Reason.String() != "", int(action.Reason))
 	case Fail:
 		w.record("fail", action.ID, int(action.Reason))
-	case Cancel:
+	case CancelAttempt:
 		w.record("cancel", action.ID, action.Attempt)
-	case Subscribe:
+	case WatchEndpoints:
 		w.record("poll")
 		w.answerPoll()
-	case Probe:
-		w.record("probe", action.Node)
-	case Demand:
-		w.record("demand", action.Volume, action.Hosts, fmt.Sprintf("%.12g", action.Part), action.Fresh)
-		part := min(1, action.Part) * w.random.Float64()
-		w.later(50*ms, Part{Volume: action.Volume, Part: part})
-	case WakeAt:
+	case ProbeServer:
+		w.record("probe", action.Server)
+	case QuotaDemand:
+		w.record("demand", action.Volume, action.Gateways, fmt.Sprintf("%.12g", action.Share), action.First)
+		part := min(1, action.Share) * w.random.Float64()
+		w.later(50*ms, QuotaShare{Volume: action.Volume, Share: part})
+	case SetTimer:
 		w.record("wake", action.At)
-		w.later(max(0, action.At-w.now), Wake{})
+		w.later(max(0, action.At-w.now), TimerFired{})
 	case Log:
 		w.record("log", action.Text)
 	default:
@@ -223,28 +223,28 @@
 	attempt := w.attempts[send.ID]
 	w.attempts[send.ID]++
 	status, latency := w.drawStatus(), time.Duration(float64(20*ms)*(0.3+3*w.random.ExpFloat64()))
-	if int(send.Node)%5 == 0 { // a slow server
+	if int(send.Server)%5 == 0 { // a slow server
 		latency *= 6
 	}
-	outcome := Outcome{ID: send.ID, Attempt: attempt, Node: send.Node, Status: status, Latency: latency, Terminal: status == OK}
+	outcome := AttemptEnded{ID: send.ID, Attempt: attempt, Server: send.Server, Status: status, Latency: latency, RequestDone: status == StatusOK}
 	if w.random.IntN(4) == 0 {
-		outcome.ForeignUnits, outcome.HasUse, outcome.VolumeUse = 10*w.random.Float64(), true, w.random.Float64()
+		outcome.ForeignUnits, outcome.HasVolumeUsage, outcome.VolumeUsage = 10*w.random.Float64(), true, w.random.Float64()
 	}
 	if w.random.IntN(40) == 0 { // a lost answer ends late, if at all
 		latency *= 50
 	}
 	w.later(latency, outcome)
-	if status == OK && w.random.IntN(30) == 0 {
-		w.later(latency/2, Started{ID: send.ID, Attempt: attempt, Node: send.Node, Latency: latency / 2})
+	if status == StatusOK && w.random.IntN(30) == 0 {
+		w.later(latency/2, ResponseStarted{ID: send.ID, Attempt: attempt, Server: send.Server, Latency: latency / 2})
 	}
 }
 
 func (w *goldenWorld) drawStatus() Status {
 	draw := w.random.IntN(100)
 	if draw < 80 {
-		return OK
+		return StatusOK
 	}
-	statuses := []Status{Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot}
+	statuses := []Status{StatusError, StatusOverloaded, StatusTimedOut, StatusConnectFailed, StatusConnectionReset, StatusCanceled, StatusNotSent}
 	return statuses[draw%len(statuses)]
 }
 
@@ -252,22 +252,22 @@
 func (w *goldenWorld) answerPoll() {
 	latency := time.Duration(w.random.IntN(60)+1) * ms
 	if w.scenario.outage && (w.lifetimes%2 == 1 || w.random.IntN(4) != 0) {
-		w.later(latency, NodeList{Scope: Broken, Until: w.now + time.Second})
+		w.later(latency, EndpointUpdate{Kind: WatchFailed, ValidUntil: w.now + time.Second})
 		return
 	}
 	switch w.random.IntN(6) {
 	case 0:
-		w.later(latency, NodeList{Scope: Broken})
+		w.later(latency, EndpointUpdate{Kind: WatchFailed})
 	case 1:
-		w.later(latency, NodeList{Scope: Whole, Version: w.version, Nodes: w.listed()})
-		w.later(latency+2*time.Second, NodeList{Scope: Silent})
+		w.later(latency, EndpointUpdate{Kind: Snapshot, Version: w.version, Servers: w.listed()})
+		w.later(latency+2*time.Second, EndpointUpdate{Kind: WatchIdle})
 	case 2:
-		w.later(latency, NodeList{Scope: Whole, Version: w.version, Nodes: w.listed(), Until: w.now + 7*time.Second})
-		w.later(latency+3*time.Second, NodeList{Scope: Ended, Until: w.now + 9*time.Second})
+		w.later(latency, EndpointUpdate{Kind: Snapshot, Version: w.version, Servers: w.listed(), ValidUntil: w.now + 7*time.Second})
+		w.later(latency+3*time.Second, EndpointUpdate{Kind: WatchClosed, ValidUntil: w.now + 9*time.Second})
 	default:
-		w.later(latency, NodeList{Scope: Whole, Version: w.version, Nodes: w.listed()})
-		w.later(latency+time.Second, NodeList{Scope: Alive})
-		w.later(latency+time.Duration(w.random.IntN(9000))*ms, NodeList{Scope: Ended})
+		w.later(latency, EndpointUpdate{Kind: Snapshot, Version: w.version, Servers: w.listed()})
+		w.later(latency+time.Second, EndpointUpdate{Kind: Heartbeat})
+		w.later(latency+time.Duration(w.random.IntN(9000))*ms, EndpointUpdate{Kind: WatchClosed})
 	}
 }
 
@@ -293,10 +293,10 @@
 	for range count {
 		w.nextID++
 		class := settings.Classes[w.random.IntN(len(settings.Classes))]
-		arrival := Arrival{
+		arrival := RequestArrived{
 			ID: w.nextID, Class: class.Name, Plan: settings.Plans[w.random.IntN(len(settings.Plans))].Name,
 			Volume: VolumeID(w.random.IntN(9)), Key: uint64(w.random.IntN(30)), TTL: class.Deadline,
-			Units: 0.5 + 4*w.random.Float64(), Shard: w.random.IntN(settings.Shards), Hosts: 1 + w.random.IntN(settings.Siblings),
+			Units: 0.5 + 4*w.random.Float64(), Shard: w.random.IntN(settings.Shards), Gateways: 1 + w.random.IntN(settings.Gateways),
 		}
 		w.vary(&arrival)
 		events = append(events, arrival)
@@ -305,15 +305,15 @@
 }
 
 // vary makes some arrivals unusual: new objects, retries, slow links, requests that settings cannot judge.
-func (w *goldenWorld) vary(arrival *Arrival) {
+func (w *goldenWorld) vary(arrival *RequestArrived) {
 	switch w.random.IntN(20) {
 	case 0:
 		arrival.Shard = -1
 	case 1:
 		arrival.TTL /= 3
-		arrival.Repeat = true
+		arrival.IsRetry = true
 	case 2:
-		arrival.Came, arrival.Fresh = arrival.TTL/4, true
+		arrival.ClientDelay, arrival.IsFirstAttempt = arrival.TTL/4, true
 	case 3:
 		arrival.Key = NoKey
 	case 4:
@@ -337,31 +337,31 @@
 		server.State = Draining
 		return []Event{w.update(*server)}
 	case 1, 2, 3:
-		server.State, server.StartedAt = Live, w.now
+		server.State, server.StartedAt = Ready, w.now
 		return []Event{w.update(*server)}
 	case 4:
 		gone := *server
-		gone.State = Gone
+		gone.State = Removed
 		server.ID += 100
-		server.State, server.StartedAt = Live, w.now
+		server.State, server.StartedAt = Ready, w.now
 		return []Event{w.update(gone, *server)}
 	case 5, 6, 7, 8, 9, 10:
-		return []Event{Dropped{ID: max(1, w.nextID-RequestID(w.random.IntN(5)))}}
+		return []Event{RequestCanceled{ID: max(1, w.nextID-RequestID(w.random.IntN(5)))}}
 	case 11, 12, 13:
 		if w.scenario.quota {
-			return []Event{Shun{Node: server.ID, Rest: 300 * ms}, Seen{Node: server.ID, Latency: 70 * ms}}
+			return []Event{EjectServer{Server: server.ID, MinInterval: 300 * ms}, PeerLatency{Server: server.ID, Latency: 70 * ms}}
 		}
 	case 14:
-		return []Event{NodeList{Scope: Whole, Version: w.version, Nodes: w.listed(), Until: w.now + 5*time.Second}}
+		return []Event{EndpointUpdate{Kind: Snapshot, Version: w.version, Servers: w.listed(), ValidUntil: w.now + 5*time.Second}}
 	case 15:
-		return []Event{Probed{Node: server.ID, Status: OK, Latency: 5 * ms}}
+		return []Event{ProbeEnded{Server: server.ID, Status: StatusOK, Latency: 5 * ms}}
 	}
 	return nil
 }
 
-func (w *goldenWorld) update(servers ...Node) NodeList {
+func (w *goldenWorld) update(servers ...Server) EndpointUpdate {
 	w.version++
-	return NodeList{Version: w.version, Scope: Patch, Nodes: servers}
+	return EndpointUpdate{Version: w.version, Kind: Delta, Servers: servers}
 }
 
 // run plays the steps of a scenario and returns the digest of its decisions.
@@ -378,7 +378,7 @@
 		w.deliver(events...)
 		switch step % goldenLifetime {
 		case goldenLifetime - goldenShutdown:
-			w.deliver(Ending{At: w.now + 700*ms})
+			w.deliver(ShutdownStarted{Deadline: w.now + 700*ms})
 		case goldenLifetime - 1:
 			w.restart(t, seed+uint64(step))
 		}
--- a/internal/scheduler/module_test.go
+++ b/internal/scheduler/module_test.go
@@ -17,17 +17,17 @@
 }
 
 func testSettings() Settings {
-	return Settings{Siblings: 2, Shards: 2, MeanUnits: 2, MostUnits: 6, FairWorth: 0.4, IdleWorth: 0.1, MaxAttempts: 4,
-		MayCancel: true, AnswerGrace: 8 * ms, DrainGrace: 250 * ms, StartCapacity: 0.2, RampTime: 18 * time.Second,
-		FallMultiple: 3, FallWindow: time.Second, ColdBears: 12, Tick: 2 * ms, AskWithin: 10 * time.Second,
+	return Settings{Gateways: 2, Shards: 2, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.4, SurplusWeight: 0.1, MaxAttempts: 4,
+		AllowCancel: true, ResponseGrace: 8 * ms, DrainGrace: 250 * ms, InitialCapacity: 0.2, SlowStartDuration: 18 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartUnits: 12, MinStepInterval: 2 * ms, MaxPollInterval: 10 * time.Second,
 		Classes: []Class{
-			{Name: "read", Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 2},
-			{Name: "bulk", Aim: 2 * time.Second, Deadline: 8 * time.Second, Worth: 1},
-			{Name: "once", Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 2, Effect: Once, InTurn: true},
+			{Name: "read", LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 2},
+			{Name: "bulk", LatencyObjective: 2 * time.Second, Deadline: 8 * time.Second, PriorityWeight: 1},
+			{Name: "once", LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 2, Idempotency: NotIdempotent, OrderedByKey: true},
 		},
-		Plans: []Plan{{Name: "gold", Rate: 10, Weight: 1, Pays: 1}, {Name: "twice", Rate: 10, Weight: 2, Pays: 1},
-			{Name: "kept", Rate: 10, Weight: 1, Pays: 1, Reserve: 100},
-			{Name: "capped", Rate: 10, Weight: 1, Pays: 1, Limit: 20, LimitCap: 24}}}
+		Plans: []Plan{{Name: "gold", Rate: 10, Weight: 1, PriorityFactor: 1}, {Name: "twice", Rate: 10, Weight: 2, PriorityFactor: 1},
+			{Name: "kept", Rate: 10, Weight: 1, PriorityFactor: 1, Reserve: 100},
+			{Name: "capped", Rate: 10, Weight: 1, PriorityFactor: 1, Limit: 20, LimitBurst: 24}}}
 }
 
 func newGate(t *testing.T, change func(*Settings)) *gate {
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	g := &gate{t: t, s: s, now: time.Hour}
-	g.step(NodeList{Scope: Stale, Nodes: []Node{{ID: 1, Shard: 0}, {ID: 2, Shard: 1}}})
+	g.step(EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1, Shard: 0}, {ID: 2, Shard: 1}}})
 	return g
 }
 
@@ -51,16 +51,16 @@
 func (g *gate) after(d time.Duration) (all []Action) {
 	for end := g.now + d; g.now < end; {
 		g.now += 5 * ms
-		all = append(all, g.step(Wake{})...)
+		all = append(all, g.step(TimerFired{})...)
 	}
 	return all
 }
 
 // ask makes an arrival with a new id.
-func (g *gate) ask(class, plan string, volume int, units float64, key uint64) Arrival {
+func (g *gate) ask(class, plan string, volume int, units float64, key uint64) RequestArrived {
 	g.id++
 	ttl := g.s.classes[class].Deadline
-	return Arrival{ID: g.id, Class: class, Plan: plan, Volume: VolumeID(volume), Key: key, TTL: ttl, Units: units, Hosts: 1}
+	return RequestArrived{ID: g.id, Class: class, Plan: plan, Volume: VolumeID(volume), Key: key, TTL: ttl, Units: units, Gateways: 1}
 }
 
 func sendsOf(actions []Action) (ids []RequestID) {
@@ -74,7 +74,7 @@
 
 func refusalsOf(actions []Action) (ids []RequestID) {
 	for _, a := range actions {
-		if a, ok := a.(Refuse); ok {
+		if a, ok := a.(Reject); ok {
 			ids = append(ids, a.ID)
 		}
 	}
@@ -102,14 +102,14 @@
 		var events []Event
 		for len(out) > 0 && out[0].at <= g.now {
 			r := g.s.reqs[out[0].id]
-			events = append(events, Outcome{ID: out[0].id, Attempt: len(r.tries) - 1, Node: 1, Status: status,
-				Latency: lat, Terminal: status == OK})
+			events = append(events, AttemptEnded{ID: out[0].id, Attempt: len(r.tries) - 1, Server: 1, Status: status,
+				Latency: lat, RequestDone: status == StatusOK})
 			out = out[1:]
 		}
 		if k%max(1, int(every/(5*ms))) == 0 {
 			events = append(events, g.ask("read", "gold", 1, 2, uint64(g.id)+1000))
 		}
-		for _, id := range sendsOf(g.step(append(events, Wake{})...)) {
+		for _, id := range sendsOf(g.step(append(events, TimerFired{})...)) {
 			out = append(out, open{id, g.now + lat})
 			sends++
 		}
@@ -120,9 +120,9 @@
 func TestNewRefusesUnusableSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":   func(s *Settings) { s.Classes = nil },
-		"no siblings":  func(s *Settings) { s.Siblings = 0 },
+		"no siblings":  func(s *Settings) { s.Gateways = 0 },
 		"no attempts":  func(s *Settings) { s.MaxAttempts = 0 },
-		"no aim":       func(s *Settings) { s.Classes[0].Aim = 0 },
+		"no aim":       func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"class twice":  func(s *Settings) { s.Classes[1].Name = s.Classes[0].Name },
 		"plan twice":   func(s *Settings) { s.Plans[1].Name = s.Plans[0].Name },
 		"no weight":    func(s *Settings) { s.Plans[0].Weight = 0 },
@@ -141,32 +141,32 @@
 // Figures that settings leave out, or that are as small as they can be, make no decision senseless.
 func TestFiguresThatAreAbsent(t *testing.T) {
 	cold := func(g *gate) (sends int) { // a node that has just started, asked for a request of each volume
-		g.step(NodeList{Scope: Whole, Nodes: []Node{{ID: 9, Shard: 0, StartedAt: g.now}}})
+		g.step(EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 9, Shard: 0, StartedAt: g.now}}})
 		for range 100 {
 			a := g.ask("read", "gold", 1+g.volume(), 2, 1)
 			for range sendsOf(append(g.step(a), g.after(20*ms)...)) {
 				sends++
-				g.step(Outcome{ID: a.ID, Node: 9, Status: OK, Latency: 5 * ms, Terminal: true})
+				g.step(AttemptEnded{ID: a.ID, Server: 9, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 			}
 		}
 		return sends
 	}
 	for name, c := range map[string]func(*Settings){
-		"start capacity":       func(s *Settings) { s.StartCapacity = 0 },
-		"the cold rule's time": func(s *Settings) { s.FallWindow = 0 },
-		"what cold nodes bear": func(s *Settings) { s.ColdBears, s.StartCapacity = 0, 0 },
+		"start capacity":       func(s *Settings) { s.InitialCapacity = 0 },
+		"the cold rule's time": func(s *Settings) { s.OverloadWindow = 0 },
+		"what cold nodes bear": func(s *Settings) { s.SlowStartUnits, s.InitialCapacity = 0, 0 },
 		"worth, classes'": func(s *Settings) {
 			for i := range s.Classes {
-				s.Classes[i].Worth = 0
+				s.Classes[i].PriorityWeight = 0
 			}
 		},
 		"worth, plans'": func(s *Settings) {
 			for i := range s.Plans {
-				s.Plans[i].Pays = 0
+				s.Plans[i].PriorityFactor = 0
 			}
 		},
-		"sizes":                 func(s *Settings) { s.MeanUnits, s.MostUnits, s.Tick = 0, 0, 0 },
-		"worth beyond reserves": func(s *Settings) { s.FairWorth, s.IdleWorth = 0, 0 },
+		"sizes":                 func(s *Settings) { s.MeanUnits, s.MaxUnits, s.MinStepInterval = 0, 0, 0 },
+		"worth beyond reserves": func(s *Settings) { s.FairShareWeight, s.SurplusWeight = 0, 0 },
 	} {
 		g := newGate(t, c)
 		if n := cold(g); n < 2 {
@@ -182,12 +182,12 @@
 	first := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		set := testSettings()
-		set.AskList, set.AskWithin, set.Siblings = true, 0, 300
+		set.PollEndpoints, set.MaxPollInterval, set.Gateways = true, 0, 300
 		s, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Step(time.Hour, []Event{NodeList{Scope: Stale}})
+		s.Step(time.Hour, []Event{EndpointUpdate{Kind: CachedSnapshot}})
 		first[(s.askAgain - time.Hour).Round(time.Second)] = true
 	}
 	if len(first) < 8 {
@@ -195,7 +195,7 @@
 	}
 	// A deployment with more shards than any known one has all of them served.
 	g := newGate(t, func(s *Settings) { s.Shards = 6000 })
-	g.step(NodeList{Scope: Whole, Nodes: []Node{{ID: 9, Shard: 5999}, {ID: 10, Shard: 6000}}})
+	g.step(EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 9, Shard: 5999}, {ID: 10, Shard: 6000}}})
 	a := g.ask("read", "gold", 1, 2, 1)
 	a.Shard = 5999
 	if got := sendsOf(g.step(a)); len(got) != 1 || len(g.s.shards) != 6000 {
@@ -209,20 +209,20 @@
 // What is out for a client that has gone away is called off, once, where that is allowed.
 func TestAttemptsOfTheGoneAreCalledOff(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		g := newGate(t, func(s *Settings) { s.MayCancel = may })
+		g := newGate(t, func(s *Settings) { s.AllowCancel = may })
 		a, b := g.ask("read", "gold", 1, 2, 1), g.ask("once", "gold", 1, 2, 2)
 		g.step(a, b)
-		g.step(Outcome{ID: b.ID, Node: 1, Status: OK, Latency: 5 * ms, Terminal: true})
-		var off []Cancel
-		for _, act := range append(g.step(Dropped{ID: a.ID}, Dropped{ID: b.ID}, Dropped{ID: a.ID}), g.after(50*ms)...) {
-			if c, ok := act.(Cancel); ok {
+		g.step(AttemptEnded{ID: b.ID, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
+		var off []CancelAttempt
+		for _, act := range append(g.step(RequestCanceled{ID: a.ID}, RequestCanceled{ID: b.ID}, RequestCanceled{ID: a.ID}), g.after(50*ms)...) {
+			if c, ok := act.(CancelAttempt); ok {
 				off = append(off, c)
 			}
 		}
-		if want := []Cancel{{ID: a.ID}}; may && !slices.Equal(off, want) || !may && len(off) > 0 {
+		if want := []CancelAttempt{{ID: a.ID}}; may && !slices.Equal(off, want) || !may && len(off) > 0 {
 			t.Errorf("allowed %v: called off %v", may, off)
 		}
-		g.step(Outcome{ID: a.ID, Node: 1, Status: Cancelled, Latency: 9 * ms, Terminal: true})
+		g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusCanceled, Latency: 9 * ms, RequestDone: true})
 		if len(g.s.reqs) != 0 || g.s.nodes[1].inUse != 0 {
 			t.Errorf("allowed %v: %d requests kept, %d out", may, len(g.s.reqs), g.s.nodes[1].inUse)
 		}
@@ -231,14 +231,14 @@
 
 func TestOddEventsAreIgnoredOrRefused(t *testing.T) {
 	g := newGate(t, nil)
-	g.step(Outcome{ID: 99, Status: OK}, Dropped{ID: 99}, Started{ID: 99}, Probed{Node: 77}, Wake{})
+	g.step(AttemptEnded{ID: 99, Status: StatusOK}, RequestCanceled{ID: 99}, ResponseStarted{ID: 99}, ProbeEnded{Server: 77}, TimerFired{})
 	a := g.ask("read", "gold", 1, 2, 5)
 	if got := sendsOf(g.step(a, a)); len(got) != 1 {
 		t.Errorf("a repeated id was sent %d times", len(got))
 	}
-	g.step(Outcome{ID: a.ID, Attempt: 3, Status: OK}, Outcome{ID: a.ID, Attempt: -1, Status: OK})
-	for _, bad := range []func(*Arrival){func(a *Arrival) { a.Class = "none" }, func(a *Arrival) { a.Plan = "none" },
-		func(a *Arrival) { a.Shard = 7 }, func(a *Arrival) { a.Shard = -2 }, func(a *Arrival) { a.TTL = 0 }} {
+	g.step(AttemptEnded{ID: a.ID, Attempt: 3, Status: StatusOK}, AttemptEnded{ID: a.ID, Attempt: -1, Status: StatusOK})
+	for _, bad := range []func(*RequestArrived){func(a *RequestArrived) { a.Class = "none" }, func(a *RequestArrived) { a.Plan = "none" },
+		func(a *RequestArrived) { a.Shard = 7 }, func(a *RequestArrived) { a.Shard = -2 }, func(a *RequestArrived) { a.TTL = 0 }} {
 		a := g.ask("read", "gold", 1, 2, 5)
 		bad(&a)
 		if got := refusalsOf(g.step(a)); len(got) != 1 || got[0] != a.ID {
@@ -246,13 +246,13 @@
 		}
 	}
 	g.now -= time.Second
-	g.step(Wake{}) // a clock that stands still or slips must not panic
+	g.step(TimerFired{}) // a clock that stands still or slips must not panic
 }
 
 func TestWindowFollowsLatency(t *testing.T) {
 	quick, slow := newGate(t, nil), newGate(t, nil)
-	quick.serve(3*time.Second, 10*ms, 20*ms, OK)
-	slow.serve(3*time.Second, 10*ms, 300*ms, OK)
+	quick.serve(3*time.Second, 10*ms, 20*ms, StatusOK)
+	slow.serve(3*time.Second, 10*ms, 300*ms, StatusOK)
 	if w, v := quick.s.nodes[1].window, slow.s.nodes[1].window; w < 2*v || v > 2 {
 		t.Errorf("window %.1f at 20 ms, %.1f at 300 ms", w, v)
 	}
@@ -261,7 +261,7 @@
 func TestFastErrorsDoNotOpenTheWindow(t *testing.T) {
 	g := newGate(t, nil)
 	before := g.s.nodes[1].latency
-	g.serve(2*time.Second, 10*ms, 5*ms, Error)
+	g.serve(2*time.Second, 10*ms, 5*ms, StatusError)
 	if g.s.nodes[1].latency != before || g.s.nodes[1].window > windowStart {
 		t.Errorf("L %v (was %v), window %.1f", g.s.nodes[1].latency, before, g.s.nodes[1].window)
 	}
@@ -269,12 +269,12 @@
 
 func TestSilentNodeGetsATrickleAndComesBack(t *testing.T) {
 	g := newGate(t, nil)
-	g.serve(time.Second, 10*ms, 30*ms, OK)
-	stuck := g.serve(3*time.Second, 10*ms, time.Hour, OK) // nothing is answered
+	g.serve(time.Second, 10*ms, 30*ms, StatusOK)
+	stuck := g.serve(3*time.Second, 10*ms, time.Hour, StatusOK) // nothing is answered
 	if stuck > 35 {
 		t.Errorf("%d requests sent to a silent node", stuck)
 	}
-	if back := g.serve(2*time.Second, 10*ms, 30*ms, OK); back < 60 {
+	if back := g.serve(2*time.Second, 10*ms, 30*ms, StatusOK); back < 60 {
 		t.Errorf("only %d sent after it answers again", back)
 	}
 }
@@ -286,7 +286,7 @@
 	if len(sendsOf(g.step(lost))) != 1 {
 		t.Fatal("not sent")
 	}
-	if n := g.serve(3*time.Second, 20*ms, 30*ms, OK); n < 50 {
+	if n := g.serve(3*time.Second, 20*ms, 30*ms, StatusOK); n < 50 {
 		t.Errorf("%d sent beside a lost answer", n)
 	}
 }
@@ -319,7 +319,7 @@
 		count[plan[id]]++
 		g.now += 5 * ms
 		g.s.nodes[1].window = 1
-		sent = append(sent[1:], sendsOf(g.step(Outcome{ID: id, Node: 1, Status: OK, Latency: 5 * ms, Terminal: true}))...)
+		sent = append(sent[1:], sendsOf(g.step(AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true}))...)
 	}
 	if count["twice"] < 14 || count["twice"] > 18 || count["gold"] < 6 {
 		t.Errorf("sent %v, want about 1 to 2", count)
@@ -334,7 +334,7 @@
 	g.step(g.ask("read", "twice", 2, 2, 2), g.ask("read", "twice", 2, 2, 3), g.ask("read", "kept", 3, 2, 4))
 	g.now += 5 * ms
 	g.s.nodes[1].window = 1
-	got := sendsOf(g.step(Outcome{ID: first.ID, Node: 1, Status: OK, Latency: 5 * ms, Terminal: true}))
+	got := sendsOf(g.step(AttemptEnded{ID: first.ID, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true}))
 	if len(got) == 0 || got[0] != 4 {
 		t.Errorf("sent %v, want the reserved 4 first", got)
 	}
@@ -347,7 +347,7 @@
 		fairWorth      float64
 		inside, beyond time.Duration // of an L of 100 ms
 	}{{0.3, 36 * ms, 60 * ms}, {0, 30 * ms, 60 * ms}, {0.9, 60 * ms, 60 * ms}} {
-		g := newGate(t, func(s *Settings) { s.FairWorth = c.fairWorth })
+		g := newGate(t, func(s *Settings) { s.FairShareWeight = c.fairWorth })
 		inside, beyond := g.ask("read", "kept", 1, 2, 1), g.ask("read", "gold", 2, 2, 2)
 		given := map[RequestID]time.Duration{}
 		for began := g.now; len(given) < 2 && g.now < began+time.Second; g.now += ms {
@@ -384,15 +384,15 @@
 }
 
 func TestDrainingAndGoneNodesGetNothing(t *testing.T) {
-	for name, l := range map[string]NodeList{
-		"draining":     {Scope: Patch, Nodes: []Node{{ID: 1, State: Draining}}},
-		"gone":         {Scope: Patch, Nodes: []Node{{ID: 1, State: Gone}}},
-		"not in whole": {Scope: Whole, Nodes: []Node{{ID: 2, Shard: 1}}},
+	for name, l := range map[string]EndpointUpdate{
+		"draining":     {Kind: Delta, Servers: []Server{{ID: 1, State: Draining}}},
+		"gone":         {Kind: Delta, Servers: []Server{{ID: 1, State: Removed}}},
+		"not in whole": {Kind: Snapshot, Servers: []Server{{ID: 2, Shard: 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGate(t, nil)
 			g.step(l)
-			g.step(NodeList{Scope: Broken}) // a broken list changes nothing
+			g.step(EndpointUpdate{Kind: WatchFailed}) // a broken list changes nothing
 			a := g.ask("read", "gold", 1, 2, 5)
 			got := append(g.step(a), g.after(time.Second)...)
 			if len(sendsOf(got)) != 0 || len(refusalsOf(got)) != 1 {
@@ -405,16 +405,16 @@
 func TestReplacementKeepsTheWarmNodeInUse(t *testing.T) {
 	g := newGate(t, nil)
 	g.after(2 * time.Second) // the cold node bears the request by now
-	g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: 3, Shard: 0, StartedAt: g.now}}})
+	g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 3, Shard: 0, StartedAt: g.now}}})
 	for _, a := range g.step(g.ask("read", "gold", 1, 2, 5)) {
-		if a, ok := a.(Send); ok && a.Node != 1 {
-			t.Errorf("sent to the cold node %d", a.Node)
+		if a, ok := a.(Send); ok && a.Server != 1 {
+			t.Errorf("sent to the cold node %d", a.Server)
 		}
 	}
 }
 
 func TestColdNode(t *testing.T) {
-	restart := func(g *gate) { g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: 1, StartedAt: g.now}}}) }
+	restart := func(g *gate) { g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, StartedAt: g.now}}}) }
 	t.Run("right after the own start nothing", func(t *testing.T) {
 		g := newGate(t, nil)
 		restart(g)
@@ -432,7 +432,7 @@
 			events := []Event{g.ask("bulk", "gold", 1, 2, uint64(k))}
 			for _, id := range sendsOf(g.step(events...)) {
 				sends, units = sends+1, units+2
-				g.step(Outcome{ID: id, Node: 1, Status: OK, Latency: 5 * ms, Terminal: true})
+				g.step(AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 			}
 		}
 		// Half of 12 units a second when it starts, twice that after 4 s, and a burst.
@@ -442,25 +442,25 @@
 	})
 	t.Run("what was sent before does not widen the bound, nor do quick answers", func(t *testing.T) {
 		g := newGate(t, func(s *Settings) { s.Plans[0].Rate = 100 })
-		g.serve(20*time.Second, 20*ms, 30*ms, OK)
+		g.serve(20*time.Second, 20*ms, 30*ms, StatusOK)
 		restart(g)
-		if n := g.serve(time.Second, 10*ms, 30*ms, OK); n < 2 || n > 4 { // half of 12 units in a second, and a burst
+		if n := g.serve(time.Second, 10*ms, 30*ms, StatusOK); n < 2 || n > 4 { // half of 12 units in a second, and a burst
 			t.Errorf("%d sent in the first second", n)
 		}
 	})
 	// asked plays 12 s of a request of 2 units every 500 ms, to a node that has just started, on one of 80 gateways, whose
 	// even part is 0.11 to 0.5 units a second.
 	asked := func(lat time.Duration) (sends int) {
-		g := newGate(t, func(s *Settings) { s.Siblings = 80 })
+		g := newGate(t, func(s *Settings) { s.Gateways = 80 })
 		restart(g)
 		type pending struct {
 			at time.Duration
-			o  Outcome
+			o  AttemptEnded
 		}
 		var out []pending
 		for k := range 1200 {
 			g.now += 10 * ms
-			events := []Event{Wake{}}
+			events := []Event{TimerFired{}}
 			for len(out) > 0 && out[0].at <= g.now {
 				events, out = append(events, out[0].o), out[1:]
 			}
@@ -469,7 +469,7 @@
 			}
 			for _, id := range sendsOf(g.step(events...)) {
 				sends++
-				out = append(out, pending{g.now + lat, Outcome{ID: id, Node: 1, Status: OK, Latency: lat, Terminal: true}})
+				out = append(out, pending{g.now + lat, AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: lat, RequestDone: true}})
 			}
 		}
 		return sends
@@ -482,7 +482,7 @@
 	t.Run("a surge does not count as usual", func(t *testing.T) {
 		g := newGate(t, func(s *Settings) { s.Plans[0].Rate = 2 })
 		restart(g)
-		n := g.serve(4*time.Second, 10*ms, 500*ms, OK) // 200 units a second
+		n := g.serve(4*time.Second, 10*ms, 500*ms, StatusOK) // 200 units a second
 		if units := 2 * n; units > 30 {
 			t.Errorf("%d units sent in 4 s", units)
 		}
@@ -490,13 +490,13 @@
 }
 
 func TestKeysTakeTurns(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.KeyRest = 200 * ms })
+	g := newGate(t, func(s *Settings) { s.KeyCooldown = 200 * ms })
 	a, b, c := g.ask("once", "gold", 1, 2, 5), g.ask("once", "gold", 1, 2, 5), g.ask("once", "gold", 1, 2, 6)
 	if got := sendsOf(g.step(a, b, c)); len(got) != 2 || got[0] != a.ID || got[1] != c.ID {
 		t.Fatalf("sent %v, want %d and %d: a key must not block its volume", got, a.ID, c.ID)
 	}
 	g.now += 20 * ms
-	got := g.step(Outcome{ID: c.ID, Node: 1, Status: OK, Terminal: true}, Outcome{ID: a.ID, Node: 1, Status: Reset})
+	got := g.step(AttemptEnded{ID: c.ID, Server: 1, Status: StatusOK, RequestDone: true}, AttemptEnded{ID: a.ID, Server: 1, Status: StatusConnectionReset})
 	if len(failsOf(got)) != 1 || len(sendsOf(got)) != 0 {
 		t.Fatalf("after a reset: %v", got)
 	}
@@ -509,17 +509,17 @@
 }
 
 func TestFurtherAttemptsKeepTheBudget(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.ExtraFloor, s.ExtraRatio, s.ExtraWindow = 3, 0.1, 5*time.Second })
+	g := newGate(t, func(s *Settings) { s.RetryBudgetMin, s.RetryBudgetRatio, s.RetryBudgetWindow = 3, 0.1, 5*time.Second })
 	further := 0
 	for k := range 40 {
 		a := g.ask("bulk", "gold", 1, 2, uint64(k))
 		g.step(a)
 		g.now += 5 * ms
-		g.step(Outcome{ID: a.ID, Node: 1, Status: Error, Latency: 5 * ms})
+		g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusError, Latency: 5 * ms})
 		for _, id := range sendsOf(g.after(50 * ms)) {
 			if id == a.ID {
 				further++
-				g.step(Outcome{ID: a.ID, Attempt: 1, Node: 1, Status: OK, Latency: 5 * ms, Terminal: true})
+				g.step(AttemptEnded{ID: a.ID, Attempt: 1, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 			}
 		}
 	}
@@ -529,28 +529,28 @@
 }
 
 func TestListIsAskedForAgain(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.AskList = true })
+	g := newGate(t, func(s *Settings) { s.PollEndpoints = true })
 	count := func(actions []Action) (n int) {
 		for _, a := range actions {
-			if _, ok := a.(Subscribe); ok {
+			if _, ok := a.(WatchEndpoints); ok {
 				n++
 			}
 		}
 		return n
 	}
-	g.step(NodeList{Scope: Broken})
+	g.step(EndpointUpdate{Kind: WatchFailed})
 	if n := count(g.after(5 * time.Second)); n == 0 {
 		t.Fatal("not asked again after a broken call")
 	}
 	if n := count(g.after(20 * time.Second)); n < 3 || n > 4 {
 		t.Errorf("asked %d times in 20 s while no call is answered, want one every AskWithin/2", n)
 	}
-	g.step(NodeList{Scope: Patch})
+	g.step(EndpointUpdate{Kind: Delta})
 	if n := count(g.after(60 * time.Second)); n != 0 {
 		t.Errorf("asked %d times while subscribed", n)
 	}
 	for range 5 {
-		g.step(NodeList{Scope: Broken})
+		g.step(EndpointUpdate{Kind: WatchFailed})
 		if n := count(g.after(10 * time.Second)); n < 1 || n > 3 {
 			t.Errorf("asked %d times in 10 s after a broken call", n)
 		}
@@ -559,9 +559,9 @@
 
 // TestOverlap: a node hangs during a surge while the list is broken, and the gateway itself is new.
 func TestOverlap(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.AskList = true })
-	g.step(NodeList{Scope: Broken})
-	sends := g.serve(3*time.Second, 5*ms, time.Hour, OK)
+	g := newGate(t, func(s *Settings) { s.PollEndpoints = true })
+	g.step(EndpointUpdate{Kind: WatchFailed})
+	sends := g.serve(3*time.Second, 5*ms, time.Hour, StatusOK)
 	open := 0
 	for _, r := range g.s.reqs {
 		if !r.over && r.expiry < g.now {
@@ -576,7 +576,7 @@
 // TestLateRequestsDoNotTakeThePlaceOfFreshOnes: what is past its aim is refused at once.
 func TestLateRequestsDoNotTakeThePlaceOfFreshOnes(t *testing.T) {
 	g := newGate(t, nil)
-	g.serve(500*ms, 50*ms, 20*ms, OK)
+	g.serve(500*ms, 50*ms, 20*ms, StatusOK)
 	late := g.ask("read", "gold", 1, 2, 9)
 	late.TTL -= time.Second // a client's repeat, past its aim of 400 ms
 	if got := refusalsOf(g.step(late)); len(got) != 1 {
@@ -605,9 +605,9 @@
 		"the link, its aim over": {2500 * ms, 20 * ms, 1},
 	} {
 		g := newGate(t, nil)
-		g.serve(500*ms, 50*ms, c.latency, OK)
+		g.serve(500*ms, 50*ms, c.latency, StatusOK)
 		r := g.ask("read", "gold", 1, 2, 9)
-		r.TTL, r.Came = r.TTL-max(c.came, time.Second), c.came
+		r.TTL, r.ClientDelay = r.TTL-max(c.came, time.Second), c.came
 		got := g.step(r)
 		if sent, refused := len(sendsOf(got)), len(refusalsOf(got)); sent != c.want || sent+refused != 1 {
 			t.Errorf("%s: %d sent, %d refused, want %d sent", name, sent, refused, c.want)
@@ -619,12 +619,12 @@
 // gateway knows better, and more of it tells nothing of the others.
 func TestFreshRequestsOfLessTime(t *testing.T) {
 	g := newGate(t, nil)
-	g.serve(500*ms, 50*ms, 20*ms, OK)
+	g.serve(500*ms, 50*ms, 20*ms, StatusOK)
 	long := g.ask("read", "gold", 1, 2, 9)
-	long.TTL, long.Fresh = 3*long.TTL, true
+	long.TTL, long.IsFirstAttempt = 3*long.TTL, true
 	plain := g.ask("read", "gold", 1, 2, 10)
 	short := g.ask("read", "gold", 1, 2, 11)
-	short.TTL, short.Fresh = short.TTL/2, true
+	short.TTL, short.IsFirstAttempt = short.TTL/2, true
 	if sent := sendsOf(g.step(long, plain, short)); len(sent) != 3 {
 		t.Errorf("sent %v, want all three", sent)
 	}
@@ -650,13 +650,13 @@
 func TestRepeatsStayInTheirZone(t *testing.T) {
 	for zone, want := range map[string]int{"za": 1, "zb": 0} {
 		g := newGate(t, func(s *Settings) {
-			s.Classes[1].Effect, s.Classes[1].Scope, s.Classes[1].DedupWindow = ByKey, ScopeZone, 5*time.Second
+			s.Classes[1].Idempotency, s.Classes[1].DedupScope, s.Classes[1].DedupWindow = IdempotentWithKey, DedupZone, 5*time.Second
 		})
-		g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: 1, Zone: "za"}}})
+		g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, Zone: "za"}}})
 		a := g.ask("bulk", "gold", 1, 2, 5)
 		g.step(a)
-		g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: 1, State: Gone, Zone: "za"}, {ID: 3, Zone: zone}}})
-		got := append(g.step(Outcome{ID: a.ID, Node: 1, Status: Error}), g.after(3*time.Second)...)
+		g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, State: Removed, Zone: "za"}, {ID: 3, Zone: zone}}})
+		got := append(g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusError}), g.after(3*time.Second)...)
 		if n := len(sendsOf(got)); n != want {
 			t.Errorf("successor in %s: %d repeats, want %d", zone, n, want)
 		}
@@ -667,26 +667,26 @@
 // the first attempt on, whatever it has to wait for. What has not run, or may be repeated at will, has no such time.
 func TestRepeatsBeginInsideTheirWindow(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect Effect
+		effect Idempotency
 		status Status
 		want   bool
 	}{
-		"may have run": {ByKey, Error, true},
-		"has not run":  {ByKey, ConnectFailed, false},
-		"at will":      {Repeatable, Error, false},
+		"may have run": {IdempotentWithKey, StatusError, true},
+		"has not run":  {IdempotentWithKey, StatusConnectFailed, false},
+		"at will":      {Idempotent, StatusError, false},
 	} {
 		g := newGate(t, func(s *Settings) {
-			s.Classes[1].Effect, s.Classes[1].Scope, s.Classes[1].DedupWindow = c.effect, ScopeCell, 5*time.Second
+			s.Classes[1].Idempotency, s.Classes[1].DedupScope, s.Classes[1].DedupWindow = c.effect, DedupCell, 5*time.Second
 		})
 		a := g.ask("bulk", "gold", 1, 2, 5)
 		first, got := g.now, g.step(a)
 		g.now += 100 * ms
-		got = append(got, g.step(Outcome{ID: a.ID, Node: 1, Status: c.status})...)
+		got = append(got, g.step(AttemptEnded{ID: a.ID, Server: 1, Status: c.status})...)
 		got = append(got, g.after(2*time.Second)...)
 		var before []time.Duration
 		for _, a := range got {
 			if s, ok := a.(Send); ok {
-				before = append(before, s.Before)
+				before = append(before, s.StartDeadline)
 			}
 		}
 		want := []time.Duration{0, 0}
@@ -701,7 +701,7 @@
 
 // TestWindowUnderOneIsKeptInTime: one request is out for that part of the time, and reserved units do not wait.
 func TestWindowUnderOneIsKeptInTime(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.Siblings = 100 })
+	g := newGate(t, func(s *Settings) { s.Gateways = 100 })
 	n := g.s.nodes[1]
 	n.window, n.spare, n.latency, n.took, n.closedAt = 0.25, 0.25, 40*ms, 40*ms, g.now
 	a, kept := g.ask("bulk", "gold", 1, 2, 5), g.ask("bulk", "kept", 3, 2, 6)
@@ -713,7 +713,7 @@
 		t.Errorf("sent %v, want the reserved %d", got, kept.ID)
 	}
 	g.now += 20 * ms
-	g.step(Outcome{ID: kept.ID, Node: 1, Status: OK, Latency: 20 * ms, Terminal: true})
+	g.step(AttemptEnded{ID: kept.ID, Server: 1, Status: StatusOK, Latency: 20 * ms, RequestDone: true})
 	n.window, n.spare = 0.25, 0.25
 	if got := sendsOf(g.after(150 * ms)); len(got) != 1 || got[0] != a.ID {
 		t.Errorf("sent %v, want %d after three times what the last one took", got, a.ID)
@@ -728,7 +728,7 @@
 		a := g.ask("bulk", "gold", 1, 2, 5)
 		g.step(a)
 		g.after(600 * ms)
-		g.step(Outcome{ID: a.ID, Node: 1, Status: OK, Latency: 600 * ms, Terminal: true})
+		g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusOK, Latency: 600 * ms, RequestDone: true})
 	}
 	g.after(100 * ms)
 	if l := g.s.nodes[1].latency; l < 450*ms {
@@ -757,7 +757,7 @@
 	a := g.ask("bulk", "gold", 1, 2, 5)
 	g.step(a)
 	g.now += 1800 * ms
-	g.step(Outcome{ID: a.ID, Node: 1, Status: OK, Latency: 1800 * ms, Terminal: true}, Wake{})
+	g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusOK, Latency: 1800 * ms, RequestDone: true}, TimerFired{})
 	g.after(200 * ms)
 	if l := g.s.nodes[1].latency; l > 2*before {
 		t.Errorf("L went from %v to %v over a sleep", before, l)
@@ -771,7 +771,7 @@
 // gateways share the node, and all at once where few do.
 func TestSurgesLeaveByTheSpareWindow(t *testing.T) {
 	for siblings, want := range map[int][2]int{2: {7, 8}, 100: {1, 5}} {
-		g := newGate(t, func(s *Settings) { s.Siblings = siblings })
+		g := newGate(t, func(s *Settings) { s.Gateways = siblings })
 		var events []Event
 		for k := range 12 {
 			events = append(events, g.ask("bulk", "gold", 1, 6, uint64(k)))
@@ -796,15 +796,15 @@
 		"below":  {-5, 24, 26},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newGate(t, func(s *Settings) { s.TellsElsewhere, s.Siblings = true, 8 })
+			g := newGate(t, func(s *Settings) { s.ReportsForeignUnits, s.Gateways = true, 8 })
 			for k := range 40 {
 				a := g.ask("read", "kept", 3, 2, uint64(k))
-				a.Hosts = 4
+				a.Gateways = 4
 				if len(sendsOf(g.step(a))) == 0 {
 					t.Fatal("not sent")
 				}
 				g.now += 20 * ms
-				g.step(Outcome{ID: a.ID, Node: 1, Status: OK, Latency: 20 * ms, ForeignUnits: c.foreign, Terminal: true})
+				g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusOK, Latency: 20 * ms, ForeignUnits: c.foreign, RequestDone: true})
 			}
 			if r := g.s.volumes[3].reserve.rate; !(r >= c.min && r <= c.max) {
 				t.Errorf("reserve of this gateway %.1f of 100, want %v to %v", r, c.min, c.max)
@@ -817,7 +817,7 @@
 
 // TestBadInput: no panic, and what cannot be judged is refused.
 func TestBadInput(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.TellsElsewhere, s.UsePeriod = true, time.Second })
+	g := newGate(t, func(s *Settings) { s.ReportsForeignUnits, s.UsagePeriod = true, time.Second })
 	for _, units := range []float64{nan(), -1, 1e300} {
 		a := g.ask("read", "capped", 1, units, 5)
 		if got := refusalsOf(g.step(a)); len(got) != 1 {
@@ -826,22 +826,22 @@
 	}
 	for _, hosts := range []int{0, -3, 99} {
 		a := g.ask("read", "gold", 40+hosts, 2, 5)
-		a.Hosts = hosts
+		a.Gateways = hosts
 		g.step(a)
 		if h := g.s.volumes[a.Volume].hosts; h != 2 {
 			t.Errorf("hosts %d read as %v, want all siblings", hosts, h)
 		}
 	}
 	a := g.ask("read", "gold", 1, 2, 5)
-	g.step(a, Outcome{ID: a.ID, Report: []float64{nan(), -1, 1e300, 4, 5, 6}, VolumeUse: nan(), HasUse: true,
-		Latency: -time.Hour, Status: OK, Terminal: true})
-	var nodes []Node
+	g.step(a, AttemptEnded{ID: a.ID, LoadReport: []float64{nan(), -1, 1e300, 4, 5, 6}, VolumeUsage: nan(), HasVolumeUsage: true,
+		Latency: -time.Hour, Status: StatusOK, RequestDone: true})
+	var nodes []Server
 	for k := range 60 {
-		nodes = append(nodes, Node{ID: NodeID(k), Shard: k % 2, StartedAt: g.now + time.Duration(k)*time.Second})
+		nodes = append(nodes, Server{ID: ServerID(k), Shard: k % 2, StartedAt: g.now + time.Duration(k)*time.Second})
 	}
-	g.step(NodeList{Scope: Whole, Nodes: nodes})
+	g.step(EndpointUpdate{Kind: Snapshot, Servers: nodes})
 	g.now += time.Hour
-	g.step(g.ask("read", "gold", 1, 2, 5), Wake{})
+	g.step(g.ask("read", "gold", 1, 2, 5), TimerFired{})
 	if l := g.s.nodes[1].latency; l <= 0 {
 		t.Errorf("L is %v", l)
 	}
@@ -851,13 +851,13 @@
 func TestMemoryIsBounded(t *testing.T) {
 	g := newGate(t, nil)
 	for k := range 200 {
-		id := NodeID(1000 + k)
-		g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: id, Shard: 0}}})
+		id := ServerID(1000 + k)
+		g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: id, Shard: 0}}})
 		a := g.ask("bulk", "gold", k, 2, uint64(k))
 		for _, id := range sendsOf(append(g.step(a), g.after(50*ms)...)) {
-			g.step(Outcome{ID: id, Status: OK, Latency: 5 * ms, Terminal: true})
+			g.step(AttemptEnded{ID: id, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 		}
-		g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: id, Shard: 0, State: Gone}}})
+		g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: id, Shard: 0, State: Removed}}})
 	}
 	g.after(30 * time.Second)
 	if len(g.s.nodes) != 2 || len(g.s.shards[0].flows) != 0 || len(g.s.busy) != 0 || len(g.s.reqs) != 0 {
@@ -872,7 +872,7 @@
 	g.step(slow)
 	g.now += idleVolume + time.Second
 	g.s.volumes[999].limit.set(0.001, 1e9, g.now)
-	g.step(g.ask("bulk", "gold", 1, 2, 1), Wake{})
+	g.step(g.ask("bulk", "gold", 1, 2, 1), TimerFired{})
 	if len(g.s.volumes) != 2 || g.s.volumes[999] == nil {
 		t.Errorf("%d volumes are known, want the one that asks and the one in debt", len(g.s.volumes))
 	}
@@ -885,14 +885,14 @@
 	for range 4 {
 		a := g.ask("read", "gold", 1, 2, 5)
 		if len(sendsOf(g.step(a))) == 1 {
-			g.step(Outcome{ID: a.ID, Node: 1, Status: ConnectFailed})
+			g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusConnectFailed})
 		}
 	}
 	n := g.s.nodes[1]
 	if n.failures == 0 || n.holdUntil <= g.now {
 		t.Fatalf("no hold after failed connects")
 	}
-	g.step(NodeList{Scope: Patch, Nodes: []Node{{ID: 1, StartedAt: g.now}}})
+	g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, StartedAt: g.now}}})
 	if n.failures != 0 || n.holdUntil > g.now {
 		t.Errorf("%d failures, held until %v, after its restart", n.failures, n.holdUntil)
 	}
@@ -914,7 +914,7 @@
 
 // TestAWindowUnderOneGrowsBack: with nothing out there is nothing against it, and no answer would ever tell.
 func TestAWindowUnderOneGrowsBack(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.Siblings = 100 })
+	g := newGate(t, func(s *Settings) { s.Gateways = 100 })
 	n := g.s.nodes[1]
 	n.window, n.spare, n.latency, n.took, n.closedAt = 0.05, 0.05, time.Second, time.Second, g.now
 	a := g.ask("bulk", "gold", 1, 2, 5)
@@ -926,14 +926,14 @@
 
 // A refused client is told when to come back: soon, while its aim can still be met, and once its limit has room.
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.MaxComeBack = 500 * ms })
+	g := newGate(t, func(s *Settings) { s.MaxRetryAfter = 500 * ms })
 	come := map[RequestID]time.Duration{}
 	a, b := g.ask("read", "capped", 1, 6, 1), g.ask("read", "gold", 2, 6, 2)
 	g.s.volume(&a, g.s.plans["capped"]).limit.level = -2 // 8 units short at 20 a second
 	b.TTL = ms                                           // too late for its node
 	for _, act := range append(g.step(a, b), g.after(time.Second)...) {
-		if r, ok := act.(Refuse); ok {
-			come[r.ID] = r.ComeBack
+		if r, ok := act.(Reject); ok {
+			come[r.ID] = r.RetryAfter
 		}
 	}
 	if len(come) != 2 {
@@ -952,11 +952,11 @@
 	g := newGate(t, nil)
 	a := g.ask("read", "capped", 1, 1, 1)
 	v := g.s.volume(&a, g.s.plans["capped"])
-	a.Hosts = 2
+	a.Gateways = 2
 	if g.s.volume(&a, g.s.plans["capped"]); v.limit.rate != 10 || v.limit.most != 12 {
 		t.Errorf("two hosts: rate %v, most %v", v.limit.rate, v.limit.most)
 	}
-	a.Hosts = 1
+	a.Gateways = 1
 	if g.s.volume(&a, g.s.plans["capped"]); v.limit.rate != 10 {
 		t.Errorf("one again: rate %v", v.limit.rate)
 	}
@@ -972,10 +972,10 @@
 		}
 		if answered {
 			g.now += 5 * ms
-			g.step(Outcome{ID: a.ID, Node: 1, Status: OK, Latency: 5 * ms, Terminal: true})
+			g.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 		}
 		g.now += 5 * ms
-		g.step(Outcome{ID: b.ID, Node: 1, Status: Reset, Terminal: true})
+		g.step(AttemptEnded{ID: b.ID, Server: 1, Status: StatusConnectionReset, RequestDone: true})
 		if got := sendsOf(g.step(c)); (len(got) == 1) != answered {
 			t.Errorf("answered %v: sent %v", answered, got)
 		}
@@ -990,9 +990,9 @@
 		for len(sendsOf(actions)) > 0 {
 			var next []Event
 			for _, a := range actions {
-				if a, ok := a.(Send); ok && a.Node == 1 {
+				if a, ok := a.(Send); ok && a.Server == 1 {
 					sends++
-					next = append(next, Outcome{ID: a.ID, Attempt: len(g.s.reqs[a.ID].tries) - 1, Node: 1, Status: Full})
+					next = append(next, AttemptEnded{ID: a.ID, Attempt: len(g.s.reqs[a.ID].tries) - 1, Server: 1, Status: StatusOverloaded})
 				}
 			}
 			g.now += ms
@@ -1000,7 +1000,7 @@
 		}
 		return sends
 	}
-	fresh := func() Arrival { a := g.ask("read", "gold", int(g.id), 2, 1); a.Shard = -1; return a }
+	fresh := func() RequestArrived { a := g.ask("read", "gold", int(g.id), 2, 1); a.Shard = -1; return a }
 	busy := g.ask("read", "gold", int(g.id), 2, 1)
 	busy.Shard = 1
 	g.step(busy) // so node 1 has less to do
@@ -1035,23 +1035,23 @@
 	got := make([]int, shards)
 	for seed := range uint64(gates) {
 		set := testSettings()
-		set.Siblings, set.Shards = gates, shards
+		set.Gateways, set.Shards = gates, shards
 		s, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		l := fleetNodes(shards)
-		l.Nodes[0].StartedAt = time.Hour
+		l.Servers[0].StartedAt = time.Hour
 		s.Step(time.Hour, []Event{l})
 		now := time.Hour + 5*time.Second
-		a := Arrival{ID: 1, Class: "read", Plan: "gold", TTL: time.Second, Units: 1, Shard: 1, Hosts: 1}
+		a := RequestArrived{ID: 1, Class: "read", Plan: "gold", TTL: time.Second, Units: 1, Shard: 1, Gateways: 1}
 		s.Step(now, []Event{a}) // node 2 owes an answer for long
 		now += 900 * ms
 		s.nodes[3].failures = 1
 		a.ID, a.Shard = 2, -1
 		for _, a := range s.Step(now, []Event{a}) {
 			if a, ok := a.(Send); ok {
-				got[a.Node-1]++
+				got[a.Server-1]++
 			}
 		}
 	}
@@ -1091,12 +1091,12 @@
 	ss, queue := make([]*Scheduler, gates), make([][]Event, gates)
 	for i := range ss {
 		set := testSettings()
-		set.Siblings, set.AskList = gates, true
+		set.Gateways, set.PollEndpoints = gates, true
 		s, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ss[i], queue[i] = s, []Event{NodeList{Scope: Stale, Nodes: []Node{{ID: 1}, {ID: 2, Shard: 1}}}}
+		ss[i], queue[i] = s, []Event{EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1}, {ID: 2, Shard: 1}}}}
 	}
 	for ; now < time.Hour+within; now += 10 * ms {
 		for _, c := range calls {
@@ -1104,15 +1104,15 @@
 			case c.end:
 			case now >= c.upTo && c.upTo <= c.from+most:
 				c.end, told = true, told+1
-				queue[c.gate] = append(queue[c.gate], NodeList{Scope: Whole, Nodes: []Node{{ID: 1}, {ID: 2, Shard: 1}}})
+				queue[c.gate] = append(queue[c.gate], EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}, {ID: 2, Shard: 1}}})
 			case now >= c.from+most:
 				c.end = true
-				queue[c.gate] = append(queue[c.gate], NodeList{Scope: Broken})
+				queue[c.gate] = append(queue[c.gate], EndpointUpdate{Kind: WatchFailed})
 			}
 		}
 		for i, s := range ss {
-			for _, a := range s.Step(now, append(queue[i], Wake{})) {
-				if _, ok := a.(Subscribe); ok {
+			for _, a := range s.Step(now, append(queue[i], TimerFired{})) {
+				if _, ok := a.(WatchEndpoints); ok {
 					free = max(free, now) + cost
 					calls = append(calls, &call{gate: i, from: now, upTo: free})
 				}
@@ -1126,20 +1126,20 @@
 }
 
 // newObjects tells where a gateway puts new objects that it is asked for one by one, each answered at once.
-func newObjects(t *testing.T, s *Scheduler, now *time.Duration, id *RequestID, count int, answer func(NodeID) Status) map[NodeID]int {
+func newObjects(t *testing.T, s *Scheduler, now *time.Duration, id *RequestID, count int, answer func(ServerID) Status) map[ServerID]int {
 	t.Helper()
-	got := map[NodeID]int{}
+	got := map[ServerID]int{}
 	for range count {
 		*now += 20 * ms
 		*id++
-		a := Arrival{ID: *id, Class: "read", Plan: "gold", TTL: 3 * time.Second, Units: 1, Shard: -1, Hosts: 1}
+		a := RequestArrived{ID: *id, Class: "read", Plan: "gold", TTL: 3 * time.Second, Units: 1, Shard: -1, Gateways: 1}
 		for _, a := range s.Step(*now, []Event{a}) {
 			switch a := a.(type) {
-			case Probe:
+			case ProbeServer:
 				t.Fatal("a probe")
 			case Send:
-				got[a.Node]++
-				s.Step(*now+5*ms, []Event{Outcome{ID: a.ID, Node: a.Node, Status: answer(a.Node), Latency: 5 * ms, Terminal: true}})
+				got[a.Server]++
+				s.Step(*now+5*ms, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Status: answer(a.Server), Latency: 5 * ms, RequestDone: true}})
 			}
 		}
 		*now += 5 * ms
@@ -1159,20 +1159,20 @@
 	}
 	now, id := time.Hour, RequestID(0)
 	s.Step(now, []Event{fleetNodes(set.Shards)})
-	fine := func(NodeID) Status { return OK }
+	fine := func(ServerID) Status { return StatusOK }
 	got := newObjects(t, s, &now, &id, 200, fine)
 	if len(got) != fewMet {
 		t.Errorf("200 new objects went to %d nodes, want %d: %v", len(got), fewMet, got)
 	}
-	var bad NodeID
+	var bad ServerID
 	for n := range got {
 		bad = max(bad, n)
 	}
-	errs := newObjects(t, s, &now, &id, 100, func(n NodeID) Status {
+	errs := newObjects(t, s, &now, &id, 100, func(n ServerID) Status {
 		if n == bad {
-			return Error
+			return StatusError
 		}
-		return OK
+		return StatusOK
 	})
 	if errs[bad] != 1 {
 		t.Errorf("%d new objects went to a node that fails them", errs[bad])
--- a/internal/scheduler/ordering.go
+++ b/internal/scheduler/ordering.go
@@ -4,7 +4,7 @@
 
 // This file holds the order of requests for one key.
 
-func (s *Scheduler) inTurn(r *request) bool { return r.class.InTurn && r.Key != NoKey }
+func (s *Scheduler) inTurn(r *request) bool { return r.class.OrderedByKey && r.Key != NoKey }
 
 func (s *Scheduler) queueTurn(r *request) {
 	t := s.turns[r.Key]
@@ -25,7 +25,7 @@
 // restTurn notes that an attempt may go on running.
 func (s *Scheduler) restTurn(r *request) {
 	if t := s.turns[r.Key]; s.inTurn(r) && t != nil {
-		t.rest = max(t.rest, s.now+s.set.KeyRest+s.set.Tick)
+		t.rest = max(t.rest, s.now+s.set.KeyCooldown+s.set.MinStepInterval)
 	}
 }
 
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -9,7 +9,7 @@
 // This file holds what becomes of a request when an attempt or its time ends.
 
 // outcome books the end of an attempt and decides what becomes of its request.
-func (s *Scheduler) outcome(o *Outcome) {
+func (s *Scheduler) outcome(o *AttemptEnded) {
 	r := s.reqs[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || r.tries[o.Attempt].closed {
 		return
@@ -23,19 +23,19 @@
 	}
 	n.closedAt, n.took = s.now, s.now-t.sentAt
 	s.observe(n, t, o)
-	if o.Status == OK {
+	if o.Status == StatusOK {
 		s.learn(r.vol, r.Units, o)
 	}
 	switch o.Status {
-	case Error, TimedOut, Reset, Cancelled:
+	case StatusError, StatusTimedOut, StatusConnectionReset, StatusCanceled:
 		if !r.mayRun || t.sentAt < r.mayRunAt {
 			r.mayRun, r.mayRunAt, r.ranZone = true, t.sentAt, n.Zone
 		}
 	}
-	if o.Status == TimedOut || o.Status == Reset || o.Status == Cancelled {
+	if o.Status == StatusTimedOut || o.Status == StatusConnectionReset || o.Status == StatusCanceled {
 		s.restTurn(r)
 	}
-	if r.over = r.over || o.Terminal; r.over {
+	if r.over = r.over || o.RequestDone; r.over {
 		s.settle(r)
 		return
 	}
@@ -49,16 +49,16 @@
 			r.shard = sh
 		}
 	}
-	if o.Status != TimedOut && r.notBefore+s.threshold/2 <= r.due && s.mayRepeat(r) && s.extraLeft() {
+	if o.Status != StatusTimedOut && r.notBefore+s.threshold/2 <= r.due && s.mayRepeat(r) && s.extraLeft() {
 		s.hold(r)
 	} else {
-		s.giveUp(r, NoFurtherTry)
+		s.giveUp(r, ReasonRetryNotAllowed)
 	}
 }
 
 // learn takes in what an answer tells of its volume's use through other gateways.
-func (s *Scheduler) learn(v *volume, units float64, o *Outcome) {
-	if s.set.TellsElsewhere && o.ForeignUnits >= 0 && o.ForeignUnits < 1e9 { // told, and not absurd
+func (s *Scheduler) learn(v *volume, units float64, o *AttemptEnded) {
+	if s.set.ReportsForeignUnits && o.ForeignUnits >= 0 && o.ForeignUnits < 1e9 { // told, and not absurd
 		fade := math.Exp2(-float64(s.now-v.toldAt) / float64(2*halfLife))
 		v.own, v.foreign, v.toldAt = fade*v.own+units, fade*v.foreign+o.ForeignUnits, s.now
 	}
@@ -67,11 +67,11 @@
 // giveUp ends a request: refused where that is true to its effect, else failed.
 func (s *Scheduler) giveUp(r *request, reason Reason) {
 	if s.listExpired() {
-		reason = ListExpired
+		reason = ReasonEndpointsExpired
 	}
-	if r.class.Effect == Repeatable || r.out == 0 && !r.mayRun ||
-		r.class.Effect == ByKey && r.class.Scope == ScopeAll {
-		s.do(Refuse{ID: r.ID, ComeBack: s.comeBack(r), Reason: reason})
+	if r.class.Idempotency == Idempotent || r.out == 0 && !r.mayRun ||
+		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupAll {
+		s.do(Reject{ID: r.ID, RetryAfter: s.comeBack(r), Reason: reason})
 	} else {
 		s.do(Fail{ID: r.ID, Reason: reason})
 	}
@@ -90,15 +90,15 @@
 		short := r.Units - v.limit.at(s.now)
 		wait = max(wait, time.Duration(short/v.limit.rate*float64(time.Second)))
 	}
-	return min(wait, s.set.MaxComeBack)
+	return min(wait, s.set.MaxRetryAfter)
 }
 
 // callOff gives up the attempts of a request for which nobody waits any more: where a node stops work that is
 // given up, it is free for others. Elsewhere that costs a connection.
 func (s *Scheduler) callOff(r *request) {
 	for i, t := range r.tries {
-		if s.set.MayCancel && !t.closed {
-			s.do(Cancel{ID: r.ID, Attempt: i})
+		if s.set.AllowCancel && !t.closed {
+			s.do(CancelAttempt{ID: r.ID, Attempt: i})
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	for len(s.expiries) > 0 && s.expiries[0].at <= s.now {
 		r := heap.Pop(&s.expiries).(expiry).r
 		if !r.over && r.expiry != 0 {
-			s.giveUp(r, TimeUp)
+			s.giveUp(r, ReasonDeadlineExceeded)
 		}
 	}
 }
--- a/internal/scheduler/permission.go
+++ b/internal/scheduler/permission.go
@@ -13,7 +13,7 @@
 		}
 	} else if !s.mayRepeat(r) || !s.extraLeft() {
 		return false
-	} else if r.mayRun && r.class.Effect == ByKey && r.class.Scope == ScopeZone && n.Zone != r.ranZone {
+	} else if r.mayRun && r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupZone && n.Zone != r.ranZone {
 		return false // the group that drops repeats; all nodes of a shard are one cell
 	}
 	if s.inTurn(r) && !s.firstInTurn(r) {
@@ -28,21 +28,21 @@
 
 // mayRepeat tells whether the class allows another attempt at this node.
 func (s *Scheduler) mayRepeat(r *request) bool {
-	harmless := !r.mayRun || r.class.Effect == Repeatable ||
-		r.class.Effect == ByKey && s.now < r.repeatBefore()
+	harmless := !r.mayRun || r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotentWithKey && s.now < r.repeatBefore()
 	return harmless && len(r.tries) < s.set.MaxAttempts && r.out == 0
 }
 
 // extraLeft tells whether the budget has room for a further attempt.
 func (s *Scheduler) extraLeft() bool {
-	if s.set.ExtraWindow == 0 {
+	if s.set.RetryBudgetWindow == 0 {
 		return true
 	}
-	for len(s.taken) > 0 && s.now-s.taken[0] >= s.set.ExtraWindow {
+	for len(s.taken) > 0 && s.now-s.taken[0] >= s.set.RetryBudgetWindow {
 		s.taken = s.taken[1:]
 	}
-	for len(s.extras) > 0 && s.now-s.extras[0] > s.set.ExtraWindow {
+	for len(s.extras) > 0 && s.now-s.extras[0] > s.set.RetryBudgetWindow {
 		s.extras = s.extras[1:]
 	}
-	return float64(len(s.extras)+1) <= s.set.ExtraFloor+s.set.ExtraRatio*float64(len(s.taken))
+	return float64(len(s.extras)+1) <= s.set.RetryBudgetMin+s.set.RetryBudgetRatio*float64(len(s.taken))
 }
--- a/internal/scheduler/queueing.go
+++ b/internal/scheduler/queueing.go
@@ -23,7 +23,7 @@
 	}
 	f.vol = r.vol // the flow may be from before its volume was forgotten
 	if !r.shard.busy {
-		r.shard.busy, r.shard.moved = true, max(r.shard.moved, s.now-s.set.RampTime, s.openedAt)
+		r.shard.busy, r.shard.moved = true, max(r.shard.moved, s.now-s.set.SlowStartDuration, s.openedAt)
 		s.busy = append(s.busy, r.shard)
 	}
 	if len(f.held) == 0 {
@@ -70,7 +70,7 @@
 // while its time lasts, where a quick node has room that the others left. A client's repeat does not: on a
 // busy day it would take what the next fresh one needs.
 func (s *Scheduler) lastCall(f *flow, r *request) {
-	if r.Came > s.threshold && len(r.tries) == 0 && r.expiry > s.now+s.threshold {
+	if r.ClientDelay > s.threshold && len(r.tries) == 0 && r.expiry > s.now+s.threshold {
 		for _, n := range r.shard.nodes {
 			if s.delay(n) <= s.threshold && s.mayGo(n, r) && s.roomFor(n, r) {
 				s.send(n, f, r)
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	s.giveUp(r, AimMissed)
+	s.giveUp(r, ReasonObjectiveMissed)
 }
 
 // roomFor tells whether a node may be sent another request.
@@ -101,7 +101,7 @@
 }
 
 // share is this gateway's even part of a figure that holds for all gateways at a node.
-func (s *Scheduler) share(all float64) float64 { return all / float64(s.set.Siblings) }
+func (s *Scheduler) share(all float64) float64 { return all / float64(s.set.Gateways) }
 
 // inTime tells whether a held request is worth a try where an answer takes wait.
 func (s *Scheduler) inTime(r *request, wait time.Duration) bool {
@@ -137,14 +137,14 @@
 	r.unhold()
 	if len(r.tries) == 0 {
 		f.vol.limit.take(s.now, r.Units)
-	} else if s.set.ExtraWindow > 0 {
+	} else if s.set.RetryBudgetWindow > 0 {
 		s.extras = append(s.extras, s.now)
 	}
 	if f.vol.reserved(s.now, r.Units) {
 		f.vol.reserve.take(s.now, r.Units)
 	} else {
 		sh.vtime = max(sh.vtime, f.tag)
-		worth := max(r.class.Worth*f.vol.plan.Pays/s.bestWorth, 0.1)
+		worth := max(r.class.PriorityWeight*f.vol.plan.PriorityFactor/s.bestWorth, 0.1)
 		f.tag += r.Units / (f.vol.plan.Weight * worth)
 	}
 	if f.vol.usual.at(s.now) >= r.Units {
@@ -161,7 +161,7 @@
 		n.holdUntil = s.now + n.rest
 	}
 	s.drawSlowStart(n, r.Units)
-	s.do(Send{ID: r.ID, Node: n.ID, Before: r.repeatBefore()})
+	s.do(Send{ID: r.ID, Server: n.ID, StartDeadline: r.repeatBefore()})
 }
 
 // deal sets this gateway's part of its volume's reserve and usual rate: as told by answers, and the even
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -47,7 +47,7 @@
 	reqs        map[RequestID]*request
 	expiries    expiryHeap
 	volumes     map[VolumeID]*volume
-	nodes       map[NodeID]*node
+	nodes       map[ServerID]*node
 	shards      []*shard
 	busy        []*shard // those with flows, in the order they got busy: the others cost nothing
 	turns       map[uint64]*turn
@@ -76,23 +76,23 @@
 	s := &Scheduler{set: set, rnd: rand.New(rand.NewPCG(seed, 1)), classes: map[string]*Class{},
 		plans: map[string]*Plan{}, longest: map[*Class]time.Duration{},
 		reqs: map[RequestID]*request{}, volumes: map[VolumeID]*volume{},
-		nodes: map[NodeID]*node{}, turns: map[uint64]*turn{}}
+		nodes: map[ServerID]*node{}, turns: map[uint64]*turn{}}
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		s.classes[c.Name] = c
-		if aim := time.Duration(thresholdPart * float64(c.Aim)); s.threshold == 0 || aim < s.threshold {
+		if aim := time.Duration(thresholdPart * float64(c.LatencyObjective)); s.threshold == 0 || aim < s.threshold {
 			s.threshold = aim
 		}
 	}
 	// Inside its reserve a request is worth a try for as long as that is worth more than a sure answer beyond
 	// one: where answers take L in the mean, one comes within t by 1-exp(-t/L), which is FairWorth here.
-	s.patienceIn = min(max(-math.Log1p(-min(set.FairWorth, 0.5)), patience/2), patience)
+	s.patienceIn = min(max(-math.Log1p(-min(set.FairShareWeight, 0.5)), patience/2), patience)
 	for i := range set.Plans {
 		p := &set.Plans[i]
 		s.plans[p.Name] = p
 		s.meanWeight += p.Weight / float64(len(set.Plans))
 		for _, c := range set.Classes {
-			s.bestWorth = max(s.bestWorth, c.Worth*p.Pays)
+			s.bestWorth = max(s.bestWorth, c.PriorityWeight*p.PriorityFactor)
 		}
 	}
 	if s.bestWorth == 0 { // nothing is worth anything: all alike
@@ -115,36 +115,36 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case NodeList:
+		case EndpointUpdate:
 			s.list(&e)
-		case Arrival:
+		case RequestArrived:
 			s.arrive(&e)
-		case Outcome:
+		case AttemptEnded:
 			s.outcome(&e)
-		case Dropped:
+		case RequestCanceled:
 			if r := s.reqs[e.ID]; r != nil && !r.over {
 				s.callOff(r)
 				s.end(r)
 			}
-		case Started:
+		case ResponseStarted:
 			if r := s.reqs[e.ID]; r != nil {
 				r.expiry = 0 // it has no deadline any more
 			}
-		case Ending:
-			s.curtail(e.At)
-		case Part:
+		case ShutdownStarted:
+			s.curtail(e.Deadline)
+		case QuotaShare:
 			if v := s.volumes[e.Volume]; v != nil {
-				v.limitTo(s.now, e.Part)
+				v.limitTo(s.now, e.Share)
 			}
-		case Shun:
-			if n := s.nodes[e.Node]; n != nil {
-				n.rest, n.restTill, n.holdUntil = e.Rest, s.now+e.Rest, max(n.holdUntil, n.lastSend+e.Rest)
+		case EjectServer:
+			if n := s.nodes[e.Server]; n != nil {
+				n.rest, n.restTill, n.holdUntil = e.MinInterval, s.now+e.MinInterval, max(n.holdUntil, n.lastSend+e.MinInterval)
 			}
-		case Seen:
-			if n := s.nodes[e.Node]; n != nil {
+		case PeerLatency:
+			if n := s.nodes[e.Server]; n != nil {
 				n.seen(e.Latency)
 			}
-		case Wake:
+		case TimerFired:
 			if s.now >= s.wakeAt {
 				s.wakeSet = false
 			}
@@ -196,16 +196,16 @@
 func (s *Scheduler) schedule() {
 	var at time.Duration
 	if len(s.reqs) > 0 {
-		at = s.now + max(4*s.set.Tick, s.threshold/16)
+		at = s.now + max(4*s.set.MinStepInterval, s.threshold/16)
 		if len(s.expiries) > 0 {
 			at = min(at, max(s.expiries[0].at, s.now+1))
 		}
 	}
-	if s.set.AskList && (at == 0 || s.askAgain < at) {
+	if s.set.PollEndpoints && (at == 0 || s.askAgain < at) {
 		at = max(s.askAgain, s.now+1)
 	}
 	if at != 0 && (!s.wakeSet || at < s.wakeAt) {
 		s.wakeSet, s.wakeAt = true, at
-		s.do(WakeAt{At: at})
+		s.do(SetTimer{At: at})
 	}
 }
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -11,39 +11,39 @@
 
 // usable checks settings and fills in what they may leave out. It decides nothing.
 func (set Settings) usable() (Settings, error) {
-	if len(set.Classes) == 0 || set.Siblings < 1 || set.MaxAttempts < 1 || set.Shards < 0 {
+	if len(set.Classes) == 0 || set.Gateways < 1 || set.MaxAttempts < 1 || set.Shards < 0 {
 		return set, fmt.Errorf("gaugerelay: %d classes, %d siblings, %d attempts, %d shards",
-			len(set.Classes), set.Siblings, set.MaxAttempts, set.Shards)
+			len(set.Classes), set.Gateways, set.MaxAttempts, set.Shards)
 	}
 	names := map[string]bool{}
 	for _, c := range set.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Worth < 0 || names[c.Name] {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.PriorityWeight < 0 || names[c.Name] {
 			return set, fmt.Errorf("gaugerelay: class %q: bad aim, deadline or worth, or listed twice", c.Name)
 		}
 		names[c.Name] = true
 	}
 	if len(set.Plans) == 0 {
-		set.Plans = []Plan{{Weight: 1, Pays: 1}}
+		set.Plans = []Plan{{Weight: 1, PriorityFactor: 1}}
 	}
 	clear(names)
 	for _, p := range set.Plans {
-		if p.Weight <= 0 || p.Pays < 0 || p.Reserve < 0 || p.Limit < 0 || names[p.Name] {
+		if p.Weight <= 0 || p.PriorityFactor < 0 || p.Reserve < 0 || p.Limit < 0 || names[p.Name] {
 			return set, fmt.Errorf("gaugerelay: plan %q: bad figures, or listed twice", p.Name)
 		}
 		names[p.Name] = true
 	}
-	if set.FairWorth < 0 || set.IdleWorth < 0 {
+	if set.FairShareWeight < 0 || set.SurplusWeight < 0 {
 		return set, errors.New("gaugerelay: a worth below zero")
 	}
-	if set.FallWindow <= 0 { // over no time there is no rule on cold nodes
-		set.FallMultiple = 0
+	if set.OverloadWindow <= 0 { // over no time there is no rule on cold nodes
+		set.OverloadMultiple = 0
 	}
-	if !(set.StartPart > 0 && set.StartPart < 1) || !set.Shares {
-		set.StartPart = 1
+	if !(set.InitialQuotaShare > 0 && set.InitialQuotaShare < 1) || !set.QuotaLeases {
+		set.InitialQuotaShare = 1
 	}
-	set.StartCapacity = max(set.StartCapacity, leastStart)
-	if set.ColdBears <= 0 { // not told: a call of mean work from each gateway
-		set.ColdBears = max(1, set.MeanUnits) * float64(set.Siblings)
+	set.InitialCapacity = max(set.InitialCapacity, leastStart)
+	if set.SlowStartUnits <= 0 { // not told: a call of mean work from each gateway
+		set.SlowStartUnits = max(1, set.MeanUnits) * float64(set.Gateways)
 	}
 	return set, nil
 }
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -82,7 +82,7 @@
 // newSlowStartBudget is the budget for a node that is new to this gateway or has restarted, with its tokens' times drawn.
 func (s *Scheduler) newSlowStartBudget() slowStartBudget {
 	drawn := 1 - s.rnd.Float64()
-	if s.now-s.openedAt < s.set.FallWindow { // what ran here before may just have used one
+	if s.now-s.openedAt < s.set.OverloadWindow { // what ran here before may just have used one
 		return slowStartBudget{level: -s.meanUnits() * drawn, last: s.now}
 	}
 	return slowStartBudget{phase: drawn, last: s.now}
@@ -97,7 +97,7 @@
 
 // startingUp tells whether a node may still be warming up.
 func (s *Scheduler) startingUp(n *node) bool {
-	return n.StartedAt > 0 && s.now-n.StartedAt < s.set.RampTime && s.set.FallMultiple > 0
+	return n.StartedAt > 0 && s.now-n.StartedAt < s.set.SlowStartDuration && s.set.OverloadMultiple > 0
 }
 
 // admits tells whether a node may be sent another request as far as it is starting up.
@@ -108,15 +108,15 @@
 // slowStartLevel is the level of a starting node's budget now. What the node bears grows with its age; counted is the least
 // that it may have been in the window that ends now.
 func (s *Scheduler) slowStartLevel(n *node) float64 {
-	age := max(0, float64(s.now-n.StartedAt-s.set.FallWindow)/float64(s.set.RampTime))
-	bears := s.set.ColdBears * (1 + (1/s.set.StartCapacity-1)*age)
-	window, ramp := s.set.FallWindow.Seconds(), s.set.RampTime.Seconds()
+	age := max(0, float64(s.now-n.StartedAt-s.set.OverloadWindow)/float64(s.set.SlowStartDuration))
+	bears := s.set.SlowStartUnits * (1 + (1/s.set.InitialCapacity-1)*age)
+	window, ramp := s.set.OverloadWindow.Seconds(), s.set.SlowStartDuration.Seconds()
 	even, mean := s.share(bears)/window, s.meanUnits()
-	if burst := slowStartSlack(bears/mean)/float64(s.set.Siblings) - slowStartOver; burst >= 0 {
+	if burst := slowStartSlack(bears/mean)/float64(s.set.Gateways) - slowStartOver; burst >= 0 {
 		return n.starting.fill(s.now, even, burst*mean)
 	}
-	asked := s.shards[n.Shard].demand(s.now, s.set.RampTime) / mean / ramp * window
-	waits := float64(s.threshold) / thresholdPart / float64(s.set.FallWindow) // the shortest aim
+	asked := s.shards[n.Shard].demand(s.now, s.set.SlowStartDuration) / mean / ramp * window
+	waits := float64(s.threshold) / thresholdPart / float64(s.set.OverloadWindow) // the shortest aim
 	fresh := min(slowStartFresh(asked, waits), ramp/window)
 	rate := slowStartPart / (1 + fresh) * even
 	return n.starting.tokens(s.now, rate, mean, rate*window*fresh)
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -21,8 +21,8 @@
 func (p coldPool) worst(t *testing.T, seed uint64) (worst, units float64) {
 	t.Helper()
 	set := testSettings()
-	set.Siblings, set.Shards, set.MeanUnits, set.MostUnits = p.gates, 1, 2, 6
-	set.ColdBears, set.StartCapacity, set.FallWindow, set.RampTime, set.FallMultiple = p.bears, 0.28, 3*time.Second, 15*time.Second, 2.5
+	set.Gateways, set.Shards, set.MeanUnits, set.MaxUnits = p.gates, 1, 2, 6
+	set.SlowStartUnits, set.InitialCapacity, set.OverloadWindow, set.SlowStartDuration, set.OverloadMultiple = p.bears, 0.28, 3*time.Second, 15*time.Second, 2.5
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	start := time.Hour + 5*time.Second
 	ss, told := make([]*Scheduler, p.gates), make([]time.Duration, p.gates)
@@ -35,12 +35,12 @@
 		if p.late {
 			told[i] += time.Duration(rnd.Float64() * float64(3*time.Second))
 		}
-		s.Step(time.Hour, []Event{NodeList{Scope: Whole, Nodes: []Node{{ID: 1}}}})
+		s.Step(time.Hour, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
 	}
 	type answer struct {
 		gate int
 		at   time.Duration
-		o    Outcome
+		o    AttemptEnded
 	}
 	var window []sent
 	var due []answer
@@ -64,30 +64,30 @@
 		for range n {
 			id++
 			g := rnd.IntN(p.gates)
-			events[g] = append(events[g], Arrival{ID: id, Class: "bulk", Plan: "gold", Volume: VolumeID(rnd.IntN(20)), Key: uint64(id),
-				TTL: 4 * time.Second, Units: 2, Hosts: p.gates})
+			events[g] = append(events[g], RequestArrived{ID: id, Class: "bulk", Plan: "gold", Volume: VolumeID(rnd.IntN(20)), Key: uint64(id),
+				TTL: 4 * time.Second, Units: 2, Gateways: p.gates})
 		}
 		for i, s := range ss {
 			if told[i] != 0 && now >= told[i] {
 				told[i] = 0
-				events[i] = append(events[i], NodeList{Scope: Patch, Nodes: []Node{{ID: 1, StartedAt: start}}})
+				events[i] = append(events[i], EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, StartedAt: start}}})
 			}
-			for _, a := range s.Step(now, append(events[i], Wake{})) {
+			for _, a := range s.Step(now, append(events[i], TimerFired{})) {
 				send, ok := a.(Send)
 				if !ok {
 					continue
 				}
-				due = append(due, answer{i, now + p.lat, Outcome{ID: send.ID, Node: 1, Status: OK, Latency: p.lat, Terminal: true}})
-				if told[i] != 0 || now-start >= set.RampTime {
+				due = append(due, answer{i, now + p.lat, AttemptEnded{ID: send.ID, Server: 1, Status: StatusOK, Latency: p.lat, RequestDone: true}})
+				if told[i] != 0 || now-start >= set.SlowStartDuration {
 					continue // who was not told is free
 				}
 				window = append(window, sent{now, 2})
 				units, sum = units+2, sum+2
-				for now-window[0].at >= set.FallWindow {
+				for now-window[0].at >= set.OverloadWindow {
 					sum -= window[0].units
 					window = window[1:]
 				}
-				grown := p.bears / set.MeanUnits * (1 + (1/set.StartCapacity-1)*float64(now-start)/float64(set.RampTime))
+				grown := p.bears / set.MeanUnits * (1 + (1/set.InitialCapacity-1)*float64(now-start)/float64(set.SlowStartDuration))
 				worst = max(worst, sum/set.MeanUnits/(grown+slowStartSlack(grown)))
 			}
 		}
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -57,26 +57,26 @@
 }
 
 // observe feeds an outcome to what is known of its node.
-func (s *Scheduler) observe(n *node, t *try, o *Outcome) {
+func (s *Scheduler) observe(n *node, t *try, o *AttemptEnded) {
 	switch o.Status {
-	case OK:
+	case StatusOK:
 		if s.slept != s.now {
 			n.sum += max(0, o.Latency)
 			n.answers++
 		}
 		n.failures, n.turned = 0, 0
 		n.answered, n.newest = s.now, max(n.newest, t.sentAt)
-	case Full:
+	case StatusOverloaded:
 		// One queue that is full for a moment says little. A node that turns away one after the other drains, and
 		// the list is late to tell: attempts are not to be spent on it.
 		if n.turned = min(n.turned+1, 5); n.turned > 1 {
 			n.holdUntil = max(n.holdUntil, s.now+s.threshold<<(n.turned-2))
 		}
-	case Error:
+	case StatusError:
 		n.erredAt = s.now
 		n.answered, n.failures, n.turned = s.now, 0, 0 // no latency: fast errors must not open the window
-	case ConnectFailed, Reset:
-		if o.Status == Reset && s.now-n.answered < patienceLong*s.threshold {
+	case StatusConnectFailed, StatusConnectionReset:
+		if o.Status == StatusConnectionReset && s.now-n.answered < patienceLong*s.threshold {
 			return // a connection broke, not the node: it has just answered on others
 		}
 		n.failures = min(n.failures+1, 4)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -169,17 +169,17 @@
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
 	simwire.Reply(w, 3, []scheduler.Action{
-		scheduler.Send{ID: 7001, Node: 501, Timeout: 80*time.Millisecond + 125*time.Microsecond},
-		scheduler.Send{ID: 4294967295, Node: 4294967295, Before: time.Second},
-		scheduler.Send{ID: 7001, Node: 501, Timeout: -time.Millisecond},
-		scheduler.Refuse{ID: 7002, ComeBack: 250 * time.Millisecond},
-		scheduler.Refuse{ID: 7003},
+		scheduler.Send{ID: 7001, Server: 501, Timeout: 80*time.Millisecond + 125*time.Microsecond},
+		scheduler.Send{ID: 4294967295, Server: 4294967295, StartDeadline: time.Second},
+		scheduler.Send{ID: 7001, Server: 501, Timeout: -time.Millisecond},
+		scheduler.Reject{ID: 7002, RetryAfter: 250 * time.Millisecond},
+		scheduler.Reject{ID: 7003},
 		scheduler.Fail{ID: 7004},
-		scheduler.Cancel{ID: 7001, Attempt: 1},
-		scheduler.Subscribe{},
-		scheduler.Probe{Node: 502},
-		scheduler.WakeAt{At: 8912250 * time.Microsecond},
-		scheduler.Demand{},
+		scheduler.CancelAttempt{ID: 7001, Attempt: 1},
+		scheduler.WatchEndpoints{},
+		scheduler.ProbeServer{Server: 502},
+		scheduler.SetTimer{At: 8912250 * time.Microsecond},
+		scheduler.QuotaDemand{},
 		scheduler.Log{Text: "two servers known"},
 	})
 	simwire.Reply(w, 4, nil)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -30,12 +30,12 @@
 func (p *pairs) ms(path string) time.Duration { return ms(p.num(path + "Ms")) }
 func (p *pairs) yes(path string) bool         { return p.vals[path] == "true" || p.vals[path] == "1" }
 
-var effects = map[string]scheduler.Effect{
-	"repeatable": scheduler.Repeatable, "by_key": scheduler.ByKey, "once": scheduler.Once,
+var effects = map[string]scheduler.Idempotency{
+	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
 }
 
-var groups = map[string]scheduler.Scope{
-	"all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeCell,
+var groups = map[string]scheduler.DedupScope{
+	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
 }
 
 // settings reads the Setup pairs. Unknown paths are skipped.
@@ -50,19 +50,19 @@
 	for i := range int(p.num("Lanes.count")) {
 		at := fmt.Sprintf("Lanes.%d.", i)
 		c := scheduler.Class{
-			Name: p.vals[at+"Name"], Aim: p.ms(at + "Promise"), AimStretch: p.num(at + "AimStretch"),
+			Name: p.vals[at+"Name"], LatencyObjective: p.ms(at + "Promise"), ObjectiveStretch: p.num(at + "AimStretch"),
 			Deadline: p.ms(at + "Deadline"), DedupWindow: p.ms(at + "DedupWindow"),
-			InTurn: p.yes(at + "InTurn"), Stream: p.yes(at + "Stream"),
-			Worth: p.num(at + "Worth"), LateValue: p.num(at + "LateValue"),
+			OrderedByKey: p.yes(at + "InTurn"), Stream: p.yes(at + "Stream"),
+			PriorityWeight: p.num(at + "Worth"), LateFraction: p.num(at + "LateValue"),
 			Write: i < len(writes) && writes[i] == "true",
 		}
 		var ok, ok2 bool
-		c.Effect, ok = effects[p.vals[at+"Idempotency"]]
-		if c.Scope, ok2 = groups[p.vals[at+"KeyScope"]]; !ok2 {
-			c.Scope = scheduler.ScopeCell // an unknown group: the narrowest
+		c.Idempotency, ok = effects[p.vals[at+"Idempotency"]]
+		if c.DedupScope, ok2 = groups[p.vals[at+"KeyScope"]]; !ok2 {
+			c.DedupScope = scheduler.DedupCell // an unknown group: the narrowest
 		}
 		if !ok {
-			c.Effect = scheduler.Once // an unknown effect: the strictest
+			c.Idempotency = scheduler.NotIdempotent // an unknown effect: the strictest
 		}
 		s.Classes = append(s.Classes, c)
 	}
@@ -70,35 +70,35 @@
 		at := fmt.Sprintf("Plans.%d.", i)
 		s.Plans = append(s.Plans, scheduler.Plan{
 			Name: p.vals[at+"Name"], Rate: p.num(at + "UsualRate"), Reserve: p.num(at + "Reservation"),
-			Weight: p.num(at + "Shares"), Pays: p.num(at + "Pays"), Limit: p.num(at + "CeilingRate"),
-			LimitCap: p.num(at + "CapDepth"), LimitDebt: p.num(at + "CapSlack"),
+			Weight: p.num(at + "Shares"), PriorityFactor: p.num(at + "Pays"), Limit: p.num(at + "CeilingRate"),
+			LimitBurst: p.num(at + "CapDepth"), LimitOverdraft: p.num(at + "CapSlack"),
 		})
 	}
-	s.Siblings = int(p.num("Siblings"))
+	s.Gateways = int(p.num("Siblings"))
 	s.Shards = int(p.num("FamilyInfo.NShards"))
-	s.MeanUnits, s.MostUnits = p.num("FamilyInfo.MeanUnits"), p.num("FamilyInfo.MostUnits")
-	s.FairWorth, s.IdleWorth = p.num("FamilyInfo.FairWorth"), p.num("FamilyInfo.IdleWorth")
-	s.AskList = p.vals["Discovery"] == "ask"
-	s.AskWithin = p.ms("Invariants.AskWithin")
+	s.MeanUnits, s.MaxUnits = p.num("FamilyInfo.MeanUnits"), p.num("FamilyInfo.MostUnits")
+	s.FairShareWeight, s.SurplusWeight = p.num("FamilyInfo.FairWorth"), p.num("FamilyInfo.IdleWorth")
+	s.PollEndpoints = p.vals["Discovery"] == "ask"
+	s.MaxPollInterval = p.ms("Invariants.AskWithin")
 	s.MaxAttempts = int(p.num("Limits.AttemptsCap"))
-	s.MayDuplicate = p.yes("Limits.MayDuplicate")
-	s.MayCancel, s.MayProbe = p.yes("Limits.Cancel"), p.yes("Limits.Probing")
+	s.AllowHedging = p.yes("Limits.MayDuplicate")
+	s.AllowCancel, s.AllowProbes = p.yes("Limits.Cancel"), p.yes("Limits.Probing")
 	if p.yes("Limits.RetryAfter") {
-		s.MaxComeBack = p.ms("Limits.MaxRetryAfter")
+		s.MaxRetryAfter = p.ms("Limits.MaxRetryAfter")
 	}
-	s.AnswerGrace, s.DrainGrace = p.ms("Invariants.GraceToAnswer"), p.ms("Invariants.DrainGrace")
-	s.StartCapacity, s.RampTime = p.num("Invariants.StartCapacity"), p.ms("Invariants.RampTime")
-	s.FallMultiple, s.FallWindow = p.num("Invariants.FallMultiple"), p.ms("Invariants.Fall")
-	s.ColdBears = p.num("FamilyInfo.ColdBears")
-	s.KeyRest = p.ms("Invariants.KeyRest")
-	s.ExtraFloor, s.ExtraRatio = p.num("Invariants.ExtraFloor"), p.num("Invariants.ExtraRatio")
-	s.ExtraWindow = p.ms("Invariants.CountedOver")
-	s.UsePeriod = p.ms("FamilyInfo.UsePeriod")
-	s.TellsElsewhere = p.yes("FamilyInfo.TellsElsewhere")
+	s.ResponseGrace, s.DrainGrace = p.ms("Invariants.GraceToAnswer"), p.ms("Invariants.DrainGrace")
+	s.InitialCapacity, s.SlowStartDuration = p.num("Invariants.StartCapacity"), p.ms("Invariants.RampTime")
+	s.OverloadMultiple, s.OverloadWindow = p.num("Invariants.FallMultiple"), p.ms("Invariants.Fall")
+	s.SlowStartUnits = p.num("FamilyInfo.ColdBears")
+	s.KeyCooldown = p.ms("Invariants.KeyRest")
+	s.RetryBudgetMin, s.RetryBudgetRatio = p.num("Invariants.ExtraFloor"), p.num("Invariants.ExtraRatio")
+	s.RetryBudgetWindow = p.ms("Invariants.CountedOver")
+	s.UsagePeriod = p.ms("FamilyInfo.UsePeriod")
+	s.ReportsForeignUnits = p.yes("FamilyInfo.TellsElsewhere")
 	if v := p.vals["Report.Fields"]; v != "" && v != "-" {
-		s.ReportFields = strings.Split(v, ",")
+		s.LoadReportFields = strings.Split(v, ",")
 	}
-	s.Tick = p.ms("Tick")
+	s.MinStepInterval = p.ms("Tick")
 	if f.err == nil {
 		f.err = p.err
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -135,16 +135,16 @@
 }
 
 var statuses = map[uint64]scheduler.Status{
-	10: scheduler.OK, 20: scheduler.Error, 30: scheduler.Full, 40: scheduler.TimedOut,
-	50: scheduler.ConnectFailed, 60: scheduler.Reset, 70: scheduler.Cancelled, 80: scheduler.Moot,
+	10: scheduler.StatusOK, 20: scheduler.StatusError, 30: scheduler.StatusOverloaded, 40: scheduler.StatusTimedOut,
+	50: scheduler.StatusConnectFailed, 60: scheduler.StatusConnectionReset, 70: scheduler.StatusCanceled, 80: scheduler.StatusNotSent,
 }
 
-var scopes = map[string]scheduler.ListScope{
-	"patch": scheduler.Patch, "whole": scheduler.Whole, "stale_copy": scheduler.Stale, "broken": scheduler.Broken,
+var scopes = map[string]scheduler.UpdateKind{
+	"patch": scheduler.Delta, "whole": scheduler.Snapshot, "stale_copy": scheduler.CachedSnapshot, "broken": scheduler.WatchFailed,
 }
 
-var states = map[string]scheduler.NodeState{
-	"live": scheduler.Live, "quiescing": scheduler.Draining, "dead": scheduler.Gone,
+var states = map[string]scheduler.ServerState{
+	"live": scheduler.Ready, "quiescing": scheduler.Draining, "dead": scheduler.Removed,
 }
 
 func (f *fields) status() scheduler.Status {
@@ -211,7 +211,7 @@
 	case "BACKENDS_CHANGED":
 		it.Event, err = r.nodeList(f)
 	case "NEW_REQUEST":
-		a := scheduler.Arrival{ID: scheduler.RequestID(f.whole("Ref", 32, false)),
+		a := scheduler.RequestArrived{ID: scheduler.RequestID(f.whole("Ref", 32, false)),
 			Class: f.text("TierClass", false), Plan: f.text("PolicyNo", true), Key: scheduler.NoKey}
 		if k := f.text("Region", true); k != "" {
 			one := fields{name: f.name, vals: []string{k}}
@@ -230,37 +230,37 @@
 				f.err = one.err
 			}
 		}
-		a.Hosts = int(f.number("NHosts", true))
-		a.Repeat = f.whole("Opts", 63, true)&2 != 0
+		a.Gateways = int(f.number("NHosts", true))
+		a.IsRetry = f.whole("Opts", 63, true)&2 != 0
 		it.Event = a
 	case "REMINDER":
 		f.whole("KeyBack", 63, false)
-		it.Event = scheduler.Wake{}
+		it.Event = scheduler.TimerFired{}
 	case "STREAMING":
-		s := scheduler.Started{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
+		s := scheduler.ResponseStarted{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
 		s.Latency = f.ms("LagMs", true)
-		s.Node = scheduler.NodeID(f.whole("Store", 32, false))
+		s.Server = scheduler.ServerID(f.whole("Store", 32, false))
 		s.Attempt = int(f.whole("Shot", 31, false))
 		it.Event = s
 	case "DROPPED":
-		it.Event = scheduler.Dropped{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
+		it.Event = scheduler.RequestCanceled{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
 	case "STATUS_BACK":
-		p := scheduler.Probed{Latency: f.ms("LagMs", true), Status: f.status()}
-		p.Node = scheduler.NodeID(f.whole("Store", 32, false))
-		p.Report = f.row("ServerStats")
+		p := scheduler.ProbeEnded{Latency: f.ms("LagMs", true), Status: f.status()}
+		p.Server = scheduler.ServerID(f.whole("Store", 32, false))
+		p.LoadReport = f.row("ServerStats")
 		it.Event = p
 	case "CLOSED_ATTEMPT":
-		o := scheduler.Outcome{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
+		o := scheduler.AttemptEnded{ID: scheduler.RequestID(f.whole("Ref", 32, false))}
 		o.Latency = f.ms("LagMs", true)
 		if use := f.number("VolumeUse", true); use > 0 {
-			o.VolumeUse, o.HasUse = (use-1)/100, true
+			o.VolumeUsage, o.HasVolumeUsage = (use-1)/100, true
 		}
-		o.Terminal = f.text("Terminal", true) == "1"
+		o.RequestDone = f.text("Terminal", true) == "1"
 		o.Status = f.status()
 		o.ForeignUnits = f.number("ForeignUnits", true)
-		o.Node = scheduler.NodeID(f.whole("Store", 32, false))
+		o.Server = scheduler.ServerID(f.whole("Store", 32, false))
 		o.Attempt = int(f.whole("Shot", 31, false))
-		o.Report = f.row("ServerStats")
+		o.LoadReport = f.row("ServerStats")
 		it.Event = o
 	default:
 		return it, false, nil
@@ -269,13 +269,13 @@
 }
 
 func (r *Reader) nodeList(f *fields) (scheduler.Event, error) {
-	l := scheduler.NodeList{Version: f.whole("Epoch", 64, true)}
+	l := scheduler.EndpointUpdate{Version: f.whole("Epoch", 64, true)}
 	name := f.text("Scope", false)
 	scope, ok := scopes[name]
 	if !ok && f.err == nil {
 		f.err = fmt.Errorf("%s: unknown scope %q", f.name, name)
 	}
-	l.Scope = scope
+	l.Kind = scope
 	count := f.whole("NodesList", 31, true)
 	for i := uint64(0); i < count && f.err == nil; i++ {
 		vals, err := r.next()
@@ -283,7 +283,7 @@
 			return nil, fmt.Errorf("line %d: %d of %d ITEM lines came", r.line, i, count)
 		}
 		g := &fields{name: "ITEM", vals: vals[1:]}
-		n := scheduler.Node{Size: g.number("Share", true)}
+		n := scheduler.Server{Size: g.number("Share", true)}
 		st := g.text("Readiness", false)
 		state, ok := states[st]
 		if !ok {
@@ -293,10 +293,10 @@
 		n.Kind = g.text("ClassOfHost", true)
 		n.StartedAt = g.ms("CameUpMs", true)
 		n.Shard = int(g.number("Block", true))
-		n.ID = scheduler.NodeID(g.whole("Store", 32, false))
+		n.ID = scheduler.ServerID(g.whole("Store", 32, false))
 		n.Zone = g.text("Dc", true)
 		f.err = g.err
-		l.Nodes = append(l.Nodes, n)
+		l.Servers = append(l.Servers, n)
 	}
 	return l, nil
 }
@@ -310,18 +310,18 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case scheduler.Send:
-			fmt.Fprintf(w, "FORWARD %d %s %d\n", a.ID, printMs(a.Timeout), a.Node)
-		case scheduler.Refuse:
-			fmt.Fprintf(w, "NOT_NOW %d %s\n", a.ID, printMs(a.ComeBack))
+			fmt.Fprintf(w, "FORWARD %d %s %d\n", a.ID, printMs(a.Timeout), a.Server)
+		case scheduler.Reject:
+			fmt.Fprintf(w, "NOT_NOW %d %s\n", a.ID, printMs(a.RetryAfter))
 		case scheduler.Fail:
 			fmt.Fprintf(w, "END_FAILED %d\n", a.ID)
-		case scheduler.Cancel:
+		case scheduler.CancelAttempt:
 			fmt.Fprintf(w, "CANCEL %d %d\n", a.ID, a.Attempt)
-		case scheduler.Subscribe:
+		case scheduler.WatchEndpoints:
 			fmt.Fprintf(w, "LISTEN 1\n")
-		case scheduler.Probe:
-			fmt.Fprintf(w, "PROBE %d\n", a.Node)
-		case scheduler.WakeAt:
+		case scheduler.ProbeServer:
+			fmt.Fprintf(w, "PROBE %d\n", a.Server)
+		case scheduler.SetTimer:
 			fmt.Fprintf(w, "SET_TIMER 1 %s\n", printMs(a.At))
 		case scheduler.Log:
 			fmt.Fprintf(w, "DEBUG %s\n", a.Text)
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -27,24 +27,24 @@
 		name, lines string
 		want        scheduler.Event
 	}{
-		{"request", "NEW_REQUEST 7 read gold 42 240.5 9 2 3 2 6", scheduler.Arrival{ID: 7, Class: "read",
-			Plan: "gold", Key: 42, TTL: 240500 * time.Microsecond, Volume: 9, Units: 2, Shard: 3, Hosts: 2, Repeat: true}},
-		{"request without key, new object", "NEW_REQUEST 7 read gold - 240 9 1 -1 2 0", scheduler.Arrival{ID: 7,
-			Class: "read", Plan: "gold", Key: scheduler.NoKey, TTL: 240 * ms, Volume: 9, Units: 1, Shard: -1, Hosts: 2}},
-		{"outcome", "CLOSED_ATTEMPT 7 18.5 86 1 10 3 51 0 7,3", scheduler.Outcome{ID: 7, Latency: 18500 * time.Microsecond,
-			VolumeUse: 0.85, HasUse: true, Terminal: true, Status: scheduler.OK, ForeignUnits: 3, Node: 51,
-			Report: []float64{7, 3}}},
-		{"outcome with nothing told", "CLOSED_ATTEMPT 7 18 - 0 40 - 51 2 -", scheduler.Outcome{ID: 7,
-			Latency: 18 * ms, Status: scheduler.TimedOut, Node: 51, Attempt: 2}},
-		{"probe", "STATUS_BACK 1 10 51 7,3", scheduler.Probed{Latency: ms, Node: 51, Report: []float64{7, 3}}},
-		{"dropped", "DROPPED 7", scheduler.Dropped{ID: 7}},
-		{"timer", "REMINDER 77", scheduler.Wake{}},
-		{"stream", "STREAMING 7 9 51 1", scheduler.Started{ID: 7, Latency: 9 * ms, Node: 51, Attempt: 1}},
-		{"list", "BACKENDS_CHANGED 41 patch 1\nITEM 1.5 quiescing fast 6100 4 74 here", scheduler.NodeList{Version: 41,
-			Nodes: []scheduler.Node{{ID: 74, State: scheduler.Draining, Shard: 4, StartedAt: 6100 * ms, Kind: "fast",
+		{"request", "NEW_REQUEST 7 read gold 42 240.5 9 2 3 2 6", scheduler.RequestArrived{ID: 7, Class: "read",
+			Plan: "gold", Key: 42, TTL: 240500 * time.Microsecond, Volume: 9, Units: 2, Shard: 3, Gateways: 2, IsRetry: true}},
+		{"request without key, new object", "NEW_REQUEST 7 read gold - 240 9 1 -1 2 0", scheduler.RequestArrived{ID: 7,
+			Class: "read", Plan: "gold", Key: scheduler.NoKey, TTL: 240 * ms, Volume: 9, Units: 1, Shard: -1, Gateways: 2}},
+		{"outcome", "CLOSED_ATTEMPT 7 18.5 86 1 10 3 51 0 7,3", scheduler.AttemptEnded{ID: 7, Latency: 18500 * time.Microsecond,
+			VolumeUsage: 0.85, HasVolumeUsage: true, RequestDone: true, Status: scheduler.StatusOK, ForeignUnits: 3, Server: 51,
+			LoadReport: []float64{7, 3}}},
+		{"outcome with nothing told", "CLOSED_ATTEMPT 7 18 - 0 40 - 51 2 -", scheduler.AttemptEnded{ID: 7,
+			Latency: 18 * ms, Status: scheduler.StatusTimedOut, Server: 51, Attempt: 2}},
+		{"probe", "STATUS_BACK 1 10 51 7,3", scheduler.ProbeEnded{Latency: ms, Server: 51, LoadReport: []float64{7, 3}}},
+		{"dropped", "DROPPED 7", scheduler.RequestCanceled{ID: 7}},
+		{"timer", "REMINDER 77", scheduler.TimerFired{}},
+		{"stream", "STREAMING 7 9 51 1", scheduler.ResponseStarted{ID: 7, Latency: 9 * ms, Server: 51, Attempt: 1}},
+		{"list", "BACKENDS_CHANGED 41 patch 1\nITEM 1.5 quiescing fast 6100 4 74 here", scheduler.EndpointUpdate{Version: 41,
+			Servers: []scheduler.Server{{ID: 74, State: scheduler.Draining, Shard: 4, StartedAt: 6100 * ms, Kind: "fast",
 				Zone: "here", Size: 1.5}}}},
-		{"broken list", "BACKENDS_CHANGED 41 broken 0", scheduler.NodeList{Version: 41, Scope: scheduler.Broken}},
-		{"fields of a later wire", "DROPPED 7 and more", scheduler.Dropped{ID: 7}},
+		{"broken list", "BACKENDS_CHANGED 41 broken 0", scheduler.EndpointUpdate{Version: 41, Kind: scheduler.WatchFailed}},
+		{"fields of a later wire", "DROPPED 7 and more", scheduler.RequestCanceled{ID: 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := read(t, "CLOCK 8412.25 12\nTARGET_INSTANCE 3\n"+c.lines+"\nEND\n")
@@ -76,11 +76,11 @@
 	switch {
 	case b.Items[0].Kind != Opened || b.Items[0].Seed != 5:
 		t.Errorf("item %+v", b.Items[0])
-	case c.Effect != scheduler.ByKey || c.Scope != scheduler.ScopeZone || !c.InTurn || !c.Write || c.Aim != time.Second/2:
+	case c.Idempotency != scheduler.IdempotentWithKey || c.DedupScope != scheduler.DedupZone || !c.OrderedByKey || !c.Write || c.LatencyObjective != time.Second/2:
 		t.Errorf("class %+v", c)
-	case s.Plans[0].Limit != 30 || s.Siblings != 3 || !s.AskList || s.KeyRest != 200*time.Millisecond:
+	case s.Plans[0].Limit != 30 || s.Gateways != 3 || !s.PollEndpoints || s.KeyCooldown != 200*time.Millisecond:
 		t.Errorf("settings %+v", s)
-	case s.ColdBears != 12 || s.ExtraRatio != 0.15 || s.MaxComeBack != 0 || len(s.ReportFields) != 2:
+	case s.SlowStartUnits != 12 || s.RetryBudgetRatio != 0.15 || s.MaxRetryAfter != 0 || len(s.LoadReportFields) != 2:
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -110,10 +110,10 @@
 func TestReply(t *testing.T) {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	Reply(w, 3, []scheduler.Action{scheduler.Send{ID: 7, Node: 51, Timeout: 80 * time.Millisecond},
-		scheduler.Send{ID: 8, Node: 51}, scheduler.Refuse{ID: 9, ComeBack: 250 * time.Millisecond}, scheduler.Fail{ID: 10},
-		scheduler.Cancel{ID: 7, Attempt: 1}, scheduler.Subscribe{}, scheduler.Probe{Node: 51},
-		scheduler.WakeAt{At: 8912250 * time.Microsecond}, scheduler.Log{Text: "hello"}})
+	Reply(w, 3, []scheduler.Action{scheduler.Send{ID: 7, Server: 51, Timeout: 80 * time.Millisecond},
+		scheduler.Send{ID: 8, Server: 51}, scheduler.Reject{ID: 9, RetryAfter: 250 * time.Millisecond}, scheduler.Fail{ID: 10},
+		scheduler.CancelAttempt{ID: 7, Attempt: 1}, scheduler.WatchEndpoints{}, scheduler.ProbeServer{Server: 51},
+		scheduler.SetTimer{At: 8912250 * time.Microsecond}, scheduler.Log{Text: "hello"}})
 	Reply(w, 4, nil)
 	Finish(w, &Batch{Seq: "12"})
 	w.Flush()
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -174,7 +174,7 @@
 // list is the present node list.
 func (r *rig) list() lifecycle.List {
 	r.version++
-	l := lifecycle.List{Version: r.version, Scope: scheduler.Whole}
+	l := lifecycle.List{Version: r.version, Scope: scheduler.Snapshot}
 	for _, n := range r.nodes {
 		e := *n.entry
 		l.Nodes = append(l.Nodes, &e)
@@ -195,7 +195,7 @@
 		r.mu.Lock()
 		var old *running
 		for _, n := range r.nodes {
-			if n.entry.State == scheduler.Live && (old == nil || r.rnd.IntN(shards) == 0) {
+			if n.entry.State == scheduler.Ready && (old == nil || r.rnd.IntN(shards) == 0) {
 				old = n
 			}
 		}
@@ -280,7 +280,7 @@
 	}
 	r.mu.Lock()
 	known := r.list()
-	known.Scope = scheduler.Stale
+	known.Scope = scheduler.CachedSnapshot
 	r.mu.Unlock()
 	for _, what := range []string{"platform", "coap", "http", "files"} {
 		if r.addrs[what] == "" {
--- a/internal/testbed/testsettings/platform.go
+++ b/internal/testbed/testsettings/platform.go
@@ -10,17 +10,17 @@
 // Settings are like the platform's, for one gateway.
 func Settings(shards int) scheduler.Settings {
 	const ms = time.Millisecond
-	return scheduler.Settings{Siblings: 1, Shards: shards, MeanUnits: 2, MostUnits: 6, FairWorth: 0.3, IdleWorth: 0.05,
-		MaxAttempts: 3, MayDuplicate: true, MayCancel: true, MayProbe: true, MaxComeBack: 500 * ms, AnswerGrace: 8 * ms,
-		DrainGrace: time.Second, StartCapacity: 0.28, RampTime: 15 * time.Second, FallMultiple: 2.5,
-		FallWindow: 3 * time.Second, ColdBears: 51, Tick: 2 * ms, AskWithin: 10 * time.Second,
+	return scheduler.Settings{Gateways: 1, Shards: shards, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.3, SurplusWeight: 0.05,
+		MaxAttempts: 3, AllowHedging: true, AllowCancel: true, AllowProbes: true, MaxRetryAfter: 500 * ms, ResponseGrace: 8 * ms,
+		DrainGrace: time.Second, InitialCapacity: 0.28, SlowStartDuration: 15 * time.Second, OverloadMultiple: 2.5,
+		OverloadWindow: 3 * time.Second, SlowStartUnits: 51, MinStepInterval: 2 * ms, MaxPollInterval: 10 * time.Second,
 		Classes: []scheduler.Class{
-			{Name: "pull", Aim: 300 * ms, Deadline: 1500 * ms, Worth: 2},
-			{Name: "push", Aim: 400 * ms, Deadline: 3 * time.Second, Worth: 2, Write: true, Effect: scheduler.ByKey,
-				Scope: scheduler.ScopeCell, DedupWindow: 3 * time.Second},
-			{Name: "bulk-read", Aim: 1500 * ms, Deadline: 5 * time.Second, Worth: 1},
+			{Name: "pull", LatencyObjective: 300 * ms, Deadline: 1500 * ms, PriorityWeight: 2},
+			{Name: "push", LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 2, Write: true, Idempotency: scheduler.IdempotentWithKey,
+				DedupScope: scheduler.DedupCell, DedupWindow: 3 * time.Second},
+			{Name: "bulk-read", LatencyObjective: 1500 * ms, Deadline: 5 * time.Second, PriorityWeight: 1},
 		},
 		Plans: []scheduler.Plan{
-			{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, Pays: 0.96, Limit: 33, LimitCap: 53, LimitDebt: 6},
-			{Name: "business", Rate: 8.2, Reserve: 8.2, Weight: 2, Pays: 0.9}}}
+			{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, PriorityFactor: 0.96, Limit: 33, LimitBurst: 53, LimitOverdraft: 6},
+			{Name: "business", Rate: 8.2, Reserve: 8.2, Weight: 2, PriorityFactor: 0.9}}}
 }
--- a/internal/upstream/httpclient/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -113,7 +113,7 @@
 		res := b.attemptOnce(ctx, a, t)
 		// A kept connection that turns out to be stale is gone by that, and nothing went out on it: taking another
 		// is no resend.
-		if !t.stale.Load() || res.Status == scheduler.OK || ctx.Err() != nil {
+		if !t.stale.Load() || res.Status == scheduler.StatusOK || ctx.Err() != nil {
 			return res
 		}
 		b.metrics.Add("connections_stale", 1)
@@ -155,14 +155,14 @@
 	switch {
 	case len(body) > MaxBody:
 		b.metrics.Add("node_answers_spoilt", 1)
-		res.Status = scheduler.Error
+		res.Status = scheduler.StatusError
 	case resp.StatusCode == http.StatusOK:
-		res.Status, res.Body = scheduler.OK, body
+		res.Status, res.Body = scheduler.StatusOK, body
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
-		res.Status = scheduler.Full
+		res.Status = scheduler.StatusOverloaded
 	default:
-		res.Status = scheduler.Error
+		res.Status = scheduler.StatusError
 	}
 	return res
 }
@@ -172,22 +172,22 @@
 	whole := t.whole.Load()
 	switch cause := context.Cause(ctx); {
 	case !whole && t.Request.Left(): // nothing that its node has to answer for
-		return scheduler.Cancelled
+		return scheduler.StatusCanceled
 	case !whole && t.denied.Harmless():
-		return scheduler.Moot // it did not run, and that tells nothing of its node
+		return scheduler.StatusNotSent // it did not run, and that tells nothing of its node
 	case !whole && (cause == nil || !errors.Is(cause, context.Canceled)):
-		return scheduler.ConnectFailed
+		return scheduler.StatusConnectFailed
 	case errors.Is(cause, context.DeadlineExceeded):
-		return scheduler.TimedOut
+		return scheduler.StatusTimedOut
 	case cause != nil:
-		return scheduler.Cancelled
+		return scheduler.StatusCanceled
 	case t.broke.Load():
-		return scheduler.Reset
+		return scheduler.StatusConnectionReset
 	}
 	// The node answers, if badly, and its other connections are as good as before: it is not held back as one
 	// that resets them.
 	b.metrics.Add("node_answers_spoilt", 1)
-	return scheduler.Error
+	return scheduler.StatusError
 }
 
 // told takes in what an answer tells beside its body. What cannot be read is counted and left out.
@@ -242,7 +242,7 @@
 		path = "/status/load"
 	}
 	go func() {
-		start, status, report := b.clock.NowMs(), scheduler.ConnectFailed, []float64(nil)
+		start, status, report := b.clock.NowMs(), scheduler.StatusConnectFailed, []float64(nil)
 		defer func() { b.probed(n, b.clock.NowMs()-start, status, report) }()
 		if n.Closed() {
 			return
@@ -261,11 +261,11 @@
 		body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
 		switch {
 		case err != nil:
-			status = scheduler.Reset
+			status = scheduler.StatusConnectionReset
 		case resp.StatusCode != http.StatusOK:
-			status = scheduler.Error
+			status = scheduler.StatusError
 		default:
-			status = scheduler.OK
+			status = scheduler.StatusOK
 			if len(b.opt.ReportFields) > 0 {
 				report = b.report(string(body))
 			}
--- a/internal/upstream/httpclient/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -63,9 +63,9 @@
 	acts
 )
 
-var outcomes = [acts]scheduler.Status{scheduler.OK, scheduler.OK, scheduler.Error, scheduler.Full, scheduler.Error, scheduler.Reset,
-	scheduler.Error, scheduler.Reset, scheduler.Error, scheduler.OK, scheduler.Error, scheduler.Error, scheduler.Error, scheduler.Error,
-	scheduler.OK, scheduler.OK, scheduler.OK, scheduler.OK, scheduler.Reset}
+var outcomes = [acts]scheduler.Status{scheduler.StatusOK, scheduler.StatusOK, scheduler.StatusError, scheduler.StatusOverloaded, scheduler.StatusError, scheduler.StatusConnectionReset,
+	scheduler.StatusError, scheduler.StatusConnectionReset, scheduler.StatusError, scheduler.StatusOK, scheduler.StatusError, scheduler.StatusError, scheduler.StatusError, scheduler.StatusError,
+	scheduler.StatusOK, scheduler.StatusOK, scheduler.StatusOK, scheduler.StatusOK, scheduler.StatusConnectionReset}
 
 func newStand(t testing.TB) *stand {
 	s := &stand{acts: make(chan byte, 1)}
@@ -178,7 +178,7 @@
 				t.Fatalf("attempt %d, act %d: status %d, want %d; the node saw %d requests", i, act, res.Status,
 					outcomes[act], node.seen.Load())
 			}
-			if want := map[bool]string{false: "GET/pull/1?a=%20b", true: "PUT/pull/1?a=%20bdata"}[put]; res.Status == scheduler.OK && string(res.Body.([]byte)) != want {
+			if want := map[bool]string{false: "GET/pull/1?a=%20b", true: "PUT/pull/1?a=%20bdata"}[put]; res.Status == scheduler.StatusOK && string(res.Body.([]byte)) != want {
 				t.Fatalf("body %q, want %q", res.Body, want)
 			}
 			if act == serve && (res.Use != 0.85 || !res.HasUse || res.ForeignUnits != 3 || res.Report[0] != 7) {
@@ -196,7 +196,7 @@
 	ln := testbed.Listen(t)
 	ln.Close()
 	b.Start(lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: ln.Addr().String()}, DeadlineMs: now.NowMs() + 1000})
-	if res := <-s.ends; res.Status != scheduler.ConnectFailed {
+	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed {
 		t.Errorf("status %d", res.Status)
 	}
 }
@@ -254,7 +254,7 @@
 	a := lifecycle.Attempt{Request: request(false), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	for i := range 2 {
 		b.Start(a)
-		if res := <-s.ends; res.Status != scheduler.OK || string(res.Body.([]byte)) != "its" {
+		if res := <-s.ends; res.Status != scheduler.StatusOK || string(res.Body.([]byte)) != "its" {
 			t.Errorf("attempt %d: %+v", i, res)
 		}
 		if i == 0 {
@@ -315,13 +315,13 @@
 	defer b.Close()
 	a := lifecycle.Attempt{Request: request(false), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	b.Start(a)
-	if res := <-s.ends; res.Status != scheduler.OK || string(res.Body.([]byte)) != "old" {
+	if res := <-s.ends; res.Status != scheduler.StatusOK || string(res.Body.([]byte)) != "old" {
 		t.Fatalf("the first attempt: %+v", res)
 	}
 	b.Start(a)
 	<-written
 	now.Advance(5)
-	if res := <-s.ends; res.Status != scheduler.OK || string(res.Body.([]byte)) != "its" {
+	if res := <-s.ends; res.Status != scheduler.StatusOK || string(res.Body.([]byte)) != "its" {
 		t.Errorf("the second attempt: %s", res.Body)
 	}
 }
@@ -390,7 +390,7 @@
 				runtime.Gosched()
 			}
 		}
-		if res.Status != scheduler.Error || m.Get("node_answers_spoilt") != 1 {
+		if res.Status != scheduler.StatusError || m.Get("node_answers_spoilt") != 1 {
 			t.Errorf("%s: status %d, %d spoilt", name, res.Status, m.Get("node_answers_spoilt"))
 		}
 	}
@@ -417,7 +417,7 @@
 	r := request(true)
 	r.Load.(*Load).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets take in
 	b.Start(lifecycle.Attempt{Request: r, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000})
-	if res := <-s.ends; res.Status != scheduler.ConnectFailed {
+	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed {
 		t.Errorf("status %d", res.Status)
 	}
 }
@@ -431,11 +431,11 @@
 		up   func(r *lifecycle.Request, giveUp func(), now *clock.Manual)
 		want scheduler.Status
 	}{
-		"left":               {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { r.Leave() }, scheduler.Cancelled},
-		"left and given up":  {func(r *lifecycle.Request, giveUp func(), _ *clock.Manual) { r.Leave(); giveUp() }, scheduler.Cancelled},
-		"given up by itself": {func(_ *lifecycle.Request, giveUp func(), _ *clock.Manual) { giveUp() }, scheduler.Cancelled},
-		"away, unseen":       {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { away.Store(true) }, scheduler.Cancelled},
-		"a window closed":    {func(_ *lifecycle.Request, _ func(), now *clock.Manual) { now.Advance(500) }, scheduler.ConnectFailed},
+		"left":               {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { r.Leave() }, scheduler.StatusCanceled},
+		"left and given up":  {func(r *lifecycle.Request, giveUp func(), _ *clock.Manual) { r.Leave(); giveUp() }, scheduler.StatusCanceled},
+		"given up by itself": {func(_ *lifecycle.Request, giveUp func(), _ *clock.Manual) { giveUp() }, scheduler.StatusCanceled},
+		"away, unseen":       {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { away.Store(true) }, scheduler.StatusCanceled},
+		"a window closed":    {func(_ *lifecycle.Request, _ func(), now *clock.Manual) { now.Advance(500) }, scheduler.StatusConnectFailed},
 	} {
 		for range 20 {
 			read := make(chan string, 1)
@@ -474,10 +474,10 @@
 	b, s, _, now := newBackend()
 	c := lifecycle.New(nil, nil)
 	n := &lifecycle.Node{Name: "a", Addr: node.addr}
-	c.Nodes(lifecycle.List{Scope: scheduler.Whole, Nodes: []*lifecycle.Node{n}})
-	c.Nodes(lifecycle.List{Scope: scheduler.Whole}) // the module sent just before
+	c.Nodes(lifecycle.List{Scope: scheduler.Snapshot, Nodes: []*lifecycle.Node{n}})
+	c.Nodes(lifecycle.List{Scope: scheduler.Snapshot}) // the module sent just before
 	b.Start(lifecycle.Attempt{Request: request(false), Node: n, DeadlineMs: now.NowMs() + 1000})
-	if res := <-s.ends; res.Status != scheduler.ConnectFailed || node.seen.Load() != 0 {
+	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed || node.seen.Load() != 0 {
 		t.Errorf("status %d, the node saw %d", res.Status, node.seen.Load())
 	}
 }
@@ -494,19 +494,19 @@
 	b.Start(a)
 	seen(1)
 	now.Advance(1001)
-	if res := <-s.ends; res.Status != scheduler.TimedOut {
+	if res := <-s.ends; res.Status != scheduler.StatusTimedOut {
 		t.Errorf("timed out: status %d", res.Status)
 	}
 	a.DeadlineMs = now.NowMs() + 1000
 	cancel := b.Start(a)
 	seen(2)
 	cancel()
-	if res := <-s.ends; res.Status != scheduler.Cancelled {
+	if res := <-s.ends; res.Status != scheduler.StatusCanceled {
 		t.Errorf("cancelled: status %d", res.Status)
 	}
 	b.opt.MaxConns = 0
 	b.Start(a)
-	if res := <-s.ends; res.Status != scheduler.ConnectFailed || m.Get("connections_capped") != 1 {
+	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed || m.Get("connections_capped") != 1 {
 		t.Errorf("over the cap: status %d, %d capped", res.Status, m.Get("connections_capped"))
 	}
 }
@@ -517,7 +517,7 @@
 	for _, c := range []struct {
 		act  byte
 		want scheduler.Status
-	}{{serve, scheduler.OK}, {turnAway, scheduler.Error}, {halfAnswer, scheduler.Reset}} {
+	}{{serve, scheduler.StatusOK}, {turnAway, scheduler.StatusError}, {halfAnswer, scheduler.StatusConnectionReset}} {
 		node.acts <- c.act
 		if b.Probe(&lifecycle.Node{Addr: node.addr}); <-s.probes != c.want {
 			t.Errorf("act %d: not %d", c.act, c.want)
