--- a/internal/upstream/sftpclient/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -119,7 +119,7 @@
 	cmd := a.Request.Load.(*Command)
 	addr, ok := b.opt.Address(a.Node)
 	if !ok || a.Node.Closed() {
-		b.finish(a, lifecycle.Result{Status: scheduler.Full})
+		b.finish(a, lifecycle.Result{Status: scheduler.StatusOverloaded})
 		return
 	}
 	s, err := b.session(ctx, addr)
@@ -143,13 +143,13 @@
 		b.finish(a, lifecycle.Result{Status: b.ended(ctx, ran)})
 	case err != nil:
 		b.metrics.Add("file_answers_malformed", 1)
-		b.finish(a, lifecycle.Result{Status: scheduler.Error})
+		b.finish(a, lifecycle.Result{Status: scheduler.StatusError})
 	case reply.Code == StatusFailure && strings.HasPrefix(reply.Text, Unprocessed):
-		b.finish(a, lifecycle.Result{Status: scheduler.Full})
+		b.finish(a, lifecycle.Result{Status: scheduler.StatusOverloaded})
 	case reply.Code == StatusFailure || reply.Code == StatusBadMessage:
-		b.finish(a, lifecycle.Result{Status: scheduler.Error})
+		b.finish(a, lifecycle.Result{Status: scheduler.StatusError})
 	default: // the node has done its work, also where it tells that there is no such file
-		b.finish(a, lifecycle.Result{Status: scheduler.OK, Body: reply})
+		b.finish(a, lifecycle.Result{Status: scheduler.StatusOK, Body: reply})
 	}
 	if err == nil && handle != nil { // its answer is out; the session serves again once the handle is closed
 		_, _, err = s.call(newPacket(typeClose, s.next()).text(string(handle)))
@@ -165,11 +165,11 @@
 func unbegun(why permission.Denial) scheduler.Status {
 	switch {
 	case why == permission.ClientGone:
-		return scheduler.Cancelled
+		return scheduler.StatusCanceled
 	case why.Harmless():
-		return scheduler.Moot
+		return scheduler.StatusNotSent
 	}
-	return scheduler.Full
+	return scheduler.StatusOverloaded
 }
 
 // rest gives a session back.
@@ -184,13 +184,13 @@
 func (b *Backend) ended(ctx context.Context, ran bool) scheduler.Status {
 	switch cause := context.Cause(ctx); {
 	case !ran:
-		return scheduler.Full
+		return scheduler.StatusOverloaded
 	case errors.Is(cause, context.DeadlineExceeded):
-		return scheduler.TimedOut
+		return scheduler.StatusTimedOut
 	case cause != nil:
-		return scheduler.Cancelled
+		return scheduler.StatusCanceled
 	}
-	return scheduler.Reset
+	return scheduler.StatusConnectionReset
 }
 
 // session takes an idle session or opens one.
--- a/internal/upstream/sftpclient/backend_test.go
+++ b/internal/upstream/sftpclient/backend_test.go
@@ -101,7 +101,7 @@
 		commands := int32(0)
 		for i, x := range script[:min(len(script), 12)] {
 			onOpen, onCommand, write := x>>4&7%acts, x&15%acts, x >= 128
-			want := [acts]scheduler.Status{scheduler.OK, scheduler.Error, scheduler.Full, scheduler.Reset, scheduler.Error, scheduler.Error, scheduler.Error}
+			want := [acts]scheduler.Status{scheduler.StatusOK, scheduler.StatusError, scheduler.StatusOverloaded, scheduler.StatusConnectionReset, scheduler.StatusError, scheduler.StatusError, scheduler.StatusError}
 			cmd := &Command{Op: Read, Path: "/a", Length: 10}
 			if write {
 				cmd = &Command{Op: Write, Path: "/a", Data: []byte("data"), Key: "k"}
@@ -113,7 +113,7 @@
 				end = want[onCommand]
 				commands++
 			} else if onOpen == breakOff {
-				end = scheduler.Full // the command itself never went out
+				end = scheduler.StatusOverloaded // the command itself never went out
 			}
 			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: cmd}, Node: &lifecycle.Node{}, DeadlineMs: now.NowMs() + 1000})
 			if res := <-ends; res.Status != end || p.commands.Load() != commands {
@@ -157,7 +157,7 @@
 	p.acts <- serve
 	p.acts <- serve
 	b.Start(a)
-	if r := <-ends; r.Status != scheduler.OK {
+	if r := <-ends; r.Status != scheduler.StatusOK {
 		t.Fatalf("status %d", r.Status)
 	}
 	first := idle()
@@ -168,11 +168,11 @@
 		runtime.Gosched()
 	}
 	b.Start(a)
-	if r := <-ends; r.Status != scheduler.Full {
+	if r := <-ends; r.Status != scheduler.StatusOverloaded {
 		t.Errorf("over the cap: status %d", r.Status)
 	}
 	p.acts <- serve
-	if r := <-ends; r.Status != scheduler.OK || idle() == first {
+	if r := <-ends; r.Status != scheduler.StatusOK || idle() == first {
 		t.Errorf("status %d, the old session in use: %v", r.Status, idle() == first)
 	}
 }
@@ -191,7 +191,7 @@
 		Address: func(*lifecycle.Node) (string, bool) { return addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
 	cmd := &Command{Op: Write, Path: "/a", Key: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
 	b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: cmd}, Node: &lifecycle.Node{}, DeadlineMs: 2e12})
-	if r := <-ends; r.Status != scheduler.Full {
+	if r := <-ends; r.Status != scheduler.StatusOverloaded {
 		t.Errorf("status %d", r.Status)
 	}
 	for free := false; !free; { // the session is given back, so nothing of the attempt is left
@@ -211,8 +211,8 @@
 		up   func(left, over *atomic.Bool)
 		want scheduler.Status
 	}{
-		"away":        {func(left, _ *atomic.Bool) { left.Store(true) }, scheduler.Cancelled},
-		"window over": {func(_, over *atomic.Bool) { over.Store(true) }, scheduler.Full},
+		"away":        {func(left, _ *atomic.Bool) { left.Store(true) }, scheduler.StatusCanceled},
+		"window over": {func(_, over *atomic.Bool) { over.Store(true) }, scheduler.StatusOverloaded},
 	} {
 		for _, op := range []Op{Open, Read, Write, Stat} {
 			var left, over atomic.Bool
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-var statusNames = map[scheduler.Status]string{scheduler.OK: "ok", scheduler.Error: "error", scheduler.Full: "full", scheduler.Reset: "reset"}
+var statusNames = map[scheduler.Status]string{scheduler.StatusOK: "ok", scheduler.StatusError: "error", scheduler.StatusOverloaded: "full", scheduler.StatusConnectionReset: "reset"}
 
 // describeResult writes the end of an attempt as values.
 func describeResult(res lifecycle.Result) string {
