--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -41,7 +41,7 @@
 	Seed                    uint64
 	Cores, MemoryMB         float64
 	Sockets                 int
-	Known                   lifecycle.List
+	Known                   lifecycle.EndpointUpdate
 	KnownBad                int // entries of it that could not be read
 	Settings                scheduler.Settings
 	Self                    int      // this gateway's number
@@ -136,7 +136,7 @@
 	if known := v.Get("known"); known != nil && known.Type() == fastjson.TypeObject {
 		c.Known, c.KnownBad = discovery.Decode(known) // discovery's data, and old: not worth not starting for
 	}
-	c.Known.Scope = scheduler.CachedSnapshot // whatever it says of itself, it is as last seen
+	c.Known.Kind = scheduler.CachedSnapshot // whatever it says of itself, it is as last seen
 	s := v.Get("settings")
 	if s == nil || s.Type() != fastjson.TypeObject {
 		return nil, errors.New("settings is missing")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 	}
 	s := c.Settings
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 || c.ConnIdleMs != 30000 ||
-		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Scope != scheduler.CachedSnapshot || c.Known.Nodes[0].Shard != 3 {
+		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Kind != scheduler.CachedSnapshot || c.Known.Servers[0].Shard != 3 {
 		t.Errorf("%+v", c)
 	}
 	push := scheduler.Class{Name: "push", LatencyObjective: 400 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: scheduler.IdempotentWithKey,
@@ -107,7 +107,7 @@
 
 func TestKnownWithABadEntry(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(good, `"servers":[`, `"servers":[{"id":"x","cell":-3},`, 1)))
-	if err != nil || c.KnownBad != 1 || len(c.Known.Nodes) != 1 {
+	if err != nil || c.KnownBad != 1 || len(c.Known.Servers) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -69,49 +69,49 @@
 	return d, nil
 }
 
-// Offer implements core.Desk.
-func (d *Desk) Offer(nowMs float64, r *lifecycle.Request) {
+// Submit implements core.Desk.
+func (d *Desk) Submit(nowMs float64, r *lifecycle.Request) {
 	d.last++
 	r.Device.Ticket = d.last
 	d.copies[d.last] = r
 	id, v := exchange.CopyID(d.last), r.Device
 	if b := v.Block; b != nil {
 		d.step(nowMs, exchange.Block{Copy: id, Device: v.ID, Key: v.Key, Tag: b.Tag, Offset: b.Offset, Len: len(v.Body),
-			Digest: xxhash.Sum64(v.Body), More: b.More, Total: b.Total, LeftMs: r.LeftMs,
+			Digest: xxhash.Sum64(v.Body), More: b.More, Total: b.Total, LeftMs: r.RemainingMs,
 			Effect: d.classes[r.Class].Effect, History: d.history(r), Link: exchange.Sample(v.Link)})
 		return
 	}
-	d.step(nowMs, d.offer(r, v.BodySum, len(v.Body)))
+	d.step(nowMs, d.offer(r, v.BodyDigest, len(v.Body)))
 }
 
 // offer makes the ledger's event of a whole copy.
 func (d *Desk) offer(r *lifecycle.Request, body [32]byte, size int) exchange.Offer {
 	v := r.Device
-	sum := sha256.Sum256(append(v.Head[:], body[:]...))
+	sum := sha256.Sum256(append(v.HeadDigest[:], body[:]...))
 	return exchange.Offer{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
-		Sum: exchange.Sum(sum[:16]), Bytes: size, LeftMs: r.LeftMs, CameMs: r.CameMs, Shard: r.Shard,
+		Sum: exchange.Sum(sum[:16]), Bytes: size, LeftMs: r.RemainingMs, CameMs: r.ClientDelayMs, Shard: r.Shard,
 		History: d.history(r), Link: exchange.Sample(v.Link)}
 }
 
 func (d *Desk) history(r *lifecycle.Request) exchange.History {
-	return exchange.History{Repeat: r.Repeat, Same: r.Device.SentTo != "" && r.Device.SentTo == d.opt.Gateway, AgeMs: r.Device.AgeMs}
+	return exchange.History{Repeat: r.IsRetry, Same: r.Device.PreviousGateway != "" && r.Device.PreviousGateway == d.opt.Gateway, AgeMs: r.Device.AgeMs}
 }
 
-// Gone implements core.Desk.
-func (d *Desk) Gone(nowMs float64, r *lifecycle.Request) {
+// Cancel implements core.Desk.
+func (d *Desk) Cancel(nowMs float64, r *lifecycle.Request) {
 	if t := r.Device.Ticket; t != 0 {
 		delete(d.copies, t)
 		d.step(nowMs, exchange.Left{Copy: exchange.CopyID(t)})
 	}
 }
 
-// Written implements core.Desk.
-func (d *Desk) Written(nowMs float64, r *lifecycle.Request, l lifecycle.Link) {
+// ResponseWritten implements core.Desk.
+func (d *Desk) ResponseWritten(nowMs float64, r *lifecycle.Request, l lifecycle.LinkSample) {
 	d.step(nowMs, exchange.Written{Copy: exchange.CopyID(r.Device.Ticket), Link: exchange.Sample(l)})
 }
 
-// Measured implements core.Desk.
-func (d *Desk) Measured(nowMs float64, device string, l lifecycle.Link) {
+// LinkMeasured implements core.Desk.
+func (d *Desk) LinkMeasured(nowMs float64, device string, l lifecycle.LinkSample) {
 	d.step(nowMs, exchange.Measured{Device: device, Link: exchange.Sample(l)})
 }
 
@@ -188,10 +188,10 @@
 		body = d.held[a.ID].body
 	}
 	id := fmt.Sprintf("%s-%x-%x", d.opt.Name, uint64(a.ID), a.Run)
-	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, LeftMs: a.LeftMs,
-		CameMs: a.CameMs, Units: r.Units, Shard: a.Shard, Hosts: r.Hosts, Repeat: r.Repeat || a.Run > 1, Fresh: true,
-		Carrier: r.Carrier, Load: r.Device.Load(id, body)}
-	run.Reply = func(v lifecycle.Answer) { d.ended(a, v) }
+	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, RemainingMs: a.LeftMs,
+		ClientDelayMs: a.CameMs, Units: r.Units, Shard: a.Shard, Gateways: r.Gateways, IsRetry: r.IsRetry || a.Run > 1, IsFirstAttempt: true,
+		Upstream: r.Upstream, Payload: r.Device.BuildPayload(id, body)}
+	run.Respond = func(v lifecycle.Response) { d.ended(a, v) }
 	d.opt.Take(nowMs, run)
 }
 
@@ -199,10 +199,10 @@
 type sizer interface{ Size() int }
 
 // ended takes the one answer of a run. It is called by the core, in the midst of its own step.
-func (d *Desk) ended(a exchange.Run, v lifecycle.Answer) {
-	ev := exchange.Ended{ID: a.ID, Run: a.Run, Verdict: exchange.Failed, Ran: v.Ran, RanMs: v.RanMs, Shard: v.Shard,
-		ComeBackMs: v.ComeBackMs}
-	switch v.Verdict {
+func (d *Desk) ended(a exchange.Run, v lifecycle.Response) {
+	ev := exchange.Ended{ID: a.ID, Run: a.Run, Verdict: exchange.Failed, Ran: v.MayHaveExecuted, RanMs: v.FirstAttemptMs, Shard: v.Shard,
+		ComeBackMs: v.RetryAfterMs}
+	switch v.Kind {
 	case lifecycle.Served:
 		h := d.hold(a.ID)
 		h.answer = v.Result
@@ -213,15 +213,15 @@
 			ev.Bytes = x.Size()
 		}
 		ev.Verdict = exchange.Served
-	case lifecycle.Refused:
+	case lifecycle.Rejected:
 		ev.Verdict = exchange.Refused
 	}
 	d.step(d.opt.Now(), ev)
 }
 
-var verdicts = [...]lifecycle.Verdict{
-	exchange.ToldServed: lifecycle.Served, exchange.ToldRefused: lifecycle.Refused, exchange.ToldBusy: lifecycle.Refused,
-	exchange.ToldLate: lifecycle.Refused, exchange.ToldFailed: lifecycle.Failed, exchange.ToldConflict: lifecycle.Conflict,
+var verdicts = [...]lifecycle.ResponseKind{
+	exchange.ToldServed: lifecycle.Served, exchange.ToldRefused: lifecycle.Rejected, exchange.ToldBusy: lifecycle.Rejected,
+	exchange.ToldLate: lifecycle.Rejected, exchange.ToldFailed: lifecycle.Failed, exchange.ToldConflict: lifecycle.Conflict,
 	exchange.ToldContinue: lifecycle.Continue, exchange.ToldIncomplete: lifecycle.Incomplete, exchange.ToldTooLarge: lifecycle.TooLarge,
 	exchange.ToldSuperseded: lifecycle.Superseded,
 }
@@ -233,13 +233,13 @@
 	if r == nil {
 		return
 	}
-	a := lifecycle.Answer{Verdict: verdicts[t.Outcome], ComeBackMs: t.ComeBackMs, Have: t.Have, Kept: t.Kept,
-		DeadMs: t.Advice.DeadMs, Block: t.Advice.Block}
+	a := lifecycle.Response{Kind: verdicts[t.Outcome], RetryAfterMs: t.ComeBackMs, BufferedBytes: t.Have, Cached: t.Kept,
+		IdleTimeoutMs: t.Advice.DeadMs, BlockSize: t.Advice.Block}
 	if t.Outcome == exchange.ToldServed {
 		h := d.held[t.ID]
 		a.Result, a.ETag = h.answer, h.etag
 	}
-	r.Reply(a)
+	r.Respond(a)
 }
 
 // count adds what has changed to the counters.
--- a/internal/dedup/desk_test.go
+++ b/internal/dedup/desk_test.go
@@ -66,10 +66,10 @@
 // copyOf is a copy, with the answers that it gets.
 type copyOf struct {
 	*lifecycle.Request
-	answers []lifecycle.Answer
+	answers []lifecycle.Response
 }
 
-func (c *copyOf) told(t *testing.T) lifecycle.Answer {
+func (c *copyOf) told(t *testing.T) lifecycle.Response {
 	t.Helper()
 	if len(c.answers) != 1 {
 		t.Fatalf("told %d times: %+v", len(c.answers), c.answers)
@@ -80,19 +80,19 @@
 // send offers a copy of a request of a class; change makes it another.
 func (b *bench) send(class, key, body string, change func(*lifecycle.Request)) *copyOf {
 	c := &copyOf{}
-	c.Request = &lifecycle.Request{Class: class, Plan: "basic", LeftMs: 2500, Units: 1, Shard: 2, Hosts: 1,
-		Device: &lifecycle.Device{ID: "dev", Key: key, Body: []byte(body), BodySum: sha256.Sum256([]byte(body)), AgeMs: -1,
-			Load: func(id string, body []byte) any { return fmt.Sprintf("%s %s", id, body) }},
-		Reply: func(a lifecycle.Answer) { c.answers = append(c.answers, a) }}
+	c.Request = &lifecycle.Request{Class: class, Plan: "basic", RemainingMs: 2500, Units: 1, Shard: 2, Gateways: 1,
+		Device: &lifecycle.DeviceRequest{ID: "dev", Key: key, Body: []byte(body), BodyDigest: sha256.Sum256([]byte(body)), AgeMs: -1,
+			BuildPayload: func(id string, body []byte) any { return fmt.Sprintf("%s %s", id, body) }},
+		Respond: func(a lifecycle.Response) { c.answers = append(c.answers, a) }}
 	if change != nil {
 		change(c.Request)
 	}
-	b.d.Offer(b.now, c.Request)
+	b.d.Submit(b.now, c.Request)
 	return c
 }
 
 func repeated(age float64) func(*lifecycle.Request) {
-	return func(r *lifecycle.Request) { r.Repeat, r.Device.AgeMs = true, age }
+	return func(r *lifecycle.Request) { r.IsRetry, r.Device.AgeMs = true, age }
 }
 
 func part(offset int, more bool) func(*lifecycle.Request) {
@@ -109,17 +109,17 @@
 	first := b.send("push", "k", "body", nil)
 	second := b.send("push", "k", "body", nil)
 	other := b.send("push", "k", "changed", nil)
-	if len(b.runs) != 1 || other.told(t).Verdict != lifecycle.Conflict {
+	if len(b.runs) != 1 || other.told(t).Kind != lifecycle.Conflict {
 		t.Fatalf("%d runs, the changed one was told %+v", len(b.runs), other.answers)
 	}
-	if load := b.runs[0].Load.(string); load[len(load)-5:] != " body" || !b.runs[0].Fresh || b.runs[0].LeftMs >= 2500 {
+	if load := b.runs[0].Payload.(string); load[len(load)-5:] != " body" || !b.runs[0].IsFirstAttempt || b.runs[0].RemainingMs >= 2500 {
 		t.Errorf("run as %+v", b.runs[0])
 	}
-	b.d.Gone(b.now, first.Request) // its connection is lost
+	b.d.Cancel(b.now, first.Request) // its connection is lost
 	b.pass(100)
-	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now - 90, Shard: 2})
+	b.runs[0].Respond(lifecycle.Response{Result: []byte("done"), MayHaveExecuted: true, FirstAttemptMs: b.now - 90, Shard: 2})
 	late := b.send("push", "k", "body", repeated(100))
-	if a := late.told(t); string(a.Result.([]byte)) != "done" || !a.Kept || a.ETag == 0 || second.told(t).ETag != a.ETag {
+	if a := late.told(t); string(a.Result.([]byte)) != "done" || !a.Cached || a.ETag == 0 || second.told(t).ETag != a.ETag {
 		t.Errorf("a late copy was told %+v", a)
 	}
 	if len(first.answers) != 0 || len(b.runs) != 1 {
@@ -157,18 +157,18 @@
 		anywhere := func(r *lifecycle.Request) { r.Shard = -1 }
 		first := b.send(c.class, "k", "body", anywhere)
 		if !c.heard {
-			b.d.Gone(b.now, first.Request)
+			b.d.Cancel(b.now, first.Request)
 		}
 		shard := -1
 		if c.ran {
 			shard = 3
 		}
 		b.pass(20)
-		b.runs[0].Reply(lifecycle.Answer{Verdict: lifecycle.Failed, Ran: c.ran, RanMs: b.now - 10, Shard: shard})
+		b.runs[0].Respond(lifecycle.Response{Kind: lifecycle.Failed, MayHaveExecuted: c.ran, FirstAttemptMs: b.now - 10, Shard: shard})
 		b.pass(c.wait)
 		second := b.send(c.class, "k", "body", func(r *lifecycle.Request) { repeated(c.wait)(r); anywhere(r) })
 		if c.shard == -2 {
-			if len(b.runs) != 1 || second.told(t).Verdict != lifecycle.Failed {
+			if len(b.runs) != 1 || second.told(t).Kind != lifecycle.Failed {
 				t.Errorf("%s: %d runs, told %+v", name, len(b.runs), second.answers)
 			}
 			continue
@@ -176,11 +176,11 @@
 		if len(b.runs) != 2 || b.runs[1].Shard != c.shard || b.runs[1].ClientID == b.runs[0].ClientID {
 			t.Fatalf("%s: %d runs, told %+v", name, len(b.runs), second.answers)
 		}
-		if over := b.now + b.runs[1].LeftMs; c.ran && c.class == "push" && over > 1e6+10+3000 {
+		if over := b.now + b.runs[1].RemainingMs; c.ran && c.class == "push" && over > 1e6+10+3000 {
 			t.Errorf("%s: it may go out up to %v", name, over-1e6)
 		}
-		b.runs[1].Reply(lifecycle.Answer{Verdict: lifecycle.Refused}) // of the second run; the first may have run
-		if v := second.told(t).Verdict; (v == lifecycle.Failed) != c.ran {
+		b.runs[1].Respond(lifecycle.Response{Kind: lifecycle.Rejected}) // of the second run; the first may have run
+		if v := second.told(t).Kind; (v == lifecycle.Failed) != c.ran {
 			t.Errorf("%s: told %d", name, v)
 		}
 	}
@@ -202,17 +202,17 @@
 	} {
 		b := newBench(t, nil)
 		k := b.send("push", "k", "body", c.change)
-		if (len(b.runs) == 1) != c.runs || !c.runs && k.told(t).Verdict != lifecycle.Failed {
+		if (len(b.runs) == 1) != c.runs || !c.runs && k.told(t).Kind != lifecycle.Failed {
 			t.Errorf("%s: %d runs, told %+v", name, len(b.runs), k.answers)
 			continue
 		}
 		if !c.runs { // a first copy that was only slow must not run behind that
-			if late := b.send("push", "k", "body", func(r *lifecycle.Request) { r.Class, r.Shard = k.Class, k.Shard }); len(b.runs) != 0 || late.told(t).Verdict != lifecycle.Failed {
+			if late := b.send("push", "k", "body", func(r *lifecycle.Request) { r.Class, r.Shard = k.Class, k.Shard }); len(b.runs) != 0 || late.told(t).Kind != lifecycle.Failed {
 				t.Errorf("%s: a late first copy: %d runs, told %+v", name, len(b.runs), late.answers)
 			}
-		} else if k.Repeat && k.Class == "push" {
-			b.runs[0].Reply(lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 50})
-			if k.told(t).Verdict != lifecycle.Failed {
+		} else if k.IsRetry && k.Class == "push" {
+			b.runs[0].Respond(lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 50})
+			if k.told(t).Kind != lifecycle.Failed {
 				t.Errorf("%s: what may have run elsewhere was told %+v", name, k.answers)
 			}
 		}
@@ -223,9 +223,9 @@
 func TestUploads(t *testing.T) {
 	b := newBench(t, nil)
 	block := func(i int) string { return string(bytes.Repeat([]byte{byte('a' + i)}, 64)) }
-	want := func(what string, c *copyOf, v lifecycle.Verdict, have int) {
+	want := func(what string, c *copyOf, v lifecycle.ResponseKind, have int) {
 		t.Helper()
-		if a := c.told(t); a.Verdict != v || a.Have != have {
+		if a := c.told(t); a.Kind != v || a.BufferedBytes != have {
 			t.Errorf("%s: told %+v, want %d with %d bytes", what, a, v, have)
 		}
 	}
@@ -240,13 +240,13 @@
 	if len(b.runs) != 1 || len(last.answers)+len(again.answers) != 0 {
 		t.Fatalf("%d runs, told %+v and %+v", len(b.runs), last.answers, again.answers)
 	}
-	if load := b.runs[0].Load.(string); load[len(load)-131:] != block(0)+block(1)+"end" {
+	if load := b.runs[0].Payload.(string); load[len(load)-131:] != block(0)+block(1)+"end" {
 		t.Errorf("run with %q", load)
 	}
 	want("an early block behind the last", b.send("push", "k", block(1), part(64, true)), lifecycle.Continue, 131)
 	want("another last", b.send("push", "k", "END", part(128, false)), lifecycle.Conflict, 0)
-	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
-	if last.told(t).Verdict != lifecycle.Served || again.told(t).Verdict != lifecycle.Served {
+	b.runs[0].Respond(lifecycle.Response{Result: []byte("done"), MayHaveExecuted: true, FirstAttemptMs: b.now, Shard: 2})
+	if last.told(t).Kind != lifecycle.Served || again.told(t).Kind != lifecycle.Served {
 		t.Errorf("told %+v and %+v", last.answers, again.answers)
 	}
 	// The whole body once more, in other blocks and in one piece: the same content, so the same answer.
@@ -278,19 +278,19 @@
 func TestThousandsOfUploadsBegunAndLeft(t *testing.T) {
 	b := newBench(t, func(s *exchange.Settings) { s.MostDevices = 20 })
 	kept := b.send("push", "precious", "body", nil)
-	b.d.Gone(b.now, kept.Request)
-	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
+	b.d.Cancel(b.now, kept.Request)
+	b.runs[0].Respond(lifecycle.Response{Result: []byte("done"), MayHaveExecuted: true, FirstAttemptMs: b.now, Shard: 2})
 	busy := 0
 	for i := range 5000 {
 		c := b.send("push", fmt.Sprint("k", i), "12345678", func(r *lifecycle.Request) {
 			part(0, true)(r)
 			r.Device.ID = fmt.Sprint("dev", i%8)
 		})
-		switch a := c.told(t); a.Verdict {
-		case lifecycle.Refused:
+		switch a := c.told(t); a.Kind {
+		case lifecycle.Rejected:
 			busy++
-			if a.ComeBackMs < 100 {
-				t.Fatalf("come back in %v ms", a.ComeBackMs)
+			if a.RetryAfterMs < 100 {
+				t.Fatalf("come back in %v ms", a.RetryAfterMs)
 			}
 		case lifecycle.Continue:
 		default:
@@ -301,7 +301,7 @@
 			t.Fatalf("%+v, %d held, %d copies", s, len(b.d.held), len(b.d.copies))
 		}
 		if i == 1000 { // its window is still open
-			if a := b.send("push", "precious", "body", repeated(1000)).told(t); a.Verdict != lifecycle.Served || !a.Kept {
+			if a := b.send("push", "precious", "body", repeated(1000)).told(t); a.Kind != lifecycle.Served || !a.Cached {
 				t.Fatalf("the write was forgotten: %+v", a)
 			}
 		}
@@ -316,12 +316,12 @@
 	b := newBench(t, nil)
 	first := b.send("push", "k", "body", nil)
 	b.send("push", "u", "part", part(0, true))
-	b.d.Gone(b.now, first.Request)
+	b.d.Cancel(b.now, first.Request)
 	b.d.Drain(b.now)
-	if a := b.send("push", "new", "body", nil).told(t); a.Verdict != lifecycle.Refused || a.ComeBackMs == 0 {
+	if a := b.send("push", "new", "body", nil).told(t); a.Kind != lifecycle.Rejected || a.RetryAfterMs == 0 {
 		t.Errorf("a new one was told %+v", a)
 	}
-	if a := b.send("push", "old", "body", repeated(100)).told(t); a.Verdict != lifecycle.Failed {
+	if a := b.send("push", "old", "body", repeated(100)).told(t); a.Kind != lifecycle.Failed {
 		t.Errorf("a repeat that is not known here was told %+v", a)
 	}
 	joined := b.send("push", "k", "body", repeated(10))
@@ -329,8 +329,8 @@
 	if len(b.runs) != 2 {
 		t.Fatalf("%d runs: an upload that had begun must end", len(b.runs))
 	}
-	b.runs[0].Reply(lifecycle.Answer{Result: []byte("done"), Ran: true, RanMs: b.now, Shard: 2})
-	if joined.told(t).Verdict != lifecycle.Served {
+	b.runs[0].Respond(lifecycle.Response{Result: []byte("done"), MayHaveExecuted: true, FirstAttemptMs: b.now, Shard: 2})
+	if joined.told(t).Kind != lifecycle.Served {
 		t.Errorf("told %+v", joined.answers)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -56,13 +56,13 @@
 
 // Decode reads a list or a change. Bad entries are left out and counted. A state of a later protocol is read
 // as draining: known, but not to be sent to.
-func Decode(v *fastjson.Value) (l lifecycle.List, bad int) {
-	l.Version, l.Scope = v.GetUint64("version"), scheduler.Delta
+func Decode(v *fastjson.Value) (l lifecycle.EndpointUpdate, bad int) {
+	l.Version, l.Kind = v.GetUint64("version"), scheduler.Delta
 	if v.GetBool("full") {
-		l.Scope = scheduler.Snapshot
+		l.Kind = scheduler.Snapshot
 	}
 	for _, e := range v.GetArray("servers") {
-		n := &lifecycle.Node{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
+		n := &lifecycle.Server{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
 			Zone: string(e.GetStringBytes("zone")), Kind: string(e.GetStringBytes("kind")),
 			Shard: e.GetInt("cell"), Weight: e.GetFloat64("weight"), StartedMs: e.GetFloat64("started_ms")}
 		state, ok := states[string(e.GetStringBytes("state"))]
@@ -75,7 +75,7 @@
 			bad++
 			continue
 		}
-		l.Nodes = append(l.Nodes, n)
+		l.Servers = append(l.Servers, n)
 	}
 	return l, bad
 }
@@ -87,7 +87,7 @@
 	// Tell takes each change. A Broken list tells that a watch that was started has failed, an Ended one that it has ended
 	// after it had told of nodes, a Silent one that it was answered and then said nothing any more; when to ask again is
 	// not decided here.
-	Tell func(lifecycle.List)
+	Tell func(lifecycle.EndpointUpdate)
 
 	client *http.Client
 	heard  heard
@@ -105,7 +105,7 @@
 }
 
 // New returns a watcher that resumes after the list known. dial is the machine's if nil.
-func New(addr string, known lifecycle.List, c clock.Clock, m *metrics.Set, tell func(lifecycle.List),
+func New(addr string, known lifecycle.EndpointUpdate, c clock.Clock, m *metrics.Set, tell func(lifecycle.EndpointUpdate),
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Watcher {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
@@ -124,9 +124,9 @@
 func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // news is a list as nodelist judges it.
-func news(l lifecycle.List) endpoints.News {
-	n := endpoints.News{Version: l.Version, Whole: l.Scope != scheduler.Delta, Entries: make([]endpoints.Entry, len(l.Nodes))}
-	for i, e := range l.Nodes {
+func news(l lifecycle.EndpointUpdate) endpoints.News {
+	n := endpoints.News{Version: l.Version, Whole: l.Kind != scheduler.Delta, Entries: make([]endpoints.Entry, len(l.Servers))}
+	for i, e := range l.Servers {
 		n.Entries[i] = endpoints.Entry{Name: e.Name, Live: e.State == scheduler.Ready, Gone: e.State == scheduler.Removed, StartedMs: e.StartedMs}
 	}
 	return n
@@ -263,31 +263,31 @@
 func (p *progress) proven(nowMs float64) bool { return p.told || nowMs-p.beganMs >= provenMs }
 
 // ended is what the end of a watch tells.
-func (p *progress) ended(nowMs float64, err error) lifecycle.List {
+func (p *progress) ended(nowMs float64, err error) lifecycle.EndpointUpdate {
 	switch {
 	case p.answered && errors.Is(err, errSilent):
-		return lifecycle.List{Scope: scheduler.WatchIdle} // the call had not failed
+		return lifecycle.EndpointUpdate{Kind: scheduler.WatchIdle} // the call had not failed
 	case p.answered && p.proven(nowMs):
-		return lifecycle.List{Scope: scheduler.WatchClosed}
+		return lifecycle.EndpointUpdate{Kind: scheduler.WatchClosed}
 	}
-	return lifecycle.List{Scope: scheduler.WatchFailed, AtMs: p.beganMs, Failure: failure(err)}
+	return lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed, CompleteAsOfMs: p.beganMs, Failure: failure(err)}
 }
 
 // failure tells what a call that has failed by an error proves.
 func failure(err error) lifecycle.CallFailure {
 	if errors.Is(err, errSilent) || errors.Is(err, errAnew) {
-		return lifecycle.Unproven
+		return lifecycle.CallInconclusive
 	}
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "dial" {
-		return lifecycle.TurnedAway
+		return lifecycle.CallRejected
 	}
 	for _, own := range ownErrors {
 		if errors.Is(err, own) {
-			return lifecycle.Unproven
+			return lifecycle.CallInconclusive
 		}
 	}
-	return lifecycle.Unreachable
+	return lifecycle.CallUnreachable
 }
 
 // ownErrors are those of a connect that fails for want of something on this machine. They tell nothing of discovery.
@@ -349,7 +349,7 @@
 				w.complete(at)
 			}
 			if seen.held == nil && seen.proven(at) { // where it is pushed, nobody has to know
-				w.Tell(lifecycle.List{Scope: scheduler.Heartbeat, AtMs: at})
+				w.Tell(lifecycle.EndpointUpdate{Kind: scheduler.Heartbeat, CompleteAsOfMs: at})
 			}
 			continue
 		}
@@ -362,7 +362,7 @@
 		l, bad := Decode(v)
 		unnumbered := !v.Exists("version") // on one watch news come in order all the same
 		w.Metrics.Add("discovery_bad_entries", int64(bad))
-		w.Metrics.Add("discovery_lines", int64(len(l.Nodes)))
+		w.Metrics.Add("discovery_lines", int64(len(l.Servers)))
 		w.mu.Lock()
 		stale := w.moving
 		var d endpoints.Decision
@@ -382,8 +382,8 @@
 		if d.Anew {
 			return errAnew
 		}
-		if len(d.Take) < len(l.Nodes) {
-			w.Metrics.Add("discovery_outdated", int64(len(l.Nodes)-len(d.Take)))
+		if len(d.Take) < len(l.Servers) {
+			w.Metrics.Add("discovery_outdated", int64(len(l.Servers)-len(d.Take)))
 		}
 		took := 0.0
 		if first := !seen.told && (d.Whole || len(d.Take) > 0); first {
@@ -392,10 +392,10 @@
 		}
 		slog.Debug(logevent.DiscoveryUpdate, logevent.Version, l.Version, "entries", len(d.Take), "whole", d.Whole)
 		news := counts(l, d)
-		news.TookMs = took
-		w.date(news.Nodes)
+		news.CallDurationMs = took
+		w.date(news.Servers)
 		if seen.proven(at) {
-			news.AtMs = at
+			news.CompleteAsOfMs = at
 			w.complete(at)
 		}
 		w.Tell(news)
@@ -410,7 +410,7 @@
 }
 
 // date puts the starts of nodes on this gateway's clock.
-func (w *Watcher) date(nodes []*lifecycle.Node) {
+func (w *Watcher) date(nodes []*lifecycle.Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.Clock.NowMs()
@@ -420,17 +420,17 @@
 }
 
 // Date puts the starts of nodes that were known before the start on this gateway's clock.
-func (w *Watcher) Date(known lifecycle.List) { w.date(known.Nodes) }
+func (w *Watcher) Date(known lifecycle.EndpointUpdate) { w.date(known.Servers) }
 
 // counts is what of a list counts.
-func counts(l lifecycle.List, d endpoints.Decision) lifecycle.List {
-	nodes := make([]*lifecycle.Node, len(d.Take))
+func counts(l lifecycle.EndpointUpdate, d endpoints.Decision) lifecycle.EndpointUpdate {
+	nodes := make([]*lifecycle.Server, len(d.Take))
 	for i, at := range d.Take {
-		nodes[i] = l.Nodes[at]
+		nodes[i] = l.Servers[at]
 	}
 	scope := scheduler.Delta
 	if d.Whole {
 		scope = scheduler.Snapshot
 	}
-	return lifecycle.List{Version: l.Version, Scope: scope, Nodes: nodes}
+	return lifecycle.EndpointUpdate{Version: l.Version, Kind: scope, Servers: nodes}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -31,10 +31,10 @@
 			return
 		}
 		l, bad := Decode(v)
-		if len(l.Nodes)+bad != len(v.GetArray("servers")) {
-			t.Errorf("%d nodes and %d bad of %d", len(l.Nodes), bad, len(v.GetArray("servers")))
+		if len(l.Servers)+bad != len(v.GetArray("servers")) {
+			t.Errorf("%d nodes and %d bad of %d", len(l.Servers), bad, len(v.GetArray("servers")))
 		}
-		for _, n := range l.Nodes {
+		for _, n := range l.Servers {
 			if n.Name == "" || n.Shard < 0 || n.Addr == "" && n.State != scheduler.Removed {
 				t.Errorf("let through %q %q %d", n.Name, n.Addr, n.Shard)
 			}
@@ -46,7 +46,7 @@
 	for state, want := range map[string]scheduler.ServerState{"Ready": scheduler.Ready, "Terminating": scheduler.Draining,
 		"Gone": scheduler.Removed, "Paused": scheduler.Draining} {
 		l, bad := Decode(fastjson.MustParse(`{"version":7,"servers":[` + fmt.Sprintf(entry, state) + `]}`))
-		if n := l.Nodes[0]; bad != 0 || l.Version != 7 || l.Scope != scheduler.Delta || n.State != want || n.Shard != 3 ||
+		if n := l.Servers[0]; bad != 0 || l.Version != 7 || l.Kind != scheduler.Delta || n.State != want || n.Shard != 3 ||
 			n.Addr != "127.0.0.1:7070" || n.Weight != 1.5 || n.StartedMs != 12 || n.Kind != "m2" || n.Zone != "a" {
 			t.Errorf("%s: %+v, %+v", state, l, n)
 		}
@@ -70,14 +70,14 @@
 	}))
 	defer srv.Close()
 	defer close(feed)
-	told := make(chan lifecycle.List, 10)
+	told := make(chan lifecycle.EndpointUpdate, 10)
 	m, now := metrics.New(), clock.NewManual(1e12)
-	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{Version: 41}, now, m, func(l lifecycle.List) { told <- l }, nil)
+	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.EndpointUpdate{Version: 41}, now, m, func(l lifecycle.EndpointUpdate) { told <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	want := func(what string, scope scheduler.UpdateKind, version uint64) {
 		t.Helper()
-		if l := <-told; l.Scope != scope || l.Version != version {
+		if l := <-told; l.Kind != scope || l.Version != version {
 			t.Errorf("%s: %+v", what, l)
 		}
 	}
@@ -118,11 +118,11 @@
 
 func TestRefusedWatch(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
-	told := make(chan lifecycle.List, 1)
-	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{}, clock.NewManual(0), metrics.New(), func(l lifecycle.List) { told <- l }, nil)
+	told := make(chan lifecycle.EndpointUpdate, 1)
+	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.EndpointUpdate{}, clock.NewManual(0), metrics.New(), func(l lifecycle.EndpointUpdate) { told <- l }, nil)
 	for range 2 { // an error, then nobody there
 		w.Start(context.Background())
-		if l := <-told; l.Scope != scheduler.WatchFailed {
+		if l := <-told; l.Kind != scheduler.WatchFailed {
 			t.Errorf("%+v", l)
 		}
 		srv.Close()
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -82,14 +82,14 @@
 		var mu sync.Mutex
 		var told []string
 		m := metrics.New()
-		w := New("127.0.0.1:1", lifecycle.List{Version: 41, Scope: scheduler.CachedSnapshot, Nodes: []*lifecycle.Node{{Name: "s-1"}, {Name: "s-2"}}},
-			clock.NewSystem(), m, func(l lifecycle.List) {
-				if l.Scope == scheduler.WatchFailed {
+		w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41, Kind: scheduler.CachedSnapshot, Servers: []*lifecycle.Server{{Name: "s-1"}, {Name: "s-2"}}},
+			clock.NewSystem(), m, func(l lifecycle.EndpointUpdate) {
+				if l.Kind == scheduler.WatchFailed {
 					t.Error("a broken list")
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				told = append(told, fmt.Sprintf("%d: %d, whole %v", l.Version, len(l.Nodes), l.Scope == scheduler.Snapshot))
+				told = append(told, fmt.Sprintf("%d: %d, whole %v", l.Version, len(l.Servers), l.Kind == scheduler.Snapshot))
 			}, n.Dial)
 		w.Follow(ctx)
 		time.Sleep(80 * time.Millisecond)
@@ -144,7 +144,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var apart []int64
 		last := time.Now()
-		w := New("127.0.0.1:1", lifecycle.List{}, clock.NewSystem(), metrics.New(), func(lifecycle.List) { t.Error("told") },
+		w := New("127.0.0.1:1", lifecycle.EndpointUpdate{}, clock.NewSystem(), metrics.New(), func(lifecycle.EndpointUpdate) { t.Error("told") },
 			func(context.Context, string, string) (net.Conn, error) {
 				apart = append(apart, time.Since(last).Milliseconds())
 				last = time.Now()
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -77,15 +77,15 @@
 				requests <- readHead(c)
 				io.WriteString(c, <-next)
 			})
-			lists := make(chan lifecycle.List, 16)
-			w := New(addr, lifecycle.List{Version: known}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) { lists <- l }, nil)
+			lists := make(chan lifecycle.EndpointUpdate, 16)
+			w := New(addr, lifecycle.EndpointUpdate{Version: known}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.EndpointUpdate) { lists <- l }, nil)
 			var wire []byte
 			for _, response := range responses {
 				next <- response
 				w.Start(t.Context())
 				wire = append(wire, <-requests...)
 				for l := range lists {
-					if l.Scope == scheduler.WatchClosed || l.Scope == scheduler.WatchFailed {
+					if l.Kind == scheduler.WatchClosed || l.Kind == scheduler.WatchFailed {
 						break
 					}
 				}
@@ -100,8 +100,8 @@
 func TestGoldenCallAfterMove(t *testing.T) {
 	requests := make(chan []byte, 1)
 	addr := testbed.Serve(t, func(c net.Conn) { requests <- readHead(c) })
-	lists := make(chan lifecycle.List, 16)
-	w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) { lists <- l }, nil)
+	lists := make(chan lifecycle.EndpointUpdate, 16)
+	w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.EndpointUpdate) { lists <- l }, nil)
 	w.Move(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 	<-lists
@@ -109,11 +109,11 @@
 }
 
 // describeList writes a list as values, one entry a line.
-func describeList(l lifecycle.List, bad int) string {
+func describeList(l lifecycle.EndpointUpdate, bad int) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Scope == scheduler.Snapshot, bad)
+	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Kind == scheduler.Snapshot, bad)
 	states := map[scheduler.ServerState]string{scheduler.Ready: "live", scheduler.Draining: "draining", scheduler.Removed: "gone"}
-	for _, n := range l.Nodes {
+	for _, n := range l.Servers {
 		fmt.Fprintf(&out, "name %q, address %q, zone %q, kind %q, shard %d, weight %v, started %v ms, state %s\n",
 			n.Name, n.Addr, n.Zone, n.Kind, n.Shard, n.Weight, n.StartedMs, states[n.State])
 	}
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -41,9 +41,9 @@
 func TestMove(t *testing.T) {
 	oldAddr, oldFeed, oldAsked, oldEnded := service(t)
 	newAddr, newFeed, newAsked, _ := service(t)
-	told := make(chan lifecycle.List, 10)
+	told := make(chan lifecycle.EndpointUpdate, 10)
 	m := metrics.New()
-	w := New(oldAddr, lifecycle.List{Version: 41}, clock.NewManual(1e12), m, func(l lifecycle.List) { told <- l }, nil)
+	w := New(oldAddr, lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), m, func(l lifecycle.EndpointUpdate) { told <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Start(ctx)
@@ -62,7 +62,7 @@
 	w.Start(ctx)         // one is open
 	w.Move(ctx, newAddr) // and there already
 	newFeed <- `{"version":2,"full":true,"servers":[]}`
-	if l := <-told; l.Version != 2 || l.Scope != scheduler.Snapshot {
+	if l := <-told; l.Version != 2 || l.Kind != scheduler.Snapshot {
 		t.Errorf("%+v", l)
 	}
 	if len(told) != 0 || len(newAsked) != 0 || m.Get("watch_broken") != 0 {
@@ -75,7 +75,7 @@
 	oldAddr, oldFeed, _, _ := service(t)
 	newAddr, newFeed, newAsked, _ := service(t)
 	telling, release, told := make(chan bool), make(chan bool), make(chan uint64, 4)
-	w := New(oldAddr, lifecycle.List{}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) {
+	w := New(oldAddr, lifecycle.EndpointUpdate{}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.EndpointUpdate) {
 		if l.Version == 43 {
 			telling <- true
 			<-release
@@ -104,7 +104,7 @@
 // Where nothing was watched yet, or the watch has broken, a move is a start.
 func TestMoveWithoutAWatch(t *testing.T) {
 	addr, _, asked, _ := service(t)
-	w := New("127.0.0.1:1", lifecycle.List{Version: 5}, clock.NewManual(1e12), metrics.New(), func(lifecycle.List) {}, nil)
+	w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 5}, clock.NewManual(1e12), metrics.New(), func(lifecycle.EndpointUpdate) {}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Move(ctx, addr)
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -85,21 +85,21 @@
 			}()
 			m, began := metrics.New(), time.Now()
 			told, broken := 0, make(chan float64, 2)
-			w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewSystem(), m, func(l lifecycle.List) {
-				if l.Scope == scheduler.Heartbeat {
-					if told == 0 || l.AtMs == 0 {
+			w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewSystem(), m, func(l lifecycle.EndpointUpdate) {
+				if l.Kind == scheduler.Heartbeat {
+					if told == 0 || l.CompleteAsOfMs == 0 {
 						t.Errorf("%s: an empty line before anything else shows nothing yet: %+v", name, l)
 					}
 					return
 				}
-				if l.Scope >= scheduler.WatchFailed {
-					if l.Scope != c.ends { // only a call that was answered has not failed
-						t.Errorf("%s: its end is told as %v, want %v", name, l.Scope, c.ends)
+				if l.Kind >= scheduler.WatchFailed {
+					if l.Kind != c.ends { // only a call that was answered has not failed
+						t.Errorf("%s: its end is told as %v, want %v", name, l.Kind, c.ends)
 					}
 					broken <- clock.Ms(time.Since(began))
 					return
 				}
-				if told++; l.Scope == scheduler.Snapshot && len(l.Nodes) == 0 {
+				if told++; l.Kind == scheduler.Snapshot && len(l.Servers) == 0 {
 					t.Errorf("%s: the list is emptied", name)
 				}
 			}, n.Dial)
@@ -158,12 +158,12 @@
 			}
 		}()
 		ended, alive := make(chan scheduler.UpdateKind, 1), 0
-		w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewSystem(), metrics.New(), func(l lifecycle.List) {
-			if l.Scope == scheduler.Heartbeat {
+		w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewSystem(), metrics.New(), func(l lifecycle.EndpointUpdate) {
+			if l.Kind == scheduler.Heartbeat {
 				alive++
 				return
 			}
-			ended <- l.Scope
+			ended <- l.Kind
 		}, n.Dial)
 		began := time.Now()
 		w.Start(context.Background())
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -38,7 +38,7 @@
 	l = New(s, now, metrics.New())
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	l.Nodes(lifecycle.List{})
+	l.UpdateEndpoints(lifecycle.EndpointUpdate{})
 	l.Sync()
 	return now, s, l, func() { cancel(); <-l.done }
 }
@@ -54,7 +54,7 @@
 	if len(s.at) != 2 || s.at[1] != 150*time.Millisecond || !l.Ready() {
 		t.Errorf("stepped at %v, ready %v", s.at, l.Ready())
 	}
-	if l.Offer(&lifecycle.Request{}) {
+	if l.Submit(&lifecycle.Request{}) {
 		t.Error("an ended loop took a request")
 	}
 }
@@ -75,21 +75,21 @@
 	s := &stepper{block: make(chan struct{})}
 	l := New(s, clock.NewManual(0), metrics.New())
 	taken := 0
-	for l.Offer(&lifecycle.Request{Reply: func(lifecycle.Answer) {}}) {
+	for l.Submit(&lifecycle.Request{Respond: func(lifecycle.Response) {}}) {
 		taken++
 	}
 	if taken != inboxSize*3/4+1 {
 		t.Errorf("%d requests fitted", taken)
 	}
 	for range inboxSize / 4 / 2 {
-		l.Finish(lifecycle.Attempt{Request: &lifecycle.Request{}}, lifecycle.Result{}) // would block if there were no room
+		l.Complete(lifecycle.Attempt{Request: &lifecycle.Request{}}, lifecycle.AttemptResult{}) // would block if there were no room
 	}
 	close(s.block)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go l.Run(ctx)
 	l.Sync()
-	if !l.Offer(&lifecycle.Request{Reply: func(lifecycle.Answer) {}}) {
+	if !l.Submit(&lifecycle.Request{Respond: func(lifecycle.Response) {}}) {
 		t.Error("no room once it is worked off")
 	}
 }
--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -24,14 +24,14 @@
 // atOnce answers a request in the caller's goroutine, as far as the front can tell like a loop that has nothing to do.
 type atOnce struct{ body []byte }
 
-func (l *atOnce) Offer(r *lifecycle.Request) bool {
-	r.Reply(lifecycle.Answer{Result: l.body, ETag: 1})
+func (l *atOnce) Submit(r *lifecycle.Request) bool {
+	r.Respond(lifecycle.Response{Result: l.body, ETag: 1})
 	return true
 }
-func (l *atOnce) Gone(*lifecycle.Request)                    {}
-func (l *atOnce) Written(*lifecycle.Request, lifecycle.Link) {}
-func (l *atOnce) Ready() bool                                { return true }
-func (l *atOnce) Measured(string, lifecycle.Link)            {}
+func (l *atOnce) Cancel(*lifecycle.Request)                                {}
+func (l *atOnce) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+func (l *atOnce) Ready() bool                                              { return true }
+func (l *atOnce) LinkMeasured(string, lifecycle.LinkSample)                {}
 
 // BenchmarkRequest is a write of 1 KiB with a short answer, over a loopback socket, one at a time: what a front and a
 // bare client take together. Only the fronts differ.
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -37,7 +37,7 @@
 type outgoing struct {
 	raw    []byte
 	p      *pending
-	answer lifecycle.Answer
+	answer lifecycle.Response
 	last   bool // the connection ends behind it
 }
 
@@ -60,7 +60,7 @@
 	began   time.Time
 	device  string
 	greeted bool
-	sample  lifecycle.Link
+	sample  lifecycle.LinkSample
 	after   time.Time // whatever comes now was sent after this: the connecting, or a ping that has been answered
 
 	mu       sync.Mutex
@@ -151,7 +151,7 @@
 	c.mu.Unlock()
 	for _, p := range open {
 		p.stop()
-		c.f.Loop.Gone(p.req)
+		c.f.Loop.Cancel(p.req)
 	}
 }
 
@@ -398,7 +398,7 @@
 		}
 		c.after = asked
 		if rtt := clock.Ms(now.Sub(asked)); c.device != "" { // what waits may have to be told sooner for it
-			c.f.Loop.Measured(c.device, lifecycle.Link{RoundTripMs: rtt})
+			c.f.Loop.LinkMeasured(c.device, lifecycle.LinkSample{RoundTripMs: rtt})
 		} else {
 			c.sample.RoundTripMs = rtt
 		}
@@ -457,7 +457,7 @@
 		return err
 	}
 	c.device = r.device
-	c.sample = lifecycle.Link{}
+	c.sample = lifecycle.LinkSample{}
 	d := req.Device
 	d.Body = bytes.Clone(m.Payload)
 	if p := r.block1; p != nil && (p.More || p.Offset > 0) {
@@ -466,13 +466,13 @@
 		if len(d.Body) > requestparse.MaxBody {
 			return bad(codes.RequestEntityTooLarge, "the body is over 64 KiB")
 		}
-		d.BodySum = sha256.Sum256(d.Body)
+		d.BodyDigest = sha256.Sum256(d.Body)
 	}
-	req.Carrier = c.f.Carrier
-	req.CameMs = clock.Ms(now.Sub(c.began))
-	req.LeftMs -= req.CameMs
+	req.Upstream = c.f.Carrier
+	req.ClientDelayMs = clock.Ms(now.Sub(c.began))
+	req.RemainingMs -= req.ClientDelayMs
 	if end := math.Float64frombits(c.f.endMs.Load()); end != 0 { // the program ends then, and what it leaves open is lost
-		req.LeftMs = min(req.LeftMs, end-c.f.Clock.NowMs())
+		req.RemainingMs = min(req.RemainingMs, end-c.f.Clock.NowMs())
 	}
 	p := &pending{token: m.Token, in: r, req: req}
 	c.mu.Lock()
@@ -483,14 +483,14 @@
 	c.open[string(p.token)] = p
 	// A copy that took all its time to get here has its answer from the ledger at once. The guard must not race that:
 	// a device that was told of its write by an earlier copy would be told now that it failed.
-	p.stop = c.f.Clock.AfterFunc(max(0, req.LeftMs)+clock.Ms(c.f.GuardTime), func() { c.late(p) })
+	p.stop = c.f.Clock.AfterFunc(max(0, req.RemainingMs)+clock.Ms(c.f.GuardTime), func() { c.late(p) })
 	c.mu.Unlock()
-	req.Reply = func(a lifecycle.Answer) { c.answered(p, a) }
-	if !c.f.Loop.Offer(req) {
+	req.Respond = func(a lifecycle.Response) { c.answered(p, a) }
+	if !c.f.Loop.Submit(req) {
 		c.f.Metrics.Add("requests_inbox_full", 1)
-		a := lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 250} // nothing of it has run
-		if req.Repeat && r.fields.Method == http.MethodPut {
-			a.Verdict = lifecycle.Failed // but an earlier copy may have
+		a := lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 250} // nothing of it has run
+		if req.IsRetry && r.fields.Method == http.MethodPut {
+			a.Kind = lifecycle.Failed // but an earlier copy may have
 		}
 		c.answered(p, a)
 	}
@@ -507,7 +507,7 @@
 	c.mu.Unlock()
 	if late {
 		c.f.Metrics.Add("answers_by_guard", 1)
-		c.f.Loop.Gone(p.req)
+		c.f.Loop.Cancel(p.req)
 		c.reply(p.token, codes.GatewayTimeout, "no answer in time")
 	}
 }
@@ -515,21 +515,21 @@
 // ---- writing ----
 
 // answered takes the one answer to a request. It is called on the loop's goroutine and does not wait.
-func (c *conn) answered(p *pending, a lifecycle.Answer) {
+func (c *conn) answered(p *pending, a lifecycle.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.DeadMs > 0 {
-		c.dead = min(max(clock.Duration(a.DeadMs), c.f.LeastDead), c.f.MostDead)
+	if a.IdleTimeoutMs > 0 {
+		c.dead = min(max(clock.Duration(a.IdleTimeoutMs), c.f.LeastDead), c.f.MostDead)
 	}
-	if a.Block > 0 {
-		c.block = a.Block
+	if a.BlockSize > 0 {
+		c.block = a.BlockSize
 	}
 	if c.closed || c.open[string(p.token)] != p {
 		return // it is too late, and Gone has been told
 	}
 	delete(c.open, string(p.token))
 	p.stop()
-	c.push(outgoing{p: p, answer: a, last: a.Verdict == lifecycle.Superseded})
+	c.push(outgoing{p: p, answer: a, last: a.Kind == lifecycle.Superseded})
 }
 
 // reply answers without the loop.
@@ -580,11 +580,11 @@
 			raw, whole = c.compose(o.p, o.answer)
 		}
 		err := c.put(raw, dead)
-		if o.p != nil && o.answer.Verdict == lifecycle.Served {
+		if o.p != nil && o.answer.Kind == lifecycle.Served {
 			if err == nil && whole {
-				c.f.Loop.Written(o.p.req, lifecycle.Link{})
+				c.f.Loop.ResponseWritten(o.p.req, lifecycle.LinkSample{})
 			} else {
-				c.f.Loop.Gone(o.p.req) // the answer is kept, or more of it is asked for
+				c.f.Loop.Cancel(o.p.req) // the answer is kept, or more of it is asked for
 			}
 		}
 		if err != nil || o.last {
@@ -614,16 +614,16 @@
 }
 
 // compose makes the message of an answer; whole tells whether the device then has all of it.
-func (c *conn) compose(p *pending, a lifecycle.Answer) (raw []byte, whole bool) {
+func (c *conn) compose(p *pending, a lifecycle.Response) (raw []byte, whole bool) {
 	m := message.Message{Token: p.token}
 	text := func(code codes.Code, s string, opts ...message.Option) {
 		m.Code, m.Payload, m.Options = code, []byte(s), opts
 	}
-	switch a.Verdict {
+	switch a.Kind {
 	case lifecycle.Served:
 		whole = c.served(&m, p, a)
-	case lifecycle.Refused:
-		text(codes.ServiceUnavailable, "busy, nothing was done", coapwire.Uint(message.MaxAge, seconds(a.ComeBackMs)))
+	case lifecycle.Rejected:
+		text(codes.ServiceUnavailable, "busy, nothing was done", coapwire.Uint(message.MaxAge, seconds(a.RetryAfterMs)))
 	case lifecycle.Conflict:
 		text(codes.Conflict, "another content than that of the exchange it names; nothing of it was done")
 	case lifecycle.Continue:
@@ -635,7 +635,7 @@
 		c.mu.Unlock()
 		m.Code, m.Options = codes.Continue, message.Options{echo.Option(message.Block1)}
 	case lifecycle.Incomplete:
-		text(codes.RequestEntityIncomplete, "a block does not fit on", coapwire.Uint(coapwire.OptHave, uint32(a.Have)))
+		text(codes.RequestEntityIncomplete, "a block does not fit on", coapwire.Uint(coapwire.OptHave, uint32(a.BufferedBytes)))
 	case lifecycle.TooLarge:
 		text(codes.RequestEntityTooLarge, "too large", coapwire.Uint(message.Size1, requestparse.MaxBody))
 	case lifecycle.Superseded:
@@ -648,7 +648,7 @@
 }
 
 // served makes the message of a served answer, or of the block of it that was asked for.
-func (c *conn) served(m *message.Message, p *pending, a lifecycle.Answer) (whole bool) {
+func (c *conn) served(m *message.Message, p *pending, a lifecycle.Response) (whole bool) {
 	body := a.Result.([]byte)
 	etag := binary.BigEndian.AppendUint64(nil, a.ETag)
 	m.Code = codes.Content
--- a/internal/frontend/coapserver/front.go
+++ b/internal/frontend/coapserver/front.go
@@ -45,17 +45,17 @@
 
 // Loop is what the front asks of the loop.
 type Loop interface {
-	Offer(*lifecycle.Request) bool
-	Gone(*lifecycle.Request)
-	Written(*lifecycle.Request, lifecycle.Link)
-	Measured(device string, l lifecycle.Link)
+	Submit(*lifecycle.Request) bool
+	Cancel(*lifecycle.Request)
+	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
+	LinkMeasured(device string, l lifecycle.LinkSample)
 }
 
 // Front serves devices.
 type Front struct {
 	Options
 	Loop     Loop
-	Carrier  lifecycle.Carrier
+	Carrier  lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Set
 	Settings *scheduler.Settings
--- a/internal/frontend/coapserver/front_test.go
+++ b/internal/frontend/coapserver/front_test.go
@@ -40,7 +40,7 @@
 	take                 func(*lifecycle.Request)
 }
 
-func (l *fakeLoop) Offer(r *lifecycle.Request) bool {
+func (l *fakeLoop) Submit(r *lifecycle.Request) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.full {
@@ -53,19 +53,19 @@
 	return true
 }
 
-func (l *fakeLoop) Gone(r *lifecycle.Request) {
+func (l *fakeLoop) Cancel(r *lifecycle.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gone = append(l.gone, r)
 }
 
-func (l *fakeLoop) Written(r *lifecycle.Request, _ lifecycle.Link) {
+func (l *fakeLoop) ResponseWritten(r *lifecycle.Request, _ lifecycle.LinkSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.written = append(l.written, r)
 }
 
-func (l *fakeLoop) Measured(string, lifecycle.Link) {}
+func (l *fakeLoop) LinkMeasured(string, lifecycle.LinkSample) {}
 
 func (l *fakeLoop) counts() (taken, gone, written int) {
 	l.mu.Lock()
@@ -185,39 +185,39 @@
 	})
 }
 
-func answering(a lifecycle.Answer) func(*lifecycle.Request) {
-	return func(r *lifecycle.Request) { r.Reply(a) }
+func answering(a lifecycle.Response) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) { r.Respond(a) }
 }
 
 func TestAnswers(t *testing.T) {
 	block := coapwire.Place{Offset: 2048, Size: 1024, More: true}
 	for name, c := range map[string]struct {
-		answer lifecycle.Answer
+		answer lifecycle.Response
 		code   codes.Code
 		check  func(*message.Message) bool
 	}{
-		"served": {lifecycle.Answer{Result: []byte("done"), ETag: 0x0102}, codes.Changed, func(m *message.Message) bool { return string(m.Payload) == "done" }},
-		"refused": {lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 1200}, codes.ServiceUnavailable, func(m *message.Message) bool {
+		"served": {lifecycle.Response{Result: []byte("done"), ETag: 0x0102}, codes.Changed, func(m *message.Message) bool { return string(m.Payload) == "done" }},
+		"refused": {lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 1200}, codes.ServiceUnavailable, func(m *message.Message) bool {
 			s, err := m.Options.GetUint32(message.MaxAge)
 			return err == nil && s == 2
 		}},
-		"at once": {lifecycle.Answer{Verdict: lifecycle.Refused}, codes.ServiceUnavailable, func(m *message.Message) bool {
+		"at once": {lifecycle.Response{Kind: lifecycle.Rejected}, codes.ServiceUnavailable, func(m *message.Message) bool {
 			s, err := m.Options.GetUint32(message.MaxAge)
 			return err == nil && s == 1
 		}},
-		"failed": {lifecycle.Answer{Verdict: lifecycle.Failed}, codes.BadGateway, nil},
-		"other":  {lifecycle.Answer{Verdict: lifecycle.Conflict}, codes.Conflict, nil},
-		"large":  {lifecycle.Answer{Verdict: lifecycle.TooLarge}, codes.RequestEntityTooLarge, nil},
-		"gap": {lifecycle.Answer{Verdict: lifecycle.Incomplete, Have: 1024}, codes.RequestEntityIncomplete, func(m *message.Message) bool {
+		"failed": {lifecycle.Response{Kind: lifecycle.Failed}, codes.BadGateway, nil},
+		"other":  {lifecycle.Response{Kind: lifecycle.Conflict}, codes.Conflict, nil},
+		"large":  {lifecycle.Response{Kind: lifecycle.TooLarge}, codes.RequestEntityTooLarge, nil},
+		"gap": {lifecycle.Response{Kind: lifecycle.Incomplete, BufferedBytes: 1024}, codes.RequestEntityIncomplete, func(m *message.Message) bool {
 			n, err := m.Options.GetUint32(coapwire.OptHave)
 			return err == nil && n == 1024
 		}},
-		"more": {lifecycle.Answer{Verdict: lifecycle.Continue, Have: 3072}, codes.Continue, func(m *message.Message) bool {
+		"more": {lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 3072}, codes.Continue, func(m *message.Message) bool {
 			b, _ := m.Options.GetBytes(message.Block1)
 			p, ok := coapwire.ReadPlace(b)
 			return ok && p == block
 		}},
-		"more, smaller": {lifecycle.Answer{Verdict: lifecycle.Continue, Have: 3072, Block: 256}, codes.Continue, func(m *message.Message) bool {
+		"more, smaller": {lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 3072, BlockSize: 256}, codes.Continue, func(m *message.Message) bool {
 			b, _ := m.Options.GetBytes(message.Block1)
 			p, ok := coapwire.ReadPlace(b)
 			return ok && p.Offset == 2048 && p.Size == 256
@@ -285,7 +285,7 @@
 		"BERT that is not full":    {codes.PUT, strings.Repeat("x", 1025), add(coapwire.Place{Size: 1024, BERT: true, More: true}.Option(message.Block1)), codes.BadRequest},
 		"a bad block":              {codes.PUT, "x", add(message.Option{ID: message.Block1, Value: []byte("1234")}), codes.BadOption},
 	} {
-		inBubble(t, 4096, answering(lifecycle.Answer{Result: []byte("fine")}), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, 4096, answering(lifecycle.Response{Result: []byte("fine")}), func(f *Front, l *fakeLoop, k *client) {
 			k.put(ask(c.code, 1, []byte(c.payload), c.change))
 			k.want(c.want)
 			if taken, _, _ := l.counts(); taken != 0 {
@@ -345,7 +345,7 @@
 		most           uint32
 		advised, first int
 	}{{1152, 0, 1024}, {1152, 256, 256}, {4000, 0, 3072}, {4000, 2048, 2048}, {8000, 0, 5000}, {8000, 1024, 1024}} {
-		inBubble(t, c.most, answering(lifecycle.Answer{Result: body, ETag: 77, Block: c.advised}), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, c.most, answering(lifecycle.Response{Result: body, ETag: 77, BlockSize: c.advised}), func(f *Front, l *fakeLoop, k *client) {
 			k.put(ask(codes.GET, 1, nil, nil))
 			m := k.want(codes.Content)
 			if len(m.Payload) != c.first {
@@ -434,7 +434,7 @@
 		f.End()
 	})
 	synctest.Test(t, func(t *testing.T) { // who does not read its answer
-		l := &fakeLoop{take: answering(lifecycle.Answer{Result: make([]byte, 3000)})}
+		l := &fakeLoop{take: answering(lifecycle.Response{Result: make([]byte, 3000)})}
 		f := testFront(l)
 		near, far := net.Pipe()
 		f.Take(far)
@@ -506,7 +506,7 @@
 			t.Error("ended with a request open")
 		default:
 		}
-		l.taken[0].Reply(lifecycle.Answer{Result: []byte("late")})
+		l.taken[0].Respond(lifecycle.Response{Result: []byte("late")})
 		k.want(codes.Content)
 		<-over
 	})
@@ -550,8 +550,8 @@
 	seed(csm, []byte{0xf0, 0xff, 0xff, 0xff, 0xff, 1}, get)
 	seed(get, csm)
 	f.Fuzz(func(t *testing.T, data []byte, cut uint8) {
-		answers := []lifecycle.Answer{{Result: make([]byte, 3000), ETag: 5}, {Verdict: lifecycle.Refused}, {Verdict: lifecycle.Failed},
-			{Verdict: lifecycle.Incomplete, Have: 7}, {Verdict: lifecycle.Continue, Block: 64}, {Verdict: lifecycle.Superseded}}
+		answers := []lifecycle.Response{{Result: make([]byte, 3000), ETag: 5}, {Kind: lifecycle.Rejected}, {Kind: lifecycle.Failed},
+			{Kind: lifecycle.Incomplete, BufferedBytes: 7}, {Kind: lifecycle.Continue, BlockSize: 64}, {Kind: lifecycle.Superseded}}
 		var mu sync.Mutex
 		ends := map[*lifecycle.Request]int{}
 		l := &fakeLoop{}
@@ -561,10 +561,10 @@
 			ends[r] = 0
 			mu.Unlock()
 			a := answers[(n+int(cut))%len(answers)]
-			if a.Verdict == lifecycle.Continue && r.Device.Block == nil {
-				a.Verdict = lifecycle.Failed
+			if a.Kind == lifecycle.Continue && r.Device.Block == nil {
+				a.Kind = lifecycle.Failed
 			}
-			r.Reply(a)
+			r.Respond(a)
 		}
 		front := testFront(l)
 		c := connect(t, front)
@@ -636,7 +636,7 @@
 func TestTheGuardWaitsForTheLoop(t *testing.T) {
 	slow := func(r *lifecycle.Request) {
 		time.Sleep(5 * time.Millisecond)
-		r.Reply(lifecycle.Answer{Verdict: lifecycle.Served, Result: []byte("kept"), Kept: true})
+		r.Respond(lifecycle.Response{Kind: lifecycle.Served, Result: []byte("kept"), Cached: true})
 	}
 	inBubble(t, 4096, slow, func(f *Front, l *fakeLoop, k *client) {
 		raw := coapwire.Encode(ask(codes.PUT, 1, []byte("x"), func(o message.Options) message.Options {
--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -35,7 +35,7 @@
 // recorder is a device's end of a connection that keeps the bytes that the front writes.
 type recorder struct {
 	nc     net.Conn
-	answer lifecycle.Answer // to the next request
+	answer lifecycle.Response // to the next request
 	text   strings.Builder
 
 	mu   sync.Mutex
@@ -81,7 +81,7 @@
 }
 
 // exchange asks for something and has it answered.
-func (r *recorder) exchange(name string, m message.Message, a lifecycle.Answer) {
+func (r *recorder) exchange(name string, m message.Message, a lifecycle.Response) {
 	r.answer = a
 	r.step(name, coapwire.Encode(m))
 }
@@ -99,7 +99,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var r *recorder
-		front := testFront(&fakeLoop{take: func(q *lifecycle.Request) { q.Reply(r.answer) }})
+		front := testFront(&fakeLoop{take: func(q *lifecycle.Request) { q.Respond(r.answer) }})
 		front.Gateway = "gateway-1"
 		r = newRecorder(front)
 		r.greet(most)
@@ -121,26 +121,26 @@
 		first := coapwire.Place{Size: 1024, More: true}
 		last := coapwire.Place{Offset: 1024, Size: 1024}
 		r.exchange("first block held", ask(codes.PUT, 1, make([]byte, 1024), withBlock(message.Block1, first)),
-			lifecycle.Answer{Verdict: lifecycle.Continue, Have: 1024})
+			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024})
 		r.exchange("last block, served", ask(codes.PUT, 2, []byte("rest"), withBlock(message.Block1, last)),
-			lifecycle.Answer{Result: []byte("done"), ETag: 0x0102})
+			lifecycle.Response{Result: []byte("done"), ETag: 0x0102})
 		r.exchange("smaller blocks advised", ask(codes.PUT, 3, make([]byte, 1024), withBlock(message.Block1, first)),
-			lifecycle.Answer{Verdict: lifecycle.Continue, Have: 1024, Block: 256})
+			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024, BlockSize: 256})
 	})
 }
 
 func TestGoldenResponses(t *testing.T) {
 	block := withBlock(message.Block1, coapwire.Place{Offset: 2048, Size: 1024, More: true})
-	for name, a := range map[string]lifecycle.Answer{
+	for name, a := range map[string]lifecycle.Response{
 		"served":         {Result: []byte("done"), ETag: 0x0102},
-		"refused":        {Verdict: lifecycle.Refused, ComeBackMs: 1200},
-		"refused-now":    {Verdict: lifecycle.Refused},
-		"failed":         {Verdict: lifecycle.Failed},
-		"conflict":       {Verdict: lifecycle.Conflict},
-		"too-large":      {Verdict: lifecycle.TooLarge},
-		"incomplete":     {Verdict: lifecycle.Incomplete, Have: 1024},
-		"superseded":     {Verdict: lifecycle.Superseded},
-		"duplicate-open": {Verdict: lifecycle.Rejected},
+		"refused":        {Kind: lifecycle.Rejected, RetryAfterMs: 1200},
+		"refused-now":    {Kind: lifecycle.Rejected},
+		"failed":         {Kind: lifecycle.Failed},
+		"conflict":       {Kind: lifecycle.Conflict},
+		"too-large":      {Kind: lifecycle.TooLarge},
+		"incomplete":     {Kind: lifecycle.Incomplete, BufferedBytes: 1024},
+		"superseded":     {Kind: lifecycle.Superseded},
+		"duplicate-open": {Kind: lifecycle.DuplicateID},
 	} {
 		t.Run(name, func(t *testing.T) {
 			recordSession(t, "response-"+name, 4096, func(_ *Front, r *recorder) {
@@ -151,7 +151,7 @@
 }
 
 func TestGoldenAnswerInBlocks(t *testing.T) {
-	answer := lifecycle.Answer{Result: bytes.Repeat([]byte("0123456789"), 130), ETag: 77}
+	answer := lifecycle.Response{Result: bytes.Repeat([]byte("0123456789"), 130), ETag: 77}
 	for name, c := range map[string]struct {
 		most uint32
 		next coapwire.Place
@@ -178,10 +178,10 @@
 	recordSession(t, "signals", 4096, func(f *Front, r *recorder) {
 		r.step("ping", coapwire.Encode(message.Message{Code: codes.Ping, Token: message.Token{9}}))
 		r.step("ping with custody", coapwire.Encode(message.Message{Code: codes.Ping, Options: message.Options{{ID: message.TCPCustody}}}))
-		r.exchange("malformed", ask(codes.DELETE, 1, nil, nil), lifecycle.Answer{})
+		r.exchange("malformed", ask(codes.DELETE, 1, nil, nil), lifecycle.Response{})
 		r.exchange("critical option", ask(codes.GET, 2, nil, func(o message.Options) message.Options {
 			return o.Add(message.Option{ID: 65101})
-		}), lifecycle.Answer{})
+		}), lifecycle.Response{})
 		f.Drain()
 		r.step("drain", nil)
 		r.step("response to no request", coapwire.Encode(message.Message{Code: codes.Content, Token: message.Token{1}}))
@@ -191,9 +191,9 @@
 func TestGoldenFullInbox(t *testing.T) {
 	recordSession(t, "full-inbox", 4096, func(f *Front, r *recorder) {
 		f.Loop.(*fakeLoop).full = true
-		r.exchange("push", ask(codes.PUT, 1, []byte("data"), nil), lifecycle.Answer{})
+		r.exchange("push", ask(codes.PUT, 1, []byte("data"), nil), lifecycle.Response{})
 		r.exchange("repeated push", ask(codes.PUT, 2, []byte("data"), func(o message.Options) message.Options {
 			return o.Add(message.Option{ID: coapwire.OptRepeat})
-		}), lifecycle.Answer{})
+		}), lifecycle.Response{})
 	})
 }
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -57,11 +57,11 @@
 }
 
 // measured is what that tells of the link. What comes all at once tells of buffers, not of the link.
-func (t *timed) measured() lifecycle.Link {
+func (t *timed) measured() lifecycle.LinkSample {
 	if t.span < 1 {
-		return lifecycle.Link{}
+		return lifecycle.LinkSample{}
 	}
-	return lifecycle.Link{Bytes: t.n, BytesMs: t.span, GapMs: t.longest}
+	return lifecycle.LinkSample{Bytes: t.n, BytesMs: t.span, GapMs: t.longest}
 }
 
 // since holds, in a connection's context, the time after which whatever comes now was sent: its connecting, or the
@@ -84,7 +84,7 @@
 }
 
 // device makes a request a copy of an exchange.
-func (f *Front) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpclient.Load, link lifecycle.Link) error {
+func (f *Front) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpclient.Load, link lifecycle.LinkSample) error {
 	h := r.Header
 	c := requestparse.Copy{Device: h.Get("X-Device-Id"), ID: fields.ID, AgeMs: -1, SentTo: h.Get("X-Sent-To"), Link: link}
 	if len(h["X-Device-Id"]) > 1 {
@@ -107,12 +107,12 @@
 	if err := requestparse.Device(req, class, fields, c, load); err != nil {
 		return err
 	}
-	req.Device.Body, req.Device.BodySum = load.Body, sha256.Sum256(load.Body)
+	req.Device.Body, req.Device.BodyDigest = load.Body, sha256.Sum256(load.Body)
 	return nil
 }
 
 // serveDevice writes a device's answer, or the part of it that the device lacks, and tells whether that went out.
-func (f *Front) serveDevice(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Answer) {
+func (f *Front) serveDevice(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
 	body := a.Result.([]byte)
 	began := f.Clock.NowMs()
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -120,8 +120,8 @@
 	out := &counted{ResponseWriter: w}
 	// Each write may take as long as a usual stall of the link, not the whole answer.
 	control := http.NewResponseController(w)
-	if a.DeadMs > 0 {
-		control.SetWriteDeadline(time.Now().Add(clock.Duration(a.DeadMs) + answerTime(len(body))))
+	if a.IdleTimeoutMs > 0 {
+		control.SetWriteDeadline(time.Now().Add(clock.Duration(a.IdleTimeoutMs) + answerTime(len(body))))
 	}
 	if r.Method == http.MethodGet {
 		http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
@@ -130,10 +130,10 @@
 		out.Write(body)
 	}
 	if err := control.Flush(); out.err != nil || err != nil {
-		f.Loop.Gone(req) // the answer is kept
+		f.Loop.Cancel(req) // the answer is kept
 		return
 	}
-	f.Loop.Written(req, lifecycle.Link{Bytes: out.n, BytesMs: f.Clock.NowMs() - began})
+	f.Loop.ResponseWritten(req, lifecycle.LinkSample{Bytes: out.n, BytesMs: f.Clock.NowMs() - began})
 }
 
 // answerTime is the least time that an answer gets on the slowest link that is of use: 1 KiB a second.
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -28,7 +28,7 @@
 
 // A request from a device is a copy of an exchange; what nodes are sent carries names of the gateway's own.
 func TestDeviceRequests(t *testing.T) {
-	f, l := newDeviceFront(answering(lifecycle.Answer{Result: []byte("done"), ETag: 5}))
+	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte("done"), ETag: 5}))
 	read := func(r *http.Request) {
 		r.Method, r.URL.Path, r.RequestURI = "GET", "/pull/7f3a9c21e0b4d655", "/pull/7f3a9c21e0b4d655?x=%2F"
 		r.Body, r.ContentLength = http.NoBody, 0
@@ -44,14 +44,14 @@
 			t.Errorf("%d %q %v", w.Code, w.Body, w.Header())
 		}
 	}
-	d := func(i int) *lifecycle.Device { return l.taken[i].Device }
-	if d(0).Key != d(1).Key || d(0).Head != d(1).Head || d(0).BodySum != d(1).BodySum || d(0).Key != d(2).Key || d(0).BodySum == d(2).BodySum {
+	d := func(i int) *lifecycle.DeviceRequest { return l.taken[i].Device }
+	if d(0).Key != d(1).Key || d(0).HeadDigest != d(1).HeadDigest || d(0).BodyDigest != d(1).BodyDigest || d(0).Key != d(2).Key || d(0).BodyDigest == d(2).BodyDigest {
 		t.Error("copies of a write are told by its key and its content, whatever their ids")
 	}
-	if d(3).Key == d(4).Key || d(3).Key == d(0).Key || d(3).Head == d(0).Head {
+	if d(3).Key == d(4).Key || d(3).Key == d(0).Key || d(3).HeadDigest == d(0).HeadDigest {
 		t.Error("reads are told by their ids")
 	}
-	load := d(0).Load("run-1", []byte("body")).(*httpclient.Load)
+	load := d(0).BuildPayload("run-1", []byte("body")).(*httpclient.Load)
 	if load.Header.Get("X-Correlation-Id") != "run-1" || load.Header.Get("Idempotency-Key") == "k1" || string(load.Body) != "body" ||
 		load.Header.Get("X-Device-Id") != "" || load.Path != "/push/7f3a9c21e0b4d655" || load.RawQuery != "x=%2F" {
 		t.Errorf("sent on as %+v", load)
@@ -62,7 +62,7 @@
 }
 
 func TestMalformedDeviceRequests(t *testing.T) {
-	f, l := newDeviceFront(answering(lifecycle.Answer{Result: []byte("done")}))
+	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte("done")}))
 	for name, change := range map[string]func(*http.Request){
 		"no device":      func(r *http.Request) { r.Header.Del("X-Device-Id") },
 		"two devices":    func(r *http.Request) { r.Header.Add("X-Device-Id", "dev2") },
@@ -89,7 +89,7 @@
 // An answer that broke off continues where it stopped, if it is still the same one.
 func TestAnswersContinue(t *testing.T) {
 	body := strings.Repeat("0123456789", 500)
-	f, l := newDeviceFront(answering(lifecycle.Answer{Result: []byte(body), ETag: 0xabc}))
+	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte(body), ETag: 0xabc}))
 	for _, c := range []struct {
 		span, match string
 		code        int
@@ -124,13 +124,13 @@
 
 // The answers that only devices get, and what a full inbox means to a copy that may have run.
 func TestDeviceAnswers(t *testing.T) {
-	f, _ := newDeviceFront(answering(lifecycle.Answer{Verdict: lifecycle.Conflict}))
+	f, _ := newDeviceFront(answering(lifecycle.Response{Kind: lifecycle.Conflict}))
 	w := httptest.NewRecorder()
 	f.ServeHTTP(w, deviceRequest(nil))
 	if w.Code != 409 || w.Header().Get("Connection") == "close" {
 		t.Errorf("%d %v", w.Code, w.Header())
 	}
-	f, _ = newDeviceFront(answering(lifecycle.Answer{Verdict: lifecycle.Superseded}))
+	f, _ = newDeviceFront(answering(lifecycle.Response{Kind: lifecycle.Superseded}))
 	func() {
 		defer func() {
 			if r := recover(); r != http.ErrAbortHandler {
@@ -153,7 +153,7 @@
 // A told age grows by all the time in which the copy may have been on its way: since its connection began, or since
 // the answer before.
 func TestAgesOnTheWay(t *testing.T) {
-	f, l := newDeviceFront(answering(lifecycle.Answer{Result: []byte("done")}))
+	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte("done")}))
 	clock := f.Clock.(interface{ Advance(float64) })
 	ctx := f.ConnContext(t.Context(), nil)
 	for _, want := range []float64{100 + 700, 100 + 300} {
--- a/internal/frontend/httpserver/front.go
+++ b/internal/frontend/httpserver/front.go
@@ -38,16 +38,16 @@
 
 // Loop is what the front asks of the loop.
 type Loop interface {
-	Offer(*lifecycle.Request) bool
-	Gone(*lifecycle.Request)
-	Written(*lifecycle.Request, lifecycle.Link)
+	Submit(*lifecycle.Request) bool
+	Cancel(*lifecycle.Request)
+	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
 	Ready() bool
 }
 
 // Front is an http.Handler.
 type Front struct {
 	Loop     Loop
-	Carrier  lifecycle.Carrier
+	Carrier  lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Set
 	Settings *scheduler.Settings
@@ -148,21 +148,21 @@
 	// The server's time to read the request ends here. It would also end the watch on the client's leaving, and
 	// with it the request, under one that only waits for its answer.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	answers := make(chan lifecycle.Answer, 1) // one answer fits, so the loop never waits
-	req.Reply = func(a lifecycle.Answer) { answers <- a }
-	req.CameMs = f.Clock.NowMs() - arrived
-	req.LeftMs -= req.CameMs
+	answers := make(chan lifecycle.Response, 1) // one answer fits, so the loop never waits
+	req.Respond = func(a lifecycle.Response) { answers <- a }
+	req.ClientDelayMs = f.Clock.NowMs() - arrived
+	req.RemainingMs -= req.ClientDelayMs
 	if !f.Devices { // what a device's link takes the desk knows
-		req.LeftMs -= marginMs
+		req.RemainingMs -= marginMs
 	}
 	if k := clientOf(r.Context()); k != nil && !f.Devices { // what devices ask for goes on without them
-		if req.Away = func() bool { return socketstate.HungUp(k.Conn) }; req.Away() {
+		if req.ClientDisconnected = func() bool { return socketstate.HungUp(k.Conn) }; req.ClientDisconnected() {
 			f.Metrics.Add("requests_abandoned", 1) // it waited for longer, unread, than its client did
 			panic(http.ErrAbortHandler)
 		}
 	}
 	if endMs != 0 { // the program ends then, and what it leaves open is lost
-		req.LeftMs = min(req.LeftMs, endMs-f.Clock.NowMs())
+		req.RemainingMs = min(req.RemainingMs, endMs-f.Clock.NowMs())
 	}
 	if f.yields(arrived, endMs) {
 		f.Metrics.Add("requests_yielded", 1)
@@ -170,9 +170,9 @@
 		return
 	}
 	defer f.answered(arrived)
-	if !f.Loop.Offer(req) {
+	if !f.Loop.Submit(req) {
 		f.Metrics.Add("requests_inbox_full", 1)
-		if req.Device != nil && req.Repeat && r.Method != http.MethodGet { // an earlier copy may have run
+		if req.Device != nil && req.IsRetry && r.Method != http.MethodGet { // an earlier copy may have run
 			http.Error(w, "failed", http.StatusBadGateway)
 			return
 		}
@@ -182,13 +182,13 @@
 	}
 	late := make(chan struct{})
 	// What took all its time to get here is answered at once, and the guard must not race that.
-	stop := f.Clock.AfterFunc(max(0, req.LeftMs)+guardMs, func() { close(late) })
+	stop := f.Clock.AfterFunc(max(0, req.RemainingMs)+guardMs, func() { close(late) })
 	defer stop()
 	select {
 	case a := <-answers:
 		f.answer(w, r, req, a)
 	case <-r.Context().Done():
-		f.Loop.Gone(req)
+		f.Loop.Cancel(req)
 		panic(http.ErrAbortHandler) // returning would write an empty 200, which no node has made
 	case <-late:
 		select {
@@ -199,16 +199,16 @@
 		}
 		// The loop is held up. What it did is not known here, so this may only be a failure.
 		f.Metrics.Add("answers_by_guard", 1)
-		f.Loop.Gone(req)
+		f.Loop.Cancel(req)
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 	}
 }
 
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Answer) {
+func (f *Front) answer(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
 	if f.closing.Load() { // it may have begun while the request was out: what is told to end crosses no request
 		w.Header().Set("Connection", "close")
 	}
-	switch a.Verdict {
+	switch a.Kind {
 	case lifecycle.Served:
 		if f.Devices {
 			f.serveDevice(w, r, req, a)
@@ -218,9 +218,9 @@
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		w.Write(body)
-	case lifecycle.Refused:
-		f.refuse(w, a.ComeBackMs)
 	case lifecycle.Rejected:
+		f.refuse(w, a.RetryAfterMs)
+	case lifecycle.DuplicateID:
 		w.Header().Set("Connection", "close")
 		http.Error(w, "a request with this X-Correlation-Id is open", http.StatusConflict)
 	case lifecycle.Conflict:
@@ -300,7 +300,7 @@
 	}
 	load := &httpclient.Load{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath,
 		RawQuery: r.URL.RawQuery, Header: header, Body: body}
-	req.Carrier, req.Load = f.Carrier, load
+	req.Upstream, req.Payload = f.Carrier, load
 	if f.Devices {
 		if err := f.device(req, class, fields, r, load, reader.measured()); err != nil {
 			return bad("%w", err)
--- a/internal/frontend/httpserver/front_test.go
+++ b/internal/frontend/httpserver/front_test.go
@@ -27,7 +27,7 @@
 	take          func(*lifecycle.Request)
 }
 
-func (l *fakeLoop) Offer(r *lifecycle.Request) bool {
+func (l *fakeLoop) Submit(r *lifecycle.Request) bool {
 	if l.full {
 		return false
 	}
@@ -35,9 +35,11 @@
 	l.take(r)
 	return true
 }
-func (l *fakeLoop) Gone(*lifecycle.Request)                        { l.gone++ }
-func (l *fakeLoop) Ready() bool                                    { return !l.unready }
-func (l *fakeLoop) Written(r *lifecycle.Request, _ lifecycle.Link) { l.written = append(l.written, r) }
+func (l *fakeLoop) Cancel(*lifecycle.Request) { l.gone++ }
+func (l *fakeLoop) Ready() bool               { return !l.unready }
+func (l *fakeLoop) ResponseWritten(r *lifecycle.Request, _ lifecycle.LinkSample) {
+	l.written = append(l.written, r)
+}
 
 func newFront(take func(*lifecycle.Request)) (*Front, *fakeLoop, *clock.Manual) {
 	set := testbed.Settings(4)
@@ -59,21 +61,21 @@
 	return r
 }
 
-func answering(a lifecycle.Answer) func(*lifecycle.Request) {
-	return func(r *lifecycle.Request) { r.Reply(a) }
+func answering(a lifecycle.Response) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) { r.Respond(a) }
 }
 
 func TestAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer     lifecycle.Answer
+		answer     lifecycle.Response
 		code       int
 		body, come string
 	}{
-		"served":         {lifecycle.Answer{Result: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
-		"refused":        {lifecycle.Answer{Verdict: lifecycle.Refused}, 503, "busy\n", ""},
-		"refused, later": {lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 90}, 503, "busy\n", "0.090"},
-		"failed":         {lifecycle.Answer{Verdict: lifecycle.Failed}, 502, "failed\n", ""},
-		"an open id":     {lifecycle.Answer{Verdict: lifecycle.Rejected}, 409, "a request with this X-Correlation-Id is open\n", ""},
+		"served":         {lifecycle.Response{Result: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
+		"refused":        {lifecycle.Response{Kind: lifecycle.Rejected}, 503, "busy\n", ""},
+		"refused, later": {lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 90}, 503, "busy\n", "0.090"},
+		"failed":         {lifecycle.Response{Kind: lifecycle.Failed}, 502, "failed\n", ""},
+		"an open id":     {lifecycle.Response{Kind: lifecycle.DuplicateID}, 409, "a request with this X-Correlation-Id is open\n", ""},
 	} {
 		f, l, _ := newFront(answering(c.answer))
 		w := httptest.NewRecorder()
@@ -82,9 +84,9 @@
 			t.Errorf("%s: %d %q, come back %q", name, w.Code, w.Body, w.Header().Get("Retry-After"))
 		}
 		r := l.taken[0]
-		load := r.Load.(*httpclient.Load)
-		if r.Key != 0x7f3a9c21e0b4d655 || r.Volume != 0x3b4d60021 || r.Units != 2 || r.Shard != 3 || r.Hosts != 2 ||
-			r.LeftMs != 480-marginMs || load.RawQuery != "x=%2F" || string(load.Body) != "data" ||
+		load := r.Payload.(*httpclient.Load)
+		if r.Key != 0x7f3a9c21e0b4d655 || r.Volume != 0x3b4d60021 || r.Units != 2 || r.Shard != 3 || r.Gateways != 2 ||
+			r.RemainingMs != 480-marginMs || load.RawQuery != "x=%2F" || string(load.Body) != "data" ||
 			load.Header.Get("Idempotency-Key") != "k1" || load.Header.Get("X-Correlation-Id") != "9b1f03aa5c7e2d41" {
 			t.Errorf("%s: read %+v, %+v", name, r, load)
 		}
@@ -134,7 +136,7 @@
 			r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", httpclient.MaxBody+1)))
 		}, 413},
 	} {
-		f, l, _ := newFront(answering(lifecycle.Answer{}))
+		f, l, _ := newFront(answering(lifecycle.Response{}))
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, request(c.change))
 		if w.Code != c.code || len(l.taken) != 0 || strings.Count(w.Body.String(), "\n") != 1 ||
@@ -161,7 +163,7 @@
 		"bad class, a body":   {strings.Replace(head, "Class: push", "Class: none", 1) + "Content-Length: 4\r\n\r\n" + hidden, "400"},
 		"no request at all":   {"\x00\x01\x02\r\n\r\n" + hidden, "400"},
 	} {
-		f, l, _ := newFront(answering(lifecycle.Answer{}))
+		f, l, _ := newFront(answering(lifecycle.Response{}))
 		srv := httptest.NewServer(f)
 		nc, err := net.Dial("tcp", srv.Listener.Addr().String())
 		if err != nil {
@@ -245,13 +247,13 @@
 
 // While the gateway stops a request gets its answer before the program ends, and at last its connection closes.
 func TestDrain(t *testing.T) {
-	f, l, now := newFront(answering(lifecycle.Answer{Result: []byte("x")}))
+	f, l, now := newFront(answering(lifecycle.Response{Result: []byte("x")}))
 	f.Drain(now.NowMs() + 100)
 	for _, closes := range []string{"", "close"} {
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, request(nil))
-		if r := l.taken[len(l.taken)-1]; r.LeftMs != 100 || w.Code != 200 || w.Header().Get("Connection") != closes {
-			t.Errorf("%v left, %d, connection %q", r.LeftMs, w.Code, w.Header().Get("Connection"))
+		if r := l.taken[len(l.taken)-1]; r.RemainingMs != 100 || w.Code != 200 || w.Header().Get("Connection") != closes {
+			t.Errorf("%v left, %d, connection %q", r.RemainingMs, w.Code, w.Header().Get("Connection"))
 		}
 		f.Close()
 	}
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -77,16 +77,16 @@
 func TestGoldenAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
-		answer  lifecycle.Answer
+		answer  lifecycle.Response
 	}{
-		"served-write":    {goldenWrite, lifecycle.Answer{Result: []byte("\x00raw\r\n\xff")}},
-		"served-read":     {goldenRead, lifecycle.Answer{Result: []byte("content")}},
-		"served-empty":    {goldenRead, lifecycle.Answer{Result: []byte{}}},
-		"refused":         {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Refused}},
-		"refused-retry":   {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 90}},
-		"refused-seconds": {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 12345}},
-		"failed":          {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Failed}},
-		"duplicate-id":    {goldenWrite, lifecycle.Answer{Verdict: lifecycle.Rejected}},
+		"served-write":    {goldenWrite, lifecycle.Response{Result: []byte("\x00raw\r\n\xff")}},
+		"served-read":     {goldenRead, lifecycle.Response{Result: []byte("content")}},
+		"served-empty":    {goldenRead, lifecycle.Response{Result: []byte{}}},
+		"refused":         {goldenWrite, lifecycle.Response{Kind: lifecycle.Rejected}},
+		"refused-retry":   {goldenWrite, lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 90}},
+		"refused-seconds": {goldenWrite, lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 12345}},
+		"failed":          {goldenWrite, lifecycle.Response{Kind: lifecycle.Failed}},
+		"duplicate-id":    {goldenWrite, lifecycle.Response{Kind: lifecycle.DuplicateID}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _, _ := newFront(answering(c.answer))
@@ -102,15 +102,15 @@
 	read := strings.Replace(goldenRead, "X-Correlation-Id: id-1", "X-Correlation-Id: id-1\r\nIdempotency-Key: k1", 1)
 	for name, c := range map[string]struct {
 		request string
-		answer  lifecycle.Answer
+		answer  lifecycle.Response
 	}{
-		"write":         {device(goldenWrite, ""), lifecycle.Answer{Result: []byte("done"), ETag: 0xabc}},
-		"read":          {device(read, ""), lifecycle.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
-		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), lifecycle.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
-		"range-outside": {device(read, "Range: bytes=99-\r\n"), lifecycle.Answer{Result: []byte("0123456789"), ETag: 0xabc}},
-		"refused":       {device(goldenWrite, ""), lifecycle.Answer{Verdict: lifecycle.Refused, ComeBackMs: 1500}},
-		"failed":        {device(goldenWrite, ""), lifecycle.Answer{Verdict: lifecycle.Failed}},
-		"conflict":      {device(goldenWrite, ""), lifecycle.Answer{Verdict: lifecycle.Conflict}},
+		"write":         {device(goldenWrite, ""), lifecycle.Response{Result: []byte("done"), ETag: 0xabc}},
+		"read":          {device(read, ""), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
+		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
+		"range-outside": {device(read, "Range: bytes=99-\r\n"), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
+		"refused":       {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 1500}},
+		"failed":        {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Failed}},
+		"conflict":      {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Conflict}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := newDeviceFront(answering(c.answer))
@@ -137,7 +137,7 @@
 		"double-slash": {"/push/", "/push//"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _, _ := newFront(answering(lifecycle.Answer{}))
+			f, _, _ := newFront(answering(lifecycle.Response{}))
 			request := strings.Replace(goldenWrite, c.old, c.new, 1)
 			compareGolden(t, "malformed-"+name, quoteLines(exchangeRaw(t, f, request)))
 		})
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -23,10 +23,10 @@
 // holder is a loop that keeps what it takes until the test answers it, and tells who has left.
 type holder struct{ taken, gone chan *lifecycle.Request }
 
-func (h holder) Offer(r *lifecycle.Request) bool          { h.taken <- r; return true }
-func (h holder) Gone(r *lifecycle.Request)                { h.gone <- r }
-func (holder) Written(*lifecycle.Request, lifecycle.Link) {}
-func (holder) Ready() bool                                { return true }
+func (h holder) Submit(r *lifecycle.Request) bool                       { h.taken <- r; return true }
+func (h holder) Cancel(r *lifecycle.Request)                            { h.gone <- r }
+func (holder) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+func (holder) Ready() bool                                              { return true }
 
 // server is the front on a real listener.
 type server struct {
@@ -175,12 +175,12 @@
 	c := s.dial(t)
 	io.WriteString(c, get(1))
 	r := soon(t, "the request", s.taken)
-	if r.Left() {
+	if r.Canceled() {
 		t.Fatal("it is said to be away while it is there")
 	}
 	io.WriteString(c, strings.Repeat("x", floodMost+aheadMost+8<<10)) // the rest must fit into the system, or the end waits for room
 	c.Close()
-	for end := time.Now().Add(20 * time.Second); !r.Left(); runtime.Gosched() {
+	for end := time.Now().Add(20 * time.Second); !r.Canceled(); runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatal("it counts as there")
 		}
@@ -229,7 +229,7 @@
 	in := bufio.NewReader(c)
 	answer := func(what string) {
 		t.Helper()
-		soon(t, what, s.taken).Reply(lifecycle.Answer{Result: []byte(what)})
+		soon(t, what, s.taken).Respond(lifecycle.Response{Result: []byte(what)})
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("%s: %v", what, err)
@@ -281,7 +281,7 @@
 			sent <- err
 		}()
 		if name == "stopping" {
-			soon(t, name, s.taken).Reply(lifecycle.Answer{Result: []byte("x")})
+			soon(t, name, s.taken).Respond(lifecycle.Response{Result: []byte("x")})
 		}
 		if err := soon(t, name, sent); err != nil {
 			t.Errorf("%s: cut while sending: %v", name, err)
@@ -325,7 +325,7 @@
 	c := s.dial(t)
 	in := bufio.NewReader(c)
 	io.WriteString(c, get(1))
-	soon(t, "the first", s.taken).Reply(lifecycle.Answer{Result: []byte("x")})
+	soon(t, "the first", s.taken).Respond(lifecycle.Response{Result: []byte("x")})
 	if resp, err := http.ReadResponse(in, nil); err != nil {
 		t.Fatal(err)
 	} else {
@@ -364,7 +364,7 @@
 	})
 	c := s.dial(t)
 	io.WriteString(c, get(1)+get(2))
-	soon(t, "the first", s.taken).Reply(lifecycle.Answer{Result: []byte("x")})
+	soon(t, "the first", s.taken).Respond(lifecycle.Response{Result: []byte("x")})
 	quiet := soon(t, "shed", drained)
 	b, err := io.ReadAll(c)
 	if err != nil || strings.Count(string(b), "HTTP/1.1 ") != 1 {
--- a/internal/frontend/httpserver/yield_test.go
+++ b/internal/frontend/httpserver/yield_test.go
@@ -26,7 +26,7 @@
 	}
 	l.take = func(r *lifecycle.Request) { // 30 ms for each, a hundred requests a second
 		now.Advance(30)
-		r.Reply(lifecycle.Answer{Result: []byte("data")})
+		r.Respond(lifecycle.Response{Result: []byte("data")})
 	}
 	ask := func(busy int) (yielded int64) {
 		for i, c := range open {
--- a/internal/frontend/requestparse/form.go
+++ b/internal/frontend/requestparse/form.go
@@ -53,7 +53,7 @@
 	if f.Key != "" && !Visible(f.Key) {
 		return nil, nil, errors.New("Idempotency-Key is too long or not plain text")
 	}
-	req := &lifecycle.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, LeftMs: float64(f.LeftMs), Repeat: f.Repeat}
+	req := &lifecycle.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, RemainingMs: float64(f.LeftMs), IsRetry: f.Repeat}
 	if !hasPlan(set, f.Plan) {
 		return nil, nil, errors.New("unknown plan")
 	}
@@ -88,7 +88,7 @@
 				err = strconv.ErrRange
 			}
 		case "hosts":
-			req.Hosts, err = strconv.Atoi(v)
+			req.Gateways, err = strconv.Atoi(v)
 		default:
 			continue
 		}
@@ -127,7 +127,7 @@
 	ID     string  // of a read, which has no upload key
 	AgeMs  float64 // since it first sent it; below zero: not told
 	SentTo string  // the gateway that it sent earlier copies to
-	Link   lifecycle.Link
+	Link   lifecycle.LinkSample
 }
 
 // Device makes a parsed request a copy of a device's exchange. load is what the carrier would send; its header and
@@ -162,8 +162,8 @@
 		prefix = "w\x00"
 	}
 	req.ClientID = ""
-	req.Device = &lifecycle.Device{ID: c.Device, Key: prefix + key, Head: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, SentTo: c.SentTo, Link: c.Link,
-		Load: func(id string, body []byte) any {
+	req.Device = &lifecycle.DeviceRequest{ID: c.Device, Key: prefix + key, HeadDigest: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, PreviousGateway: c.SentTo, Link: c.Link,
+		BuildPayload: func(id string, body []byte) any {
 			l := *load
 			l.Header = load.Header.Clone()
 			l.Header.Set("X-Correlation-Id", id)
--- a/internal/frontend/sftpserver/front.go
+++ b/internal/frontend/sftpserver/front.go
@@ -74,16 +74,16 @@
 
 // Loop is what the front asks of the loop.
 type Loop interface {
-	Offer(*lifecycle.Request) bool
-	Gone(*lifecycle.Request)
-	Written(*lifecycle.Request, lifecycle.Link)
+	Submit(*lifecycle.Request) bool
+	Cancel(*lifecycle.Request)
+	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
 }
 
 // Front serves file commands.
 type Front struct {
 	Options
 	Loop    Loop
-	Carrier lifecycle.Carrier
+	Carrier lifecycle.Upstream
 	Clock   clock.Clock
 	Metrics *metrics.Set
 
@@ -238,24 +238,24 @@
 	if cmd.Op == sftpclient.Write && h.KeepMs > 0 {
 		h.exchange(req, cmd, again)
 	} else {
-		req.Away = h.away
+		req.ClientDisconnected = h.away
 	}
-	answers := make(chan lifecycle.Answer, 1)
-	req.Reply = func(a lifecycle.Answer) { answers <- a }
-	if !h.Loop.Offer(req) {
+	answers := make(chan lifecycle.Response, 1)
+	req.Respond = func(a lifecycle.Response) { answers <- a }
+	if !h.Loop.Submit(req) {
 		h.Metrics.Add("requests_inbox_full", 1)
 		return nil, busy(250)
 	}
 	late := make(chan struct{})
-	defer h.Clock.AfterFunc(req.LeftMs+guardMs, func() { close(late) })()
+	defer h.Clock.AfterFunc(req.RemainingMs+guardMs, func() { close(late) })()
 	select {
 	case a := <-answers:
-		if req.Device != nil && a.Verdict == lifecycle.Served {
-			h.Loop.Written(req, lifecycle.Link{}) // the library writes it next; if that fails it is kept
+		if req.Device != nil && a.Kind == lifecycle.Served {
+			h.Loop.ResponseWritten(req, lifecycle.LinkSample{}) // the library writes it next; if that fails it is kept
 		}
 		return result(a)
 	case <-h.ctx.Done():
-		h.Loop.Gone(req)
+		h.Loop.Cancel(req)
 		return nil, errMayHaveRun
 	case <-late:
 		select {
@@ -264,7 +264,7 @@
 		default:
 		}
 		h.Metrics.Add("answers_by_guard", 1)
-		h.Loop.Gone(req)
+		h.Loop.Cancel(req)
 		return nil, errMayHaveRun
 	}
 }
@@ -276,10 +276,10 @@
 }
 
 // result turns the core's answer into the client's.
-func result(a lifecycle.Answer) (*sftpclient.Reply, error) {
-	switch a.Verdict {
-	case lifecycle.Refused:
-		return nil, busy(a.ComeBackMs)
+func result(a lifecycle.Response) (*sftpclient.Reply, error) {
+	switch a.Kind {
+	case lifecycle.Rejected:
+		return nil, busy(a.RetryAfterMs)
 	case lifecycle.Served:
 	default:
 		return nil, errMayHaveRun
@@ -318,8 +318,8 @@
 	key := sum.Sum64()
 	units := math.Ceil(float64(len(cmd.Data)+int(cmd.Length)) / h.UnitBytes)
 	return &lifecycle.Request{Class: class.Name, Plan: root.Plan, Volume: root.Volume, Key: key,
-		LeftMs: clock.Ms(class.Deadline), Units: min(max(1, units), max(1, h.MostUnits)),
-		Shard: int(key % uint64(max(1, h.Shards))), Hosts: root.Hosts, Fresh: true, Carrier: h.Carrier, Load: cmd}, nil
+		RemainingMs: clock.Ms(class.Deadline), Units: min(max(1, units), max(1, h.MostUnits)),
+		Shard: int(key % uint64(max(1, h.Shards))), Gateways: root.Hosts, IsFirstAttempt: true, Upstream: h.Carrier, Payload: cmd}, nil
 }
 
 // root finds the longest root that holds a path.
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -56,7 +56,7 @@
 	go r.loop.Run(ctx)
 	r.list(scheduler.Ready)
 	back := sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 64,
-		Address: func(*lifecycle.Node) (string, bool) { return r.files.Addr, true }}, r.clock, r.counts, r.loop.Finish)
+		Address: func(*lifecycle.Server) (string, bool) { return r.files.Addr, true }}, r.clock, r.counts, r.loop.Complete)
 	r.front = &sftpserver.Front{Loop: r.loop, Carrier: back, Clock: r.clock, Metrics: r.counts,
 		Options: sftpserver.Options{MaxConns: 32, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
 			MostUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
@@ -65,7 +65,7 @@
 }
 
 func (r *rig) list(state scheduler.ServerState) {
-	r.loop.Nodes(lifecycle.List{Scope: scheduler.Snapshot, Nodes: []*lifecycle.Node{{Name: "n0", Addr: "127.0.0.1:1", State: state}}})
+	r.loop.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot, Servers: []*lifecycle.Server{{Name: "n0", Addr: "127.0.0.1:1", State: state}}})
 	r.loop.Sync()
 }
 
@@ -119,7 +119,7 @@
 	if m.Get("attempts_started") != ended(m) {
 		return -1
 	}
-	return l.Open()
+	return l.OpenRequests()
 }
 
 // ended counts the ends of attempts.
@@ -325,8 +325,8 @@
 	r.until(func() bool { return r.counts.Get("requests_dropped") == 1 })
 	r.until(func() bool { return r.counts.Get("attempts_cancelled") == 1 }) // it is called off
 	close(release)
-	if got := r.counts.Get("answers_served"); got != 1 || r.loop.Open() != 0 {
-		t.Errorf("%d served (the OPEN alone was due), %d open", got, r.loop.Open())
+	if got := r.counts.Get("answers_served"); got != 1 || r.loop.OpenRequests() != 0 {
+		t.Errorf("%d served (the OPEN alone was due), %d open", got, r.loop.OpenRequests())
 	}
 }
 
@@ -499,11 +499,11 @@
 		c.Write(stat)
 	}
 	req := <-got
-	if req.Left() {
+	if req.Canceled() {
 		t.Fatal("it is said to be away while it is there")
 	}
 	c.Close()
-	for !req.Left() { // the system tells of its end at once, on loopback
+	for !req.Canceled() { // the system tells of its end at once, on loopback
 		runtime.Gosched()
 	}
 	r.front.CloseAll()
@@ -512,9 +512,9 @@
 // taking is a loop that answers nothing.
 type taking struct{ got chan *lifecycle.Request }
 
-func (l taking) Offer(r *lifecycle.Request) bool          { l.got <- r; return true }
-func (taking) Gone(*lifecycle.Request)                    {}
-func (taking) Written(*lifecycle.Request, lifecycle.Link) {}
+func (l taking) Submit(r *lifecycle.Request) bool                       { l.got <- r; return true }
+func (taking) Cancel(*lifecycle.Request)                                {}
+func (taking) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 
 // The library's client sends a second READ after a short one, which is why filecarrier has its own codec.
 func TestLibraryClientSendsASecondRead(t *testing.T) {
@@ -627,8 +627,8 @@
 		}
 		r.loop.Sync()
 		taken := r.counts.Get("requests_taken")
-		if served := r.counts.Get("answers_served"); served != taken || r.loop.Open() != 0 {
-			t.Fatalf("%d taken, %d served, %d open", taken, served, r.loop.Open())
+		if served := r.counts.Get("answers_served"); served != taken || r.loop.OpenRequests() != 0 {
+			t.Fatalf("%d taken, %d served, %d open", taken, served, r.loop.OpenRequests())
 		}
 	})
 }
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -45,19 +45,19 @@
 // cannedLoop answers each request at once. The answer is changed only between packets.
 type cannedLoop struct {
 	full   bool
-	answer lifecycle.Answer
+	answer lifecycle.Response
 }
 
-func (l *cannedLoop) Offer(r *lifecycle.Request) bool {
+func (l *cannedLoop) Submit(r *lifecycle.Request) bool {
 	if l.full {
 		return false
 	}
-	r.Reply(l.answer)
+	r.Respond(l.answer)
 	return true
 }
 
-func (*cannedLoop) Gone(*lifecycle.Request)                    {}
-func (*cannedLoop) Written(*lifecycle.Request, lifecycle.Link) {}
+func (*cannedLoop) Cancel(*lifecycle.Request)                                {}
+func (*cannedLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 
 // rawSession is a client's connection whose packets are recorded.
 type rawSession struct {
@@ -126,17 +126,17 @@
 // open opens a file for reading and writing.
 func (s *rawSession) open() {
 	s.t.Helper()
-	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{}}
+	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{}}
 	s.send("open", packetOpen, "/layers/a", uint32(sftpclient.FlagRead|sftpclient.FlagWrite|sftpclient.FlagCreat), uint32(0))
 }
 
 func TestGoldenSession(t *testing.T) {
 	s := newRawSession(t)
 	s.open()
-	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{Data: []byte("0123456789")}}
+	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{Data: []byte("0123456789")}}
 	s.send("read", packetRead, "1", uint64(3), uint32(10))
 	s.send("short read", packetRead, "1", uint64(3), uint32(20))
-	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{Attrs: sftpclient.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
+	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{Attrs: sftpclient.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
 	s.send("write", packetWrite, "1", uint64(3), "data\x00\xff")
 	s.send("stat", packetStat, "/layers/a")
 	s.send("lstat", packetLstat, "/layers/a")
@@ -146,10 +146,10 @@
 }
 
 func TestGoldenStatuses(t *testing.T) {
-	reply := func(code uint32) lifecycle.Answer {
-		return lifecycle.Answer{Result: &sftpclient.Reply{Code: code, Text: "the node's own words"}}
+	reply := func(code uint32) lifecycle.Response {
+		return lifecycle.Response{Result: &sftpclient.Reply{Code: code, Text: "the node's own words"}}
 	}
-	for name, a := range map[string]lifecycle.Answer{
+	for name, a := range map[string]lifecycle.Response{
 		"end-of-file":   reply(sftpclient.StatusEOF),
 		"no-such-file":  reply(sftpclient.StatusNoSuchFile),
 		"denied":        reply(sftpclient.StatusPermissionDenied),
@@ -157,11 +157,11 @@
 		"bad-message":   reply(sftpclient.StatusBadMessage),
 		"unsupported":   reply(sftpclient.StatusUnsupported),
 		"unknown-code":  reply(99),
-		"refused":       {Verdict: lifecycle.Refused, ComeBackMs: 90},
-		"refused-now":   {Verdict: lifecycle.Refused},
-		"failed":        {Verdict: lifecycle.Failed},
-		"duplicate-id":  {Verdict: lifecycle.Rejected},
-		"exchange-kept": {Verdict: lifecycle.Conflict},
+		"refused":       {Kind: lifecycle.Rejected, RetryAfterMs: 90},
+		"refused-now":   {Kind: lifecycle.Rejected},
+		"failed":        {Kind: lifecycle.Failed},
+		"duplicate-id":  {Kind: lifecycle.DuplicateID},
+		"exchange-kept": {Kind: lifecycle.Conflict},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newRawSession(t)
@@ -187,7 +187,7 @@
 func TestGoldenRejectedCommands(t *testing.T) {
 	const appendFlag = 4
 	s := newRawSession(t)
-	s.loop.answer = lifecycle.Answer{Result: &sftpclient.Reply{}}
+	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{}}
 	s.send("open under no root", packetOpen, "/other/a", uint32(sftpclient.FlagRead), uint32(0))
 	s.send("open to append", packetOpen, "/layers/a", uint32(sftpclient.FlagWrite|appendFlag), uint32(0))
 	s.send("stat with a NUL", packetStat, "/layers/a\x00b")
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	go lp.Run(ctx)
 
-	list := lifecycle.List{Scope: scheduler.Snapshot}
+	list := lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}
 	ports := map[string]string{}
 	for shard := range 2 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -97,10 +97,10 @@
 			return nil
 		}
 		name := fmt.Sprint("n", shard)
-		list.Nodes = append(list.Nodes, &lifecycle.Node{Name: name, Addr: node.Listener.Addr().String(), Shard: shard})
+		list.Servers = append(list.Servers, &lifecycle.Server{Name: name, Addr: node.Listener.Addr().String(), Shard: shard})
 		ports[name] = files.Addr
 	}
-	lp.Nodes(list)
+	lp.UpdateEndpoints(list)
 	lp.Sync()
 
 	web := httptest.NewServer(&httpserver.Front{Loop: lp, Clock: now, Metrics: counts, Settings: &set,
@@ -111,7 +111,7 @@
 		Options: sftpserver.Options{MaxConns: 32, UnitBytes: unit, Read: set.Classes[0], Write: set.Classes[1], Shards: 2,
 			MostUnits: 6, Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}},
 		Carrier: sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 200,
-			Address: func(n *lifecycle.Node) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Finish)}
+			Address: func(n *lifecycle.Server) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Complete)}
 	go front.Serve(ln)
 	advance := func(ms float64) { // in steps small enough for the module's wakes
 		for ; ms > 0; ms -= 10 {
--- a/internal/frontend/sftpserver/repeat.go
+++ b/internal/frontend/sftpserver/repeat.go
@@ -152,12 +152,12 @@
 
 // exchange makes a WRITE a copy of an exchange.
 func (h *handler) exchange(req *lifecycle.Request, cmd *sftpclient.Command, again float64) {
-	req.Device = &lifecycle.Device{ID: "file " + h.host, Key: "f" + cmd.Key, AgeMs: again,
-		Head: sha256.Sum256(fmt.Appendf(nil, "%d %s", cmd.Offset, cmd.Path)), Body: cmd.Data, BodySum: sha256.Sum256(cmd.Data),
-		Load: func(_ string, body []byte) any {
+	req.Device = &lifecycle.DeviceRequest{ID: "file " + h.host, Key: "f" + cmd.Key, AgeMs: again,
+		HeadDigest: sha256.Sum256(fmt.Appendf(nil, "%d %s", cmd.Offset, cmd.Path)), Body: cmd.Data, BodyDigest: sha256.Sum256(cmd.Data),
+		BuildPayload: func(_ string, body []byte) any {
 			c := *cmd
 			c.Data = body
 			return &c
 		}}
-	req.Repeat = again >= 0
+	req.IsRetry = again >= 0
 }
--- a/internal/frontend/sftpserver/repeat_test.go
+++ b/internal/frontend/sftpserver/repeat_test.go
@@ -17,16 +17,16 @@
 // told takes requests and answers them as the test says; the ledger's part is not played.
 type told struct {
 	taken []*lifecycle.Request
-	a     lifecycle.Answer
+	a     lifecycle.Response
 }
 
-func (l *told) Offer(r *lifecycle.Request) bool {
+func (l *told) Submit(r *lifecycle.Request) bool {
 	l.taken = append(l.taken, r)
-	r.Reply(l.a)
+	r.Respond(l.a)
 	return true
 }
-func (l *told) Gone(*lifecycle.Request)                    {}
-func (l *told) Written(*lifecycle.Request, lifecycle.Link) {}
+func (l *told) Cancel(*lifecycle.Request)                                {}
+func (l *told) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 
 // What a client writes on which handles, and whether it is the first's repeat, by its upload key.
 func TestWhichWritesAreRepeats(t *testing.T) {
@@ -58,7 +58,7 @@
 		"behind its window":              {false, []step{w(1, 0, "aa", -1), lose(1), pass(5000), w(2, 0, "aa", 0)}},
 		"a repeat's repeat, of the last": {false, []step{w(1, 0, "aa", -1), lose(1), w(2, 0, "bb", -1), lose(2), w(3, 0, "bb", 1), w(4, 0, "aa", -1)}},
 	} {
-		l := &told{a: lifecycle.Answer{Result: &sftpclient.Reply{}}}
+		l := &told{a: lifecycle.Response{Result: &sftpclient.Reply{}}}
 		now := clock.NewManual(1e6)
 		f := &Front{Loop: l, Clock: now, Metrics: metrics.New(), Options: Options{UnitBytes: 1024, Shards: 1, MostUnits: 6, KeepMs: 5000,
 			Write: scheduler.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9}, Roots: []Root{{Path: "/", Plan: "basic"}}}}
@@ -100,10 +100,10 @@
 						break
 					}
 				}
-				if want != s.same || r.Repeat != (s.same >= 0) || r.Repeat != (r.Device.AgeMs >= 0) {
-					t.Errorf("%s: step %d has the key of write %d, want %d; repeat %v, age %v", name, i, want, s.same, r.Repeat, r.Device.AgeMs)
+				if want != s.same || r.IsRetry != (s.same >= 0) || r.IsRetry != (r.Device.AgeMs >= 0) {
+					t.Errorf("%s: step %d has the key of write %d, want %d; repeat %v, age %v", name, i, want, s.same, r.IsRetry, r.Device.AgeMs)
 				}
-				if r.Device.BodySum != sha256.Sum256([]byte(s.body)) || fmt.Sprint(r.Device.Load("", r.Device.Body).(*sftpclient.Command).Data) != fmt.Sprint([]byte(s.body)) {
+				if r.Device.BodyDigest != sha256.Sum256([]byte(s.body)) || fmt.Sprint(r.Device.BuildPayload("", r.Device.Body).(*sftpclient.Command).Data) != fmt.Sprint([]byte(s.body)) {
 					t.Errorf("%s: step %d hands in other bytes", name, i)
 				}
 				keys = append(keys, key)
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -38,10 +38,10 @@
 	// Nodes know runs by this, and devices the gateway: no other and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gateway := strconv.FormatUint(xxhash.Sum64String(name), 16)
-	g.loop.SetDesk(func(take func(float64, *lifecycle.Request)) lifecycle.Desk {
+	g.loop.SetDeduplicator(func(take func(float64, *lifecycle.Request)) lifecycle.Deduplicator {
 		d, err = dedup.New(dedup.Options{Settings: o.Ledger, Classes: g.cfg.Settings.Classes,
 			Name: name, Gateway: gateway,
-			Metrics: g.Metrics, Now: g.Clock.NowMs, After: g.loop.After, Take: take})
+			Metrics: g.Metrics, Now: g.Clock.NowMs, After: g.loop.AfterFunc, Take: take})
 		return d
 	})
 	if err != nil {
@@ -105,7 +105,7 @@
 // connections may still come for their answers, as long as the platform leaves time.
 func (p *devices) drain(t stopTimes) {
 	<-wait(t.accept)
-	p.g.loop.DrainDesk()
+	p.g.loop.DrainDeduplicator()
 	if p.coap != nil {
 		p.coap.Drain()
 	}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -69,10 +69,10 @@
 // ready is a loop that is never asked for more.
 type ready struct{}
 
-func (ready) Offer(*lifecycle.Request) bool              { return false }
-func (ready) Gone(*lifecycle.Request)                    {}
-func (ready) Written(*lifecycle.Request, lifecycle.Link) {}
-func (ready) Ready() bool                                { return true }
+func (ready) Submit(*lifecycle.Request) bool                           { return false }
+func (ready) Cancel(*lifecycle.Request)                                {}
+func (ready) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+func (ready) Ready() bool                                              { return true }
 
 // Whatever the longest deadline is, new connections are accepted for as long as they come, what is out when connections
 // begin to close has its whole time or 0.35 s, and the program has ended before the platform may kill it.
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -50,7 +50,7 @@
 			c := &cfg.Settings.Classes[i]
 			c.Deadline, c.LatencyObjective = deadline, min(c.LatencyObjective, deadline/2)
 		}
-		cfg.Known = lifecycle.List{Scope: scheduler.CachedSnapshot, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.2:1"}}}
+		cfg.Known = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot, Servers: []*lifecycle.Server{{Name: "a", Addr: "127.0.0.2:1"}}}
 		g, err := New(cfg, &config.Edge{}, clock.NewSystem(), Network{Dial: n.Dial, Listen: n.Listen})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -147,16 +147,16 @@
 	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
 		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
-	gate := g.loop.Gate()
-	gate.CatchUp, gate.Denied = g.catchUp, g.denied
+	gate := g.loop.Authorizer()
+	gate.WaitForUpdates, gate.OnDenied = g.catchUp, g.denied
 	if cfg.Settings.PollEndpoints { // where it is pushed, what this machine's agent has counts, and it can always be asked
-		g.loop.SetLease(endpointlease.New(endpointlease.Settings{NotifyWithinMs: notifyWithinMs,
+		g.loop.SetEndpointLease(endpointlease.New(endpointlease.Settings{NotifyWithinMs: notifyWithinMs,
 			GraceMs: clock.Ms(cfg.Settings.DrainGrace), MarginMs: heldUpMs}, c.NowMs()))
 	}
-	g.watcher = discovery.New(cfg.Discovery, cfg.Known, c, g.Metrics, g.loop.Nodes, network.Dial)
+	g.watcher = discovery.New(cfg.Discovery, cfg.Known, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
 	front := newPlatform(g)
 	if others != nil { // before the fronts: parts are known sooner, and are given back later
-		g.loop.SetFleet(others.fleet)
+		g.loop.SetPeers(others.fleet)
 		g.parts = append(g.parts, others)
 		front.front.Fleet = others.show
 	}
@@ -180,15 +180,15 @@
 // Start opens all that clients can reach.
 func (g *Gateway) Start() error {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.loop.Watch, g.loop.Prober = func() { g.watcher.Start(g.ctx) }, g.back.Probe
-	g.loop.BecameReady = func() {
+	g.loop.WatchEndpoints, g.loop.ProbeServer = func() { g.watcher.Start(g.ctx) }, g.back.Probe
+	g.loop.OnReady = func() {
 		for _, p := range g.parts {
 			p.ready()
 		}
 	}
 	go g.loop.Run(g.ctx)
 	g.watcher.Date(g.cfg.Known)
-	g.loop.Nodes(g.cfg.Known)
+	g.loop.UpdateEndpoints(g.cfg.Known)
 	if !g.cfg.Settings.PollEndpoints { // the module asks for nothing then, and what the agent has counts as told
 		g.watcher.Follow(g.ctx)
 	}
@@ -224,7 +224,7 @@
 func (g *Gateway) Ended() <-chan error { return g.ended }
 
 // Nodes brings news of the node list from another source than discovery.
-func (g *Gateway) Nodes(l lifecycle.List) { g.loop.Nodes(l) }
+func (g *Gateway) Nodes(l lifecycle.EndpointUpdate) { g.loop.UpdateEndpoints(l) }
 
 // Stop drains the gateway and ends it.
 func (g *Gateway) Stop() {
@@ -233,7 +233,7 @@
 	for _, p := range g.parts {
 		p.stopping(t)
 	}
-	g.loop.Ending(g.Clock.NowMs() + t.answer)
+	g.loop.BeginShutdown(g.Clock.NowMs() + t.answer)
 	var all sync.WaitGroup
 	for _, p := range g.parts {
 		all.Go(func() { p.drain(t) })
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -52,7 +52,7 @@
 			if len(opened) != len(c.want) {
 				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
 			}
-			if got := g.loop.Desk() != nil; got != (c.edge.Devices != nil) {
+			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
 				t.Errorf("%s: a desk: %v", name, got)
 			}
 			g.Stop()
@@ -74,7 +74,7 @@
 		}
 		defer taken.Close()
 		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2),
-			Known: lifecycle.List{}}
+			Known: lifecycle.EndpointUpdate{}}
 		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MostExchanges: 1,
 			MostDevices: 1, MostPerDevice: 1, MostWaiting: 1, MostBytes: 1 << 20, MostBody: 1 << 10, MostBlocks: 1, KeepMs: 1,
 			UploadIdleMs: 1, LeastRunMs: 1, MostWaitMs: 100, Link: exchange.LinkSettings{LeastDeadMs: 1, MostDeadMs: 1, LeastBlock: 16, MostBlock: 16, BlockMs: 1}}}}
--- a/internal/gateway/news_test.go
+++ b/internal/gateway/news_test.go
@@ -74,7 +74,7 @@
 	cfg := &config.Config{Name: "gw", Listen: "x", Discovery: list.Listener.Addr().String(), Sockets: 64, ConnectMs: 5000,
 		ConnIdleMs: 30_000, Settings: testbed.Settings(1)}
 	cfg.Settings.PollEndpoints = false
-	cfg.Known = lifecycle.List{Scope: scheduler.CachedSnapshot}
+	cfg.Known = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot}
 	g, err := New(cfg, &config.Edge{}, now, Network{Listen: func(string) (net.Listener, error) { return ln, nil },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -94,7 +94,7 @@
 	p := &files{g: g, opt: f}
 	p.back = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectMs, ConnIdleMs: g.cfg.ConnIdleMs,
 		MaxSessions: max(1, g.cfg.Sockets/16), Dial: g.net.Dial,
-		Address: func(n *lifecycle.Node) (string, bool) { return f.Address(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Finish)
+		Address: func(n *lifecycle.Server) (string, bool) { return f.Address(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Complete)
 	p.front = &sftpserver.Front{Loop: g.loop, Carrier: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
 		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.Read, Write: f.Write,
 		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MaxUnits}}
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -18,7 +18,7 @@
 )
 
 type attempt struct {
-	node   *Node
+	node   *Server
 	sentMs float64
 	cancel func()
 	ended  bool
@@ -33,56 +33,56 @@
 	out      int
 }
 
-// Core is the state of one gateway.
-type Core struct {
-	policy Policy
-	out    Outside
-	desk   Desk
-	fleet  Fleet
+// Manager is the state of one gateway.
+type Manager struct {
+	scheduler    Scheduler
+	environment  Environment
+	deduplicator Deduplicator
+	peers        Peers
 	// For the fleet: whether the list has changed since it was told, and what is gone since then.
-	relisted bool
-	gone     []*Node
-	events   []scheduler.Event
-	open     map[scheduler.RequestID]*entry
-	byName   map[string]*entry // of open, those that have a ClientID
-	nodes    map[scheduler.ServerID]*Node
-	ids      map[string]scheduler.ServerID
-	lastID   scheduler.RequestID
-	lastNo   scheduler.ServerID
-	listed   bool
-	wakeAt   time.Duration // as last asked for
-	woken    bool
-	traced   bool // single requests and attempts are logged
-	gate     *Gate
-	lease    *endpointlease.Lease // nil: the list may be used without a bound
+	endpointsChanged bool
+	removed          []*Server
+	events           []scheduler.Event
+	open             map[scheduler.RequestID]*entry
+	byName           map[string]*entry // of open, those that have a ClientID
+	servers          map[scheduler.ServerID]*Server
+	ids              map[string]scheduler.ServerID
+	lastID           scheduler.RequestID
+	lastNo           scheduler.ServerID
+	listed           bool
+	wakeAt           time.Duration // as last asked for
+	woken            bool
+	traced           bool // single requests and attempts are logged
+	authorizer       *Authorizer
+	lease            *endpointlease.Lease // nil: the list may be used without a bound
 }
 
 // New returns a core round a module.
-func New(p Policy, out Outside) *Core {
-	return &Core{policy: p, out: out, gate: NewGate(), open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
-		nodes: map[scheduler.ServerID]*Node{}, ids: map[string]scheduler.ServerID{}}
+func New(p Scheduler, out Environment) *Manager {
+	return &Manager{scheduler: p, environment: out, authorizer: NewAuthorizer(), open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
+		servers: map[scheduler.ServerID]*Server{}, ids: map[string]scheduler.ServerID{}}
 }
 
-// TraceOn makes the core log the life of each request. It is called before the first of them.
-func (c *Core) TraceOn() { c.traced = true }
+// EnableTracing makes the core log the life of each request. It is called before the first of them.
+func (c *Manager) EnableTracing() { c.traced = true }
 
-// SetLease bounds the time for which a list is used that is not refreshed. It is called before the first list.
-func (c *Core) SetLease(l *endpointlease.Lease) { c.lease = l }
+// SetEndpointLease bounds the time for which a list is used that is not refreshed. It is called before the first list.
+func (c *Manager) SetEndpointLease(l *endpointlease.Lease) { c.lease = l }
 
-// Gate is what all attempts pass before their first byte.
-func (c *Core) Gate() *Gate { return c.gate }
+// Authorizer is what all attempts pass before their first byte.
+func (c *Manager) Authorizer() *Authorizer { return c.authorizer }
 
-// SetDesk gives the core the desk for the requests of devices. It is called before the first of them.
-func (c *Core) SetDesk(d Desk) { c.desk = d }
+// SetDeduplicator gives the core the desk for the requests of devices. It is called before the first of them.
+func (c *Manager) SetDeduplicator(d Deduplicator) { c.deduplicator = d }
 
-// Desk is what SetDesk gave.
-func (c *Core) Desk() Desk { return c.desk }
+// Deduplicator is what SetDesk gave.
+func (c *Manager) Deduplicator() Deduplicator { return c.deduplicator }
 
-// SetFleet gives the core what speaks with other gateways. It is called before the first step.
-func (c *Core) SetFleet(f Fleet) { c.fleet = f }
+// SetPeers gives the core what speaks with other gateways. It is called before the first step.
+func (c *Manager) SetPeers(f Peers) { c.peers = f }
 
-// Open is the number of requests not yet answered.
-func (c *Core) Open() (n int) {
+// OpenRequests is the number of requests not yet answered.
+func (c *Manager) OpenRequests() (n int) {
 	for _, e := range c.open {
 		if !e.answered {
 			n++
@@ -91,49 +91,49 @@
 	return n
 }
 
-// Known is the number of nodes that are not gone.
-func (c *Core) Known() int { return len(c.ids) }
+// ServerCount is the number of nodes that are not gone.
+func (c *Manager) ServerCount() int { return len(c.ids) }
 
 // Ready tells whether a node list is held. An empty one from before the start does not count.
-func (c *Core) Ready() bool { return c.listed }
+func (c *Manager) Ready() bool { return c.listed }
 
-// Take hands a client's request in.
-func (c *Core) Take(nowMs float64, r *Request) {
-	if r.left.Load() { // else Gone is still to come, and is counted then
+// Submit hands a client's request in.
+func (c *Manager) Submit(nowMs float64, r *Request) {
+	if r.canceled.Load() { // else Gone is still to come, and is counted then
 		return
 	}
-	if r.Device != nil && c.desk != nil {
-		c.desk.Offer(nowMs, r)
+	if r.Device != nil && c.deduplicator != nil {
+		c.deduplicator.Submit(nowMs, r)
 		return
 	}
 	if r.ClientID != "" && c.byName[r.ClientID] != nil {
-		// Nodes tell requests by this name. The other one's client must get the answer to its own.
-		c.out.Count("requests_duplicate")
-		r.Reply(Answer{Verdict: Rejected})
+		// UpdateEndpoints tell requests by this name. The other one's client must get the answer to its own.
+		c.environment.Count("requests_duplicate")
+		r.Respond(Response{Kind: DuplicateID})
 		return
 	}
 	for c.lastID++; c.open[c.lastID] != nil; c.lastID++ { // after 2^32 requests ids come round
 	}
 	r.id = c.lastID
-	e := &entry{req: r, expiryMs: nowMs + r.LeftMs}
+	e := &entry{req: r, expiryMs: nowMs + r.RemainingMs}
 	c.open[r.id] = e
 	if r.ClientID != "" {
 		c.byName[r.ClientID] = e
 	}
-	c.out.Count("requests_taken")
+	c.environment.Count("requests_taken")
 	if c.traced {
-		c.out.Trace(logevent.RequestTaken, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.LeftMs)
+		c.environment.Trace(logevent.RequestTaken, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.RemainingMs)
 	}
 	c.events = append(c.events, scheduler.RequestArrived{ID: r.id, Class: r.Class, Plan: r.Plan,
-		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.LeftMs), ClientDelay: clock.Duration(r.CameMs),
-		Units: r.Units, Shard: r.Shard, Gateways: r.Hosts, IsRetry: r.Repeat, IsFirstAttempt: r.Fresh})
+		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.RemainingMs), ClientDelay: clock.Duration(r.ClientDelayMs),
+		Units: r.Units, Shard: r.Shard, Gateways: r.Gateways, IsRetry: r.IsRetry, IsFirstAttempt: r.IsFirstAttempt})
 }
 
-// Gone tells that a request's client has gone away: it gets no answer any more.
-func (c *Core) Gone(nowMs float64, r *Request) {
-	r.Leave()
-	if r.Device != nil && c.desk != nil {
-		c.desk.Gone(nowMs, r)
+// Cancel tells that a request's client has gone away: it gets no answer any more.
+func (c *Manager) Cancel(nowMs float64, r *Request) {
+	r.Cancel()
+	if r.Device != nil && c.deduplicator != nil {
+		c.deduplicator.Cancel(nowMs, r)
 		return
 	}
 	e := c.open[r.id]
@@ -141,16 +141,16 @@
 		return
 	}
 	e.answered = true
-	c.out.Count("requests_dropped")
+	c.environment.Count("requests_dropped")
 	if c.traced {
-		c.out.Trace(logevent.RequestDropped, logevent.Request, r.ClientID, "id", r.id)
+		c.environment.Trace(logevent.RequestDropped, logevent.Request, r.ClientID, "id", r.id)
 	}
 	c.events = append(c.events, scheduler.RequestCanceled{ID: r.id})
 	c.settle(e)
 }
 
-// Finish tells how an attempt ended. A second end of the same attempt is ignored.
-func (c *Core) Finish(nowMs float64, r *Request, n int, res Result) {
+// Complete tells how an attempt ended. A second end of the same attempt is ignored.
+func (c *Manager) Complete(nowMs float64, r *Request, n int, res AttemptResult) {
 	e := c.open[r.id]
 	if e == nil || e.req != r || n < 0 || n >= len(e.tries) || e.tries[n].ended {
 		return
@@ -159,64 +159,64 @@
 	t.ended = true
 	t.unrun = res.Status == scheduler.StatusOverloaded || res.Status == scheduler.StatusConnectFailed || res.Status == scheduler.StatusNotSent
 	e.out--
-	c.out.Count("attempts_" + statusNames[res.Status])
+	c.environment.Count("attempts_" + statusNames[res.Status])
 	if c.traced {
-		c.out.Trace(logevent.AttemptEnded, logevent.Request, r.ClientID, "id", r.id, logevent.Attempt, n, logevent.Server, t.node.Name,
+		c.environment.Trace(logevent.AttemptEnded, logevent.Request, r.ClientID, "id", r.id, logevent.Attempt, n, logevent.Server, t.node.Name,
 			logevent.Status, statusNames[res.Status], logevent.TookMs, nowMs-t.sentMs)
 	}
-	if c.fleet != nil {
-		c.fleet.Ended(nowMs, t.node, res.Status, nowMs-t.sentMs)
+	if c.peers != nil {
+		c.peers.AttemptEnded(nowMs, t.node, res.Status, nowMs-t.sentMs)
 	}
 	if res.Status == scheduler.StatusOK && !e.answered { // the first answer of a node goes to the client as it is
-		c.answer(e, Answer{Verdict: Served, Result: res.Body})
+		c.answer(e, Response{Kind: Served, Result: res.Body})
 	}
-	c.events = append(c.events, scheduler.AttemptEnded{ID: r.id, Attempt: n, Server: t.node.known, Status: res.Status,
-		Latency: clock.Duration(nowMs - t.sentMs), RequestDone: e.answered, VolumeUsage: res.Use, HasVolumeUsage: res.HasUse,
-		ForeignUnits: res.ForeignUnits, LoadReport: res.Report})
+	c.events = append(c.events, scheduler.AttemptEnded{ID: r.id, Attempt: n, Server: t.node.id, Status: res.Status,
+		Latency: clock.Duration(nowMs - t.sentMs), RequestDone: e.answered, VolumeUsage: res.VolumeUsage, HasVolumeUsage: res.HasVolumeUsage,
+		ForeignUnits: res.ForeignUnits, LoadReport: res.LoadReport})
 	c.settle(e)
 }
 
 var statusNames = [...]string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
-// Probed tells what a probe found.
-func (c *Core) Probed(n *Node, latencyMs float64, s scheduler.Status, report []float64) {
-	c.events = append(c.events, scheduler.ProbeEnded{Server: n.known, Status: s,
+// ProbeEnded tells what a probe found.
+func (c *Manager) ProbeEnded(n *Server, latencyMs float64, s scheduler.Status, report []float64) {
+	c.events = append(c.events, scheduler.ProbeEnded{Server: n.id, Status: s,
 		Latency: clock.Duration(latencyMs), LoadReport: report})
 }
 
 // renew renews the lease on the list by what has come of discovery.
-func (c *Core) renew(l List) {
+func (c *Manager) renew(l EndpointUpdate) {
 	if c.lease == nil {
 		return
 	}
-	if l.TookMs > 0 {
-		c.lease.Answered(l.TookMs)
+	if l.CallDurationMs > 0 {
+		c.lease.Answered(l.CallDurationMs)
 	}
 	switch {
-	case l.Scope == scheduler.Delta || l.Scope == scheduler.Snapshot || l.Scope == scheduler.Heartbeat:
-		c.lease.Heard(l.AtMs)
-	case l.Scope == scheduler.WatchFailed && l.Failure == Unreachable:
-		c.lease.Unreachable(l.AtMs)
-	case l.Scope == scheduler.WatchFailed && l.Failure == TurnedAway:
-		c.lease.Refused(l.AtMs)
-	}
-	c.gate.SetListUntil(c.lease.UntilMs())
+	case l.Kind == scheduler.Delta || l.Kind == scheduler.Snapshot || l.Kind == scheduler.Heartbeat:
+		c.lease.Heard(l.CompleteAsOfMs)
+	case l.Kind == scheduler.WatchFailed && l.Failure == CallUnreachable:
+		c.lease.Unreachable(l.CompleteAsOfMs)
+	case l.Kind == scheduler.WatchFailed && l.Failure == CallRejected:
+		c.lease.Refused(l.CompleteAsOfMs)
+	}
+	c.authorizer.SetEndpointsValidUntil(c.lease.UntilMs())
 }
 
 // listUntil is when the list may no longer be used, for the module; 0: there is no such time.
-func (c *Core) listUntil() time.Duration {
+func (c *Manager) listUntil() time.Duration {
 	if c.lease == nil {
 		return 0
 	}
 	return clock.Duration(c.lease.UntilMs())
 }
 
-// Nodes brings news of the node list.
-func (c *Core) Nodes(l List) {
+// UpdateEndpoints brings news of the node list.
+func (c *Manager) UpdateEndpoints(l EndpointUpdate) {
 	c.renew(l)
-	ev := scheduler.EndpointUpdate{Version: l.Version, Kind: l.Scope, ValidUntil: c.listUntil()}
+	ev := scheduler.EndpointUpdate{Version: l.Version, Kind: l.Kind, ValidUntil: c.listUntil()}
 	listed := map[scheduler.ServerID]bool{}
-	for _, n := range l.Nodes {
+	for _, n := range l.Servers {
 		id := c.ids[n.Name]
 		if id == 0 {
 			if n.State == scheduler.Removed {
@@ -226,10 +226,10 @@
 			id = c.lastNo
 			c.ids[n.Name] = id
 		}
-		n.known = id
+		n.id = id
 		listed[id] = true
 		n.closed = &atomic.Bool{}
-		if old := c.nodes[id]; old != nil {
+		if old := c.servers[id]; old != nil {
 			if old.Addr == n.Addr && !old.Closed() {
 				n.closed = old.closed
 			} else {
@@ -237,46 +237,46 @@
 			}
 		}
 		n.closed.Store(n.State != scheduler.Ready)
-		c.nodes[id] = n
+		c.servers[id] = n
 		ev.Servers = append(ev.Servers, scheduler.Server{ID: id, State: n.State, Shard: n.Shard, Kind: n.Kind, Zone: n.Zone,
 			StartedAt: clock.Duration(n.StartedMs), Size: n.Weight})
 		if n.State == scheduler.Removed {
 			c.forget(n)
 		}
 	}
-	if l.Scope == scheduler.Snapshot || l.Scope == scheduler.CachedSnapshot {
-		for id, n := range c.nodes {
+	if l.Kind == scheduler.Snapshot || l.Kind == scheduler.CachedSnapshot {
+		for id, n := range c.servers {
 			if !listed[id] {
 				n.closed.Store(true)
 				c.forget(n)
 			}
 		}
 	}
-	if l.Scope < scheduler.WatchFailed && (l.Scope != scheduler.CachedSnapshot || len(l.Nodes) > 0) {
+	if l.Kind < scheduler.WatchFailed && (l.Kind != scheduler.CachedSnapshot || len(l.Servers) > 0) {
 		c.listed = true
 	}
 	c.events = append(c.events, ev)
-	c.relisted = true
+	c.endpointsChanged = true
 }
 
 // forget drops a node that is gone: every one that replaces another has a name of its own, and on a long day there
 // are many. Attempts keep theirs as long as they need it.
-func (c *Core) forget(n *Node) {
-	delete(c.nodes, n.known)
+func (c *Manager) forget(n *Server) {
+	delete(c.servers, n.id)
 	delete(c.ids, n.Name)
-	if c.fleet != nil {
-		c.gone = append(c.gone, n)
+	if c.peers != nil {
+		c.removed = append(c.removed, n)
 	}
 }
 
-// Ending tells that the gateway ends, and by when all that is open must have been answered: also what was taken
+// BeginShutdown tells that the gateway ends, and by when all that is open must have been answered: also what was taken
 // before anyone knew, and may wait for longer than the platform leaves the program.
-func (c *Core) Ending(atMs float64) {
+func (c *Manager) BeginShutdown(atMs float64) {
 	c.events = append(c.events, scheduler.ShutdownStarted{Deadline: clock.Duration(atMs)})
 }
 
-// Wake tells that a time asked for with Outside.WakeAt has come.
-func (c *Core) Wake() {
+// TimerFired tells that a time asked for with Outside.WakeAt has come.
+func (c *Manager) TimerFired() {
 	c.woken = true
 	c.events = append(c.events, scheduler.TimerFired{})
 }
@@ -287,7 +287,7 @@
 // now is the time of a step. A wake that comes for the time asked for never comes before it: seen a few hundred
 // nanoseconds early, for want of digits, it would be none to the module, which waits for that time and asks for no
 // other. Nothing would wake it any more, and what is held would stay until something else happens.
-func (c *Core) now(ms float64) time.Duration {
+func (c *Manager) now(ms float64) time.Duration {
 	now := clock.Duration(ms)
 	if c.woken && now < c.wakeAt && c.wakeAt-now < roundOff {
 		now = c.wakeAt
@@ -297,56 +297,56 @@
 }
 
 // Step lets the module decide on all that came in since the last one, and carries it out.
-func (c *Core) Step(nowMs float64) {
-	if c.fleet != nil {
-		if c.relisted {
-			c.fleet.Listed(nowMs, slices.SortedFunc(maps.Values(c.nodes), func(a, b *Node) int { return cmp.Compare(a.known, b.known) }), c.gone)
-			c.relisted, c.gone = false, nil
+func (c *Manager) Step(nowMs float64) {
+	if c.peers != nil {
+		if c.endpointsChanged {
+			c.peers.EndpointsChanged(nowMs, slices.SortedFunc(maps.Values(c.servers), func(a, b *Server) int { return cmp.Compare(a.id, b.id) }), c.removed)
+			c.endpointsChanged, c.removed = false, nil
 		}
-		c.events = append(c.fleet.Before(nowMs), c.events...)
+		c.events = append(c.peers.BeginStep(nowMs), c.events...)
 	}
 	if len(c.events) == 0 {
 		return
 	}
 	events := c.events
 	c.events = nil
-	for _, a := range c.policy.Step(c.now(nowMs), events) {
+	for _, a := range c.scheduler.Step(c.now(nowMs), events) {
 		switch a := a.(type) {
 		case scheduler.Send:
 			c.send(nowMs, a)
 		case scheduler.Reject:
-			c.end(a.ID, Answer{Verdict: Refused, ComeBackMs: clock.Ms(a.RetryAfter), Reason: a.Reason})
+			c.end(a.ID, Response{Kind: Rejected, RetryAfterMs: clock.Ms(a.RetryAfter), Reason: a.Reason})
 		case scheduler.Fail:
-			c.end(a.ID, Answer{Verdict: Failed, Reason: a.Reason})
+			c.end(a.ID, Response{Kind: Failed, Reason: a.Reason})
 		case scheduler.CancelAttempt:
 			if e := c.open[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.tries) && !e.tries[a.Attempt].ended {
 				e.tries[a.Attempt].cancel()
 			}
 		case scheduler.WatchEndpoints:
-			c.out.Subscribe()
+			c.environment.WatchEndpoints()
 		case scheduler.ProbeServer:
-			if n := c.nodes[a.Server]; n != nil {
-				c.out.Probe(n)
+			if n := c.servers[a.Server]; n != nil {
+				c.environment.ProbeServer(n)
 			}
 		case scheduler.QuotaDemand:
-			if c.fleet != nil {
-				c.fleet.Demand(nowMs, a)
+			if c.peers != nil {
+				c.peers.ReportDemand(nowMs, a)
 			}
 		case scheduler.SetTimer:
 			c.wakeAt = a.At
-			c.out.WakeAt(clock.Ms(a.At))
+			c.environment.SetTimer(clock.Ms(a.At))
 		case scheduler.Log:
-			c.out.Log(a.Text)
+			c.environment.Log(a.Text)
 		default:
-			c.out.Log(fmt.Sprintf("unknown action %T", a))
+			c.environment.Log(fmt.Sprintf("unknown action %T", a))
 		}
 	}
 }
 
-func (c *Core) send(nowMs float64, a scheduler.Send) {
-	e, n := c.open[a.ID], c.nodes[a.Server]
+func (c *Manager) send(nowMs float64, a scheduler.Send) {
+	e, n := c.open[a.ID], c.servers[a.Server]
 	if e == nil || n == nil {
-		c.out.Log(fmt.Sprintf("send of request %d to node %d: not known", a.ID, a.Server))
+		c.environment.Log(fmt.Sprintf("send of request %d to node %d: not known", a.ID, a.Server))
 		return
 	}
 	deadline := e.expiryMs
@@ -354,8 +354,8 @@
 		deadline = min(deadline, nowMs+clock.Ms(a.Timeout))
 	}
 	begin := 0.0
-	if c.fleet != nil {
-		begin = c.fleet.Until(scheduler.VolumeID(e.req.Volume))
+	if c.peers != nil {
+		begin = c.peers.QuotaExpiresMs(scheduler.VolumeID(e.req.Volume))
 	}
 	if before := clock.Ms(a.StartDeadline); before != 0 && (begin == 0 || before < begin) {
 		begin = before
@@ -363,15 +363,15 @@
 	t := &attempt{node: n, sentMs: nowMs}
 	e.tries = append(e.tries, t)
 	e.out++
-	c.out.Count("attempts_started")
+	c.environment.Count("attempts_started")
 	if c.traced {
-		c.out.Trace(logevent.AttemptStarted, logevent.Request, e.req.ClientID, "id", a.ID, logevent.Attempt, len(e.tries)-1, logevent.Server, n.Name)
+		c.environment.Trace(logevent.AttemptStarted, logevent.Request, e.req.ClientID, "id", a.ID, logevent.Attempt, len(e.tries)-1, logevent.Server, n.Name)
 	}
-	t.cancel = e.req.Carrier.Start(Attempt{Request: e.req, N: len(e.tries) - 1, Node: n, DeadlineMs: deadline,
-		BeginMs: begin, Gate: c.gate})
+	t.cancel = e.req.Upstream.Start(Attempt{Request: e.req, Number: len(e.tries) - 1, Server: n, DeadlineMs: deadline,
+		StartDeadlineMs: begin, Authorizer: c.authorizer})
 }
 
-func (c *Core) end(id scheduler.RequestID, a Answer) {
+func (c *Manager) end(id scheduler.RequestID, a Response) {
 	if e := c.open[id]; e != nil && !e.answered {
 		c.answer(e, a)
 		c.settle(e)
@@ -391,26 +391,26 @@
 }()
 
 // answer gives the one final answer.
-func (c *Core) answer(e *entry, a Answer) {
+func (c *Manager) answer(e *entry, a Response) {
 	e.answered = true
-	c.out.Count(verdictNames[a.Verdict])
-	if a.Verdict == Refused || a.Verdict == Failed {
-		c.out.Count(reasonCounters[a.Verdict][a.Reason])
+	c.environment.Count(verdictNames[a.Kind])
+	if a.Kind == Rejected || a.Kind == Failed {
+		c.environment.Count(reasonCounters[a.Kind][a.Reason])
 	}
 	if c.traced {
-		c.out.Trace(logevent.RequestAnswered, logevent.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Verdict], logevent.Reason, a.Reason.String())
+		c.environment.Trace(logevent.RequestAnswered, logevent.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Kind], logevent.Reason, a.Reason.String())
 	}
 	a.Shard = -1
 	for _, t := range e.tries {
-		if !t.unrun && !a.Ran { // the first in time: the window in which repeats are dropped begins there
-			a.Ran, a.RanMs, a.Shard = true, t.sentMs, t.node.Shard
+		if !t.unrun && !a.MayHaveExecuted { // the first in time: the window in which repeats are dropped begins there
+			a.MayHaveExecuted, a.FirstAttemptMs, a.Shard = true, t.sentMs, t.node.Shard
 		}
 	}
-	e.req.Reply(a)
+	e.req.Respond(a)
 }
 
 // settle forgets a request that is answered and has no attempt out.
-func (c *Core) settle(e *entry) {
+func (c *Manager) settle(e *entry) {
 	if e.answered && e.out == 0 {
 		delete(c.open, e.req.id)
 		delete(c.byName, e.req.ClientID)
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -25,12 +25,12 @@
 
 type quiet struct{ probes, watches int }
 
-func (*quiet) WakeAt(float64)          {}
-func (q *quiet) Subscribe()            { q.watches++ }
-func (q *quiet) Probe(*lifecycle.Node) { q.probes++ }
-func (*quiet) Log(string)              {}
-func (*quiet) Count(string)            {}
-func (*quiet) Trace(string, ...any)    {}
+func (*quiet) SetTimer(float64)                {}
+func (q *quiet) WatchEndpoints()               { q.watches++ }
+func (q *quiet) ProbeServer(*lifecycle.Server) { q.probes++ }
+func (*quiet) Log(string)                      {}
+func (*quiet) Count(string)                    {}
+func (*quiet) Trace(string, ...any)            {}
 
 type carrier struct{ started []lifecycle.Attempt }
 
@@ -39,10 +39,10 @@
 	return func() {}
 }
 
-func nodes(states ...scheduler.ServerState) (l lifecycle.List) {
-	l.Scope = scheduler.Snapshot
+func nodes(states ...scheduler.ServerState) (l lifecycle.EndpointUpdate) {
+	l.Kind = scheduler.Snapshot
 	for i, s := range states {
-		l.Nodes = append(l.Nodes, &lifecycle.Node{Name: string(rune('a' + i)), Addr: "127.0.0.1:1", State: s})
+		l.Servers = append(l.Servers, &lifecycle.Server{Name: string(rune('a' + i)), Addr: "127.0.0.1:1", State: s})
 	}
 	return l
 }
@@ -65,7 +65,7 @@
 		}
 		mod, car := &script{}, &carrier{}
 		c := lifecycle.New(mod, &quiet{})
-		c.Nodes(nodes(scheduler.Ready))
+		c.UpdateEndpoints(nodes(scheduler.Ready))
 		c.Step(0)
 		var all []*model
 		for i, s := range steps {
@@ -73,9 +73,9 @@
 			mod.seen = nil
 			if s%8 == 0 || len(all) == 0 {
 				m := &model{id: scheduler.RequestID(len(all) + 1)}
-				m.req = &lifecycle.Request{LeftMs: 1000, Carrier: car, Reply: func(lifecycle.Answer) { m.answers++ }}
+				m.req = &lifecycle.Request{RemainingMs: 1000, Upstream: car, Respond: func(lifecycle.Response) { m.answers++ }}
 				all = append(all, m)
-				c.Take(now, m.req)
+				c.Submit(now, m.req)
 				c.Step(now)
 				continue
 			}
@@ -87,20 +87,20 @@
 					mod.actions = []scheduler.Action{scheduler.Send{ID: m.id, Server: 1}}
 					m.attempts = append(m.attempts, false)
 				}
-				c.Wake()
+				c.TimerFired()
 				want = 1
 			case 2, 3: // an attempt ends, perhaps for the second time
 				n, status := int(s>>5), scheduler.StatusError
 				if s%8 == 2 {
 					status = scheduler.StatusOK
 				}
-				c.Finish(now, m.req, n, lifecycle.Result{Status: status})
+				c.Complete(now, m.req, n, lifecycle.AttemptResult{Status: status})
 				if n < len(m.attempts) && !m.attempts[n] {
 					m.attempts[n], want = true, 1
 					m.over = m.over || status == scheduler.StatusOK
 				}
 			case 4: // the client goes
-				c.Gone(now, m.req)
+				c.Cancel(now, m.req)
 				if !m.over {
 					m.over, want = true, 1
 				}
@@ -109,12 +109,12 @@
 				if s%8 == 6 {
 					mod.actions = []scheduler.Action{scheduler.Reject{ID: m.id}}
 				}
-				c.Wake()
+				c.TimerFired()
 				m.over, want = true, 1
 			case 7:
 				mod.actions = []scheduler.Action{scheduler.CancelAttempt{ID: m.id, Attempt: int(s >> 5)}, scheduler.ProbeServer{Server: 9},
 					scheduler.Send{ID: 999, Server: 1}, scheduler.Send{ID: m.id, Server: 99}, scheduler.Fail{ID: 999}}
-				c.Wake()
+				c.TimerFired()
 				want = 1
 			}
 			c.Step(now)
@@ -140,32 +140,32 @@
 				}
 			}
 		}
-		if c.Open() != open || len(car.started) != started {
-			t.Fatalf("%d open, want %d; %d started, want %d", c.Open(), open, len(car.started), started)
+		if c.OpenRequests() != open || len(car.started) != started {
+			t.Fatalf("%d open, want %d; %d started, want %d", c.OpenRequests(), open, len(car.started), started)
 		}
 	})
 }
 
 // A carrier that holds an attempt back must see that its node has drained, moved or gone.
 func TestClosedNodes(t *testing.T) {
-	for name, change := range map[string]lifecycle.List{
+	for name, change := range map[string]lifecycle.EndpointUpdate{
 		"draining": nodes(scheduler.Draining),
 		"gone":     nodes(scheduler.Removed),
-		"missing":  {Scope: scheduler.Snapshot},
-		"moved":    {Scope: scheduler.Delta, Nodes: []*lifecycle.Node{{Name: "a", Addr: "127.0.0.1:2"}}},
+		"missing":  {Kind: scheduler.Snapshot},
+		"moved":    {Kind: scheduler.Delta, Servers: []*lifecycle.Server{{Name: "a", Addr: "127.0.0.1:2"}}},
 	} {
 		c := lifecycle.New(&script{}, &quiet{})
 		l := nodes(scheduler.Ready)
-		c.Nodes(l)
-		if l.Nodes[0].Closed() {
+		c.UpdateEndpoints(l)
+		if l.Servers[0].Closed() {
 			t.Errorf("%s: closed from the start", name)
 		}
-		c.Nodes(lifecycle.List{Scope: scheduler.WatchFailed})
-		c.Nodes(lifecycle.List{Scope: scheduler.Delta})
-		if l.Nodes[0].Closed() {
+		c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed})
+		c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Delta})
+		if l.Servers[0].Closed() {
 			t.Errorf("%s: a broken watch or an empty change closed it", name)
 		}
-		if c.Nodes(change); !l.Nodes[0].Closed() {
+		if c.UpdateEndpoints(change); !l.Servers[0].Closed() {
 			t.Errorf("%s: not closed", name)
 		}
 	}
@@ -175,12 +175,12 @@
 // does not reopen what was meant for the process before.
 func TestARefreshedEntryClosesWithItsNode(t *testing.T) {
 	c := lifecycle.New(&script{}, &quiet{})
-	var held []*lifecycle.Node
+	var held []*lifecycle.Server
 	for _, state := range []scheduler.ServerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Ready} {
 		l := nodes(state)
-		l.Scope = scheduler.Delta
-		c.Nodes(l)
-		held = append(held, l.Nodes[0])
+		l.Kind = scheduler.Delta
+		c.UpdateEndpoints(l)
+		held = append(held, l.Servers[0])
 	}
 	for i, want := range []bool{true, true, true, false} {
 		if held[i].Closed() != want {
@@ -193,10 +193,10 @@
 func TestGoneBeforeTaken(t *testing.T) {
 	mod := &script{}
 	c := lifecycle.New(mod, &quiet{})
-	r := &lifecycle.Request{Reply: func(lifecycle.Answer) { t.Error("answered") }}
-	c.Gone(0, r)
-	c.Take(1, r)
-	if c.Step(1); len(mod.seen) != 0 || c.Open() != 0 {
+	r := &lifecycle.Request{Respond: func(lifecycle.Response) { t.Error("answered") }}
+	c.Cancel(0, r)
+	c.Submit(1, r)
+	if c.Step(1); len(mod.seen) != 0 || c.OpenRequests() != 0 {
 		t.Errorf("the module saw %v", mod.seen)
 	}
 }
@@ -221,7 +221,7 @@
 	ms float64
 }
 
-func (a *alarm) WakeAt(ms float64) { a.ms = ms }
+func (a *alarm) SetTimer(ms float64) { a.ms = ms }
 
 // A time since the epoch loses some hundred nanoseconds as float64 milliseconds. A wake at the time that was asked
 // for is never seen as one too early; one that is too early by more stays so.
@@ -230,12 +230,12 @@
 	for ns := range time.Duration(2000) {
 		m, a := &sleeper{at: 1_796_000_000_123_456_789 + 7*ns}, &alarm{}
 		c := lifecycle.New(m, a)
-		c.Nodes(lifecycle.List{})
+		c.UpdateEndpoints(lifecycle.EndpointUpdate{})
 		c.Step(1.796e12)
 		if time.Duration(a.ms*1e6) < m.at {
 			rounded++
 		}
-		if c.Wake(); ns%2 == 0 {
+		if c.TimerFired(); ns%2 == 0 {
 			c.Step(a.ms)
 		} else {
 			c.Step(a.ms - 0.01)
@@ -251,18 +251,18 @@
 
 func TestReady(t *testing.T) {
 	c := lifecycle.New(&script{}, &quiet{})
-	for _, l := range []lifecycle.List{{Scope: scheduler.CachedSnapshot}, {Scope: scheduler.WatchFailed}} {
-		if c.Nodes(l); c.Ready() {
+	for _, l := range []lifecycle.EndpointUpdate{{Kind: scheduler.CachedSnapshot}, {Kind: scheduler.WatchFailed}} {
+		if c.UpdateEndpoints(l); c.Ready() {
 			t.Errorf("ready by %+v", l)
 		}
 	}
-	if c.Nodes(lifecycle.List{Scope: scheduler.Snapshot}); !c.Ready() {
+	if c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}); !c.Ready() {
 		t.Error("not ready though discovery has answered")
 	}
 	c = lifecycle.New(&script{}, &quiet{})
 	known := nodes(scheduler.Ready)
-	known.Scope = scheduler.CachedSnapshot
-	if c.Nodes(known); !c.Ready() {
+	known.Kind = scheduler.CachedSnapshot
+	if c.UpdateEndpoints(known); !c.Ready() {
 		t.Error("not ready with a known node")
 	}
 }
@@ -272,30 +272,30 @@
 func TestNameOfAnOpenRequest(t *testing.T) {
 	mod, car := &script{}, &carrier{}
 	c := lifecycle.New(mod, &quiet{})
-	c.Nodes(nodes(scheduler.Ready))
+	c.UpdateEndpoints(nodes(scheduler.Ready))
 	c.Step(0)
-	var got []lifecycle.Verdict
+	var got []lifecycle.ResponseKind
 	take := func() *lifecycle.Request {
-		r := &lifecycle.Request{ClientID: "a", LeftMs: 100, Carrier: car, Reply: func(a lifecycle.Answer) { got = append(got, a.Verdict) }}
+		r := &lifecycle.Request{ClientID: "a", RemainingMs: 100, Upstream: car, Respond: func(a lifecycle.Response) { got = append(got, a.Kind) }}
 		mod.seen = nil
-		c.Take(1, r)
+		c.Submit(1, r)
 		c.Step(1)
 		return r
 	}
 	first := take()
 	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}}
-	c.Wake()
+	c.TimerFired()
 	c.Step(1)
-	if take(); len(mod.seen) != 0 || len(got) != 1 || got[0] != lifecycle.Rejected {
+	if take(); len(mod.seen) != 0 || len(got) != 1 || got[0] != lifecycle.DuplicateID {
 		t.Errorf("the module saw %v; answers %v", mod.seen, got)
 	}
-	c.Gone(0, first)
+	c.Cancel(0, first)
 	if take(); len(mod.seen) != 1 || len(got) != 2 { // its attempt is still out
 		t.Errorf("the module saw %v; answers %v", mod.seen, got)
 	}
-	c.Finish(2, first, 0, lifecycle.Result{Status: scheduler.StatusOK})
-	if take(); len(got) != 2 || c.Open() != 1 {
-		t.Errorf("answers %v, %d open", got, c.Open())
+	c.Complete(2, first, 0, lifecycle.AttemptResult{Status: scheduler.StatusOK})
+	if take(); len(got) != 2 || c.OpenRequests() != 1 {
+		t.Errorf("answers %v, %d open", got, c.OpenRequests())
 	}
 }
 
@@ -306,12 +306,12 @@
 	ids := map[scheduler.ServerID]bool{}
 	for i := range 1000 {
 		name := fmt.Sprint("s-", i)
-		c.Nodes(lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, Addr: "127.0.0.1:1"}}})
-		last := lifecycle.List{Nodes: []*lifecycle.Node{{Name: name, State: scheduler.Removed}, {Name: "unheard of", State: scheduler.Removed}}}
+		c.UpdateEndpoints(lifecycle.EndpointUpdate{Servers: []*lifecycle.Server{{Name: name, Addr: "127.0.0.1:1"}}})
+		last := lifecycle.EndpointUpdate{Servers: []*lifecycle.Server{{Name: name, State: scheduler.Removed}, {Name: "unheard of", State: scheduler.Removed}}}
 		if i%2 == 1 { // or the next whole list lacks it
-			last = lifecycle.List{Scope: scheduler.Snapshot}
+			last = lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}
 		}
-		c.Nodes(last)
+		c.UpdateEndpoints(last)
 		c.Step(float64(i))
 		for _, e := range mod.seen {
 			for _, n := range e.(scheduler.EndpointUpdate).Servers {
@@ -320,7 +320,7 @@
 		}
 		mod.seen = nil
 	}
-	if n := c.Known(); n != 0 || len(ids) != 1000 {
+	if n := c.ServerCount(); n != 0 || len(ids) != 1000 {
 		t.Errorf("%d nodes are still known; %d ids", n, len(ids))
 	}
 }
@@ -331,21 +331,21 @@
 	const names = 200
 	mod := &script{}
 	c := lifecycle.New(mod, &quiet{})
-	list := func(states ...scheduler.ServerState) (l lifecycle.List) {
+	list := func(states ...scheduler.ServerState) (l lifecycle.EndpointUpdate) {
 		for _, s := range states {
 			for i := range names {
-				l.Nodes = append(l.Nodes, &lifecycle.Node{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Shard: i, State: s})
+				l.Servers = append(l.Servers, &lifecycle.Server{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Shard: i, State: s})
 			}
 		}
 		return l
 	}
 	l := list(scheduler.Ready, scheduler.Draining)
-	c.Nodes(l)
+	c.UpdateEndpoints(l)
 	c.Step(0)
-	if c.Known() != names {
-		t.Errorf("%d nodes known, want %d", c.Known(), names)
+	if c.ServerCount() != names {
+		t.Errorf("%d nodes known, want %d", c.ServerCount(), names)
 	}
-	for i, n := range l.Nodes {
+	for i, n := range l.Servers {
 		if !n.Closed() {
 			t.Fatalf("entry %d of a node that drains by a later one is open", i)
 		}
@@ -362,10 +362,10 @@
 			t.Errorf("node %d is told last as %v", id, s)
 		}
 	}
-	c.Nodes(list(scheduler.Removed, scheduler.Removed))
+	c.UpdateEndpoints(list(scheduler.Removed, scheduler.Removed))
 	c.Step(0)
-	if c.Known() != 0 {
-		t.Errorf("%d nodes known, and all are gone", c.Known())
+	if c.ServerCount() != 0 {
+		t.Errorf("%d nodes known, and all are gone", c.ServerCount())
 	}
 }
 
@@ -373,12 +373,12 @@
 func TestAttemptsHaveTheModulesTimeToBegin(t *testing.T) {
 	mod, car := &script{}, &carrier{}
 	c := lifecycle.New(mod, &quiet{})
-	c.Nodes(nodes(scheduler.Ready))
+	c.UpdateEndpoints(nodes(scheduler.Ready))
 	c.Step(0)
-	c.Take(0, &lifecycle.Request{LeftMs: 1000, Carrier: car, Reply: func(lifecycle.Answer) {}})
+	c.Submit(0, &lifecycle.Request{RemainingMs: 1000, Upstream: car, Respond: func(lifecycle.Response) {}})
 	mod.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}, scheduler.Send{ID: 1, Server: 1, StartDeadline: 700 * time.Millisecond}}
 	c.Step(1)
-	if len(car.started) != 2 || car.started[0].Over(999) || !car.started[0].Over(999.1) || car.started[1].Over(699.9) || !car.started[1].Over(700) {
+	if len(car.started) != 2 || car.started[0].Expired(999) || !car.started[0].Expired(999.1) || car.started[1].Expired(699.9) || !car.started[1].Expired(700) {
 		t.Errorf("%d started: %+v", len(car.started), car.started)
 	}
 }
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -8,14 +8,14 @@
 	"gaugerelay/internal/permission"
 )
 
-// Gate is what every attempt passes before its first byte: it gathers the facts of that moment for package permission.
+// Authorizer is what every attempt passes before its first byte: it gathers the facts of that moment for package permission.
 // One gate serves all carriers. It is safe for concurrent use.
-type Gate struct {
-	// CatchUp waits until all that this machine has got of the node list counts, for a short time at most, and tells whether
+type Authorizer struct {
+	// WaitForUpdates waits until all that this machine has got of the node list counts, for a short time at most, and tells whether
 	// it does. nil: there is nothing to wait for.
-	CatchUp func() (caught bool)
-	// Denied is told of each attempt that was not let through. nil: nobody is.
-	Denied func(a *Attempt, why permission.Denial)
+	WaitForUpdates func() (caught bool)
+	// OnDenied is told of each attempt that was not let through. nil: nobody is.
+	OnDenied func(a *Attempt, why permission.Denial)
 
 	listUntil atomic.Uint64 // bits of the float64
 }
@@ -23,9 +23,9 @@
 // heldUpMs is how long a process may be held up between a decision and the byte that it lets through.
 const heldUpMs = 150
 
-// Sent holds an attempt whose first byte has just gone out against the rules, and tells which of them it broke. told is the
+// CheckSent holds an attempt whose first byte has just gone out against the rules, and tells which of them it broke. told is the
 // time that the node was told that the client has left.
-func (a *Attempt) Sent(nowMs, toldMs float64) (broken string) {
+func (a *Attempt) CheckSent(nowMs, toldMs float64) (broken string) {
 	f := a.facts(nowMs)
 	switch {
 	case f.NowMs >= f.ListUntilMs+heldUpMs:
@@ -38,43 +38,43 @@
 	return ""
 }
 
-// NewGate returns a gate for a list without a bound.
-func NewGate() *Gate {
-	g := &Gate{}
-	g.SetListUntil(math.Inf(1))
+// NewAuthorizer returns a gate for a list without a bound.
+func NewAuthorizer() *Authorizer {
+	g := &Authorizer{}
+	g.SetEndpointsValidUntil(math.Inf(1))
 	return g
 }
 
-// SetListUntil tells until when the node list may be used.
-func (g *Gate) SetListUntil(ms float64) { g.listUntil.Store(math.Float64bits(ms)) }
+// SetEndpointsValidUntil tells until when the node list may be used.
+func (g *Authorizer) SetEndpointsValidUntil(ms float64) { g.listUntil.Store(math.Float64bits(ms)) }
 
-// ListUntilMs is until when the node list may be used.
-func (g *Gate) ListUntilMs() float64 { return math.Float64frombits(g.listUntil.Load()) }
+// EndpointsValidUntilMs is until when the node list may be used.
+func (g *Authorizer) EndpointsValidUntilMs() float64 { return math.Float64frombits(g.listUntil.Load()) }
 
 // facts are what is known of the attempt at a moment.
 func (a *Attempt) facts(nowMs float64) permission.Facts {
-	f := permission.Facts{NowMs: nowMs, ClientGone: a.Request.Left(), ServerClosed: a.Node.Closed(),
-		ListUntilMs: math.Inf(1), BeginBeforeMs: a.BeginMs, DeadlineMs: a.DeadlineMs}
-	if a.Gate != nil {
-		f.ListUntilMs = a.Gate.ListUntilMs()
+	f := permission.Facts{NowMs: nowMs, ClientGone: a.Request.Canceled(), ServerClosed: a.Server.Closed(),
+		ListUntilMs: math.Inf(1), BeginBeforeMs: a.StartDeadlineMs, DeadlineMs: a.DeadlineMs}
+	if a.Authorizer != nil {
+		f.ListUntilMs = a.Authorizer.EndpointsValidUntilMs()
 	}
 	return f
 }
 
-// MayBegin waits until what has come of the node list counts, decides whether the first byte of the attempt may go out then,
+// Authorize waits until what has come of the node list counts, decides whether the first byte of the attempt may go out then,
 // and tells the time that the node may be told that the client has left, in whole milliseconds.
-func (a *Attempt) MayBegin(c clock.Clock) (leftMs float64, why permission.Denial) {
-	caught := a.Gate == nil || a.Gate.CatchUp == nil || a.Gate.CatchUp()
+func (a *Attempt) Authorize(c clock.Clock) (leftMs float64, why permission.Denial) {
+	caught := a.Authorizer == nil || a.Authorizer.WaitForUpdates == nil || a.Authorizer.WaitForUpdates()
 	f := a.facts(c.NowMs())
 	f.ListUnread = !caught
 	why = permission.MayBegin(f)
-	if why != permission.Allowed && a.Gate != nil && a.Gate.Denied != nil {
-		a.Gate.Denied(a, why)
+	if why != permission.Allowed && a.Authorizer != nil && a.Authorizer.OnDenied != nil {
+		a.Authorizer.OnDenied(a, why)
 	}
 	return permission.LeftMs(f), why
 }
 
-// Over tells whether an attempt of which no byte has gone out must not begin any more.
-func (a *Attempt) Over(nowMs float64) bool {
+// Expired tells whether an attempt of which no byte has gone out must not begin any more.
+func (a *Attempt) Expired(nowMs float64) bool {
 	return permission.MayBegin(a.facts(nowMs)) != permission.Allowed
 }
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -104,7 +104,7 @@
 // Loop is what the fleet asks of the loop.
 type Loop interface {
 	Post(f func(nowMs float64))
-	After(ms float64, f func(nowMs float64)) (stop func())
+	AfterFunc(ms float64, f func(nowMs float64)) (stop func())
 }
 
 // Fleet is one gateway's side. Its methods but Start and End are called on the loop's goroutine.
@@ -120,8 +120,8 @@
 	share   *quota.Book
 	verdict *outlier.Book
 	latency *peerlatency.Book
-	nodes   map[uint64]*lifecycle.Node // as listed, by what all gateways call them
-	gone    map[uint64]float64         // when
+	nodes   map[uint64]*lifecycle.Server // as listed, by what all gateways call them
+	gone    map[uint64]float64           // when
 	seen    []datagram.Seen
 	count   uint64
 	asked   []quota.Demand
@@ -138,7 +138,7 @@
 // New returns the side of a gateway that has just started, or an error if the options cannot be used.
 func New(o Options, m *metrics.Set, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{opt: o, codec: datagram.New(o.Key), metrics: m, log: log, seen: make([]datagram.Seen, len(o.Peers)), stop: func() {},
-		nodes: map[uint64]*lifecycle.Node{}, gone: map[uint64]float64{}}
+		nodes: map[uint64]*lifecycle.Server{}, gone: map[uint64]float64{}}
 	var err error
 	if f.members, err = membership.New(o.members()); err != nil {
 		return nil, err
@@ -205,8 +205,8 @@
 	f.nextMs = 0
 }
 
-// Demand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
-func (f *Fleet) Demand(nowMs float64, d scheduler.QuotaDemand) {
+// ReportDemand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
+func (f *Fleet) ReportDemand(nowMs float64, d scheduler.QuotaDemand) {
 	if len(f.asked) < mostInbox {
 		f.asked = append(f.asked, quota.Demand{Pot: uint64(d.Volume), Hosts: d.Gateways, Part: d.Share, Fresh: d.First})
 	}
@@ -218,10 +218,10 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s %.0f", id, startedMs))
 }
 
-func name(n *lifecycle.Node) uint64 { return NodeName(n.Name, n.StartedMs) }
+func name(n *lifecycle.Server) uint64 { return NodeName(n.Name, n.StartedMs) }
 
-// Listed implements core.Fleet.
-func (f *Fleet) Listed(nowMs float64, nodes, gone []*lifecycle.Node) {
+// EndpointsChanged implements core.Fleet.
+func (f *Fleet) EndpointsChanged(nowMs float64, nodes, gone []*lifecycle.Server) {
 	for _, n := range gone {
 		f.gone[name(n)] = nowMs
 	}
@@ -251,8 +251,8 @@
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
 
-// Ended implements core.Fleet.
-func (f *Fleet) Ended(nowMs float64, n *lifecycle.Node, s scheduler.Status, latencyMs float64) {
+// AttemptEnded implements core.Fleet.
+func (f *Fleet) AttemptEnded(nowMs float64, n *lifecycle.Server, s scheduler.Status, latencyMs float64) {
 	id := name(n)
 	switch s {
 	case scheduler.StatusOK:
@@ -296,11 +296,11 @@
 	return some
 }
 
-// Until implements core.Fleet.
-func (f *Fleet) Until(v scheduler.VolumeID) float64 { return f.share.UntilMs(uint64(v)) }
+// QuotaExpiresMs implements core.Fleet.
+func (f *Fleet) QuotaExpiresMs(v scheduler.VolumeID) float64 { return f.share.UntilMs(uint64(v)) }
 
-// Before implements core.Fleet.
-func (f *Fleet) Before(nowMs float64) []scheduler.Event {
+// BeginStep implements core.Fleet.
+func (f *Fleet) BeginStep(nowMs float64) []scheduler.Event {
 	if nowMs < f.nextMs {
 		return nil
 	}
@@ -352,7 +352,7 @@
 	f.stop()
 	f.nextMs = atMs
 	if f.loop != nil && !math.IsInf(atMs, 1) {
-		f.stop = f.loop.After(max(1, atMs-nowMs), func(float64) {}) // the step that follows calls Before
+		f.stop = f.loop.AfterFunc(max(1, atMs-nowMs), func(float64) {}) // the step that follows calls Before
 	}
 }
 
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -86,7 +86,7 @@
 	h.posts = append(h.posts, f)
 }
 
-func (h *hand) After(float64, func(float64)) func() {
+func (h *hand) AfterFunc(float64, func(float64)) func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.wakes++
@@ -130,7 +130,7 @@
 
 func (s *side) step(now float64) {
 	s.h.turn(now)
-	for _, e := range s.f.Before(now) {
+	for _, e := range s.f.BeginStep(now) {
 		if p, ok := e.(scheduler.QuotaShare); ok && p.Volume == 7 {
 			s.part = p.Share
 		}
@@ -149,7 +149,7 @@
 			if i == 0 {
 				need = 0.9
 			}
-			s.f.Demand(now, scheduler.QuotaDemand{Volume: 7, Gateways: 3, Share: need, First: now == 0})
+			s.f.ReportDemand(now, scheduler.QuotaDemand{Volume: 7, Gateways: 3, Share: need, First: now == 0})
 			s.step(now)
 		}
 		runtime.Gosched()
@@ -160,8 +160,8 @@
 	if idle.part > own/2+0.01 || stranger.part >= 0 && stranger.part < own/2-0.01 {
 		t.Errorf("the lender holds %.3f, the stranger %.3f", idle.part, stranger.part)
 	}
-	if busy.f.Until(7) == 0 || idle.f.Until(7) != 0 || busy.f.Until(8) != 0 {
-		t.Errorf("borrowed until %v, %v", busy.f.Until(7), idle.f.Until(7))
+	if busy.f.QuotaExpiresMs(7) == 0 || idle.f.QuotaExpiresMs(7) != 0 || busy.f.QuotaExpiresMs(8) != 0 {
+		t.Errorf("borrowed until %v, %v", busy.f.QuotaExpiresMs(7), idle.f.QuotaExpiresMs(7))
 	}
 	if busy.m.Get("fleet_datagrams_bad") == 0 || busy.m.Get("fleet_datagrams_taken") == 0 {
 		t.Errorf("%d bad, %d taken", busy.m.Get("fleet_datagrams_bad"), busy.m.Get("fleet_datagrams_taken"))
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -90,7 +90,7 @@
 
 type running struct {
 	node  *fakestorage.Node
-	entry *lifecycle.Node
+	entry *lifecycle.Server
 	ln    net.Listener
 	fileL net.Listener
 }
@@ -161,7 +161,7 @@
 	}
 	n := &running{ln: ln, fileL: fileL, node: &fakestorage.Node{Name: name, Cell: r.cells[cell], Work: work,
 		Faults: r.Faults, Check: r.check},
-		entry: &lifecycle.Node{Name: name, Addr: ln.Addr().String(), Shard: cell, Weight: 1, StartedMs: startedMs}}
+		entry: &lifecycle.Server{Name: name, Addr: ln.Addr().String(), Shard: cell, Weight: 1, StartedMs: startedMs}}
 	n.node.Start(ln, r.Seed+uint64(r.number))
 	go r.files[cell].Serve(fileL)
 	r.mu.Lock()
@@ -172,12 +172,12 @@
 }
 
 // list is the present node list.
-func (r *rig) list() lifecycle.List {
+func (r *rig) list() lifecycle.EndpointUpdate {
 	r.version++
-	l := lifecycle.List{Version: r.version, Scope: scheduler.Snapshot}
+	l := lifecycle.EndpointUpdate{Version: r.version, Kind: scheduler.Snapshot}
 	for _, n := range r.nodes {
 		e := *n.entry
-		l.Nodes = append(l.Nodes, &e)
+		l.Servers = append(l.Servers, &e)
 	}
 	return l
 }
@@ -280,7 +280,7 @@
 	}
 	r.mu.Lock()
 	known := r.list()
-	known.Scope = scheduler.CachedSnapshot
+	known.Kind = scheduler.CachedSnapshot
 	r.mu.Unlock()
 	for _, what := range []string{"platform", "coap", "http", "files"} {
 		if r.addrs[what] == "" {
--- a/internal/upstream/httpclient/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -48,21 +48,21 @@
 	opt       Options
 	clock     clock.Clock
 	metrics   *metrics.Set
-	finish    func(lifecycle.Attempt, lifecycle.Result)
-	probed    func(*lifecycle.Node, float64, scheduler.Status, []float64)
+	finish    func(lifecycle.Attempt, lifecycle.AttemptResult)
+	probed    func(*lifecycle.Server, float64, scheduler.Status, []float64)
 	transport *http.Transport
 	conns     atomic.Int64
 }
 
 // Sink takes the ends of attempts and probes.
 type Sink interface {
-	Finish(lifecycle.Attempt, lifecycle.Result)
-	Probed(*lifecycle.Node, float64, scheduler.Status, []float64)
+	Complete(lifecycle.Attempt, lifecycle.AttemptResult)
+	ProbeEnded(*lifecycle.Server, float64, scheduler.Status, []float64)
 }
 
 // New returns a backend.
 func New(opt Options, c clock.Clock, m *metrics.Set, sink Sink) *Backend {
-	b := &Backend{opt: opt, clock: c, metrics: m, finish: sink.Finish, probed: sink.Probed}
+	b := &Backend{opt: opt, clock: c, metrics: m, finish: sink.Complete, probed: sink.ProbeEnded}
 	b.transport = &http.Transport{
 		DialContext:         b.dial,
 		DisableCompression:  true, // the body must pass unchanged
@@ -107,9 +107,9 @@
 }
 
 // attempt runs one attempt to its end.
-func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) lifecycle.Result {
+func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) lifecycle.AttemptResult {
 	for {
-		t := &try{Attempt: a, ctx: ctx, body: len(a.Request.Load.(*Load).Body)}
+		t := &try{Attempt: a, ctx: ctx, body: len(a.Request.Payload.(*Load).Body)}
 		res := b.attemptOnce(ctx, a, t)
 		// A kept connection that turns out to be stale is gone by that, and nothing went out on it: taking another
 		// is no resend.
@@ -120,11 +120,11 @@
 	}
 }
 
-func (b *Backend) attemptOnce(ctx context.Context, a lifecycle.Attempt, t *try) lifecycle.Result {
-	load := a.Request.Load.(*Load)
+func (b *Backend) attemptOnce(ctx context.Context, a lifecycle.Attempt, t *try) lifecycle.AttemptResult {
+	load := a.Request.Payload.(*Load)
 	req := (&http.Request{
 		Method: load.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL: &url.URL{Scheme: "http", Host: a.Node.Addr, Path: load.Path, RawPath: load.RawPath,
+		URL: &url.URL{Scheme: "http", Host: a.Server.Addr, Path: load.Path, RawPath: load.RawPath,
 			RawQuery: load.RawQuery},
 		Header: load.Header.Clone(), Host: "api.internal",
 		// The transport resends by itself, on another connection, what has no body or can rewind it (GetBody) and
@@ -143,14 +143,14 @@
 		if t.unbegun() {
 			t.stale.Store(true)
 		}
-		return lifecycle.Result{Status: b.ended(ctx, t)}
+		return lifecycle.AttemptResult{Status: b.ended(ctx, t)}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	if err != nil {
-		return lifecycle.Result{Status: b.ended(ctx, t)}
+		return lifecycle.AttemptResult{Status: b.ended(ctx, t)}
 	}
-	res := lifecycle.Result{}
+	res := lifecycle.AttemptResult{}
 	b.told(&res, resp.Header)
 	switch {
 	case len(body) > MaxBody:
@@ -171,7 +171,7 @@
 func (b *Backend) ended(ctx context.Context, t *try) scheduler.Status {
 	whole := t.whole.Load()
 	switch cause := context.Cause(ctx); {
-	case !whole && t.Request.Left(): // nothing that its node has to answer for
+	case !whole && t.Request.Canceled(): // nothing that its node has to answer for
 		return scheduler.StatusCanceled
 	case !whole && t.denied.Harmless():
 		return scheduler.StatusNotSent // it did not run, and that tells nothing of its node
@@ -191,7 +191,7 @@
 }
 
 // told takes in what an answer tells beside its body. What cannot be read is counted and left out.
-func (b *Backend) told(res *lifecycle.Result, h http.Header) {
+func (b *Backend) told(res *lifecycle.AttemptResult, h http.Header) {
 	number := func(name string) (float64, bool) {
 		text := h.Get(name)
 		if text == "" {
@@ -205,11 +205,11 @@
 		return x, true
 	}
 	if use, ok := number("X-Volume-Use"); ok {
-		res.Use, res.HasUse = use/100, true
+		res.VolumeUsage, res.HasVolumeUsage = use/100, true
 	}
 	res.ForeignUnits, _ = number("X-Served-Elsewhere")
 	if text := h.Get("X-Backend-Load"); text != "" {
-		res.Report = b.report(text)
+		res.LoadReport = b.report(text)
 	}
 }
 
@@ -236,7 +236,7 @@
 }
 
 // Probe asks a node for its load and tells the loop what it found.
-func (b *Backend) Probe(n *lifecycle.Node) {
+func (b *Backend) Probe(n *lifecycle.Server) {
 	path := "/health"
 	if len(b.opt.ReportFields) > 0 {
 		path = "/status/load"
--- a/internal/upstream/httpclient/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -23,12 +23,12 @@
 
 // sink collects the ends of attempts and probes.
 type sink struct {
-	ends   chan lifecycle.Result
+	ends   chan lifecycle.AttemptResult
 	probes chan scheduler.Status
 }
 
-func (s *sink) Finish(_ lifecycle.Attempt, r lifecycle.Result) { s.ends <- r }
-func (s *sink) Probed(_ *lifecycle.Node, _ float64, st scheduler.Status, _ []float64) {
+func (s *sink) Complete(_ lifecycle.Attempt, r lifecycle.AttemptResult) { s.ends <- r }
+func (s *sink) ProbeEnded(_ *lifecycle.Server, _ float64, st scheduler.Status, _ []float64) {
 	s.probes <- st
 }
 
@@ -141,7 +141,7 @@
 }
 
 func newBackend() (*Backend, *sink, *metrics.Set, *clock.Manual) {
-	s, m, now := &sink{make(chan lifecycle.Result, 1), make(chan scheduler.Status, 1)}, metrics.New(), clock.NewManual(1e12)
+	s, m, now := &sink{make(chan lifecycle.AttemptResult, 1), make(chan scheduler.Status, 1)}, metrics.New(), clock.NewManual(1e12)
 	return New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 10, ReportFields: []string{"queue"}}, now, m, s), s, m, now
 }
 
@@ -150,7 +150,7 @@
 	if put {
 		l.Method, l.Body = "PUT", []byte("data")
 	}
-	return &lifecycle.Request{Load: l}
+	return &lifecycle.Request{Payload: l}
 }
 
 // FuzzAttempts checks random acts of a node, and a model of what they amount to, on connections that are reused:
@@ -168,11 +168,11 @@
 		node := newStand(t)
 		b, s, _, now := newBackend()
 		defer b.Close()
-		n := &lifecycle.Node{Addr: node.addr}
+		n := &lifecycle.Server{Addr: node.addr}
 		for i, x := range script[:min(len(script), 12)] {
 			act, put := int(x&127)%acts, x >= 128
 			node.acts <- byte(act)
-			b.Start(lifecycle.Attempt{Request: request(put), Node: n, DeadlineMs: now.NowMs() + 1000})
+			b.Start(lifecycle.Attempt{Request: request(put), Server: n, DeadlineMs: now.NowMs() + 1000})
 			res := <-s.ends
 			if res.Status != outcomes[act] || int(node.seen.Load()) != i+1 {
 				t.Fatalf("attempt %d, act %d: status %d, want %d; the node saw %d requests", i, act, res.Status,
@@ -181,10 +181,10 @@
 			if want := map[bool]string{false: "GET/pull/1?a=%20b", true: "PUT/pull/1?a=%20bdata"}[put]; res.Status == scheduler.StatusOK && string(res.Body.([]byte)) != want {
 				t.Fatalf("body %q, want %q", res.Body, want)
 			}
-			if act == serve && (res.Use != 0.85 || !res.HasUse || res.ForeignUnits != 3 || res.Report[0] != 7) {
+			if act == serve && (res.VolumeUsage != 0.85 || !res.HasVolumeUsage || res.ForeignUnits != 3 || res.LoadReport[0] != 7) {
 				t.Fatalf("told %+v", res)
 			}
-			if act == badHeaders && (res.HasUse || res.ForeignUnits != 0 || res.Report != nil) {
+			if act == badHeaders && (res.HasVolumeUsage || res.ForeignUnits != 0 || res.LoadReport != nil) {
 				t.Fatalf("told %+v by headers that cannot be read", res)
 			}
 		}
@@ -195,7 +195,7 @@
 	b, s, _, now := newBackend()
 	ln := testbed.Listen(t)
 	ln.Close()
-	b.Start(lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: ln.Addr().String()}, DeadlineMs: now.NowMs() + 1000})
+	b.Start(lifecycle.Attempt{Request: request(true), Server: &lifecycle.Server{Addr: ln.Addr().String()}, DeadlineMs: now.NowMs() + 1000})
 	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed {
 		t.Errorf("status %d", res.Status)
 	}
@@ -251,7 +251,7 @@
 	})
 	b, s, m, now := newBackend()
 	defer b.Close()
-	a := lifecycle.Attempt{Request: request(false), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
+	a := lifecycle.Attempt{Request: request(false), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	for i := range 2 {
 		b.Start(a)
 		if res := <-s.ends; res.Status != scheduler.StatusOK || string(res.Body.([]byte)) != "its" {
@@ -313,7 +313,7 @@
 	b, s, _, now := newBackend()
 	b.clock, b.opt.RestMs = armed{now, second}, 5
 	defer b.Close()
-	a := lifecycle.Attempt{Request: request(false), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
+	a := lifecycle.Attempt{Request: request(false), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	b.Start(a)
 	if res := <-s.ends; res.Status != scheduler.StatusOK || string(res.Body.([]byte)) != "old" {
 		t.Fatalf("the first attempt: %+v", res)
@@ -344,7 +344,7 @@
 	}
 	c := nc.(*conn)
 	begin := func(body int) *try {
-		y := &try{Attempt: lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{}, DeadlineMs: 1e14}, ctx: t.Context(), body: body, conn: c}
+		y := &try{Attempt: lifecycle.Attempt{Request: request(true), Server: &lifecycle.Server{}, DeadlineMs: 1e14}, ctx: t.Context(), body: body, conn: c}
 		c.try.Store(y)
 		return y
 	}
@@ -379,8 +379,8 @@
 			c.Read(make([]byte, 1)) // until the gateway closes
 		})
 		b, s, m, now := newBackend()
-		b.Start(lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1e9})
-		var res lifecycle.Result
+		b.Start(lifecycle.Attempt{Request: request(true), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 1e9})
+		var res lifecycle.AttemptResult
 		for done := false; !done; {
 			select {
 			case res = <-s.ends:
@@ -415,8 +415,8 @@
 	addr := testbed.Serve(t, func(c net.Conn) { c.Read(make([]byte, 10)) })
 	b, s, _, now := newBackend()
 	r := request(true)
-	r.Load.(*Load).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets take in
-	b.Start(lifecycle.Attempt{Request: r, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 1000})
+	r.Payload.(*Load).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets take in
+	b.Start(lifecycle.Attempt{Request: r, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 1000})
 	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed {
 		t.Errorf("status %d", res.Status)
 	}
@@ -431,8 +431,8 @@
 		up   func(r *lifecycle.Request, giveUp func(), now *clock.Manual)
 		want scheduler.Status
 	}{
-		"left":               {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { r.Leave() }, scheduler.StatusCanceled},
-		"left and given up":  {func(r *lifecycle.Request, giveUp func(), _ *clock.Manual) { r.Leave(); giveUp() }, scheduler.StatusCanceled},
+		"left":               {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { r.Cancel() }, scheduler.StatusCanceled},
+		"left and given up":  {func(r *lifecycle.Request, giveUp func(), _ *clock.Manual) { r.Cancel(); giveUp() }, scheduler.StatusCanceled},
 		"given up by itself": {func(_ *lifecycle.Request, giveUp func(), _ *clock.Manual) { giveUp() }, scheduler.StatusCanceled},
 		"away, unseen":       {func(r *lifecycle.Request, _ func(), _ *clock.Manual) { away.Store(true) }, scheduler.StatusCanceled},
 		"a window closed":    {func(_ *lifecycle.Request, _ func(), now *clock.Manual) { now.Advance(500) }, scheduler.StatusConnectFailed},
@@ -447,8 +447,8 @@
 			b, s, _, now := newBackend()
 			cancel := make(chan func(), 1)
 			away.Store(false)
-			a := lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: addr}, DeadlineMs: 1e12 + 1000, BeginMs: 1e12 + 500}
-			a.Request.Away = away.Load
+			a := lifecycle.Attempt{Request: request(true), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: 1e12 + 1000, StartDeadlineMs: 1e12 + 500}
+			a.Request.ClientDisconnected = away.Load
 			b.opt.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				nc, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, addr)
 				c.up(a.Request, <-cancel, now)
@@ -473,10 +473,10 @@
 	node := newStand(t)
 	b, s, _, now := newBackend()
 	c := lifecycle.New(nil, nil)
-	n := &lifecycle.Node{Name: "a", Addr: node.addr}
-	c.Nodes(lifecycle.List{Scope: scheduler.Snapshot, Nodes: []*lifecycle.Node{n}})
-	c.Nodes(lifecycle.List{Scope: scheduler.Snapshot}) // the module sent just before
-	b.Start(lifecycle.Attempt{Request: request(false), Node: n, DeadlineMs: now.NowMs() + 1000})
+	n := &lifecycle.Server{Name: "a", Addr: node.addr}
+	c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot, Servers: []*lifecycle.Server{n}})
+	c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}) // the module sent just before
+	b.Start(lifecycle.Attempt{Request: request(false), Server: n, DeadlineMs: now.NowMs() + 1000})
 	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed || node.seen.Load() != 0 {
 		t.Errorf("status %d, the node saw %d", res.Status, node.seen.Load())
 	}
@@ -485,7 +485,7 @@
 func TestTimeoutCancelAndCap(t *testing.T) {
 	node := newStand(t)
 	b, s, m, now := newBackend()
-	a := lifecycle.Attempt{Request: request(true), Node: &lifecycle.Node{Addr: node.addr}, DeadlineMs: now.NowMs() + 1000}
+	a := lifecycle.Attempt{Request: request(true), Server: &lifecycle.Server{Addr: node.addr}, DeadlineMs: now.NowMs() + 1000}
 	seen := func(n int32) { // the node holds the request, since no act has been given
 		for node.seen.Load() < n {
 			runtime.Gosched()
@@ -519,7 +519,7 @@
 		want scheduler.Status
 	}{{serve, scheduler.StatusOK}, {turnAway, scheduler.StatusError}, {halfAnswer, scheduler.StatusConnectionReset}} {
 		node.acts <- c.act
-		if b.Probe(&lifecycle.Node{Addr: node.addr}); <-s.probes != c.want {
+		if b.Probe(&lifecycle.Server{Addr: node.addr}); <-s.probes != c.want {
 			t.Errorf("act %d: not %d", c.act, c.want)
 		}
 	}
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -175,12 +175,12 @@
 // mayBegin decides whether the attempt's first byte may go out now, and tells the time that its client has left.
 // http.Transport may have taken up a request before it sees that it is given up, and writes it then.
 func (t *try) mayBegin() (leftMs float64, ok bool) {
-	leftMs, t.denied = t.MayBegin(t.conn.back.clock)
+	leftMs, t.denied = t.Authorize(t.conn.back.clock)
 	return leftMs, t.denied == permission.Allowed && t.ctx.Err() == nil
 }
 
 // over tells whether the attempt must not begin any more.
-func (t *try) over() bool { return t.ctx.Err() != nil || t.Over(t.conn.back.clock.NowMs()) }
+func (t *try) over() bool { return t.ctx.Err() != nil || t.Expired(t.conn.back.clock.NowMs()) }
 
 // Write guards three rules. A drain counts from the first byte of a send, and the attempt may have waited for
 // this connection to come up, as its client may have left meanwhile; an attempt has never run if its last byte was
@@ -215,7 +215,7 @@
 	if _, err := c.send(t, out, len(t.head)-end); err != nil {
 		return 0, err
 	}
-	if broken := t.Sent(c.back.clock.NowMs(), leftMs); broken != "" {
+	if broken := t.CheckSent(c.back.clock.NowMs(), leftMs); broken != "" {
 		c.back.metrics.Add("rule_violations_"+broken, 1)
 	}
 	return len(p), nil
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -81,7 +81,7 @@
 			addr, requests := recordRequests(t)
 			b, s, _, now := newBackend()
 			defer b.Close()
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: &c.load}, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + c.leftMs})
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &c.load}, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + c.leftMs})
 			<-s.ends
 			compareGolden(t, "attempt-"+name, quoteLines(<-requests))
 		})
@@ -95,7 +95,7 @@
 	defer b.Close()
 	var wire []byte
 	for n := range 2 {
-		b.Start(lifecycle.Attempt{Request: request(true), N: n + 1, Node: &lifecycle.Node{Addr: addr}, DeadlineMs: now.NowMs() + 900})
+		b.Start(lifecycle.Attempt{Request: request(true), Number: n + 1, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 900})
 		<-s.ends
 		wire = append(wire, <-requests...)
 		now.Advance(20)
@@ -110,7 +110,7 @@
 			b, s, _, _ := newBackend()
 			defer b.Close()
 			b.opt.ReportFields = fields
-			b.Probe(&lifecycle.Node{Addr: addr})
+			b.Probe(&lifecycle.Server{Addr: addr})
 			<-s.probes
 			wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 			compareGolden(t, "probe-"+name, quoteLines(wire))
--- a/internal/upstream/sftpclient/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -66,7 +66,7 @@
 	ConnectMs, ConnIdleMs float64
 	MaxSessions           int // connections open at once, to all nodes
 	// Address tells where a node takes file commands.
-	Address func(n *lifecycle.Node) (addr string, ok bool)
+	Address func(n *lifecycle.Server) (addr string, ok bool)
 	// Dial opens connections; nil: the machine's network.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -76,7 +76,7 @@
 	opt     Options
 	clock   clock.Clock
 	metrics *metrics.Set
-	finish  func(lifecycle.Attempt, lifecycle.Result)
+	finish  func(lifecycle.Attempt, lifecycle.AttemptResult)
 
 	mu    sync.Mutex
 	idle  map[string][]*session
@@ -93,7 +93,7 @@
 }
 
 // New returns a backend; finish takes the ends of attempts.
-func New(opt Options, c clock.Clock, m *metrics.Set, finish func(lifecycle.Attempt, lifecycle.Result)) *Backend {
+func New(opt Options, c clock.Clock, m *metrics.Set, finish func(lifecycle.Attempt, lifecycle.AttemptResult)) *Backend {
 	return &Backend{opt: opt, clock: c, metrics: m, finish: finish, idle: map[string][]*session{}}
 }
 
@@ -116,23 +116,23 @@
 // failed: the file port may be down while the node serves others well, and ConnectFailed would make the module
 // hold the node back for all of them.
 func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) {
-	cmd := a.Request.Load.(*Command)
-	addr, ok := b.opt.Address(a.Node)
-	if !ok || a.Node.Closed() {
-		b.finish(a, lifecycle.Result{Status: scheduler.StatusOverloaded})
+	cmd := a.Request.Payload.(*Command)
+	addr, ok := b.opt.Address(a.Server)
+	if !ok || a.Server.Closed() {
+		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOverloaded})
 		return
 	}
 	s, err := b.session(ctx, addr)
 	if err != nil {
 		b.metrics.Add("file_connects_failed", 1)
-		b.finish(a, lifecycle.Result{Status: b.ended(ctx, false)})
+		b.finish(a, lifecycle.AttemptResult{Status: b.ended(ctx, false)})
 		return
 	}
 	// Told while the session was opened: nothing new goes to the node, nor anything for a client that has left.
-	leftMs, why := a.MayBegin(b.clock)
+	leftMs, why := a.Authorize(b.clock)
 	if why != permission.Allowed {
 		b.rest(s)
-		b.finish(a, lifecycle.Result{Status: unbegun(why)})
+		b.finish(a, lifecycle.AttemptResult{Status: unbegun(why)})
 		return
 	}
 	// Closing the connection is how an attempt is given up.
@@ -140,16 +140,16 @@
 	reply, handle, ran, err := s.run(cmd, a, leftMs)
 	switch {
 	case err != nil && !errors.Is(err, errMalformed):
-		b.finish(a, lifecycle.Result{Status: b.ended(ctx, ran)})
+		b.finish(a, lifecycle.AttemptResult{Status: b.ended(ctx, ran)})
 	case err != nil:
 		b.metrics.Add("file_answers_malformed", 1)
-		b.finish(a, lifecycle.Result{Status: scheduler.StatusError})
+		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusError})
 	case reply.Code == StatusFailure && strings.HasPrefix(reply.Text, Unprocessed):
-		b.finish(a, lifecycle.Result{Status: scheduler.StatusOverloaded})
+		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOverloaded})
 	case reply.Code == StatusFailure || reply.Code == StatusBadMessage:
-		b.finish(a, lifecycle.Result{Status: scheduler.StatusError})
+		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusError})
 	default: // the node has done its work, also where it tells that there is no such file
-		b.finish(a, lifecycle.Result{Status: scheduler.StatusOK, Body: reply})
+		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOK, Body: reply})
 	}
 	if err == nil && handle != nil { // its answer is out; the session serves again once the handle is closed
 		_, _, err = s.call(newPacket(typeClose, s.next()).text(string(handle)))
@@ -348,7 +348,7 @@
 	if cmd.Op == Open {
 		return rep, handle, ran, nil
 	}
-	if _, why := a.MayBegin(s.clock); why != permission.Allowed { // since the OPEN went out
+	if _, why := a.Authorize(s.clock); why != permission.Allowed { // since the OPEN went out
 		return nil, nil, false, errDenied
 	}
 	var p packet
--- a/internal/upstream/sftpclient/backend_test.go
+++ b/internal/upstream/sftpclient/backend_test.go
@@ -92,11 +92,11 @@
 	f.Add([]byte{16 * garbage, garbage, wrongID, 16 * tooLong, tooLong, 128 + serve})
 	f.Add([]byte{16 * status, status, 16 * turnAway, turnAway, serve, 128 + turnAway})
 	f.Fuzz(func(t *testing.T, script []byte) {
-		p, now, ends := newPort(t), clock.NewManual(1e12), make(chan lifecycle.Result, 1)
+		p, now, ends := newPort(t), clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1)
 		// Sessions come back only once their handle is closed, after the answer: there must be enough of them.
 		b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 100,
-			Address: func(*lifecycle.Node) (string, bool) { return p.addr, true }}, now, metrics.New(),
-			func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
+			Address: func(*lifecycle.Server) (string, bool) { return p.addr, true }}, now, metrics.New(),
+			func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 		defer b.Close()
 		commands := int32(0)
 		for i, x := range script[:min(len(script), 12)] {
@@ -115,7 +115,7 @@
 			} else if onOpen == breakOff {
 				end = scheduler.StatusOverloaded // the command itself never went out
 			}
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: cmd}, Node: &lifecycle.Node{}, DeadlineMs: now.NowMs() + 1000})
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: cmd}, Server: &lifecycle.Server{}, DeadlineMs: now.NowMs() + 1000})
 			if res := <-ends; res.Status != end || p.commands.Load() != commands {
 				t.Fatalf("attempt %d (%d, %d): status %d, want %d; %d commands, want %d", i, onOpen, onCommand, res.Status, end,
 					p.commands.Load(), commands)
@@ -138,11 +138,11 @@
 
 // A session that has stood idle too long is not used any more, and over the cap attempts are turned away unrun.
 func TestSessionsAgeAndAreCapped(t *testing.T) {
-	p, now, ends, m := newPort(t), clock.NewManual(1e12), make(chan lifecycle.Result, 1), metrics.New()
+	p, now, ends, m := newPort(t), clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1), metrics.New()
 	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
-		Address: func(*lifecycle.Node) (string, bool) { return p.addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
+		Address: func(*lifecycle.Server) (string, bool) { return p.addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 	defer b.Close()
-	a := lifecycle.Attempt{Request: &lifecycle.Request{Load: &Command{Op: Read, Path: "/a", Length: 4}}, Node: &lifecycle.Node{}, DeadlineMs: 2e12}
+	a := lifecycle.Attempt{Request: &lifecycle.Request{Payload: &Command{Op: Read, Path: "/a", Length: 4}}, Server: &lifecycle.Server{}, DeadlineMs: 2e12}
 	idle := func() *session {
 		for {
 			b.mu.Lock()
@@ -186,11 +186,11 @@
 		c.Write(newPacket(typeHandle, binary.BigEndian.Uint32(body)).text("h").done())
 		c.Read(make([]byte, 10))
 	})
-	now, ends, m := clock.NewManual(1e12), make(chan lifecycle.Result, 2), metrics.New()
+	now, ends, m := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 2), metrics.New()
 	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
-		Address: func(*lifecycle.Node) (string, bool) { return addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
+		Address: func(*lifecycle.Server) (string, bool) { return addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 	cmd := &Command{Op: Write, Path: "/a", Key: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
-	b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: cmd}, Node: &lifecycle.Node{}, DeadlineMs: 2e12})
+	b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: cmd}, Server: &lifecycle.Server{}, DeadlineMs: 2e12})
 	if r := <-ends; r.Status != scheduler.StatusOverloaded {
 		t.Errorf("status %d", r.Status)
 	}
@@ -224,11 +224,11 @@
 				n, _ := nc.Read(make([]byte, 1))
 				read <- n
 			})
-			now, ends := clock.NewManual(1e12), make(chan lifecycle.Result, 2)
-			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1, Address: func(*lifecycle.Node) (string, bool) { return addr, true }},
-				passing{now, &over}, metrics.New(), func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: &Command{Op: op, Path: "/a", Key: "k"}, Away: left.Load}, Node: &lifecycle.Node{},
-				DeadlineMs: 2e12, BeginMs: 1.5e12})
+			now, ends := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 2)
+			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1, Address: func(*lifecycle.Server) (string, bool) { return addr, true }},
+				passing{now, &over}, metrics.New(), func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &Command{Op: op, Path: "/a", Key: "k"}, ClientDisconnected: left.Load}, Server: &lifecycle.Server{},
+				DeadlineMs: 2e12, StartDeadlineMs: 1.5e12})
 			if r := <-ends; r.Status != c.want {
 				t.Errorf("%s, %d: ended as %v", name, op, r.Status)
 			}
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -34,7 +34,7 @@
 var statusNames = map[scheduler.Status]string{scheduler.StatusOK: "ok", scheduler.StatusError: "error", scheduler.StatusOverloaded: "full", scheduler.StatusConnectionReset: "reset"}
 
 // describeResult writes the end of an attempt as values.
-func describeResult(res lifecycle.Result) string {
+func describeResult(res lifecycle.AttemptResult) string {
 	text := "result: " + statusNames[res.Status] + "\n"
 	if rep, ok := res.Body.(*Reply); ok {
 		text += fmt.Sprintf("reply: code %d, text %q, data %q, size %d, mode %o, mtime %d\n",
@@ -135,12 +135,12 @@
 				responses = append(responses, hexBytes(t, text))
 			}
 			addr, packets := recordPackets(t, responses)
-			now, ends := clock.NewManual(1e12), make(chan lifecycle.Result, 1)
+			now, ends := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1)
 			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
-				Address: func(*lifecycle.Node) (string, bool) { return addr, true }}, now, metrics.New(),
-				func(_ lifecycle.Attempt, r lifecycle.Result) { ends <- r })
+				Address: func(*lifecycle.Server) (string, bool) { return addr, true }}, now, metrics.New(),
+				func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 			defer b.Close()
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Load: &c.command}, Node: &lifecycle.Node{}, DeadlineMs: now.NowMs() + 750.9})
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &c.command}, Server: &lifecycle.Server{}, DeadlineMs: now.NowMs() + 750.9})
 			result := <-ends
 			var text strings.Builder
 			for range c.packets {
