--- a/internal/outlier/contract.go
+++ b/internal/outlier/contract.go
@@ -12,45 +12,45 @@
 
 // Settings are what a Book is made with.
 type Settings struct {
-	FadeMs float64 // what was found so long ago weighs 1/e
+	DecayMs float64 // what was found so long ago weighs 1/e
 	// A node is failing, as found here, from so many failures on, if they are that part of all attempts; and it serves
 	// well if there were as many attempts and failures are a tenth at the most.
-	LeastFailures, LeastPart float64
-	// MostTries bounds what is remembered of a node, in attempts: a long failure is not held against it for longer.
-	MostTries float64
+	MinFailures, MinFailureRatio float64
+	// MaxAttemptWeight bounds what is remembered of a node, in attempts: a long failure is not held against it for longer.
+	MaxAttemptWeight float64
 
-	MostAgeMs float64 // evidence that is older counts for nothing
-	TellMs    float64 // evidence that holds is told again so often
-	Origins   int     // how many gateways have to find the same, at the least
-	OfAlive   float64 // and which part of those that are alive
-	MostOut   float64 // part of the listed nodes that may be out by verdict at once
-	MostNodes int     // that have books; evidence on others is not taken
-	MostPeers int     // whose evidence is kept on each
+	MaxReportAgeMs     float64 // evidence that is older counts for nothing
+	ReportIntervalMs   float64 // evidence that holds is told again so often
+	MinQuorum          int     // how many gateways have to find the same, at the least
+	QuorumFraction     float64 // and which part of those that are alive
+	MaxEjectedFraction float64 // part of the listed nodes that may be out by verdict at once
+	MaxServers         int     // that have books; evidence on others is not taken
+	MaxPeers           int     // whose evidence is kept on each
 }
 
-// Kind is what is found.
-type Kind uint8
+// Condition is what is found.
+type Condition uint8
 
 // The kinds of evidence.
 const (
-	Failing Kind = iota + 1
-	Closed       // it drains or is gone, by the node list
+	Failing   Condition = iota + 1
+	Withdrawn           // it drains or is gone, by the node list
 )
 
-// Evidence is what one gateway finds of a node. A weight of 0 takes back what it said before.
-type Evidence struct {
-	Peer    uint16 // who found it; to be sent: nobody in particular, all hear it
-	Node    uint64
-	Kind    Kind
-	Percent uint8
-	Stamp   uint64  // the finder's: a later word has a greater one
-	AgeMs   float64 // how long ago it was found, as told
+// Report is what one gateway finds of a node. A weight of 0 takes back what it said before.
+type Report struct {
+	Peer      uint16 // who found it; to be sent: nobody in particular, all hear it
+	Server    uint64
+	Condition Condition
+	Percent   uint8
+	Version   uint64  // the finder's: a later word has a greater one
+	AgeMs     float64 // how long ago it was found, as told
 }
 
-// Verdict is a node that is to be left nearly alone.
-type Verdict struct {
-	Node  uint64
-	Kind  Kind
-	AgeMs float64 // of the youngest evidence that is needed for it
-	By    int     // gateways that find it
+// Ejection is a node that is to be left nearly alone.
+type Ejection struct {
+	Server    uint64
+	Condition Condition
+	AgeMs     float64 // of the youngest evidence that is needed for it
+	Reporters int     // gateways that find it
 }
--- a/internal/outlier/verdict.go
+++ b/internal/outlier/verdict.go
@@ -15,7 +15,7 @@
 
 type word struct {
 	peer    uint16
-	kind    Kind
+	kind    Condition
 	percent uint8
 	stamp   uint64
 	bornMs  float64
@@ -30,33 +30,33 @@
 	closed     bool
 }
 
-// Book is what one gateway knows of nodes.
-type Book struct {
+// Detector is what one gateway knows of nodes.
+type Detector struct {
 	set   Settings
 	nodes map[uint64]*node
 	order []uint64 // as listed
 	alive int
 	stamp uint64
-	out   []Verdict
+	out   []Ejection
 }
 
 // New returns an empty book, or an error if the settings cannot be used.
-func New(set Settings) (*Book, error) {
-	if !(set.FadeMs > 0) || !(set.MostTries > set.LeastFailures) || !(set.LeastFailures >= 1) || !(set.LeastPart > well && set.LeastPart <= 1) || !(set.MostAgeMs > 0) ||
-		!(set.TellMs > 0 && set.TellMs <= set.MostAgeMs/2) || set.Origins < 2 || !(set.OfAlive >= 0 && set.OfAlive <= 1) ||
-		!(set.MostOut >= 0 && set.MostOut < 1) || set.MostNodes < 1 || set.MostPeers < 1 {
+func New(set Settings) (*Detector, error) {
+	if !(set.DecayMs > 0) || !(set.MaxAttemptWeight > set.MinFailures) || !(set.MinFailures >= 1) || !(set.MinFailureRatio > well && set.MinFailureRatio <= 1) || !(set.MaxReportAgeMs > 0) ||
+		!(set.ReportIntervalMs > 0 && set.ReportIntervalMs <= set.MaxReportAgeMs/2) || set.MinQuorum < 2 || !(set.QuorumFraction >= 0 && set.QuorumFraction <= 1) ||
+		!(set.MaxEjectedFraction >= 0 && set.MaxEjectedFraction < 1) || set.MaxServers < 1 || set.MaxPeers < 1 {
 		return nil, fmt.Errorf("verdict: evidence of %v ms told every %v, of %d gateways, on %d nodes, or parts out of range",
-			set.MostAgeMs, set.TellMs, set.Origins, set.MostNodes)
+			set.MaxReportAgeMs, set.ReportIntervalMs, set.MinQuorum, set.MaxServers)
 	}
-	return &Book{set: set, nodes: map[uint64]*node{}, alive: 1}, nil
+	return &Detector{set: set, nodes: map[uint64]*node{}, alive: 1}, nil
 }
 
-// List tells which nodes this gateway's own list has, none of them closed; all else about others is forgotten and not
+// SetServers tells which nodes this gateway's own list has, none of them closed; all else about others is forgotten and not
 // taken.
-func (b *Book) List(nodes []uint64) {
+func (b *Detector) SetServers(nodes []uint64) {
 	b.order = nil
 	keep := map[uint64]*node{}
-	for _, id := range nodes[:min(len(nodes), b.set.MostNodes)] {
+	for _, id := range nodes[:min(len(nodes), b.set.MaxServers)] {
 		n := b.nodes[id]
 		if n == nil {
 			n = &node{id: id}
@@ -69,30 +69,32 @@
 	b.nodes = keep
 }
 
-// Alive tells how many gateways are alive, this one included.
-func (b *Book) Alive(n int) { b.alive = n }
+// SetAliveGateways tells how many gateways are alive, this one included.
+func (b *Detector) SetAliveGateways(n int) { b.alive = n }
 
-// Observe takes in the end of an attempt at a node.
-func (b *Book) Observe(nowMs float64, id uint64, failed bool) {
+// RecordAttempt takes in the end of an attempt at a node.
+func (b *Detector) RecordAttempt(nowMs float64, id uint64, failed bool) {
 	n := b.nodes[id]
 	if n == nil {
 		return
 	}
-	n.fade(nowMs, b.set.FadeMs)
+	n.fade(nowMs, b.set.DecayMs)
 	n.tries++
 	if failed {
 		n.bad++
 	}
-	if n.tries > b.set.MostTries {
-		n.bad, n.tries = n.bad*b.set.MostTries/n.tries, b.set.MostTries
+	if n.tries > b.set.MaxAttemptWeight {
+		n.bad, n.tries = n.bad*b.set.MaxAttemptWeight/n.tries, b.set.MaxAttemptWeight
 	}
 }
 
-// FindMs bounds how long a finding outlasts the failures: even with no attempt that goes well it fades by then.
-func (set Settings) FindMs() float64 { return set.FadeMs * math.Log(set.MostTries/set.LeastFailures) }
+// FailureDecayBoundMs bounds how long a finding outlasts the failures: even with no attempt that goes well it fades by then.
+func (set Settings) FailureDecayBoundMs() float64 {
+	return set.DecayMs * math.Log(set.MaxAttemptWeight/set.MinFailures)
+}
 
-// Close takes in that a node drains or is gone, by this gateway's own list.
-func (b *Book) Close(id uint64) {
+// MarkWithdrawn takes in that a node drains or is gone, by this gateway's own list.
+func (b *Detector) MarkWithdrawn(id uint64) {
 	if n := b.nodes[id]; n != nil {
 		n.closed = true
 	}
@@ -106,44 +108,44 @@
 }
 
 // finds is what this gateway finds of a node, in percent.
-func (b *Book) finds(n *node, k Kind) uint8 {
+func (b *Detector) finds(n *node, k Condition) uint8 {
 	switch {
-	case k == Closed && n.closed:
+	case k == Withdrawn && n.closed:
 		return 100
-	case k == Failing && n.bad >= b.set.LeastFailures && n.bad >= b.set.LeastPart*n.tries:
+	case k == Failing && n.bad >= b.set.MinFailures && n.bad >= b.set.MinFailureRatio*n.tries:
 		return uint8(100 * n.bad / n.tries)
 	}
 	return 0
 }
 
 // serves tells whether this gateway is itself served well by a node.
-func (b *Book) serves(n *node) bool { return n.tries >= b.set.LeastFailures && n.bad <= well*n.tries }
+func (b *Detector) serves(n *node) bool { return n.tries >= b.set.MinFailures && n.bad <= well*n.tries }
 
-// Origins is how many gateways have to find the same now.
-func (b *Book) Origins() int {
-	return max(b.set.Origins, int(math.Ceil(b.set.OfAlive*float64(b.alive))))
+// Quorum is how many gateways have to find the same now.
+func (b *Detector) Quorum() int {
+	return max(b.set.MinQuorum, int(math.Ceil(b.set.QuorumFraction*float64(b.alive))))
 }
 
 // Step takes what others say and returns what to tell them, and which nodes are out now. Time must not run backwards.
-func (b *Book) Step(nowMs float64, in []Evidence) (tell []Evidence, out []Verdict) {
+func (b *Detector) Step(nowMs float64, in []Report) (tell []Report, out []Ejection) {
 	for _, e := range in {
 		b.hear(nowMs, e)
 	}
-	var all []Verdict
+	var all []Ejection
 	for _, id := range b.order {
 		n := b.nodes[id]
-		n.fade(nowMs, b.set.FadeMs)
-		for _, k := range []Kind{Failing, Closed} {
+		n.fade(nowMs, b.set.DecayMs)
+		for _, k := range []Condition{Failing, Withdrawn} {
 			percent := b.finds(n, k)
 			own := &n.told[k]
 			if own.percent != percent && (percent == 0 || own.percent == 0 || diff(own.percent, percent) >= step) ||
-				percent > 0 && nowMs-own.bornMs >= b.set.TellMs {
+				percent > 0 && nowMs-own.bornMs >= b.set.ReportIntervalMs {
 				if b.stamp == 0 { // an earlier life's were smaller, if the clock was not set back
 					b.stamp = uint64(max(0, nowMs))
 				}
 				b.stamp++
 				*own = word{kind: k, percent: percent, stamp: b.stamp, bornMs: nowMs}
-				tell = append(tell, Evidence{Node: id, Kind: k, Percent: percent, Stamp: b.stamp})
+				tell = append(tell, Report{Server: id, Condition: k, Percent: percent, Version: b.stamp})
 			}
 			if v, ok := b.judge(nowMs, n, k, percent); ok {
 				all = append(all, v)
@@ -158,18 +160,18 @@
 
 // hear takes in another's word: its latest one counts, and of one that came by two ways the older age. Words are kept
 // when they are too old to count: what is said later may come sooner, and the earlier one is then not taken for news.
-func (b *Book) hear(nowMs float64, e Evidence) {
-	n := b.nodes[e.Node]
-	if n == nil || e.Kind != Failing && e.Kind != Closed || e.Percent > 100 || !(e.AgeMs >= 0 && e.AgeMs <= b.set.MostAgeMs) {
+func (b *Detector) hear(nowMs float64, e Report) {
+	n := b.nodes[e.Server]
+	if n == nil || e.Condition != Failing && e.Condition != Withdrawn || e.Percent > 100 || !(e.AgeMs >= 0 && e.AgeMs <= b.set.MaxReportAgeMs) {
 		return
 	}
-	w := word{e.Peer, e.Kind, e.Percent, e.Stamp, nowMs - e.AgeMs}
-	i := slices.IndexFunc(n.words, func(o word) bool { return o.peer == e.Peer && o.kind == e.Kind })
+	w := word{e.Peer, e.Condition, e.Percent, e.Version, nowMs - e.AgeMs}
+	i := slices.IndexFunc(n.words, func(o word) bool { return o.peer == e.Peer && o.kind == e.Condition })
 	switch {
-	case i < 0 && len(n.words) < 2*b.set.MostPeers:
+	case i < 0 && len(n.words) < 2*b.set.MaxPeers:
 		n.words = append(n.words, w)
 	case i < 0:
-		if j := slices.IndexFunc(n.words, func(o word) bool { return nowMs-o.bornMs > b.set.MostAgeMs }); j >= 0 {
+		if j := slices.IndexFunc(n.words, func(o word) bool { return nowMs-o.bornMs > b.set.MaxReportAgeMs }); j >= 0 {
 			n.words[j] = w
 		}
 	case w.stamp > n.words[i].stamp:
@@ -180,9 +182,9 @@
 }
 
 // judge tells whether enough gateways find the same of a node.
-func (b *Book) judge(nowMs float64, n *node, k Kind, own uint8) (Verdict, bool) {
+func (b *Detector) judge(nowMs float64, n *node, k Condition, own uint8) (Ejection, bool) {
 	if k == Failing && b.serves(n) {
-		return Verdict{}, false
+		return Ejection{}, false
 	}
 	var born []float64
 	sum := float64(own)
@@ -190,47 +192,47 @@
 		born = append(born, nowMs)
 	}
 	for _, w := range n.words {
-		if w.kind == k && w.percent > 0 && nowMs-w.bornMs <= b.set.MostAgeMs {
+		if w.kind == k && w.percent > 0 && nowMs-w.bornMs <= b.set.MaxReportAgeMs {
 			born, sum = append(born, w.bornMs), sum+float64(w.percent)
 		}
 	}
-	need := b.Origins()
-	if len(born) < need || sum < 100*b.set.LeastPart*float64(need) {
-		return Verdict{}, false
+	need := b.Quorum()
+	if len(born) < need || sum < 100*b.set.MinFailureRatio*float64(need) {
+		return Ejection{}, false
 	}
 	slices.SortFunc(born, func(x, y float64) int { return cmp.Compare(y, x) })
-	return Verdict{Node: n.id, Kind: k, AgeMs: nowMs - born[need-1], By: len(born)}, true
+	return Ejection{Server: n.id, Condition: k, AgeMs: nowMs - born[need-1], Reporters: len(born)}, true
 }
 
 // most keeps as many as may be out at once: those that most find, and of them the first listed.
-func (b *Book) most(all []Verdict) (out []Verdict) {
-	slices.SortStableFunc(all, func(x, y Verdict) int { return cmp.Compare(y.By, x.By) })
+func (b *Detector) most(all []Ejection) (out []Ejection) {
+	slices.SortStableFunc(all, func(x, y Ejection) int { return cmp.Compare(y.Reporters, x.Reporters) })
 	for _, v := range all {
-		if len(out) >= int(b.set.MostOut*float64(len(b.order))) {
+		if len(out) >= int(b.set.MaxEjectedFraction*float64(len(b.order))) {
 			break
 		}
-		if !slices.ContainsFunc(out, func(o Verdict) bool { return o.Node == v.Node }) {
+		if !slices.ContainsFunc(out, func(o Ejection) bool { return o.Server == v.Server }) {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// NextMs is when Step is to be called at the latest: findings are told again, and words grow old.
-func (b *Book) NextMs(nowMs float64) float64 {
+// NextStepMs is when Step is to be called at the latest: findings are told again, and words grow old.
+func (b *Detector) NextStepMs(nowMs float64) float64 {
 	next := math.Inf(1)
 	for _, id := range b.order {
 		for _, w := range b.nodes[id].told {
 			if w.percent > 0 {
-				next = min(next, w.bornMs+b.set.TellMs)
+				next = min(next, w.bornMs+b.set.ReportIntervalMs)
 			}
 		}
 	}
 	for _, v := range b.out {
-		next = min(next, nowMs+max(1, b.set.MostAgeMs-v.AgeMs))
+		next = min(next, nowMs+max(1, b.set.MaxReportAgeMs-v.AgeMs))
 	}
 	return next
 }
 
-// Out lists the nodes that are out by the latest step.
-func (b *Book) Out() []Verdict { return b.out }
+// Ejections lists the nodes that are out by the latest step.
+func (b *Detector) Ejections() []Ejection { return b.out }
--- a/internal/peer/datagram/codec.go
+++ b/internal/peer/datagram/codec.go
@@ -58,7 +58,7 @@
 	Count   uint64
 	Members []membership.Message // each datagram has the rumours of all of its messages; decoded, the first has them
 	Share   []quota.Message
-	Words   []outlier.Evidence
+	Words   []outlier.Report
 	Samples []peerlatency.Sample
 }
 
@@ -112,16 +112,16 @@
 	for _, m := range p.Share {
 		add(typeShare, shareSize, func(b []byte) []byte {
 			b = append(b, byte(m.Kind))
-			b = binary.BigEndian.AppendUint64(b, m.Pot)
-			b = binary.BigEndian.AppendUint32(b, m.To)
+			b = binary.BigEndian.AppendUint64(b, m.Pool)
+			b = binary.BigEndian.AppendUint32(b, m.RecipientIncarnation)
 			b = binary.BigEndian.AppendUint32(b, m.Seq)
-			return binary.BigEndian.AppendUint32(b, fixed(m.Part, m.Kind != quota.Grant))
+			return binary.BigEndian.AppendUint32(b, fixed(m.Fraction, m.Kind != quota.LeaseGrant))
 		})
 	}
 	for _, e := range p.Words {
 		add(typeWord, wordSize, func(b []byte) []byte {
-			b = binary.BigEndian.AppendUint64(append(b, byte(e.Kind)), e.Node)
-			b = binary.BigEndian.AppendUint64(append(b, e.Percent), e.Stamp)
+			b = binary.BigEndian.AppendUint64(append(b, byte(e.Condition)), e.Server)
+			b = binary.BigEndian.AppendUint64(append(b, e.Percent), e.Version)
 			return binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, e.AgeMs))))
 		})
 	}
@@ -197,11 +197,11 @@
 			if part > whole {
 				return Packet{}, ErrItem
 			}
-			p.Share = append(p.Share, quota.Message{Kind: quota.Kind(x[0]), Peer: p.From, Life: p.Life, Pot: binary.BigEndian.Uint64(x[1:]),
-				To: binary.BigEndian.Uint32(x[9:]), Seq: binary.BigEndian.Uint32(x[13:]), Part: float64(part) / whole})
+			p.Share = append(p.Share, quota.Message{Kind: quota.MessageKind(x[0]), Peer: p.From, SenderIncarnation: p.Life, Pool: binary.BigEndian.Uint64(x[1:]),
+				RecipientIncarnation: binary.BigEndian.Uint32(x[9:]), Seq: binary.BigEndian.Uint32(x[13:]), Fraction: float64(part) / whole})
 		case kind == typeWord && len(x) >= wordSize:
-			p.Words = append(p.Words, outlier.Evidence{Peer: p.From, Kind: outlier.Kind(x[0]), Node: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
-				Stamp: binary.BigEndian.Uint64(x[10:]), AgeMs: float64(binary.BigEndian.Uint16(x[18:]))})
+			p.Words = append(p.Words, outlier.Report{Peer: p.From, Condition: outlier.Condition(x[0]), Server: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
+				Version: binary.BigEndian.Uint64(x[10:]), AgeMs: float64(binary.BigEndian.Uint16(x[18:]))})
 		case kind == typeSample && len(x) >= sampleSize:
 			p.Samples = append(p.Samples, peerlatency.Sample{Peer: p.From, Node: binary.BigEndian.Uint64(x),
 				Ms: float64(binary.BigEndian.Uint16(x[8:])) * sampleStep, AgeMs: float64(binary.BigEndian.Uint16(x[10:]))})
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -15,8 +15,8 @@
 func sample() Packet {
 	return Packet{From: 3, Life: 77, Members: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Rumours: []membership.Rumour{
 		{Member: 3, Incarnation: 9, Life: 77}, {Member: 2, State: membership.Suspect, Incarnation: 1 << 40, By: 4}}}},
-		Share:   []quota.Message{{Kind: quota.Grant, Pot: 0xb4d60021, Peer: 3, Life: 77, To: 5, Seq: 8, Part: 0.25}},
-		Words:   []outlier.Evidence{{Peer: 3, Node: 1 << 60, Kind: outlier.Closed, Percent: 80, Stamp: 1 << 41, AgeMs: 250}},
+		Share:   []quota.Message{{Kind: quota.LeaseGrant, Pool: 0xb4d60021, Peer: 3, SenderIncarnation: 77, RecipientIncarnation: 5, Seq: 8, Fraction: 0.25}},
+		Words:   []outlier.Report{{Peer: 3, Server: 1 << 60, Condition: outlier.Withdrawn, Percent: 80, Version: 1 << 41, AgeMs: 250}},
 		Samples: []peerlatency.Sample{{Peer: 3, Node: 77, Ms: 12.5, AgeMs: 40}}}
 }
 
@@ -52,7 +52,7 @@
 	p := sample()
 	p.Share = nil
 	for i := range 60 {
-		p.Share = append(p.Share, quota.Message{Kind: quota.Kind(1 + i%3), Pot: rnd.Uint64(), Seq: uint32(i), Part: rnd.Float64()})
+		p.Share = append(p.Share, quota.Message{Kind: quota.MessageKind(1 + i%3), Pool: rnd.Uint64(), Seq: uint32(i), Fraction: rnd.Float64()})
 	}
 	for range 40 {
 		p.Members[0].Rumours = append(p.Members[0].Rumours, membership.Rumour{Member: 1})
@@ -74,9 +74,9 @@
 		t.Fatalf("%d messages of %d", len(got), len(p.Share))
 	}
 	for i, m := range got {
-		sent := p.Share[i].Part
-		if m.Kind == quota.Grant && m.Part > sent || m.Kind == quota.Back && m.Part < sent || m.Part-sent > 1e-9 || sent-m.Part > 1e-9 {
-			t.Errorf("message %d of kind %d: %v became %v", i, m.Kind, sent, m.Part)
+		sent := p.Share[i].Fraction
+		if m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
+			t.Errorf("message %d of kind %d: %v became %v", i, m.Kind, sent, m.Fraction)
 		}
 	}
 }
@@ -138,8 +138,8 @@
 		}
 		count := p.Count - 1
 		for _, m := range p.Share {
-			if !(m.Part >= 0 && m.Part <= 1) {
-				t.Fatalf("a part of %v", m.Part)
+			if !(m.Fraction >= 0 && m.Fraction <= 1) {
+				t.Fatalf("a part of %v", m.Fraction)
 			}
 		}
 		for _, again := range c.Encode(p, &count) {
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -45,16 +45,16 @@
 	return p
 }
 
-func sharePacket(kind quota.Kind, part float64) datagram.Packet {
+func sharePacket(kind quota.MessageKind, part float64) datagram.Packet {
 	p := packet()
-	p.Share = []quota.Message{{Kind: kind, Pot: 0x3132333435363738, Peer: sender, Life: senderLife, To: 0x41424344,
-		Seq: 0x45464748, Part: part}}
+	p.Share = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderLife, RecipientIncarnation: 0x41424344,
+		Seq: 0x45464748, Fraction: part}}
 	return p
 }
 
-func evidencePacket(kind outlier.Kind) datagram.Packet {
+func evidencePacket(kind outlier.Condition) datagram.Packet {
 	p := packet()
-	p.Words = []outlier.Evidence{{Peer: sender, Node: 0x5152535455565758, Kind: kind, Percent: 80, Stamp: 0x6162636465666768,
+	p.Words = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: kind, Percent: 80, Version: 0x6162636465666768,
 		AgeMs: 250}}
 	return p
 }
@@ -76,8 +76,8 @@
 
 func fullPacket() datagram.Packet {
 	p := memberPacket(membership.Ack, allRumours()...)
-	p.Share = sharePacket(quota.Grant, 0.25).Share
-	p.Words = evidencePacket(outlier.Closed).Words
+	p.Share = sharePacket(quota.LeaseGrant, 0.25).Share
+	p.Words = evidencePacket(outlier.Withdrawn).Words
 	p.Samples = samplePacket(12.5, 40).Samples
 	return p
 }
@@ -103,15 +103,15 @@
 	{"member ack", memberPacket(membership.Ack), true},
 	{"member nack", memberPacket(membership.Nack), true},
 	{"member ping with rumours", memberPacket(membership.Ping, allRumours()...), true},
-	{"share ask", sharePacket(quota.Ask, 0.5), true},
-	{"share grant", sharePacket(quota.Grant, 0.125), true},
-	{"share return", sharePacket(quota.Back, 1), true},
-	{"share recall", sharePacket(quota.Recall, 0), true},
-	{"share grant is rounded down", sharePacket(quota.Grant, 0.1), false},
-	{"share return is rounded up", sharePacket(quota.Back, 0.1), false},
-	{"share part beyond the whole", sharePacket(quota.Ask, 7), false},
+	{"share ask", sharePacket(quota.LeaseRequest, 0.5), true},
+	{"share grant", sharePacket(quota.LeaseGrant, 0.125), true},
+	{"share return", sharePacket(quota.LeaseReturn, 1), true},
+	{"share recall", sharePacket(quota.LeaseRecall, 0), true},
+	{"share grant is rounded down", sharePacket(quota.LeaseGrant, 0.1), false},
+	{"share return is rounded up", sharePacket(quota.LeaseReturn, 0.1), false},
+	{"share part beyond the whole", sharePacket(quota.LeaseRequest, 7), false},
 	{"evidence failing", evidencePacket(outlier.Failing), true},
-	{"evidence closed", evidencePacket(outlier.Closed), true},
+	{"evidence closed", evidencePacket(outlier.Withdrawn), true},
 	{"latency sample", samplePacket(12.5, 40), true},
 	{"latency sample too large", samplePacket(1e9, 1e9), false},
 	{"every section", fullPacket(), true},
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -50,8 +50,8 @@
 const mostInbox = 1024
 
 func (o Options) share() quota.Settings {
-	return quota.Settings{Self: o.Self, Life: o.Life, LeaseMs: o.LeaseMs, Drift: o.Drift, Lends: o.Lends, AskMs: o.LeaseMs / askEvery,
-		IdleMs: idleMs, MostPots: o.MostVolumes, MostPeers: min(len(o.Peers), 64)}
+	return quota.Settings{Self: o.Self, Incarnation: o.Life, LeaseMs: o.LeaseMs, ClockDrift: o.Drift, MaxGrantedFraction: o.Lends, RequestIntervalMs: o.LeaseMs / askEvery,
+		IdleTimeoutMs: idleMs, MaxPools: o.MostVolumes, MaxPeers: min(len(o.Peers), 64)}
 }
 
 func (o Options) members() membership.Settings {
@@ -72,8 +72,8 @@
 )
 
 func (o Options) verdict() outlier.Settings {
-	return outlier.Settings{FadeMs: 2000, LeastFailures: 3, LeastPart: 0.5, MostTries: 10, MostAgeMs: wordAgeMs, TellMs: wordTellMs, Origins: 2, OfAlive: 0.34,
-		MostOut: 0.34, MostNodes: 4096, MostPeers: min(len(o.Peers), 64)}
+	return outlier.Settings{DecayMs: 2000, MinFailures: 3, MinFailureRatio: 0.5, MaxAttemptWeight: 10, MaxReportAgeMs: wordAgeMs, ReportIntervalMs: wordTellMs, MinQuorum: 2, QuorumFraction: 0.34,
+		MaxEjectedFraction: 0.34, MaxServers: 4096, MaxPeers: min(len(o.Peers), 64)}
 }
 
 // Latencies that others have measured count for so long, as an answer each time that one more is heard of.
@@ -97,8 +97,8 @@
 
 // Bounds are what holds for these options.
 func (o Options) Bounds() Bounds {
-	return Bounds{DetectMs: o.members().DetectMs(), PartMs: o.share().HoldMs(), HoldMs: o.share().HoldMs(), WordMs: wordAgeMs,
-		ShunMs: o.verdict().FindMs() + restMs}
+	return Bounds{DetectMs: o.members().DetectMs(), PartMs: o.share().GrantHoldMs(), HoldMs: o.share().GrantHoldMs(), WordMs: wordAgeMs,
+		ShunMs: o.verdict().FailureDecayBoundMs() + restMs}
 }
 
 // Loop is what the fleet asks of the loop.
@@ -117,8 +117,8 @@
 	socket  *datagram.Socket
 
 	members *membership.Book
-	share   *quota.Book
-	verdict *outlier.Book
+	share   *quota.Allocator
+	verdict *outlier.Detector
 	latency *peerlatency.Book
 	nodes   map[uint64]*lifecycle.Node // as listed, by what all gateways call them
 	gone    map[uint64]float64         // when
@@ -127,7 +127,7 @@
 	asked   []quota.Demand
 	toM     []membership.Message
 	toS     []quota.Message
-	toV     []outlier.Evidence
+	toV     []outlier.Report
 	toL     []peerlatency.Sample
 	turn    int // of those who hear findings
 	shunAt  float64
@@ -152,8 +152,8 @@
 	if f.latency, err = peerlatency.New(o.latency()); err != nil {
 		return nil, err
 	}
-	f.share.Peers(f.members.Alive())
-	f.verdict.Alive(len(o.Peers))
+	f.share.SetPeers(f.members.Alive())
+	f.verdict.SetAliveGateways(len(o.Peers))
 	return f, nil
 }
 
@@ -208,7 +208,7 @@
 // Demand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
 func (f *Fleet) Demand(nowMs float64, d scheduler.Demand) {
 	if len(f.asked) < mostInbox {
-		f.asked = append(f.asked, quota.Demand{Pot: uint64(d.Volume), Hosts: d.Hosts, Part: d.Part, Fresh: d.Fresh})
+		f.asked = append(f.asked, quota.Demand{Pool: uint64(d.Volume), Gateways: d.Hosts, Fraction: d.Part, Resync: d.Fresh})
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
@@ -244,9 +244,9 @@
 	}
 	slices.Sort(closed)
 	f.latency.List(ids)
-	f.verdict.List(append(ids, closed...))
+	f.verdict.SetServers(append(ids, closed...))
 	for _, id := range closed {
-		f.verdict.Close(id)
+		f.verdict.MarkWithdrawn(id)
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
@@ -256,17 +256,17 @@
 	id := name(n)
 	switch s {
 	case scheduler.OK:
-		f.verdict.Observe(nowMs, id, false)
+		f.verdict.RecordAttempt(nowMs, id, false)
 		f.latency.Observe(nowMs, id, latencyMs)
 		f.wake(nowMs, min(f.nextMs, max(nowMs+5, f.latency.NextMs(nowMs))))
 	case scheduler.Error, scheduler.TimedOut, scheduler.ConnectFailed, scheduler.Reset:
-		f.verdict.Observe(nowMs, id, true)
+		f.verdict.RecordAttempt(nowMs, id, true)
 		f.wake(nowMs, min(f.nextMs, nowMs+20))
 	}
 }
 
 // judge lets findings be told and heard, and tells the module which nodes to leave nearly alone.
-func (f *Fleet) judge(nowMs float64, in []outlier.Evidence) (tell []outlier.Evidence, events []scheduler.Event) {
+func (f *Fleet) judge(nowMs float64, in []outlier.Report) (tell []outlier.Report, events []scheduler.Event) {
 	tell, out := f.verdict.Step(nowMs, in)
 	f.metrics.Add("fleet_findings_told", int64(len(tell)))
 	if len(out) == 0 || nowMs < f.shunAt {
@@ -274,7 +274,7 @@
 	}
 	f.shunAt = nowMs + shunMs
 	for _, v := range out {
-		if n := f.nodes[v.Node]; n != nil {
+		if n := f.nodes[v.Server]; n != nil {
 			events = append(events, scheduler.Shun{Node: n.ID(), Rest: clock.Duration(restMs)})
 			f.metrics.Add("fleet_nodes_shunned", 1)
 		}
@@ -297,7 +297,7 @@
 }
 
 // Until implements core.Fleet.
-func (f *Fleet) Until(v scheduler.VolumeID) float64 { return f.share.UntilMs(uint64(v)) }
+func (f *Fleet) Until(v scheduler.VolumeID) float64 { return f.share.FirstLeaseExpiryMs(uint64(v)) }
 
 // Before implements core.Fleet.
 func (f *Fleet) Before(nowMs float64) []scheduler.Event {
@@ -317,8 +317,8 @@
 	}
 	if len(changes) > 0 {
 		alive := f.members.Alive()
-		f.share.Peers(alive)
-		f.verdict.Alive(1 + len(alive))
+		f.share.SetPeers(alive)
+		f.verdict.SetAliveGateways(1 + len(alive))
 	}
 	tell, events := f.judge(nowMs, toV)
 	samples, merged := f.latency.Step(nowMs, toL)
@@ -329,13 +329,13 @@
 	}
 	sOut, parts := f.share.Step(nowMs, asked, toS)
 	for _, p := range parts {
-		events = append(events, scheduler.Part{Volume: scheduler.VolumeID(p.Pot), Part: p.Part})
+		events = append(events, scheduler.Part{Volume: scheduler.VolumeID(p.Pool), Part: p.Fraction})
 		f.metrics.Add("fleet_parts_changed", 1)
 	}
 	f.send(mOut, sOut, tell, samples)
 	f.nextMs = math.Inf(1)
-	next := min(f.members.NextMs(), f.share.NextMs(nowMs), f.verdict.NextMs(nowMs), f.latency.NextMs(nowMs))
-	if len(f.verdict.Out()) > 0 {
+	next := min(f.members.NextMs(), f.share.NextStepMs(nowMs), f.verdict.NextStepMs(nowMs), f.latency.NextMs(nowMs))
+	if len(f.verdict.Ejections()) > 0 {
 		next = min(next, nowMs+shunMs)
 	}
 	f.wake(nowMs, next)
@@ -357,7 +357,7 @@
 }
 
 // send makes datagrams of what goes to each member.
-func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Evidence, samples []peerlatency.Sample) {
+func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Report, samples []peerlatency.Sample) {
 	if f.socket == nil {
 		return
 	}
@@ -406,14 +406,14 @@
 	for i := range f.opt.Peers {
 		fmt.Fprintf(w, "member %d %s %s\n", i, f.opt.Peers[i], stateNames[f.members.State(uint16(i))])
 	}
-	for _, v := range f.verdict.Out() {
-		if n := f.nodes[v.Node]; n != nil {
-			fmt.Fprintf(w, "verdict %s %s by %d age_ms %.0f\n", n.Name, [...]string{"", "failing", "closed"}[v.Kind], v.By, v.AgeMs)
+	for _, v := range f.verdict.Ejections() {
+		if n := f.nodes[v.Server]; n != nil {
+			fmt.Fprintf(w, "verdict %s %s by %d age_ms %.0f\n", n.Name, [...]string{"", "failing", "closed"}[v.Condition], v.Reporters, v.AgeMs)
 		}
 	}
-	for _, pot := range f.share.Pots() {
-		lent, borrowed := f.share.Lent(pot)
-		fmt.Fprintf(w, "volume %016x held %.4f lent %.4f borrowed %.4f\n", pot, f.share.Held(nowMs, pot), lent, borrowed)
+	for _, pot := range f.share.Pools() {
+		lent, borrowed := f.share.LentAndBorrowed(pot)
+		fmt.Fprintf(w, "volume %016x held %.4f lent %.4f borrowed %.4f\n", pot, f.share.AvailableFraction(nowMs, pot), lent, borrowed)
 	}
 }
 
--- a/internal/quota/contract.go
+++ b/internal/quota/contract.go
@@ -20,56 +20,56 @@
 // Settings are what a Book is made with.
 type Settings struct {
 	Self uint16 // this gateway's number
-	// Life tells this process from an earlier one of the same number.
-	Life    uint32
-	LeaseMs float64
-	// Drift is by how much, in parts of one, the rates of two gateways' clocks differ at most.
-	Drift float64
-	// Lends is the part of its own part that a gateway lends at most.
-	Lends float64
-	// AskMs is the least time between two asks of a pot.
-	AskMs float64
-	// IdleMs is how long a gateway lends of a pot after its last traffic here. Through which gateways a pot's traffic
+	// Incarnation tells this process from an earlier one of the same number.
+	Incarnation uint32
+	LeaseMs     float64
+	// ClockDrift is by how much, in parts of one, the rates of two gateways' clocks differ at most.
+	ClockDrift float64
+	// MaxGrantedFraction is the part of its own part that a gateway lends at most.
+	MaxGrantedFraction float64
+	// RequestIntervalMs is the least time between two asks of a pot.
+	RequestIntervalMs float64
+	// IdleTimeoutMs is how long a gateway lends of a pot after its last traffic here. Through which gateways a pot's traffic
 	// comes must not change within that time: one that has left them would lend what another has taken on.
-	IdleMs float64
-	// MostPots bounds the pots with a book; MostPeers the lenders and the borrowers of each.
-	MostPots, MostPeers int
+	IdleTimeoutMs float64
+	// MaxPools bounds the pots with a book; MostPeers the lenders and the borrowers of each.
+	MaxPools, MaxPeers int
 }
 
-// Kind is what a message is about.
-type Kind uint8
+// MessageKind is what a message is about.
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Ask    Kind = iota + 1 // by the borrower: it could use Part in all from this lender
-	Grant                  // by the lender: it lends Part in all, from the ask of this number on
-	Back                   // by the borrower: it holds no more than Part from now on
-	Recall                 // by the lender: its own traffic needs what it lent beyond Part
+	LeaseRequest MessageKind = iota + 1 // by the borrower: it could use Part in all from this lender
+	LeaseGrant                          // by the lender: it lends Part in all, from the ask of this number on
+	LeaseReturn                         // by the borrower: it holds no more than Part from now on
+	LeaseRecall                         // by the lender: its own traffic needs what it lent beyond Part
 )
 
 // Message goes between two gateways. Part is of the whole pot.
 type Message struct {
-	Kind Kind
-	Pot  uint64
-	Peer uint16 // the other one: to whom it goes, or who sent it
-	Life uint32 // the sender's
-	// To is the receiver's life that a grant or a return is for: it says nothing to a later one.
-	To   uint32
-	Seq  uint32
-	Part float64
+	Kind              MessageKind
+	Pool              uint64
+	Peer              uint16 // the other one: to whom it goes, or who sent it
+	SenderIncarnation uint32 // the sender's
+	// RecipientIncarnation is the receiver's life that a grant or a return is for: it says nothing to a later one.
+	RecipientIncarnation uint32
+	Seq                  uint32
+	Fraction             float64
 }
 
 // Demand tells what this gateway could use of a pot.
 type Demand struct {
-	Pot   uint64
-	Hosts int // gateways through which the pot's traffic comes, this one included
-	Part  float64
-	// Fresh tells that the pot's user has begun anew and wants to be told its part.
-	Fresh bool
+	Pool     uint64
+	Gateways int // gateways through which the pot's traffic comes, this one included
+	Fraction float64
+	// Resync tells that the pot's user has begun anew and wants to be told its part.
+	Resync bool
 }
 
-// Part tells what this gateway holds of a pot, from now on.
-type Part struct {
-	Pot  uint64
-	Part float64
+// Fraction tells what this gateway holds of a pot, from now on.
+type Share struct {
+	Pool     uint64
+	Fraction float64
 }
--- a/internal/quota/share_test.go
+++ b/internal/quota/share_test.go
@@ -12,12 +12,12 @@
 const potID = 7
 
 func settings(self uint16, life uint32) Settings {
-	return Settings{Self: self, Life: life, LeaseMs: 1000, Drift: 0.02, Lends: 0.75, AskMs: 100, IdleMs: 60_000, MostPots: 4, MostPeers: 8}
+	return Settings{Self: self, Incarnation: life, LeaseMs: 1000, ClockDrift: 0.02, MaxGrantedFraction: 0.75, RequestIntervalMs: 100, IdleTimeoutMs: 60_000, MaxPools: 4, MaxPeers: 8}
 }
 
 // gateway is a process of the model, with a clock that runs at its own rate from its own zero.
 type gateway struct {
-	book   *Book
+	book   *Allocator
 	life   uint32
 	rate   float64
 	zero   float64
@@ -49,7 +49,7 @@
 		f.gates = append(f.gates, g)
 		f.start(i)
 	}
-	f.now = 2 * settings(0, 0).HoldMs() // what earlier lives may have lent is over
+	f.now = 2 * settings(0, 0).GrantHoldMs() // what earlier lives may have lent is over
 	return f
 }
 
@@ -68,7 +68,7 @@
 	}
 	g.book, g.life, g.dead, g.paused, g.inbox, g.need = b, f.lives, false, false, nil, 0
 	g.book.Step(f.clock(g), nil, nil)
-	g.book.Peers(peers)
+	g.book.SetPeers(peers)
 }
 
 func (f *fleet) clock(g *gateway) float64 { return g.zero + f.now*g.rate }
@@ -87,10 +87,10 @@
 			peers = append(peers, uint16(p))
 		}
 	}
-	g.book.Peers(peers)
+	g.book.SetPeers(peers)
 	var demands []Demand
 	if g.need >= 0 {
-		demands = []Demand{{Pot: potID, Hosts: len(f.gates), Part: g.need}}
+		demands = []Demand{{Pool: potID, Gateways: len(f.gates), Fraction: g.need}}
 	}
 	out, _ := g.book.Step(f.clock(g), demands, in)
 	for _, m := range out {
@@ -117,11 +117,11 @@
 	for _, g := range f.gates {
 		if !g.dead {
 			if p := g.book.pots[potID]; p != nil {
-				sum += g.book.Held(f.clock(g), potID)
+				sum += g.book.AvailableFraction(f.clock(g), potID)
 			} else {
 				own := 1 / float64(len(f.gates))
-				if f.clock(g) < g.book.startMs+g.book.set.HoldMs() {
-					own *= 1 - g.book.set.Lends
+				if f.clock(g) < g.book.startMs+g.book.set.GrantHoldMs() {
+					own *= 1 - g.book.set.MaxGrantedFraction
 				}
 				sum += own
 			}
@@ -247,7 +247,7 @@
 			if err := f.check(); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			if lent, _ := f.gates[0].book.Lent(potID); lent > 0 {
+			if lent, _ := f.gates[0].book.LentAndBorrowed(potID); lent > 0 {
 				lentAtAll++
 			}
 		}
@@ -290,7 +290,7 @@
 
 func (f *fleet) held(i int) float64 {
 	g := f.gates[i]
-	return g.book.Held(f.clock(g), potID)
+	return g.book.AvailableFraction(f.clock(g), potID)
 }
 
 // Parts go to where the traffic is, come back when it turns, and a dead borrower's come back after its lease.
@@ -309,7 +309,7 @@
 	f.gates[1].dead = true
 	f.gates[0].need = 0.9
 	own := f.held(0)
-	f.settle(settings(0, 0).HoldMs() + 300)
+	f.settle(settings(0, 0).GrantHoldMs() + 300)
 	// What the dead one had borrowed is back. Its own part stays unused, as what would come through it does.
 	if got := f.held(0); got < 0.57 || got < own {
 		t.Errorf("after a borrower's death %.3f is held, %.3f before", got, own)
@@ -332,7 +332,7 @@
 		t.Fatalf("the idle one still holds %.3f", f.held(1))
 	}
 	f.gates[1].need = 1
-	f.settle(settings(0, 0).HoldMs() + 150)
+	f.settle(settings(0, 0).GrantHoldMs() + 150)
 	if got := f.held(1); got < 0.5-1e-9 {
 		t.Errorf("the lender holds %.3f of its half", got)
 	}
@@ -343,7 +343,7 @@
 func TestManyGateways(t *testing.T) {
 	const gates, pots, hosts, loss, tick = 300, 20, 3, 0.1, 25.0
 	rnd := rand.New(rand.NewPCG(1, 9))
-	books := make([]*Book, gates)
+	books := make([]*Allocator, gates)
 	var peers []uint16
 	for i := range books {
 		books[i], _ = New(settings(uint16(i), uint32(i+1)))
@@ -351,14 +351,14 @@
 		peers = append(peers, uint16(i))
 	}
 	for i, b := range books {
-		b.Peers(slices.DeleteFunc(slices.Clone(peers), func(p uint16) bool { return int(p) == i }))
+		b.SetPeers(slices.DeleteFunc(slices.Clone(peers), func(p uint16) bool { return int(p) == i }))
 	}
 	through := make([][]int, pots)
 	for p := range through {
 		through[p] = rnd.Perm(gates)[:hosts]
 	}
-	start := settings(0, 0).HoldMs() + tick
-	bound := settings(0, 0).FindMs(gates)
+	start := settings(0, 0).GrantHoldMs() + tick
+	bound := settings(0, 0).LenderSearchBoundMs(gates)
 	wire := map[int][]Message{} // by tick of arrival; Peer is the receiver, Pot as it is
 	from := map[int][]uint16{}
 	found := make([]float64, pots)
@@ -380,7 +380,7 @@
 				if k == 0 {
 					need = 0.9
 				}
-				demands[h] = append(demands[h], Demand{Pot: uint64(p), Hosts: hosts, Part: need})
+				demands[h] = append(demands[h], Demand{Pool: uint64(p), Gateways: hosts, Fraction: need})
 			}
 		}
 		for i, b := range books {
@@ -398,12 +398,12 @@
 		for p, hs := range through {
 			sum := 0.0
 			for _, h := range hs {
-				sum += books[h].Held(now, uint64(p))
+				sum += books[h].AvailableFraction(now, uint64(p))
 			}
 			if sum > 1+1e-9 {
 				t.Fatalf("at %.0f ms %.4f of volume %d is in force", now, sum, p)
 			}
-			if found[p] == 0 && books[hs[0]].Held(now, uint64(p)) > 0.8 {
+			if found[p] == 0 && books[hs[0]].AvailableFraction(now, uint64(p)) > 0.8 {
 				found[p] = now - start
 			}
 		}
@@ -424,11 +424,11 @@
 	b.Step(0, nil, nil)
 	now := 5000.0
 	for i := range 200 {
-		b.Step(now, []Demand{{Pot: uint64(i), Hosts: 2}}, []Message{
-			{Kind: Ask, Pot: uint64(i % 4), Peer: uint16(1 + i), Life: uint32(i), Seq: 1, Part: 0.01},
-			{Kind: Grant, Pot: uint64(i % 4), Peer: uint16(1 + i), To: 1, Seq: uint32(i), Part: 1},
-			{Kind: Ask, Pot: uint64(i % 4), Peer: 1, Seq: 9, Part: math.NaN()},
-			{Kind: 77, Pot: 1, Peer: 3}})
+		b.Step(now, []Demand{{Pool: uint64(i), Gateways: 2}}, []Message{
+			{Kind: LeaseRequest, Pool: uint64(i % 4), Peer: uint16(1 + i), SenderIncarnation: uint32(i), Seq: 1, Fraction: 0.01},
+			{Kind: LeaseGrant, Pool: uint64(i % 4), Peer: uint16(1 + i), RecipientIncarnation: 1, Seq: uint32(i), Fraction: 1},
+			{Kind: LeaseRequest, Pool: uint64(i % 4), Peer: 1, Seq: 9, Fraction: math.NaN()},
+			{Kind: 77, Pool: 1, Peer: 3}})
 	}
 	if len(b.pots) > 4 || len(b.order) > 4 {
 		t.Errorf("%d pots", len(b.pots))
@@ -441,8 +441,8 @@
 			t.Error("a grant that nobody asked for counts")
 		}
 	}
-	for _, bad := range []func(*Settings){func(s *Settings) { s.LeaseMs = 0 }, func(s *Settings) { s.Drift = math.NaN() },
-		func(s *Settings) { s.Lends = 1 }, func(s *Settings) { s.AskMs = 900 }, func(s *Settings) { s.MostPots = 0 }, func(s *Settings) { s.IdleMs = 0 }} {
+	for _, bad := range []func(*Settings){func(s *Settings) { s.LeaseMs = 0 }, func(s *Settings) { s.ClockDrift = math.NaN() },
+		func(s *Settings) { s.MaxGrantedFraction = 1 }, func(s *Settings) { s.RequestIntervalMs = 900 }, func(s *Settings) { s.MaxPools = 0 }, func(s *Settings) { s.IdleTimeoutMs = 0 }} {
 		s := settings(0, 1)
 		bad(&s)
 		if _, err := New(s); err == nil {
--- a/internal/testbed/cluster/liar.go
+++ b/internal/testbed/cluster/liar.go
@@ -35,13 +35,13 @@
 func (l *liar) lie(to net.Addr, shards, volumes int, round uint64) {
 	p := datagram.Packet{From: uint16(l.n), Life: 1}
 	for s := range shards {
-		for _, k := range []outlier.Kind{outlier.Failing, outlier.Closed} {
-			p.Words = append(p.Words, outlier.Evidence{Node: peer.NodeName(nodeID(s), 0), Kind: k, Percent: 100, Stamp: round<<32 + 1})
+		for _, k := range []outlier.Condition{outlier.Failing, outlier.Withdrawn} {
+			p.Words = append(p.Words, outlier.Report{Server: peer.NodeName(nodeID(s), 0), Condition: k, Percent: 100, Version: round<<32 + 1})
 		}
 	}
 	for v := range volumes {
-		for _, k := range []quota.Kind{quota.Ask, quota.Grant, quota.Back, quota.Recall} {
-			p.Share = append(p.Share, quota.Message{Kind: k, Pot: volumeID(v), Seq: uint32(round), Part: 1})
+		for _, k := range []quota.MessageKind{quota.LeaseRequest, quota.LeaseGrant, quota.LeaseReturn, quota.LeaseRecall} {
+			p.Share = append(p.Share, quota.Message{Kind: k, Pool: volumeID(v), Seq: uint32(round), Fraction: 1})
 		}
 	}
 	m := membership.Message{Kind: membership.Ack, Seq: uint32(round)}
