--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -297,7 +297,9 @@
 }
 
 // QuotaExpiresMs implements core.Fleet.
-func (f *Fleet) QuotaExpiresMs(v scheduler.VolumeID) float64 { return f.share.FirstLeaseExpiryMs(uint64(v)) }
+func (f *Fleet) QuotaExpiresMs(v scheduler.VolumeID) float64 {
+	return f.share.FirstLeaseExpiryMs(uint64(v))
+}
 
 // BeginStep implements core.Fleet.
 func (f *Fleet) BeginStep(nowMs float64) []scheduler.Event {
