--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -94,8 +94,8 @@
 
 	mu      sync.Mutex
 	addr    string
-	version uint64          // told last from addr
-	list    *endpoints.List // what of the news counts
+	version uint64             // told last from addr
+	list    *endpoints.Tracker // what of the news counts
 	runs    incarnation.Tracker
 	follow  bool          // watches are taken up again when they end
 	open    bool          // a watch is open or on its way
@@ -110,7 +110,7 @@
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
-	w := &Watcher{addr: addr, Clock: c, Metrics: m, Tell: tell, version: known.Version, list: endpoints.New(news(known))}
+	w := &Watcher{addr: addr, Clock: c, Metrics: m, Tell: tell, version: known.Version, list: endpoints.NewTracker(news(known))}
 	w.heard.clock = c
 	w.client = &http.Client{CheckRedirect: stay, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
 		DialContext: w.heard.listen(dial), MaxResponseHeaderBytes: 16 << 10}}
@@ -124,24 +124,24 @@
 func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // news is a list as nodelist judges it.
-func news(l lifecycle.List) endpoints.News {
-	n := endpoints.News{Version: l.Version, Whole: l.Scope != scheduler.Patch, Entries: make([]endpoints.Entry, len(l.Nodes))}
+func news(l lifecycle.List) endpoints.Update {
+	n := endpoints.Update{Version: l.Version, Snapshot: l.Scope != scheduler.Patch, Endpoints: make([]endpoints.Endpoint, len(l.Nodes))}
 	for i, e := range l.Nodes {
-		n.Entries[i] = endpoints.Entry{Name: e.Name, Live: e.State == scheduler.Live, Gone: e.State == scheduler.Gone, StartedMs: e.StartedMs}
+		n.Endpoints[i] = endpoints.Endpoint{Name: e.Name, Ready: e.State == scheduler.Live, Removed: e.State == scheduler.Gone, StartedMs: e.StartedMs}
 	}
 	return n
 }
 
-// Follow opens the watch and takes it up again whenever it ends, until ctx does; also behind a Move.
-func (w *Watcher) Follow(ctx context.Context) {
+// KeepOpen opens the watch and takes it up again whenever it ends, until ctx does; also behind a Move.
+func (w *Watcher) KeepOpen(ctx context.Context) {
 	w.mu.Lock()
 	w.follow = true
 	w.mu.Unlock()
-	w.Start(ctx)
+	w.Open(ctx)
 }
 
-// Start opens the watch unless one is open or on its way: asking twice would only load discovery.
-func (w *Watcher) Start(ctx context.Context) {
+// Open opens the watch unless one is open or on its way: asking twice would only load discovery.
+func (w *Watcher) Open(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.open && !w.moving {
@@ -149,10 +149,10 @@
 	}
 }
 
-// Move gives up the open watch, if any, and opens one at another address. It waits until the old one has told
+// SwitchAddress gives up the open watch, if any, and opens one at another address. It waits until the old one has told
 // its last, so nothing from there comes behind the new list; hence it must not be called by whoever takes what
 // is told. The whole list is asked for: versions at one address need mean nothing at another.
-func (w *Watcher) Move(ctx context.Context, addr string) {
+func (w *Watcher) SwitchAddress(ctx context.Context, addr string) {
 	w.mu.Lock()
 	if w.addr == addr {
 		w.mu.Unlock()
@@ -371,7 +371,7 @@
 				l.Version = w.version
 			}
 			w.version = l.Version
-			if d = w.list.Take(w.Clock.NowMs(), news(l)); d.Anew {
+			if d = w.list.Apply(w.Clock.NowMs(), news(l)); d.Resync {
 				w.version = 0
 			}
 		}
@@ -379,18 +379,18 @@
 		if stale {
 			return errors.New("moved")
 		}
-		if d.Anew {
+		if d.Resync {
 			return errAnew
 		}
-		if len(d.Take) < len(l.Nodes) {
-			w.Metrics.Add("discovery_outdated", int64(len(l.Nodes)-len(d.Take)))
+		if len(d.Accepted) < len(l.Nodes) {
+			w.Metrics.Add("discovery_outdated", int64(len(l.Nodes)-len(d.Accepted)))
 		}
 		took := 0.0
-		if first := !seen.told && (d.Whole || len(d.Take) > 0); first {
+		if first := !seen.told && (d.Snapshot || len(d.Accepted) > 0); first {
 			seen.told = true
 			took = w.Clock.NowMs() - seen.beganMs
 		}
-		slog.Debug(logevent.DiscoveryUpdate, logevent.Version, l.Version, "entries", len(d.Take), "whole", d.Whole)
+		slog.Debug(logevent.DiscoveryUpdate, logevent.Version, l.Version, "entries", len(d.Accepted), "whole", d.Snapshot)
 		news := counts(l, d)
 		news.TookMs = took
 		w.date(news.Nodes)
@@ -406,7 +406,7 @@
 func (w *Watcher) complete(atMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.runs.Complete(atMs)
+	w.runs.MarkComplete(atMs)
 }
 
 // date puts the starts of nodes on this gateway's clock.
@@ -415,21 +415,21 @@
 	defer w.mu.Unlock()
 	now := w.Clock.NowMs()
 	for _, n := range nodes {
-		n.StartedMs = w.runs.Since(n.Name, n.StartedMs, now)
+		n.StartedMs = w.runs.StartedAtMs(n.Name, n.StartedMs, now)
 	}
 }
 
-// Date puts the starts of nodes that were known before the start on this gateway's clock.
-func (w *Watcher) Date(known lifecycle.List) { w.date(known.Nodes) }
+// NormalizeStartTimes puts the starts of nodes that were known before the start on this gateway's clock.
+func (w *Watcher) NormalizeStartTimes(known lifecycle.List) { w.date(known.Nodes) }
 
 // counts is what of a list counts.
 func counts(l lifecycle.List, d endpoints.Decision) lifecycle.List {
-	nodes := make([]*lifecycle.Node, len(d.Take))
-	for i, at := range d.Take {
+	nodes := make([]*lifecycle.Node, len(d.Accepted))
+	for i, at := range d.Accepted {
 		nodes[i] = l.Nodes[at]
 	}
 	scope := scheduler.Patch
-	if d.Whole {
+	if d.Snapshot {
 		scope = scheduler.Whole
 	}
 	return lifecycle.List{Version: l.Version, Scope: scope, Nodes: nodes}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -83,8 +83,8 @@
 	}
 	call := func(want string) {
 		t.Helper()
-		w.Start(ctx)
-		w.Start(ctx)
+		w.Open(ctx)
+		w.Open(ctx)
 		if q := <-calls; q != want {
 			t.Errorf("asked %q, want %q", q, want)
 		}
@@ -121,7 +121,7 @@
 	told := make(chan lifecycle.List, 1)
 	w := New(strings.TrimPrefix(srv.URL, "http://"), lifecycle.List{}, clock.NewManual(0), metrics.New(), func(l lifecycle.List) { told <- l }, nil)
 	for range 2 { // an error, then nobody there
-		w.Start(context.Background())
+		w.Open(context.Background())
 		if l := <-told; l.Scope != scheduler.Broken {
 			t.Errorf("%+v", l)
 		}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -82,7 +82,7 @@
 			var wire []byte
 			for _, response := range responses {
 				next <- response
-				w.Start(t.Context())
+				w.Open(t.Context())
 				wire = append(wire, <-requests...)
 				for l := range lists {
 					if l.Scope == scheduler.Ended || l.Scope == scheduler.Broken {
@@ -102,7 +102,7 @@
 	addr := testbed.Serve(t, func(c net.Conn) { requests <- readHead(c) })
 	lists := make(chan lifecycle.List, 16)
 	w := New("127.0.0.1:1", lifecycle.List{Version: 41}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) { lists <- l }, nil)
-	w.Move(context.Background(), addr)
+	w.SwitchAddress(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 	<-lists
 	compareGolden(t, "calls-after-move", quoteLines(wire))
--- a/internal/discovery/heard.go
+++ b/internal/discovery/heard.go
@@ -104,10 +104,10 @@
 	return l.Conn.Close()
 }
 
-// CatchUp waits until what has come on the watch was told, for catchUpMs at most. It guards against a process that was
+// AwaitPendingUpdates waits until what has come on the watch was told, for catchUpMs at most. It guards against a process that was
 // stopped, or had no processor, for longer than the grace of drains: what was decided before goes out in the same moment
 // in which the news can be read. behind: there was something to wait for. Not caught: some of it could still not be told.
-func (w *Watcher) CatchUp() (behind, caught bool) {
+func (w *Watcher) AwaitPendingUpdates() (behind, caught bool) {
 	h := &w.heard
 	var late chan struct{}
 	for {
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -46,7 +46,7 @@
 	w := New(oldAddr, lifecycle.List{Version: 41}, clock.NewManual(1e12), m, func(l lifecycle.List) { told <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
+	w.Open(ctx)
 	if q := <-oldAsked; q != "watch=1&after=41" {
 		t.Errorf("asked %q", q)
 	}
@@ -54,13 +54,13 @@
 	if l := <-told; l.Version != 43 {
 		t.Errorf("%+v", l)
 	}
-	w.Move(ctx, newAddr)
+	w.SwitchAddress(ctx, newAddr)
 	<-oldEnded
 	if q := <-newAsked; q != "watch=1&after=0" {
 		t.Errorf("asked the new one %q", q)
 	}
-	w.Start(ctx)         // one is open
-	w.Move(ctx, newAddr) // and there already
+	w.Open(ctx)                   // one is open
+	w.SwitchAddress(ctx, newAddr) // and there already
 	newFeed <- `{"version":2,"full":true,"servers":[]}`
 	if l := <-told; l.Version != 2 || l.Scope != scheduler.Whole {
 		t.Errorf("%+v", l)
@@ -84,11 +84,11 @@
 	}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
+	w.Open(ctx)
 	oldFeed <- `{"version":43,"servers":[]}`
 	<-telling
 	moved := make(chan bool)
-	go func() { w.Move(ctx, newAddr); close(moved) }()
+	go func() { w.SwitchAddress(ctx, newAddr); close(moved) }()
 	if len(newAsked) != 0 {
 		t.Error("the new watch began before the old one had told its last")
 	}
@@ -107,7 +107,7 @@
 	w := New("127.0.0.1:1", lifecycle.List{Version: 5}, clock.NewManual(1e12), metrics.New(), func(lifecycle.List) {}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Move(ctx, addr)
+	w.SwitchAddress(ctx, addr)
 	if q := <-asked; q != "watch=1&after=0" {
 		t.Errorf("asked %q", q)
 	}
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -103,7 +103,7 @@
 					t.Errorf("%s: the list is emptied", name)
 				}
 			}, n.Dial)
-			w.Start(context.Background())
+			w.Open(context.Background())
 			if took := <-broken; took != c.withMs {
 				t.Errorf("%s: ended after %v ms, want %v", name, took, c.withMs)
 			}
@@ -166,7 +166,7 @@
 			ended <- l.Scope
 		}, n.Dial)
 		began := time.Now()
-		w.Start(context.Background())
+		w.Open(context.Background())
 		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != scheduler.Silent || took != 5*lineMs+silentMs {
 			t.Errorf("ended as %v after %v ms", scope, took)
 		}
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -9,9 +9,9 @@
 
 // Settings are what the length of a lease follows from.
 type Settings struct {
-	NotifyWithinMs float64 // a change counts as told so long after it was made, at the latest
-	GraceMs        float64 // a server may be sent to for so long after its drain was told
-	MarginMs       float64 // the gateway may be held up for so long between a decision and its first byte
+	MaxNotificationDelayMs float64 // a change counts as told so long after it was made, at the latest
+	DrainGraceMs           float64 // a server may be sent to for so long after its drain was told
+	SendDelayMarginMs      float64 // the gateway may be held up for so long between a decision and its first byte
 }
 
 // Lease tells until when the list may be used. Its zero value has ended.
@@ -29,25 +29,25 @@
 	return &Lease{set: set, knownMs: nowMs}
 }
 
-// Heard tells that discovery said something on an open watch, be it that nothing has changed.
-func (l *Lease) Heard(nowMs float64) { l.knownMs = max(l.knownMs, nowMs) }
+// Renew tells that discovery said something on an open watch, be it that nothing has changed.
+func (l *Lease) Renew(nowMs float64) { l.knownMs = max(l.knownMs, nowMs) }
 
-// Answered tells that a call was answered after a time.
-func (l *Lease) Answered(tookMs float64) { l.crowded = tookMs >= crowdedMs }
+// RecordCallLatency tells that a call was answered after a time.
+func (l *Lease) RecordCallLatency(tookMs float64) { l.crowded = tookMs >= crowdedMs }
 
-// Unreachable tells that a call that began at a time found nobody: discovery could not be reached then.
-func (l *Lease) Unreachable(beganMs float64) { l.knownMs = max(l.knownMs, beganMs) }
+// RecordUnreachable tells that a call that began at a time found nobody: discovery could not be reached then.
+func (l *Lease) RecordUnreachable(beganMs float64) { l.knownMs = max(l.knownMs, beganMs) }
 
-// Refused tells that a call that began at a time was turned away or broken off. Discovery does so while it is down, and
+// RecordRejection tells that a call that began at a time was turned away or broken off. Discovery does so while it is down, and
 // also where too many call, which is no proof that it could not be reached. The pace of calls sees to it that the latter
 // is rare; where this gateway has seen that calls wait for each other, a refusal proves nothing.
-func (l *Lease) Refused(beganMs float64) {
+func (l *Lease) RecordRejection(beganMs float64) {
 	if !l.crowded {
 		l.knownMs = max(l.knownMs, beganMs)
 	}
 }
 
-// UntilMs is when the list may no longer be used.
-func (l *Lease) UntilMs() float64 {
-	return l.knownMs + l.set.NotifyWithinMs + max(0, l.set.GraceMs-l.set.MarginMs)
+// ExpiresAtMs is when the list may no longer be used.
+func (l *Lease) ExpiresAtMs() float64 {
+	return l.knownMs + l.set.MaxNotificationDelayMs + max(0, l.set.DrainGraceMs-l.set.SendDelayMarginMs)
 }
--- a/internal/endpointlease/lease_test.go
+++ b/internal/endpointlease/lease_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-var settings = Settings{NotifyWithinMs: 6000, GraceMs: 1000, MarginMs: 150}
+var settings = Settings{MaxNotificationDelayMs: 6000, DrainGraceMs: 1000, SendDelayMarginMs: 150}
 
 // length is how long a lease lasts behind what renewed it last.
 const length = 6850
@@ -14,24 +14,24 @@
 		want float64
 	}{
 		{"from the start", func(*Lease) {}, length},
-		{"a line on the watch", func(l *Lease) { l.Heard(5000) }, 5000 + length},
-		{"an older renewal does not shorten it", func(l *Lease) { l.Heard(5000); l.Unreachable(4000) }, 5000 + length},
-		{"nobody was there", func(l *Lease) { l.Unreachable(4000) }, 4000 + length},
-		{"turned away", func(l *Lease) { l.Refused(4000) }, 4000 + length},
-		{"turned away where calls are answered at once", func(l *Lease) { l.Answered(8); l.Refused(4000) }, 4000 + length},
-		{"turned away where calls wait for each other", func(l *Lease) { l.Answered(1000); l.Refused(4000) }, length},
-		{"nobody was there, where calls wait", func(l *Lease) { l.Answered(1000); l.Unreachable(4000) }, 4000 + length},
-		{"they wait no longer", func(l *Lease) { l.Answered(1900); l.Answered(8); l.Refused(4000) }, 4000 + length},
+		{"a line on the watch", func(l *Lease) { l.Renew(5000) }, 5000 + length},
+		{"an older renewal does not shorten it", func(l *Lease) { l.Renew(5000); l.RecordUnreachable(4000) }, 5000 + length},
+		{"nobody was there", func(l *Lease) { l.RecordUnreachable(4000) }, 4000 + length},
+		{"turned away", func(l *Lease) { l.RecordRejection(4000) }, 4000 + length},
+		{"turned away where calls are answered at once", func(l *Lease) { l.RecordCallLatency(8); l.RecordRejection(4000) }, 4000 + length},
+		{"turned away where calls wait for each other", func(l *Lease) { l.RecordCallLatency(1000); l.RecordRejection(4000) }, length},
+		{"nobody was there, where calls wait", func(l *Lease) { l.RecordCallLatency(1000); l.RecordUnreachable(4000) }, 4000 + length},
+		{"they wait no longer", func(l *Lease) { l.RecordCallLatency(1900); l.RecordCallLatency(8); l.RecordRejection(4000) }, 4000 + length},
 	} {
 		l := New(settings, 0)
 		c.play(l)
-		if got := l.UntilMs(); got != c.want {
+		if got := l.ExpiresAtMs(); got != c.want {
 			t.Errorf("%s: until %v, want %v", c.name, got, c.want)
 		}
 	}
 	short := settings
-	short.GraceMs = 100 // under the margin
-	if got := New(short, 0).UntilMs(); got != 6000 {
+	short.DrainGraceMs = 100 // under the margin
+	if got := New(short, 0).ExpiresAtMs(); got != 6000 {
 		t.Errorf("a short grace: until %v, want 6000", got)
 	}
 }
--- a/internal/endpoints/nodelist_test.go
+++ b/internal/endpoints/nodelist_test.go
@@ -6,39 +6,39 @@
 	"testing"
 )
 
-func live(name string, started float64) Entry {
-	return Entry{Name: name, Live: true, StartedMs: started}
+func live(name string, started float64) Endpoint {
+	return Endpoint{Name: name, Ready: true, StartedMs: started}
 }
-func closed(name string, started float64) Entry {
-	return Entry{Name: name, StartedMs: started}
+func closed(name string, started float64) Endpoint {
+	return Endpoint{Name: name, StartedMs: started}
 }
 
 func TestNewsThatFallBack(t *testing.T) {
-	l := New(News{Version: 41, Whole: true, Entries: []Entry{live("a", 0), live("b", 0), closed("c", 5)}})
+	l := NewTracker(Update{Version: 41, Snapshot: true, Endpoints: []Endpoint{live("a", 0), live("b", 0), closed("c", 5)}})
 	for i, c := range []struct {
 		atMs float64
-		news News
+		news Update
 		want string
 	}{
-		{1, News{Version: 42, Entries: []Entry{closed("a", 0)}}, "take [0]"},
+		{1, Update{Version: 42, Endpoints: []Endpoint{closed("a", 0)}}, "take [0]"},
 		// An agent that has died comes back with nothing, then with an older list: nothing is emptied or opened.
-		{2, News{Version: 0, Whole: true}, "take []"},
-		{3, News{Version: 40, Whole: true, Entries: []Entry{live("a", 0), live("b", 0), live("gone", 0)}}, "take []"},
-		{4, News{Version: 40, Entries: []Entry{closed("b", 0), closed("c", 4), live("c", 4)}}, "take [0]"},
-		{5, News{Version: 40, Entries: []Entry{live("b", 0), live("c", 6)}}, "take [1]"},
+		{2, Update{Version: 0, Snapshot: true}, "take []"},
+		{3, Update{Version: 40, Snapshot: true, Endpoints: []Endpoint{live("a", 0), live("b", 0), live("gone", 0)}}, "take []"},
+		{4, Update{Version: 40, Endpoints: []Endpoint{closed("b", 0), closed("c", 4), live("c", 4)}}, "take [0]"},
+		{5, Update{Version: 40, Endpoints: []Endpoint{live("b", 0), live("c", 6)}}, "take [1]"},
 		// It catches up, and falls back again.
-		{6, News{Version: 42, Entries: []Entry{live("b", 0)}}, "take [0]"},
-		{7, News{Version: 3, Entries: []Entry{live("x", 0)}}, "take []"},
-		{6 + FallenMs, News{Version: 4}, "take []"},
-		{7 + FallenMs, News{Version: 5, Entries: []Entry{live("x", 0)}}, "anew"},
-		{8 + FallenMs, News{Version: 5, Whole: true, Entries: []Entry{live("x", 0), live("a", 0)}}, "take [0 1] of all"},
+		{6, Update{Version: 42, Endpoints: []Endpoint{live("b", 0)}}, "take [0]"},
+		{7, Update{Version: 3, Endpoints: []Endpoint{live("x", 0)}}, "take []"},
+		{6 + RegressionTimeoutMs, Update{Version: 4}, "take []"},
+		{7 + RegressionTimeoutMs, Update{Version: 5, Endpoints: []Endpoint{live("x", 0)}}, "anew"},
+		{8 + RegressionTimeoutMs, Update{Version: 5, Snapshot: true, Endpoints: []Endpoint{live("x", 0), live("a", 0)}}, "take [0 1] of all"},
 	} {
-		d := l.Take(c.atMs, c.news)
-		got := fmt.Sprintf("take %v", d.Take)
-		if d.Whole {
+		d := l.Apply(c.atMs, c.news)
+		got := fmt.Sprintf("take %v", d.Accepted)
+		if d.Snapshot {
 			got += " of all"
 		}
-		if d.Anew {
+		if d.Resync {
 			got = "anew"
 		}
 		if got != c.want {
@@ -46,7 +46,7 @@
 		}
 	}
 	l.Reset()
-	if d := l.Take(9+FallenMs, News{Version: 1, Whole: true, Entries: []Entry{live("a", 0)}}); !d.Whole || len(d.Take) != 1 {
+	if d := l.Apply(9+RegressionTimeoutMs, Update{Version: 1, Snapshot: true, Endpoints: []Endpoint{live("a", 0)}}); !d.Snapshot || len(d.Accepted) != 1 {
 		t.Errorf("another service's list: %+v", d)
 	}
 }
@@ -59,32 +59,32 @@
 	shut    map[string]float64
 }
 
-func (m *model) take(n News, d Decision) error {
-	if d.Whole && n.Version < m.version {
+func (m *model) take(n Update, d Decision) error {
+	if d.Snapshot && n.Version < m.version {
 		return fmt.Errorf("an older list counts as all nodes")
 	}
 	if n.Version >= m.version {
-		if d.Anew || len(d.Take) != len(n.Entries) || d.Whole != n.Whole {
+		if d.Resync || len(d.Accepted) != len(n.Endpoints) || d.Snapshot != n.Snapshot {
 			return fmt.Errorf("news in order do not count in full: %+v", d)
 		}
 		m.version = n.Version
-		if d.Whole {
+		if d.Snapshot {
 			clear(m.open)
 			clear(m.shut)
 		}
 	}
-	for _, i := range d.Take {
-		e := n.Entries[i]
-		if older := n.Version < m.version; older && e.Live {
+	for _, i := range d.Accepted {
+		e := n.Endpoints[i]
+		if older := n.Version < m.version; older && e.Ready {
 			if at, ok := m.shut[e.Name]; !ok && m.open[e.Name] == 0 || ok && e.StartedMs <= at {
 				return fmt.Errorf("opened by older news: %+v", e)
 			}
 		}
 		delete(m.open, e.Name)
 		delete(m.shut, e.Name)
-		if e.Live {
+		if e.Ready {
 			m.open[e.Name] = e.StartedMs
-		} else if !e.Gone {
+		} else if !e.Removed {
 			m.shut[e.Name] = e.StartedMs
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		l, m, now := New(News{}), &model{open: map[string]float64{}, shut: map[string]float64{}}, 0.0
+		l, m, now := NewTracker(Update{}), &model{open: map[string]float64{}, shut: map[string]float64{}}, 0.0
 		version := uint64(10)
 		for range 300 {
 			now += rnd.Float64() * 1000
@@ -107,15 +107,15 @@
 			case 1, 2, 3:
 				version += uint64(rnd.IntN(3))
 			}
-			n := News{Version: version, Whole: rnd.IntN(4) == 0}
+			n := Update{Version: version, Snapshot: rnd.IntN(4) == 0}
 			for range rnd.IntN(4) {
-				n.Entries = append(n.Entries, Entry{Name: fmt.Sprint(rnd.IntN(4)), StartedMs: 1 + float64(rnd.IntN(3))})
-				e := &n.Entries[len(n.Entries)-1]
-				e.Live = rnd.IntN(2) == 0
-				e.Gone = !e.Live && rnd.IntN(2) == 0
+				n.Endpoints = append(n.Endpoints, Endpoint{Name: fmt.Sprint(rnd.IntN(4)), StartedMs: 1 + float64(rnd.IntN(3))})
+				e := &n.Endpoints[len(n.Endpoints)-1]
+				e.Ready = rnd.IntN(2) == 0
+				e.Removed = !e.Ready && rnd.IntN(2) == 0
 			}
-			d := l.Take(now, n)
-			if d.Anew {
+			d := l.Apply(now, n)
+			if d.Resync {
 				m.version = 0
 				continue
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -150,8 +150,8 @@
 	gate := g.loop.Gate()
 	gate.CatchUp, gate.Denied = g.catchUp, g.denied
 	if cfg.Settings.AskList { // where it is pushed, what this machine's agent has counts, and it can always be asked
-		g.loop.SetLease(endpointlease.New(endpointlease.Settings{NotifyWithinMs: notifyWithinMs,
-			GraceMs: clock.Ms(cfg.Settings.DrainGrace), MarginMs: heldUpMs}, c.NowMs()))
+		g.loop.SetLease(endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: notifyWithinMs,
+			DrainGraceMs: clock.Ms(cfg.Settings.DrainGrace), SendDelayMarginMs: heldUpMs}, c.NowMs()))
 	}
 	g.watcher = discovery.New(cfg.Discovery, cfg.Known, c, g.Metrics, g.loop.Nodes, network.Dial)
 	front := newPlatform(g)
@@ -180,17 +180,17 @@
 // Start opens all that clients can reach.
 func (g *Gateway) Start() error {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.loop.Watch, g.loop.Prober = func() { g.watcher.Start(g.ctx) }, g.back.Probe
+	g.loop.Watch, g.loop.Prober = func() { g.watcher.Open(g.ctx) }, g.back.Probe
 	g.loop.BecameReady = func() {
 		for _, p := range g.parts {
 			p.ready()
 		}
 	}
 	go g.loop.Run(g.ctx)
-	g.watcher.Date(g.cfg.Known)
+	g.watcher.NormalizeStartTimes(g.cfg.Known)
 	g.loop.Nodes(g.cfg.Known)
 	if !g.cfg.Settings.AskList { // the module asks for nothing then, and what the agent has counts as told
-		g.watcher.Follow(g.ctx)
+		g.watcher.KeepOpen(g.ctx)
 	}
 	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.KnownBad))
 	for i, p := range g.parts {
@@ -213,7 +213,7 @@
 
 // catchUp returns once what has come on the watch counts at the nodes' entries, and tells whether it does.
 func (g *Gateway) catchUp() bool {
-	behind, caught := g.watcher.CatchUp()
+	behind, caught := g.watcher.AwaitPendingUpdates()
 	if behind && caught {
 		g.loop.Sync()
 	}
@@ -270,7 +270,7 @@
 	}
 	slog.Info(logevent.ReloadDone, "discovery", next.Discovery)
 	g.cfg = next
-	g.watcher.Move(g.ctx, next.Discovery)
+	g.watcher.SwitchAddress(g.ctx, next.Discovery)
 }
 
 // serve runs a listener's server; its end is told unless the listener was closed for it.
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -23,11 +23,11 @@
 	sinceMs float64 // on this gateway's clock
 }
 
-// Complete tells that the list is complete as of a time.
-func (t *Tracker) Complete(atMs float64) { t.completeMs = max(t.completeMs, atMs) }
+// MarkComplete tells that the list is complete as of a time.
+func (t *Tracker) MarkComplete(atMs float64) { t.completeMs = max(t.completeMs, atMs) }
 
-// Since is when a listed server was started, on this gateway's clock. toldMs is what the list says; 0: long ago.
-func (t *Tracker) Since(name string, toldMs, nowMs float64) float64 {
+// StartedAtMs is when a listed server was started, on this gateway's clock. toldMs is what the list says; 0: long ago.
+func (t *Tracker) StartedAtMs(name string, toldMs, nowMs float64) float64 {
 	if toldMs == 0 {
 		return 0
 	}
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -190,17 +190,17 @@
 		return
 	}
 	if l.TookMs > 0 {
-		c.lease.Answered(l.TookMs)
+		c.lease.RecordCallLatency(l.TookMs)
 	}
 	switch {
 	case l.Scope == scheduler.Patch || l.Scope == scheduler.Whole || l.Scope == scheduler.Alive:
-		c.lease.Heard(l.AtMs)
+		c.lease.Renew(l.AtMs)
 	case l.Scope == scheduler.Broken && l.Failure == Unreachable:
-		c.lease.Unreachable(l.AtMs)
+		c.lease.RecordUnreachable(l.AtMs)
 	case l.Scope == scheduler.Broken && l.Failure == TurnedAway:
-		c.lease.Refused(l.AtMs)
+		c.lease.RecordRejection(l.AtMs)
 	}
-	c.gate.SetListUntil(c.lease.UntilMs())
+	c.gate.SetListUntil(c.lease.ExpiresAtMs())
 }
 
 // listUntil is when the list may no longer be used, for the module; 0: there is no such time.
@@ -208,7 +208,7 @@
 	if c.lease == nil {
 		return 0
 	}
-	return clock.Duration(c.lease.UntilMs())
+	return clock.Duration(c.lease.ExpiresAtMs())
 }
 
 // Nodes brings news of the node list.
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -28,9 +28,9 @@
 func (a *Attempt) Sent(nowMs, toldMs float64) (broken string) {
 	f := a.facts(nowMs)
 	switch {
-	case f.NowMs >= f.ListUntilMs+heldUpMs:
+	case f.NowMs >= f.LeaseExpiresAtMs+heldUpMs:
 		return "drain"
-	case f.BeginBeforeMs != 0 && f.NowMs >= f.BeginBeforeMs+heldUpMs:
+	case f.StartDeadlineMs != 0 && f.NowMs >= f.StartDeadlineMs+heldUpMs:
 		return "duplicate"
 	case toldMs > f.DeadlineMs-f.NowMs+heldUpMs:
 		return "late_deadline"
@@ -52,11 +52,11 @@
 func (g *Gate) ListUntilMs() float64 { return math.Float64frombits(g.listUntil.Load()) }
 
 // facts are what is known of the attempt at a moment.
-func (a *Attempt) facts(nowMs float64) permission.Facts {
-	f := permission.Facts{NowMs: nowMs, ClientGone: a.Request.Left(), ServerClosed: a.Node.Closed(),
-		ListUntilMs: math.Inf(1), BeginBeforeMs: a.BeginMs, DeadlineMs: a.DeadlineMs}
+func (a *Attempt) facts(nowMs float64) permission.Conditions {
+	f := permission.Conditions{NowMs: nowMs, ClientCanceled: a.Request.Left(), ServerUnavailable: a.Node.Closed(),
+		LeaseExpiresAtMs: math.Inf(1), StartDeadlineMs: a.BeginMs, DeadlineMs: a.DeadlineMs}
 	if a.Gate != nil {
-		f.ListUntilMs = a.Gate.ListUntilMs()
+		f.LeaseExpiresAtMs = a.Gate.ListUntilMs()
 	}
 	return f
 }
@@ -66,15 +66,15 @@
 func (a *Attempt) MayBegin(c clock.Clock) (leftMs float64, why permission.Denial) {
 	caught := a.Gate == nil || a.Gate.CatchUp == nil || a.Gate.CatchUp()
 	f := a.facts(c.NowMs())
-	f.ListUnread = !caught
-	why = permission.MayBegin(f)
+	f.UpdatePending = !caught
+	why = permission.Authorize(f)
 	if why != permission.Allowed && a.Gate != nil && a.Gate.Denied != nil {
 		a.Gate.Denied(a, why)
 	}
-	return permission.LeftMs(f), why
+	return permission.RemainingMs(f), why
 }
 
 // Over tells whether an attempt of which no byte has gone out must not begin any more.
 func (a *Attempt) Over(nowMs float64) bool {
-	return permission.MayBegin(a.facts(nowMs)) != permission.Allowed
+	return permission.Authorize(a.facts(nowMs)) != permission.Allowed
 }
--- a/internal/permission/permission.go
+++ b/internal/permission/permission.go
@@ -10,17 +10,17 @@
 
 // The denials.
 const (
-	Allowed       Denial = iota
-	ClientGone           // nobody waits for the answer any more
-	ServerClosed         // the list names the server draining, gone or moved
-	ListExpired          // the list is too old to send by
-	ListUnread           // news of the list have come and do not count yet
-	WindowOver           // what the attempt draws on, such as the time in which repeats are dropped, is over
-	TimeUp               // the client's time is up
-	DenialsNumber = iota
+	Allowed               Denial = iota
+	ClientCanceled               // nobody waits for the answer any more
+	ServerUnavailable            // the list names the server draining, gone or moved
+	LeaseExpired                 // the list is too old to send by
+	UpdatePending                // news of the list have come and do not count yet
+	StartDeadlineExceeded        // what the attempt draws on, such as the time in which repeats are dropped, is over
+	DeadlineExceeded             // the client's time is up
+	DenialCount           = iota
 )
 
-var denialNames = [DenialsNumber]string{"allowed", "client_gone", "server_closed", "list_expired", "list_unread", "window_over", "time_up"}
+var denialNames = [DenialCount]string{"allowed", "client_gone", "server_closed", "list_expired", "list_unread", "window_over", "time_up"}
 
 // String returns the denial's name in logs and counters.
 func (d Denial) String() string {
@@ -30,38 +30,40 @@
 	return "unknown"
 }
 
-// Harmless tells whether the denial says nothing of the server.
-func (d Denial) Harmless() bool { return d == ListExpired || d == ListUnread || d == TimeUp }
+// IsIndependentOfServer tells whether the denial says nothing of the server.
+func (d Denial) IsIndependentOfServer() bool {
+	return d == LeaseExpired || d == UpdatePending || d == DeadlineExceeded
+}
 
-// Facts is what is known of an attempt at a moment. Times are milliseconds on the gateway's clock.
-type Facts struct {
-	NowMs         float64
-	ClientGone    bool
-	ServerClosed  bool
-	ListUntilMs   float64 // the list may be used until then
-	ListUnread    bool    // news of it have come that could not be taken in
-	BeginBeforeMs float64 // what the attempt draws on lasts until then; 0: there is no such time
-	DeadlineMs    float64 // the client's time is up then
+// Conditions is what is known of an attempt at a moment. Times are milliseconds on the gateway's clock.
+type Conditions struct {
+	NowMs             float64
+	ClientCanceled    bool
+	ServerUnavailable bool
+	LeaseExpiresAtMs  float64 // the list may be used until then
+	UpdatePending     bool    // news of it have come that could not be taken in
+	StartDeadlineMs   float64 // what the attempt draws on lasts until then; 0: there is no such time
+	DeadlineMs        float64 // the client's time is up then
 }
 
-// MayBegin decides whether the attempt's first byte may go out.
-func MayBegin(f Facts) Denial {
+// Authorize decides whether the attempt's first byte may go out.
+func Authorize(f Conditions) Denial {
 	switch {
-	case f.ClientGone:
-		return ClientGone
-	case f.ServerClosed:
-		return ServerClosed
-	case f.NowMs >= f.ListUntilMs:
-		return ListExpired
-	case f.ListUnread:
-		return ListUnread
-	case f.BeginBeforeMs != 0 && f.NowMs >= f.BeginBeforeMs:
-		return WindowOver
-	case LeftMs(f) < 1:
-		return TimeUp
+	case f.ClientCanceled:
+		return ClientCanceled
+	case f.ServerUnavailable:
+		return ServerUnavailable
+	case f.NowMs >= f.LeaseExpiresAtMs:
+		return LeaseExpired
+	case f.UpdatePending:
+		return UpdatePending
+	case f.StartDeadlineMs != 0 && f.NowMs >= f.StartDeadlineMs:
+		return StartDeadlineExceeded
+	case RemainingMs(f) < 1:
+		return DeadlineExceeded
 	}
 	return Allowed
 }
 
-// LeftMs is the time that a server may be told that the client has left: whole milliseconds, rounded down.
-func LeftMs(f Facts) float64 { return math.Floor(f.DeadlineMs - f.NowMs) }
+// RemainingMs is the time that a server may be told that the client has left: whole milliseconds, rounded down.
+func RemainingMs(f Conditions) float64 { return math.Floor(f.DeadlineMs - f.NowMs) }
--- a/internal/upstream/httpclient/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -173,7 +173,7 @@
 	switch cause := context.Cause(ctx); {
 	case !whole && t.Request.Left(): // nothing that its node has to answer for
 		return scheduler.Cancelled
-	case !whole && t.denied.Harmless():
+	case !whole && t.denied.IsIndependentOfServer():
 		return scheduler.Moot // it did not run, and that tells nothing of its node
 	case !whole && (cause == nil || !errors.Is(cause, context.Canceled)):
 		return scheduler.ConnectFailed
--- a/internal/upstream/sftpclient/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -164,9 +164,9 @@
 // unbegun is how an attempt ended that was not let through.
 func unbegun(why permission.Denial) scheduler.Status {
 	switch {
-	case why == permission.ClientGone:
+	case why == permission.ClientCanceled:
 		return scheduler.Cancelled
-	case why.Harmless():
+	case why.IsIndependentOfServer():
 		return scheduler.Moot
 	}
 	return scheduler.Full
