--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -1,53 +1,64 @@
-// Package endpointlease decides how long a list of servers may be used that cannot be refreshed. It is pure: the caller
-// brings the time, in milliseconds on a clock that never runs backwards.
+// Package endpointlease decides for how long the endpoint list may be used while it cannot be refreshed.
 //
-// A change of the list counts as told at the latest NotifyWithinMs after discovery had it and could be reached, whether
-// or not it arrived. A gateway that goes on sending by an old list breaks the rule on drains as soon as one of its
-// servers drains. So a list is held on a lease: it is valid as of the last moment at which the gateway is known to have
-// missed nothing, and may be used until a change made right behind that moment would have to be heeded.
+// A change of the list counts as notified at the latest MaxNotificationDelayMs after discovery had it and was reachable,
+// whether or not it arrived. A gateway that keeps sending by an outdated list violates the rule on drains as soon as one of
+// its servers drains. The list is therefore used under a lease: the lease is valid as of the last moment at which the
+// gateway is known to have missed no change, and expires when a change made right after that moment would have to be
+// obeyed.
+//
+// Package endpointlease owns no goroutine, performs no I/O and reads no clock. All times are in milliseconds on one clock
+// that never runs backwards.
 package endpointlease
 
-// Settings are what the length of a lease follows from.
+// congestedLatencyMs is the latency from which on an answered call of discovery must have waited for those of others.
+const congestedLatencyMs = 1000
+
+// Settings determine the length of a lease. All are in milliseconds.
 type Settings struct {
-	MaxNotificationDelayMs float64 // a change counts as told so long after it was made, at the latest
-	DrainGraceMs           float64 // a server may be sent to for so long after its drain was told
-	SendDelayMarginMs      float64 // the gateway may be held up for so long between a decision and its first byte
+	// MaxNotificationDelayMs is when, after it was made, a change counts as notified at the latest.
+	MaxNotificationDelayMs float64
+	// DrainGraceMs is for how long requests may still be sent to a server after the notification of its drain.
+	DrainGraceMs float64
+	// SendDelayMarginMs is for how long the gateway may be delayed between a decision and the first byte that it sends.
+	SendDelayMarginMs float64
 }
 
-// Lease tells until when the list may be used. Its zero value has ended.
+// Lease determines until when the endpoint list may be used. Create one with New; the zero value expires at time 0. A Lease
+// is not safe for concurrent use.
 type Lease struct {
-	set     Settings
-	knownMs float64 // nothing that discovery could have told before is missing
-	crowded bool    // the last call that was answered had to wait for others
+	settings     Settings
+	completeAtMs float64 // no change made before this time is missing
+	congested    bool    // the last answered call waited for those of others
 }
 
-// crowdedMs is how long a call may take to be answered where it does not wait for many others.
-const crowdedMs = 1000
-
-// New returns a lease on a list that is held at a time.
-func New(set Settings, nowMs float64) *Lease {
-	return &Lease{set: set, knownMs: nowMs}
+// New returns a lease for a list that is complete at nowMs.
+func New(settings Settings, nowMs float64) *Lease {
+	return &Lease{settings: settings, completeAtMs: nowMs}
 }
 
-// Renew tells that discovery said something on an open watch, be it that nothing has changed.
-func (l *Lease) Renew(nowMs float64) { l.knownMs = max(l.knownMs, nowMs) }
+// Renew records that the list was complete at a time, because discovery sent an update or a heartbeat on an open watch.
+// Renewals for earlier times have no effect.
+func (l *Lease) Renew(atMs float64) { l.completeAtMs = max(l.completeAtMs, atMs) }
 
-// RecordCallLatency tells that a call was answered after a time.
-func (l *Lease) RecordCallLatency(tookMs float64) { l.crowded = tookMs >= crowdedMs }
+// RecordCallLatency records how long discovery took to answer a call.
+func (l *Lease) RecordCallLatency(latencyMs float64) {
+	l.congested = latencyMs >= congestedLatencyMs
+}
 
-// RecordUnreachable tells that a call that began at a time found nobody: discovery could not be reached then.
-func (l *Lease) RecordUnreachable(beganMs float64) { l.knownMs = max(l.knownMs, beganMs) }
+// RecordUnreachable renews the lease as of the start of a call that could not connect: discovery was unreachable then.
+func (l *Lease) RecordUnreachable(startedMs float64) { l.Renew(startedMs) }
 
-// RecordRejection tells that a call that began at a time was turned away or broken off. Discovery does so while it is down, and
-// also where too many call, which is no proof that it could not be reached. The pace of calls sees to it that the latter
-// is rare; where this gateway has seen that calls wait for each other, a refusal proves nothing.
-func (l *Lease) RecordRejection(beganMs float64) {
-	if !l.crowded {
-		l.knownMs = max(l.knownMs, beganMs)
+// RecordRejection records that discovery rejected or broke off a call that started at startedMs. Discovery does so while it
+// is down, which renews the lease, but also under too many calls, which proves nothing. Calls are paced so that the latter
+// is rare; while the last answered call indicated congestion, a rejection does not renew the lease.
+func (l *Lease) RecordRejection(startedMs float64) {
+	if !l.congested {
+		l.Renew(startedMs)
 	}
 }
 
-// ExpiresAtMs is when the list may no longer be used.
+// ExpiresAtMs returns the time from which on the list must not be used.
 func (l *Lease) ExpiresAtMs() float64 {
-	return l.knownMs + l.set.MaxNotificationDelayMs + max(0, l.set.DrainGraceMs-l.set.SendDelayMarginMs)
+	graceMs := max(0, l.settings.DrainGraceMs-l.settings.SendDelayMarginMs)
+	return l.completeAtMs + l.settings.MaxNotificationDelayMs + graceMs
 }
--- /dev/null
+++ b/internal/incarnation/tracker_test.go
@@ -0,0 +1,53 @@
+package incarnation
+
+import (
+	"fmt"
+	"testing"
+)
+
+const hourMs = 3_600_000.0
+
+// TestClockSkewDoesNotEndSlowStart checks that, however far this gateway's clock is off, a server that starts while the
+// list is watched counts as young as it is, except for the delay of the list, and stays the same incarnation.
+func TestClockSkewDoesNotEndSlowStart(t *testing.T) {
+	for _, skewMs := range []float64{0, 5000, -5000, hourMs, -hourMs} {
+		t.Run(fmt.Sprintf("skew %v ms", skewMs), func(t *testing.T) { checkSkew(t, skewMs) })
+	}
+}
+
+func checkSkew(t *testing.T, skewMs float64) {
+	t.Helper()
+	nowMs := 100*hourMs + skewMs // on this gateway's clock
+	var tracker Tracker
+	old := tracker.StartedAtMs("old", 99.5*hourMs, nowMs)
+	if old > nowMs || skewMs == 0 && old != 99.5*hourMs {
+		t.Errorf("a server of the first list started at %v, now is %v", old, nowMs)
+	}
+	tracker.MarkComplete(nowMs)
+	nowMs += 2000 // a server starts 1.5 s later and is listed 0.5 s after that
+	young := tracker.StartedAtMs("young", 100*hourMs+1500, nowMs)
+	if ageMs := nowMs - young; ageMs < 0 || ageMs > 2000 || skewMs == 0 && ageMs != 500 {
+		t.Errorf("a server that started 0.5 s ago is %v ms old", ageMs)
+	}
+	tracker.MarkComplete(nowMs + hourMs)
+	if again := tracker.StartedAtMs("young", 100*hourMs+1500, nowMs+hourMs); again != young {
+		t.Errorf("the same incarnation started at %v, then at %v", young, again)
+	}
+	if tracker.StartedAtMs("long ago", 0, nowMs) != 0 {
+		t.Error("the start 0 is not kept")
+	}
+	restarted := tracker.StartedAtMs("young", 101*hourMs+1000, nowMs+hourMs+1000)
+	if ageMs := nowMs + hourMs + 1000 - restarted; ageMs < 0 || ageMs > 2000 {
+		t.Errorf("a server that has just restarted is %v ms old", ageMs)
+	}
+}
+
+func TestIncarnationsAreBounded(t *testing.T) {
+	var tracker Tracker
+	for i := range 3 * maxIncarnations {
+		tracker.StartedAtMs(fmt.Sprint(i), 1000, 2000)
+	}
+	if len(tracker.incarnations) > maxIncarnations {
+		t.Errorf("%d are kept, want at most %d", len(tracker.incarnations), maxIncarnations)
+	}
+}
