--- a/internal/permission/permission.go
+++ b/internal/permission/permission.go
@@ -1,28 +1,48 @@
-// Package permission is the one place that decides whether an attempt may begin now: at its first byte, whatever was
-// decided before and however long it has waited since. It is pure; the caller gathers the facts at that moment. After
-// the first byte the same facts are held against the rules themselves, so that what slips through is counted.
+// Package permission authorizes the first byte of an attempt. It is the only place that decides whether an attempt may
+// start, at the moment of its first byte: whatever the scheduler decided before, and however long the attempt has waited
+// since, has to hold at that moment.
+//
+// Package permission owns no goroutine, performs no I/O and reads no clock: callers collect the Conditions.
 package permission
 
 import "math"
 
-// Denial tells why an attempt may not begin.
+// Denial is the reason why an attempt may not start, or Allowed.
 type Denial uint8
 
-// The denials.
+// The values of Denial, in the order in which Authorize checks for them.
 const (
-	Allowed               Denial = iota
-	ClientCanceled               // nobody waits for the answer any more
-	ServerUnavailable            // the list names the server draining, gone or moved
-	LeaseExpired                 // the list is too old to send by
-	UpdatePending                // news of the list have come and do not count yet
-	StartDeadlineExceeded        // what the attempt draws on, such as the time in which repeats are dropped, is over
-	DeadlineExceeded             // the client's time is up
-	DenialCount           = iota
+	// Allowed means that the attempt may start.
+	Allowed Denial = iota
+	// ClientCanceled means that the client no longer waits for a response.
+	ClientCanceled
+	// ServerUnavailable means that the endpoint list reports the server as draining, removed or moved to another address.
+	ServerUnavailable
+	// LeaseExpired means that the endpoint list could not be refreshed in time.
+	LeaseExpired
+	// UpdatePending means that an update of the endpoint list has arrived and is not applied yet.
+	UpdatePending
+	// StartDeadlineExceeded means that what the attempt relies on, such as the servers' window for dropping duplicates or a
+	// quota lease, has ended.
+	StartDeadlineExceeded
+	// DeadlineExceeded means that less than a millisecond is left of the client's time.
+	DeadlineExceeded
+
+	denialCount = iota
 )
 
-var denialNames = [DenialCount]string{"allowed", "client_gone", "server_closed", "list_expired", "list_unread", "window_over", "time_up"}
+// denialNames are parts of counters' names.
+var denialNames = [denialCount]string{
+	Allowed:               "allowed",
+	ClientCanceled:        "client_canceled",
+	ServerUnavailable:     "server_unavailable",
+	LeaseExpired:          "endpoint_lease_expired",
+	UpdatePending:         "endpoint_update_pending",
+	StartDeadlineExceeded: "start_deadline_exceeded",
+	DeadlineExceeded:      "deadline_exceeded",
+}
 
-// String returns the denial's name in logs and counters.
+// String returns the name of the denial in logs and counters, and "unknown" for other values.
 func (d Denial) String() string {
 	if int(d) < len(denialNames) {
 		return denialNames[d]
@@ -30,40 +50,50 @@
 	return "unknown"
 }
 
-// IsIndependentOfServer tells whether the denial says nothing of the server.
+// IsIndependentOfServer reports whether the denial says nothing about the state of the server.
 func (d Denial) IsIndependentOfServer() bool {
 	return d == LeaseExpired || d == UpdatePending || d == DeadlineExceeded
 }
 
-// Conditions is what is known of an attempt at a moment. Times are milliseconds on the gateway's clock.
+// Conditions describe an attempt at one moment. All times are in milliseconds on the gateway's clock.
 type Conditions struct {
-	NowMs             float64
-	ClientCanceled    bool
+	// NowMs is the moment that the conditions describe.
+	NowMs float64
+	// ClientCanceled reports that the client no longer waits for a response.
+	ClientCanceled bool
+	// ServerUnavailable reports that the server is draining, removed or moved.
 	ServerUnavailable bool
-	LeaseExpiresAtMs  float64 // the list may be used until then
-	UpdatePending     bool    // news of it have come that could not be taken in
-	StartDeadlineMs   float64 // what the attempt draws on lasts until then; 0: there is no such time
-	DeadlineMs        float64 // the client's time is up then
+	// LeaseExpiresAtMs is the time from which on the endpoint list must not be used.
+	LeaseExpiresAtMs float64
+	// UpdatePending reports that an update of the endpoint list has arrived and could not be applied.
+	UpdatePending bool
+	// StartDeadlineMs is the time from which on the attempt must not start. 0 means that there is none.
+	StartDeadlineMs float64
+	// DeadlineMs is when the client's time ends.
+	DeadlineMs float64
 }
 
-// Authorize decides whether the attempt's first byte may go out.
-func Authorize(f Conditions) Denial {
+// Authorize decides whether the first byte of an attempt may be sent. It returns Allowed or the first reason against it.
+func Authorize(conditions Conditions) Denial {
 	switch {
-	case f.ClientCanceled:
+	case conditions.ClientCanceled:
 		return ClientCanceled
-	case f.ServerUnavailable:
+	case conditions.ServerUnavailable:
 		return ServerUnavailable
-	case f.NowMs >= f.LeaseExpiresAtMs:
+	case conditions.NowMs >= conditions.LeaseExpiresAtMs:
 		return LeaseExpired
-	case f.UpdatePending:
+	case conditions.UpdatePending:
 		return UpdatePending
-	case f.StartDeadlineMs != 0 && f.NowMs >= f.StartDeadlineMs:
+	case conditions.StartDeadlineMs != 0 && conditions.NowMs >= conditions.StartDeadlineMs:
 		return StartDeadlineExceeded
-	case RemainingMs(f) < 1:
+	case RemainingMs(conditions) < 1:
 		return DeadlineExceeded
 	}
 	return Allowed
 }
 
-// RemainingMs is the time that a server may be told that the client has left: whole milliseconds, rounded down.
-func RemainingMs(f Conditions) float64 { return math.Floor(f.DeadlineMs - f.NowMs) }
+// RemainingMs returns the remaining time to announce to a server, in whole milliseconds, rounded down. It is negative after
+// the deadline.
+func RemainingMs(conditions Conditions) float64 {
+	return math.Floor(conditions.DeadlineMs - conditions.NowMs)
+}
--- a/internal/permission/permission_test.go
+++ b/internal/permission/permission_test.go
@@ -5,36 +5,46 @@
 	"testing"
 )
 
-func TestMayBegin(t *testing.T) {
-	open := Conditions{NowMs: 100, LeaseExpiresAtMs: math.Inf(1), DeadlineMs: 1000}
-	for _, c := range []struct {
+func TestAuthorize(t *testing.T) {
+	allowed := Conditions{NowMs: 100, LeaseExpiresAtMs: math.Inf(1), DeadlineMs: 1000}
+	for _, test := range []struct {
 		name   string
 		change func(*Conditions)
 		want   Denial
 	}{
-		{"nothing against it", func(*Conditions) {}, Allowed},
-		{"client gone", func(f *Conditions) { f.ClientCanceled = true }, ClientCanceled},
-		{"server closed", func(f *Conditions) { f.ServerUnavailable = true }, ServerUnavailable},
-		{"list valid for a moment more", func(f *Conditions) { f.LeaseExpiresAtMs = 100.1 }, Allowed},
-		{"list expired in this moment", func(f *Conditions) { f.LeaseExpiresAtMs = 100 }, LeaseExpired},
-		{"news unread", func(f *Conditions) { f.UpdatePending = true }, UpdatePending},
-		{"window open for a moment more", func(f *Conditions) { f.StartDeadlineMs = 100.1 }, Allowed},
-		{"window over in this moment", func(f *Conditions) { f.StartDeadlineMs = 100 }, StartDeadlineExceeded},
-		{"a millisecond left", func(f *Conditions) { f.DeadlineMs = 101 }, Allowed},
-		{"less than a millisecond left", func(f *Conditions) { f.DeadlineMs = 100.9 }, DeadlineExceeded},
-		{"no time left", func(f *Conditions) { f.DeadlineMs = 50 }, DeadlineExceeded},
-		{"several", func(f *Conditions) { f.ClientCanceled, f.ServerUnavailable, f.DeadlineMs = true, true, 0 }, ClientCanceled},
+		{"allowed", func(*Conditions) {}, Allowed},
+		{"client canceled", func(c *Conditions) { c.ClientCanceled = true }, ClientCanceled},
+		{"server unavailable", func(c *Conditions) { c.ServerUnavailable = true }, ServerUnavailable},
+		{"lease about to expire", func(c *Conditions) { c.LeaseExpiresAtMs = 100.1 }, Allowed},
+		{"lease expires now", func(c *Conditions) { c.LeaseExpiresAtMs = 100 }, LeaseExpired},
+		{"update pending", func(c *Conditions) { c.UpdatePending = true }, UpdatePending},
+		{"start deadline about to pass", func(c *Conditions) { c.StartDeadlineMs = 100.1 }, Allowed},
+		{"start deadline passes now", func(c *Conditions) { c.StartDeadlineMs = 100 }, StartDeadlineExceeded},
+		{"one millisecond left", func(c *Conditions) { c.DeadlineMs = 101 }, Allowed},
+		{"less than a millisecond left", func(c *Conditions) { c.DeadlineMs = 100.9 }, DeadlineExceeded},
+		{"no time left", func(c *Conditions) { c.DeadlineMs = 50 }, DeadlineExceeded},
+		{"first of several", func(c *Conditions) { c.ClientCanceled, c.ServerUnavailable, c.DeadlineMs = true, true, 0 }, ClientCanceled},
 	} {
-		f := open
-		c.change(&f)
-		if got := Authorize(f); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			conditions := allowed
+			test.change(&conditions)
+			if got := Authorize(conditions); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
 	}
+}
+
+func TestRemainingMs(t *testing.T) {
 	if got := RemainingMs(Conditions{NowMs: 100.2, DeadlineMs: 300}); got != 199 {
-		t.Errorf("left: %v, want 199", got)
+		t.Errorf("got %v, want 199", got)
 	}
-	if Denial(99).String() != "unknown" || DeadlineExceeded.String() != "time_up" {
-		t.Error("names of denials")
+}
+
+func TestDenialString(t *testing.T) {
+	for denial, want := range map[Denial]string{DeadlineExceeded: "deadline_exceeded", Denial(99): "unknown"} {
+		if got := denial.String(); got != want {
+			t.Errorf("Denial(%d) is %q, want %q", uint8(denial), got, want)
+		}
 	}
 }
