--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -190,17 +190,17 @@
 		return
 	}
 	if l.CallDurationMs > 0 {
-		c.lease.Answered(l.CallDurationMs)
+		c.lease.RecordCallLatency(l.CallDurationMs)
 	}
 	switch {
 	case l.Kind == scheduler.Delta || l.Kind == scheduler.Snapshot || l.Kind == scheduler.Heartbeat:
-		c.lease.Heard(l.CompleteAsOfMs)
+		c.lease.Renew(l.CompleteAsOfMs)
 	case l.Kind == scheduler.WatchFailed && l.Failure == CallUnreachable:
-		c.lease.Unreachable(l.CompleteAsOfMs)
+		c.lease.RecordUnreachable(l.CompleteAsOfMs)
 	case l.Kind == scheduler.WatchFailed && l.Failure == CallRejected:
-		c.lease.Refused(l.CompleteAsOfMs)
+		c.lease.RecordRejection(l.CompleteAsOfMs)
 	}
-	c.authorizer.SetEndpointsValidUntil(c.lease.UntilMs())
+	c.authorizer.SetEndpointsValidUntil(c.lease.ExpiresAtMs())
 }
 
 // listUntil is when the list may no longer be used, for the module; 0: there is no such time.
@@ -208,7 +208,7 @@
 	if c.lease == nil {
 		return 0
 	}
-	return clock.Duration(c.lease.UntilMs())
+	return clock.Duration(c.lease.ExpiresAtMs())
 }
 
 // UpdateEndpoints brings news of the node list.
