--- a/cmd/gaugerelay/main.go
+++ b/cmd/gaugerelay/main.go
@@ -109,12 +109,12 @@
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
-				g.Metrics.Print(os.Stderr)
+				g.Metrics.WriteText(os.Stderr)
 			case syscall.SIGHUP:
 				g.Reload()
 			default:
 				g.Stop()
-				g.Metrics.Print(os.Stderr)
+				g.Metrics.WriteText(os.Stderr)
 				return nil
 			}
 		}
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -32,14 +32,14 @@
 type Speaker struct {
 	opt     Options
 	clock   clock.Clock
-	metrics *metrics.Set
+	metrics *metrics.Registry
 	ready   chan bool
 	done    chan struct{}
 	dial    func(ctx context.Context) (net.Conn, error)
 }
 
 // New returns a speaker; Run starts it.
-func New(opt Options, c clock.Clock, m *metrics.Set) *Speaker {
+func New(opt Options, c clock.Clock, m *metrics.Registry) *Speaker {
 	d := net.Dialer{Timeout: dialTime}
 	return &Speaker{opt: opt, clock: c, metrics: m, ready: make(chan bool, 16), done: make(chan struct{}),
 		dial: func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", opt.Peer) }}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -43,8 +43,8 @@
 	return &System{start: now, startMs: float64(now.UnixMicro()) / 1e3}
 }
 
-// NewSystemOff returns the machine's clock as it is where the wall clock is off by a time at the start. For tests.
-func NewSystemOff(off time.Duration) *System {
+// NewSystemWithOffset returns the machine's clock as it is where the wall clock is off by a time at the start. For tests.
+func NewSystemWithOffset(off time.Duration) *System {
 	s := NewSystem()
 	s.startMs += Ms(off)
 	return s
--- a/internal/clock/holdup.go
+++ b/internal/clock/holdup.go
@@ -11,10 +11,10 @@
 	backlogMs = 250
 )
 
-// HoldUps notices when the process was held up: stopped by a signal, or without a processor. What is read then has come
+// PauseDetector notices when the process was held up: stopped by a signal, or without a processor. What is read then has come
 // at an unknown time during the hold-up, and its client has waited since. It is safe for concurrent use; a nil *HoldUps
 // knows of none.
-type HoldUps struct {
+type PauseDetector struct {
 	clock Clock
 
 	mu     sync.Mutex
@@ -25,9 +25,9 @@
 	closed bool
 }
 
-// WatchHoldUps looks at the clock regularly until Close.
-func WatchHoldUps(c Clock) *HoldUps {
-	h := &HoldUps{clock: c, beat: c.NowMs()}
+// StartPauseDetector looks at the clock regularly until Close.
+func StartPauseDetector(c Clock) *PauseDetector {
+	h := &PauseDetector{clock: c, beat: c.NowMs()}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stop = c.AfterFunc(beatMs, h.look)
@@ -35,7 +35,7 @@
 }
 
 // Close ends the looking.
-func (h *HoldUps) Close() {
+func (h *PauseDetector) Close() {
 	if h == nil {
 		return
 	}
@@ -45,7 +45,7 @@
 	h.stop()
 }
 
-func (h *HoldUps) look() {
+func (h *PauseDetector) look() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -56,7 +56,7 @@
 }
 
 // note takes in the time of a look. h.mu is held.
-func (h *HoldUps) note(now float64) {
+func (h *PauseDetector) note(now float64) {
 	if now-h.beat > beatMs+lateMs {
 		if h.to == 0 || h.beat-h.to > backlogMs { // else it goes on: the process has hardly run in between
 			h.from = h.beat
@@ -66,8 +66,8 @@
 	h.beat = now
 }
 
-// Held tells of a span in which what came could not be taken, though the process ran.
-func (h *HoldUps) Held(fromMs, toMs float64) {
+// RecordStall tells of a span in which what came could not be taken, though the process ran.
+func (h *PauseDetector) RecordStall(fromMs, toMs float64) {
 	if h == nil || toMs-fromMs < lateMs {
 		return
 	}
@@ -79,8 +79,8 @@
 	h.from, h.to = fromMs, max(h.to, toMs)
 }
 
-// Since is the earliest time at which what is read now may have come.
-func (h *HoldUps) Since(nowMs float64) float64 {
+// EarliestArrival is the earliest time at which what is read now may have come.
+func (h *PauseDetector) EarliestArrival(nowMs float64) float64 {
 	if h == nil {
 		return nowMs
 	}
--- a/internal/clock/holdup_test.go
+++ b/internal/clock/holdup_test.go
@@ -13,10 +13,10 @@
 
 func TestHoldUps(t *testing.T) {
 	c := held{NewManual(1000)}
-	h := WatchHoldUps(c)
+	h := StartPauseDetector(c)
 	since := func(want float64, what string) {
 		t.Helper()
-		if got := h.Since(c.NowMs()); got != want {
+		if got := h.EarliestArrival(c.NowMs()); got != want {
 			t.Errorf("%s: may have come at %v, want %v", what, got, want)
 		}
 	}
@@ -39,19 +39,19 @@
 	since(3909, "two hold-ups close to each other count as one")
 	c.Advance(1000)
 	now := c.NowMs()
-	h.Held(now-40, now)
+	h.RecordStall(now-40, now)
 	since(now, "could not be taken for a moment")
-	h.Held(now-90, now)
+	h.RecordStall(now-90, now)
 	since(now-90, "could not be taken")
-	h.Held(now-300, now-200)
+	h.RecordStall(now-300, now-200)
 	since(now-300, "could not be taken before that either")
 	h.Close()
 	c.Advance(1000)
 	if len(c.timers) != 0 {
 		t.Errorf("%d timers are left", len(c.timers))
 	}
-	var none *HoldUps
-	if none.Close(); none.Since(7) != 7 {
+	var none *PauseDetector
+	if none.Close(); none.EarliestArrival(7) != 7 {
 		t.Error("none")
 	}
 }
--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -25,7 +25,7 @@
 	Name string
 	// Gateway is how it names itself to devices: another at each start.
 	Gateway string
-	Metrics *metrics.Set
+	Metrics *metrics.Registry
 	Now     func() float64
 	// After calls back on the owner's goroutine.
 	After func(ms float64, f func(nowMs float64)) (stop func())
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -83,7 +83,7 @@
 // Watcher holds the watch: one at most, at one address.
 type Watcher struct {
 	Clock   clock.Clock
-	Metrics *metrics.Set
+	Metrics *metrics.Registry
 	// Tell takes each change. A Broken list tells that a watch that was started has failed, an Ended one that it has ended
 	// after it had told of nodes, a Silent one that it was answered and then said nothing any more; when to ask again is
 	// not decided here.
@@ -105,7 +105,7 @@
 }
 
 // New returns a watcher that resumes after the list known. dial is the machine's if nil.
-func New(addr string, known lifecycle.EndpointUpdate, c clock.Clock, m *metrics.Set, tell func(lifecycle.EndpointUpdate),
+func New(addr string, known lifecycle.EndpointUpdate, c clock.Clock, m *metrics.Registry, tell func(lifecycle.EndpointUpdate),
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Watcher {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
--- a/internal/discovery/heard.go
+++ b/internal/discovery/heard.go
@@ -114,7 +114,7 @@
 		h.mu.Lock()
 		unread := false
 		if h.line != nil {
-			unread, _ = socketstate.Waiting(h.line.Conn)
+			unread, _ = socketstate.HasUnreadData(h.line.Conn)
 		}
 		if !h.busy && !unread {
 			h.mu.Unlock()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -23,7 +23,7 @@
 // Loop owns a core.
 type Loop struct {
 	Clock   clock.Clock
-	Metrics *metrics.Set
+	Metrics *metrics.Registry
 	// WatchEndpoints is called when the module wants the changes of the node list, Prober when it wants a node probed.
 	WatchEndpoints func()
 	ProbeServer    func(n *lifecycle.Server)
@@ -39,7 +39,7 @@
 }
 
 // New returns a loop round a decision module; call Run to start it.
-func New(p lifecycle.Scheduler, c clock.Clock, m *metrics.Set) *Loop {
+func New(p lifecycle.Scheduler, c clock.Clock, m *metrics.Registry) *Loop {
 	l := &Loop{Clock: c, Metrics: m, WatchEndpoints: func() {}, ProbeServer: func(*lifecycle.Server) {}, OnReady: func() {},
 		inbox: make(chan func(float64), inboxSize), done: make(chan struct{}), stop: func() {}}
 	l.requests = lifecycle.New(p, outside{l})
@@ -182,7 +182,7 @@
 
 func (o outside) WatchEndpoints()                 { o.l.WatchEndpoints() }
 func (o outside) ProbeServer(n *lifecycle.Server) { o.l.ProbeServer(n) }
-func (o outside) Log(text string)                 { slog.Info(logevent.SchedulerNote, "text", text) }
+func (o outside) Log(text string)                 { slog.Info(logevent.SchedulerMessage, "text", text) }
 func (o outside) Count(name string)               { o.l.Metrics.Add(name, 1) }
 
 func (o outside) Trace(name string, fields ...any) { slog.Debug(name, fields...) }
--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -25,7 +25,7 @@
 type Listener struct {
 	net.Listener
 	clock   clock.Clock
-	metrics *metrics.Set
+	metrics *metrics.Registry
 	mostMs  float64
 	held    func(fromMs, toMs float64)
 
@@ -35,7 +35,7 @@
 
 // Wrap returns a listener round ln. Its pauses behind failures double up to a small part of the shortest deadline. held is
 // told of each span in which accepts failed, once one has succeeded: what has come meanwhile has waited since.
-func Wrap(ln net.Listener, c clock.Clock, m *metrics.Set, shortestDeadlineMs float64, held func(fromMs, toMs float64)) *Listener {
+func Wrap(ln net.Listener, c clock.Clock, m *metrics.Registry, shortestDeadlineMs float64, held func(fromMs, toMs float64)) *Listener {
 	most := max(firstPauseMs, min(longestPause, pauseDeadline*shortestDeadlineMs))
 	return &Listener{Listener: ln, clock: c, metrics: m, mostMs: most, held: held, closed: make(chan struct{})}
 }
--- a/internal/frontend/accept/accept_test.go
+++ b/internal/frontend/accept/accept_test.go
@@ -65,11 +65,11 @@
 				t.Errorf("%s: accepted after %v, told of %v ms", c.name, took, held)
 			}
 			counted := 0
-			for _, n := range m.All() {
+			for _, n := range m.Snapshot() {
 				counted += int(n)
 			}
 			if counted != failures {
-				t.Errorf("%s: %d failures counted of %d: %v", c.name, counted, failures, m.All())
+				t.Errorf("%s: %d failures counted of %d: %v", c.name, counted, failures, m.Snapshot())
 			}
 		})
 	}
--- a/internal/frontend/coapserver/front.go
+++ b/internal/frontend/coapserver/front.go
@@ -57,7 +57,7 @@
 	Loop     Loop
 	Carrier  lifecycle.Upstream
 	Clock    clock.Clock
-	Metrics  *metrics.Set
+	Metrics  *metrics.Registry
 	Settings *scheduler.Settings
 
 	endMs    atomic.Uint64 // bits of the float64: while stopping, when the last answer must be out; 0 before
--- a/internal/frontend/httpserver/conns.go
+++ b/internal/frontend/httpserver/conns.go
@@ -45,7 +45,7 @@
 	// one's own bound alone holds.
 	MostAhead int
 	Clock     clock.Clock
-	Metrics   *metrics.Set
+	Metrics   *metrics.Registry
 
 	mu    sync.Mutex
 	open  int
--- a/internal/frontend/httpserver/front.go
+++ b/internal/frontend/httpserver/front.go
@@ -49,7 +49,7 @@
 	Loop     Loop
 	Carrier  lifecycle.Upstream
 	Clock    clock.Clock
-	Metrics  *metrics.Set
+	Metrics  *metrics.Registry
 	Settings *scheduler.Settings
 	// Devices makes it the front for devices on poor links: requests are copies of exchanges, told by X-Device-Id.
 	Devices bool
@@ -59,10 +59,10 @@
 	// Conns makes the front keep clients' connections free while stopping, once no new ones are to be expected.
 	Conns *Conns
 	// HoldUps tells since when what is read now may have waited for this process. nil: it never does.
-	HoldUps *clock.HoldUps
+	HoldUps *clock.PauseDetector
 
 	paceMu  sync.Mutex
-	pace    shutdown.Pace
+	pace    shutdown.AdmissionPacer
 	keepMs  atomic.Uint64 // bits of the float64: from when on connections are kept free; 0: not yet
 	endMs   atomic.Uint64 // bits of the float64: while stopping, when the last answer must be out; 0 before
 	closing atomic.Bool
@@ -81,12 +81,12 @@
 	}
 	f.paceMu.Lock()
 	defer f.paceMu.Unlock()
-	f.pace.Came(nowMs)
+	f.pace.RecordArrival(nowMs)
 	if endMs == 0 || nowMs < math.Float64frombits(f.keepMs.Load()) {
 		return false
 	}
 	open, busy := f.Conns.Count()
-	return f.pace.Refuse(nowMs, open, busy, endMs-nowMs)
+	return f.pace.ShouldReject(nowMs, open, busy, endMs-nowMs)
 }
 
 // answered tells how long a request took that was not refused for its connection's sake.
@@ -95,7 +95,7 @@
 		f.paceMu.Lock()
 		defer f.paceMu.Unlock()
 		now := f.Clock.NowMs()
-		f.pace.Answered(now, now-cameMs)
+		f.pace.RecordCompletion(now, now-cameMs)
 	}
 }
 
@@ -104,12 +104,12 @@
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := f.HoldUps.Since(f.Clock.NowMs())
+	arrived := f.HoldUps.EarliestArrival(f.Clock.NowMs())
 	if k := clientOf(r.Context()); k != nil && k.wasShed() {
 		panic(http.ErrAbortHandler) // its client has been told that it was not taken
 	}
 	if k := clientOf(r.Context()); k != nil {
-		defer k.owe(func() bool { return r.Context().Err() == nil && !socketstate.HungUp(k.Conn) })()
+		defer k.owe(func() bool { return r.Context().Err() == nil && !socketstate.PeerClosed(k.Conn) })()
 	}
 	if f.closing.Load() {
 		w.Header().Set("Connection", "close")
@@ -130,7 +130,7 @@
 		}
 	case "/metrics":
 		if !f.Devices { // they are the operators'
-			f.Metrics.Print(w)
+			f.Metrics.WriteText(w)
 			return
 		}
 	}
@@ -156,7 +156,7 @@
 		req.RemainingMs -= marginMs
 	}
 	if k := clientOf(r.Context()); k != nil && !f.Devices { // what devices ask for goes on without them
-		if req.ClientDisconnected = func() bool { return socketstate.HungUp(k.Conn) }; req.ClientDisconnected() {
+		if req.ClientDisconnected = func() bool { return socketstate.PeerClosed(k.Conn) }; req.ClientDisconnected() {
 			f.Metrics.Add("requests_abandoned", 1) // it waited for longer, unread, than its client did
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/frontend/sftpserver/front.go
+++ b/internal/frontend/sftpserver/front.go
@@ -85,7 +85,7 @@
 	Loop    Loop
 	Carrier lifecycle.Upstream
 	Clock   clock.Clock
-	Metrics *metrics.Set
+	Metrics *metrics.Registry
 
 	mu     sync.Mutex
 	conns  map[*conn]bool
@@ -157,17 +157,17 @@
 	}()
 	f.Metrics.Add("file_connections", 1)
 	host, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
-	h := &handler{f, ctx, host, func() bool { return socketstate.HungUp(nc) }}
+	h := &handler{f, ctx, host, func() bool { return socketstate.PeerClosed(nc) }}
 	err := sftp.NewRequestServer(c, sftp.Handlers{FileGet: h, FilePut: h, FileCmd: h, FileList: h},
 		sftp.WithRSMaxTxPacket(sftpclient.MaxData)).Serve()
 	c.drain() // the library's writer may still have answers in hand
 	if cut, typ := c.in.cut(); cut {
 		// Its end is this one: it was never whole, so it never became a request, and its client is gone.
 		f.Metrics.Add("file_commands_cut_off", 1)
-		slog.Info(logevent.FileClientError, logevent.Client, nc.RemoteAddr().String(), logevent.Reason, "cut off inside a packet", "type", typ)
+		slog.Info(logevent.SFTPClientError, logevent.Client, nc.RemoteAddr().String(), logevent.Reason, "cut off inside a packet", "type", typ)
 	} else if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && // with handles left open
 		!errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		slog.Info(logevent.FileClientError, logevent.Client, nc.RemoteAddr().String(), logevent.Error, err)
+		slog.Info(logevent.SFTPClientError, logevent.Client, nc.RemoteAddr().String(), logevent.Error, err)
 	}
 }
 
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -34,7 +34,7 @@
 	t      *testing.T
 	clock  *clock.Manual
 	loop   *eventloop.Loop
-	counts *metrics.Set
+	counts *metrics.Registry
 	files  *fakefileserver.Server
 	front  *sftpserver.Front
 	ln     net.Listener
@@ -114,7 +114,7 @@
 }
 
 // held is the number of requests that the module holds, or -1 while an attempt is out.
-func held(l *eventloop.Loop, m *metrics.Set) int {
+func held(l *eventloop.Loop, m *metrics.Registry) int {
 	l.Sync()
 	if m.Get("attempts_started") != ended(m) {
 		return -1
@@ -123,7 +123,7 @@
 }
 
 // ended counts the ends of attempts.
-func ended(m *metrics.Set) (n int64) {
+func ended(m *metrics.Registry) (n int64) {
 	for _, how := range []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"} {
 		n += m.Get("attempts_" + how)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -106,14 +106,14 @@
 // Gateway is one gateway.
 type Gateway struct {
 	Clock   clock.Clock
-	Metrics *metrics.Set
+	Metrics *metrics.Registry
 
 	cfg     *config.Config
 	net     Network
 	loop    *eventloop.Loop
 	back    *httpclient.Backend
 	watcher *discovery.Watcher
-	holdUps *clock.HoldUps
+	holdUps *clock.PauseDetector
 	parts   []part // in the order of their start
 	ended   chan error
 	ctx     context.Context
@@ -125,7 +125,7 @@
 
 // New makes a gateway of its settings; nothing of it runs yet.
 func New(cfg *config.Config, edge *config.Edge, c clock.Clock, network Network) (*Gateway, error) {
-	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, net: network, ended: make(chan error, 8), holdUps: clock.WatchHoldUps(c)}
+	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, net: network, ended: make(chan error, 8), holdUps: clock.StartPauseDetector(c)}
 	var others *peers
 	settings := cfg.Settings
 	if edge.Fleet != nil {
@@ -228,7 +228,7 @@
 
 // Stop drains the gateway and ends it.
 func (g *Gateway) Stop() {
-	slog.Info(logevent.Stopping, "name", g.cfg.Name)
+	slog.Info(logevent.ShutdownStarted, "name", g.cfg.Name)
 	t := stopTimesFor(clock.Ms(g.longest))
 	for _, p := range g.parts {
 		p.stopping(t)
@@ -291,7 +291,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return accept.Wrap(ln, g.Clock, g.Metrics, clock.Ms(g.shortest), g.holdUps.Held), nil
+	return accept.Wrap(ln, g.Clock, g.Metrics, clock.Ms(g.shortest), g.holdUps.RecordStall), nil
 }
 
 // listening logs that clients or peers can reach an address.
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -122,7 +122,7 @@
 	}
 	c.environment.Count("requests_taken")
 	if c.traced {
-		c.environment.Trace(logevent.RequestTaken, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.RemainingMs)
+		c.environment.Trace(logevent.RequestAccepted, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.RemainingMs)
 	}
 	c.events = append(c.events, scheduler.RequestArrived{ID: r.id, Class: r.Class, Plan: r.Plan,
 		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.RemainingMs), ClientDelay: clock.Duration(r.ClientDelayMs),
@@ -143,7 +143,7 @@
 	e.answered = true
 	c.environment.Count("requests_dropped")
 	if c.traced {
-		c.environment.Trace(logevent.RequestDropped, logevent.Request, r.ClientID, "id", r.id)
+		c.environment.Trace(logevent.RequestCanceled, logevent.Request, r.ClientID, "id", r.id)
 	}
 	c.events = append(c.events, scheduler.RequestCanceled{ID: r.id})
 	c.settle(e)
@@ -398,7 +398,7 @@
 		c.environment.Count(reasonCounters[a.Kind][a.Reason])
 	}
 	if c.traced {
-		c.environment.Trace(logevent.RequestAnswered, logevent.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Kind], logevent.Reason, a.Reason.String())
+		c.environment.Trace(logevent.RequestCompleted, logevent.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Kind], logevent.Reason, a.Reason.String())
 	}
 	a.Shard = -1
 	for _, t := range e.tries {
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -10,7 +10,7 @@
 // Names of events. They are the messages of log records and do not change between versions.
 const (
 	ListenerStarted = "listener_started"
-	Stopping        = "stopping"
+	ShutdownStarted = "stopping"
 
 	ReloadDone            = "reload_done"
 	ReloadFailed          = "reload_failed"
@@ -23,19 +23,19 @@
 	AgentAway           = "agent_away"
 	AgentBack           = "agent_back"
 
-	RequestTaken    = "request_taken"
-	RequestAnswered = "request_answered"
-	RequestDropped  = "request_dropped"
-	AttemptStarted  = "attempt_started"
-	AttemptEnded    = "attempt_ended"
+	RequestAccepted  = "request_taken"
+	RequestCompleted = "request_answered"
+	RequestCanceled  = "request_dropped"
+	AttemptStarted   = "attempt_started"
+	AttemptEnded     = "attempt_ended"
 
-	FileClientError = "file_client_error"
+	SFTPClientError = "file_client_error"
 	DeviceError     = "device_error"
 
 	BGPSession   = "bgp_session"
 	BGPAnnounced = "bgp_announced"
 
-	SchedulerNote = "scheduler_note"
+	SchedulerMessage = "scheduler_note"
 )
 
 // Keys of fields.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -8,18 +8,18 @@
 	"sync/atomic"
 )
 
-// Set is a group of named counters, printed in the order of their first use. It is safe for concurrent use.
-type Set struct {
+// Registry is a group of named counters, printed in the order of their first use. It is safe for concurrent use.
+type Registry struct {
 	mu    sync.Mutex
 	names []string
 	all   map[string]*atomic.Int64
 }
 
 // New returns an empty set.
-func New() *Set { return &Set{all: map[string]*atomic.Int64{}} }
+func New() *Registry { return &Registry{all: map[string]*atomic.Int64{}} }
 
 // Counter returns the counter of that name.
-func (s *Set) Counter(name string) *atomic.Int64 {
+func (s *Registry) Counter(name string) *atomic.Int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.all[name]
@@ -32,13 +32,13 @@
 }
 
 // Add counts n more under a name.
-func (s *Set) Add(name string, n int64) { s.Counter(name).Add(n) }
+func (s *Registry) Add(name string, n int64) { s.Counter(name).Add(n) }
 
 // Get reads a counter.
-func (s *Set) Get(name string) int64 { return s.Counter(name).Load() }
+func (s *Registry) Get(name string) int64 { return s.Counter(name).Load() }
 
-// Print writes one "name value" line a counter.
-func (s *Set) Print(w io.Writer) {
+// WriteText writes one "name value" line a counter.
+func (s *Registry) WriteText(w io.Writer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.names {
@@ -46,8 +46,8 @@
 	}
 }
 
-// All is a copy of the counters.
-func (s *Set) All() map[string]int64 {
+// Snapshot is a copy of the counters.
+func (s *Registry) Snapshot() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int64, len(s.all))
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -15,7 +15,7 @@
 // Socket reads and writes datagrams; who calls it never waits.
 type Socket struct {
 	conn    net.PacketConn
-	metrics *metrics.Set
+	metrics *metrics.Registry
 	out     chan sending
 	done    chan struct{}
 	ended   sync.WaitGroup
@@ -27,7 +27,7 @@
 }
 
 // Open begins to write and read; heard is called with each datagram, in one goroutine.
-func Open(conn net.PacketConn, m *metrics.Set, heard func(b []byte)) *Socket {
+func Open(conn net.PacketConn, m *metrics.Registry, heard func(b []byte)) *Socket {
 	s := &Socket{conn: conn, metrics: m, out: make(chan sending, waiting), done: make(chan struct{})}
 	s.ended.Go(func() {
 		buf := make([]byte, 2*Most) // a longer one is seen to be too long
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -111,7 +111,7 @@
 type Fleet struct {
 	opt     Options
 	codec   *datagram.Codec
-	metrics *metrics.Set
+	metrics *metrics.Registry
 	log     *slog.Logger
 	loop    Loop
 	socket  *datagram.Socket
@@ -136,7 +136,7 @@
 }
 
 // New returns the side of a gateway that has just started, or an error if the options cannot be used.
-func New(o Options, m *metrics.Set, log *slog.Logger) (*Fleet, error) {
+func New(o Options, m *metrics.Registry, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{opt: o, codec: datagram.New(o.Key), metrics: m, log: log, seen: make([]datagram.Seen, len(o.Peers)), stop: func() {},
 		nodes: map[uint64]*lifecycle.Server{}, gone: map[uint64]float64{}}
 	var err error
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -106,7 +106,7 @@
 type side struct {
 	f    *Fleet
 	h    *hand
-	m    *metrics.Set
+	m    *metrics.Registry
 	part float64
 }
 
--- a/internal/shutdown/leaving.go
+++ b/internal/shutdown/leaving.go
@@ -18,14 +18,14 @@
 	turnMs = 2
 )
 
-// Pace is how requests come and how long they take, as a front has seen it lately.
-type Pace struct {
+// AdmissionPacer is how requests come and how long they take, as a front has seen it lately.
+type AdmissionPacer struct {
 	came, done, spentMs float64 // faded
 	since, at           float64
 	begun               bool
 }
 
-func (p *Pace) fade(nowMs float64) {
+func (p *AdmissionPacer) fade(nowMs float64) {
 	if !p.begun {
 		p.begun, p.since, p.at = true, nowMs, nowMs
 	}
@@ -35,20 +35,20 @@
 	}
 }
 
-// Came counts a request.
-func (p *Pace) Came(nowMs float64) {
+// RecordArrival counts a request.
+func (p *AdmissionPacer) RecordArrival(nowMs float64) {
 	p.fade(nowMs)
 	p.came++
 }
 
-// Answered counts an answer that was not given by this package's word, and how long it took.
-func (p *Pace) Answered(nowMs, tookMs float64) {
+// RecordCompletion counts an answer that was not given by this package's word, and how long it took.
+func (p *AdmissionPacer) RecordCompletion(nowMs, tookMs float64) {
 	p.fade(nowMs)
 	p.done++
 	p.spentMs += max(0, tookMs)
 }
 
-// Refuse tells whether the request that has just come is better refused at once, with open connections of clients, of
+// ShouldReject tells whether the request that has just come is better refused at once, with open connections of clients, of
 // which busy have a request, this one's included, and leftMs until the gateway ends.
 //
 // It is when that saves more than the one request. Let requests come at a rate of r and take s. Until the first of the
@@ -56,7 +56,7 @@
 // as well, and the i idle connections run out only if i come inside one such turn: (r*turn)^i/i!. What is lost then is
 // what would be served of r*left, on one connection less: Erlang's loss formula tells the part. With one connection
 // alone nothing would be, so it is used for as long as it goes well.
-func (p *Pace) Refuse(nowMs float64, open, busy int, leftMs float64) bool {
+func (p *AdmissionPacer) ShouldReject(nowMs float64, open, busy int, leftMs float64) bool {
 	p.fade(nowMs)
 	seen := fadeMs * -math.Expm1(-(nowMs-p.since)/fadeMs)
 	if open < 2 || busy < 1 || leftMs <= 0 || seen <= 0 || p.done == 0 {
--- a/internal/shutdown/leaving_test.go
+++ b/internal/shutdown/leaving_test.go
@@ -11,26 +11,26 @@
 // the first that finds none is the last of all. It returns how many are served.
 func play(seed uint64, open int, ratePerMs, tookMs, leftMs float64, guarded bool) (served int) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	var p Pace
+	var p AdmissionPacer
 	for now := 0.0; now < 3000; now += 1 / ratePerMs { // what was seen before
-		p.Came(now)
-		p.Answered(now, tookMs)
+		p.RecordArrival(now)
+		p.RecordCompletion(now, tookMs)
 	}
 	type end struct{ at, took float64 }
 	var busy []end
 	for now := 3000 + rnd.ExpFloat64()/ratePerMs; now < 3000+leftMs; now += rnd.ExpFloat64() / ratePerMs {
 		busy = slices.DeleteFunc(busy, func(e end) bool {
 			if e.at <= now && e.took > 0 {
-				p.Answered(e.at, e.took)
+				p.RecordCompletion(e.at, e.took)
 			}
 			return e.at <= now
 		})
 		if len(busy) == open {
 			return served
 		}
-		p.Came(now)
+		p.RecordArrival(now)
 		took := rnd.ExpFloat64() * tookMs
-		if guarded && p.Refuse(now, open, len(busy)+1, 3000+leftMs-now) {
+		if guarded && p.ShouldReject(now, open, len(busy)+1, 3000+leftMs-now) {
 			busy = append(busy, end{now + turnMs/2, 0})
 			continue
 		}
@@ -68,14 +68,14 @@
 	f.Add(1, 1, 2500.0, 30.0, uint8(50))
 	f.Add(0, -3, math.Inf(1), math.NaN(), uint8(0))
 	f.Fuzz(func(t *testing.T, open, busy int, leftMs, tookMs float64, requests uint8) {
-		var p Pace
+		var p AdmissionPacer
 		now := 1e12
 		for range requests {
 			now += 10
-			p.Came(now)
-			p.Answered(now, tookMs)
+			p.RecordArrival(now)
+			p.RecordCompletion(now, tookMs)
 		}
-		if !p.Refuse(now, open%1000, busy%1000, leftMs) {
+		if !p.ShouldReject(now, open%1000, busy%1000, leftMs) {
 			return
 		}
 		if open%1000 < 2 || busy%1000 < 1 || !(leftMs > 0) || requests == 0 {
--- a/internal/socketstate/sockets.go
+++ b/internal/socketstate/sockets.go
@@ -23,9 +23,9 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// Waiting tells whether bytes have come that nobody has read, or that none will come any more: io.EOF, or the system's
+// HasUnreadData tells whether bytes have come that nobody has read, or that none will come any more: io.EOF, or the system's
 // error.
-func Waiting(nc net.Conn) (bytes bool, err error) {
+func HasUnreadData(nc net.Conn) (bytes bool, err error) {
 	var found error
 	err = control(nc, func(fd int) {
 		n, _, err := unix.Recvfrom(fd, make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -45,9 +45,9 @@
 	return bytes, err
 }
 
-// HungUp tells whether the other side has ended its sending or reset the connection, also behind bytes that nobody has
+// PeerClosed tells whether the other side has ended its sending or reset the connection, also behind bytes that nobody has
 // read: a reader that waits for room, or for an answer, sees such an end too late.
-func HungUp(nc net.Conn) bool {
+func PeerClosed(nc net.Conn) bool {
 	yes := false
 	err := control(nc, func(fd int) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
--- a/internal/socketstate/sockets_test.go
+++ b/internal/socketstate/sockets_test.go
@@ -33,17 +33,17 @@
 			t.Fatal(err)
 		}
 		c.do(there.(*net.TCPConn))
-		bytes, err := Waiting(here)
-		if hungUp := HungUp(here); bytes != c.bytes || (err != nil) != c.ended || hungUp != c.hungUp {
+		bytes, err := HasUnreadData(here)
+		if hungUp := PeerClosed(here); bytes != c.bytes || (err != nil) != c.ended || hungUp != c.hungUp {
 			t.Errorf("%s: bytes %v, ended by %v, hung up %v", name, bytes, err, hungUp)
 		}
 		here.Close()
-		if _, err := Waiting(here); err == nil || !HungUp(here) {
+		if _, err := HasUnreadData(here); err == nil || !PeerClosed(here) {
 			t.Errorf("%s: a closed connection counts as open", name)
 		}
 	}
 	pipe, _ := net.Pipe()
-	if bytes, err := Waiting(pipe); bytes || err != nil || HungUp(pipe) {
+	if bytes, err := HasUnreadData(pipe); bytes || err != nil || PeerClosed(pipe) {
 		t.Error("something is known of a pipe")
 	}
 }
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -264,7 +264,7 @@
 }
 
 func (r *rig) collect(gw *gateway.Gateway) {
-	for name, n := range gw.Metrics.All() {
+	for name, n := range gw.Metrics.Snapshot() {
 		r.counters[name] += n
 	}
 }
--- a/internal/upstream/httpclient/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -47,7 +47,7 @@
 type Backend struct {
 	opt       Options
 	clock     clock.Clock
-	metrics   *metrics.Set
+	metrics   *metrics.Registry
 	finish    func(lifecycle.Attempt, lifecycle.AttemptResult)
 	probed    func(*lifecycle.Server, float64, scheduler.Status, []float64)
 	transport *http.Transport
@@ -61,7 +61,7 @@
 }
 
 // New returns a backend.
-func New(opt Options, c clock.Clock, m *metrics.Set, sink Sink) *Backend {
+func New(opt Options, c clock.Clock, m *metrics.Registry, sink Sink) *Backend {
 	b := &Backend{opt: opt, clock: c, metrics: m, finish: sink.Complete, probed: sink.ProbeEnded}
 	b.transport = &http.Transport{
 		DialContext:         b.dial,
--- a/internal/upstream/httpclient/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-func newBackend() (*Backend, *sink, *metrics.Set, *clock.Manual) {
+func newBackend() (*Backend, *sink, *metrics.Registry, *clock.Manual) {
 	s, m, now := &sink{make(chan lifecycle.AttemptResult, 1), make(chan scheduler.Status, 1)}, metrics.New(), clock.NewManual(1e12)
 	return New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 10, ReportFields: []string{"queue"}}, now, m, s), s, m, now
 }
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -291,7 +291,7 @@
 
 // pending tells whether something has come that has not been read: surplus of an answer, or the connection's end.
 func (c *conn) pending() bool {
-	bytes, err := socketstate.Waiting(c.Conn)
+	bytes, err := socketstate.HasUnreadData(c.Conn)
 	return bytes || err != nil
 }
 
--- a/internal/upstream/sftpclient/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -75,7 +75,7 @@
 type Backend struct {
 	opt     Options
 	clock   clock.Clock
-	metrics *metrics.Set
+	metrics *metrics.Registry
 	finish  func(lifecycle.Attempt, lifecycle.AttemptResult)
 
 	mu    sync.Mutex
@@ -93,7 +93,7 @@
 }
 
 // New returns a backend; finish takes the ends of attempts.
-func New(opt Options, c clock.Clock, m *metrics.Set, finish func(lifecycle.Attempt, lifecycle.AttemptResult)) *Backend {
+func New(opt Options, c clock.Clock, m *metrics.Registry, finish func(lifecycle.Attempt, lifecycle.AttemptResult)) *Backend {
 	return &Backend{opt: opt, clock: c, metrics: m, finish: finish, idle: map[string][]*session{}}
 }
 
