--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -20,16 +20,30 @@
 // ends of attempts, which must not be lost, always find room soon.
 const inboxSize = 4096
 
-// Loop owns a core.
-type Loop struct {
-	Clock   clock.Clock
-	Metrics *metrics.Set
-	// WatchEndpoints is called when the module wants the changes of the node list, Prober when it wants a node probed.
+// Options are the collaborators of a Loop. Scheduler, Clock and Metrics are required. The functions are called on the loop's
+// goroutine, must not block, and do nothing if they are nil.
+type Options struct {
+	Scheduler lifecycle.Scheduler
+	Clock     clock.Clock
+	Metrics   *metrics.Set
+
+	// Deduplicator, Peers, EndpointLease and Authorizer are those of lifecycle.Options; each may be nil.
+	Deduplicator  lifecycle.Deduplicator
+	Peers         lifecycle.Peers
+	EndpointLease *endpointlease.Lease
+	Authorizer    *lifecycle.Authorizer
+
+	// WatchEndpoints starts a watch of the endpoint list.
 	WatchEndpoints func()
-	ProbeServer    func(n *lifecycle.Server)
-	// OnReady is called, once, when requests can be served.
+	// ProbeServer starts a probe of a server, which ends in one call of Loop.ProbeEnded.
+	ProbeServer func(server *lifecycle.Server)
+	// OnReady is called once, when the gateway can serve requests.
 	OnReady func()
+}
 
+// Loop owns a core.
+type Loop struct {
+	options  Options
 	requests *lifecycle.Manager
 	inbox    chan func(nowMs float64)
 	done     chan struct{}
@@ -38,14 +52,27 @@
 	openNo   atomic.Int64
 }
 
-// New returns a loop round a decision module; call Run to start it.
-func New(p lifecycle.Scheduler, c clock.Clock, m *metrics.Set) *Loop {
-	l := &Loop{Clock: c, Metrics: m, WatchEndpoints: func() {}, ProbeServer: func(*lifecycle.Server) {}, OnReady: func() {},
-		inbox: make(chan func(float64), inboxSize), done: make(chan struct{}), stop: func() {}}
-	l.requests = lifecycle.New(p, outside{l})
-	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
-		l.requests.EnableTracing()
+// New returns a Loop that handles nothing until Run is called.
+func New(options Options) *Loop {
+	if options.WatchEndpoints == nil {
+		options.WatchEndpoints = func() {}
+	}
+	if options.ProbeServer == nil {
+		options.ProbeServer = func(*lifecycle.Server) {}
 	}
+	if options.OnReady == nil {
+		options.OnReady = func() {}
+	}
+	l := &Loop{options: options, inbox: make(chan func(float64), inboxSize), done: make(chan struct{}), stop: func() {}}
+	l.requests = lifecycle.New(lifecycle.Options{
+		Scheduler:     options.Scheduler,
+		Environment:   outside{l},
+		Deduplicator:  options.Deduplicator,
+		Peers:         options.Peers,
+		EndpointLease: options.EndpointLease,
+		Authorizer:    options.Authorizer,
+		TraceRequests: slog.Default().Enabled(context.Background(), slog.LevelDebug),
+	})
 	return l
 }
 
@@ -57,16 +84,16 @@
 		case <-ctx.Done():
 			return
 		case f := <-l.inbox:
-			now := l.Clock.NowMs()
+			now := l.options.Clock.NowMs()
 			f(now)
 			for n := len(l.inbox); n > 0; n-- { // all that waits is one step
 				(<-l.inbox)(now)
 			}
 			// A wake that came while these were handled is for a time that is later than theirs. Taken for one that
 			// came too early it would be none, and the module would wait for another for good.
-			l.requests.Step(l.Clock.NowMs())
+			l.requests.Step(l.options.Clock.NowMs())
 			if l.requests.Ready() && !l.ready.Swap(true) {
-				l.OnReady()
+				l.options.OnReady()
 			}
 			l.openNo.Store(int64(l.requests.OpenRequests()))
 		}
@@ -81,6 +108,9 @@
 	return l.post(func(now float64) { l.requests.Submit(now, r) })
 }
 
+// SubmitOnLoop submits a request from the loop's goroutine, as a Deduplicator does, without a pass through the inbox.
+func (l *Loop) SubmitOnLoop(nowMs float64, r *lifecycle.Request) { l.requests.Submit(nowMs, r) }
+
 // Cancel tells that a request's client has gone away.
 func (l *Loop) Cancel(r *lifecycle.Request) {
 	r.Cancel()
@@ -89,49 +119,35 @@
 
 // ResponseWritten tells that a device's answer was written whole to its connection.
 func (l *Loop) ResponseWritten(r *lifecycle.Request, link lifecycle.LinkSample) {
-	l.post(func(now float64) { l.requests.Deduplicator().ResponseWritten(now, r, link) })
+	l.post(func(now float64) { l.options.Deduplicator.ResponseWritten(now, r, link) })
 }
 
 // LinkMeasured tells what a device's link was found to be.
 func (l *Loop) LinkMeasured(device string, link lifecycle.LinkSample) {
-	l.post(func(now float64) { l.requests.Deduplicator().LinkMeasured(now, device, link) })
+	l.post(func(now float64) { l.options.Deduplicator.LinkMeasured(now, device, link) })
 }
 
 // DrainDeduplicator tells the desk to begin nothing new.
 func (l *Loop) DrainDeduplicator() {
 	l.post(func(now float64) {
-		if d := l.requests.Deduplicator(); d != nil {
+		if d := l.options.Deduplicator; d != nil {
 			d.Drain(now)
 		}
 	})
 }
 
+// Deduplicator returns Options.Deduplicator.
+func (l *Loop) Deduplicator() lifecycle.Deduplicator { return l.options.Deduplicator }
+
 // BeginShutdown tells that the gateway ends, and by when all that is open must have been answered.
 func (l *Loop) BeginShutdown(atMs float64) { l.post(func(float64) { l.requests.BeginShutdown(atMs) }) }
 
-// Deduplicator is the desk, if there is one.
-func (l *Loop) Deduplicator() lifecycle.Deduplicator { return l.requests.Deduplicator() }
-
-// SetDeduplicator puts a desk before the core; make builds it round a way to hand in requests. It is called before Run.
-func (l *Loop) SetDeduplicator(make func(take func(nowMs float64, r *lifecycle.Request)) lifecycle.Deduplicator) {
-	l.requests.SetDeduplicator(make(l.requests.Submit))
-}
-
-// Authorizer is what all attempts pass before their first byte.
-func (l *Loop) Authorizer() *lifecycle.Authorizer { return l.requests.Authorizer() }
-
-// SetEndpointLease bounds the time for which a node list is used that is not refreshed. It is called before Run.
-func (l *Loop) SetEndpointLease(lease *endpointlease.Lease) { l.requests.SetEndpointLease(lease) }
-
-// SetPeers gives the core what speaks with other gateways. It is called before Run.
-func (l *Loop) SetPeers(f lifecycle.Peers) { l.requests.SetPeers(f) }
-
 // Post calls f on the loop's goroutine.
 func (l *Loop) Post(f func(nowMs float64)) { l.post(f) }
 
 // AfterFunc calls f on the loop's goroutine when ms have passed.
 func (l *Loop) AfterFunc(ms float64, f func(nowMs float64)) (stop func()) {
-	return l.Clock.AfterFunc(ms, func() { l.post(f) })
+	return l.options.Clock.AfterFunc(ms, func() { l.post(f) })
 }
 
 // Complete tells how an attempt ended.
@@ -175,15 +191,15 @@
 
 func (o outside) SetTimer(ms float64) {
 	o.l.stop()
-	o.l.stop = o.l.Clock.AfterFunc(ms-o.l.Clock.NowMs(), func() {
+	o.l.stop = o.l.options.Clock.AfterFunc(ms-o.l.options.Clock.NowMs(), func() {
 		o.l.post(func(float64) { o.l.requests.TimerFired() })
 	})
 }
 
-func (o outside) WatchEndpoints()                 { o.l.WatchEndpoints() }
-func (o outside) ProbeServer(n *lifecycle.Server) { o.l.ProbeServer(n) }
+func (o outside) WatchEndpoints()                 { o.l.options.WatchEndpoints() }
+func (o outside) ProbeServer(n *lifecycle.Server) { o.l.options.ProbeServer(n) }
 func (o outside) Log(text string)                 { slog.Info(logevent.SchedulerNote, "text", text) }
-func (o outside) Count(name string)               { o.l.Metrics.Add(name, 1) }
+func (o outside) Count(name string)               { o.l.options.Metrics.Add(name, 1) }
 
 func (o outside) Trace(name string, fields ...any) { slog.Debug(name, fields...) }
 
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -35,7 +35,7 @@
 // woken is a running loop whose module was stepped at 100 ms and asks to be woken at 150; end ends it.
 func woken() (now *clock.Manual, s *stepper, l *Loop, end func()) {
 	now, s = clock.NewManual(100), &stepper{wake: 150 * time.Millisecond}
-	l = New(s, now, metrics.New())
+	l = New(Options{Scheduler: s, Clock: now, Metrics: metrics.New()})
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx)
 	l.UpdateEndpoints(lifecycle.EndpointUpdate{})
@@ -73,7 +73,7 @@
 // Requests leave the last quarter of the inbox to the ends of attempts.
 func TestFullInboxTurnsRequestsAwayOnly(t *testing.T) {
 	s := &stepper{block: make(chan struct{})}
-	l := New(s, clock.NewManual(0), metrics.New())
+	l := New(Options{Scheduler: s, Clock: clock.NewManual(0), Metrics: metrics.New()})
 	taken := 0
 	for l.Submit(&lifecycle.Request{Respond: func(lifecycle.Response) {}}) {
 		taken++
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, clock: clock.NewManual(start), counts: metrics.New(), files: fakefileserver.New(t), ln: testbed.Listen(t)}
-	r.loop = eventloop.New(decisions, r.clock, r.counts)
+	r.loop = eventloop.New(eventloop.Options{Scheduler: decisions, Clock: r.clock, Metrics: r.counts})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.loop.Run(ctx)
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lp := eventloop.New(decisions, now, counts)
+	lp := eventloop.New(eventloop.Options{Scheduler: decisions, Clock: now, Metrics: counts})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go lp.Run(ctx)
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -31,22 +31,21 @@
 	serve *http.Server
 }
 
-func newDevices(g *Gateway, o *config.Devices) (*devices, error) {
-	p := &devices{g: g, opt: o}
-	var d *dedup.Desk
-	var err error
+// newDeduplicator returns the deduplicator of the requests of devices, and how this gateway names itself to devices. Its
+// functions use g.loop, which is built after it.
+func newDeduplicator(g *Gateway, o *config.Devices) (deduplicator *dedup.Desk, gateway string, err error) {
 	// Nodes know runs by this, and devices the gateway: no other and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
-	gateway := strconv.FormatUint(xxhash.Sum64String(name), 16)
-	g.loop.SetDeduplicator(func(take func(float64, *lifecycle.Request)) lifecycle.Deduplicator {
-		d, err = dedup.New(dedup.Options{Settings: o.Ledger, Classes: g.cfg.Settings.Classes,
-			Name: name, Gateway: gateway,
-			Metrics: g.Metrics, Now: g.Clock.NowMs, After: g.loop.AfterFunc, Take: take})
-		return d
-	})
-	if err != nil {
-		return nil, err
-	}
+	gateway = strconv.FormatUint(xxhash.Sum64String(name), 16)
+	deduplicator, err = dedup.New(dedup.Options{Settings: o.Ledger, Classes: g.cfg.Settings.Classes,
+		Name: name, Gateway: gateway, Metrics: g.Metrics, Now: g.Clock.NowMs,
+		After: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
+		Take:  func(nowMs float64, r *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, r) }})
+	return deduplicator, gateway, err
+}
+
+func newDevices(g *Gateway, o *config.Devices, gateway string) *devices {
+	p := &devices{g: g, opt: o}
 	if o.CoAP != "" {
 		p.coap = &coapserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
 			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpen,
@@ -59,7 +58,7 @@
 			Settings: &g.cfg.Settings, Devices: true, Gateway: gateway}
 		p.conns = &httpserver.Conns{Most: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
 	}
-	return p, nil
+	return p
 }
 
 func (p *devices) start(context.Context) error {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,6 +18,7 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
+	"gaugerelay/internal/dedup"
 	"gaugerelay/internal/discovery"
 	"gaugerelay/internal/endpointlease"
 	"gaugerelay/internal/eventloop"
@@ -143,20 +144,33 @@
 	for _, class := range cfg.Settings.Classes {
 		g.longest, g.shortest = max(g.longest, class.Deadline), min(g.shortest, class.Deadline)
 	}
-	g.loop = eventloop.New(scheduler, c, g.Metrics)
+	loop := eventloop.Options{Scheduler: scheduler, Clock: c, Metrics: g.Metrics,
+		Authorizer:     lifecycle.NewAuthorizer(lifecycle.AuthorizerOptions{WaitForUpdates: g.catchUp, OnDenied: g.denied}),
+		WatchEndpoints: func() { g.watcher.Open(g.ctx) },
+		ProbeServer:    func(server *lifecycle.Server) { g.back.Probe(server) },
+		OnReady:        g.notifyReady}
+	if cfg.Settings.PollEndpoints { // where it is pushed, what this machine's agent has counts, and it can always be asked
+		loop.EndpointLease = endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: notifyWithinMs,
+			DrainGraceMs: clock.Ms(cfg.Settings.DrainGrace), SendDelayMarginMs: heldUpMs}, c.NowMs())
+	}
+	if others != nil {
+		loop.Peers = others.fleet
+	}
+	var deviceGateway string
+	if edge.Devices != nil {
+		var deduplicator *dedup.Desk
+		if deduplicator, deviceGateway, err = newDeduplicator(g, edge.Devices); err != nil {
+			return nil, err
+		}
+		loop.Deduplicator = deduplicator
+	}
+	g.loop = eventloop.New(loop)
 	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
 		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
-	gate := g.loop.Authorizer()
-	gate.WaitForUpdates, gate.OnDenied = g.catchUp, g.denied
-	if cfg.Settings.PollEndpoints { // where it is pushed, what this machine's agent has counts, and it can always be asked
-		g.loop.SetEndpointLease(endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: notifyWithinMs,
-			DrainGraceMs: clock.Ms(cfg.Settings.DrainGrace), SendDelayMarginMs: heldUpMs}, c.NowMs()))
-	}
 	g.watcher = discovery.New(cfg.Discovery, cfg.Known, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
 	front := newPlatform(g)
 	if others != nil { // before the fronts: parts are known sooner, and are given back later
-		g.loop.SetPeers(others.fleet)
 		g.parts = append(g.parts, others)
 		front.front.Fleet = others.show
 	}
@@ -165,11 +179,7 @@
 		g.parts = append(g.parts, newFiles(g, edge.Files, edge.Devices))
 	}
 	if edge.Devices != nil {
-		devices, err := newDevices(g, edge.Devices)
-		if err != nil {
-			return nil, err
-		}
-		g.parts = append(g.parts, devices)
+		g.parts = append(g.parts, newDevices(g, edge.Devices, deviceGateway))
 	}
 	if edge.BGP != nil {
 		g.parts = append(g.parts, newAnnouncer(g, edge.BGP))
@@ -180,12 +190,6 @@
 // Start opens all that clients can reach.
 func (g *Gateway) Start() error {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.loop.WatchEndpoints, g.loop.ProbeServer = func() { g.watcher.Open(g.ctx) }, g.back.Probe
-	g.loop.OnReady = func() {
-		for _, p := range g.parts {
-			p.ready()
-		}
-	}
 	go g.loop.Run(g.ctx)
 	g.watcher.NormalizeStartTimes(g.cfg.Known)
 	g.loop.UpdateEndpoints(g.cfg.Known)
@@ -206,6 +210,13 @@
 	return nil
 }
 
+// notifyReady tells all parts that requests can be served.
+func (g *Gateway) notifyReady() {
+	for _, p := range g.parts {
+		p.ready()
+	}
+}
+
 // denied counts an attempt that was not allowed to begin.
 func (g *Gateway) denied(_ *lifecycle.Attempt, why permission.Denial) {
 	g.Metrics.Add("attempts_denied_"+why.String(), 1)
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -57,29 +57,33 @@
 	lease            *endpointlease.Lease // nil: the list may be used without a bound
 }
 
-// New returns a core round a module.
-func New(p Scheduler, out Environment) *Manager {
-	return &Manager{scheduler: p, environment: out, authorizer: NewAuthorizer(), open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
-		servers: map[scheduler.ServerID]*Server{}, ids: map[string]scheduler.ServerID{}}
+// Options are the collaborators of a Manager. Scheduler and Environment are required.
+type Options struct {
+	Scheduler   Scheduler
+	Environment Environment
+	// Deduplicator handles the requests of devices. If it is nil, they are handled like all others.
+	Deduplicator Deduplicator
+	// Peers coordinates with the other gateways. nil means that there are none.
+	Peers Peers
+	// EndpointLease bounds for how long an endpoint list is used that cannot be refreshed. nil means without a bound.
+	EndpointLease *endpointlease.Lease
+	// Authorizer authorizes the first byte of each attempt. nil means NewAuthorizer(AuthorizerOptions{}).
+	Authorizer *Authorizer
+	// TraceRequests enables Environment.Trace.
+	TraceRequests bool
 }
 
-// EnableTracing makes the core log the life of each request. It is called before the first of them.
-func (c *Manager) EnableTracing() { c.traced = true }
-
-// SetEndpointLease bounds the time for which a list is used that is not refreshed. It is called before the first list.
-func (c *Manager) SetEndpointLease(l *endpointlease.Lease) { c.lease = l }
-
-// Authorizer is what all attempts pass before their first byte.
-func (c *Manager) Authorizer() *Authorizer { return c.authorizer }
-
-// SetDeduplicator gives the core the desk for the requests of devices. It is called before the first of them.
-func (c *Manager) SetDeduplicator(d Deduplicator) { c.deduplicator = d }
-
-// Deduplicator is what SetDesk gave.
-func (c *Manager) Deduplicator() Deduplicator { return c.deduplicator }
-
-// SetPeers gives the core what speaks with other gateways. It is called before the first step.
-func (c *Manager) SetPeers(f Peers) { c.peers = f }
+// New returns a Manager without requests and servers.
+func New(options Options) *Manager {
+	authorizer := options.Authorizer
+	if authorizer == nil {
+		authorizer = NewAuthorizer(AuthorizerOptions{})
+	}
+	return &Manager{scheduler: options.Scheduler, environment: options.Environment, deduplicator: options.Deduplicator,
+		peers: options.Peers, lease: options.EndpointLease, authorizer: authorizer, traced: options.TraceRequests,
+		open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
+		servers: map[scheduler.ServerID]*Server{}, ids: map[string]scheduler.ServerID{}}
+}
 
 // OpenRequests is the number of requests not yet answered.
 func (c *Manager) OpenRequests() (n int) {
--- a/internal/lifecycle/core_test.go
+++ b/internal/lifecycle/core_test.go
@@ -64,7 +64,7 @@
 			attempts []bool
 		}
 		mod, car := &script{}, &carrier{}
-		c := lifecycle.New(mod, &quiet{})
+		c := lifecycle.New(lifecycle.Options{Scheduler: mod, Environment: &quiet{}})
 		c.UpdateEndpoints(nodes(scheduler.Ready))
 		c.Step(0)
 		var all []*model
@@ -154,7 +154,7 @@
 		"missing":  {Kind: scheduler.Snapshot},
 		"moved":    {Kind: scheduler.Delta, Servers: []*lifecycle.Server{{Name: "a", Addr: "127.0.0.1:2"}}},
 	} {
-		c := lifecycle.New(&script{}, &quiet{})
+		c := lifecycle.New(lifecycle.Options{Scheduler: &script{}, Environment: &quiet{}})
 		l := nodes(scheduler.Ready)
 		c.UpdateEndpoints(l)
 		if l.Servers[0].Closed() {
@@ -174,7 +174,7 @@
 // An attempt may hold an entry that a refreshed one has replaced: the drain closes both. A node that comes back
 // does not reopen what was meant for the process before.
 func TestARefreshedEntryClosesWithItsNode(t *testing.T) {
-	c := lifecycle.New(&script{}, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: &script{}, Environment: &quiet{}})
 	var held []*lifecycle.Server
 	for _, state := range []scheduler.ServerState{scheduler.Ready, scheduler.Ready, scheduler.Draining, scheduler.Ready} {
 		l := nodes(state)
@@ -192,7 +192,7 @@
 // A client may be gone before the loop has come to its request.
 func TestGoneBeforeTaken(t *testing.T) {
 	mod := &script{}
-	c := lifecycle.New(mod, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: mod, Environment: &quiet{}})
 	r := &lifecycle.Request{Respond: func(lifecycle.Response) { t.Error("answered") }}
 	c.Cancel(0, r)
 	c.Submit(1, r)
@@ -229,7 +229,7 @@
 	rounded := 0
 	for ns := range time.Duration(2000) {
 		m, a := &sleeper{at: 1_796_000_000_123_456_789 + 7*ns}, &alarm{}
-		c := lifecycle.New(m, a)
+		c := lifecycle.New(lifecycle.Options{Scheduler: m, Environment: a})
 		c.UpdateEndpoints(lifecycle.EndpointUpdate{})
 		c.Step(1.796e12)
 		if time.Duration(a.ms*1e6) < m.at {
@@ -250,7 +250,7 @@
 }
 
 func TestReady(t *testing.T) {
-	c := lifecycle.New(&script{}, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: &script{}, Environment: &quiet{}})
 	for _, l := range []lifecycle.EndpointUpdate{{Kind: scheduler.CachedSnapshot}, {Kind: scheduler.WatchFailed}} {
 		if c.UpdateEndpoints(l); c.Ready() {
 			t.Errorf("ready by %+v", l)
@@ -259,7 +259,7 @@
 	if c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}); !c.Ready() {
 		t.Error("not ready though discovery has answered")
 	}
-	c = lifecycle.New(&script{}, &quiet{})
+	c = lifecycle.New(lifecycle.Options{Scheduler: &script{}, Environment: &quiet{}})
 	known := nodes(scheduler.Ready)
 	known.Kind = scheduler.CachedSnapshot
 	if c.UpdateEndpoints(known); !c.Ready() {
@@ -271,7 +271,7 @@
 // all its attempts are over the name is free.
 func TestNameOfAnOpenRequest(t *testing.T) {
 	mod, car := &script{}, &carrier{}
-	c := lifecycle.New(mod, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: mod, Environment: &quiet{}})
 	c.UpdateEndpoints(nodes(scheduler.Ready))
 	c.Step(0)
 	var got []lifecycle.ResponseKind
@@ -302,7 +302,7 @@
 // Nodes come and go with ever new names; what is held of them does not grow, and no id is used twice.
 func TestGoneNodesAreForgotten(t *testing.T) {
 	mod := &script{}
-	c := lifecycle.New(mod, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: mod, Environment: &quiet{}})
 	ids := map[scheduler.ServerID]bool{}
 	for i := range 1000 {
 		name := fmt.Sprint("s-", i)
@@ -330,7 +330,7 @@
 func TestAListOfDoubles(t *testing.T) {
 	const names = 200
 	mod := &script{}
-	c := lifecycle.New(mod, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: mod, Environment: &quiet{}})
 	list := func(states ...scheduler.ServerState) (l lifecycle.EndpointUpdate) {
 		for _, s := range states {
 			for i := range names {
@@ -372,7 +372,7 @@
 // An attempt begins before the module's time for it.
 func TestAttemptsHaveTheModulesTimeToBegin(t *testing.T) {
 	mod, car := &script{}, &carrier{}
-	c := lifecycle.New(mod, &quiet{})
+	c := lifecycle.New(lifecycle.Options{Scheduler: mod, Environment: &quiet{}})
 	c.UpdateEndpoints(nodes(scheduler.Ready))
 	c.Step(0)
 	c.Submit(0, &lifecycle.Request{RemainingMs: 1000, Upstream: car, Respond: func(lifecycle.Response) {}})
--- a/internal/lifecycle/gate.go
+++ b/internal/lifecycle/gate.go
@@ -11,15 +11,19 @@
 // Authorizer is what every attempt passes before its first byte: it gathers the facts of that moment for package permission.
 // One gate serves all carriers. It is safe for concurrent use.
 type Authorizer struct {
-	// WaitForUpdates waits until all that this machine has got of the node list counts, for a short time at most, and tells whether
-	// it does. nil: there is nothing to wait for.
-	WaitForUpdates func() (caught bool)
-	// OnDenied is told of each attempt that was not let through. nil: nobody is.
-	OnDenied func(a *Attempt, why permission.Denial)
-
+	options   AuthorizerOptions
 	listUntil atomic.Uint64 // bits of the float64
 }
 
+// AuthorizerOptions are the hooks of an Authorizer. Each is called from the goroutines of upstreams, and each may be nil.
+type AuthorizerOptions struct {
+	// WaitForUpdates waits, for a short time at most, until every update of the endpoint list that has reached this machine is
+	// applied, and reports whether all are. nil means that there is nothing to wait for.
+	WaitForUpdates func() (applied bool)
+	// OnDenied is called for each attempt that is denied.
+	OnDenied func(attempt *Attempt, denial permission.Denial)
+}
+
 // heldUpMs is how long a process may be held up between a decision and the byte that it lets through.
 const heldUpMs = 150
 
@@ -38,9 +42,9 @@
 	return ""
 }
 
-// NewAuthorizer returns a gate for a list without a bound.
-func NewAuthorizer() *Authorizer {
-	g := &Authorizer{}
+// NewAuthorizer returns an Authorizer for an endpoint list that may be used without a bound.
+func NewAuthorizer(options AuthorizerOptions) *Authorizer {
+	g := &Authorizer{options: options}
 	g.SetEndpointsValidUntil(math.Inf(1))
 	return g
 }
@@ -64,12 +68,12 @@
 // Authorize waits until what has come of the node list counts, decides whether the first byte of the attempt may go out then,
 // and tells the time that the node may be told that the client has left, in whole milliseconds.
 func (a *Attempt) Authorize(c clock.Clock) (leftMs float64, why permission.Denial) {
-	caught := a.Authorizer == nil || a.Authorizer.WaitForUpdates == nil || a.Authorizer.WaitForUpdates()
+	caught := a.Authorizer == nil || a.Authorizer.options.WaitForUpdates == nil || a.Authorizer.options.WaitForUpdates()
 	f := a.facts(c.NowMs())
 	f.UpdatePending = !caught
 	why = permission.Authorize(f)
-	if why != permission.Allowed && a.Authorizer != nil && a.Authorizer.OnDenied != nil {
-		a.Authorizer.OnDenied(a, why)
+	if why != permission.Allowed && a.Authorizer != nil && a.Authorizer.options.OnDenied != nil {
+		a.Authorizer.options.OnDenied(a, why)
 	}
 	return permission.RemainingMs(f), why
 }
--- a/internal/upstream/httpclient/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -472,7 +472,7 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	node := newStand(t)
 	b, s, _, now := newBackend()
-	c := lifecycle.New(nil, nil)
+	c := lifecycle.New(lifecycle.Options{})
 	n := &lifecycle.Server{Name: "a", Addr: node.addr}
 	c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot, Servers: []*lifecycle.Server{n}})
 	c.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}) // the module sent just before
