--- a/internal/architecture/dependencies_test.go
+++ b/internal/architecture/dependencies_test.go
@@ -145,7 +145,7 @@
 	rules := []layerRule{
 		{"internal", []string{"gaugerelay/cmd"}},
 		{"cmd", []string{"gaugerelay/cmd"}},
-		{"internal/frontend", []string{"gaugerelay/internal/gateway", "gaugerelay/internal/discovery"}},
+		{"internal/frontend", []string{"gaugerelay/internal/upstream", "gaugerelay/internal/gateway", "gaugerelay/internal/discovery"}},
 		{"internal/upstream", []string{"gaugerelay/internal/frontend", "gaugerelay/internal/gateway", "gaugerelay/internal/discovery"}},
 		{"internal/lifecycle", []string{"gaugerelay/internal/eventloop", "gaugerelay/internal/frontend", "gaugerelay/internal/upstream"}},
 		{"internal/eventloop", []string{"gaugerelay/internal/frontend", "gaugerelay/internal/upstream", "gaugerelay/internal/gateway"}},
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -20,9 +20,9 @@
 	"gaugerelay/internal/coapwire"
 	"gaugerelay/internal/frontend/gracefulclose"
 	"gaugerelay/internal/frontend/requestparse"
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/logevent"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
 const (
@@ -445,7 +445,7 @@
 	if err != nil {
 		return err
 	}
-	load := &httpclient.Load{Method: r.fields.Method, Path: r.fields.Path, RawQuery: r.query, Header: http.Header{}}
+	load := &httpmessage.Request{Method: r.fields.Method, Path: r.fields.Path, RawQuery: r.query, Header: http.Header{}}
 	if r.contentType != "" {
 		load.Header.Set("Content-Type", r.contentType)
 	}
@@ -463,7 +463,7 @@
 	if p := r.block1; p != nil && (p.More || p.Offset > 0) {
 		d.Block = &lifecycle.Block{Tag: r.tag, Offset: p.Offset, More: p.More, Total: r.total}
 	} else {
-		if len(d.Body) > requestparse.MaxBody {
+		if len(d.Body) > httpmessage.MaxBodyBytes {
 			return bad(codes.RequestEntityTooLarge, "the body is over 64 KiB")
 		}
 		d.BodyDigest = sha256.Sum256(d.Body)
@@ -637,7 +637,7 @@
 	case lifecycle.Incomplete:
 		text(codes.RequestEntityIncomplete, "a block does not fit on", coapwire.Uint(coapwire.OptHave, uint32(a.BufferedBytes)))
 	case lifecycle.TooLarge:
-		text(codes.RequestEntityTooLarge, "too large", coapwire.Uint(message.Size1, requestparse.MaxBody))
+		text(codes.RequestEntityTooLarge, "too large", coapwire.Uint(message.Size1, httpmessage.MaxBodyBytes))
 	case lifecycle.Superseded:
 		text(codes.Abort, "newer connections wait for the answer")
 		m.Token = nil
--- a/internal/frontend/httpserver/conns.go
+++ b/internal/frontend/httpserver/conns.go
@@ -14,8 +14,8 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/frontend/gracefulclose"
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
 const (
@@ -26,7 +26,7 @@
 	speakMs = 500
 	// aheadMost is what is kept of what a client sends while its request is open: one more request, as large as it may
 	// be. What comes beyond is dropped, and the connection ends behind the answer; floodMost of that is read.
-	aheadMost = 16<<10 + httpclient.MaxBody
+	aheadMost = 16<<10 + httpmessage.MaxBodyBytes
 	floodMost = 1 << 20
 )
 
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/frontend/requestparse"
 	"gaugerelay/internal/lifecycle"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
 // This file is what the front does otherwise for devices on poor links.
@@ -84,7 +84,7 @@
 }
 
 // device makes a request a copy of an exchange.
-func (f *Front) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpclient.Load, link lifecycle.LinkSample) error {
+func (f *Front) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpmessage.Request, link lifecycle.LinkSample) error {
 	h := r.Header
 	c := requestparse.Copy{Device: h.Get("X-Device-Id"), ID: fields.ID, AgeMs: -1, SentTo: h.Get("X-Sent-To"), Link: link}
 	if len(h["X-Device-Id"]) > 1 {
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/lifecycle"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
 func deviceRequest(change func(*http.Request)) *http.Request {
@@ -51,7 +51,7 @@
 	if d(3).Key == d(4).Key || d(3).Key == d(0).Key || d(3).HeadDigest == d(0).HeadDigest {
 		t.Error("reads are told by their ids")
 	}
-	load := d(0).BuildPayload("run-1", []byte("body")).(*httpclient.Load)
+	load := d(0).BuildPayload("run-1", []byte("body")).(*httpmessage.Request)
 	if load.Header.Get("X-Correlation-Id") != "run-1" || load.Header.Get("Idempotency-Key") == "k1" || string(load.Body) != "body" ||
 		load.Header.Get("X-Device-Id") != "" || load.Path != "/push/7f3a9c21e0b4d655" || load.RawQuery != "x=%2F" {
 		t.Errorf("sent on as %+v", load)
--- a/internal/frontend/httpserver/front.go
+++ b/internal/frontend/httpserver/front.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
@@ -23,7 +24,6 @@
 	"gaugerelay/internal/metrics"
 	"gaugerelay/internal/shutdown"
 	"gaugerelay/internal/socketstate"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
 const (
@@ -280,11 +280,11 @@
 	if r.Method == http.MethodGet && r.ContentLength > 0 {
 		return bad("a read has no body")
 	}
-	if r.ContentLength > httpclient.MaxBody { // none of it is read
+	if r.ContentLength > httpmessage.MaxBodyBytes { // none of it is read
 		return nil, http.StatusRequestEntityTooLarge, errors.New("the body is over 64 KiB")
 	}
 	reader := &timed{r: r.Body, clock: f.Clock}
-	body, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(reader), httpclient.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(reader), httpmessage.MaxBodyBytes))
 	if err != nil {
 		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 			return nil, http.StatusRequestEntityTooLarge, errors.New("the body is over 64 KiB")
@@ -298,7 +298,7 @@
 	if ct := r.Header.Get("Content-Type"); ct != "" {
 		header.Set("Content-Type", ct)
 	}
-	load := &httpclient.Load{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath,
+	load := &httpmessage.Request{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath,
 		RawQuery: r.URL.RawQuery, Header: header, Body: body}
 	req.Upstream, req.Payload = f.Carrier, load
 	if f.Devices {
--- a/internal/frontend/httpserver/front_test.go
+++ b/internal/frontend/httpserver/front_test.go
@@ -12,10 +12,10 @@
 	"testing"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 	"gaugerelay/internal/testbed"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
 // fakeLoop takes requests and lets the test answer them.
@@ -84,7 +84,7 @@
 			t.Errorf("%s: %d %q, come back %q", name, w.Code, w.Body, w.Header().Get("Retry-After"))
 		}
 		r := l.taken[0]
-		load := r.Payload.(*httpclient.Load)
+		load := r.Payload.(*httpmessage.Request)
 		if r.Key != 0x7f3a9c21e0b4d655 || r.Volume != 0x3b4d60021 || r.Units != 2 || r.Shard != 3 || r.Gateways != 2 ||
 			r.RemainingMs != 480-marginMs || load.RawQuery != "x=%2F" || string(load.Body) != "data" ||
 			load.Header.Get("Idempotency-Key") != "k1" || load.Header.Get("X-Correlation-Id") != "9b1f03aa5c7e2d41" {
@@ -133,7 +133,7 @@
 		"encoded body":   {func(r *http.Request) { r.TransferEncoding, r.ContentLength = []string{"chunked"}, -1 }, 411},
 		"unknown length": {func(r *http.Request) { r.ContentLength = -1 }, 411},
 		"large body": {func(r *http.Request) {
-			r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", httpclient.MaxBody+1)))
+			r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", httpmessage.MaxBodyBytes+1)))
 		}, 413},
 	} {
 		f, l, _ := newFront(answering(lifecycle.Response{}))
--- a/internal/frontend/requestparse/form.go
+++ b/internal/frontend/requestparse/form.go
@@ -12,16 +12,13 @@
 	"strconv"
 	"strings"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
-	"gaugerelay/internal/upstream/httpclient"
 )
 
-// MaxBody bounds the bodies of requests.
-const MaxBody = httpclient.MaxBody
-
 // Fields are the parts of a request as a client gave them.
 type Fields struct {
 	Method, Path, Class, Plan, IO string
@@ -132,7 +129,7 @@
 
 // Device makes a parsed request a copy of a device's exchange. load is what the carrier would send; its header and
 // body are replaced for each run. The same request gives the same exchange whichever front it came over.
-func Device(req *lifecycle.Request, class *scheduler.Class, f Fields, c Copy, load *httpclient.Load) error {
+func Device(req *lifecycle.Request, class *scheduler.Class, f Fields, c Copy, load *httpmessage.Request) error {
 	if !Visible(c.Device) {
 		return errors.New("the device's name is missing, too long or not plain text")
 	}
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"gaugerelay/internal/frontend/gracefulclose"
-	"gaugerelay/internal/upstream/sftpclient"
+	"gaugerelay/internal/sftpwire"
 )
 
 // frames follows the packets in a stream of bytes.
@@ -28,7 +28,7 @@
 			p = p[1:]
 			if len(f.head) == 5 {
 				n := binary.BigEndian.Uint32(f.head)
-				if n < 1 || n > sftpclient.MaxPacket {
+				if n < 1 || n > sftpwire.MaxPacket {
 					return errOversized
 				}
 				f.left = int(n) - 1
--- a/internal/frontend/sftpserver/front.go
+++ b/internal/frontend/sftpserver/front.go
@@ -33,6 +33,7 @@
 	"github.com/pkg/sftp"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/frontend/gracefulclose"
@@ -40,7 +41,6 @@
 	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
 	"gaugerelay/internal/socketstate"
-	"gaugerelay/internal/upstream/sftpclient"
 )
 
 const (
@@ -159,7 +159,7 @@
 	host, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
 	h := &handler{f, ctx, host, func() bool { return socketstate.HungUp(nc) }}
 	err := sftp.NewRequestServer(c, sftp.Handlers{FileGet: h, FilePut: h, FileCmd: h, FileList: h},
-		sftp.WithRSMaxTxPacket(sftpclient.MaxData)).Serve()
+		sftp.WithRSMaxTxPacket(sftpwire.MaxData)).Serve()
 	c.drain() // the library's writer may still have answers in hand
 	if cut, typ := c.in.cut(); cut {
 		// Its end is this one: it was never whole, so it never became a request, and its client is gone.
@@ -190,7 +190,7 @@
 	if r.Method != "Stat" {
 		return nil, errNotServed
 	}
-	rep, err := h.do(r.Filepath, &sftpclient.Command{Op: sftpclient.Stat}, -1)
+	rep, err := h.do(r.Filepath, &sftpwire.Command{Op: sftpwire.Stat}, -1)
 	if err != nil {
 		return nil, err
 	}
@@ -217,8 +217,8 @@
 	if r.Pflags().Append { // a repeat would append twice, which no offset can prevent
 		return nil, fmt.Errorf("appending: %w", sftp.ErrSSHFxOpUnsupported)
 	}
-	cmd := &sftpclient.Command{Op: sftpclient.Open, Flags: r.Flags}
-	if r.Flags&^sftpclient.FlagRead != 0 {
+	cmd := &sftpwire.Command{Op: sftpwire.Open, Flags: r.Flags}
+	if r.Flags&^sftpwire.FlagRead != 0 {
 		cmd.Key = newKey()
 	}
 	if _, err := h.do(r.Filepath, cmd, -1); err != nil {
@@ -229,13 +229,13 @@
 
 // do hands a command to the core and waits for its one answer. again is how long ago it was first sent by a connection
 // that was lost; below zero: it was not.
-func (h *handler) do(name string, cmd *sftpclient.Command, again float64) (*sftpclient.Reply, error) {
+func (h *handler) do(name string, cmd *sftpwire.Command, again float64) (*sftpwire.Reply, error) {
 	req, err := h.request(name, cmd)
 	if err != nil {
 		h.Metrics.Add("file_commands_malformed", 1)
 		return nil, err
 	}
-	if cmd.Op == sftpclient.Write && h.KeepMs > 0 {
+	if cmd.Op == sftpwire.Write && h.KeepMs > 0 {
 		h.exchange(req, cmd, again)
 	} else {
 		req.ClientDisconnected = h.away
@@ -276,7 +276,7 @@
 }
 
 // result turns the core's answer into the client's.
-func result(a lifecycle.Response) (*sftpclient.Reply, error) {
+func result(a lifecycle.Response) (*sftpwire.Reply, error) {
 	switch a.Kind {
 	case lifecycle.Rejected:
 		return nil, busy(a.RetryAfterMs)
@@ -284,10 +284,10 @@
 	default:
 		return nil, errMayHaveRun
 	}
-	rep := a.Result.(*sftpclient.Reply)
-	codes := map[uint32]error{sftpclient.StatusOK: nil, sftpclient.StatusEOF: io.EOF,
-		sftpclient.StatusNoSuchFile: sftp.ErrSSHFxNoSuchFile, sftpclient.StatusUnsupported: sftp.ErrSSHFxOpUnsupported,
-		sftpclient.StatusPermissionDenied: sftp.ErrSSHFxPermissionDenied}
+	rep := a.Result.(*sftpwire.Reply)
+	codes := map[uint32]error{sftpwire.StatusOK: nil, sftpwire.StatusEOF: io.EOF,
+		sftpwire.StatusNoSuchFile: sftp.ErrSSHFxNoSuchFile, sftpwire.StatusUnsupported: sftp.ErrSSHFxOpUnsupported,
+		sftpwire.StatusPermissionDenied: sftp.ErrSSHFxPermissionDenied}
 	err, known := codes[rep.Code]
 	if !known {
 		err = sftp.ErrSSHFxFailure
@@ -297,7 +297,7 @@
 
 // request makes a core request of a command. READ, STAT and an OPEN for reading are of the reading class, the
 // others of the writing one.
-func (h *handler) request(name string, cmd *sftpclient.Command) (*lifecycle.Request, error) {
+func (h *handler) request(name string, cmd *sftpwire.Command) (*lifecycle.Request, error) {
 	name = path.Clean("/" + name) // the library cleans too; nothing climbs above the root
 	root := h.root(name)
 	switch {
@@ -305,7 +305,7 @@
 		return nil, fmt.Errorf("path: %w", sftp.ErrSSHFxBadMessage)
 	case root == nil:
 		return nil, fmt.Errorf("under no root: %w", sftp.ErrSSHFxNoSuchFile)
-	case len(cmd.Data) > sftpclient.MaxData || cmd.Offset > math.MaxInt64:
+	case len(cmd.Data) > sftpwire.MaxData || cmd.Offset > math.MaxInt64:
 		return nil, fmt.Errorf("over 64 KiB, or a bad offset: %w", sftp.ErrSSHFxBadMessage)
 	}
 	cmd.Path = name
@@ -354,10 +354,10 @@
 
 // ReadAt implements io.ReaderAt: one READ is one request.
 func (f *file) ReadAt(p []byte, off int64) (int, error) {
-	if f.flags&sftpclient.FlagRead == 0 {
+	if f.flags&sftpwire.FlagRead == 0 {
 		return 0, fmt.Errorf("not open for reading: %w", sftp.ErrSSHFxPermissionDenied)
 	}
-	rep, err := f.h.do(f.path, &sftpclient.Command{Op: sftpclient.Read, Offset: uint64(off), Length: uint32(len(p))}, -1)
+	rep, err := f.h.do(f.path, &sftpwire.Command{Op: sftpwire.Read, Offset: uint64(off), Length: uint32(len(p))}, -1)
 	if err != nil {
 		return 0, err
 	}
@@ -370,11 +370,11 @@
 
 // WriteAt implements io.WriterAt: one WRITE is one request.
 func (f *file) WriteAt(p []byte, off int64) (int, error) {
-	if f.flags&sftpclient.FlagWrite == 0 {
+	if f.flags&sftpwire.FlagWrite == 0 {
 		return 0, fmt.Errorf("not open for writing: %w", sftp.ErrSSHFxPermissionDenied)
 	}
 	w, again := f.keyFor(p, off)
-	_, err := f.h.do(f.path, &sftpclient.Command{Op: sftpclient.Write, Offset: uint64(off), Data: p, Key: w.key}, again)
+	_, err := f.h.do(f.path, &sftpwire.Command{Op: sftpwire.Write, Offset: uint64(off), Data: p, Key: w.key}, again)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
@@ -390,7 +390,7 @@
 // stat is the one entry that a STAT answers.
 type stat struct {
 	name string
-	sftpclient.Attrs
+	sftpwire.Attrs
 }
 
 func (s stat) ListAt(out []os.FileInfo, at int64) (int, error) {
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -18,6 +18,7 @@
 	"github.com/pkg/sftp"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/eventloop"
@@ -136,9 +137,9 @@
 	case errors.As(err, &s):
 		return s.Code
 	case errors.Is(err, os.ErrNotExist):
-		return sftpclient.StatusNoSuchFile
+		return sftpwire.StatusNoSuchFile
 	case errors.Is(err, os.ErrPermission):
-		return sftpclient.StatusPermissionDenied
+		return sftpwire.StatusPermissionDenied
 	}
 	return 0
 }
@@ -208,15 +209,15 @@
 		err  error
 		want uint32
 	}{
-		"no root":      {second(cl.Open("/etc/passwd")), sftpclient.StatusNoSuchFile},
-		"path escape":  {second(cl.Open("/layers/../etc/passwd")), sftpclient.StatusNoSuchFile},
-		"climbing out": {second(cl.Open("../../layers/../x")), sftpclient.StatusNoSuchFile},
-		"like a root":  {second(cl.Open("/layers2/x")), sftpclient.StatusNoSuchFile},
-		"NUL":          {second(cl.Open("/layers/a\x00b")), sftpclient.StatusBadMessage},
-		"append":       {second(cl.OpenFile("/layers/a", os.O_WRONLY|os.O_APPEND)), sftpclient.StatusUnsupported},
-		"mkdir":        {cl.Mkdir("/layers/a"), sftpclient.StatusUnsupported},
-		"list":         {second(cl.ReadDir("/layers")), sftpclient.StatusUnsupported},
-		"rename":       {cl.Rename("/layers/a", "/layers/b"), sftpclient.StatusUnsupported},
+		"no root":      {second(cl.Open("/etc/passwd")), sftpwire.StatusNoSuchFile},
+		"path escape":  {second(cl.Open("/layers/../etc/passwd")), sftpwire.StatusNoSuchFile},
+		"climbing out": {second(cl.Open("../../layers/../x")), sftpwire.StatusNoSuchFile},
+		"like a root":  {second(cl.Open("/layers2/x")), sftpwire.StatusNoSuchFile},
+		"NUL":          {second(cl.Open("/layers/a\x00b")), sftpwire.StatusBadMessage},
+		"append":       {second(cl.OpenFile("/layers/a", os.O_WRONLY|os.O_APPEND)), sftpwire.StatusUnsupported},
+		"mkdir":        {cl.Mkdir("/layers/a"), sftpwire.StatusUnsupported},
+		"list":         {second(cl.ReadDir("/layers")), sftpwire.StatusUnsupported},
+		"rename":       {cl.Rename("/layers/a", "/layers/b"), sftpwire.StatusUnsupported},
 	} {
 		if c.err == nil || code(c.err) != c.want {
 			t.Errorf("%s: %v, want code %d", what, c.err, c.want)
@@ -225,7 +226,7 @@
 	if n := r.counts.Get("requests_taken"); n != 0 {
 		t.Errorf("%d requests reached the module", n)
 	}
-	if _, err := cl.Open("/layers/none"); code(err) != sftpclient.StatusNoSuchFile {
+	if _, err := cl.Open("/layers/none"); code(err) != sftpwire.StatusNoSuchFile {
 		t.Errorf("a missing file: %v", err)
 	}
 }
@@ -261,7 +262,7 @@
 	body := binary.BigEndian.AppendUint32(nil, 1)
 	body = append(binary.BigEndian.AppendUint32(body, 2), "99"...)
 	c.send(5, append(body, make([]byte, 12)...)) // READ
-	if got := c.status(); got != sftpclient.StatusFailure {
+	if got := c.status(); got != sftpwire.StatusFailure {
 		t.Errorf("code %d", got)
 	}
 	if n := r.counts.Get("requests_taken"); n != 0 {
@@ -273,11 +274,11 @@
 func TestOversizedPacket(t *testing.T) {
 	r := newRig(t)
 	c := raw{t, r.dial()}
-	c.Write(append(binary.BigEndian.AppendUint32(nil, sftpclient.MaxPacket+1), 6))
+	c.Write(append(binary.BigEndian.AppendUint32(nil, sftpwire.MaxPacket+1), 6))
 	if n, err := c.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes came back", n)
 	}
-	if _, err := r.client().Stat("/layers/none"); code(err) != sftpclient.StatusNoSuchFile {
+	if _, err := r.client().Stat("/layers/none"); code(err) != sftpwire.StatusNoSuchFile {
 		t.Errorf("another connection: %v", err)
 	}
 }
@@ -389,7 +390,7 @@
 	go func() { _, err := r.client().Open("/layers/a"); done <- err }()
 	r.until(func() bool { return r.counts.Get("requests_taken") == 1 })
 	err := r.while(done)
-	if code(err) != sftpclient.StatusFailure || !strings.Contains(err.Error(), "retry after ") {
+	if code(err) != sftpwire.StatusFailure || !strings.Contains(err.Error(), "retry after ") {
 		t.Errorf("%v", err)
 	}
 	if log := r.files.Log(); len(log) != 0 {
@@ -419,7 +420,7 @@
 	go func() { _, err := f.WriteAt([]byte("x"), 0); done <- err }()
 	<-reached
 	r.clock.Advance(3100)
-	if err := <-done; code(err) != sftpclient.StatusFailure || !strings.Contains(err.Error(), "may have taken effect") {
+	if err := <-done; code(err) != sftpwire.StatusFailure || !strings.Contains(err.Error(), "may have taken effect") {
 		t.Errorf("%v", err)
 	}
 	r.until(func() bool { return r.counts.Get("attempts_timed_out") == 1 })
@@ -568,12 +569,12 @@
 			if known {
 				h = open[int(s>>4)%len(open)]
 			}
-			off, want := uint64(s>>5), uint32(sftpclient.StatusOK)
+			off, want := uint64(s>>5), uint32(sftpwire.StatusOK)
 			switch s % 5 {
 			case 0: // OPEN, creating on some
-				flags := uint32(sftpclient.FlagRead | sftpclient.FlagWrite)
+				flags := uint32(sftpwire.FlagRead | sftpwire.FlagWrite)
 				if s&16 != 0 {
-					flags |= sftpclient.FlagCreat
+					flags |= sftpwire.FlagCreat
 				}
 				opens++
 				c.send(3, binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(str(b, "/layers/f"), flags), 0))
@@ -582,14 +583,14 @@
 					c.answer(102, id)
 					continue
 				}
-				want = sftpclient.StatusNoSuchFile
+				want = sftpwire.StatusNoSuchFile
 			case 1: // CLOSE
 				c.send(4, str(b, h))
 				if known {
 					closed = h
 					open = remove(open, h)
 				} else {
-					want = sftpclient.StatusFailure
+					want = sftpwire.StatusFailure
 				}
 			case 2: // WRITE
 				c.send(6, str(binary.BigEndian.AppendUint64(str(b, h), off), "xyz"))
@@ -597,7 +598,7 @@
 					model = append(model, make([]byte, max(0, int(off)+3-len(model)))...)
 					copy(model[off:], "xyz")
 				} else {
-					want = sftpclient.StatusFailure
+					want = sftpwire.StatusFailure
 				}
 			case 3: // READ
 				c.send(5, binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(str(b, h), off), 4))
@@ -607,9 +608,9 @@
 					}
 					continue
 				}
-				want = sftpclient.StatusFailure
+				want = sftpwire.StatusFailure
 				if known {
-					want = sftpclient.StatusEOF
+					want = sftpwire.StatusEOF
 				}
 			case 4: // STAT
 				c.send(17, str(b, "/layers/f"))
@@ -619,7 +620,7 @@
 					}
 					continue
 				}
-				want = sftpclient.StatusNoSuchFile
+				want = sftpwire.StatusNoSuchFile
 			}
 			if got := binary.BigEndian.Uint32(c.answer(101, id)); got != want {
 				t.Fatalf("step %d (%d): code %d, want %d", id, s, got, want)
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -14,8 +14,8 @@
 	"gaugerelay/internal/frontend/sftpserver"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/sftpwire"
 	"gaugerelay/internal/testbed"
-	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // The packet types of SFTP version 3 that the sessions send.
@@ -126,17 +126,17 @@
 // open opens a file for reading and writing.
 func (s *rawSession) open() {
 	s.t.Helper()
-	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{}}
-	s.send("open", packetOpen, "/layers/a", uint32(sftpclient.FlagRead|sftpclient.FlagWrite|sftpclient.FlagCreat), uint32(0))
+	s.loop.answer = lifecycle.Response{Result: &sftpwire.Reply{}}
+	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead|sftpwire.FlagWrite|sftpwire.FlagCreat), uint32(0))
 }
 
 func TestGoldenSession(t *testing.T) {
 	s := newRawSession(t)
 	s.open()
-	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{Data: []byte("0123456789")}}
+	s.loop.answer = lifecycle.Response{Result: &sftpwire.Reply{Data: []byte("0123456789")}}
 	s.send("read", packetRead, "1", uint64(3), uint32(10))
 	s.send("short read", packetRead, "1", uint64(3), uint32(20))
-	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{Attrs: sftpclient.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
+	s.loop.answer = lifecycle.Response{Result: &sftpwire.Reply{Attrs: sftpwire.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
 	s.send("write", packetWrite, "1", uint64(3), "data\x00\xff")
 	s.send("stat", packetStat, "/layers/a")
 	s.send("lstat", packetLstat, "/layers/a")
@@ -147,15 +147,15 @@
 
 func TestGoldenStatuses(t *testing.T) {
 	reply := func(code uint32) lifecycle.Response {
-		return lifecycle.Response{Result: &sftpclient.Reply{Code: code, Text: "the node's own words"}}
+		return lifecycle.Response{Result: &sftpwire.Reply{Code: code, Text: "the node's own words"}}
 	}
 	for name, a := range map[string]lifecycle.Response{
-		"end-of-file":   reply(sftpclient.StatusEOF),
-		"no-such-file":  reply(sftpclient.StatusNoSuchFile),
-		"denied":        reply(sftpclient.StatusPermissionDenied),
-		"failure":       reply(sftpclient.StatusFailure),
-		"bad-message":   reply(sftpclient.StatusBadMessage),
-		"unsupported":   reply(sftpclient.StatusUnsupported),
+		"end-of-file":   reply(sftpwire.StatusEOF),
+		"no-such-file":  reply(sftpwire.StatusNoSuchFile),
+		"denied":        reply(sftpwire.StatusPermissionDenied),
+		"failure":       reply(sftpwire.StatusFailure),
+		"bad-message":   reply(sftpwire.StatusBadMessage),
+		"unsupported":   reply(sftpwire.StatusUnsupported),
 		"unknown-code":  reply(99),
 		"refused":       {Kind: lifecycle.Rejected, RetryAfterMs: 90},
 		"refused-now":   {Kind: lifecycle.Rejected},
@@ -170,7 +170,7 @@
 			s.send("read", packetRead, "1", uint64(0), uint32(10))
 			s.send("write", packetWrite, "1", uint64(0), "data")
 			s.send("stat", packetStat, "/layers/a")
-			s.send("second open", packetOpen, "/layers/b", uint32(sftpclient.FlagRead), uint32(0))
+			s.send("second open", packetOpen, "/layers/b", uint32(sftpwire.FlagRead), uint32(0))
 			compareGolden(t, "status-"+name, s.text.String())
 		})
 	}
@@ -179,7 +179,7 @@
 func TestGoldenFullInbox(t *testing.T) {
 	s := newRawSession(t)
 	s.loop.full = true
-	s.send("open", packetOpen, "/layers/a", uint32(sftpclient.FlagRead), uint32(0))
+	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead), uint32(0))
 	s.send("stat", packetStat, "/layers/a")
 	compareGolden(t, "full-inbox", s.text.String())
 }
@@ -187,12 +187,12 @@
 func TestGoldenRejectedCommands(t *testing.T) {
 	const appendFlag = 4
 	s := newRawSession(t)
-	s.loop.answer = lifecycle.Response{Result: &sftpclient.Reply{}}
-	s.send("open under no root", packetOpen, "/other/a", uint32(sftpclient.FlagRead), uint32(0))
-	s.send("open to append", packetOpen, "/layers/a", uint32(sftpclient.FlagWrite|appendFlag), uint32(0))
+	s.loop.answer = lifecycle.Response{Result: &sftpwire.Reply{}}
+	s.send("open under no root", packetOpen, "/other/a", uint32(sftpwire.FlagRead), uint32(0))
+	s.send("open to append", packetOpen, "/layers/a", uint32(sftpwire.FlagWrite|appendFlag), uint32(0))
 	s.send("stat with a NUL", packetStat, "/layers/a\x00b")
 	s.send("remove", packetRemove, "/layers/a")
-	s.send("open to read", packetOpen, "/layers/a", uint32(sftpclient.FlagRead), uint32(0))
+	s.send("open to read", packetOpen, "/layers/a", uint32(sftpwire.FlagRead), uint32(0))
 	s.send("write to it", packetWrite, "3", uint64(0), "data")
 	s.send("read of an unknown handle", packetRead, "9", uint64(0), uint32(10))
 	compareGolden(t, "rejected", s.text.String())
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -17,6 +17,7 @@
 	"github.com/pkg/sftp"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/eventloop"
@@ -91,7 +92,7 @@
 			switch {
 			case c.Op != "open":
 				m.take("file", volume, max(1, float64((c.Bytes+unit-1)/unit)))
-			case c.Flags&sftpclient.FlagCreat != 0: // a client's own OPEN; the others belong to a READ or WRITE
+			case c.Flags&sftpwire.FlagCreat != 0: // a client's own OPEN; the others belong to a READ or WRITE
 				m.take("file", volume, 1)
 			}
 			return nil
--- a/internal/frontend/sftpserver/repeat.go
+++ b/internal/frontend/sftpserver/repeat.go
@@ -8,7 +8,7 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
-	"gaugerelay/internal/upstream/sftpclient"
+	"gaugerelay/internal/sftpwire"
 )
 
 // This file tells a WRITE that comes again from a new one. The protocol has no name for a WRITE, so its place, its
@@ -151,7 +151,7 @@
 }
 
 // exchange makes a WRITE a copy of an exchange.
-func (h *handler) exchange(req *lifecycle.Request, cmd *sftpclient.Command, again float64) {
+func (h *handler) exchange(req *lifecycle.Request, cmd *sftpwire.Command, again float64) {
 	req.Device = &lifecycle.DeviceRequest{ID: "file " + h.host, Key: "f" + cmd.Key, AgeMs: again,
 		HeadDigest: sha256.Sum256(fmt.Appendf(nil, "%d %s", cmd.Offset, cmd.Path)), Body: cmd.Data, BodyDigest: sha256.Sum256(cmd.Data),
 		BuildPayload: func(_ string, body []byte) any {
--- a/internal/frontend/sftpserver/repeat_test.go
+++ b/internal/frontend/sftpserver/repeat_test.go
@@ -7,11 +7,11 @@
 	"testing"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
-	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // told takes requests and answers them as the test says; the ledger's part is not played.
@@ -58,7 +58,7 @@
 		"behind its window":              {false, []step{w(1, 0, "aa", -1), lose(1), pass(5000), w(2, 0, "aa", 0)}},
 		"a repeat's repeat, of the last": {false, []step{w(1, 0, "aa", -1), lose(1), w(2, 0, "bb", -1), lose(2), w(3, 0, "bb", 1), w(4, 0, "aa", -1)}},
 	} {
-		l := &told{a: lifecycle.Response{Result: &sftpclient.Reply{}}}
+		l := &told{a: lifecycle.Response{Result: &sftpwire.Reply{}}}
 		now := clock.NewManual(1e6)
 		f := &Front{Loop: l, Clock: now, Metrics: metrics.New(), Options: Options{UnitBytes: 1024, Shards: 1, MostUnits: 6, KeepMs: 5000,
 			Write: scheduler.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9}, Roots: []Root{{Path: "/", Plan: "basic"}}}}
@@ -71,7 +71,7 @@
 					host = "b"
 				}
 				ctxs[n] = newCtl()
-				handles[n] = &file{h: &handler{f, ctxs[n].ctx, host, nil}, path: "/f", flags: sftpclient.FlagWrite, openedMs: now.NowMs(), last: map[int64]written{}}
+				handles[n] = &file{h: &handler{f, ctxs[n].ctx, host, nil}, path: "/f", flags: sftpwire.FlagWrite, openedMs: now.NowMs(), last: map[int64]written{}}
 			}
 			return handles[n]
 		}
@@ -103,7 +103,7 @@
 				if want != s.same || r.IsRetry != (s.same >= 0) || r.IsRetry != (r.Device.AgeMs >= 0) {
 					t.Errorf("%s: step %d has the key of write %d, want %d; repeat %v, age %v", name, i, want, s.same, r.IsRetry, r.Device.AgeMs)
 				}
-				if r.Device.BodyDigest != sha256.Sum256([]byte(s.body)) || fmt.Sprint(r.Device.BuildPayload("", r.Device.Body).(*sftpclient.Command).Data) != fmt.Sprint([]byte(s.body)) {
+				if r.Device.BodyDigest != sha256.Sum256([]byte(s.body)) || fmt.Sprint(r.Device.BuildPayload("", r.Device.Body).(*sftpwire.Command).Data) != fmt.Sprint([]byte(s.body)) {
 					t.Errorf("%s: step %d hands in other bytes", name, i)
 				}
 				keys = append(keys, key)
--- a/internal/testbed/fakefileserver/fileserver.go
+++ b/internal/testbed/fakefileserver/fileserver.go
@@ -12,8 +12,8 @@
 
 	"github.com/pkg/sftp"
 
+	"gaugerelay/internal/sftpwire"
 	"gaugerelay/internal/testbed"
-	"gaugerelay/internal/upstream/sftpclient"
 )
 
 // Command is what a file server has been asked to do.
@@ -56,7 +56,7 @@
 
 func (s *Server) handle(c net.Conn) {
 	sftp.NewRequestServer(c, sftp.Handlers{FileGet: s, FilePut: s, FileCmd: s, FileList: s},
-		sftp.WithRSMaxTxPacket(sftpclient.MaxData)).Serve()
+		sftp.WithRSMaxTxPacket(sftpwire.MaxData)).Serve()
 }
 
 // Serve serves a port until its listener closes, and then resets its connections.
@@ -127,10 +127,10 @@
 	h := &handle{s: s, path: r.Filepath, key: uploadKey(r.Attrs)}
 	err := s.run(&Command{Op: "open", Path: h.path, Flags: r.Flags, Key: h.key}, func() error {
 		_, there := s.files[h.path]
-		if !there && r.Flags&sftpclient.FlagCreat == 0 {
+		if !there && r.Flags&sftpwire.FlagCreat == 0 {
 			return sftp.ErrSSHFxNoSuchFile
 		}
-		if !there || r.Flags&sftpclient.FlagTrunc != 0 {
+		if !there || r.Flags&sftpwire.FlagTrunc != 0 {
 			s.files[h.path] = nil
 		}
 		return nil
@@ -153,7 +153,7 @@
 	}
 	count := binary.BigEndian.Uint32(attrs)
 	for attrs = attrs[4:]; count > 0; count-- {
-		if name, value := next(), next(); name == sftpclient.UploadKey {
+		if name, value := next(), next(); name == sftpwire.UploadKey {
 			return value
 		}
 	}
--- a/internal/upstream/httpclient/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -16,6 +16,7 @@
 
 	"github.com/valyala/fastjson"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
@@ -23,16 +24,6 @@
 	"gaugerelay/internal/metrics"
 )
 
-// MaxBody bounds the bodies of requests and answers.
-const MaxBody = 64 << 10
-
-// Load is what a request sends to a node.
-type Load struct {
-	Method, Path, RawPath, RawQuery string
-	Header                          http.Header // passed on as it is
-	Body                            []byte
-}
-
 // Options are the limits of a Backend.
 type Options struct {
 	ConnectMs, ConnIdleMs float64
@@ -109,7 +100,7 @@
 // attempt runs one attempt to its end.
 func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) lifecycle.AttemptResult {
 	for {
-		t := &try{Attempt: a, ctx: ctx, body: len(a.Request.Payload.(*Load).Body)}
+		t := &try{Attempt: a, ctx: ctx, body: len(a.Request.Payload.(*httpmessage.Request).Body)}
 		res := b.attemptOnce(ctx, a, t)
 		// A kept connection that turns out to be stale is gone by that, and nothing went out on it: taking another
 		// is no resend.
@@ -121,7 +112,7 @@
 }
 
 func (b *Backend) attemptOnce(ctx context.Context, a lifecycle.Attempt, t *try) lifecycle.AttemptResult {
-	load := a.Request.Payload.(*Load)
+	load := a.Request.Payload.(*httpmessage.Request)
 	req := (&http.Request{
 		Method: load.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL: &url.URL{Scheme: "http", Host: a.Server.Addr, Path: load.Path, RawPath: load.RawPath,
@@ -146,14 +137,14 @@
 		return lifecycle.AttemptResult{Status: b.ended(ctx, t)}
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, httpmessage.MaxBodyBytes+1))
 	if err != nil {
 		return lifecycle.AttemptResult{Status: b.ended(ctx, t)}
 	}
 	res := lifecycle.AttemptResult{}
 	b.told(&res, resp.Header)
 	switch {
-	case len(body) > MaxBody:
+	case len(body) > httpmessage.MaxBodyBytes:
 		b.metrics.Add("node_answers_spoilt", 1)
 		res.Status = scheduler.StatusError
 	case resp.StatusCode == http.StatusOK:
@@ -258,7 +249,7 @@
 			return
 		}
 		defer resp.Body.Close()
-		body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, httpmessage.MaxBodyBytes))
 		switch {
 		case err != nil:
 			status = scheduler.StatusConnectionReset
--- a/internal/upstream/httpclient/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"testing"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/scheduler"
 
 	"gaugerelay/internal/clock"
@@ -114,7 +115,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			return
 		case tooLarge:
-			answer("200 OK", strings.Repeat("x", MaxBody+1))
+			answer("200 OK", strings.Repeat("x", httpmessage.MaxBodyBytes+1))
 		case noise: // this and the next ones leave the connection open
 			io.WriteString(c, "\x00\x01\x02")
 		case huge:
@@ -146,7 +147,7 @@
 }
 
 func request(put bool) *lifecycle.Request {
-	l := &Load{Method: "GET", Path: "/pull/1", RawQuery: "a=%20b", Header: http.Header{"Idempotency-Key": {"k"}}}
+	l := &httpmessage.Request{Method: "GET", Path: "/pull/1", RawQuery: "a=%20b", Header: http.Header{"Idempotency-Key": {"k"}}}
 	if put {
 		l.Method, l.Body = "PUT", []byte("data")
 	}
@@ -415,7 +416,7 @@
 	addr := testbed.Serve(t, func(c net.Conn) { c.Read(make([]byte, 10)) })
 	b, s, _, now := newBackend()
 	r := request(true)
-	r.Payload.(*Load).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets take in
+	r.Payload.(*httpmessage.Request).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets take in
 	b.Start(lifecycle.Attempt{Request: r, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 1000})
 	if res := <-s.ends; res.Status != scheduler.StatusConnectFailed {
 		t.Errorf("status %d", res.Status)
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"syscall"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/permission"
 	"gaugerelay/internal/socketstate"
@@ -141,7 +142,7 @@
 			a.unkept = true
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 63)
-			if err != nil || a.left >= 0 && a.left != int(n) || n > MaxBody {
+			if err != nil || a.left >= 0 && a.left != int(n) || n > httpmessage.MaxBodyBytes {
 				return errSpoilt // also one of 3 GB: it is not worth reading any of it
 			}
 			a.left = int(n)
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -12,6 +12,7 @@
 	"strings"
 	"testing"
 
+	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/testbed"
 )
@@ -61,20 +62,20 @@
 
 func TestGoldenAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		load   Load
+		load   httpmessage.Request
 		leftMs float64
 	}{
-		"read":                {Load{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-1"}}}, 1000},
-		"read-query":          {Load{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", RawQuery: "x=%2F&y=a+b", Header: http.Header{}}, 1000},
-		"read-escaped-path":   {Load{Method: "GET", Path: "/pull/a/b", RawPath: "/pull/a%2Fb", Header: http.Header{}}, 1000},
-		"read-short-deadline": {Load{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-2"}}}, 7.9},
-		"write": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("\x00data\r\n\xff"),
+		"read":                {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-1"}}}, 1000},
+		"read-query":          {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", RawQuery: "x=%2F&y=a+b", Header: http.Header{}}, 1000},
+		"read-escaped-path":   {httpmessage.Request{Method: "GET", Path: "/pull/a/b", RawPath: "/pull/a%2Fb", Header: http.Header{}}, 1000},
+		"read-short-deadline": {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-2"}}}, 7.9},
+		"write": {httpmessage.Request{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("\x00data\r\n\xff"),
 			Header: http.Header{"X-Correlation-Id": {"id-3"}, "Content-Type": {"text/plain"}}}, 480},
-		"write-key": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
+		"write-key": {httpmessage.Request{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
 			Header: http.Header{"X-Correlation-Id": {"id-4"}, "Idempotency-Key": {"k1"}}}, 480},
-		"write-retry-mark": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
+		"write-retry-mark": {httpmessage.Request{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
 			Header: http.Header{"X-Correlation-Id": {"id-5"}, "Idempotency-Key": {"k1"}, "X-Repeat": {"1"}}}, 480},
-		"write-empty": {Load{Method: "PUT", Path: "/push/7f3a9c21e0b4d655",
+		"write-empty": {httpmessage.Request{Method: "PUT", Path: "/push/7f3a9c21e0b4d655",
 			Header: http.Header{"X-Correlation-Id": {"id-6"}, "Idempotency-Key": {"k2"}}}, 480},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/sftpclient/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -11,6 +11,7 @@
 	"sync"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
@@ -18,49 +19,6 @@
 	"gaugerelay/internal/permission"
 )
 
-// Op is what a command does.
-type Op uint8
-
-// The operations. Open checks, creates or truncates; the others open the file by themselves.
-const (
-	Open Op = iota
-	Read
-	Write
-	Stat
-)
-
-// Command is what a request sends to a node.
-type Command struct {
-	Op     Op
-	Path   string
-	Flags  uint32 // of an Open
-	Offset uint64
-	Length uint32 // of a Read
-	Data   []byte // of a Write
-	Key    string // upload key: nodes of one cell drop a repeat that carries it
-}
-
-// Reply is a node's answer to a command.
-type Reply struct {
-	Code  uint32
-	Text  string
-	Data  []byte
-	Attrs Attrs
-}
-
-// Size is the bytes that the reply holds.
-func (r *Reply) Size() int { return len(r.Data) + len(r.Text) }
-
-// UploadKey and TimeLeft name the extended attributes that an OPEN carries.
-const (
-	UploadKey = "upload-key@gaugerelay"
-	TimeLeft  = "time-left-ms@gaugerelay"
-)
-
-// Unprocessed begins the message of an SSH_FX_FAILURE of a node that has turned a command away unrun. Version 3
-// has no code for that.
-const Unprocessed = "unprocessed"
-
 // Options are the limits of a Backend.
 type Options struct {
 	ConnectMs, ConnIdleMs float64
@@ -116,7 +74,7 @@
 // failed: the file port may be down while the node serves others well, and ConnectFailed would make the module
 // hold the node back for all of them.
 func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) {
-	cmd := a.Request.Payload.(*Command)
+	cmd := a.Request.Payload.(*sftpwire.Command)
 	addr, ok := b.opt.Address(a.Server)
 	if !ok || a.Server.Closed() {
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOverloaded})
@@ -144,9 +102,9 @@
 	case err != nil:
 		b.metrics.Add("file_answers_malformed", 1)
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusError})
-	case reply.Code == StatusFailure && strings.HasPrefix(reply.Text, Unprocessed):
+	case reply.Code == sftpwire.StatusFailure && strings.HasPrefix(reply.Text, sftpwire.Unprocessed):
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOverloaded})
-	case reply.Code == StatusFailure || reply.Code == StatusBadMessage:
+	case reply.Code == sftpwire.StatusFailure || reply.Code == sftpwire.StatusBadMessage:
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusError})
 	default: // the node has done its work, also where it tells that there is no such file
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOK, Body: reply})
@@ -307,8 +265,8 @@
 
 // run sends a command. ran tells whether its own packet (not the OPEN before a READ or WRITE, which changes
 // nothing) has been written whole.
-func (s *session) run(cmd *Command, a lifecycle.Attempt, leftMs float64) (rep *Reply, handle []byte, ran bool, err error) {
-	if cmd.Op == Stat {
+func (s *session) run(cmd *sftpwire.Command, a lifecycle.Attempt, leftMs float64) (rep *sftpwire.Reply, handle []byte, ran bool, err error) {
+	if cmd.Op == sftpwire.Stat {
 		typ, f, err := s.call(newPacket(typeStat, s.next()).text(cmd.Path))
 		ran = written(err)
 		if err != nil {
@@ -319,24 +277,24 @@
 	}
 	flags := cmd.Flags
 	switch cmd.Op {
-	case Read:
-		flags = FlagRead
-	case Write:
-		flags = FlagWrite
+	case sftpwire.Read:
+		flags = sftpwire.FlagRead
+	case sftpwire.Write:
+		flags = sftpwire.FlagWrite
 	}
 	open := newPacket(typeOpen, s.next()).text(cmd.Path).u32(flags).u32(attrExtended)
 	if cmd.Key != "" {
-		open = open.u32(2).text(UploadKey).text(cmd.Key)
+		open = open.u32(2).text(sftpwire.UploadKey).text(cmd.Key)
 	} else {
 		open = open.u32(1)
 	}
-	typ, f, err := s.call(open.text(TimeLeft).text(fmt.Sprint(leftMs)))
-	ran = cmd.Op == Open && written(err)
+	typ, f, err := s.call(open.text(sftpwire.TimeLeft).text(fmt.Sprint(leftMs)))
+	ran = cmd.Op == sftpwire.Open && written(err)
 	if err != nil {
 		return nil, nil, ran, err
 	}
 	if typ != typeHandle {
-		if rep, err = reply(typ, f); err == nil && rep.Code == StatusOK {
+		if rep, err = reply(typ, f); err == nil && rep.Code == sftpwire.StatusOK {
 			err = errMalformed // an OPEN that succeeds has a handle
 		}
 		return rep, nil, ran, err
@@ -344,15 +302,15 @@
 	if handle = f.bytes(); f.err != nil || len(handle) > 256 {
 		return nil, nil, ran, errMalformed
 	}
-	rep = &Reply{}
-	if cmd.Op == Open {
+	rep = &sftpwire.Reply{}
+	if cmd.Op == sftpwire.Open {
 		return rep, handle, ran, nil
 	}
 	if _, why := a.Authorize(s.clock); why != permission.Allowed { // since the OPEN went out
 		return nil, nil, false, errDenied
 	}
 	var p packet
-	if cmd.Op == Read {
+	if cmd.Op == sftpwire.Read {
 		p = newPacket(typeRead, s.next()).text(string(handle)).u64(cmd.Offset).u32(cmd.Length)
 	} else {
 		p = newPacket(typeWrite, s.next()).text(string(handle)).u64(cmd.Offset).text(string(cmd.Data))
@@ -363,7 +321,7 @@
 		return nil, nil, ran, err
 	}
 	if rep, err = reply(typ, f); err == nil && typ == typeData &&
-		(cmd.Op != Read || len(rep.Data) > int(cmd.Length)) {
+		(cmd.Op != sftpwire.Read || len(rep.Data) > int(cmd.Length)) {
 		err = errMalformed // data that was not asked for
 	}
 	return rep, handle, ran, err
@@ -375,8 +333,8 @@
 }
 
 // reply reads the answer to a command.
-func reply(typ byte, f *fields) (*Reply, error) {
-	r := &Reply{}
+func reply(typ byte, f *fields) (*sftpwire.Reply, error) {
+	r := &sftpwire.Reply{}
 	switch typ {
 	case typeStatus:
 		r.Code = f.u32()
--- a/internal/upstream/sftpclient/backend_test.go
+++ b/internal/upstream/sftpclient/backend_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
@@ -58,21 +59,21 @@
 		if typ == typeRead || typ == typeWrite {
 			p.commands.Add(1)
 		}
-		out := newPacket(typeStatus, id).u32(StatusOK).text("").text("")
+		out := newPacket(typeStatus, id).u32(sftpwire.StatusOK).text("").text("")
 		switch {
 		case act == breakOff:
 			return
 		case act == garbage:
 			out = newPacket(99, id)
 		case act == wrongID:
-			out = newPacket(typeStatus, id+1).u32(StatusOK).text("").text("")
+			out = newPacket(typeStatus, id+1).u32(sftpwire.StatusOK).text("").text("")
 		case act == tooLong:
 			io.WriteString(c, "\xff\xff\xff\xff\x67")
 			return
 		case act == status:
-			out = newPacket(typeStatus, id).u32(StatusFailure).text("disk").text("")
+			out = newPacket(typeStatus, id).u32(sftpwire.StatusFailure).text("disk").text("")
 		case act == turnAway:
-			out = newPacket(typeStatus, id).u32(StatusFailure).text(Unprocessed + ": queue full").text("")
+			out = newPacket(typeStatus, id).u32(sftpwire.StatusFailure).text(sftpwire.Unprocessed + ": queue full").text("")
 		case typ == typeInit:
 			out = newPacket(typeVersion, version)
 		case typ == typeOpen:
@@ -102,9 +103,9 @@
 		for i, x := range script[:min(len(script), 12)] {
 			onOpen, onCommand, write := x>>4&7%acts, x&15%acts, x >= 128
 			want := [acts]scheduler.Status{scheduler.StatusOK, scheduler.StatusError, scheduler.StatusOverloaded, scheduler.StatusConnectionReset, scheduler.StatusError, scheduler.StatusError, scheduler.StatusError}
-			cmd := &Command{Op: Read, Path: "/a", Length: 10}
+			cmd := &sftpwire.Command{Op: sftpwire.Read, Path: "/a", Length: 10}
 			if write {
-				cmd = &Command{Op: Write, Path: "/a", Data: []byte("data"), Key: "k"}
+				cmd = &sftpwire.Command{Op: sftpwire.Write, Path: "/a", Data: []byte("data"), Key: "k"}
 			}
 			p.acts <- onOpen
 			end := want[onOpen]
@@ -142,7 +143,7 @@
 	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
 		Address: func(*lifecycle.Server) (string, bool) { return p.addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 	defer b.Close()
-	a := lifecycle.Attempt{Request: &lifecycle.Request{Payload: &Command{Op: Read, Path: "/a", Length: 4}}, Server: &lifecycle.Server{}, DeadlineMs: 2e12}
+	a := lifecycle.Attempt{Request: &lifecycle.Request{Payload: &sftpwire.Command{Op: sftpwire.Read, Path: "/a", Length: 4}}, Server: &lifecycle.Server{}, DeadlineMs: 2e12}
 	idle := func() *session {
 		for {
 			b.mu.Lock()
@@ -189,7 +190,7 @@
 	now, ends, m := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 2), metrics.New()
 	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
 		Address: func(*lifecycle.Server) (string, bool) { return addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
-	cmd := &Command{Op: Write, Path: "/a", Key: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
+	cmd := &sftpwire.Command{Op: sftpwire.Write, Path: "/a", Key: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
 	b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: cmd}, Server: &lifecycle.Server{}, DeadlineMs: 2e12})
 	if r := <-ends; r.Status != scheduler.StatusOverloaded {
 		t.Errorf("status %d", r.Status)
@@ -214,7 +215,7 @@
 		"away":        {func(left, _ *atomic.Bool) { left.Store(true) }, scheduler.StatusCanceled},
 		"window over": {func(_, over *atomic.Bool) { over.Store(true) }, scheduler.StatusOverloaded},
 	} {
-		for _, op := range []Op{Open, Read, Write, Stat} {
+		for _, op := range []sftpwire.Op{sftpwire.Open, sftpwire.Read, sftpwire.Write, sftpwire.Stat} {
 			var left, over atomic.Bool
 			read := make(chan int, 1)
 			addr := testbed.Serve(t, func(nc net.Conn) {
@@ -227,7 +228,7 @@
 			now, ends := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 2)
 			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1, Address: func(*lifecycle.Server) (string, bool) { return addr, true }},
 				passing{now, &over}, metrics.New(), func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &Command{Op: op, Path: "/a", Key: "k"}, ClientDisconnected: left.Load}, Server: &lifecycle.Server{},
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &sftpwire.Command{Op: op, Path: "/a", Key: "k"}, ClientDisconnected: left.Load}, Server: &lifecycle.Server{},
 				DeadlineMs: 2e12, StartDeadlineMs: 1.5e12})
 			if r := <-ends; r.Status != c.want {
 				t.Errorf("%s, %d: ended as %v", name, op, r.Status)
--- a/internal/upstream/sftpclient/codec.go
+++ b/internal/upstream/sftpclient/codec.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"gaugerelay/internal/sftpwire"
 	"io"
 )
 
@@ -13,12 +14,6 @@
 // sends no extended attributes, so no upload key; and it does not tell how much of a WRITE went out.
 // TestLibraryClientSendsASecondRead keeps the first of these in sight.
 
-// MaxData bounds the data of a READ or WRITE, MaxPacket a packet with its headers.
-const (
-	MaxData   = 64 << 10
-	MaxPacket = MaxData + 4<<10
-)
-
 // The types of packet.
 const (
 	typeInit    = 1
@@ -34,26 +29,6 @@
 	typeAttrs   = 105
 )
 
-// The status codes.
-const (
-	StatusOK               = 0
-	StatusEOF              = 1
-	StatusNoSuchFile       = 2
-	StatusPermissionDenied = 3
-	StatusFailure          = 4
-	StatusBadMessage       = 5
-	StatusUnsupported      = 8
-)
-
-// The flags of an OPEN.
-const (
-	FlagRead  = 1
-	FlagWrite = 2
-	FlagCreat = 8
-	FlagTrunc = 16
-	FlagExcl  = 32
-)
-
 const (
 	attrSize      = 1
 	attrIDs       = 2
@@ -91,7 +66,7 @@
 		return 0, nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n < 1 || n > MaxPacket {
+	if n < 1 || n > sftpwire.MaxPacket {
 		return 0, nil, fmt.Errorf("%w: %d bytes", errMalformed, n)
 	}
 	body = make([]byte, n-1)
@@ -131,14 +106,7 @@
 
 func (f *fields) bytes() []byte { return f.take(int(f.u32())) }
 
-// Attrs is what a STAT tells.
-type Attrs struct {
-	Size  uint64
-	Mode  uint32
-	Mtime uint32
-}
-
-func (f *fields) attrs() (a Attrs) {
+func (f *fields) attrs() (a sftpwire.Attrs) {
 	flags := f.u32()
 	if flags&attrSize != 0 {
 		a.Size = f.u64()
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
@@ -36,7 +37,7 @@
 // describeResult writes the end of an attempt as values.
 func describeResult(res lifecycle.AttemptResult) string {
 	text := "result: " + statusNames[res.Status] + "\n"
-	if rep, ok := res.Body.(*Reply); ok {
+	if rep, ok := res.Body.(*sftpwire.Reply); ok {
 		text += fmt.Sprintf("reply: code %d, text %q, data %q, size %d, mode %o, mtime %d\n",
 			rep.Code, rep.Text, rep.Data, rep.Attrs.Size, rep.Attrs.Mode, rep.Attrs.Mtime)
 	}
@@ -101,20 +102,20 @@
 		codeAlone    = "65 00000002"
 		unknownReply = "63 00000000"
 	)
-	read := Command{Op: Read, Path: "/layers/a", Offset: 1 << 33, Length: 10}
-	write := Command{Op: Write, Path: "/layers/a", Offset: 3, Data: []byte("data\x00\xff"), Key: "k1"}
-	stat := Command{Op: Stat, Path: "/layers/a"}
+	read := sftpwire.Command{Op: sftpwire.Read, Path: "/layers/a", Offset: 1 << 33, Length: 10}
+	write := sftpwire.Command{Op: sftpwire.Write, Path: "/layers/a", Offset: 3, Data: []byte("data\x00\xff"), Key: "k1"}
+	stat := sftpwire.Command{Op: sftpwire.Stat, Path: "/layers/a"}
 	for name, c := range map[string]struct {
-		command   Command
+		command   sftpwire.Command
 		responses []string
 		packets   int // INIT included
 	}{
 		"read":              {read, []string{handle, data}, 4},
 		"write":             {write, []string{handle, statusOK}, 4},
-		"write-without-key": {Command{Op: Write, Path: "/a", Data: []byte("x")}, []string{handle, statusOK}, 4},
-		"open-read":         {Command{Op: Open, Path: "/layers/a", Flags: FlagRead}, []string{handle}, 3},
-		"open-create":       {Command{Op: Open, Path: "/layers/a", Flags: FlagWrite | FlagCreat | FlagTrunc, Key: "k2"}, []string{handle}, 3},
-		"open-exclusive":    {Command{Op: Open, Path: "/a", Flags: FlagRead | FlagWrite | FlagExcl, Key: "k3"}, []string{handle}, 3},
+		"write-without-key": {sftpwire.Command{Op: sftpwire.Write, Path: "/a", Data: []byte("x")}, []string{handle, statusOK}, 4},
+		"open-read":         {sftpwire.Command{Op: sftpwire.Open, Path: "/layers/a", Flags: sftpwire.FlagRead}, []string{handle}, 3},
+		"open-create":       {sftpwire.Command{Op: sftpwire.Open, Path: "/layers/a", Flags: sftpwire.FlagWrite | sftpwire.FlagCreat | sftpwire.FlagTrunc, Key: "k2"}, []string{handle}, 3},
+		"open-exclusive":    {sftpwire.Command{Op: sftpwire.Open, Path: "/a", Flags: sftpwire.FlagRead | sftpwire.FlagWrite | sftpwire.FlagExcl, Key: "k3"}, []string{handle}, 3},
 		"stat":              {stat, []string{attributes}, 2},
 		"stat-missing":      {stat, []string{noSuchFile}, 2},
 		"stat-code-alone":   {stat, []string{codeAlone}, 2},
