--- /dev/null
+++ b/internal/quota/lender.go
@@ -0,0 +1,71 @@
+package quota
+
+// handleRequest answers a lease request. It does not reduce a grant while it lasts, since the borrower may still use it;
+// where its own traffic needs the quota, it lets the lease expire. It does not answer for an idle pool: the pool's traffic
+// arrives elsewhere, so this gateway owns no share of it.
+func (a *Allocator) handleRequest(p *pool, nowMs float64, request Message) []Message {
+	if a.isIdle(p, nowMs) {
+		return nil
+	}
+	p.expire(nowMs, a.settings.LeaseMs)
+	reply := Message{Kind: LeaseGrant, Pool: p.id, Peer: request.Peer, SenderIncarnation: a.settings.Incarnation,
+		RecipientIncarnation: request.SenderIncarnation, Seq: request.Seq}
+	granted := findLease(p.lent, request.Peer, request.SenderIncarnation)
+	if granted != nil {
+		reply.Fraction = granted.fraction
+		order := compareSeq(request.Seq, granted.seq)
+		switch {
+		case order < 0:
+			return nil // reordered: the lease reflects a later message
+		case order == 0:
+			return []Message{reply} // a retransmission gets the same answer and does not renew the lease
+		case p.usage(nowMs) > p.ownFraction-totalFraction(p.lent):
+			return nil
+		}
+	}
+	reply.Fraction += max(0, min(request.Fraction-reply.Fraction, a.lendable(p, nowMs)))
+	if reply.Fraction == 0 {
+		return []Message{reply}
+	}
+	if granted == nil {
+		if len(p.lent) >= a.settings.MaxPeers {
+			reply.Fraction = 0
+			return []Message{reply}
+		}
+		p.lent = append(p.lent, lease{peer: request.Peer, incarnation: request.SenderIncarnation})
+		granted = &p.lent[len(p.lent)-1]
+	}
+	granted.seq, granted.fraction, granted.expiresAtMs = request.Seq, reply.Fraction, nowMs+a.settings.GrantHoldMs()
+	return []Message{reply}
+}
+
+// lendable returns what this gateway can lend of its own share in addition to what it has lent. It may be negative.
+func (a *Allocator) lendable(p *pool, nowMs float64) float64 {
+	reserved := max(p.usage(nowMs), p.ownFraction*(1-a.settings.MaxGrantedFraction))
+	return a.available(p, nowMs) - totalFraction(p.borrowed) - reserved
+}
+
+// handleReturn reduces a granted lease to what the borrower still holds.
+func (p *pool) handleReturn(message Message) {
+	granted := findLease(p.lent, message.Peer, message.SenderIncarnation)
+	if granted != nil && compareSeq(message.Seq, granted.seq) > 0 {
+		granted.seq, granted.fraction = message.Seq, min(granted.fraction, message.Fraction)
+	}
+}
+
+// recallNeeded asks borrowers to return what this gateway's own traffic needs. The leases stay in force until the
+// borrowers return them or they expire.
+func (a *Allocator) recallNeeded(p *pool, nowMs float64) (messages []Message) {
+	lacking := p.usage(nowMs) - max(0, p.ownFraction-totalFraction(p.lent))
+	for _, granted := range p.lent {
+		recalled := min(granted.fraction, lacking)
+		if recalled <= p.minTransfer() {
+			continue
+		}
+		lacking -= recalled
+		messages = append(messages, Message{Kind: LeaseRecall, Pool: p.id, Peer: granted.peer,
+			SenderIncarnation: a.settings.Incarnation, RecipientIncarnation: granted.incarnation,
+			Fraction: granted.fraction - recalled})
+	}
+	return messages
+}
