--- a/internal/membership/contract.go
+++ b/internal/membership/contract.go
@@ -12,33 +12,33 @@
 
 // Settings are what a Book is made with.
 type Settings struct {
-	Self    uint16
-	Members int    // numbered from 0; Self is one of them
-	Life    uint32 // tells this process from an earlier or another one of the same number
-	Seed    uint64
+	Self               uint16
+	MemberCount        int    // numbered from 0; Self is one of them
+	ProcessIncarnation uint32 // tells this process from an earlier or another one of the same number
+	Seed               uint64
 
-	PeriodMs  float64 // between two probes
-	TimeoutMs float64 // after which a probe goes by way of others; well under the period
-	Relays    int     // by way of how many
-	// LeastSuspicion is how many periods a suspicion lasts at the least, times the decimal logarithm of the number of
+	ProbePeriodMs  float64 // between two probes
+	ProbeTimeoutMs float64 // after which a probe goes by way of others; well under the period
+	IndirectProbes int     // by way of how many
+	// MinSuspicionPeriods is how many periods a suspicion lasts at the least, times the decimal logarithm of the number of
 	// members; MostSuspicion is how many times that it lasts as long as nobody confirms it, Confirm how many members
 	// have to for the least.
-	LeastSuspicion, MostSuspicion float64
-	Confirm                       int
-	// MostSlow bounds how many times longer, less one, a member that finds itself slow waits.
-	MostSlow int
-	// MostRumours bounds what one message tells of other members, Retell how often each is told, times the logarithm
+	MinSuspicionPeriods, MaxSuspicionFactor float64
+	ExpectedConfirmations                   int
+	// MaxHealthScore bounds how many times longer, less one, a member that finds itself slow waits.
+	MaxHealthScore int
+	// MaxUpdatesPerMessage bounds what one message tells of other members, Retell how often each is told, times the logarithm
 	// of the number of members.
-	MostRumours int
-	Retell      float64
-	// DeadEvery is that one of so many probes goes to a member held for dead: a fleet cut in halves finds together.
-	DeadEvery int
+	MaxUpdatesPerMessage int
+	RetransmitFactor     float64
+	// DeadProbeEvery is that one of so many probes goes to a member held for dead: a fleet cut in halves finds together.
+	DeadProbeEvery int
 }
 
-// Defaults are settings for a fleet on one site.
-func Defaults(self uint16, members int, life uint32, seed uint64) Settings {
-	return Settings{Self: self, Members: members, Life: life, Seed: seed, PeriodMs: 500, TimeoutMs: 150, Relays: 3,
-		LeastSuspicion: 3, MostSuspicion: 4, Confirm: 3, MostSlow: 8, MostRumours: 8, Retell: 4, DeadEvery: 4}
+// DefaultSettings are settings for a fleet on one site.
+func DefaultSettings(self uint16, members int, life uint32, seed uint64) Settings {
+	return Settings{Self: self, MemberCount: members, ProcessIncarnation: life, Seed: seed, ProbePeriodMs: 500, ProbeTimeoutMs: 150, IndirectProbes: 3,
+		MinSuspicionPeriods: 3, MaxSuspicionFactor: 4, ExpectedConfirmations: 3, MaxHealthScore: 8, MaxUpdatesPerMessage: 8, RetransmitFactor: 4, DeadProbeEvery: 4}
 }
 
 // State is what is held of a member.
@@ -52,40 +52,40 @@
 	Left // by its own word
 )
 
-// Rumour is what is told of a member.
-type Rumour struct {
-	Member      uint16
-	State       State
-	Incarnation uint64
-	Life        uint32 // the member's, where it is alive
-	By          uint16 // who suspects it
+// Update is what is told of a member.
+type Update struct {
+	Member             uint16
+	State              State
+	Incarnation        uint64
+	ProcessIncarnation uint32 // the member's, where it is alive
+	SuspectedBy        uint16 // who suspects it
 }
 
-// Kind is what a message is for.
-type Kind uint8
+// MessageKind is what a message is for.
+type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Ping Kind = iota + 1
-	PingBy
+	Ping MessageKind = iota + 1
+	PingRequest
 	Ack
 	Nack // by a relay: it has not heard of the target either
 )
 
 // Message goes between two members. The sender's own state is the first of its rumours.
 type Message struct {
-	Kind    Kind
+	Kind    MessageKind
 	Peer    uint16 // to whom it goes, or who sent it
 	Seq     uint32
 	Target  uint16 // of PingBy and the answers to it: who is asked for; of a Ping: who is meant
-	Rumours []Rumour
+	Updates []Update
 }
 
-// Change tells that a member's state is another.
-type Change struct {
-	Member uint16
-	State  State
-	Life   uint32
-	// Taken tells that another process goes by this gateway's number.
-	Taken bool
+// StateChange tells that a member's state is another.
+type StateChange struct {
+	Member             uint16
+	State              State
+	ProcessIncarnation uint32
+	// IdentityConflict tells that another process goes by this gateway's number.
+	IdentityConflict bool
 }
--- a/internal/peer/datagram/codec.go
+++ b/internal/peer/datagram/codec.go
@@ -59,7 +59,7 @@
 	Members []membership.Message // each datagram has the rumours of all of its messages; decoded, the first has them
 	Share   []quota.Message
 	Words   []outlier.Evidence
-	Samples []peerlatency.Sample
+	Samples []peerlatency.Report
 }
 
 // Why a datagram is dropped.
@@ -127,8 +127,8 @@
 	}
 	for _, s := range p.Samples {
 		add(typeSample, sampleSize, func(b []byte) []byte {
-			b = binary.BigEndian.AppendUint64(b, s.Node)
-			b = binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, s.Ms/sampleStep))))
+			b = binary.BigEndian.AppendUint64(b, s.Server)
+			b = binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, s.LatencyMs/sampleStep))))
 			return binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, s.AgeMs))))
 		})
 	}
@@ -137,15 +137,15 @@
 			b = binary.BigEndian.AppendUint32(append(b, byte(m.Kind)), m.Seq)
 			return binary.BigEndian.AppendUint16(b, m.Target)
 		})
-		for _, r := range m.Rumours {
+		for _, r := range m.Updates {
 			if len(items)+2+rumourSize > room {
 				break
 			}
 			add(typeRumour, rumourSize, func(b []byte) []byte {
 				b = append(binary.BigEndian.AppendUint16(b, r.Member), byte(r.State))
 				b = binary.BigEndian.AppendUint64(b, r.Incarnation)
-				b = binary.BigEndian.AppendUint32(b, r.Life)
-				return binary.BigEndian.AppendUint16(b, r.By)
+				b = binary.BigEndian.AppendUint32(b, r.ProcessIncarnation)
+				return binary.BigEndian.AppendUint16(b, r.SuspectedBy)
 			})
 		}
 	}
@@ -178,7 +178,7 @@
 		return p, ErrCheck
 	}
 	p.From, p.Life, p.Count = binary.BigEndian.Uint16(b[4:]), binary.BigEndian.Uint32(b[6:]), binary.BigEndian.Uint64(b[10:])
-	var rumours []membership.Rumour
+	var rumours []membership.Update
 	for items := b[headerSize:end]; len(items) > 0; {
 		if len(items) < 2 || len(items) < 2+int(items[1]) {
 			return Packet{}, ErrItem
@@ -187,11 +187,11 @@
 		items = items[2+len(x):]
 		switch {
 		case kind == typeMember && len(x) >= memberSize:
-			p.Members = append(p.Members, membership.Message{Kind: membership.Kind(x[0]), Peer: p.From,
+			p.Members = append(p.Members, membership.Message{Kind: membership.MessageKind(x[0]), Peer: p.From,
 				Seq: binary.BigEndian.Uint32(x[1:]), Target: binary.BigEndian.Uint16(x[5:])})
 		case kind == typeRumour && len(x) >= rumourSize:
-			rumours = append(rumours, membership.Rumour{Member: binary.BigEndian.Uint16(x), State: membership.State(x[2]),
-				Incarnation: binary.BigEndian.Uint64(x[3:]), Life: binary.BigEndian.Uint32(x[11:]), By: binary.BigEndian.Uint16(x[15:])})
+			rumours = append(rumours, membership.Update{Member: binary.BigEndian.Uint16(x), State: membership.State(x[2]),
+				Incarnation: binary.BigEndian.Uint64(x[3:]), ProcessIncarnation: binary.BigEndian.Uint32(x[11:]), SuspectedBy: binary.BigEndian.Uint16(x[15:])})
 		case kind == typeShare && len(x) >= shareSize:
 			part := binary.BigEndian.Uint32(x[17:])
 			if part > whole {
@@ -203,8 +203,8 @@
 			p.Words = append(p.Words, outlier.Evidence{Peer: p.From, Kind: outlier.Kind(x[0]), Node: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
 				Stamp: binary.BigEndian.Uint64(x[10:]), AgeMs: float64(binary.BigEndian.Uint16(x[18:]))})
 		case kind == typeSample && len(x) >= sampleSize:
-			p.Samples = append(p.Samples, peerlatency.Sample{Peer: p.From, Node: binary.BigEndian.Uint64(x),
-				Ms: float64(binary.BigEndian.Uint16(x[8:])) * sampleStep, AgeMs: float64(binary.BigEndian.Uint16(x[10:]))})
+			p.Samples = append(p.Samples, peerlatency.Report{Peer: p.From, Server: binary.BigEndian.Uint64(x),
+				LatencyMs: float64(binary.BigEndian.Uint16(x[8:])) * sampleStep, AgeMs: float64(binary.BigEndian.Uint16(x[10:]))})
 		case kind >= typeMember && kind <= typeSample:
 			return Packet{}, ErrItem
 		}
@@ -213,7 +213,7 @@
 		if len(p.Members) == 0 {
 			return Packet{}, ErrItem
 		}
-		p.Members[0].Rumours = rumours
+		p.Members[0].Updates = rumours
 	}
 	return p, nil
 }
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -13,11 +13,11 @@
 )
 
 func sample() Packet {
-	return Packet{From: 3, Life: 77, Members: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Rumours: []membership.Rumour{
-		{Member: 3, Incarnation: 9, Life: 77}, {Member: 2, State: membership.Suspect, Incarnation: 1 << 40, By: 4}}}},
+	return Packet{From: 3, Life: 77, Members: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Updates: []membership.Update{
+		{Member: 3, Incarnation: 9, ProcessIncarnation: 77}, {Member: 2, State: membership.Suspect, Incarnation: 1 << 40, SuspectedBy: 4}}}},
 		Share:   []quota.Message{{Kind: quota.Grant, Pot: 0xb4d60021, Peer: 3, Life: 77, To: 5, Seq: 8, Part: 0.25}},
 		Words:   []outlier.Evidence{{Peer: 3, Node: 1 << 60, Kind: outlier.Closed, Percent: 80, Stamp: 1 << 41, AgeMs: 250}},
-		Samples: []peerlatency.Sample{{Peer: 3, Node: 77, Ms: 12.5, AgeMs: 40}}}
+		Samples: []peerlatency.Report{{Peer: 3, Server: 77, LatencyMs: 12.5, AgeMs: 40}}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -55,7 +55,7 @@
 		p.Share = append(p.Share, quota.Message{Kind: quota.Kind(1 + i%3), Pot: rnd.Uint64(), Seq: uint32(i), Part: rnd.Float64()})
 	}
 	for range 40 {
-		p.Members[0].Rumours = append(p.Members[0].Rumours, membership.Rumour{Member: 1})
+		p.Members[0].Updates = append(p.Members[0].Updates, membership.Update{Member: 1})
 	}
 	var count uint64
 	c := New(nil)
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -39,9 +39,9 @@
 
 func packet() datagram.Packet { return datagram.Packet{From: sender, Life: senderLife} }
 
-func memberPacket(kind membership.Kind, rumours ...membership.Rumour) datagram.Packet {
+func memberPacket(kind membership.MessageKind, rumours ...membership.Update) datagram.Packet {
 	p := packet()
-	p.Members = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Rumours: rumours}}
+	p.Members = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Updates: rumours}}
 	return p
 }
 
@@ -61,16 +61,16 @@
 
 func samplePacket(milliseconds, ageMs float64) datagram.Packet {
 	p := packet()
-	p.Samples = []peerlatency.Sample{{Peer: sender, Node: 0x7172737475767778, Ms: milliseconds, AgeMs: ageMs}}
+	p.Samples = []peerlatency.Report{{Peer: sender, Server: 0x7172737475767778, LatencyMs: milliseconds, AgeMs: ageMs}}
 	return p
 }
 
-func allRumours() []membership.Rumour {
-	return []membership.Rumour{
-		{Member: 1, State: membership.Alive, Incarnation: 0x8182838485868788, Life: 0x91929394, By: 2},
-		{Member: 3, State: membership.Suspect, Incarnation: 4, Life: 5, By: 6},
-		{Member: 7, State: membership.Dead, Incarnation: 8, Life: 9, By: 10},
-		{Member: 11, State: membership.Left, Incarnation: 12, Life: 13, By: 14},
+func allRumours() []membership.Update {
+	return []membership.Update{
+		{Member: 1, State: membership.Alive, Incarnation: 0x8182838485868788, ProcessIncarnation: 0x91929394, SuspectedBy: 2},
+		{Member: 3, State: membership.Suspect, Incarnation: 4, ProcessIncarnation: 5, SuspectedBy: 6},
+		{Member: 7, State: membership.Dead, Incarnation: 8, ProcessIncarnation: 9, SuspectedBy: 10},
+		{Member: 11, State: membership.Left, Incarnation: 12, ProcessIncarnation: 13, SuspectedBy: 14},
 	}
 }
 
@@ -99,7 +99,7 @@
 	exact  bool // decoding gives back what was encoded, in one datagram
 }{
 	{"member ping", memberPacket(membership.Ping), true},
-	{"member ping by relay", memberPacket(membership.PingBy), true},
+	{"member ping by relay", memberPacket(membership.PingRequest), true},
 	{"member ack", memberPacket(membership.Ack), true},
 	{"member nack", memberPacket(membership.Nack), true},
 	{"member ping with rumours", memberPacket(membership.Ping, allRumours()...), true},
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -55,8 +55,8 @@
 }
 
 func (o Options) members() membership.Settings {
-	s := membership.Defaults(o.Self, len(o.Peers), o.Life, o.Seed)
-	s.PeriodMs, s.TimeoutMs = o.PeriodMs, o.TimeoutMs
+	s := membership.DefaultSettings(o.Self, len(o.Peers), o.Life, o.Seed)
+	s.ProbePeriodMs, s.ProbeTimeoutMs = o.PeriodMs, o.TimeoutMs
 	return s
 }
 
@@ -83,7 +83,7 @@
 )
 
 func (o Options) latency() peerlatency.Settings {
-	return peerlatency.Settings{FadeMs: 500, MostAgeMs: seenAgeMs, TellMs: seenTellMs, MostTold: 14, MostNodes: 4096, MostPeers: min(max(2, len(o.Peers)), 64)}
+	return peerlatency.Settings{DecayMs: 500, MaxAgeMs: seenAgeMs, ReportIntervalMs: seenTellMs, MaxServersPerReport: 14, MaxServers: 4096, MaxPeers: min(max(2, len(o.Peers)), 64)}
 }
 
 // Bounds are the times that the settings lead to.
@@ -97,7 +97,7 @@
 
 // Bounds are what holds for these options.
 func (o Options) Bounds() Bounds {
-	return Bounds{DetectMs: o.members().DetectMs(), PartMs: o.share().HoldMs(), HoldMs: o.share().HoldMs(), WordMs: wordAgeMs,
+	return Bounds{DetectMs: o.members().DetectionBoundMs(), PartMs: o.share().HoldMs(), HoldMs: o.share().HoldMs(), WordMs: wordAgeMs,
 		ShunMs: o.verdict().FindMs() + restMs}
 }
 
@@ -116,10 +116,10 @@
 	loop    Loop
 	socket  *datagram.Socket
 
-	members *membership.Book
+	members *membership.Memberlist
 	share   *quota.Book
 	verdict *outlier.Book
-	latency *peerlatency.Book
+	latency *peerlatency.Aggregator
 	nodes   map[uint64]*lifecycle.Node // as listed, by what all gateways call them
 	gone    map[uint64]float64         // when
 	seen    []datagram.Seen
@@ -128,7 +128,7 @@
 	toM     []membership.Message
 	toS     []quota.Message
 	toV     []outlier.Evidence
-	toL     []peerlatency.Sample
+	toL     []peerlatency.Report
 	turn    int // of those who hear findings
 	shunAt  float64
 	nextMs  float64
@@ -152,7 +152,7 @@
 	if f.latency, err = peerlatency.New(o.latency()); err != nil {
 		return nil, err
 	}
-	f.share.Peers(f.members.Alive())
+	f.share.Peers(f.members.AliveMembers())
 	f.verdict.Alive(len(o.Peers))
 	return f, nil
 }
@@ -243,7 +243,7 @@
 		}
 	}
 	slices.Sort(closed)
-	f.latency.List(ids)
+	f.latency.SetServers(ids)
 	f.verdict.List(append(ids, closed...))
 	for _, id := range closed {
 		f.verdict.Close(id)
@@ -258,7 +258,7 @@
 	case scheduler.OK:
 		f.verdict.Observe(nowMs, id, false)
 		f.latency.Observe(nowMs, id, latencyMs)
-		f.wake(nowMs, min(f.nextMs, max(nowMs+5, f.latency.NextMs(nowMs))))
+		f.wake(nowMs, min(f.nextMs, max(nowMs+5, f.latency.NextReportMs(nowMs))))
 	case scheduler.Error, scheduler.TimedOut, scheduler.ConnectFailed, scheduler.Reset:
 		f.verdict.Observe(nowMs, id, true)
 		f.wake(nowMs, min(f.nextMs, nowMs+20))
@@ -284,7 +284,7 @@
 
 // hearers are the gateways that hear a finding: all, or so many in turn.
 func (f *Fleet) hearers() []uint16 {
-	alive := f.members.Alive()
+	alive := f.members.AliveMembers()
 	if len(alive) <= mostTold {
 		return alive
 	}
@@ -309,22 +309,22 @@
 	mOut, changes := f.members.Step(nowMs, toM)
 	for _, c := range changes {
 		f.metrics.Add("fleet_changes", 1)
-		if c.Taken {
-			f.log.Warn("fleet: another process has this gateway's number, or an earlier one had", "member", c.Member, "life", c.Life)
+		if c.IdentityConflict {
+			f.log.Warn("fleet: another process has this gateway's number, or an earlier one had", "member", c.Member, "life", c.ProcessIncarnation)
 			continue
 		}
-		f.log.Info("fleet: member", "member", c.Member, "state", stateNames[c.State], "life", c.Life)
+		f.log.Info("fleet: member", "member", c.Member, "state", stateNames[c.State], "life", c.ProcessIncarnation)
 	}
 	if len(changes) > 0 {
-		alive := f.members.Alive()
+		alive := f.members.AliveMembers()
 		f.share.Peers(alive)
 		f.verdict.Alive(1 + len(alive))
 	}
 	tell, events := f.judge(nowMs, toV)
 	samples, merged := f.latency.Step(nowMs, toL)
 	for _, m := range merged {
-		if n := f.nodes[m.Node]; n != nil {
-			events = append(events, scheduler.Seen{Node: n.ID(), Latency: clock.Duration(m.Ms)})
+		if n := f.nodes[m.Server]; n != nil {
+			events = append(events, scheduler.Seen{Node: n.ID(), Latency: clock.Duration(m.LatencyMs)})
 		}
 	}
 	sOut, parts := f.share.Step(nowMs, asked, toS)
@@ -334,7 +334,7 @@
 	}
 	f.send(mOut, sOut, tell, samples)
 	f.nextMs = math.Inf(1)
-	next := min(f.members.NextMs(), f.share.NextMs(nowMs), f.verdict.NextMs(nowMs), f.latency.NextMs(nowMs))
+	next := min(f.members.NextStepMs(), f.share.NextMs(nowMs), f.verdict.NextMs(nowMs), f.latency.NextReportMs(nowMs))
 	if len(f.verdict.Out()) > 0 {
 		next = min(next, nowMs+shunMs)
 	}
@@ -357,7 +357,7 @@
 }
 
 // send makes datagrams of what goes to each member.
-func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Evidence, samples []peerlatency.Sample) {
+func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Evidence, samples []peerlatency.Report) {
 	if f.socket == nil {
 		return
 	}
--- a/internal/peerlatency/latency.go
+++ b/internal/peerlatency/latency.go
@@ -16,27 +16,27 @@
 
 // Settings are what a Book is made with.
 type Settings struct {
-	FadeMs    float64 // own answers so long ago weigh 1/e in what is told
-	MostAgeMs float64 // what was said so long ago counts for nothing
-	TellMs    float64 // between two tellings
-	MostTold  int     // nodes in one telling, those with the most answers since the last one
-	MostNodes int
-	MostPeers int // whose word is kept on each node
+	DecayMs             float64 // own answers so long ago weigh 1/e in what is told
+	MaxAgeMs            float64 // what was said so long ago counts for nothing
+	ReportIntervalMs    float64 // between two tellings
+	MaxServersPerReport int     // nodes in one telling, those with the most answers since the last one
+	MaxServers          int
+	MaxPeers            int // whose word is kept on each node
 }
 
-// Sample is what one gateway says of a node.
-type Sample struct {
-	Peer  uint16 // who measured it
-	Node  uint64
-	Ms    float64
-	AgeMs float64
+// Report is what one gateway says of a node.
+type Report struct {
+	Peer      uint16 // who measured it
+	Server    uint64
+	LatencyMs float64
+	AgeMs     float64
 }
 
-// Merged is what others say of a node together, of so many of them.
-type Merged struct {
-	Node uint64
-	Ms   float64
-	By   int
+// Estimate is what others say of a node together, of so many of them.
+type Estimate struct {
+	Server    uint64
+	LatencyMs float64
+	PeerCount int
 }
 
 type word struct {
@@ -54,8 +54,8 @@
 	heard       bool
 }
 
-// Book is what one gateway knows of latencies. Its size is bounded by its settings.
-type Book struct {
+// Aggregator is what one gateway knows of latencies. Its size is bounded by its settings.
+type Aggregator struct {
 	set    Settings
 	nodes  map[uint64]*node
 	order  []uint64
@@ -63,19 +63,19 @@
 }
 
 // New returns an empty book, or an error if the settings cannot be used.
-func New(set Settings) (*Book, error) {
-	if !(set.FadeMs > 0) || !(set.MostAgeMs > 0) || !(set.TellMs > 0 && set.TellMs < set.MostAgeMs) || set.MostTold < 1 || set.MostNodes < 1 ||
-		set.MostPeers < 2 {
-		return nil, fmt.Errorf("latency: told every %v ms, counting for %v, of %d nodes by %d peers", set.TellMs, set.MostAgeMs, set.MostNodes, set.MostPeers)
+func New(set Settings) (*Aggregator, error) {
+	if !(set.DecayMs > 0) || !(set.MaxAgeMs > 0) || !(set.ReportIntervalMs > 0 && set.ReportIntervalMs < set.MaxAgeMs) || set.MaxServersPerReport < 1 || set.MaxServers < 1 ||
+		set.MaxPeers < 2 {
+		return nil, fmt.Errorf("latency: told every %v ms, counting for %v, of %d nodes by %d peers", set.ReportIntervalMs, set.MaxAgeMs, set.MaxServers, set.MaxPeers)
 	}
-	return &Book{set: set, nodes: map[uint64]*node{}, toldMs: math.Inf(-1)}, nil
+	return &Aggregator{set: set, nodes: map[uint64]*node{}, toldMs: math.Inf(-1)}, nil
 }
 
-// List tells which nodes this gateway's own list has; others are forgotten, and what is said of them is not taken.
-func (b *Book) List(nodes []uint64) {
+// SetServers tells which nodes this gateway's own list has; others are forgotten, and what is said of them is not taken.
+func (b *Aggregator) SetServers(nodes []uint64) {
 	keep := map[uint64]*node{}
 	b.order = nil
-	for _, id := range nodes[:min(len(nodes), b.set.MostNodes)] {
+	for _, id := range nodes[:min(len(nodes), b.set.MaxServers)] {
 		if keep[id] != nil {
 			continue
 		}
@@ -88,19 +88,19 @@
 }
 
 // Observe takes in an answer's latency.
-func (b *Book) Observe(nowMs float64, id uint64, ms float64) {
+func (b *Aggregator) Observe(nowMs float64, id uint64, ms float64) {
 	n := b.nodes[id]
 	if n == nil || !(ms >= 0 && ms < 1e9) {
 		return
 	}
-	f := math.Exp(-max(0, nowMs-n.atMs) / b.set.FadeMs)
+	f := math.Exp(-max(0, nowMs-n.atMs) / b.set.DecayMs)
 	n.sum, n.weight, n.atMs = n.sum*f+ms, n.weight*f+1, nowMs
 	n.since++
 }
 
 // Step takes what others say, and returns what to tell them and what of their words has changed. Time must not run
 // backwards.
-func (b *Book) Step(nowMs float64, in []Sample) (tell []Sample, merged []Merged) {
+func (b *Aggregator) Step(nowMs float64, in []Report) (tell []Report, merged []Estimate) {
 	for _, s := range in {
 		b.hear(nowMs, s)
 	}
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	if nowMs < b.toldMs+b.set.TellMs {
+	if nowMs < b.toldMs+b.set.ReportIntervalMs {
 		return nil, merged
 	}
 	var some []*node
@@ -124,35 +124,35 @@
 		}
 	}
 	slices.SortStableFunc(some, func(x, y *node) int { return y.since - x.since })
-	for _, n := range some[:min(len(some), b.set.MostTold)] {
-		tell = append(tell, Sample{Node: n.id, Ms: n.sum / n.weight, AgeMs: nowMs - n.atMs})
+	for _, n := range some[:min(len(some), b.set.MaxServersPerReport)] {
+		tell = append(tell, Report{Server: n.id, LatencyMs: n.sum / n.weight, AgeMs: nowMs - n.atMs})
 		n.since = 0
 		b.toldMs = nowMs
 	}
 	return tell, merged
 }
 
-// NextMs is when something is to be told.
-func (b *Book) NextMs(nowMs float64) float64 {
+// NextReportMs is when something is to be told.
+func (b *Aggregator) NextReportMs(nowMs float64) float64 {
 	for _, id := range b.order {
 		if b.nodes[id].since > 0 {
-			return max(nowMs, b.toldMs+b.set.TellMs)
+			return max(nowMs, b.toldMs+b.set.ReportIntervalMs)
 		}
 	}
 	return math.Inf(1)
 }
 
 // hear keeps of each peer the youngest word.
-func (b *Book) hear(nowMs float64, s Sample) {
-	n := b.nodes[s.Node]
-	if n == nil || !(s.Ms >= 0 && s.Ms < 1e9) || !(s.AgeMs >= 0 && s.AgeMs <= b.set.MostAgeMs) {
+func (b *Aggregator) hear(nowMs float64, s Report) {
+	n := b.nodes[s.Server]
+	if n == nil || !(s.LatencyMs >= 0 && s.LatencyMs < 1e9) || !(s.AgeMs >= 0 && s.AgeMs <= b.set.MaxAgeMs) {
 		return
 	}
-	w := word{s.Peer, s.Ms, nowMs - s.AgeMs}
-	n.words = slices.DeleteFunc(n.words, func(o word) bool { return nowMs-o.bornMs > b.set.MostAgeMs })
+	w := word{s.Peer, s.LatencyMs, nowMs - s.AgeMs}
+	n.words = slices.DeleteFunc(n.words, func(o word) bool { return nowMs-o.bornMs > b.set.MaxAgeMs })
 	i := slices.IndexFunc(n.words, func(o word) bool { return o.peer == s.Peer })
 	switch {
-	case i < 0 && len(n.words) < b.set.MostPeers:
+	case i < 0 && len(n.words) < b.set.MaxPeers:
 		n.words = append(n.words, w)
 	case i >= 0 && (w.bornMs > n.words[i].bornMs || w.bornMs == n.words[i].bornMs && w.ms < n.words[i].ms):
 		n.words[i] = w
@@ -163,16 +163,16 @@
 }
 
 // merge is the lower middle of what is fresh, if at least two have said something.
-func (b *Book) merge(nowMs float64, n *node) (Merged, bool) {
+func (b *Aggregator) merge(nowMs float64, n *node) (Estimate, bool) {
 	var all []float64
 	for _, w := range n.words {
-		if nowMs-w.bornMs <= b.set.MostAgeMs {
+		if nowMs-w.bornMs <= b.set.MaxAgeMs {
 			all = append(all, w.ms)
 		}
 	}
 	if len(all) < 2 {
-		return Merged{}, false
+		return Estimate{}, false
 	}
 	slices.Sort(all)
-	return Merged{Node: n.id, Ms: all[(len(all)-1)/2], By: len(all)}, true
+	return Estimate{Server: n.id, LatencyMs: all[(len(all)-1)/2], PeerCount: len(all)}, true
 }
--- a/internal/peerlatency/latency_test.go
+++ b/internal/peerlatency/latency_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-func book(t testing.TB, nodes ...uint64) *Book {
+func book(t testing.TB, nodes ...uint64) *Aggregator {
 	t.Helper()
-	b, err := New(Settings{FadeMs: 500, MostAgeMs: 1000, TellMs: 200, MostTold: 2, MostNodes: 10, MostPeers: 4})
+	b, err := New(Settings{DecayMs: 500, MaxAgeMs: 1000, ReportIntervalMs: 200, MaxServersPerReport: 2, MaxServers: 10, MaxPeers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.List(nodes)
+	b.SetServers(nodes)
 	return b
 }
 
@@ -29,33 +29,33 @@
 	b.Observe(0, 3, 70)
 	b.Observe(0, 99, 70)
 	tell, _ := b.Step(100, nil)
-	if want := []Sample{{Node: 2, Ms: 50, AgeMs: 100}, {Node: 1, Ms: 20, AgeMs: 100}}; !reflect.DeepEqual(tell, want) {
+	if want := []Report{{Server: 2, LatencyMs: 50, AgeMs: 100}, {Server: 1, LatencyMs: 20, AgeMs: 100}}; !reflect.DeepEqual(tell, want) {
 		t.Errorf("told %+v", tell)
 	}
-	if tell, _ = b.Step(200, nil); len(tell) > 0 || b.NextMs(200) != 300 {
-		t.Errorf("told %+v too soon, next at %v", tell, b.NextMs(200))
+	if tell, _ = b.Step(200, nil); len(tell) > 0 || b.NextReportMs(200) != 300 {
+		t.Errorf("told %+v too soon, next at %v", tell, b.NextReportMs(200))
 	}
-	if tell, _ = b.Step(300, nil); len(tell) != 1 || tell[0].Node != 3 || !math.IsInf(b.NextMs(300), 1) {
-		t.Errorf("told %+v, next at %v", tell, b.NextMs(300))
+	if tell, _ = b.Step(300, nil); len(tell) != 1 || tell[0].Server != 3 || !math.IsInf(b.NextReportMs(300), 1) {
+		t.Errorf("told %+v, next at %v", tell, b.NextReportMs(300))
 	}
 }
 
 // Two others have to say something, the lower middle counts, and all of it grows old.
 func TestTheMiddleOfOthersCounts(t *testing.T) {
 	b := book(t, 1)
-	if _, m := b.Step(0, []Sample{{Peer: 1, Node: 1, Ms: 9000}}); len(m) > 0 {
+	if _, m := b.Step(0, []Report{{Peer: 1, Server: 1, LatencyMs: 9000}}); len(m) > 0 {
 		t.Errorf("one alone makes %+v", m)
 	}
-	if _, m := b.Step(10, []Sample{{Peer: 2, Node: 1, Ms: 40}}); len(m) != 1 || m[0].Ms != 40 {
+	if _, m := b.Step(10, []Report{{Peer: 2, Server: 1, LatencyMs: 40}}); len(m) != 1 || m[0].LatencyMs != 40 {
 		t.Errorf("two make %+v", m)
 	}
-	if _, m := b.Step(20, []Sample{{Peer: 3, Node: 1, Ms: 60}, {Peer: 1, Node: 1, Ms: 9500}}); len(m) != 1 || m[0].Ms != 60 || m[0].By != 3 {
+	if _, m := b.Step(20, []Report{{Peer: 3, Server: 1, LatencyMs: 60}, {Peer: 1, Server: 1, LatencyMs: 9500}}); len(m) != 1 || m[0].LatencyMs != 60 || m[0].PeerCount != 3 {
 		t.Errorf("three make %+v", m)
 	}
-	if _, m := b.Step(1015, []Sample{{Peer: 3, Node: 1, Ms: 80}}); len(m) != 1 || m[0].By != 2 {
+	if _, m := b.Step(1015, []Report{{Peer: 3, Server: 1, LatencyMs: 80}}); len(m) != 1 || m[0].PeerCount != 2 {
 		t.Errorf("with one too old %+v", m)
 	}
-	if _, m := b.Step(3000, []Sample{{Peer: 3, Node: 1, Ms: 80}, {Peer: 2, Node: 1, Ms: 80, AgeMs: 1001}}); len(m) > 0 {
+	if _, m := b.Step(3000, []Report{{Peer: 3, Server: 1, LatencyMs: 80}, {Peer: 2, Server: 1, LatencyMs: 80, AgeMs: 1001}}); len(m) > 0 {
 		t.Errorf("alone again %+v", m)
 	}
 }
@@ -65,30 +65,30 @@
 func TestOrderRepeatsAndLies(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 6))
-		var in []Sample
+		var in []Report
 		honest := []float64{}
 		for p := range uint16(3) {
 			ms := 20 + 20*rnd.Float64()
 			honest = append(honest, ms)
-			in = append(in, Sample{Peer: p, Node: 1, Ms: ms, AgeMs: 10}, Sample{Peer: p, Node: 1, Ms: 999, AgeMs: 500})
+			in = append(in, Report{Peer: p, Server: 1, LatencyMs: ms, AgeMs: 10}, Report{Peer: p, Server: 1, LatencyMs: 999, AgeMs: 500})
 		}
-		in = append(in, Sample{Peer: 3, Node: 1, Ms: rnd.ExpFloat64() * 5000})
+		in = append(in, Report{Peer: 3, Server: 1, LatencyMs: rnd.ExpFloat64() * 5000})
 		var want float64
 		for turn := range 5 {
 			b := book(t, 1)
 			for range 1 + turn%2 {
 				for _, s := range in {
-					b.Step(0, []Sample{s})
+					b.Step(0, []Report{s})
 				}
 			}
 			m, ok := b.merge(0, b.nodes[1])
-			if !ok || m.Ms < slices.Min(honest) || m.Ms > slices.Max(honest) {
+			if !ok || m.LatencyMs < slices.Min(honest) || m.LatencyMs > slices.Max(honest) {
 				t.Fatalf("seed %d: %+v of %v", seed, m, honest)
 			}
-			if turn > 0 && m.Ms != want {
-				t.Fatalf("seed %d: %v, in another order %v", seed, want, m.Ms)
+			if turn > 0 && m.LatencyMs != want {
+				t.Fatalf("seed %d: %v, in another order %v", seed, want, m.LatencyMs)
 			}
-			want = m.Ms
+			want = m.LatencyMs
 			rnd.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
 		}
 	}
@@ -104,18 +104,18 @@
 			x := text[:4]
 			text = text[4:]
 			now += float64(x[3])
-			s := Sample{Peer: uint16(x[0]), Node: uint64(x[1]), Ms: float64(x[2]), AgeMs: float64(x[3])}
+			s := Report{Peer: uint16(x[0]), Server: uint64(x[1]), LatencyMs: float64(x[2]), AgeMs: float64(x[3])}
 			if x[2] == 255 {
-				s.Ms = math.NaN()
+				s.LatencyMs = math.NaN()
 			}
-			_, m := b.Step(now, []Sample{s})
+			_, m := b.Step(now, []Report{s})
 			for _, n := range b.nodes {
 				if len(n.words) > 4 || len(b.nodes) > 2 {
 					t.Fatalf("%d words, %d nodes", len(n.words), len(b.nodes))
 				}
 			}
 			for _, x := range m {
-				if x.By < 2 || !(x.Ms >= 0) {
+				if x.PeerCount < 2 || !(x.LatencyMs >= 0) {
 					t.Fatalf("%+v", x)
 				}
 			}
--- a/internal/testbed/cluster/liar.go
+++ b/internal/testbed/cluster/liar.go
@@ -46,7 +46,7 @@
 	}
 	m := membership.Message{Kind: membership.Ack, Seq: uint32(round)}
 	for g := range l.n {
-		m.Rumours = append(m.Rumours, membership.Rumour{Member: uint16(g), State: membership.Dead, Incarnation: round})
+		m.Updates = append(m.Updates, membership.Update{Member: uint16(g), State: membership.Dead, Incarnation: round})
 	}
 	p.Members = append(p.Members, m)
 	for _, b := range l.codec.Encode(p, &l.count) {
--- a/internal/testbed/membershipsim/sim.go
+++ b/internal/testbed/membershipsim/sim.go
@@ -38,7 +38,7 @@
 }
 
 type node struct {
-	book      *membership.Book
+	book      *membership.Memberlist
 	dead      bool
 	paused    bool
 	wake      float64 // the latest that was asked for
@@ -83,7 +83,7 @@
 
 // Settings are those of a member.
 func (s *Sim) Settings(i int) membership.Settings {
-	return membership.Defaults(uint16(i), s.opt.Members, s.lives, s.opt.Seed<<20+uint64(s.lives))
+	return membership.DefaultSettings(uint16(i), s.opt.Members, s.lives, s.opt.Seed<<20+uint64(s.lives))
 }
 
 // Start starts a member anew, with nothing that it knew.
@@ -158,7 +158,7 @@
 	n := s.all[i]
 	out, changes := n.book.Step(s.NowMs, in)
 	for _, c := range changes {
-		if c.Taken {
+		if c.IdentityConflict {
 			continue
 		}
 		if c.State != membership.Dead {
@@ -183,7 +183,7 @@
 		m.Peer = uint16(i)
 		s.push(event{at: s.NowMs + s.opt.DelayMs + s.opt.MoreMs*s.rnd.Float64(), to: to, m: m})
 	}
-	if next := max(n.book.NextMs(), s.NowMs+1); next < n.wake {
+	if next := max(n.book.NextStepMs(), s.NowMs+1); next < n.wake {
 		n.wake = next
 		s.push(event{at: next, to: i, wake: true})
 	}
@@ -235,7 +235,7 @@
 		killed[i] = s.NowMs
 		s.Run(ms / 3 / float64(deaths))
 	}
-	bound := s.Settings(0).DetectMs()
+	bound := s.Settings(0).DetectionBoundMs()
 	s.Run(max(ms/3, min(bound, 4*ms)))
 	rep := Report{BoundMs: bound, False: s.False}
 	var times []float64
--- a/internal/testbed/membershipsim/sim_test.go
+++ b/internal/testbed/membershipsim/sim_test.go
@@ -30,14 +30,14 @@
 	s := fleet(6, 0, 5)
 	s.Run(3000)
 	s.Cut(func(from, to int) bool { return from%2 != to%2 })
-	s.Run(s.Settings(0).DetectMs())
+	s.Run(s.Settings(0).DetectionBoundMs())
 	for i := range 6 {
 		if got := s.Held(i, membership.Dead); got != 3 {
 			t.Errorf("member %d is held for dead by %d of the other half", i, got)
 		}
 	}
 	s.Cut(nil)
-	s.Run(s.Settings(0).DetectMs())
+	s.Run(s.Settings(0).DetectionBoundMs())
 	for i := range 6 {
 		if got := s.Held(i, membership.Alive); got != 5 {
 			t.Errorf("member %d is held for alive by %d behind the cut", i, got)
@@ -60,7 +60,7 @@
 	s := fleet(6, 0, 6)
 	s.Run(3000)
 	s.Pause(2, true)
-	s.Run(s.Settings(0).DetectMs())
+	s.Run(s.Settings(0).DetectionBoundMs())
 	if got := s.Held(2, membership.Dead); got != 5 {
 		t.Errorf("%d hold the paused one for dead", got)
 	}
@@ -83,7 +83,7 @@
 	s := fleet(5, 0.05, 7)
 	for range 3 {
 		s.Kill(1)
-		s.Run(s.Settings(0).DetectMs())
+		s.Run(s.Settings(0).DetectionBoundMs())
 		if got := s.Held(1, membership.Dead); got != 4 {
 			t.Errorf("%d hold it for dead", got)
 		}
