--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -30,6 +31,27 @@
 	}
 }
 
+// formatPlain formats a value like the verb %v, but without String methods: golden files hold enum values as numbers.
+func formatPlain(v reflect.Value) string {
+	var elements []string
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			elements = append(elements, formatPlain(v.Field(i)))
+		}
+		return "{" + strings.Join(elements, " ") + "}"
+	case reflect.Slice:
+		for i := range v.Len() {
+			elements = append(elements, formatPlain(v.Index(i)))
+		}
+		return "[" + strings.Join(elements, " ") + "]"
+	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		return strconv.FormatUint(v.Uint(), 10)
+	default:
+		return fmt.Sprint(v.Interface())
+	}
+}
+
 const (
 	sender     = 0x0304
 	senderLife = 0x05060708
@@ -130,7 +152,7 @@
 				encoded := codec.Encode(c.packet, &count)
 				for _, b := range encoded {
 					decoded, err := codec.Decode(b)
-					fmt.Fprintf(&out, "  %s\n  %v %v\n", hex.EncodeToString(b), decoded, err)
+					fmt.Fprintf(&out, "  %s\n  %s %v\n", hex.EncodeToString(b), formatPlain(reflect.ValueOf(decoded)), err)
 				}
 				if c.exact {
 					requireSame(t, c.name, codec, c.packet, encoded)
@@ -189,7 +211,7 @@
 		{"read with another key", datagram.New([]byte("another")), encodeOne(t, keyed, fullPacket())},
 	} {
 		decoded, err := c.codec.Decode(c.datagram)
-		fmt.Fprintf(&out, "%s: %v %v\n", c.name, decoded, err)
+		fmt.Fprintf(&out, "%s: %s %v\n", c.name, formatPlain(reflect.ValueOf(decoded)), err)
 	}
 	compareGolden(t, "refused.txt", out.String())
 }
