--- /dev/null
+++ b/internal/membership/memberlist.go
@@ -0,0 +1,156 @@
+package membership
+
+import "math/rand/v2"
+
+// member is what a Memberlist knows about one member.
+type member struct {
+	state              State
+	incarnation        uint64
+	processIncarnation uint32
+
+	// The following fields are valid if state is Suspect.
+
+	suspectedAtMs float64
+	directPings   int      // pings sent to the suspect itself since it became suspect
+	suspectedBy   []uint16 // at most ExpectedConfirmations+1 members
+}
+
+// Memberlist is the view that one member has of the cluster.
+type Memberlist struct {
+	settings Settings
+	random   *rand.Rand
+	members  []member // by member number
+	leaving  bool
+
+	started     bool
+	lastStepMs  float64
+	nextProbeMs float64
+	probeCount  int
+	probeOrder  []uint16 // members still to probe in this round, the next one last
+	probe       probe
+	relays      []relay
+	lastSeq     uint32
+	healthScore int // 0 is healthy; see Settings.MaxHealthScore
+
+	broadcasts []broadcast // at most one for each member
+	outgoing   []Message   // of the current step
+	changes    []StateChange
+}
+
+// New returns the Memberlist of a process that has just started and assumes that all other members are alive. It returns
+// an error if the settings are out of range.
+func New(settings Settings) (*Memberlist, error) {
+	if err := settings.validate(); err != nil {
+		return nil, err
+	}
+	l := &Memberlist{
+		settings: settings,
+		random:   rand.New(rand.NewPCG(settings.Seed, 11)),
+		members:  make([]member, settings.MemberCount),
+	}
+	l.members[settings.Self].processIncarnation = settings.ProcessIncarnation
+	return l, nil
+}
+
+// State returns the state of the member with the given number, which must be less than Settings.MemberCount.
+func (l *Memberlist) State(number uint16) State { return l.members[number].state }
+
+// AliveMembers returns the numbers of the other members that are alive or suspect, in ascending order.
+func (l *Memberlist) AliveMembers() (alive []uint16) {
+	for i, m := range l.members {
+		if uint16(i) != l.settings.Self && m.state <= Suspect {
+			alive = append(alive, uint16(i))
+		}
+	}
+	return alive
+}
+
+// NextStepMs returns the time by which Step must be called again. A time in the past means at once.
+func (l *Memberlist) NextStepMs() float64 {
+	next := l.nextProbeMs
+	if l.leaving {
+		return next
+	}
+	if l.probe.pending && !l.probe.indirect {
+		next = min(next, l.indirectProbeAtMs())
+	}
+	for _, r := range l.relays {
+		next = min(next, r.deadlineMs)
+	}
+	for i := range l.members {
+		if m := &l.members[i]; m.state == Suspect {
+			next = min(next, l.suspectActionAtMs(m))
+		}
+	}
+	return next
+}
+
+// Step processes the messages that were received until nowMs and all timers that have expired. It returns the messages
+// to send and the state changes that result. Successive calls must not pass decreasing times.
+func (l *Memberlist) Step(nowMs float64, incoming []Message) (outgoing []Message, changes []StateChange) {
+	l.outgoing, l.changes = nil, nil
+	switch {
+	case !l.started:
+		l.started = true
+		l.nextProbeMs = nowMs + l.random.Float64()*l.settings.ProbePeriodMs
+	case nowMs > l.NextStepMs()+l.settings.ProbePeriodMs:
+		l.resumeAfterPause(nowMs, nowMs-l.lastStepMs)
+	}
+	l.lastStepMs = nowMs
+	for _, m := range incoming {
+		l.receive(nowMs, m)
+	}
+	l.runTimers(nowMs)
+	return l.outgoing, l.changes
+}
+
+// resumeAfterPause handles a pause of this process. Since nothing was received meanwhile, silence is no evidence against
+// other members: suspicion timeouts are extended by the pause and pending probes are dropped.
+func (l *Memberlist) resumeAfterPause(nowMs, pauseMs float64) {
+	for i := range l.members {
+		l.members[i].suspectedAtMs += pauseMs
+	}
+	l.probe.pending = false
+	l.relays = nil
+	l.nextProbeMs = nowMs
+	l.raiseHealthScore(1)
+}
+
+// Leave announces with the next messages that this member shuts down. From then on it neither probes nor declares other
+// members dead.
+func (l *Memberlist) Leave() {
+	l.leaving = true
+	l.members[l.settings.Self].state = Left
+	l.enqueueBroadcast(l.settings.Self)
+}
+
+// runTimers performs the actions that are due.
+func (l *Memberlist) runTimers(nowMs float64) {
+	l.expireRelays(nowMs)
+	l.checkSuspects(nowMs)
+	l.probeIndirectly(nowMs)
+	if nowMs < l.nextProbeMs {
+		return
+	}
+	if l.leaving {
+		l.nextProbeMs = nowMs + l.settings.ProbePeriodMs
+		return
+	}
+	l.finishProbe(nowMs)
+	l.nextProbeMs = nowMs + l.scaled(l.settings.ProbePeriodMs)
+	l.startProbe(nowMs)
+}
+
+// scaled returns a probe time multiplied according to the health score.
+func (l *Memberlist) scaled(ms float64) float64 { return ms * float64(1+l.healthScore) }
+
+func (l *Memberlist) raiseHealthScore(by int) {
+	l.healthScore = min(l.healthScore+by, l.settings.MaxHealthScore)
+}
+
+func (l *Memberlist) lowerHealthScore() { l.healthScore = max(0, l.healthScore-1) }
+
+func (l *Memberlist) nextSeq() uint32 {
+	l.lastSeq++
+	return l.lastSeq
+}
--- /dev/null
+++ b/internal/membership/probe.go
@@ -0,0 +1,158 @@
+package membership
+
+import "slices"
+
+// maxRelays bounds the pings that this member sends on behalf of others at the same time.
+const maxRelays = 64
+
+// probe is the latest probe of this member.
+type probe struct {
+	target        uint16
+	seq           uint32
+	startMs       float64
+	pending       bool // neither acknowledged nor finished
+	indirect      bool // other members have been asked to ping the target
+	expectedNacks int  // of the members that have been asked
+}
+
+// relay is a ping on behalf of another member.
+type relay struct {
+	requester    uint16
+	target       uint16
+	requesterSeq uint32 // sequence number of the PingRequest
+	seq          uint32 // sequence number of the relayed Ping
+	deadlineMs   float64
+}
+
+// indirectProbeAtMs returns when other members are to be asked to ping the target of the pending probe.
+func (l *Memberlist) indirectProbeAtMs() float64 {
+	return l.probe.startMs + l.scaled(l.settings.ProbeTimeoutMs)
+}
+
+// probeIndirectly asks other members to ping the target of the pending probe once its timeout has expired.
+func (l *Memberlist) probeIndirectly(nowMs float64) {
+	p := &l.probe
+	if !p.pending || p.indirect || nowMs < l.indirectProbeAtMs() {
+		return
+	}
+	p.indirect = true
+	for _, peer := range l.drawRelays(p.target) {
+		p.expectedNacks++
+		l.send(Message{Kind: PingRequest, Peer: peer, Seq: p.seq, Target: p.target})
+	}
+}
+
+// drawRelays returns up to IndirectProbes random members that are alive, without the target.
+func (l *Memberlist) drawRelays(target uint16) []uint16 {
+	relays := slices.DeleteFunc(l.AliveMembers(), func(number uint16) bool {
+		return number == target || l.members[number].state != Alive
+	})
+	l.shuffle(relays)
+	return relays[:min(l.settings.IndirectProbes, len(relays))]
+}
+
+// finishProbe suspects the target of a probe that is still pending at the end of its period.
+func (l *Memberlist) finishProbe(nowMs float64) {
+	p := &l.probe
+	if !p.pending {
+		return
+	}
+	p.pending = false
+	l.applyUpdate(nowMs, Update{
+		Member:      p.target,
+		State:       Suspect,
+		Incarnation: l.members[p.target].incarnation,
+		SuspectedBy: l.settings.Self,
+	})
+	// A healthy relay sends a Nack. A missing Nack is evidence against the links of this member.
+	l.raiseHealthScore(p.expectedNacks)
+}
+
+// startProbe pings the next member, if there is one.
+func (l *Memberlist) startProbe(nowMs float64) {
+	target, ok := l.nextProbeTarget()
+	if !ok {
+		return
+	}
+	l.probe = probe{target: target, seq: l.nextSeq(), startMs: nowMs, pending: true}
+	l.send(Message{Kind: Ping, Peer: target, Seq: l.probe.seq, Target: target})
+}
+
+// nextProbeTarget returns the next member of the current round or, for every DeadProbeEvery-th probe, a random member that
+// is dead or has left. It returns false if there is no member to probe.
+func (l *Memberlist) nextProbeTarget() (uint16, bool) {
+	l.probeCount++
+	if l.probeCount%l.settings.DeadProbeEvery == 0 {
+		if dead := l.deadMembers(); len(dead) > 0 {
+			return dead[l.random.IntN(len(dead))], true
+		}
+	}
+	if target, ok := l.popProbeOrder(); ok {
+		return target, true
+	}
+	l.probeOrder = l.AliveMembers()
+	l.shuffle(l.probeOrder)
+	if target, ok := l.popProbeOrder(); ok {
+		return target, true
+	}
+	return 0, false
+}
+
+// popProbeOrder removes members from the current round until it finds one that is alive or suspect.
+func (l *Memberlist) popProbeOrder() (uint16, bool) {
+	for len(l.probeOrder) > 0 {
+		last := len(l.probeOrder) - 1
+		number := l.probeOrder[last]
+		l.probeOrder = l.probeOrder[:last]
+		if l.members[number].state <= Suspect {
+			return number, true
+		}
+	}
+	return 0, false
+}
+
+// deadMembers returns the other members that are dead or have left.
+func (l *Memberlist) deadMembers() (dead []uint16) {
+	for i, m := range l.members {
+		if m.state >= Dead && uint16(i) != l.settings.Self {
+			dead = append(dead, uint16(i))
+		}
+	}
+	return dead
+}
+
+func (l *Memberlist) shuffle(numbers []uint16) {
+	l.random.Shuffle(len(numbers), func(i, j int) { numbers[i], numbers[j] = numbers[j], numbers[i] })
+}
+
+// startRelay pings the target of a PingRequest. Requests beyond maxRelays are dropped.
+func (l *Memberlist) startRelay(nowMs float64, request Message) {
+	if request.Target == l.settings.Self || len(l.relays) >= maxRelays {
+		return
+	}
+	r := relay{
+		requester:    request.Peer,
+		target:       request.Target,
+		requesterSeq: request.Seq,
+		seq:          l.nextSeq(),
+		deadlineMs:   nowMs + l.scaled(l.settings.ProbeTimeoutMs),
+	}
+	l.relays = append(l.relays, r)
+	l.send(Message{Kind: Ping, Peer: r.target, Seq: r.seq, Target: r.target})
+}
+
+// expireRelays sends a Nack for each relayed ping that was not acknowledged in time.
+func (l *Memberlist) expireRelays(nowMs float64) {
+	l.finishRelays(Nack, func(r relay) bool { return nowMs >= r.deadlineMs })
+}
+
+// finishRelays removes the selected relays and answers their requesters.
+func (l *Memberlist) finishRelays(answer MessageKind, selected func(relay) bool) {
+	l.relays = slices.DeleteFunc(l.relays, func(r relay) bool {
+		if !selected(r) {
+			return false
+		}
+		l.send(Message{Kind: answer, Peer: r.requester, Seq: r.requesterSeq, Target: r.target})
+		return true
+	})
+}
--- /dev/null
+++ b/internal/membership/settings.go
@@ -0,0 +1,108 @@
+package membership
+
+import (
+	"fmt"
+	"math"
+)
+
+// maxMembers is the number of members that a 16-bit number can tell apart.
+const maxMembers = 1 << 16
+
+// Settings configure a Memberlist.
+type Settings struct {
+	// Self is the number of this member, from 0 to MemberCount-1.
+	Self        uint16
+	MemberCount int
+	// ProcessIncarnation distinguishes this process from other processes that run, or ran, under the same number.
+	ProcessIncarnation uint32
+	// Seed initializes the random number generator.
+	Seed uint64
+
+	// ProbePeriodMs is the time between two probes.
+	ProbePeriodMs float64
+	// ProbeTimeoutMs is the time after which an unanswered probe is repeated through other members. It is at most half
+	// of ProbePeriodMs.
+	ProbeTimeoutMs float64
+	// IndirectProbes is the number of members that are asked to repeat an unanswered probe.
+	IndirectProbes int
+
+	// MinSuspicionPeriods is the shortest suspicion timeout in probe periods. It is multiplied by the decimal logarithm of
+	// MemberCount, where that exceeds 1.
+	MinSuspicionPeriods float64
+	// MaxSuspicionFactor is the ratio of the longest suspicion timeout, without any confirmation, to the shortest one.
+	MaxSuspicionFactor float64
+	// ExpectedConfirmations is the number of further members that must confirm a suspicion to reach the shortest timeout.
+	ExpectedConfirmations int
+	// MaxHealthScore bounds the health score. A member with score n multiplies its probe timeouts and periods by n+1.
+	MaxHealthScore int
+
+	// MaxUpdatesPerMessage bounds the updates that one message carries.
+	MaxUpdatesPerMessage int
+	// RetransmitFactor determines how often each update is sent: this factor times the decimal logarithm of MemberCount+1.
+	RetransmitFactor float64
+	// DeadProbeEvery makes every nth probe go to a dead member, so that the parts of a partitioned cluster find each other
+	// again.
+	DeadProbeEvery int
+}
+
+// DefaultSettings returns settings for a cluster on one site.
+func DefaultSettings(self uint16, memberCount int, processIncarnation uint32, seed uint64) Settings {
+	return Settings{
+		Self:                  self,
+		MemberCount:           memberCount,
+		ProcessIncarnation:    processIncarnation,
+		Seed:                  seed,
+		ProbePeriodMs:         500,
+		ProbeTimeoutMs:        150,
+		IndirectProbes:        3,
+		MinSuspicionPeriods:   3,
+		MaxSuspicionFactor:    4,
+		ExpectedConfirmations: 3,
+		MaxHealthScore:        8,
+		MaxUpdatesPerMessage:  8,
+		RetransmitFactor:      4,
+		DeadProbeEvery:        4,
+	}
+}
+
+// validate returns an error if the settings cannot be used.
+func (s Settings) validate() error {
+	if s.MemberCount < 1 || s.MemberCount > maxMembers || int(s.Self) >= s.MemberCount {
+		return fmt.Errorf("members: number %d of %d", s.Self, s.MemberCount)
+	}
+	if !s.probesInRange() || !s.suspicionInRange() || !s.gossipInRange() {
+		return fmt.Errorf("members: a period of %v ms with a time-out of %v, or bounds out of range",
+			s.ProbePeriodMs, s.ProbeTimeoutMs)
+	}
+	return nil
+}
+
+// The comparisons below are written so that NaN is out of range.
+
+func (s Settings) probesInRange() bool {
+	return s.ProbePeriodMs > 0 && s.ProbeTimeoutMs > 0 && s.ProbeTimeoutMs <= s.ProbePeriodMs/2 &&
+		s.IndirectProbes >= 0 && s.DeadProbeEvery >= 1
+}
+
+func (s Settings) suspicionInRange() bool {
+	return s.MinSuspicionPeriods > 0 && s.MaxSuspicionFactor >= 1 && s.ExpectedConfirmations >= 0 && s.MaxHealthScore >= 0
+}
+
+func (s Settings) gossipInRange() bool {
+	return s.MaxUpdatesPerMessage >= 1 && s.RetransmitFactor > 0
+}
+
+// SuspicionBoundsMs returns the suspicion timeout with all expected confirmations and the one without any.
+func (s Settings) SuspicionBoundsMs() (shortest, longest float64) {
+	shortest = s.MinSuspicionPeriods * max(1, math.Log10(float64(s.MemberCount))) * s.ProbePeriodMs
+	return shortest, s.MaxSuspicionFactor * shortest
+}
+
+// DetectionBoundMs bounds the time from the death of a member until another member with working links declares it dead.
+// It covers the round in which the dead member has just been probed, the following round, both with every DeadProbeEvery-th
+// probe going to a dead member, and the longest suspicion timeout.
+func (s Settings) DetectionBoundMs() float64 {
+	_, longest := s.SuspicionBoundsMs()
+	probes := 2 * float64(s.MemberCount-1) * float64(s.DeadProbeEvery+1) / float64(s.DeadProbeEvery)
+	return (math.Ceil(probes)+1)*s.ProbePeriodMs*float64(1+s.MaxHealthScore) + longest
+}
--- /dev/null
+++ b/internal/membership/suspicion.go
@@ -0,0 +1,41 @@
+package membership
+
+import "math"
+
+// maxDirectPings is the number of times that a suspect is pinged directly: after a half, three quarters and so on of its
+// suspicion timeout. With message loss the gossiped refutation of a suspect always misses some member.
+const maxDirectPings = 4
+
+// suspicionTimeoutMs returns how long a suspect has to refute its suspicion, given the members that confirm it.
+func (l *Memberlist) suspicionTimeoutMs(suspect *member) float64 {
+	shortest, longest := l.settings.SuspicionBoundsMs()
+	if l.settings.ExpectedConfirmations == 0 {
+		return shortest
+	}
+	confirmed := math.Log(float64(max(1, len(suspect.suspectedBy)))) / math.Log(float64(l.settings.ExpectedConfirmations+1))
+	return max(shortest, longest-(longest-shortest)*confirmed)
+}
+
+// suspectActionAtMs returns when a suspect is to be pinged directly again or, after the last ping, declared dead.
+func (l *Memberlist) suspectActionAtMs(suspect *member) float64 {
+	timeoutMs := l.suspicionTimeoutMs(suspect)
+	if suspect.directPings < maxDirectPings {
+		timeoutMs *= 1 - math.Exp2(-float64(suspect.directPings+1))
+	}
+	return suspect.suspectedAtMs + timeoutMs
+}
+
+// checkSuspects pings suspects directly and declares those dead whose suspicion timeout has expired.
+func (l *Memberlist) checkSuspects(nowMs float64) {
+	for i := range l.members {
+		number, m := uint16(i), &l.members[i]
+		for m.state == Suspect && nowMs >= l.suspectActionAtMs(m) && !l.leaving {
+			if m.directPings >= maxDirectPings {
+				l.setState(nowMs, Update{Member: number, State: Dead, Incarnation: m.incarnation})
+				break
+			}
+			m.directPings++
+			l.send(Message{Kind: Ping, Peer: number, Seq: l.nextSeq(), Target: number})
+		}
+	}
+}
--- /dev/null
+++ b/internal/membership/suspicion_test.go
@@ -0,0 +1,25 @@
+package membership
+
+import "testing"
+
+// Confirmations by further members shorten a suspicion, and each member counts once.
+func TestConfirmationsShortenSuspicion(t *testing.T) {
+	settings := DefaultSettings(0, 10, 9, 1)
+	shortest, longest := settings.SuspicionBoundsMs()
+	list := newMemberlist(t, 10, 1)
+	list.Step(0, nil)
+	previous := longest + 1
+	for i := range uint16(settings.ExpectedConfirmations + 2) {
+		for range 2 {
+			list.applyUpdate(0, Update{Member: 5, State: Suspect, SuspectedBy: 1 + i})
+		}
+		got := list.suspicionTimeoutMs(&list.members[5])
+		if i <= uint16(settings.ExpectedConfirmations) && got >= previous || got < shortest {
+			t.Errorf("suspected by %d: %v ms, before %v, shortest %v", i+1, got, previous, shortest)
+		}
+		previous = got
+	}
+	if previous != shortest {
+		t.Errorf("finally %v ms, shortest %v", previous, shortest)
+	}
+}
