--- /dev/null
+++ b/internal/peerlatency/settings.go
@@ -0,0 +1,31 @@
+package peerlatency
+
+import "fmt"
+
+// Settings configure an Aggregator.
+type Settings struct {
+	// DecayMs is the age at which the weight of an own response has fallen to 1/e.
+	DecayMs float64
+	// MaxAgeMs is the age beyond which reports of peers are ignored.
+	MaxAgeMs float64
+	// ReportIntervalMs is the shortest time between two rounds of reports. It is less than MaxAgeMs.
+	ReportIntervalMs float64
+	// MaxServersPerReport bounds the servers in one round of reports. Those with the most responses since their last
+	// report come first.
+	MaxServersPerReport int
+	// MaxServers bounds the servers of which latencies are kept.
+	MaxServers int
+	// MaxPeers bounds the peers whose reports are kept for each server. It is at least 2.
+	MaxPeers int
+}
+
+// validate returns an error if the settings cannot be used. Its comparisons are written so that NaN is out of range.
+func (s Settings) validate() error {
+	timesInRange := s.DecayMs > 0 && s.MaxAgeMs > 0 && s.ReportIntervalMs > 0 && s.ReportIntervalMs < s.MaxAgeMs
+	boundsInRange := s.MaxServersPerReport >= 1 && s.MaxServers >= 1 && s.MaxPeers >= minReports
+	if !timesInRange || !boundsInRange {
+		return fmt.Errorf("latency: told every %v ms, counting for %v, of %d nodes by %d peers",
+			s.ReportIntervalMs, s.MaxAgeMs, s.MaxServers, s.MaxPeers)
+	}
+	return nil
+}
