--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -46,8 +46,8 @@
 	againMostMs = 160
 )
 
-var states = map[string]scheduler.NodeState{
-	"Ready": scheduler.Live, "Terminating": scheduler.Draining, "Gone": scheduler.Gone,
+var states = map[string]scheduler.ServerState{
+	"Ready": scheduler.Ready, "Terminating": scheduler.Draining, "Gone": scheduler.Removed,
 }
 
 var errSilent = errors.New("silent")
@@ -56,13 +56,13 @@
 
 // Decode reads a list or a change. Bad entries are left out and counted. A state of a later protocol is read
 // as draining: known, but not to be sent to.
-func Decode(v *fastjson.Value) (l lifecycle.List, bad int) {
-	l.Version, l.Scope = v.GetUint64("version"), scheduler.Patch
+func Decode(v *fastjson.Value) (l lifecycle.EndpointUpdate, bad int) {
+	l.Version, l.Kind = v.GetUint64("version"), scheduler.Delta
 	if v.GetBool("full") {
-		l.Scope = scheduler.Whole
+		l.Kind = scheduler.Snapshot
 	}
 	for _, e := range v.GetArray("servers") {
-		n := &lifecycle.Node{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
+		n := &lifecycle.Server{Name: string(e.GetStringBytes("id")), Addr: string(e.GetStringBytes("addr")),
 			Zone: string(e.GetStringBytes("zone")), Kind: string(e.GetStringBytes("kind")),
 			Shard: e.GetInt("cell"), Weight: e.GetFloat64("weight"), StartedMs: e.GetFloat64("started_ms")}
 		state, ok := states[string(e.GetStringBytes("state"))]
@@ -71,11 +71,11 @@
 		}
 		n.State = state
 		_, _, err := net.SplitHostPort(n.Addr)
-		if n.Name == "" || n.Shard < 0 || math.Abs(n.StartedMs) > 1e15 || err != nil && state != scheduler.Gone {
+		if n.Name == "" || n.Shard < 0 || math.Abs(n.StartedMs) > 1e15 || err != nil && state != scheduler.Removed {
 			bad++
 			continue
 		}
-		l.Nodes = append(l.Nodes, n)
+		l.Servers = append(l.Servers, n)
 	}
 	return l, bad
 }
@@ -87,15 +87,15 @@
 	// Tell takes each change. A Broken list tells that a watch that was started has failed, an Ended one that it has ended
 	// after it had told of nodes, a Silent one that it was answered and then said nothing any more; when to ask again is
 	// not decided here.
-	Tell func(lifecycle.List)
+	Tell func(lifecycle.EndpointUpdate)
 
 	client *http.Client
 	heard  heard
 
 	mu      sync.Mutex
 	addr    string
-	version uint64          // told last from addr
-	list    *endpoints.List // what of the news counts
+	version uint64             // told last from addr
+	list    *endpoints.Tracker // what of the news counts
 	runs    incarnation.Tracker
 	follow  bool          // watches are taken up again when they end
 	open    bool          // a watch is open or on its way
@@ -105,12 +105,12 @@
 }
 
 // New returns a watcher that resumes after the list known. dial is the machine's if nil.
-func New(addr string, known lifecycle.List, c clock.Clock, m *metrics.Set, tell func(lifecycle.List),
+func New(addr string, known lifecycle.EndpointUpdate, c clock.Clock, m *metrics.Set, tell func(lifecycle.EndpointUpdate),
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Watcher {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
-	w := &Watcher{addr: addr, Clock: c, Metrics: m, Tell: tell, version: known.Version, list: endpoints.New(news(known))}
+	w := &Watcher{addr: addr, Clock: c, Metrics: m, Tell: tell, version: known.Version, list: endpoints.NewTracker(news(known))}
 	w.heard.clock = c
 	w.client = &http.Client{CheckRedirect: stay, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
 		DialContext: w.heard.listen(dial), MaxResponseHeaderBytes: 16 << 10}}
@@ -124,24 +124,24 @@
 func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // news is a list as nodelist judges it.
-func news(l lifecycle.List) endpoints.News {
-	n := endpoints.News{Version: l.Version, Whole: l.Scope != scheduler.Patch, Entries: make([]endpoints.Entry, len(l.Nodes))}
-	for i, e := range l.Nodes {
-		n.Entries[i] = endpoints.Entry{Name: e.Name, Live: e.State == scheduler.Live, Gone: e.State == scheduler.Gone, StartedMs: e.StartedMs}
+func news(l lifecycle.EndpointUpdate) endpoints.Update {
+	n := endpoints.Update{Version: l.Version, Snapshot: l.Kind != scheduler.Delta, Endpoints: make([]endpoints.Endpoint, len(l.Servers))}
+	for i, e := range l.Servers {
+		n.Endpoints[i] = endpoints.Endpoint{Name: e.Name, Ready: e.State == scheduler.Ready, Removed: e.State == scheduler.Removed, StartedMs: e.StartedMs}
 	}
 	return n
 }
 
-// Follow opens the watch and takes it up again whenever it ends, until ctx does; also behind a Move.
-func (w *Watcher) Follow(ctx context.Context) {
+// KeepOpen opens the watch and takes it up again whenever it ends, until ctx does; also behind a Move.
+func (w *Watcher) KeepOpen(ctx context.Context) {
 	w.mu.Lock()
 	w.follow = true
 	w.mu.Unlock()
-	w.Start(ctx)
+	w.Open(ctx)
 }
 
-// Start opens the watch unless one is open or on its way: asking twice would only load discovery.
-func (w *Watcher) Start(ctx context.Context) {
+// Open opens the watch unless one is open or on its way: asking twice would only load discovery.
+func (w *Watcher) Open(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.open && !w.moving {
@@ -149,10 +149,10 @@
 	}
 }
 
-// Move gives up the open watch, if any, and opens one at another address. It waits until the old one has told
+// SwitchAddress gives up the open watch, if any, and opens one at another address. It waits until the old one has told
 // its last, so nothing from there comes behind the new list; hence it must not be called by whoever takes what
 // is told. The whole list is asked for: versions at one address need mean nothing at another.
-func (w *Watcher) Move(ctx context.Context, addr string) {
+func (w *Watcher) SwitchAddress(ctx context.Context, addr string) {
 	w.mu.Lock()
 	if w.addr == addr {
 		w.mu.Unlock()
@@ -263,31 +263,31 @@
 func (p *progress) proven(nowMs float64) bool { return p.told || nowMs-p.beganMs >= provenMs }
 
 // ended is what the end of a watch tells.
-func (p *progress) ended(nowMs float64, err error) lifecycle.List {
+func (p *progress) ended(nowMs float64, err error) lifecycle.EndpointUpdate {
 	switch {
 	case p.answered && errors.Is(err, errSilent):
-		return lifecycle.List{Scope: scheduler.Silent} // the call had not failed
+		return lifecycle.EndpointUpdate{Kind: scheduler.WatchIdle} // the call had not failed
 	case p.answered && p.proven(nowMs):
-		return lifecycle.List{Scope: scheduler.Ended}
+		return lifecycle.EndpointUpdate{Kind: scheduler.WatchClosed}
 	}
-	return lifecycle.List{Scope: scheduler.Broken, AtMs: p.beganMs, Failure: failure(err)}
+	return lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed, CompleteAsOfMs: p.beganMs, Failure: failure(err)}
 }
 
 // failure tells what a call that has failed by an error proves.
 func failure(err error) lifecycle.CallFailure {
 	if errors.Is(err, errSilent) || errors.Is(err, errAnew) {
-		return lifecycle.Unproven
+		return lifecycle.CallInconclusive
 	}
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "dial" {
-		return lifecycle.TurnedAway
+		return lifecycle.CallRejected
 	}
 	for _, own := range ownErrors {
 		if errors.Is(err, own) {
-			return lifecycle.Unproven
+			return lifecycle.CallInconclusive
 		}
 	}
-	return lifecycle.Unreachable
+	return lifecycle.CallUnreachable
 }
 
 // ownErrors are those of a connect that fails for want of something on this machine. They tell nothing of discovery.
@@ -349,7 +349,7 @@
 				w.complete(at)
 			}
 			if seen.held == nil && seen.proven(at) { // where it is pushed, nobody has to know
-				w.Tell(lifecycle.List{Scope: scheduler.Alive, AtMs: at})
+				w.Tell(lifecycle.EndpointUpdate{Kind: scheduler.Heartbeat, CompleteAsOfMs: at})
 			}
 			continue
 		}
@@ -362,7 +362,7 @@
 		l, bad := Decode(v)
 		unnumbered := !v.Exists("version") // on one watch news come in order all the same
 		w.Metrics.Add("discovery_bad_entries", int64(bad))
-		w.Metrics.Add("discovery_lines", int64(len(l.Nodes)))
+		w.Metrics.Add("discovery_lines", int64(len(l.Servers)))
 		w.mu.Lock()
 		stale := w.moving
 		var d endpoints.Decision
@@ -371,7 +371,7 @@
 				l.Version = w.version
 			}
 			w.version = l.Version
-			if d = w.list.Take(w.Clock.NowMs(), news(l)); d.Anew {
+			if d = w.list.Apply(w.Clock.NowMs(), news(l)); d.Resync {
 				w.version = 0
 			}
 		}
@@ -379,23 +379,23 @@
 		if stale {
 			return errors.New("moved")
 		}
-		if d.Anew {
+		if d.Resync {
 			return errAnew
 		}
-		if len(d.Take) < len(l.Nodes) {
-			w.Metrics.Add("discovery_outdated", int64(len(l.Nodes)-len(d.Take)))
+		if len(d.Accepted) < len(l.Servers) {
+			w.Metrics.Add("discovery_outdated", int64(len(l.Servers)-len(d.Accepted)))
 		}
 		took := 0.0
-		if first := !seen.told && (d.Whole || len(d.Take) > 0); first {
+		if first := !seen.told && (d.Snapshot || len(d.Accepted) > 0); first {
 			seen.told = true
 			took = w.Clock.NowMs() - seen.beganMs
 		}
-		slog.Debug(logevent.DiscoveryUpdate, logevent.Version, l.Version, "entries", len(d.Take), "whole", d.Whole)
+		slog.Debug(logevent.DiscoveryUpdate, logevent.Version, l.Version, "entries", len(d.Accepted), "whole", d.Snapshot)
 		news := counts(l, d)
-		news.TookMs = took
-		w.date(news.Nodes)
+		news.CallDurationMs = took
+		w.date(news.Servers)
 		if seen.proven(at) {
-			news.AtMs = at
+			news.CompleteAsOfMs = at
 			w.complete(at)
 		}
 		w.Tell(news)
@@ -406,31 +406,31 @@
 func (w *Watcher) complete(atMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.runs.Complete(atMs)
+	w.runs.MarkComplete(atMs)
 }
 
 // date puts the starts of nodes on this gateway's clock.
-func (w *Watcher) date(nodes []*lifecycle.Node) {
+func (w *Watcher) date(nodes []*lifecycle.Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.Clock.NowMs()
 	for _, n := range nodes {
-		n.StartedMs = w.runs.Since(n.Name, n.StartedMs, now)
+		n.StartedMs = w.runs.StartedAtMs(n.Name, n.StartedMs, now)
 	}
 }
 
-// Date puts the starts of nodes that were known before the start on this gateway's clock.
-func (w *Watcher) Date(known lifecycle.List) { w.date(known.Nodes) }
+// NormalizeStartTimes puts the starts of nodes that were known before the start on this gateway's clock.
+func (w *Watcher) NormalizeStartTimes(known lifecycle.EndpointUpdate) { w.date(known.Servers) }
 
 // counts is what of a list counts.
-func counts(l lifecycle.List, d endpoints.Decision) lifecycle.List {
-	nodes := make([]*lifecycle.Node, len(d.Take))
-	for i, at := range d.Take {
-		nodes[i] = l.Nodes[at]
+func counts(l lifecycle.EndpointUpdate, d endpoints.Decision) lifecycle.EndpointUpdate {
+	nodes := make([]*lifecycle.Server, len(d.Accepted))
+	for i, at := range d.Accepted {
+		nodes[i] = l.Servers[at]
 	}
-	scope := scheduler.Patch
-	if d.Whole {
-		scope = scheduler.Whole
+	scope := scheduler.Delta
+	if d.Snapshot {
+		scope = scheduler.Snapshot
 	}
-	return lifecycle.List{Version: l.Version, Scope: scope, Nodes: nodes}
+	return lifecycle.EndpointUpdate{Version: l.Version, Kind: scope, Servers: nodes}
 }
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -41,12 +41,12 @@
 func TestMove(t *testing.T) {
 	oldAddr, oldFeed, oldAsked, oldEnded := service(t)
 	newAddr, newFeed, newAsked, _ := service(t)
-	told := make(chan lifecycle.List, 10)
+	told := make(chan lifecycle.EndpointUpdate, 10)
 	m := metrics.New()
-	w := New(oldAddr, lifecycle.List{Version: 41}, clock.NewManual(1e12), m, func(l lifecycle.List) { told <- l }, nil)
+	w := New(oldAddr, lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), m, func(l lifecycle.EndpointUpdate) { told <- l }, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
+	w.Open(ctx)
 	if q := <-oldAsked; q != "watch=1&after=41" {
 		t.Errorf("asked %q", q)
 	}
@@ -54,15 +54,15 @@
 	if l := <-told; l.Version != 43 {
 		t.Errorf("%+v", l)
 	}
-	w.Move(ctx, newAddr)
+	w.SwitchAddress(ctx, newAddr)
 	<-oldEnded
 	if q := <-newAsked; q != "watch=1&after=0" {
 		t.Errorf("asked the new one %q", q)
 	}
-	w.Start(ctx)         // one is open
-	w.Move(ctx, newAddr) // and there already
+	w.Open(ctx)                   // one is open
+	w.SwitchAddress(ctx, newAddr) // and there already
 	newFeed <- `{"version":2,"full":true,"servers":[]}`
-	if l := <-told; l.Version != 2 || l.Scope != scheduler.Whole {
+	if l := <-told; l.Version != 2 || l.Kind != scheduler.Snapshot {
 		t.Errorf("%+v", l)
 	}
 	if len(told) != 0 || len(newAsked) != 0 || m.Get("watch_broken") != 0 {
@@ -75,7 +75,7 @@
 	oldAddr, oldFeed, _, _ := service(t)
 	newAddr, newFeed, newAsked, _ := service(t)
 	telling, release, told := make(chan bool), make(chan bool), make(chan uint64, 4)
-	w := New(oldAddr, lifecycle.List{}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.List) {
+	w := New(oldAddr, lifecycle.EndpointUpdate{}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.EndpointUpdate) {
 		if l.Version == 43 {
 			telling <- true
 			<-release
@@ -84,11 +84,11 @@
 	}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Start(ctx)
+	w.Open(ctx)
 	oldFeed <- `{"version":43,"servers":[]}`
 	<-telling
 	moved := make(chan bool)
-	go func() { w.Move(ctx, newAddr); close(moved) }()
+	go func() { w.SwitchAddress(ctx, newAddr); close(moved) }()
 	if len(newAsked) != 0 {
 		t.Error("the new watch began before the old one had told its last")
 	}
@@ -104,10 +104,10 @@
 // Where nothing was watched yet, or the watch has broken, a move is a start.
 func TestMoveWithoutAWatch(t *testing.T) {
 	addr, _, asked, _ := service(t)
-	w := New("127.0.0.1:1", lifecycle.List{Version: 5}, clock.NewManual(1e12), metrics.New(), func(lifecycle.List) {}, nil)
+	w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 5}, clock.NewManual(1e12), metrics.New(), func(lifecycle.EndpointUpdate) {}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Move(ctx, addr)
+	w.SwitchAddress(ctx, addr)
 	if q := <-asked; q != "watch=1&after=0" {
 		t.Errorf("asked %q", q)
 	}
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -50,8 +50,8 @@
 const mostInbox = 1024
 
 func (o Options) share() quota.Settings {
-	return quota.Settings{Self: o.Self, Life: o.Life, LeaseMs: o.LeaseMs, Drift: o.Drift, Lends: o.Lends, AskMs: o.LeaseMs / askEvery,
-		IdleMs: idleMs, MostPots: o.MostVolumes, MostPeers: min(len(o.Peers), 64)}
+	return quota.Settings{Self: o.Self, Incarnation: o.Life, LeaseMs: o.LeaseMs, ClockDrift: o.Drift, MaxGrantedFraction: o.Lends, RequestIntervalMs: o.LeaseMs / askEvery,
+		IdleTimeoutMs: idleMs, MaxPools: o.MostVolumes, MaxPeers: min(len(o.Peers), 64)}
 }
 
 func (o Options) members() membership.Settings {
@@ -72,8 +72,8 @@
 )
 
 func (o Options) verdict() outlier.Settings {
-	return outlier.Settings{FadeMs: 2000, LeastFailures: 3, LeastPart: 0.5, MostTries: 10, MostAgeMs: wordAgeMs, TellMs: wordTellMs, Origins: 2, OfAlive: 0.34,
-		MostOut: 0.34, MostNodes: 4096, MostPeers: min(len(o.Peers), 64)}
+	return outlier.Settings{DecayMs: 2000, MinFailures: 3, MinFailureRatio: 0.5, MaxAttemptWeight: 10, MaxReportAgeMs: wordAgeMs, ReportIntervalMs: wordTellMs, MinQuorum: 2, QuorumFraction: 0.34,
+		MaxEjectedFraction: 0.34, MaxServers: 4096, MaxPeers: min(len(o.Peers), 64)}
 }
 
 // Latencies that others have measured count for so long, as an answer each time that one more is heard of.
@@ -97,14 +97,14 @@
 
 // Bounds are what holds for these options.
 func (o Options) Bounds() Bounds {
-	return Bounds{DetectMs: o.members().DetectionBoundMs(), PartMs: o.share().HoldMs(), HoldMs: o.share().HoldMs(), WordMs: wordAgeMs,
-		ShunMs: o.verdict().FindMs() + restMs}
+	return Bounds{DetectMs: o.members().DetectionBoundMs(), PartMs: o.share().GrantHoldMs(), HoldMs: o.share().GrantHoldMs(), WordMs: wordAgeMs,
+		ShunMs: o.verdict().FailureDecayBoundMs() + restMs}
 }
 
 // Loop is what the fleet asks of the loop.
 type Loop interface {
 	Post(f func(nowMs float64))
-	After(ms float64, f func(nowMs float64)) (stop func())
+	AfterFunc(ms float64, f func(nowMs float64)) (stop func())
 }
 
 // Fleet is one gateway's side. Its methods but Start and End are called on the loop's goroutine.
@@ -117,17 +117,17 @@
 	socket  *datagram.Socket
 
 	members *membership.Memberlist
-	share   *quota.Book
-	verdict *outlier.Book
+	share   *quota.Allocator
+	verdict *outlier.Detector
 	latency *peerlatency.Aggregator
-	nodes   map[uint64]*lifecycle.Node // as listed, by what all gateways call them
-	gone    map[uint64]float64         // when
+	nodes   map[uint64]*lifecycle.Server // as listed, by what all gateways call them
+	gone    map[uint64]float64           // when
 	seen    []datagram.Seen
 	count   uint64
 	asked   []quota.Demand
 	toM     []membership.Message
 	toS     []quota.Message
-	toV     []outlier.Evidence
+	toV     []outlier.Report
 	toL     []peerlatency.Report
 	turn    int // of those who hear findings
 	shunAt  float64
@@ -138,7 +138,7 @@
 // New returns the side of a gateway that has just started, or an error if the options cannot be used.
 func New(o Options, m *metrics.Set, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{opt: o, codec: datagram.New(o.Key), metrics: m, log: log, seen: make([]datagram.Seen, len(o.Peers)), stop: func() {},
-		nodes: map[uint64]*lifecycle.Node{}, gone: map[uint64]float64{}}
+		nodes: map[uint64]*lifecycle.Server{}, gone: map[uint64]float64{}}
 	var err error
 	if f.members, err = membership.New(o.members()); err != nil {
 		return nil, err
@@ -152,8 +152,8 @@
 	if f.latency, err = peerlatency.New(o.latency()); err != nil {
 		return nil, err
 	}
-	f.share.Peers(f.members.AliveMembers())
-	f.verdict.Alive(len(o.Peers))
+	f.share.SetPeers(f.members.AliveMembers())
+	f.verdict.SetAliveGateways(len(o.Peers))
 	return f, nil
 }
 
@@ -205,10 +205,10 @@
 	f.nextMs = 0
 }
 
-// Demand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
-func (f *Fleet) Demand(nowMs float64, d scheduler.Demand) {
+// ReportDemand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
+func (f *Fleet) ReportDemand(nowMs float64, d scheduler.QuotaDemand) {
 	if len(f.asked) < mostInbox {
-		f.asked = append(f.asked, quota.Demand{Pot: uint64(d.Volume), Hosts: d.Hosts, Part: d.Part, Fresh: d.Fresh})
+		f.asked = append(f.asked, quota.Demand{Pool: uint64(d.Volume), Gateways: d.Gateways, Fraction: d.Share, Resync: d.First})
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
@@ -218,10 +218,10 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s %.0f", id, startedMs))
 }
 
-func name(n *lifecycle.Node) uint64 { return NodeName(n.Name, n.StartedMs) }
+func name(n *lifecycle.Server) uint64 { return NodeName(n.Name, n.StartedMs) }
 
-// Listed implements core.Fleet.
-func (f *Fleet) Listed(nowMs float64, nodes, gone []*lifecycle.Node) {
+// EndpointsChanged implements core.Fleet.
+func (f *Fleet) EndpointsChanged(nowMs float64, nodes, gone []*lifecycle.Server) {
 	for _, n := range gone {
 		f.gone[name(n)] = nowMs
 	}
@@ -231,7 +231,7 @@
 		id := name(n)
 		f.nodes[id] = n
 		ids = append(ids, id)
-		if n.State != scheduler.Live {
+		if n.State != scheduler.Ready {
 			closed = append(closed, id)
 		}
 	}
@@ -244,29 +244,29 @@
 	}
 	slices.Sort(closed)
 	f.latency.SetServers(ids)
-	f.verdict.List(append(ids, closed...))
+	f.verdict.SetServers(append(ids, closed...))
 	for _, id := range closed {
-		f.verdict.Close(id)
+		f.verdict.MarkWithdrawn(id)
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
 
-// Ended implements core.Fleet.
-func (f *Fleet) Ended(nowMs float64, n *lifecycle.Node, s scheduler.Status, latencyMs float64) {
+// AttemptEnded implements core.Fleet.
+func (f *Fleet) AttemptEnded(nowMs float64, n *lifecycle.Server, s scheduler.Status, latencyMs float64) {
 	id := name(n)
 	switch s {
-	case scheduler.OK:
-		f.verdict.Observe(nowMs, id, false)
+	case scheduler.StatusOK:
+		f.verdict.RecordAttempt(nowMs, id, false)
 		f.latency.Observe(nowMs, id, latencyMs)
 		f.wake(nowMs, min(f.nextMs, max(nowMs+5, f.latency.NextReportMs(nowMs))))
-	case scheduler.Error, scheduler.TimedOut, scheduler.ConnectFailed, scheduler.Reset:
-		f.verdict.Observe(nowMs, id, true)
+	case scheduler.StatusError, scheduler.StatusTimedOut, scheduler.StatusConnectFailed, scheduler.StatusConnectionReset:
+		f.verdict.RecordAttempt(nowMs, id, true)
 		f.wake(nowMs, min(f.nextMs, nowMs+20))
 	}
 }
 
 // judge lets findings be told and heard, and tells the module which nodes to leave nearly alone.
-func (f *Fleet) judge(nowMs float64, in []outlier.Evidence) (tell []outlier.Evidence, events []scheduler.Event) {
+func (f *Fleet) judge(nowMs float64, in []outlier.Report) (tell []outlier.Report, events []scheduler.Event) {
 	tell, out := f.verdict.Step(nowMs, in)
 	f.metrics.Add("fleet_findings_told", int64(len(tell)))
 	if len(out) == 0 || nowMs < f.shunAt {
@@ -274,8 +274,8 @@
 	}
 	f.shunAt = nowMs + shunMs
 	for _, v := range out {
-		if n := f.nodes[v.Node]; n != nil {
-			events = append(events, scheduler.Shun{Node: n.ID(), Rest: clock.Duration(restMs)})
+		if n := f.nodes[v.Server]; n != nil {
+			events = append(events, scheduler.EjectServer{Server: n.ID(), MinInterval: clock.Duration(restMs)})
 			f.metrics.Add("fleet_nodes_shunned", 1)
 		}
 	}
@@ -296,11 +296,13 @@
 	return some
 }
 
-// Until implements core.Fleet.
-func (f *Fleet) Until(v scheduler.VolumeID) float64 { return f.share.UntilMs(uint64(v)) }
+// QuotaExpiresMs implements core.Fleet.
+func (f *Fleet) QuotaExpiresMs(v scheduler.VolumeID) float64 {
+	return f.share.FirstLeaseExpiryMs(uint64(v))
+}
 
-// Before implements core.Fleet.
-func (f *Fleet) Before(nowMs float64) []scheduler.Event {
+// BeginStep implements core.Fleet.
+func (f *Fleet) BeginStep(nowMs float64) []scheduler.Event {
 	if nowMs < f.nextMs {
 		return nil
 	}
@@ -317,25 +319,25 @@
 	}
 	if len(changes) > 0 {
 		alive := f.members.AliveMembers()
-		f.share.Peers(alive)
-		f.verdict.Alive(1 + len(alive))
+		f.share.SetPeers(alive)
+		f.verdict.SetAliveGateways(1 + len(alive))
 	}
 	tell, events := f.judge(nowMs, toV)
 	samples, merged := f.latency.Step(nowMs, toL)
 	for _, m := range merged {
 		if n := f.nodes[m.Server]; n != nil {
-			events = append(events, scheduler.Seen{Node: n.ID(), Latency: clock.Duration(m.LatencyMs)})
+			events = append(events, scheduler.PeerLatency{Server: n.ID(), Latency: clock.Duration(m.LatencyMs)})
 		}
 	}
 	sOut, parts := f.share.Step(nowMs, asked, toS)
 	for _, p := range parts {
-		events = append(events, scheduler.Part{Volume: scheduler.VolumeID(p.Pot), Part: p.Part})
+		events = append(events, scheduler.QuotaShare{Volume: scheduler.VolumeID(p.Pool), Share: p.Fraction})
 		f.metrics.Add("fleet_parts_changed", 1)
 	}
 	f.send(mOut, sOut, tell, samples)
 	f.nextMs = math.Inf(1)
-	next := min(f.members.NextStepMs(), f.share.NextMs(nowMs), f.verdict.NextMs(nowMs), f.latency.NextReportMs(nowMs))
-	if len(f.verdict.Out()) > 0 {
+	next := min(f.members.NextStepMs(), f.share.NextStepMs(nowMs), f.verdict.NextStepMs(nowMs), f.latency.NextReportMs(nowMs))
+	if len(f.verdict.Ejections()) > 0 {
 		next = min(next, nowMs+shunMs)
 	}
 	f.wake(nowMs, next)
@@ -352,12 +354,12 @@
 	f.stop()
 	f.nextMs = atMs
 	if f.loop != nil && !math.IsInf(atMs, 1) {
-		f.stop = f.loop.After(max(1, atMs-nowMs), func(float64) {}) // the step that follows calls Before
+		f.stop = f.loop.AfterFunc(max(1, atMs-nowMs), func(float64) {}) // the step that follows calls Before
 	}
 }
 
 // send makes datagrams of what goes to each member.
-func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Evidence, samples []peerlatency.Report) {
+func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Report, samples []peerlatency.Report) {
 	if f.socket == nil {
 		return
 	}
@@ -406,14 +408,14 @@
 	for i := range f.opt.Peers {
 		fmt.Fprintf(w, "member %d %s %s\n", i, f.opt.Peers[i], stateNames[f.members.State(uint16(i))])
 	}
-	for _, v := range f.verdict.Out() {
-		if n := f.nodes[v.Node]; n != nil {
-			fmt.Fprintf(w, "verdict %s %s by %d age_ms %.0f\n", n.Name, [...]string{"", "failing", "closed"}[v.Kind], v.By, v.AgeMs)
+	for _, v := range f.verdict.Ejections() {
+		if n := f.nodes[v.Server]; n != nil {
+			fmt.Fprintf(w, "verdict %s %s by %d age_ms %.0f\n", n.Name, [...]string{"", "failing", "closed"}[v.Condition], v.Reporters, v.AgeMs)
 		}
 	}
-	for _, pot := range f.share.Pots() {
-		lent, borrowed := f.share.Lent(pot)
-		fmt.Fprintf(w, "volume %016x held %.4f lent %.4f borrowed %.4f\n", pot, f.share.Held(nowMs, pot), lent, borrowed)
+	for _, pot := range f.share.Pools() {
+		lent, borrowed := f.share.LentAndBorrowed(pot)
+		fmt.Fprintf(w, "volume %016x held %.4f lent %.4f borrowed %.4f\n", pot, f.share.AvailableFraction(nowMs, pot), lent, borrowed)
 	}
 }
 
