--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	listen, o, err := e.Fleet.With(c)
-	if err != nil || listen != c.PeerListen || o.Self != 1 || len(o.Peers) != 3 || o.LeaseMs != 2000 || o.Lends != 0.5 {
+	if err != nil || listen != c.PeerListen || o.Self != 1 || len(o.Peers) != 3 || o.LeaseMs != 2000 || o.MaxGrantedFraction != 0.5 {
 		t.Errorf("%q, %+v, %v", listen, o, err)
 	}
 	e, err = ParseEdge([]byte(`{"fleet":{"listen":"127.0.0.1:9","self":0,"peers":["127.0.0.1:9"],"key":"k","lease_ms":500,"lends":0.25,
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if listen, o, err = e.Fleet.With(c); err != nil || listen != "127.0.0.1:9" || len(o.Peers) != 1 || string(o.Key) != "k" ||
-		o.LeaseMs != 500 || o.PeriodMs != 100 || o.TimeoutMs != 30 || o.MostVolumes != 7 || o.Lends != 0.25 || o.Drift != 0.05 {
+		o.LeaseMs != 500 || o.ProbePeriodMs != 100 || o.ProbeTimeoutMs != 30 || o.MaxVolumes != 7 || o.MaxGrantedFraction != 0.25 || o.ClockDrift != 0.05 {
 		t.Errorf("%q, %+v, %v", listen, o, err)
 	}
 	for _, bad := range []string{`{"listen":"nowhere"}`, `{"self":9}`, `{"peers":["x"]}`, `{"peers":["127.0.0.1:1","127.0.0.1:1"]}`, `{"lends":0.9}`,
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -17,7 +17,7 @@
 	base
 	g      *Gateway
 	listen string
-	fleet  *peer.Fleet
+	fleet  *peer.Service
 }
 
 func newPeers(g *Gateway, f *config.Fleet) (*peers, error) {
@@ -28,7 +28,7 @@
 	}
 	p.listen = listen
 	// Another at each start, also where the seed is the same: what an earlier life has been told or lent is its own.
-	o.Life, o.Seed = uint32(g.cfg.Seed)^uint32(int64(g.Clock.NowMs()))^uint32(os.Getpid())<<16, g.cfg.Seed
+	o.Incarnation, o.Seed = uint32(g.cfg.Seed)^uint32(int64(g.Clock.NowMs()))^uint32(os.Getpid())<<16, g.cfg.Seed
 	if p.fleet, err = peer.New(o, g.Metrics, slog.Default()); err != nil {
 		return nil, err
 	}
@@ -46,14 +46,14 @@
 }
 
 func (p *peers) stopping(stopTimes) { p.g.loop.Post(p.fleet.Leave) }
-func (p *peers) end()               { p.fleet.End() }
+func (p *peers) end()               { p.fleet.Close() }
 
 // show answers with what this gateway knows of its fleet.
 func (p *peers) show(w http.ResponseWriter, _ *http.Request) {
 	text := make(chan string, 1)
 	p.g.loop.Post(func(nowMs float64) {
 		var b strings.Builder
-		p.fleet.Show(&b, nowMs)
+		p.fleet.WriteStatus(&b, nowMs)
 		text <- b.String()
 	})
 	select {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -133,7 +133,7 @@
 		if others, err = newPeers(g, edge.Fleet); err != nil {
 			return nil, err
 		}
-		settings.QuotaLeases, settings.InitialQuotaShare = true, others.fleet.StartPart()
+		settings.QuotaLeases, settings.InitialQuotaShare = true, others.fleet.InitialQuotaShare()
 	}
 	scheduler, err := scheduler.New(settings, cfg.Seed)
 	if err != nil {
--- a/internal/peer/datagram/codec.go
+++ b/internal/peer/datagram/codec.go
@@ -27,14 +27,14 @@
 	"gaugerelay/internal/quota"
 )
 
-// Most is the longest datagram.
-const Most = 256
+// MaxSize is the longest datagram.
+const MaxSize = 256
 
 const (
 	version    = 1
 	headerSize = 18
 	checkSize  = 8
-	room       = Most - headerSize - checkSize
+	room       = MaxSize - headerSize - checkSize
 
 	typeMember = 1
 	typeRumour = 2
@@ -53,28 +53,28 @@
 
 // Packet is what a datagram holds. Peers in its messages are not encoded: they are the sender, or the receiver.
 type Packet struct {
-	From    uint16
-	Life    uint32
-	Count   uint64
-	Members []membership.Message // each datagram has the rumours of all of its messages; decoded, the first has them
-	Share   []quota.Message
-	Words   []outlier.Report
-	Samples []peerlatency.Report
+	From           uint16
+	Incarnation    uint32
+	Number         uint64
+	Membership     []membership.Message // each datagram has the rumours of all of its messages; decoded, the first has them
+	Quota          []quota.Message
+	OutlierReports []outlier.Report
+	LatencyReports []peerlatency.Report
 }
 
 // Why a datagram is dropped.
 var (
-	ErrShort   = errors.New("datagram: too short or too long, or no datagram of a gateway")
-	ErrVersion = errors.New("datagram: of another version")
-	ErrCheck   = errors.New("datagram: spoilt, or not with this fleet's key")
-	ErrItem    = errors.New("datagram: an item is cut off or cannot be")
+	ErrFormat   = errors.New("datagram: too short or too long, or no datagram of a gateway")
+	ErrVersion  = errors.New("datagram: of another version")
+	ErrChecksum = errors.New("datagram: spoilt, or not with this fleet's key")
+	ErrItem     = errors.New("datagram: an item is cut off or cannot be")
 )
 
 // Codec seals and opens datagrams.
 type Codec struct{ key []byte }
 
-// New returns a codec; without a key anyone who reaches the fleet's addresses can speak in it.
-func New(key []byte) *Codec { return &Codec{append([]byte(nil), key...)} }
+// NewCodec returns a codec; without a key anyone who reaches the fleet's addresses can speak in it.
+func NewCodec(key []byte) *Codec { return &Codec{append([]byte(nil), key...)} }
 
 func (c *Codec) check(b []byte) (sum [checkSize]byte) {
 	if len(c.key) == 0 {
@@ -96,7 +96,7 @@
 		b := make([]byte, 0, headerSize+len(items)+checkSize)
 		b = append(b, 'G', 'R', version, 0)
 		b = binary.BigEndian.AppendUint16(b, p.From)
-		b = binary.BigEndian.AppendUint32(b, p.Life)
+		b = binary.BigEndian.AppendUint32(b, p.Incarnation)
 		b = binary.BigEndian.AppendUint64(b, *count)
 		b = append(b, items...)
 		sum := c.check(b)
@@ -109,7 +109,7 @@
 		}
 		items = rest(append(items, kind, byte(size)))
 	}
-	for _, m := range p.Share {
+	for _, m := range p.Quota {
 		add(typeShare, shareSize, func(b []byte) []byte {
 			b = append(b, byte(m.Kind))
 			b = binary.BigEndian.AppendUint64(b, m.Pool)
@@ -118,21 +118,21 @@
 			return binary.BigEndian.AppendUint32(b, fixed(m.Fraction, m.Kind != quota.LeaseGrant))
 		})
 	}
-	for _, e := range p.Words {
+	for _, e := range p.OutlierReports {
 		add(typeWord, wordSize, func(b []byte) []byte {
 			b = binary.BigEndian.AppendUint64(append(b, byte(e.Condition)), e.Server)
 			b = binary.BigEndian.AppendUint64(append(b, e.Percent), e.Version)
 			return binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, e.AgeMs))))
 		})
 	}
-	for _, s := range p.Samples {
+	for _, s := range p.LatencyReports {
 		add(typeSample, sampleSize, func(b []byte) []byte {
 			b = binary.BigEndian.AppendUint64(b, s.Server)
 			b = binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, s.LatencyMs/sampleStep))))
 			return binary.BigEndian.AppendUint16(b, uint16(max(0, min(math.MaxUint16, s.AgeMs))))
 		})
 	}
-	for _, m := range p.Members {
+	for _, m := range p.Membership {
 		add(typeMember, memberSize, func(b []byte) []byte {
 			b = binary.BigEndian.AppendUint32(append(b, byte(m.Kind)), m.Seq)
 			return binary.BigEndian.AppendUint16(b, m.Target)
@@ -167,17 +167,17 @@
 
 // Decode reads a datagram. Nothing of one that is not whole is taken.
 func (c *Codec) Decode(b []byte) (p Packet, err error) {
-	if len(b) < headerSize+checkSize || len(b) > Most || b[0] != 'G' || b[1] != 'R' {
-		return p, ErrShort
+	if len(b) < headerSize+checkSize || len(b) > MaxSize || b[0] != 'G' || b[1] != 'R' {
+		return p, ErrFormat
 	}
 	if b[2] != version {
 		return p, ErrVersion // how it is sealed is not known either
 	}
 	end := len(b) - checkSize
 	if sum := c.check(b[:end]); !hmac.Equal(sum[:], b[end:]) {
-		return p, ErrCheck
+		return p, ErrChecksum
 	}
-	p.From, p.Life, p.Count = binary.BigEndian.Uint16(b[4:]), binary.BigEndian.Uint32(b[6:]), binary.BigEndian.Uint64(b[10:])
+	p.From, p.Incarnation, p.Number = binary.BigEndian.Uint16(b[4:]), binary.BigEndian.Uint32(b[6:]), binary.BigEndian.Uint64(b[10:])
 	var rumours []membership.Update
 	for items := b[headerSize:end]; len(items) > 0; {
 		if len(items) < 2 || len(items) < 2+int(items[1]) {
@@ -187,7 +187,7 @@
 		items = items[2+len(x):]
 		switch {
 		case kind == typeMember && len(x) >= memberSize:
-			p.Members = append(p.Members, membership.Message{Kind: membership.MessageKind(x[0]), Peer: p.From,
+			p.Membership = append(p.Membership, membership.Message{Kind: membership.MessageKind(x[0]), Peer: p.From,
 				Seq: binary.BigEndian.Uint32(x[1:]), Target: binary.BigEndian.Uint16(x[5:])})
 		case kind == typeRumour && len(x) >= rumourSize:
 			rumours = append(rumours, membership.Update{Member: binary.BigEndian.Uint16(x), State: membership.State(x[2]),
@@ -197,40 +197,40 @@
 			if part > whole {
 				return Packet{}, ErrItem
 			}
-			p.Share = append(p.Share, quota.Message{Kind: quota.MessageKind(x[0]), Peer: p.From, SenderIncarnation: p.Life, Pool: binary.BigEndian.Uint64(x[1:]),
+			p.Quota = append(p.Quota, quota.Message{Kind: quota.MessageKind(x[0]), Peer: p.From, SenderIncarnation: p.Incarnation, Pool: binary.BigEndian.Uint64(x[1:]),
 				RecipientIncarnation: binary.BigEndian.Uint32(x[9:]), Seq: binary.BigEndian.Uint32(x[13:]), Fraction: float64(part) / whole})
 		case kind == typeWord && len(x) >= wordSize:
-			p.Words = append(p.Words, outlier.Report{Peer: p.From, Condition: outlier.Condition(x[0]), Server: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
+			p.OutlierReports = append(p.OutlierReports, outlier.Report{Peer: p.From, Condition: outlier.Condition(x[0]), Server: binary.BigEndian.Uint64(x[1:]), Percent: x[9],
 				Version: binary.BigEndian.Uint64(x[10:]), AgeMs: float64(binary.BigEndian.Uint16(x[18:]))})
 		case kind == typeSample && len(x) >= sampleSize:
-			p.Samples = append(p.Samples, peerlatency.Report{Peer: p.From, Server: binary.BigEndian.Uint64(x),
+			p.LatencyReports = append(p.LatencyReports, peerlatency.Report{Peer: p.From, Server: binary.BigEndian.Uint64(x),
 				LatencyMs: float64(binary.BigEndian.Uint16(x[8:])) * sampleStep, AgeMs: float64(binary.BigEndian.Uint16(x[10:]))})
 		case kind >= typeMember && kind <= typeSample:
 			return Packet{}, ErrItem
 		}
 	}
 	if len(rumours) > 0 {
-		if len(p.Members) == 0 {
+		if len(p.Membership) == 0 {
 			return Packet{}, ErrItem
 		}
-		p.Members[0].Updates = rumours
+		p.Membership[0].Updates = rumours
 	}
 	return p, nil
 }
 
-// Seen tells repeats: of each life of a sender, counts that came already, or so long ago that nobody knows.
-type Seen struct {
+// ReplayWindow tells repeats: of each life of a sender, counts that came already, or so long ago that nobody knows.
+type ReplayWindow struct {
 	life  uint32
 	top   uint64
 	below uint64 // bit i: top-1-i has come
 }
 
-// Again notes a count and tells whether it came before. What every message is about may come again without harm; this
+// Replayed notes a count and tells whether it came before. What every message is about may come again without harm; this
 // spares the work, and lets repeats be counted.
-func (s *Seen) Again(life uint32, count uint64) bool {
+func (s *ReplayWindow) Replayed(life uint32, count uint64) bool {
 	switch {
 	case life != s.life:
-		*s = Seen{life: life, top: count}
+		*s = ReplayWindow{life: life, top: count}
 		return false
 	case count > s.top:
 		by := count - s.top
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -13,27 +13,27 @@
 )
 
 func sample() Packet {
-	return Packet{From: 3, Life: 77, Members: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Updates: []membership.Update{
+	return Packet{From: 3, Incarnation: 77, Membership: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Updates: []membership.Update{
 		{Member: 3, Incarnation: 9, ProcessIncarnation: 77}, {Member: 2, State: membership.Suspect, Incarnation: 1 << 40, SuspectedBy: 4}}}},
-		Share:   []quota.Message{{Kind: quota.LeaseGrant, Pool: 0xb4d60021, Peer: 3, SenderIncarnation: 77, RecipientIncarnation: 5, Seq: 8, Fraction: 0.25}},
-		Words:   []outlier.Report{{Peer: 3, Server: 1 << 60, Condition: outlier.Withdrawn, Percent: 80, Version: 1 << 41, AgeMs: 250}},
-		Samples: []peerlatency.Report{{Peer: 3, Server: 77, LatencyMs: 12.5, AgeMs: 40}}}
+		Quota:          []quota.Message{{Kind: quota.LeaseGrant, Pool: 0xb4d60021, Peer: 3, SenderIncarnation: 77, RecipientIncarnation: 5, Seq: 8, Fraction: 0.25}},
+		OutlierReports: []outlier.Report{{Peer: 3, Server: 1 << 60, Condition: outlier.Withdrawn, Percent: 80, Version: 1 << 41, AgeMs: 250}},
+		LatencyReports: []peerlatency.Report{{Peer: 3, Server: 77, LatencyMs: 12.5, AgeMs: 40}}}
 }
 
 func TestRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "of this fleet"} {
 		var count uint64
-		c := New([]byte(key))
+		c := NewCodec([]byte(key))
 		all := c.Encode(sample(), &count)
 		if len(all) != 1 {
 			t.Fatalf("%d datagrams", len(all))
 		}
 		want := sample()
-		want.Count = 1
+		want.Number = 1
 		if got, err := c.Decode(all[0]); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("key %q: %+v, %v", key, got, err)
 		}
-		if _, err := New([]byte("another")).Decode(all[0]); err != ErrCheck {
+		if _, err := NewCodec([]byte("another")).Decode(all[0]); err != ErrChecksum {
 			t.Errorf("with another key: %v", err)
 		}
 		for bit := range 8 * len(all[0]) { // each bit counts
@@ -50,31 +50,31 @@
 func TestManyMessages(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	p := sample()
-	p.Share = nil
+	p.Quota = nil
 	for i := range 60 {
-		p.Share = append(p.Share, quota.Message{Kind: quota.MessageKind(1 + i%3), Pool: rnd.Uint64(), Seq: uint32(i), Fraction: rnd.Float64()})
+		p.Quota = append(p.Quota, quota.Message{Kind: quota.MessageKind(1 + i%3), Pool: rnd.Uint64(), Seq: uint32(i), Fraction: rnd.Float64()})
 	}
 	for range 40 {
-		p.Members[0].Updates = append(p.Members[0].Updates, membership.Update{Member: 1})
+		p.Membership[0].Updates = append(p.Membership[0].Updates, membership.Update{Member: 1})
 	}
 	var count uint64
-	c := New(nil)
+	c := NewCodec(nil)
 	var got []quota.Message
 	for i, b := range c.Encode(p, &count) {
-		if len(b) > Most {
+		if len(b) > MaxSize {
 			t.Errorf("%d bytes", len(b))
 		}
 		q, err := c.Decode(b)
-		if err != nil || q.Count != uint64(i+1) {
-			t.Fatalf("datagram %d: %v, count %d", i, err, q.Count)
+		if err != nil || q.Number != uint64(i+1) {
+			t.Fatalf("datagram %d: %v, count %d", i, err, q.Number)
 		}
-		got = append(got, q.Share...)
+		got = append(got, q.Quota...)
 	}
-	if len(got) != len(p.Share) {
-		t.Fatalf("%d messages of %d", len(got), len(p.Share))
+	if len(got) != len(p.Quota) {
+		t.Fatalf("%d messages of %d", len(got), len(p.Quota))
 	}
 	for i, m := range got {
-		sent := p.Share[i].Fraction
+		sent := p.Quota[i].Fraction
 		if m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
 			t.Errorf("message %d of kind %d: %v became %v", i, m.Kind, sent, m.Fraction)
 		}
@@ -84,7 +84,7 @@
 // A later version may add types and lengthen items. What it does not say in this version's way is passed over, and
 // another version is not understood.
 func TestLaterVersions(t *testing.T) {
-	c := New(nil)
+	c := NewCodec(nil)
 	var count uint64
 	b := c.Encode(sample(), &count)[0]
 	body := bytes.Clone(b[:len(b)-checkSize])
@@ -94,7 +94,7 @@
 	body = append(body, 42, 43)
 	sum := c.check(body)
 	p, err := c.Decode(append(bytes.Clone(body), sum[:]...))
-	if err != nil || len(p.Members) != 2 || p.Members[1].Seq != 9 || len(p.Share) != 1 {
+	if err != nil || len(p.Membership) != 2 || p.Membership[1].Seq != 9 || len(p.Quota) != 1 {
 		t.Errorf("%+v, %v", p, err)
 	}
 	b[2]++
@@ -104,14 +104,14 @@
 }
 
 func TestSeen(t *testing.T) {
-	var s Seen
+	var s ReplayWindow
 	for i, c := range []struct {
 		life  uint32
 		count uint64
 		again bool
 	}{{1, 5, false}, {1, 5, true}, {1, 4, false}, {1, 4, true}, {1, 7, false}, {1, 6, false}, {1, 5, true}, {1, 90, false}, {1, 7, true},
 		{1, 27, false}, {1, 27, true}, {1, 1000, false}, {1, 999, false}, {1, 90, true}, {2, 1, false}, {2, 1, true}} {
-		if got := s.Again(c.life, c.count); got != c.again {
+		if got := s.Replayed(c.life, c.count); got != c.again {
 			t.Errorf("%d: count %d of life %d: %v", i, c.count, c.life, got)
 		}
 	}
@@ -119,7 +119,7 @@
 
 // Bytes from anywhere never do harm, and what is taken can be said again in the same words.
 func FuzzDecode(f *testing.F) {
-	c := New(nil)
+	c := NewCodec(nil)
 	var count uint64
 	f.Add(c.Encode(sample(), &count)[0])
 	f.Add([]byte("GR\x01\x00"))
@@ -131,13 +131,13 @@
 		}
 		p, err := c.Decode(b)
 		if err != nil {
-			if !reflect.DeepEqual(p, Packet{}) && err != ErrShort {
+			if !reflect.DeepEqual(p, Packet{}) && err != ErrFormat {
 				t.Fatalf("%v, and yet %+v", err, p)
 			}
 			return
 		}
-		count := p.Count - 1
-		for _, m := range p.Share {
+		count := p.Number - 1
+		for _, m := range p.Quota {
 			if !(m.Fraction >= 0 && m.Fraction <= 1) {
 				t.Fatalf("a part of %v", m.Fraction)
 			}
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -59,31 +59,31 @@
 	fleetKey   = "a key of this test"
 )
 
-func packet() datagram.Packet { return datagram.Packet{From: sender, Life: senderLife} }
+func packet() datagram.Packet { return datagram.Packet{From: sender, Incarnation: senderLife} }
 
 func memberPacket(kind membership.MessageKind, rumours ...membership.Update) datagram.Packet {
 	p := packet()
-	p.Members = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Updates: rumours}}
+	p.Membership = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Updates: rumours}}
 	return p
 }
 
 func sharePacket(kind quota.MessageKind, part float64) datagram.Packet {
 	p := packet()
-	p.Share = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderLife, RecipientIncarnation: 0x41424344,
+	p.Quota = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderLife, RecipientIncarnation: 0x41424344,
 		Seq: 0x45464748, Fraction: part}}
 	return p
 }
 
 func evidencePacket(kind outlier.Condition) datagram.Packet {
 	p := packet()
-	p.Words = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: kind, Percent: 80, Version: 0x6162636465666768,
+	p.OutlierReports = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: kind, Percent: 80, Version: 0x6162636465666768,
 		AgeMs: 250}}
 	return p
 }
 
 func samplePacket(milliseconds, ageMs float64) datagram.Packet {
 	p := packet()
-	p.Samples = []peerlatency.Report{{Peer: sender, Server: 0x7172737475767778, LatencyMs: milliseconds, AgeMs: ageMs}}
+	p.LatencyReports = []peerlatency.Report{{Peer: sender, Server: 0x7172737475767778, LatencyMs: milliseconds, AgeMs: ageMs}}
 	return p
 }
 
@@ -98,9 +98,9 @@
 
 func fullPacket() datagram.Packet {
 	p := memberPacket(membership.Ack, allRumours()...)
-	p.Share = sharePacket(quota.LeaseGrant, 0.25).Share
-	p.Words = evidencePacket(outlier.Withdrawn).Words
-	p.Samples = samplePacket(12.5, 40).Samples
+	p.Quota = sharePacket(quota.LeaseGrant, 0.25).Quota
+	p.OutlierReports = evidencePacket(outlier.Withdrawn).OutlierReports
+	p.LatencyReports = samplePacket(12.5, 40).LatencyReports
 	return p
 }
 
@@ -108,9 +108,9 @@
 func longPacket() datagram.Packet {
 	p := fullPacket()
 	for i := range 20 {
-		message := p.Share[0]
+		message := p.Quota[0]
 		message.Seq = uint32(i)
-		p.Share = append(p.Share, message)
+		p.Quota = append(p.Quota, message)
 	}
 	return p
 }
@@ -144,7 +144,7 @@
 func TestGoldenDatagrams(t *testing.T) {
 	for _, file := range []struct{ name, key string }{{"without-key.txt", ""}, {"with-key.txt", fleetKey}} {
 		t.Run(file.name, func(t *testing.T) {
-			codec := datagram.New([]byte(file.key))
+			codec := datagram.NewCodec([]byte(file.key))
 			var out strings.Builder
 			for _, c := range packetCases {
 				fmt.Fprintf(&out, "%s\n", c.name)
@@ -169,7 +169,7 @@
 	if len(encoded) != 1 {
 		t.Fatalf("%s: %d datagrams", name, len(encoded))
 	}
-	want.Count = firstCount
+	want.Number = firstCount
 	if got, err := codec.Decode(encoded[0]); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: decoded %v, %v; want %v", name, got, err, want)
 	}
@@ -187,7 +187,7 @@
 }
 
 func TestGoldenRefusedDatagrams(t *testing.T) {
-	codec, keyed := datagram.New(nil), datagram.New([]byte(fleetKey))
+	codec, keyed := datagram.NewCodec(nil), datagram.NewCodec([]byte(fleetKey))
 	changed := func(at int, to byte) []byte {
 		b := encodeOne(t, codec, fullPacket())
 		b[at] = to
@@ -201,14 +201,14 @@
 	}{
 		{"empty", codec, nil},
 		{"shorter than header and check", codec, changed(0, 'G')[:25]},
-		{"longer than allowed", codec, make([]byte, datagram.Most+1)},
+		{"longer than allowed", codec, make([]byte, datagram.MaxSize+1)},
 		{"another magic", codec, changed(1, 'X')},
 		{"another version", codec, changed(2, 2)},
 		{"spoilt item", codec, changed(20, 99)},
 		{"cut off", codec, changed(0, 'G')[:40]},
 		{"keyed, read without key", codec, encodeOne(t, keyed, fullPacket())},
 		{"without key, read with one", keyed, encodeOne(t, codec, fullPacket())},
-		{"read with another key", datagram.New([]byte("another")), encodeOne(t, keyed, fullPacket())},
+		{"read with another key", datagram.NewCodec([]byte("another")), encodeOne(t, keyed, fullPacket())},
 	} {
 		decoded, err := c.codec.Decode(c.datagram)
 		fmt.Fprintf(&out, "%s: %s %v\n", c.name, formatPlain(reflect.ValueOf(decoded)), err)
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -30,7 +30,7 @@
 func Open(conn net.PacketConn, m *metrics.Set, heard func(b []byte)) *Socket {
 	s := &Socket{conn: conn, metrics: m, out: make(chan sending, waiting), done: make(chan struct{})}
 	s.ended.Go(func() {
-		buf := make([]byte, 2*Most) // a longer one is seen to be too long
+		buf := make([]byte, 2*MaxSize) // a longer one is seen to be too long
 		for {
 			n, _, err := conn.ReadFrom(buf)
 			if errors.Is(err, net.ErrClosed) {
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -27,17 +27,17 @@
 
 // Options set up a fleet.
 type Options struct {
-	Self  uint16
-	Peers []netip.AddrPort // of all gateways, this one included, in the order of their numbers
-	Key   []byte
-	Life  uint32 // of this process
-	Seed  uint64
-
-	PeriodMs, TimeoutMs float64 // of probes
-	LeaseMs             float64
-	Drift               float64
-	Lends               float64
-	MostVolumes         int
+	Self        uint16
+	Peers       []netip.AddrPort // of all gateways, this one included, in the order of their numbers
+	Key         []byte
+	Incarnation uint32 // of this process
+	Seed        uint64
+
+	ProbePeriodMs, ProbeTimeoutMs float64 // of probes
+	LeaseMs                       float64
+	ClockDrift                    float64
+	MaxGrantedFraction            float64
+	MaxVolumes                    int
 }
 
 // askEvery is how many asks for parts fit in a lease.
@@ -50,13 +50,13 @@
 const mostInbox = 1024
 
 func (o Options) share() quota.Settings {
-	return quota.Settings{Self: o.Self, Incarnation: o.Life, LeaseMs: o.LeaseMs, ClockDrift: o.Drift, MaxGrantedFraction: o.Lends, RequestIntervalMs: o.LeaseMs / askEvery,
-		IdleTimeoutMs: idleMs, MaxPools: o.MostVolumes, MaxPeers: min(len(o.Peers), 64)}
+	return quota.Settings{Self: o.Self, Incarnation: o.Incarnation, LeaseMs: o.LeaseMs, ClockDrift: o.ClockDrift, MaxGrantedFraction: o.MaxGrantedFraction, RequestIntervalMs: o.LeaseMs / askEvery,
+		IdleTimeoutMs: idleMs, MaxPools: o.MaxVolumes, MaxPeers: min(len(o.Peers), 64)}
 }
 
 func (o Options) members() membership.Settings {
-	s := membership.DefaultSettings(o.Self, len(o.Peers), o.Life, o.Seed)
-	s.ProbePeriodMs, s.ProbeTimeoutMs = o.PeriodMs, o.TimeoutMs
+	s := membership.DefaultSettings(o.Self, len(o.Peers), o.Incarnation, o.Seed)
+	s.ProbePeriodMs, s.ProbeTimeoutMs = o.ProbePeriodMs, o.ProbeTimeoutMs
 	return s
 }
 
@@ -88,32 +88,32 @@
 
 // Bounds are the times that the settings lead to.
 type Bounds struct {
-	DetectMs float64 // until a gateway that died is held for dead
-	PartMs   float64 // until what it had borrowed is back
-	HoldMs   float64 // until a gateway that starts has all of its own part
-	WordMs   float64 // the age beyond which what another has found decides nothing
-	ShunMs   float64 // from the last failure until a verdict for it is over, if no datagram is lost; WordMs more if one is
+	FailureDetectionMs float64 // until a gateway that died is held for dead
+	QuotaReturnMs      float64 // until what it had borrowed is back
+	StartupHoldMs      float64 // until a gateway that starts has all of its own part
+	ReportAgeMs        float64 // the age beyond which what another has found decides nothing
+	EjectionMs         float64 // from the last failure until a verdict for it is over, if no datagram is lost; WordMs more if one is
 }
 
 // Bounds are what holds for these options.
 func (o Options) Bounds() Bounds {
-	return Bounds{DetectMs: o.members().DetectionBoundMs(), PartMs: o.share().GrantHoldMs(), HoldMs: o.share().GrantHoldMs(), WordMs: wordAgeMs,
-		ShunMs: o.verdict().FailureDecayBoundMs() + restMs}
+	return Bounds{FailureDetectionMs: o.members().DetectionBoundMs(), QuotaReturnMs: o.share().GrantHoldMs(), StartupHoldMs: o.share().GrantHoldMs(), ReportAgeMs: wordAgeMs,
+		EjectionMs: o.verdict().FailureDecayBoundMs() + restMs}
 }
 
-// Loop is what the fleet asks of the loop.
-type Loop interface {
+// EventLoop is what the fleet asks of the loop.
+type EventLoop interface {
 	Post(f func(nowMs float64))
 	AfterFunc(ms float64, f func(nowMs float64)) (stop func())
 }
 
-// Fleet is one gateway's side. Its methods but Start and End are called on the loop's goroutine.
-type Fleet struct {
+// Service is one gateway's side. Its methods but Start and End are called on the loop's goroutine.
+type Service struct {
 	opt     Options
 	codec   *datagram.Codec
 	metrics *metrics.Set
 	log     *slog.Logger
-	loop    Loop
+	loop    EventLoop
 	socket  *datagram.Socket
 
 	members *membership.Memberlist
@@ -122,7 +122,7 @@
 	latency *peerlatency.Aggregator
 	nodes   map[uint64]*lifecycle.Server // as listed, by what all gateways call them
 	gone    map[uint64]float64           // when
-	seen    []datagram.Seen
+	seen    []datagram.ReplayWindow
 	count   uint64
 	asked   []quota.Demand
 	toM     []membership.Message
@@ -136,8 +136,8 @@
 }
 
 // New returns the side of a gateway that has just started, or an error if the options cannot be used.
-func New(o Options, m *metrics.Set, log *slog.Logger) (*Fleet, error) {
-	f := &Fleet{opt: o, codec: datagram.New(o.Key), metrics: m, log: log, seen: make([]datagram.Seen, len(o.Peers)), stop: func() {},
+func New(o Options, m *metrics.Set, log *slog.Logger) (*Service, error) {
+	f := &Service{opt: o, codec: datagram.NewCodec(o.Key), metrics: m, log: log, seen: make([]datagram.ReplayWindow, len(o.Peers)), stop: func() {},
 		nodes: map[uint64]*lifecycle.Server{}, gone: map[uint64]float64{}}
 	var err error
 	if f.members, err = membership.New(o.members()); err != nil {
@@ -157,11 +157,11 @@
 	return f, nil
 }
 
-// StartPart is what a volume has of its even part until the fleet knows more.
-func (f *Fleet) StartPart() float64 { return 1 - f.opt.Lends }
+// InitialQuotaShare is what a volume has of its even part until the fleet knows more.
+func (f *Service) InitialQuotaShare() float64 { return 1 - f.opt.MaxGrantedFraction }
 
 // Start begins to speak with the others.
-func (f *Fleet) Start(conn net.PacketConn, loop Loop) {
+func (f *Service) Start(conn net.PacketConn, loop EventLoop) {
 	f.loop = loop
 	f.socket = datagram.Open(conn, f.metrics, func(b []byte) {
 		p, err := f.codec.Decode(b)
@@ -177,21 +177,21 @@
 	loop.Post(func(nowMs float64) { f.nextMs = nowMs })
 }
 
-// End stops speaking.
-func (f *Fleet) End() {
+// Close stops speaking.
+func (f *Service) Close() {
 	if f.socket != nil {
 		f.socket.Close()
 	}
 }
 
 // Leave tells the others that this gateway goes.
-func (f *Fleet) Leave(float64) {
+func (f *Service) Leave(float64) {
 	f.members.Leave()
 	f.nextMs = 0
 }
 
-func (f *Fleet) take(p datagram.Packet) {
-	if f.seen[p.From].Again(p.Life, p.Count) {
+func (f *Service) take(p datagram.Packet) {
+	if f.seen[p.From].Replayed(p.Incarnation, p.Number) {
 		f.metrics.Add("fleet_datagrams_again", 1)
 		return
 	}
@@ -200,28 +200,28 @@
 		return
 	}
 	f.metrics.Add("fleet_datagrams_taken", 1)
-	f.toM, f.toS, f.toV = append(f.toM, p.Members...), append(f.toS, p.Share...), append(f.toV, p.Words...)
-	f.toL = append(f.toL, p.Samples...)
+	f.toM, f.toS, f.toV = append(f.toM, p.Membership...), append(f.toS, p.Quota...), append(f.toV, p.OutlierReports...)
+	f.toL = append(f.toL, p.LatencyReports...)
 	f.nextMs = 0
 }
 
 // ReportDemand implements core.Fleet. What is asked for travels with the next messages, at the latest a little later.
-func (f *Fleet) ReportDemand(nowMs float64, d scheduler.QuotaDemand) {
+func (f *Service) ReportDemand(nowMs float64, d scheduler.QuotaDemand) {
 	if len(f.asked) < mostInbox {
 		f.asked = append(f.asked, quota.Demand{Pool: uint64(d.Volume), Gateways: d.Gateways, Fraction: d.Share, Resync: d.First})
 	}
 	f.wake(nowMs, min(f.nextMs, nowMs+5))
 }
 
-// NodeName is what all gateways call one life of a node.
-func NodeName(id string, startedMs float64) uint64 {
+// ServerKey is what all gateways call one life of a node.
+func ServerKey(id string, startedMs float64) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s %.0f", id, startedMs))
 }
 
-func name(n *lifecycle.Server) uint64 { return NodeName(n.Name, n.StartedMs) }
+func name(n *lifecycle.Server) uint64 { return ServerKey(n.Name, n.StartedMs) }
 
 // EndpointsChanged implements core.Fleet.
-func (f *Fleet) EndpointsChanged(nowMs float64, nodes, gone []*lifecycle.Server) {
+func (f *Service) EndpointsChanged(nowMs float64, nodes, gone []*lifecycle.Server) {
 	for _, n := range gone {
 		f.gone[name(n)] = nowMs
 	}
@@ -252,7 +252,7 @@
 }
 
 // AttemptEnded implements core.Fleet.
-func (f *Fleet) AttemptEnded(nowMs float64, n *lifecycle.Server, s scheduler.Status, latencyMs float64) {
+func (f *Service) AttemptEnded(nowMs float64, n *lifecycle.Server, s scheduler.Status, latencyMs float64) {
 	id := name(n)
 	switch s {
 	case scheduler.StatusOK:
@@ -266,7 +266,7 @@
 }
 
 // judge lets findings be told and heard, and tells the module which nodes to leave nearly alone.
-func (f *Fleet) judge(nowMs float64, in []outlier.Report) (tell []outlier.Report, events []scheduler.Event) {
+func (f *Service) judge(nowMs float64, in []outlier.Report) (tell []outlier.Report, events []scheduler.Event) {
 	tell, out := f.verdict.Step(nowMs, in)
 	f.metrics.Add("fleet_findings_told", int64(len(tell)))
 	if len(out) == 0 || nowMs < f.shunAt {
@@ -283,7 +283,7 @@
 }
 
 // hearers are the gateways that hear a finding: all, or so many in turn.
-func (f *Fleet) hearers() []uint16 {
+func (f *Service) hearers() []uint16 {
 	alive := f.members.AliveMembers()
 	if len(alive) <= mostTold {
 		return alive
@@ -297,12 +297,12 @@
 }
 
 // QuotaExpiresMs implements core.Fleet.
-func (f *Fleet) QuotaExpiresMs(v scheduler.VolumeID) float64 {
+func (f *Service) QuotaExpiresMs(v scheduler.VolumeID) float64 {
 	return f.share.FirstLeaseExpiryMs(uint64(v))
 }
 
 // BeginStep implements core.Fleet.
-func (f *Fleet) BeginStep(nowMs float64) []scheduler.Event {
+func (f *Service) BeginStep(nowMs float64) []scheduler.Event {
 	if nowMs < f.nextMs {
 		return nil
 	}
@@ -347,7 +347,7 @@
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // wake makes the loop step by the time that something is due.
-func (f *Fleet) wake(nowMs, atMs float64) {
+func (f *Service) wake(nowMs, atMs float64) {
 	if atMs >= f.nextMs && f.nextMs > nowMs {
 		return
 	}
@@ -359,7 +359,7 @@
 }
 
 // send makes datagrams of what goes to each member.
-func (f *Fleet) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Report, samples []peerlatency.Report) {
+func (f *Service) send(mOut []membership.Message, sOut []quota.Message, tell []outlier.Report, samples []peerlatency.Report) {
 	if f.socket == nil {
 		return
 	}
@@ -367,27 +367,27 @@
 	packets := map[uint16]*datagram.Packet{}
 	packet := func(peer uint16) *datagram.Packet {
 		if packets[peer] == nil {
-			packets[peer] = &datagram.Packet{From: f.opt.Self, Life: f.opt.Life}
+			packets[peer] = &datagram.Packet{From: f.opt.Self, Incarnation: f.opt.Incarnation}
 			to = append(to, peer)
 		}
 		return packets[peer]
 	}
 	for _, m := range mOut {
 		p := packet(m.Peer)
-		p.Members = append(p.Members, m)
+		p.Membership = append(p.Membership, m)
 	}
 	for _, m := range sOut {
 		p := packet(m.Peer)
-		p.Share = append(p.Share, m)
+		p.Quota = append(p.Quota, m)
 	}
 	if len(tell) > 0 {
 		for _, peer := range f.hearers() {
-			packet(peer).Words = tell
+			packet(peer).OutlierReports = tell
 		}
 	}
 	if len(samples) > 0 {
 		for _, peer := range f.hearers() {
-			packet(peer).Samples = samples
+			packet(peer).LatencyReports = samples
 		}
 	}
 	for _, peer := range to {
@@ -400,11 +400,11 @@
 	}
 }
 
-// Show writes what this gateway knows, for operators.
-func (f *Fleet) Show(w io.Writer, nowMs float64) {
+// WriteStatus writes what this gateway knows, for operators.
+func (f *Service) WriteStatus(w io.Writer, nowMs float64) {
 	bounds := f.opt.Bounds()
 	fmt.Fprintf(w, "self %d life %08x\nbound detect_ms %.0f\nbound part_back_ms %.0f\nbound start_hold_ms %.0f\nbound word_age_ms %.0f\nbound shun_ms %.0f\n",
-		f.opt.Self, f.opt.Life, bounds.DetectMs, bounds.PartMs, bounds.HoldMs, bounds.WordMs, bounds.ShunMs)
+		f.opt.Self, f.opt.Incarnation, bounds.FailureDetectionMs, bounds.QuotaReturnMs, bounds.StartupHoldMs, bounds.ReportAgeMs, bounds.EjectionMs)
 	for i := range f.opt.Peers {
 		fmt.Fprintf(w, "member %d %s %s\n", i, f.opt.Peers[i], stateNames[f.members.State(uint16(i))])
 	}
@@ -419,8 +419,8 @@
 	}
 }
 
-// Parse reads the addresses of gateways.
-func Parse(addrs []string) (out []netip.AddrPort, err error) {
+// ParseAddrs reads the addresses of gateways.
+func ParseAddrs(addrs []string) (out []netip.AddrPort, err error) {
 	for _, a := range addrs {
 		at, err := netip.ParseAddrPort(a)
 		if err != nil {
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/fleet_test.go
@@ -104,7 +104,7 @@
 }
 
 type side struct {
-	f    *Fleet
+	f    *Service
 	h    *hand
 	m    *metrics.Set
 	part float64
@@ -112,8 +112,8 @@
 
 func start(t *testing.T, net *mail, self int, key string) *side {
 	t.Helper()
-	o := Options{Self: uint16(self), Key: []byte(key), Life: uint32(self + 1), Seed: 1, PeriodMs: 100, TimeoutMs: 30, LeaseMs: 1000, Drift: 0.01,
-		Lends: 0.5, MostVolumes: 10}
+	o := Options{Self: uint16(self), Key: []byte(key), Incarnation: uint32(self + 1), Seed: 1, ProbePeriodMs: 100, ProbeTimeoutMs: 30, LeaseMs: 1000, ClockDrift: 0.01,
+		MaxGrantedFraction: 0.5, MaxVolumes: 10}
 	for i := range 3 {
 		o.Peers = append(o.Peers, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(9000+i)))
 	}
@@ -124,7 +124,7 @@
 	}
 	s.f = f
 	f.Start(net.open(o.Peers[self].String()), s.h)
-	t.Cleanup(f.End)
+	t.Cleanup(f.Close)
 	return s
 }
 
@@ -167,7 +167,7 @@
 		t.Errorf("%d bad, %d taken", busy.m.Get("fleet_datagrams_bad"), busy.m.Get("fleet_datagrams_taken"))
 	}
 	var b strings.Builder
-	busy.f.Show(&b, 0)
+	busy.f.WriteStatus(&b, 0)
 	for _, want := range []string{"bound part_back_ms 1020", "bound start_hold_ms 1020", "member 2", "volume 0000000000000007 held"} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("%q is not in\n%s", want, b.String())
--- a/internal/testbed/cluster/liar.go
+++ b/internal/testbed/cluster/liar.go
@@ -27,28 +27,28 @@
 	if err != nil {
 		return nil, err
 	}
-	return &liar{conn: conn, n: n, codec: datagram.New([]byte(fleetKey))}, nil
+	return &liar{conn: conn, n: n, codec: datagram.NewCodec([]byte(fleetKey))}, nil
 }
 
 // lie tells a gateway that all nodes fail and are closed, that all others are dead, that it lends the whole of each
 // volume, and asks for all.
 func (l *liar) lie(to net.Addr, shards, volumes int, round uint64) {
-	p := datagram.Packet{From: uint16(l.n), Life: 1}
+	p := datagram.Packet{From: uint16(l.n), Incarnation: 1}
 	for s := range shards {
 		for _, k := range []outlier.Condition{outlier.Failing, outlier.Withdrawn} {
-			p.Words = append(p.Words, outlier.Report{Server: peer.NodeName(nodeID(s), 0), Condition: k, Percent: 100, Version: round<<32 + 1})
+			p.OutlierReports = append(p.OutlierReports, outlier.Report{Server: peer.ServerKey(nodeID(s), 0), Condition: k, Percent: 100, Version: round<<32 + 1})
 		}
 	}
 	for v := range volumes {
 		for _, k := range []quota.MessageKind{quota.LeaseRequest, quota.LeaseGrant, quota.LeaseReturn, quota.LeaseRecall} {
-			p.Share = append(p.Share, quota.Message{Kind: k, Pool: volumeID(v), Seq: uint32(round), Fraction: 1})
+			p.Quota = append(p.Quota, quota.Message{Kind: k, Pool: volumeID(v), Seq: uint32(round), Fraction: 1})
 		}
 	}
 	m := membership.Message{Kind: membership.Ack, Seq: uint32(round)}
 	for g := range l.n {
 		m.Updates = append(m.Updates, membership.Update{Member: uint16(g), State: membership.Dead, Incarnation: round})
 	}
-	p.Members = append(p.Members, m)
+	p.Membership = append(p.Membership, m)
 	for _, b := range l.codec.Encode(p, &l.count) {
 		l.conn.WriteTo(b, to)
 	}
--- a/internal/testbed/membershipsim/sim.go
+++ b/internal/testbed/membershipsim/sim.go
@@ -73,7 +73,7 @@
 
 // New starts a fleet.
 func New(o Options) *Sim {
-	s := &Sim{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 51)), cut: func(int, int) bool { return false }, codec: datagram.New(nil)}
+	s := &Sim{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 51)), cut: func(int, int) bool { return false }, codec: datagram.NewCodec(nil)}
 	for i := range o.Members {
 		s.all = append(s.all, &node{})
 		s.Start(i)
@@ -173,7 +173,7 @@
 	for _, m := range out {
 		to := int(m.Peer)
 		var count uint64
-		for _, b := range s.codec.Encode(datagram.Packet{From: uint16(i), Members: []membership.Message{m}}, &count) {
+		for _, b := range s.codec.Encode(datagram.Packet{From: uint16(i), Membership: []membership.Message{m}}, &count) {
 			s.Sent++
 			s.Bytes += len(b)
 		}
