--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -12,139 +12,148 @@
 	"gaugerelay/internal/quota"
 )
 
-func sample() Packet {
-	return Packet{From: 3, Incarnation: 77, Membership: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Updates: []membership.Update{
-		{Member: 3, Incarnation: 9, ProcessIncarnation: 77}, {Member: 2, State: membership.Suspect, Incarnation: 1 << 40, SuspectedBy: 4}}}},
-		Quota:          []quota.Message{{Kind: quota.LeaseGrant, Pool: 0xb4d60021, Peer: 3, SenderIncarnation: 77, RecipientIncarnation: 5, Seq: 8, Fraction: 0.25}},
-		OutlierReports: []outlier.Report{{Peer: 3, Server: 1 << 60, Condition: outlier.Withdrawn, Percent: 80, Version: 1 << 41, AgeMs: 250}},
-		LatencyReports: []peerlatency.Report{{Peer: 3, Server: 77, LatencyMs: 12.5, AgeMs: 40}}}
+// samplePacket returns a packet with contents of every type.
+func samplePacket() Packet {
+	return Packet{
+		From:        3,
+		Incarnation: 77,
+		Membership: []membership.Message{{Kind: membership.Ack, Peer: 3, Seq: 5, Target: 1, Updates: []membership.Update{
+			{Member: 3, Incarnation: 9, ProcessIncarnation: 77},
+			{Member: 2, State: membership.Suspect, Incarnation: 1 << 40, SuspectedBy: 4},
+		}}},
+		Quota: []quota.Message{{Kind: quota.LeaseGrant, Pool: 0xb4d60021, Peer: 3, SenderIncarnation: 77,
+			RecipientIncarnation: 5, Seq: 8, Fraction: 0.25}},
+		OutlierReports: []outlier.Report{{Peer: 3, Server: 1 << 60, Condition: outlier.Withdrawn, Percent: 80,
+			Version: 1 << 41, AgeMs: 250}},
+		LatencyReports: []peerlatency.Report{{Peer: 3, Server: 77, LatencyMs: 12.5, AgeMs: 40}},
+	}
+}
+
+// seal appends the checksum to the other bytes of a datagram.
+func seal(c *Codec, body []byte) []byte {
+	sum := c.checksum(body)
+	return append(bytes.Clone(body), sum[:]...)
 }
 
 func TestRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "of this fleet"} {
-		var count uint64
-		c := NewCodec([]byte(key))
-		all := c.Encode(sample(), &count)
-		if len(all) != 1 {
-			t.Fatalf("%d datagrams", len(all))
+		var number uint64
+		codec := NewCodec([]byte(key))
+		datagrams := codec.Encode(samplePacket(), &number)
+		if len(datagrams) != 1 {
+			t.Fatalf("%d datagrams", len(datagrams))
 		}
-		want := sample()
+		want := samplePacket()
 		want.Number = 1
-		if got, err := c.Decode(all[0]); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := codec.Decode(datagrams[0]); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("key %q: %+v, %v", key, got, err)
 		}
-		if _, err := NewCodec([]byte("another")).Decode(all[0]); err != ErrChecksum {
+		if _, err := NewCodec([]byte("another")).Decode(datagrams[0]); err != ErrChecksum {
 			t.Errorf("with another key: %v", err)
 		}
-		for bit := range 8 * len(all[0]) { // each bit counts
-			b := bytes.Clone(all[0])
-			b[bit/8] ^= 1 << (bit % 8)
-			if got, err := c.Decode(b); err == nil {
-				t.Fatalf("bit %d turned over is taken as %+v", bit, got)
+		for bit := range 8 * len(datagrams[0]) {
+			damaged := bytes.Clone(datagrams[0])
+			damaged[bit/8] ^= 1 << (bit % 8)
+			if got, err := codec.Decode(damaged); err == nil {
+				t.Fatalf("with bit %d flipped: decoded %+v", bit, got)
 			}
 		}
 	}
 }
 
-// However much there is to say, no datagram is too long, none is lost, and no lender books less than its borrower holds.
-func TestManyMessages(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(1, 1))
-	p := sample()
-	p.Quota = nil
+// A large packet is split into datagrams of the allowed size without losing quota messages, and the rounding of fractions
+// never lets a lender record less than its borrower holds.
+func TestLargePacketIsSplit(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	packet := samplePacket()
+	packet.Quota = nil
 	for i := range 60 {
-		p.Quota = append(p.Quota, quota.Message{Kind: quota.MessageKind(1 + i%3), Pool: rnd.Uint64(), Seq: uint32(i), Fraction: rnd.Float64()})
+		packet.Quota = append(packet.Quota, quota.Message{
+			Kind:     quota.MessageKind(1 + i%3),
+			Pool:     random.Uint64(),
+			Seq:      uint32(i),
+			Fraction: random.Float64(),
+		})
 	}
 	for range 40 {
-		p.Membership[0].Updates = append(p.Membership[0].Updates, membership.Update{Member: 1})
+		packet.Membership[0].Updates = append(packet.Membership[0].Updates, membership.Update{Member: 1})
 	}
-	var count uint64
-	c := NewCodec(nil)
-	var got []quota.Message
-	for i, b := range c.Encode(p, &count) {
+	var number uint64
+	codec := NewCodec(nil)
+	var received []quota.Message
+	for i, b := range codec.Encode(packet, &number) {
 		if len(b) > MaxSize {
 			t.Errorf("%d bytes", len(b))
 		}
-		q, err := c.Decode(b)
-		if err != nil || q.Number != uint64(i+1) {
-			t.Fatalf("datagram %d: %v, count %d", i, err, q.Number)
+		decoded, err := codec.Decode(b)
+		if err != nil || decoded.Number != uint64(i+1) {
+			t.Fatalf("datagram %d: %v, number %d", i, err, decoded.Number)
 		}
-		got = append(got, q.Quota...)
+		received = append(received, decoded.Quota...)
 	}
-	if len(got) != len(p.Quota) {
-		t.Fatalf("%d messages of %d", len(got), len(p.Quota))
+	if len(received) != len(packet.Quota) {
+		t.Fatalf("%d messages of %d", len(received), len(packet.Quota))
 	}
-	for i, m := range got {
-		sent := p.Quota[i].Fraction
-		if m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
-			t.Errorf("message %d of kind %d: %v became %v", i, m.Kind, sent, m.Fraction)
-		}
+	for i, m := range received {
+		requireSafeRounding(t, m, packet.Quota[i].Fraction)
 	}
 }
 
-// A later version may add types and lengthen items. What it does not say in this version's way is passed over, and
-// another version is not understood.
-func TestLaterVersions(t *testing.T) {
-	c := NewCodec(nil)
-	var count uint64
-	b := c.Encode(sample(), &count)[0]
-	body := bytes.Clone(b[:len(b)-checkSize])
-	body = append(body, 200, 3, 1, 2, 3)                         // a type that is not known
-	body = append(body, typeMember, memberSize+2)                // an item with more than is known
-	body = append(body, byte(membership.Ping), 0, 0, 0, 9, 0, 2) //
-	body = append(body, 42, 43)
-	sum := c.check(body)
-	p, err := c.Decode(append(bytes.Clone(body), sum[:]...))
-	if err != nil || len(p.Membership) != 2 || p.Membership[1].Seq != 9 || len(p.Quota) != 1 {
-		t.Errorf("%+v, %v", p, err)
-	}
-	b[2]++
-	if _, err := c.Decode(b); err != ErrVersion {
-		t.Errorf("another version: %v", err)
+// requireSafeRounding reports an error if a received fraction is rounded by too much or in the wrong direction.
+func requireSafeRounding(t *testing.T, m quota.Message, sent float64) {
+	t.Helper()
+	wrongDirection := m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent
+	if wrongDirection || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
+		t.Errorf("message %d of kind %d: %v became %v", m.Seq, m.Kind, sent, m.Fraction)
 	}
 }
 
-func TestSeen(t *testing.T) {
-	var s ReplayWindow
-	for i, c := range []struct {
-		life  uint32
-		count uint64
-		again bool
-	}{{1, 5, false}, {1, 5, true}, {1, 4, false}, {1, 4, true}, {1, 7, false}, {1, 6, false}, {1, 5, true}, {1, 90, false}, {1, 7, true},
-		{1, 27, false}, {1, 27, true}, {1, 1000, false}, {1, 999, false}, {1, 90, true}, {2, 1, false}, {2, 1, true}} {
-		if got := s.Replayed(c.life, c.count); got != c.again {
-			t.Errorf("%d: count %d of life %d: %v", i, c.count, c.life, got)
-		}
+// Unknown item types and the end of longer bodies are skipped, and another version is rejected.
+func TestForwardCompatibility(t *testing.T) {
+	codec := NewCodec(nil)
+	var number uint64
+	b := codec.Encode(samplePacket(), &number)[0]
+	body := bytes.Clone(b[:len(b)-checksumSize])
+	body = append(body, 200, 3, 1, 2, 3) // an unknown item
+	body = append(body, byte(itemMembershipMessage), membershipMessageSize+2)
+	body = append(body, byte(membership.Ping), 0, 0, 0, 9, 0, 2)
+	body = append(body, 42, 43) // more than this version expects
+	packet, err := codec.Decode(seal(codec, body))
+	if err != nil || len(packet.Membership) != 2 || packet.Membership[1].Seq != 9 || len(packet.Quota) != 1 {
+		t.Errorf("%+v, %v", packet, err)
+	}
+	b[versionOffset]++
+	if _, err := codec.Decode(b); err != ErrVersion {
+		t.Errorf("another version: %v", err)
 	}
 }
 
-// Bytes from anywhere never do harm, and what is taken can be said again in the same words.
+// Arbitrary items either are rejected or yield a packet that can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
-	c := NewCodec(nil)
-	var count uint64
-	f.Add(c.Encode(sample(), &count)[0])
+	codec := NewCodec(nil)
+	var number uint64
+	f.Add(codec.Encode(samplePacket(), &number)[0])
 	f.Add([]byte("GR\x01\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > checkSize { // sealed, so that what is inside is read
-			body := b[:len(b)-checkSize]
-			sum := c.check(body)
-			b = append(bytes.Clone(body), sum[:]...)
+		if len(b) > checksumSize { // a valid checksum lets the decoder reach the items
+			b = seal(codec, b[:len(b)-checksumSize])
 		}
-		p, err := c.Decode(b)
+		packet, err := codec.Decode(b)
 		if err != nil {
-			if !reflect.DeepEqual(p, Packet{}) && err != ErrFormat {
-				t.Fatalf("%v, and yet %+v", err, p)
+			if !reflect.DeepEqual(packet, Packet{}) {
+				t.Fatalf("%v, but packet %+v", err, packet)
 			}
 			return
 		}
-		count := p.Number - 1
-		for _, m := range p.Quota {
+		number := packet.Number - 1
+		for _, m := range packet.Quota {
 			if !(m.Fraction >= 0 && m.Fraction <= 1) {
-				t.Fatalf("a part of %v", m.Fraction)
+				t.Fatalf("fraction %v", m.Fraction)
 			}
 		}
-		for _, again := range c.Encode(p, &count) {
-			if _, err := c.Decode(again); err != nil {
-				t.Fatalf("said again it is not understood: %v", err)
+		for _, again := range codec.Encode(packet, &number) {
+			if _, err := codec.Decode(again); err != nil {
+				t.Fatalf("encoded again: %v", err)
 			}
 		}
 	})
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -53,41 +53,41 @@
 }
 
 const (
-	sender     = 0x0304
-	senderLife = 0x05060708
-	firstCount = 0x1112131415161718
-	fleetKey   = "a key of this test"
+	sender            = 0x0304
+	senderIncarnation = 0x05060708
+	firstNumber       = 0x1112131415161718
+	testKey           = "a key of this test"
 )
 
-func packet() datagram.Packet { return datagram.Packet{From: sender, Incarnation: senderLife} }
+func packet() datagram.Packet { return datagram.Packet{From: sender, Incarnation: senderIncarnation} }
 
-func memberPacket(kind membership.MessageKind, rumours ...membership.Update) datagram.Packet {
+func memberPacket(kind membership.MessageKind, updates ...membership.Update) datagram.Packet {
 	p := packet()
-	p.Membership = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Updates: rumours}}
+	p.Membership = []membership.Message{{Kind: kind, Peer: sender, Seq: 0x21222324, Target: 0x2526, Updates: updates}}
 	return p
 }
 
-func sharePacket(kind quota.MessageKind, part float64) datagram.Packet {
+func quotaPacket(kind quota.MessageKind, fraction float64) datagram.Packet {
 	p := packet()
-	p.Quota = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderLife, RecipientIncarnation: 0x41424344,
-		Seq: 0x45464748, Fraction: part}}
+	p.Quota = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderIncarnation, RecipientIncarnation: 0x41424344,
+		Seq: 0x45464748, Fraction: fraction}}
 	return p
 }
 
-func evidencePacket(kind outlier.Condition) datagram.Packet {
+func outlierPacket(condition outlier.Condition) datagram.Packet {
 	p := packet()
-	p.OutlierReports = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: kind, Percent: 80, Version: 0x6162636465666768,
+	p.OutlierReports = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: condition, Percent: 80, Version: 0x6162636465666768,
 		AgeMs: 250}}
 	return p
 }
 
-func samplePacket(milliseconds, ageMs float64) datagram.Packet {
+func latencyPacket(latencyMs, ageMs float64) datagram.Packet {
 	p := packet()
-	p.LatencyReports = []peerlatency.Report{{Peer: sender, Server: 0x7172737475767778, LatencyMs: milliseconds, AgeMs: ageMs}}
+	p.LatencyReports = []peerlatency.Report{{Peer: sender, Server: 0x7172737475767778, LatencyMs: latencyMs, AgeMs: ageMs}}
 	return p
 }
 
-func allRumours() []membership.Update {
+func allUpdates() []membership.Update {
 	return []membership.Update{
 		{Member: 1, State: membership.Alive, Incarnation: 0x8182838485868788, ProcessIncarnation: 0x91929394, SuspectedBy: 2},
 		{Member: 3, State: membership.Suspect, Incarnation: 4, ProcessIncarnation: 5, SuspectedBy: 6},
@@ -97,10 +97,10 @@
 }
 
 func fullPacket() datagram.Packet {
-	p := memberPacket(membership.Ack, allRumours()...)
-	p.Quota = sharePacket(quota.LeaseGrant, 0.25).Quota
-	p.OutlierReports = evidencePacket(outlier.Withdrawn).OutlierReports
-	p.LatencyReports = samplePacket(12.5, 40).LatencyReports
+	p := memberPacket(membership.Ack, allUpdates()...)
+	p.Quota = quotaPacket(quota.LeaseGrant, 0.25).Quota
+	p.OutlierReports = outlierPacket(outlier.Withdrawn).OutlierReports
+	p.LatencyReports = latencyPacket(12.5, 40).LatencyReports
 	return p
 }
 
@@ -124,32 +124,32 @@
 	{"member ping by relay", memberPacket(membership.PingRequest), true},
 	{"member ack", memberPacket(membership.Ack), true},
 	{"member nack", memberPacket(membership.Nack), true},
-	{"member ping with rumours", memberPacket(membership.Ping, allRumours()...), true},
-	{"share ask", sharePacket(quota.LeaseRequest, 0.5), true},
-	{"share grant", sharePacket(quota.LeaseGrant, 0.125), true},
-	{"share return", sharePacket(quota.LeaseReturn, 1), true},
-	{"share recall", sharePacket(quota.LeaseRecall, 0), true},
-	{"share grant is rounded down", sharePacket(quota.LeaseGrant, 0.1), false},
-	{"share return is rounded up", sharePacket(quota.LeaseReturn, 0.1), false},
-	{"share part beyond the whole", sharePacket(quota.LeaseRequest, 7), false},
-	{"evidence failing", evidencePacket(outlier.Failing), true},
-	{"evidence closed", evidencePacket(outlier.Withdrawn), true},
-	{"latency sample", samplePacket(12.5, 40), true},
-	{"latency sample too large", samplePacket(1e9, 1e9), false},
+	{"member ping with rumours", memberPacket(membership.Ping, allUpdates()...), true},
+	{"share ask", quotaPacket(quota.LeaseRequest, 0.5), true},
+	{"share grant", quotaPacket(quota.LeaseGrant, 0.125), true},
+	{"share return", quotaPacket(quota.LeaseReturn, 1), true},
+	{"share recall", quotaPacket(quota.LeaseRecall, 0), true},
+	{"share grant is rounded down", quotaPacket(quota.LeaseGrant, 0.1), false},
+	{"share return is rounded up", quotaPacket(quota.LeaseReturn, 0.1), false},
+	{"share part beyond the whole", quotaPacket(quota.LeaseRequest, 7), false},
+	{"evidence failing", outlierPacket(outlier.Failing), true},
+	{"evidence closed", outlierPacket(outlier.Withdrawn), true},
+	{"latency sample", latencyPacket(12.5, 40), true},
+	{"latency sample too large", latencyPacket(1e9, 1e9), false},
 	{"every section", fullPacket(), true},
 	{"several datagrams", longPacket(), false},
 	{"nothing to say", packet(), false},
 }
 
 func TestGoldenDatagrams(t *testing.T) {
-	for _, file := range []struct{ name, key string }{{"without-key.txt", ""}, {"with-key.txt", fleetKey}} {
+	for _, file := range []struct{ name, key string }{{"without-key.txt", ""}, {"with-key.txt", testKey}} {
 		t.Run(file.name, func(t *testing.T) {
 			codec := datagram.NewCodec([]byte(file.key))
 			var out strings.Builder
 			for _, c := range packetCases {
 				fmt.Fprintf(&out, "%s\n", c.name)
-				count := uint64(firstCount - 1)
-				encoded := codec.Encode(c.packet, &count)
+				number := uint64(firstNumber - 1)
+				encoded := codec.Encode(c.packet, &number)
 				for _, b := range encoded {
 					decoded, err := codec.Decode(b)
 					fmt.Fprintf(&out, "  %s\n  %s %v\n", hex.EncodeToString(b), formatPlain(reflect.ValueOf(decoded)), err)
@@ -169,7 +169,7 @@
 	if len(encoded) != 1 {
 		t.Fatalf("%s: %d datagrams", name, len(encoded))
 	}
-	want.Number = firstCount
+	want.Number = firstNumber
 	if got, err := codec.Decode(encoded[0]); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: decoded %v, %v; want %v", name, got, err, want)
 	}
@@ -178,16 +178,16 @@
 // encodeOne returns the single datagram that holds the packet.
 func encodeOne(t *testing.T, codec *datagram.Codec, p datagram.Packet) []byte {
 	t.Helper()
-	var count uint64
-	encoded := codec.Encode(p, &count)
+	var number uint64
+	encoded := codec.Encode(p, &number)
 	if len(encoded) != 1 {
 		t.Fatalf("%d datagrams", len(encoded))
 	}
 	return encoded[0]
 }
 
-func TestGoldenRefusedDatagrams(t *testing.T) {
-	codec, keyed := datagram.NewCodec(nil), datagram.NewCodec([]byte(fleetKey))
+func TestGoldenRejectedDatagrams(t *testing.T) {
+	codec, keyed := datagram.NewCodec(nil), datagram.NewCodec([]byte(testKey))
 	changed := func(at int, to byte) []byte {
 		b := encodeOne(t, codec, fullPacket())
 		b[at] = to
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -9,70 +9,88 @@
 	"gaugerelay/internal/metrics"
 )
 
-// waiting bounds the datagrams that wait to be written. What finds no room is lost, as any datagram may be.
-const waiting = 256
+// maxQueued bounds the datagrams that wait to be written.
+const maxQueued = 256
 
-// Socket reads and writes datagrams; who calls it never waits.
+// Socket sends and receives datagrams without blocking its callers.
 type Socket struct {
-	conn    net.PacketConn
-	metrics *metrics.Set
-	out     chan sending
-	done    chan struct{}
-	ended   sync.WaitGroup
+	conn       net.PacketConn
+	metrics    *metrics.Set
+	queue      chan outgoing
+	closed     chan struct{}
+	goroutines sync.WaitGroup
 }
 
-type sending struct {
-	to net.Addr
-	b  []byte
+// outgoing is a datagram that waits to be written.
+type outgoing struct {
+	to       net.Addr
+	datagram []byte
 }
 
-// Open begins to write and read; heard is called with each datagram, in one goroutine.
-func Open(conn net.PacketConn, m *metrics.Set, heard func(b []byte)) *Socket {
-	s := &Socket{conn: conn, metrics: m, out: make(chan sending, waiting), done: make(chan struct{})}
-	s.ended.Go(func() {
-		buf := make([]byte, 2*MaxSize) // a longer one is seen to be too long
-		for {
-			n, _, err := conn.ReadFrom(buf)
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if err != nil { // of an earlier write, such as one that was refused
-				m.Add("fleet_read_errors", 1)
-				continue
-			}
-			heard(buf[:n])
+// Open starts to send and receive on a connection, which it owns from then on. One goroutine calls receive with each
+// datagram in turn; the slice is valid until receive returns.
+func Open(conn net.PacketConn, counters *metrics.Set, receive func(datagram []byte)) *Socket {
+	s := &Socket{
+		conn:    conn,
+		metrics: counters,
+		queue:   make(chan outgoing, maxQueued),
+		closed:  make(chan struct{}),
+	}
+	s.goroutines.Go(func() { s.readLoop(receive) })
+	s.goroutines.Go(s.writeLoop)
+	return s
+}
+
+// readLoop receives datagrams until the connection is closed.
+func (s *Socket) readLoop(receive func(datagram []byte)) {
+	buffer := make([]byte, 2*MaxSize) // larger than MaxSize, so that longer datagrams can be rejected
+	for {
+		n, _, err := s.conn.ReadFrom(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
 		}
-	})
-	s.ended.Go(func() {
-		for {
-			select {
-			case <-s.done:
-				return
-			case x := <-s.out:
-				if _, err := conn.WriteTo(x.b, x.to); err != nil {
-					m.Add("fleet_write_errors", 1)
-					continue
-				}
-				m.Add("fleet_datagrams_sent", 1)
-				m.Add("fleet_bytes_sent", int64(len(x.b)))
-			}
+		if err != nil { // for instance an ICMP error in response to an earlier write
+			s.metrics.Add("fleet_read_errors", 1)
+			continue
 		}
-	})
-	return s
+		receive(buffer[:n])
+	}
+}
+
+// writeLoop sends queued datagrams until the socket is closed.
+func (s *Socket) writeLoop() {
+	for {
+		select {
+		case <-s.closed:
+			return
+		case o := <-s.queue:
+			s.write(o)
+		}
+	}
+}
+
+func (s *Socket) write(o outgoing) {
+	if _, err := s.conn.WriteTo(o.datagram, o.to); err != nil {
+		s.metrics.Add("fleet_write_errors", 1)
+		return
+	}
+	s.metrics.Add("fleet_datagrams_sent", 1)
+	s.metrics.Add("fleet_bytes_sent", int64(len(o.datagram)))
 }
 
-// Send writes a datagram, soon or never.
-func (s *Socket) Send(to netip.AddrPort, b []byte) {
+// Send queues a datagram. It drops the datagram if the queue is full.
+func (s *Socket) Send(to netip.AddrPort, datagram []byte) {
 	select {
-	case s.out <- sending{net.UDPAddrFromAddrPort(to), b}:
+	case s.queue <- outgoing{to: net.UDPAddrFromAddrPort(to), datagram: datagram}:
 	default:
 		s.metrics.Add("fleet_datagrams_unsent", 1)
 	}
 }
 
-// Close ends both; it waits for them.
+// Close closes the connection and waits for the goroutines of the socket. Queued datagrams are dropped. It must be called
+// only once.
 func (s *Socket) Close() {
-	close(s.done)
+	close(s.closed)
 	s.conn.Close()
-	s.ended.Wait()
+	s.goroutines.Wait()
 }
