--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -102,17 +102,17 @@
 	want("a bad line", scheduler.WatchFailed, 0)
 	feed <- "end"
 	call("watch=1&after=44")
-	now.Advance(answerMs + 1)
+	now.Advance(responseTimeoutMs + 1)
 	want("no answer in time", scheduler.WatchFailed, 0)
 	feed <- "end"
 	call("watch=1&after=44")
 	feed <- `{"version":45,"servers":[]}`
 	want("a change", scheduler.Delta, 45)
-	now.Advance(silentMs + 1)
+	now.Advance(idleTimeoutMs + 1)
 	want("silence", scheduler.WatchIdle, 0)
 	feed <- "end"
-	if len(calls) != 0 || m.Get("watch_broken") != 4 || m.Get("discovery_bad_lines") != 1 {
-		t.Errorf("%d calls more, %d broken, %d bad lines", len(calls), m.Get("watch_broken"), m.Get("discovery_bad_lines"))
+	if len(calls) != 0 || m.Get("discovery_watches_failed") != 4 || m.Get("discovery_bad_messages") != 1 {
+		t.Errorf("%d calls more, %d broken, %d bad lines", len(calls), m.Get("discovery_watches_failed"), m.Get("discovery_bad_messages"))
 	}
 }
 
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -94,19 +94,19 @@
 		w.KeepOpen(ctx)
 		time.Sleep(80 * time.Millisecond)
 		a := newAgent(t, n, "127.0.0.1:1")
-		time.Sleep(silentMs * time.Millisecond / 2)
+		time.Sleep(idleTimeoutMs * time.Millisecond / 2)
 		a.wasAsked(t, "41 at 70")
 		a.says(`{"version":43,"servers":[` + fmt.Sprintf(entry, "Terminating") + `]}`)
 		a.says(`{"servers":[` + fmt.Sprintf(entry, "Terminating") + `]}`)
 		a.wasAsked(t)
 		a.says(`nonsense`)
 		a.wasAsked(t, "43 at 0")
-		time.Sleep(silentMs*time.Millisecond + 1)
+		time.Sleep(idleTimeoutMs*time.Millisecond + 1)
 		a.wasAsked(t, "43 at 3000")
 		a.says(`{"version":0,"full":true,"servers":[]}`)
 		a.says(`{"version":40,"full":true,"servers":[` + fmt.Sprintf(entry, "Ready") + `]}`)
 		for range 3 {
-			time.Sleep(lineMs * time.Millisecond)
+			time.Sleep(heartbeatIntervalMs * time.Millisecond)
 			a.says("") // it is there, and has nothing to say
 		}
 		a.wasAsked(t)
@@ -119,7 +119,7 @@
 		w.SwitchAddress(ctx, "127.0.0.1:2")
 		b.wasAsked(t, "0 at 0")
 		b.says(`{"version":2,"full":true,"servers":[]}`)
-		time.Sleep(silentMs*time.Millisecond + 1)
+		time.Sleep(idleTimeoutMs*time.Millisecond + 1)
 		b.wasAsked(t, "2 at 3000")
 		synctest.Wait()
 		mu.Lock()
@@ -128,8 +128,8 @@
 			"40: 1, whole true", "2: 0, whole true"}; !slices.Equal(told, want) {
 			t.Errorf("told %q, want %q", told, want)
 		}
-		if m.Get("discovery_outdated") != 1 || m.Get("discovery_bad_lines") != 1 {
-			t.Errorf("%d entries outdated, %d bad lines", m.Get("discovery_outdated"), m.Get("discovery_bad_lines"))
+		if m.Get("discovery_stale_entries") != 1 || m.Get("discovery_bad_messages") != 1 {
+			t.Errorf("%d entries outdated, %d bad lines", m.Get("discovery_stale_entries"), m.Get("discovery_bad_messages"))
 		}
 		cancel()
 		b.srv.Close()
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -65,8 +65,8 @@
 	if l := <-told; l.Version != 2 || l.Kind != scheduler.Snapshot {
 		t.Errorf("%+v", l)
 	}
-	if len(told) != 0 || len(newAsked) != 0 || m.Get("watch_broken") != 0 {
-		t.Errorf("%d more told, %d more asked, %d broken", len(told), len(newAsked), m.Get("watch_broken"))
+	if len(told) != 0 || len(newAsked) != 0 || m.Get("discovery_watches_failed") != 0 {
+		t.Errorf("%d more told, %d more asked, %d broken", len(told), len(newAsked), m.Get("discovery_watches_failed"))
 	}
 }
 
--- /dev/null
+++ b/internal/discovery/receivetracker.go
@@ -0,0 +1,163 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/socketstate"
+)
+
+const (
+	// maxPendingWaitMs bounds AwaitPendingUpdates: half of the 50 ms that the platform's rules tolerate.
+	maxPendingWaitMs = 25
+
+	// readTimeoutMs is how often a blocked read is started anew. What it reads has arrived no earlier than the start of the
+	// last read, however long the process was stopped meanwhile.
+	readTimeoutMs = 250
+)
+
+// receiveTracker follows whether everything that has arrived on the connection of the latest watch was processed. It is
+// safe for concurrent use.
+type receiveTracker struct {
+	clock clock.Clock
+
+	mu sync.Mutex
+	// emptyAtMs is a time at which nothing had arrived yet of what was read last.
+	emptyAtMs  float64
+	conn       *trackedConn  // the latest watch's; nil: none
+	processing bool          // bytes read from conn are being processed
+	processed  chan struct{} // closed when they have been; nil: nobody waits
+}
+
+// trackedConn is the connection of a watch. Its reader has processed everything that it read before it reads again.
+type trackedConn struct {
+	net.Conn
+	tracker *receiveTracker
+}
+
+// trackDial returns a dial function whose connections are tracked, each in place of the one before.
+func (t *receiveTracker) trackDial(dial DialFunc) DialFunc {
+	return func(ctx context.Context, network, addr string) (net.Conn, error) {
+		dialed, err := dial(ctx, network, addr)
+		if err != nil {
+			return nil, err
+		}
+		conn := &trackedConn{Conn: dialed, tracker: t}
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		t.conn = conn
+		t.setProcessingLocked(false)
+		return conn, nil
+	}
+}
+
+// setProcessing records whether bytes read from a connection are being processed. It ignores all but the latest one.
+func (t *receiveTracker) setProcessing(conn *trackedConn, processing bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.conn == conn {
+		t.setProcessingLocked(processing)
+	}
+}
+
+// setProcessingLocked does the same for the latest connection. The caller holds mu.
+func (t *receiveTracker) setProcessingLocked(processing bool) {
+	t.processing = processing
+	if !processing && t.processed != nil {
+		close(t.processed)
+		t.processed = nil
+	}
+}
+
+// setEmptyAt records a time at which nothing had arrived yet of what was read last.
+func (t *receiveTracker) setEmptyAt(atMs float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.emptyAtMs = atMs
+}
+
+// lastEmptyMs returns a time at which nothing had arrived yet of what was read last.
+func (t *receiveTracker) lastEmptyMs() float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.emptyAtMs
+}
+
+// forget stops tracking a connection, if it is the latest one.
+func (t *receiveTracker) forget(conn *trackedConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.conn == conn {
+		t.conn = nil
+		t.setProcessingLocked(false)
+	}
+}
+
+// pending returns a channel that is closed when the bytes that have arrived were processed, or nil if there are none.
+func (t *receiveTracker) pending() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	unread := false
+	if t.conn != nil {
+		unread, _ = socketstate.Waiting(t.conn.Conn)
+	}
+	if !t.processing && !unread {
+		return nil
+	}
+	if t.processed == nil {
+		t.processed = make(chan struct{})
+	}
+	return t.processed
+}
+
+// Read implements net.Conn.
+func (c *trackedConn) Read(buffer []byte) (int, error) {
+	c.tracker.setProcessing(c, false)
+	for {
+		startedMs := c.tracker.clock.NowMs()
+		c.Conn.SetReadDeadline(time.Now().Add(clock.Duration(readTimeoutMs)))
+		n, err := c.Conn.Read(buffer)
+		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
+			continue
+		}
+		c.tracker.setEmptyAt(startedMs)
+		c.tracker.setProcessing(c, n > 0)
+		return n, err
+	}
+}
+
+// Close implements net.Conn.
+func (c *trackedConn) Close() error {
+	c.tracker.forget(c)
+	return c.Conn.Close()
+}
+
+// AwaitPendingUpdates waits until the updates that have arrived on the watch were passed to the notify function, for
+// maxPendingWaitMs at most. pending reports that there was something to wait for, and applied that nothing is left of it.
+//
+// It guards against a process that was stopped, or had no processor, for longer than the grace of drains: what was decided
+// before would otherwise be sent in the same moment in which the update can be read. It may be called from any goroutine
+// but that of the notify function.
+func (w *Watcher) AwaitPendingUpdates() (pending, applied bool) {
+	processed := w.received.pending()
+	if processed == nil {
+		return false, true
+	}
+	w.metrics.Add(counterAttemptsDelayed, 1)
+	timeout := make(chan struct{})
+	defer w.clock.AfterFunc(maxPendingWaitMs, func() { close(timeout) })()
+	for processed != nil {
+		select {
+		case <-processed:
+		case <-timeout:
+			return true, false
+		}
+		processed = w.received.pending()
+	}
+	return true, true
+}
--- /dev/null
+++ b/internal/discovery/session.go
@@ -0,0 +1,175 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+
+	"github.com/valyala/fastjson"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/scheduler"
+)
+
+const (
+	// responseTimeoutMs is when a call without a response has failed.
+	responseTimeoutMs = 3000
+
+	// heartbeatIntervalMs is the longest time between two messages of a sound watch, which sends an empty line if there is
+	// nothing else.
+	heartbeatIntervalMs = 2000
+
+	// idleTimeoutMs is when a watch without a message is dead: when a heartbeat is late by half of its interval. What such a
+	// watch misses counts as notified 6 s after its last message, and by then another watch has to be open and to have sent a
+	// list. The remaining 3 s are for calls that are spread, over 2 s at most, and for their responses.
+	idleTimeoutMs = 1.5 * heartbeatIntervalMs
+
+	// confirmationDelayMs after its request an open watch counts as one that discovery serves, even without an update. Before
+	// that discovery may still end it because of too many calls.
+	confirmationDelayMs = 1.25 * heartbeatIntervalMs
+)
+
+// session is one watch, from its request to its end. It belongs to the goroutine of the watch.
+type session struct {
+	mode      watchMode
+	onMessage func() // called for each object and heartbeat
+
+	startedMs float64 // when the request was sent
+	responded bool    // a response with status 200 has begun
+	updated   bool    // an update has applied, if only an empty snapshot
+	parser    fastjson.Parser
+}
+
+// confirmed reports whether a message that is received at a time shows that no change from before it is missing.
+func (s *session) confirmed(atMs float64) bool {
+	return s.updated || atMs-s.startedMs >= confirmationDelayMs
+}
+
+// callDuration notes that an update has applied. It returns how long the call took if this is the first one, and 0
+// otherwise.
+func (s *session) callDuration(nowMs float64) float64 {
+	if s.updated {
+		return 0
+	}
+	s.updated = true
+	return nowMs - s.startedMs
+}
+
+// endUpdate returns the update that reports the end of the session by an error.
+func (s *session) endUpdate(nowMs float64, err error) lifecycle.EndpointUpdate {
+	switch {
+	case s.responded && errors.Is(err, errWatchIdle):
+		return lifecycle.EndpointUpdate{Kind: scheduler.WatchIdle}
+	case s.responded && s.confirmed(nowMs):
+		return lifecycle.EndpointUpdate{Kind: scheduler.WatchClosed}
+	}
+	return lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed, CompleteAsOfMs: s.startedMs, Failure: callFailure(err)}
+}
+
+// logEnd logs why a call failed, or why the watch that it opened has ended.
+func (w *Watcher) logEnd(s *session, err error) {
+	w.mu.Lock()
+	version := w.version
+	w.mu.Unlock()
+	slog.Warn(logevent.DiscoveryCallFailed, logevent.Error, err, logevent.TookMs, w.clock.NowMs()-s.startedMs,
+		"answered", s.responded, logevent.Version, version)
+}
+
+// idleTimer cancels a watch that is idle for too long. Its zero value needs a clock and a cancel function.
+type idleTimer struct {
+	clock  clock.Clock
+	cancel context.CancelCauseFunc
+	stop   func() // of the running timer; nil: none
+}
+
+// reset starts the time anew.
+func (t *idleTimer) reset(timeoutMs float64) {
+	t.close()
+	t.stop = t.clock.AfterFunc(timeoutMs, func() { t.cancel(errWatchIdle) })
+}
+
+// close stops the timer.
+func (t *idleTimer) close() {
+	if t.stop != nil {
+		t.stop()
+	}
+}
+
+// watch runs one session until it fails, which every session does in the end. The error is errWatchIdle if the session was
+// idle for too long.
+func (w *Watcher) watch(ctx context.Context, s *session) error {
+	w.mu.Lock()
+	addr, version := w.addr, w.version
+	w.mu.Unlock()
+	s.startedMs = w.clock.NowMs()
+	slog.Debug(logevent.DiscoveryCall, logevent.Address, addr, logevent.Version, version)
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	idle := &idleTimer{clock: w.clock, cancel: cancel}
+	defer idle.close()
+	idle.reset(responseTimeoutMs)
+	request, err := watchRequest(ctx, addr, version)
+	if err != nil {
+		return err
+	}
+	response, err := w.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%w: %d", errUnexpectedStatus, response.StatusCode)
+	}
+	s.responded = true
+	slog.Info(logevent.DiscoveryAnswered, logevent.Address, addr, logevent.TookMs, w.clock.NowMs()-s.startedMs)
+	return w.receive(ctx, s, response.Body, idle)
+}
+
+// watchRequest returns the request for all changes after a version, or for a snapshot first if the version is 0.
+func watchRequest(ctx context.Context, addr string, version uint64) (*http.Request, error) {
+	url := fmt.Sprintf("http://%s/v1/endpoints?watch=1&after=%d", addr, version)
+	return http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+}
+
+// receive handles the messages of a session until it fails.
+func (w *Watcher) receive(ctx context.Context, s *session, body io.Reader, idle *idleTimer) error {
+	idle.reset(idleTimeoutMs)
+	reader := newObjectReader(body)
+	for {
+		object, err := reader.next()
+		if err != nil {
+			return w.readError(ctx, err)
+		}
+		idle.reset(idleTimeoutMs)
+		s.onMessage()
+		receivedMs := w.received.lastEmptyMs()
+		if object == nil {
+			w.handleHeartbeat(s, receivedMs)
+			continue
+		}
+		if err := w.handleObject(s, object, receivedMs); err != nil {
+			return err
+		}
+	}
+}
+
+// readError returns the reason for which the body of a watch could not be read on: the cause of a cancelled context comes
+// before the error that it leads to.
+func (w *Watcher) readError(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
+	}
+	switch {
+	case errors.Is(err, errNotAnObject):
+		w.metrics.Add(counterInvalidMessages, 1)
+		return err
+	case errors.Is(err, errObjectTooLarge):
+		return err
+	}
+	return fmt.Errorf("discovery: watch ended: %w", err)
+}
--- a/internal/discovery/spoilt_test.go
+++ b/internal/discovery/spoilt_test.go
@@ -39,22 +39,22 @@
 		"elsewhere":                   {answer: "HTTP/1.1 302 Found\r\nLocation: http://127.0.0.9:1/v1/endpoints\r\nContent-Length: 0\r\n\r\n"},
 		"no HTTP":                     {answer: "nonsense\r\n\r\n"},
 		"closed at once":              {},
-		"never answered":              {stays: true, withMs: answerMs},
-		"a head that stops":           {answer: head + "X-", stays: true, withMs: answerMs},
+		"never answered":              {stays: true, withMs: responseTimeoutMs},
+		"a head that stops":           {answer: head + "X-", stays: true, withMs: responseTimeoutMs},
 		"a head without end":          {answer: head + strings.Repeat("X-A: "+strings.Repeat("a", 4000)+"\r\n", 8)},
-		"a head and no more":          {answer: head + "\r\n", stays: true, withMs: silentMs, ends: scheduler.WatchIdle},
+		"a head and no more":          {answer: head + "\r\n", stays: true, withMs: idleTimeoutMs, ends: scheduler.WatchIdle},
 		"cut off in a line":           {answer: head + "\r\n" + list + list[:40], told: 1, lines: 1, ends: scheduler.WatchClosed},
 		"shorter than it says":        {answer: head + "Content-Length: 4000\r\n\r\n" + list, told: 1, ends: scheduler.WatchClosed},
 		"indented":                    {answer: head + "\r\n\n" + indented(list) + " \r\n" + indented(list), told: 2, ends: scheduler.WatchClosed},
 		"two objects in a line":       {answer: head + "\r\n" + strings.TrimSpace(list) + list, told: 2, ends: scheduler.WatchClosed},
 		"more behind an object":       {answer: head + "\r\n" + strings.TrimSpace(list) + "]\n" + list, told: 1, lines: 1, ends: scheduler.WatchClosed},
 		"braces that do not match":    {answer: head + "\r\n" + `{"servers":[}]` + "\n", lines: 1},
-		"an object without end":       {answer: head + "\r\n{" + strings.Repeat(`"a":[`, maxValue/4)},
+		"an object without end":       {answer: head + "\r\n{" + strings.Repeat(`"a":[`, maxObjectBytes/4)},
 		"longer than it says":         {answer: head + "Content-Length: 40\r\n\r\n" + list, lines: 1},
 		"two lengths":                 {answer: head + "Content-Length: 4\r\nContent-Length: 9\r\n\r\n" + list},
 		"a chunk of no size":          {answer: head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + list},
-		"a line without end":          {answer: head + "\r\n" + strings.Repeat(" ", maxValue+2)},
-		"silent behind a list":        {answer: head + "\r\n" + list, stays: true, told: 1, withMs: silentMs, ends: scheduler.WatchIdle},
+		"a line without end":          {answer: head + "\r\n" + strings.Repeat(" ", maxObjectBytes+2)},
+		"silent behind a list":        {answer: head + "\r\n" + list, stays: true, told: 1, withMs: idleTimeoutMs, ends: scheduler.WatchIdle},
 		"a list of another kind":      {answer: head + "\r\n" + `{"version":44,"full":true,"servers":{"id":"s-1"}}` + "\n", lines: 1},
 		"a whole list without a list": {answer: head + "\r\n" + `{"version":44,"full":true}` + "\n", lines: 1},
 		"entries of no use":           {answer: head + "\r\n" + `{"version":44,"servers":[{"id":"x"},null,7]}` + "\n", told: 1},
@@ -107,8 +107,8 @@
 			if took := <-broken; took != c.withMs {
 				t.Errorf("%s: ended after %v ms, want %v", name, took, c.withMs)
 			}
-			if told != c.told || m.Get("discovery_bad_lines") != c.lines || m.Get("watch_broken") != 1 {
-				t.Errorf("%s: told %d, %d bad lines, %d broken", name, told, m.Get("discovery_bad_lines"), m.Get("watch_broken"))
+			if told != c.told || m.Get("discovery_bad_messages") != c.lines || m.Get("discovery_watches_failed") != 1 {
+				t.Errorf("%s: told %d, %d bad lines, %d broken", name, told, m.Get("discovery_bad_messages"), m.Get("discovery_watches_failed"))
 			}
 			ln.Close()
 			synctest.Wait()
@@ -148,7 +148,7 @@
 			}
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\n\r\n")
 			for range 5 {
-				time.Sleep(lineMs * time.Millisecond)
+				time.Sleep(heartbeatIntervalMs * time.Millisecond)
 				io.WriteString(nc, "\n")
 			}
 			io.WriteString(nc, "{")
@@ -167,7 +167,7 @@
 		}, n.Dial)
 		began := time.Now()
 		w.Open(context.Background())
-		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != scheduler.WatchIdle || took != 5*lineMs+silentMs {
+		if scope, took := <-ended, clock.Ms(time.Since(began)); scope != scheduler.WatchIdle || took != 5*heartbeatIntervalMs+idleTimeoutMs {
 			t.Errorf("ended as %v after %v ms", scope, took)
 		}
 		if alive != 4 { // the first of five comes too soon to show that discovery has got to the call
@@ -199,7 +199,7 @@
 			}
 			want = append(want, string(raw))
 		}
-		v := newValues(strings.NewReader(text))
+		v := newObjectReader(strings.NewReader(text))
 		var got []string
 		for {
 			b, err := v.next()
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -20,8 +20,9 @@
 	DiscoveryAnswered   = "discovery_answered"
 	DiscoveryCallFailed = "discovery_call_failed"
 	DiscoveryUpdate     = "discovery_update"
-	AgentAway           = "agent_away"
-	AgentBack           = "agent_back"
+
+	DiscoveryAgentUnavailable = "discovery_agent_unavailable"
+	DiscoveryAgentRecovered   = "discovery_agent_recovered"
 
 	RequestTaken    = "request_taken"
 	RequestAnswered = "request_answered"
