--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,11 +13,10 @@
 
 	"github.com/valyala/fastjson"
 
-	"gaugerelay/internal/scheduler"
-
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
 	"gaugerelay/internal/testbed"
 )
 
@@ -44,48 +43,49 @@
 	return out.String()
 }
 
-// readHead reads the bytes of a request without a body.
-func readHead(c net.Conn) []byte {
-	var head []byte
-	one := make([]byte, 1)
-	for !bytes.HasSuffix(head, []byte("\r\n\r\n")) {
-		if _, err := c.Read(one); err != nil {
+// readHeader reads the bytes of a request without a body.
+func readHeader(conn net.Conn) []byte {
+	var header []byte
+	next := make([]byte, 1)
+	for !bytes.HasSuffix(header, []byte("\r\n\r\n")) {
+		if _, err := conn.Read(next); err != nil {
 			break
 		}
-		head = append(head, one[0])
+		header = append(header, next[0])
 	}
-	return head
+	return header
 }
 
-// The calls in a row: the first one, one behind a failure, one behind a list, one behind a change, one behind a
-// change without a version.
-func TestGoldenCalls(t *testing.T) {
-	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
-	change := `"servers":[` + fmt.Sprintf(entry, "Ready") + `]}`
+// TestGoldenRequests compares consecutive requests with golden files: the first one, and those after a failure, a snapshot,
+// a delta, and a delta without a version.
+func TestGoldenRequests(t *testing.T) {
+	const header = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
+	delta := `"servers":[` + entry("Ready") + `]}`
 	responses := []string{
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-		head + `{"version":43,"full":true,` + change + "\n",
-		head + `{"version":44,` + change + "\n",
-		head + `{` + change + "\n",
+		header + `{"version":43,"full":true,` + delta + "\n",
+		header + `{"version":44,` + delta + "\n",
+		header + `{` + delta + "\n",
 		"",
 	}
 	for name, known := range map[string]uint64{"empty-start": 0, "known-start": 41} {
 		t.Run(name, func(t *testing.T) {
 			next := make(chan string, 1)
 			requests := make(chan []byte, 1)
-			addr := testbed.Serve(t, func(c net.Conn) {
-				requests <- readHead(c)
-				io.WriteString(c, <-next)
+			addr := testbed.Serve(t, func(conn net.Conn) {
+				requests <- readHeader(conn)
+				io.WriteString(conn, <-next)
 			})
-			lists := make(chan lifecycle.EndpointUpdate, 16)
-			w := New(addr, lifecycle.EndpointUpdate{Version: known}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.EndpointUpdate) { lists <- l }, nil)
+			updates := make(chan lifecycle.EndpointUpdate, 16)
+			watcher := New(addr, lifecycle.EndpointUpdate{Version: known}, clock.NewManual(1e12), metrics.New(),
+				func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
 			var wire []byte
 			for _, response := range responses {
 				next <- response
-				w.Open(t.Context())
+				watcher.Open(t.Context())
 				wire = append(wire, <-requests...)
-				for l := range lists {
-					if l.Kind == scheduler.WatchClosed || l.Kind == scheduler.WatchFailed {
+				for update := range updates {
+					if update.Kind == scheduler.WatchClosed || update.Kind == scheduler.WatchFailed {
 						break
 					}
 				}
@@ -96,45 +96,48 @@
 	}
 }
 
-// A watch at another address asks for the whole list.
-func TestGoldenCallAfterMove(t *testing.T) {
+// TestGoldenRequestAfterSwitch compares the first request at another address, which is for a snapshot.
+func TestGoldenRequestAfterSwitch(t *testing.T) {
 	requests := make(chan []byte, 1)
-	addr := testbed.Serve(t, func(c net.Conn) { requests <- readHead(c) })
-	lists := make(chan lifecycle.EndpointUpdate, 16)
-	w := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), metrics.New(), func(l lifecycle.EndpointUpdate) { lists <- l }, nil)
-	w.SwitchAddress(context.Background(), addr)
+	addr := testbed.Serve(t, func(conn net.Conn) { requests <- readHeader(conn) })
+	updates := make(chan lifecycle.EndpointUpdate, 16)
+	watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), metrics.New(),
+		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	watcher.SwitchAddress(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
-	<-lists
+	<-updates
 	compareGolden(t, "calls-after-move", quoteLines(wire))
 }
 
-// describeList writes a list as values, one entry a line.
-func describeList(l lifecycle.EndpointUpdate, bad int) string {
+// describeUpdate returns the values of an update as text, one server a line.
+func describeUpdate(update lifecycle.EndpointUpdate, invalidEntries int) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n", l.Version, l.Kind == scheduler.Snapshot, bad)
+	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n",
+		update.Version, update.Kind == scheduler.Snapshot, invalidEntries)
 	states := map[scheduler.ServerState]string{scheduler.Ready: "live", scheduler.Draining: "draining", scheduler.Removed: "gone"}
-	for _, n := range l.Servers {
+	for _, server := range update.Servers {
 		fmt.Fprintf(&out, "name %q, address %q, zone %q, kind %q, shard %d, weight %v, started %v ms, state %s\n",
-			n.Name, n.Addr, n.Zone, n.Kind, n.Shard, n.Weight, n.StartedMs, states[n.State])
+			server.Name, server.Addr, server.Zone, server.Kind, server.Shard, server.Weight, server.StartedMs, states[server.State])
 	}
 	return out.String()
 }
 
+// TestGoldenDecode compares decoded messages with golden files.
 func TestGoldenDecode(t *testing.T) {
 	for name, text := range map[string]string{
-		"full": `{"version":41,"full":true,"servers":[` + fmt.Sprintf(entry, "Ready") + `,
+		"full": `{"version":41,"full":true,"servers":[` + entry("Ready") + `,
 			{"id":"s-2","addr":"[::1]:80","zone":"b","kind":"m1","cell":0,"state":"Terminating","weight":0.25,"started_ms":1700000000123}]}`,
-		"change": `{"version":42,"servers":[` + fmt.Sprintf(entry, "Gone") + `,{"id":"s-3","state":"Gone"}]}`,
-		"states": `{"version":1,"servers":[` + fmt.Sprintf(entry, "Ready") + `,` + fmt.Sprintf(entry, "Terminating") + `,` +
-			fmt.Sprintf(entry, "Gone") + `,` + fmt.Sprintf(entry, "Paused") + `]}`,
+		"change": `{"version":42,"servers":[` + entry("Gone") + `,{"id":"s-3","state":"Gone"}]}`,
+		"states": `{"version":1,"servers":[` + entry("Ready") + `,` + entry("Terminating") + `,` +
+			entry("Gone") + `,` + entry("Paused") + `]}`,
 		"defaults":     `{"servers":[{"id":"s-4","addr":"h:1"}]}`,
 		"unusable":     `{"version":5,"servers":[{"id":"x"},null,7,{"addr":"h:1"},{"id":"a","addr":"h:1","cell":-1},{"id":"a","addr":"h:1","started_ms":1e300}]}`,
 		"empty":        `{"version":6,"full":true,"servers":[]}`,
 		"other-fields": `{"version":7,"later":{"a":1},"servers":[{"id":"s-5","addr":"h:1","state":"Ready","later":[1]}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, bad := Decode(fastjson.MustParse(text))
-			compareGolden(t, "decode-"+name, describeList(l, bad))
+			update, invalidEntries := Decode(fastjson.MustParse(text))
+			compareGolden(t, "decode-"+name, describeUpdate(update, invalidEntries))
 		})
 	}
 }
--- /dev/null
+++ b/internal/discovery/reconnect_test.go
@@ -0,0 +1,191 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/testbed/memnet"
+)
+
+// fakeAgent is this machine's agent. It sends the lines that the test feeds on the open watch.
+type fakeAgent struct {
+	server *http.Server
+	feed   chan string
+
+	mu        sync.Mutex
+	requests  []string // the version of each and its time since startedAt
+	startedAt time.Time
+}
+
+func newFakeAgent(t *testing.T, network *memnet.Net, addr string) *fakeAgent {
+	t.Helper()
+	listener, err := network.Listen(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &fakeAgent{feed: make(chan string), startedAt: time.Now()}
+	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
+	go a.server.Serve(listener)
+	return a
+}
+
+func (a *fakeAgent) serve(w http.ResponseWriter, r *http.Request) {
+	a.mu.Lock()
+	sinceStart := time.Since(a.startedAt).Milliseconds()
+	a.requests = append(a.requests, fmt.Sprintf("%s at %d", r.URL.Query().Get("after"), sinceStart))
+	a.mu.Unlock()
+	w.(http.Flusher).Flush()
+	for {
+		select {
+		case line := <-a.feed:
+			io.WriteString(w, line+"\n")
+			w.(http.Flusher).Flush()
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// send sends a line and waits until its immediate effects are over.
+func (a *fakeAgent) send(line string) {
+	a.feed <- line
+	synctest.Wait()
+}
+
+// expectRequests checks the requests since the last call, or since the start.
+func (a *fakeAgent) expectRequests(t *testing.T, want ...string) {
+	t.Helper()
+	synctest.Wait()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !slices.Equal(a.requests, want) {
+		t.Errorf("requested %q, want %q", a.requests, want)
+	}
+	a.requests, a.startedAt = nil, time.Now()
+}
+
+// updateRecorder records updates as text. It is safe for concurrent use.
+type updateRecorder struct {
+	mu      sync.Mutex
+	updates []string
+}
+
+func (r *updateRecorder) record(update lifecycle.EndpointUpdate) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.updates = append(r.updates,
+		fmt.Sprintf("%d: %d, snapshot %v", update.Version, len(update.Servers), update.Kind == scheduler.Snapshot))
+}
+
+func (r *updateRecorder) expect(t *testing.T, want ...string) {
+	t.Helper()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !slices.Equal(r.updates, want) {
+		t.Errorf("updates %q, want %q", r.updates, want)
+	}
+}
+
+// idleTime is just longer than the idle timeout.
+const idleTime = idleTimeoutMs*time.Millisecond + 1
+
+// TestKeepOpen checks that the watch of this machine's agent is opened again without a request of the scheduler: when the
+// agent is not there yet, ends a watch, is idle, sends nonsense, restarts with an older list, and after a change of address.
+// None of these is reported as a failed watch.
+func TestKeepOpen(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		network := &memnet.Net{}
+		counters := metrics.New()
+		var recorder updateRecorder
+		known := lifecycle.EndpointUpdate{Version: 41, Kind: scheduler.CachedSnapshot,
+			Servers: []*lifecycle.Server{{Name: "s-1"}, {Name: "s-2"}}}
+		watcher := New("127.0.0.1:1", known, clock.NewSystem(), counters, func(update lifecycle.EndpointUpdate) {
+			if update.Kind == scheduler.WatchFailed {
+				t.Error("a failed watch is reported")
+			}
+			recorder.record(update)
+		}, network.Dial)
+		watcher.KeepOpen(ctx)
+		time.Sleep(80 * time.Millisecond)
+		agent := newFakeAgent(t, network, "127.0.0.1:1")
+		time.Sleep(idleTimeoutMs * time.Millisecond / 2)
+		agent.expectRequests(t, "41 at 70")
+		agent.send(`{"version":43,"servers":[` + entry("Terminating") + `]}`)
+		agent.send(`{"servers":[` + entry("Terminating") + `]}`)
+		agent.expectRequests(t)
+		agent.send(`nonsense`)
+		agent.expectRequests(t, "43 at 0")
+		time.Sleep(idleTime)
+		agent.expectRequests(t, "43 at 3000")
+		agent.send(`{"version":0,"full":true,"servers":[]}`)
+		agent.send(`{"version":40,"full":true,"servers":[` + entry("Ready") + `]}`)
+		for range 3 {
+			time.Sleep(heartbeatIntervalMs * time.Millisecond)
+			agent.send("")
+		}
+		agent.expectRequests(t)
+		agent.send(`{"version":40,"servers":[]}`)
+		agent.expectRequests(t, "0 at 0")
+		agent.send(`{"version":40,"full":true,"servers":[` + entry("Ready") + `]}`)
+		agent.server.Close()
+		time.Sleep(time.Second)
+		next := newFakeAgent(t, network, "127.0.0.1:2")
+		watcher.SwitchAddress(ctx, "127.0.0.1:2")
+		next.expectRequests(t, "0 at 0")
+		next.send(`{"version":2,"full":true,"servers":[]}`)
+		time.Sleep(idleTime)
+		next.expectRequests(t, "2 at 3000")
+		synctest.Wait()
+		recorder.expect(t, "43: 1, snapshot false", "43: 1, snapshot false", "0: 0, snapshot false", "40: 0, snapshot false",
+			"40: 1, snapshot true", "2: 0, snapshot true")
+		if stale, invalid := counters.Get("discovery_stale_entries"), counters.Get("discovery_bad_messages"); stale != 1 || invalid != 1 {
+			t.Errorf("%d stale entries, %d invalid messages, want 1 and 1", stale, invalid)
+		}
+		cancel()
+		next.server.Close()
+		synctest.Wait()
+	})
+}
+
+// TestReconnectBacksOff checks that calls of an unavailable agent are 10, 20, 40, 80 and then 160 ms apart, also where it
+// accepts connections and closes them.
+func TestReconnectBacksOff(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		var intervalsMs []int64
+		lastDial := time.Now()
+		dial := func(context.Context, string, string) (net.Conn, error) {
+			intervalsMs = append(intervalsMs, time.Since(lastDial).Milliseconds())
+			lastDial = time.Now()
+			if len(intervalsMs)%2 == 0 {
+				client, server := net.Pipe()
+				server.Close()
+				return client, nil
+			}
+			return nil, errors.New("refused")
+		}
+		watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{}, clock.NewSystem(), metrics.New(),
+			func(lifecycle.EndpointUpdate) { t.Error("an update is reported") }, dial)
+		watcher.KeepOpen(ctx)
+		time.Sleep(700 * time.Millisecond)
+		cancel()
+		synctest.Wait()
+		if want := []int64{0, 10, 20, 40, 80, 160, 160, 160}; !slices.Equal(intervalsMs, want) {
+			t.Errorf("calls %v ms apart, want %v", intervalsMs, want)
+		}
+	})
+}
--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,107 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
+)
+
+// endResponse ends the response of a lineServer.
+const endResponse = "end"
+
+// newLineServer returns a discovery service that reports the query of each request and sends the lines that the test
+// feeds. Its response begins with the first line.
+func newLineServer(t *testing.T) (addr string, feed, queries chan string) {
+	t.Helper()
+	feed, queries = make(chan string), make(chan string, 10)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		queries <- r.URL.RawQuery
+		for line := range feed {
+			if line == endResponse {
+				return
+			}
+			io.WriteString(w, line+"\n")
+			w.(http.Flusher).Flush()
+		}
+	}))
+	t.Cleanup(server.Close)
+	t.Cleanup(func() { close(feed) })
+	return strings.TrimPrefix(server.URL, "http://"), feed, queries
+}
+
+// TestWatch checks that a watch reports each update, resumes after the last version that it received, reports its end, and
+// is not opened twice.
+func TestWatch(t *testing.T) {
+	addr, feed, queries := newLineServer(t)
+	updates := make(chan lifecycle.EndpointUpdate, 10)
+	counters, now := metrics.New(), clock.NewManual(1e12)
+	watcher := New(addr, lifecycle.EndpointUpdate{Version: 41}, now, counters,
+		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	expectUpdate := func(event string, kind scheduler.UpdateKind, version uint64) {
+		t.Helper()
+		if update := <-updates; update.Kind != kind || update.Version != version {
+			t.Errorf("%s: %+v", event, update)
+		}
+	}
+	expectRequest := func(want string) {
+		t.Helper()
+		watcher.Open(ctx)
+		watcher.Open(ctx)
+		if query := <-queries; query != want {
+			t.Errorf("requested %q, want %q", query, want)
+		}
+	}
+	expectRequest("watch=1&after=41")
+	feed <- ""
+	feed <- `{"version":43,"servers":[` + entry("Gone") + `]}`
+	expectUpdate("delta", scheduler.Delta, 43)
+	feed <- `{"version":44,"full":true,"servers":[]}`
+	expectUpdate("snapshot", scheduler.Snapshot, 44)
+	feed <- endResponse
+	expectUpdate("end", scheduler.WatchClosed, 0)
+	expectRequest("watch=1&after=44")
+	feed <- `[1,2]`
+	expectUpdate("invalid message", scheduler.WatchFailed, 0)
+	feed <- endResponse
+	expectRequest("watch=1&after=44")
+	now.Advance(responseTimeoutMs + 1)
+	expectUpdate("no response in time", scheduler.WatchFailed, 0)
+	feed <- endResponse
+	expectRequest("watch=1&after=44")
+	feed <- `{"version":45,"servers":[]}`
+	expectUpdate("delta", scheduler.Delta, 45)
+	now.Advance(idleTimeoutMs + 1)
+	expectUpdate("idle", scheduler.WatchIdle, 0)
+	feed <- endResponse
+	if len(queries) != 0 {
+		t.Errorf("%d more requests", len(queries))
+	}
+	if failed, invalid := counters.Get("discovery_watches_failed"), counters.Get("discovery_bad_messages"); failed != 4 || invalid != 1 {
+		t.Errorf("%d watches failed, %d invalid messages, want 4 and 1", failed, invalid)
+	}
+}
+
+// TestFailedCalls checks that a response with an error status and a refused connection are reported.
+func TestFailedCalls(t *testing.T) {
+	server := httptest.NewServer(http.NotFoundHandler())
+	updates := make(chan lifecycle.EndpointUpdate, 1)
+	watcher := New(strings.TrimPrefix(server.URL, "http://"), lifecycle.EndpointUpdate{}, clock.NewManual(0), metrics.New(),
+		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	for _, call := range []string{"error status", "connection refused"} {
+		watcher.Open(context.Background())
+		if update := <-updates; update.Kind != scheduler.WatchFailed {
+			t.Errorf("%s: %+v", call, update)
+		}
+		server.Close()
+	}
+}
