--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -33,14 +33,14 @@
 		MaxMessage: int(num("max_message_bytes", 33<<10)),
 		FirstTime:  clock.Duration(num("first_ms", 10_000)), IdleTime: clock.Duration(num("idle_ms", 300_000)),
 		HoldOff: clock.Duration(num("hold_off_ms", 5000)),
-		Ledger: exchange.Settings{MostExchanges: int(num("max_exchanges", 4096)), MostDevices: int(num("max_devices", 4096)),
-			MostPerDevice: int(num("max_exchanges_per_device", 16)), MostWaiting: 4,
-			MostBytes: int(num("max_held_bytes", 8<<20)), MostBody: 64 << 10, MostBlocks: 1024,
-			KeepMs: num("keep_ms", 60_000), UploadIdleMs: num("upload_idle_ms", 30_000),
-			LeastRunMs: num("least_run_ms", 20), MostWaitMs: num("max_wait_ms", 5000),
-			Link: exchange.LinkSettings{LeastDeadMs: num("least_dead_ms", 2000), MostDeadMs: num("most_dead_ms", 15_000),
-				LeastBlock: int(num("least_block_bytes", 64)), MostBlock: int(num("most_block_bytes", 16<<10)),
-				BlockMs: num("block_ms", 500)}}}
+		Ledger: exchange.Settings{MaxExchanges: int(num("max_exchanges", 4096)), MaxDevices: int(num("max_devices", 4096)),
+			MaxActivePerDevice: int(num("max_exchanges_per_device", 16)), MaxWaitingCopies: 4,
+			MaxHeldBytes: int(num("max_held_bytes", 8<<20)), MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024,
+			RetentionMs: num("keep_ms", 60_000), UploadIdleTimeoutMs: num("upload_idle_ms", 30_000),
+			MinRunMs: num("least_run_ms", 20), MaxRetryAfterMs: num("max_wait_ms", 5000),
+			Link: exchange.LinkSettings{MinLivenessTimeoutMs: num("least_dead_ms", 2000), MaxLivenessTimeoutMs: num("most_dead_ms", 15_000),
+				MinBlockBytes: int(num("least_block_bytes", 64)), MaxBlockBytes: int(num("most_block_bytes", 16<<10)),
+				MaxBlockTransferMs: num("block_ms", 500)}}}
 	var errs []error
 	if d.CoAP == "" && d.HTTP == "" {
 		errs = append(errs, errors.New("neither coap nor http names an address"))
@@ -57,16 +57,16 @@
 		{"max_connections", float64(d.MaxConns), 1, 1 << 20}, {"max_open", float64(d.MaxOpen), 1, 1024},
 		{"max_message_bytes", float64(d.MaxMessage), 1152, 1 << 20}, {"first_ms", clock.Ms(d.FirstTime), 1, 1e6},
 		{"idle_ms", clock.Ms(d.IdleTime), 1000, 1e8}, {"hold_off_ms", clock.Ms(d.HoldOff), 0, 1e6},
-		{"max_exchanges", float64(d.Ledger.MostExchanges), 1, 1 << 24}, {"max_devices", float64(d.Ledger.MostDevices), 1, 1 << 24},
-		{"max_held_bytes", float64(d.Ledger.MostBytes), 128 << 10, 1 << 40},
-		{"least_block_bytes", float64(d.Ledger.Link.LeastBlock), 16, 1024},
-		{"most_block_bytes", float64(d.Ledger.Link.MostBlock), 16, 64 << 10},
+		{"max_exchanges", float64(d.Ledger.MaxExchanges), 1, 1 << 24}, {"max_devices", float64(d.Ledger.MaxDevices), 1, 1 << 24},
+		{"max_held_bytes", float64(d.Ledger.MaxHeldBytes), 128 << 10, 1 << 40},
+		{"least_block_bytes", float64(d.Ledger.Link.MinBlockBytes), 16, 1024},
+		{"most_block_bytes", float64(d.Ledger.Link.MaxBlockBytes), 16, 64 << 10},
 	} {
 		if !(c.v >= c.least && c.v <= c.most) {
 			errs = append(errs, fmt.Errorf("%s is not from %.0f to %.0f", c.name, c.least, c.most))
 		}
 	}
-	if n := d.Ledger.Link.LeastBlock; n&(n-1) != 0 {
+	if n := d.Ledger.Link.MinBlockBytes; n&(n-1) != 0 {
 		errs = append(errs, errors.New("least_block_bytes is not a power of two"))
 	}
 	if _, err := exchange.New(d.Ledger); err != nil {
--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -36,7 +36,7 @@
 // Desk implements core.Desk.
 type Desk struct {
 	opt     Options
-	ledger  *exchange.Ledger
+	ledger  *exchange.Store
 	classes map[string]exchange.Class
 	copies  map[uint64]*lifecycle.Request
 	held    map[exchange.ID]*held
@@ -76,72 +76,77 @@
 	d.copies[d.last] = r
 	id, v := exchange.CopyID(d.last), r.Device
 	if b := v.Block; b != nil {
-		d.step(nowMs, exchange.Block{Copy: id, Device: v.ID, Key: v.Key, Tag: b.Tag, Offset: b.Offset, Len: len(v.Body),
-			Digest: xxhash.Sum64(v.Body), More: b.More, Total: b.Total, LeftMs: r.LeftMs,
-			Effect: d.classes[r.Class].Effect, History: d.history(r), Link: exchange.Sample(v.Link)})
+		d.step(nowMs, exchange.BlockReceived{Copy: id, Device: v.ID, Key: v.Key, Tag: b.Tag, Offset: b.Offset, Length: len(v.Body),
+			Digest: xxhash.Sum64(v.Body), More: b.More, TotalBytes: b.Total, TimeLeftMs: r.LeftMs,
+			Effect: d.classes[r.Class].Effect, ResendHistory: d.history(r), Link: linkSample(v.Link)})
 		return
 	}
 	d.step(nowMs, d.offer(r, v.BodySum, len(v.Body)))
 }
 
 // offer makes the ledger's event of a whole copy.
-func (d *Desk) offer(r *lifecycle.Request, body [32]byte, size int) exchange.Offer {
+func (d *Desk) offer(r *lifecycle.Request, body [32]byte, size int) exchange.CopyReceived {
 	v := r.Device
 	sum := sha256.Sum256(append(v.Head[:], body[:]...))
-	return exchange.Offer{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
-		Sum: exchange.Sum(sum[:16]), Bytes: size, LeftMs: r.LeftMs, CameMs: r.CameMs, Shard: r.Shard,
-		History: d.history(r), Link: exchange.Sample(v.Link)}
+	return exchange.CopyReceived{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
+		Digest: exchange.Digest(sum[:16]), BodyBytes: size, TimeLeftMs: r.LeftMs, ClientDelayMs: r.CameMs, Shard: r.Shard,
+		ResendHistory: d.history(r), Link: linkSample(v.Link)}
 }
 
-func (d *Desk) history(r *lifecycle.Request) exchange.History {
-	return exchange.History{Repeat: r.Repeat, Same: r.Device.SentTo != "" && r.Device.SentTo == d.opt.Gateway, AgeMs: r.Device.AgeMs}
+func (d *Desk) history(r *lifecycle.Request) exchange.ResendHistory {
+	return exchange.ResendHistory{IsRetry: r.Repeat, SameGateway: r.Device.SentTo != "" && r.Device.SentTo == d.opt.Gateway, AgeMs: r.Device.AgeMs}
+}
+
+// linkSample converts a measurement of a link to the store's form.
+func linkSample(l lifecycle.Link) exchange.LinkSample {
+	return exchange.LinkSample{RoundTripMs: l.RoundTripMs, Bytes: l.Bytes, TransferMs: l.BytesMs, MaxGapMs: l.GapMs}
 }
 
 // Gone implements core.Desk.
 func (d *Desk) Gone(nowMs float64, r *lifecycle.Request) {
 	if t := r.Device.Ticket; t != 0 {
 		delete(d.copies, t)
-		d.step(nowMs, exchange.Left{Copy: exchange.CopyID(t)})
+		d.step(nowMs, exchange.CopyCanceled{Copy: exchange.CopyID(t)})
 	}
 }
 
 // Written implements core.Desk.
 func (d *Desk) Written(nowMs float64, r *lifecycle.Request, l lifecycle.Link) {
-	d.step(nowMs, exchange.Written{Copy: exchange.CopyID(r.Device.Ticket), Link: exchange.Sample(l)})
+	d.step(nowMs, exchange.ResponseWritten{Copy: exchange.CopyID(r.Device.Ticket), Link: linkSample(l)})
 }
 
 // Measured implements core.Desk.
 func (d *Desk) Measured(nowMs float64, device string, l lifecycle.Link) {
-	d.step(nowMs, exchange.Measured{Device: device, Link: exchange.Sample(l)})
+	d.step(nowMs, exchange.LinkMeasured{Device: device, Link: linkSample(l)})
 }
 
 // Drain implements core.Desk.
-func (d *Desk) Drain(nowMs float64) { d.step(nowMs, exchange.Drain{}) }
+func (d *Desk) Drain(nowMs float64) { d.step(nowMs, exchange.ShutdownStarted{}) }
 
 // Stats tells what the ledger holds.
 func (d *Desk) Stats() exchange.Stats { return d.ledger.Stats() }
 
 func (d *Desk) step(nowMs float64, ev exchange.Event) {
-	var whole []exchange.Whole
+	var whole []exchange.AssembleBody
 	for _, a := range d.ledger.Step(nowMs, ev) {
 		switch a := a.(type) {
-		case exchange.Append:
+		case exchange.AppendBlock:
 			h := d.hold(a.ID)
 			if len(h.body) == 0 {
 				h.summed = false // another body
 			}
 			h.body = append(h.body, d.copies[uint64(a.Copy)].Device.Body...)
-		case exchange.Whole:
+		case exchange.AssembleBody:
 			whole = append(whole, a)
-		case exchange.Run:
+		case exchange.StartRun:
 			d.run(nowMs, a)
-		case exchange.Tell:
+		case exchange.Respond:
 			d.tell(a)
-		case exchange.Free:
+		case exchange.Release:
 			d.free(a)
-		case exchange.WakeAt:
+		case exchange.SetTimer:
 			d.stop()
-			d.stop = d.opt.After(a.AtMs-nowMs, func(nowMs float64) { d.step(nowMs, exchange.Wake{}) })
+			d.stop = d.opt.After(a.AtMs-nowMs, func(nowMs float64) { d.step(nowMs, exchange.TimerFired{}) })
 		}
 	}
 	d.count()
@@ -151,7 +156,7 @@
 		if !h.summed {
 			h.sum, h.summed = sha256.Sum256(h.body), true
 		}
-		d.step(nowMs, exchange.Assembled{Offer: d.offer(r, h.sum, len(h.body))})
+		d.step(nowMs, exchange.BodyAssembled{CopyReceived: d.offer(r, h.sum, len(h.body))})
 	}
 }
 
@@ -164,7 +169,7 @@
 	return h
 }
 
-func (d *Desk) free(f exchange.Free) {
+func (d *Desk) free(f exchange.Release) {
 	h := d.held[f.ID]
 	if h == nil {
 		return
@@ -172,24 +177,24 @@
 	if f.Body {
 		h.body = nil // its digest stays: the last block may come again
 	}
-	if f.Answer {
+	if f.Response {
 		h.answer = nil
 	}
-	if f.All {
+	if f.Exchange {
 		delete(d.held, f.ID)
 	}
 }
 
 // run hands an exchange's request to the core.
-func (d *Desk) run(nowMs float64, a exchange.Run) {
+func (d *Desk) run(nowMs float64, a exchange.StartRun) {
 	r := d.copies[uint64(a.Copy)]
 	body := r.Device.Body
 	if r.Device.Block != nil {
 		body = d.held[a.ID].body
 	}
 	id := fmt.Sprintf("%s-%x-%x", d.opt.Name, uint64(a.ID), a.Run)
-	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, LeftMs: a.LeftMs,
-		CameMs: a.CameMs, Units: r.Units, Shard: a.Shard, Hosts: r.Hosts, Repeat: r.Repeat || a.Run > 1, Fresh: true,
+	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, LeftMs: a.TimeLeftMs,
+		CameMs: a.ClientDelayMs, Units: r.Units, Shard: a.Shard, Hosts: r.Hosts, Repeat: r.Repeat || a.Run > 1, Fresh: true,
 		Carrier: r.Carrier, Load: r.Device.Load(id, body)}
 	run.Reply = func(v lifecycle.Answer) { d.ended(a, v) }
 	d.opt.Take(nowMs, run)
@@ -199,43 +204,43 @@
 type sizer interface{ Size() int }
 
 // ended takes the one answer of a run. It is called by the core, in the midst of its own step.
-func (d *Desk) ended(a exchange.Run, v lifecycle.Answer) {
-	ev := exchange.Ended{ID: a.ID, Run: a.Run, Verdict: exchange.Failed, Ran: v.Ran, RanMs: v.RanMs, Shard: v.Shard,
-		ComeBackMs: v.ComeBackMs}
+func (d *Desk) ended(a exchange.StartRun, v lifecycle.Answer) {
+	ev := exchange.RunEnded{ID: a.ID, Run: a.Run, Result: exchange.RunFailed, MayHaveExecuted: v.Ran, FirstSentMs: v.RanMs, Shard: v.Shard,
+		RetryAfterMs: v.ComeBackMs}
 	switch v.Verdict {
 	case lifecycle.Served:
 		h := d.hold(a.ID)
 		h.answer = v.Result
 		switch x := v.Result.(type) {
 		case []byte:
-			ev.Bytes, h.etag = len(x), xxhash.Sum64(x)
+			ev.ResponseBytes, h.etag = len(x), xxhash.Sum64(x)
 		case sizer:
-			ev.Bytes = x.Size()
+			ev.ResponseBytes = x.Size()
 		}
-		ev.Verdict = exchange.Served
+		ev.Result = exchange.RunServed
 	case lifecycle.Refused:
-		ev.Verdict = exchange.Refused
+		ev.Result = exchange.RunRejected
 	}
 	d.step(d.opt.Now(), ev)
 }
 
 var verdicts = [...]lifecycle.Verdict{
-	exchange.ToldServed: lifecycle.Served, exchange.ToldRefused: lifecycle.Refused, exchange.ToldBusy: lifecycle.Refused,
-	exchange.ToldLate: lifecycle.Refused, exchange.ToldFailed: lifecycle.Failed, exchange.ToldConflict: lifecycle.Conflict,
-	exchange.ToldContinue: lifecycle.Continue, exchange.ToldIncomplete: lifecycle.Incomplete, exchange.ToldTooLarge: lifecycle.TooLarge,
-	exchange.ToldSuperseded: lifecycle.Superseded,
+	exchange.OutcomeServed: lifecycle.Served, exchange.OutcomeRejected: lifecycle.Refused, exchange.OutcomeBusy: lifecycle.Refused,
+	exchange.OutcomeTooLate: lifecycle.Refused, exchange.OutcomeFailed: lifecycle.Failed, exchange.OutcomeConflict: lifecycle.Conflict,
+	exchange.OutcomeContinue: lifecycle.Continue, exchange.OutcomeIncomplete: lifecycle.Incomplete, exchange.OutcomeTooLarge: lifecycle.TooLarge,
+	exchange.OutcomeSuperseded: lifecycle.Superseded,
 }
 
 // tell answers a copy.
-func (d *Desk) tell(t exchange.Tell) {
+func (d *Desk) tell(t exchange.Respond) {
 	r := d.copies[uint64(t.Copy)]
 	delete(d.copies, uint64(t.Copy))
 	if r == nil {
 		return
 	}
-	a := lifecycle.Answer{Verdict: verdicts[t.Outcome], ComeBackMs: t.ComeBackMs, Have: t.Have, Kept: t.Kept,
-		DeadMs: t.Advice.DeadMs, Block: t.Advice.Block}
-	if t.Outcome == exchange.ToldServed {
+	a := lifecycle.Answer{Verdict: verdicts[t.Outcome], ComeBackMs: t.RetryAfterMs, Have: t.ReceivedBytes, Kept: t.FromCache,
+		DeadMs: t.Advice.LivenessTimeoutMs, Block: t.Advice.BlockBytes}
+	if t.Outcome == exchange.OutcomeServed {
 		h := d.held[t.ID]
 		a.Result, a.ETag = h.answer, h.etag
 	}
@@ -255,14 +260,14 @@
 		by   int
 	}{
 		{"device_copies", now.Copies - was.Copies}, {"device_runs", now.Runs - was.Runs},
-		{"device_copies_joined", now.Joined - was.Joined}, {"device_answers_kept", now.Kept - was.Kept},
-		{"device_runs_again", now.Again - was.Again}, {"device_conflicts", now.Conflicts - was.Conflicts},
-		{"device_busy", now.Busy - was.Busy}, {"device_late", now.Late - was.Late},
-		{"device_doubt_failed", now.InDoubtFailed - was.InDoubtFailed},
-		{"device_uploads", now.UploadsBegun - was.UploadsBegun},
+		{"device_copies_joined", now.Joined - was.Joined}, {"device_answers_kept", now.ServedFromCache - was.ServedFromCache},
+		{"device_runs_again", now.Reruns - was.Reruns}, {"device_conflicts", now.Conflicts - was.Conflicts},
+		{"device_busy", now.Busy - was.Busy}, {"device_late", now.TooLate - was.TooLate},
+		{"device_doubt_failed", now.UnknownOutcomeFailed - was.UnknownOutcomeFailed},
+		{"device_uploads", now.UploadsStarted - was.UploadsStarted},
 		{"device_uploads_dropped", now.UploadsDropped - was.UploadsDropped},
 		{"device_evicted", now.Evicted - was.Evicted}, {"device_exchanges_now", now.Exchanges - was.Exchanges},
-		{"device_devices_now", now.Devices - was.Devices}, {"device_bytes_now", now.Bytes - was.Bytes},
+		{"device_devices_now", now.Devices - was.Devices}, {"device_bytes_now", now.HeldBytes - was.HeldBytes},
 		{"device_undelivered_now", now.Undelivered - was.Undelivered},
 	} {
 		if c.by != 0 {
--- a/internal/dedup/exchange/bench_test.go
+++ b/internal/dedup/exchange/bench_test.go
@@ -12,7 +12,7 @@
 	for _, n := range []int{1e3, 1e4, 1e5} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set := testSettings()
-			set.MostExchanges, set.MostDevices, set.MostBytes, set.KeepMs = 2*n, 2*n, 1<<30, float64(n)
+			set.MaxExchanges, set.MaxDevices, set.MaxHeldBytes, set.RetentionMs = 2*n, 2*n, 1<<30, float64(n)
 			l, err := New(set)
 			if err != nil {
 				b.Fatal(err)
@@ -25,13 +25,13 @@
 			now, copies, runs := 0.0, CopyID(0), ID(0)
 			one := func(name, key string) {
 				copies++
-				for _, a := range l.Step(now, Offer{Copy: copies, Device: name, Key: key, Class: push, LeftMs: 1000, Shard: 1, History: History{AgeMs: -1}}) {
-					if r, ok := a.(Run); ok {
+				for _, a := range l.Step(now, CopyReceived{Copy: copies, Device: name, Key: key, Class: push, TimeLeftMs: 1000, Shard: 1, ResendHistory: ResendHistory{AgeMs: -1}}) {
+					if r, ok := a.(StartRun); ok {
 						runs = r.ID
 					}
 				}
-				l.Step(now, Ended{ID: runs, Run: 1, Bytes: 32, Ran: true, RanMs: now, Shard: 1})
-				l.Step(now, Written{Copy: copies})
+				l.Step(now, RunEnded{ID: runs, Run: 1, ResponseBytes: 32, MayHaveExecuted: true, FirstSentMs: now, Shard: 1})
+				l.Step(now, ResponseWritten{Copy: copies})
 			}
 			var before, after runtime.MemStats
 			runtime.GC()
--- a/internal/dedup/exchange/contract.go
+++ b/internal/dedup/exchange/contract.go
@@ -41,131 +41,131 @@
 	WindowMs float64 // of ByKey: how long repeats are dropped after the first send
 }
 
-// Sum is a digest of a request's content: copies are the same if it is.
-type Sum [16]byte
+// Digest is a digest of a request's content: copies are the same if it is.
+type Digest [16]byte
 
 // Settings bound a Ledger. All must be above zero.
 type Settings struct {
-	MostExchanges int     // remembered at once, uploads among them
-	MostDevices   int     // whose links are remembered
-	MostPerDevice int     // exchanges of one device that are receiving or open
-	MostWaiting   int     // copies of one exchange that wait for its answer
-	MostBytes     int     // of bodies and answers held
-	MostBody      int     // of one body or answer
-	MostBlocks    int     // of one upload
-	KeepMs        float64 // a write is remembered so long behind its deadline and its window
-	UploadIdleMs  float64 // an upload that gets no block for so long is dropped
-	LeastRunMs    float64 // a request with less time than this is not begun
-	MostWaitMs    float64 // the latest time to come back that is told
-	Link          LinkSettings
+	MaxExchanges        int     // remembered at once, uploads among them
+	MaxDevices          int     // whose links are remembered
+	MaxActivePerDevice  int     // exchanges of one device that are receiving or open
+	MaxWaitingCopies    int     // copies of one exchange that wait for its answer
+	MaxHeldBytes        int     // of bodies and answers held
+	MaxBodyBytes        int     // of one body or answer
+	MaxUploadBlocks     int     // of one upload
+	RetentionMs         float64 // a write is remembered so long behind its deadline and its window
+	UploadIdleTimeoutMs float64 // an upload that gets no block for so long is dropped
+	MinRunMs            float64 // a request with less time than this is not begun
+	MaxRetryAfterMs     float64 // the latest time to come back that is told
+	Link                LinkSettings
 }
 
 // Event is something that happened.
 type Event interface{ event() }
 
-// Offer is a whole copy of a request.
-type Offer struct {
-	Copy        CopyID
-	Device, Key string
-	Class       Class
-	Sum         Sum
-	Bytes       int // of its body
-	LeftMs      float64
-	CameMs      float64 // how much of its time it took to get here
-	Shard       int     // that it names; -1: a new object
-	History
-	Link Sample
+// CopyReceived is a whole copy of a request.
+type CopyReceived struct {
+	Copy          CopyID
+	Device, Key   string
+	Class         Class
+	Digest        Digest
+	BodyBytes     int // of its body
+	TimeLeftMs    float64
+	ClientDelayMs float64 // how much of its time it took to get here
+	Shard         int     // that it names; -1: a new object
+	ResendHistory
+	Link LinkSample
 }
 
-// History is what a device says of earlier copies.
-type History struct {
-	Repeat bool    // there are some, sent to their last byte
-	Same   bool    // all of them were sent to this gateway, as it runs now
-	AgeMs  float64 // how long ago the first was sent; below zero: not told
+// ResendHistory is what a device says of earlier copies.
+type ResendHistory struct {
+	IsRetry     bool    // there are some, sent to their last byte
+	SameGateway bool    // all of them were sent to this gateway, as it runs now
+	AgeMs       float64 // how long ago the first was sent; below zero: not told
 }
 
-// Block is a part of an upload. Its bytes are held by the caller, in the order of the Continue answers.
-type Block struct {
-	Copy        CopyID
-	Device, Key string
-	Tag         string // of the upload, by which the device tells its bodies apart
-	Offset, Len int
-	Digest      uint64 // of its bytes
-	More        bool   // further blocks follow
-	Total       int    // size of the body as the device says; below zero: not told
-	Effect      Effect // of the exchange's class
-	History
-	LeftMs float64
-	Link   Sample
+// BlockReceived is a part of an upload. Its bytes are held by the caller, in the order of the Continue answers.
+type BlockReceived struct {
+	Copy           CopyID
+	Device, Key    string
+	Tag            string // of the upload, by which the device tells its bodies apart
+	Offset, Length int
+	Digest         uint64 // of its bytes
+	More           bool   // further blocks follow
+	TotalBytes     int    // size of the body as the device says; below zero: not told
+	Effect         Effect // of the exchange's class
+	ResendHistory
+	TimeLeftMs float64
+	Link       LinkSample
 }
 
-// Assembled tells what a body is that a Whole action asked for.
-type Assembled struct{ Offer }
+// BodyAssembled tells what a body is that a Whole action asked for.
+type BodyAssembled struct{ CopyReceived }
 
-// Left tells that a copy's connection has gone, or that its device waits for it no longer.
-type Left struct{ Copy CopyID }
+// CopyCanceled tells that a copy's connection has gone, or that its device waits for it no longer.
+type CopyCanceled struct{ Copy CopyID }
 
-// Written tells that an answer was written whole to its copy's connection.
-type Written struct {
+// ResponseWritten tells that an answer was written whole to its copy's connection.
+type ResponseWritten struct {
 	Copy CopyID
-	Link Sample
+	Link LinkSample
 }
 
-// Measured tells of a device's link.
-type Measured struct {
+// LinkMeasured tells of a device's link.
+type LinkMeasured struct {
 	Device string
-	Link   Sample
+	Link   LinkSample
 }
 
-// Verdict is how a run in the core ended.
-type Verdict uint8
+// Result is how a run in the core ended.
+type RunResult uint8
 
 // The verdicts.
 const (
-	Served Verdict = iota
-	Refused
-	Failed
+	RunServed RunResult = iota
+	RunRejected
+	RunFailed
 )
 
-// Ended is the one end of a Run.
-type Ended struct {
-	ID         ID
-	Run        int
-	Verdict    Verdict
-	Bytes      int     // of the answer, with Served
-	ComeBackMs float64 // with Refused
-	Ran        bool    // an attempt may have run
-	RanMs      float64 // when the first such one was sent
-	Shard      int     // and where
+// RunEnded is the one end of a Run.
+type RunEnded struct {
+	ID              ID
+	Run             int
+	Result          RunResult
+	ResponseBytes   int     // of the answer, with Served
+	RetryAfterMs    float64 // with Refused
+	MayHaveExecuted bool    // an attempt may have run
+	FirstSentMs     float64 // when the first such one was sent
+	Shard           int     // and where
 }
 
-// Drain tells that nothing new is begun from now on. What is known goes on and is answered.
-type Drain struct{}
+// ShutdownStarted tells that nothing new is begun from now on. What is known goes on and is answered.
+type ShutdownStarted struct{}
 
-// Wake is the return of a WakeAt.
-type Wake struct{}
+// TimerFired is the return of a WakeAt.
+type TimerFired struct{}
 
-func (Offer) event()     {}
-func (Block) event()     {}
-func (Assembled) event() {}
-func (Left) event()      {}
-func (Written) event()   {}
-func (Measured) event()  {}
-func (Ended) event()     {}
-func (Drain) event()     {}
-func (Wake) event()      {}
+func (CopyReceived) event()    {}
+func (BlockReceived) event()   {}
+func (BodyAssembled) event()   {}
+func (CopyCanceled) event()    {}
+func (ResponseWritten) event() {}
+func (LinkMeasured) event()    {}
+func (RunEnded) event()        {}
+func (ShutdownStarted) event() {}
+func (TimerFired) event()      {}
 
 // Action is something to do now, in order.
 type Action interface{ action() }
 
-// Run hands an exchange's request to the core. Its content is that of the copy, or of the upload the copy belongs to.
-type Run struct {
-	ID     ID
-	Run    int // counts from 1
-	Copy   CopyID
-	LeftMs float64
-	CameMs float64 // time that the link took
-	Shard  int     // where it must run; -1: anywhere
+// StartRun hands an exchange's request to the core. Its content is that of the copy, or of the upload the copy belongs to.
+type StartRun struct {
+	ID            ID
+	Run           int // counts from 1
+	Copy          CopyID
+	TimeLeftMs    float64
+	ClientDelayMs float64 // time that the link took
+	Shard         int     // where it must run; -1: anywhere
 }
 
 // Outcome is what a copy is told.
@@ -173,62 +173,62 @@
 
 // The outcomes.
 const (
-	ToldServed     Outcome = iota
-	ToldRefused            // nothing of it ran; it may come again
-	ToldBusy               // the same, by the ledger's own bounds
-	ToldLate               // the same: its answer could not arrive in time
-	ToldFailed             // it may have run
-	ToldConflict           // its content is not that of the exchange it names
-	ToldContinue           // a block was taken: Have bytes are held
-	ToldIncomplete         // a block does not fit on: Have bytes are held
-	ToldTooLarge
-	ToldSuperseded // newer copies wait for the answer; this connection should end
+	OutcomeServed     Outcome = iota
+	OutcomeRejected           // nothing of it ran; it may come again
+	OutcomeBusy               // the same, by the ledger's own bounds
+	OutcomeTooLate            // the same: its answer could not arrive in time
+	OutcomeFailed             // it may have run
+	OutcomeConflict           // its content is not that of the exchange it names
+	OutcomeContinue           // a block was taken: Have bytes are held
+	OutcomeIncomplete         // a block does not fit on: Have bytes are held
+	OutcomeTooLarge
+	OutcomeSuperseded // newer copies wait for the answer; this connection should end
 )
 
-// Tell answers a copy. Each copy is told once.
-type Tell struct {
-	Copy       CopyID
-	Outcome    Outcome
-	ID         ID      // with ToldServed: whose answer
-	ComeBackMs float64 // of a refusal
-	Have       int
-	Kept       bool // the answer was kept from an earlier copy's run
-	Advice     Advice
+// Respond answers a copy. Each copy is told once.
+type Respond struct {
+	Copy          CopyID
+	Outcome       Outcome
+	ID            ID      // with ToldServed: whose answer
+	RetryAfterMs  float64 // of a refusal
+	ReceivedBytes int
+	FromCache     bool // the answer was kept from an earlier copy's run
+	Advice        LinkAdvice
 }
 
-// Append asks to hold a copy's block at the end of its exchange's body.
-type Append struct {
+// AppendBlock asks to hold a copy's block at the end of its exchange's body.
+type AppendBlock struct {
 	ID   ID
 	Copy CopyID
 }
 
-// Whole asks for an Assembled event, in a step of its own once this one's actions are done: a body is complete.
-type Whole struct {
+// AssembleBody asks for an Assembled event, in a step of its own once this one's actions are done: a body is complete.
+type AssembleBody struct {
 	ID   ID
 	Copy CopyID
 }
 
-// Free lets go of what is held for an exchange. All is the end of it: digests of what was let go before go then too.
-type Free struct {
-	ID                ID
-	Body, Answer, All bool
+// Release lets go of what is held for an exchange. All is the end of it: digests of what was let go before go then too.
+type Release struct {
+	ID                       ID
+	Body, Response, Exchange bool
 }
 
-// WakeAt asks for a Wake at a time or soon after. It replaces an earlier one.
-type WakeAt struct{ AtMs float64 }
+// SetTimer asks for a Wake at a time or soon after. It replaces an earlier one.
+type SetTimer struct{ AtMs float64 }
 
-func (Run) action()    {}
-func (Tell) action()   {}
-func (Append) action() {}
-func (Whole) action()  {}
-func (Free) action()   {}
-func (WakeAt) action() {}
+func (StartRun) action()     {}
+func (Respond) action()      {}
+func (AppendBlock) action()  {}
+func (AssembleBody) action() {}
+func (Release) action()      {}
+func (SetTimer) action()     {}
 
 // Stats counts what became of copies and exchanges, and tells what is held now.
 type Stats struct {
-	Copies, Runs, Joined, Kept, Again     int // Again: runs of a request that was in doubt
-	Conflicts, Busy, Late, InDoubtFailed  int
-	UploadsBegun, UploadsDropped, Evicted int
-	Exchanges, Open, Devices, Bytes       int // now
-	Undelivered                           int // now: answers that no connection has taken yet
+	Copies, Runs, Joined, ServedFromCache, Reruns  int // Again: runs of a request that was in doubt
+	Conflicts, Busy, TooLate, UnknownOutcomeFailed int
+	UploadsStarted, UploadsDropped, Evicted        int
+	Exchanges, Running, Devices, HeldBytes         int // now
+	Undelivered                                    int // now: answers that no connection has taken yet
 }
--- a/internal/dedup/exchange/ledger.go
+++ b/internal/dedup/exchange/ledger.go
@@ -43,7 +43,7 @@
 	dev      *device
 	class    Class
 	state    state
-	sum      Sum
+	sum      Digest
 	shard    int // that the request names
 	firstMs  float64
 	deadline float64 // of the device, by its first copy
@@ -97,15 +97,15 @@
 // device is one that has sent something of late.
 type device struct {
 	name  string
-	link  Link
+	link  LinkEstimator
 	byKey map[string]*entry
 	busy  int     // of its exchanges, those receiving or open
 	usual float64 // size of its answers, smoothed
 	at    *list.Element
 }
 
-// Ledger is the state.
-type Ledger struct {
+// Store is the state.
+type Store struct {
 	set      Settings
 	startMs  float64
 	now      float64
@@ -127,38 +127,38 @@
 }
 
 // New returns an empty ledger.
-func New(set Settings) (*Ledger, error) {
+func New(set Settings) (*Store, error) {
 	l := set.Link
 	for _, c := range []struct {
 		name string
 		ok   bool
 	}{
-		{"number of exchanges", set.MostExchanges > 0}, {"number of devices", set.MostDevices > 0},
-		{"exchanges of one device", set.MostPerDevice > 0}, {"waiting copies", set.MostWaiting > 0},
-		{"bytes of a body", set.MostBody > 0}, {"bytes held: less than two bodies", set.MostBytes >= 2*set.MostBody},
-		{"blocks of an upload", set.MostBlocks > 0}, {"time that writes are kept", set.KeepMs > 0},
-		{"idle time of an upload", set.UploadIdleMs > 0}, {"least time of a run", set.LeastRunMs > 0},
-		{"longest time to come back", set.MostWaitMs >= leastWaitMs},
-		{"silence of a dead link", l.LeastDeadMs > 0 && l.MostDeadMs >= l.LeastDeadMs},
-		{"size of a block", l.LeastBlock >= 16 && l.MostBlock >= l.LeastBlock},
-		{"time of a block", l.BlockMs > 0},
+		{"number of exchanges", set.MaxExchanges > 0}, {"number of devices", set.MaxDevices > 0},
+		{"exchanges of one device", set.MaxActivePerDevice > 0}, {"waiting copies", set.MaxWaitingCopies > 0},
+		{"bytes of a body", set.MaxBodyBytes > 0}, {"bytes held: less than two bodies", set.MaxHeldBytes >= 2*set.MaxBodyBytes},
+		{"blocks of an upload", set.MaxUploadBlocks > 0}, {"time that writes are kept", set.RetentionMs > 0},
+		{"idle time of an upload", set.UploadIdleTimeoutMs > 0}, {"least time of a run", set.MinRunMs > 0},
+		{"longest time to come back", set.MaxRetryAfterMs >= leastWaitMs},
+		{"silence of a dead link", l.MinLivenessTimeoutMs > 0 && l.MaxLivenessTimeoutMs >= l.MinLivenessTimeoutMs},
+		{"size of a block", l.MinBlockBytes >= 16 && l.MaxBlockBytes >= l.MinBlockBytes},
+		{"time of a block", l.MaxBlockTransferMs > 0},
 	} {
 		if !c.ok {
 			return nil, fmt.Errorf("exchange: %s: out of range", c.name)
 		}
 	}
-	return &Ledger{set: set, devices: map[string]*device{}, byID: map[ID]*entry{}, copies: map[CopyID]ID{}}, nil
+	return &Store{set: set, devices: map[string]*device{}, byID: map[ID]*entry{}, copies: map[CopyID]ID{}}, nil
 }
 
 // Stats tells the counts.
-func (l *Ledger) Stats() Stats {
+func (l *Store) Stats() Stats {
 	s := l.stats
 	s.Exchanges, s.Devices = len(l.byID), len(l.devices)
 	return s
 }
 
 // Step takes what happened at one moment and returns what to do.
-func (l *Ledger) Step(nowMs float64, events ...Event) []Action {
+func (l *Store) Step(nowMs float64, events ...Event) []Action {
 	l.out = nil
 	if !l.begun {
 		l.begun, l.startMs, l.now, l.lostMs = true, nowMs, nowMs, math.Inf(-1)
@@ -168,96 +168,96 @@
 	l.wheel.Advance(l.now, func(t *timerwheel.Timer[*entry]) { l.due(t.Value) })
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case Offer:
+		case CopyReceived:
 			l.stats.Copies++
 			l.offer(&ev, false)
-		case Block:
+		case BlockReceived:
 			l.stats.Copies++
 			l.onBlock(&ev)
-		case Assembled:
+		case BodyAssembled:
 			l.assembled(&ev)
-		case Left:
+		case CopyCanceled:
 			l.left(ev.Copy)
-		case Written:
+		case ResponseWritten:
 			l.written(&ev)
-		case Measured:
+		case LinkMeasured:
 			l.measured(&ev)
-		case Ended:
+		case RunEnded:
 			l.ended(&ev)
-		case Drain:
+		case ShutdownStarted:
 			l.draining = true
-		case Wake:
+		case TimerFired:
 			l.wakeMs = 0
 		}
 	}
-	if at, ok := l.wheel.Next(); ok && (l.wakeMs == 0 || at < l.wakeMs) {
+	if at, ok := l.wheel.NextExpiry(); ok && (l.wakeMs == 0 || at < l.wakeMs) {
 		l.wakeMs = at
-		l.do(WakeAt{at})
+		l.do(SetTimer{at})
 	}
 	return l.out
 }
 
-func (l *Ledger) do(a Action) { l.out = append(l.out, a) }
+func (l *Store) do(a Action) { l.out = append(l.out, a) }
 
 // tell answers a copy. What is served stays on the books until the answer is written or its connection gone.
-func (l *Ledger) tell(c CopyID, t Tell) {
+func (l *Store) tell(c CopyID, t Respond) {
 	t.Copy = c
-	if t.Outcome != ToldServed {
+	if t.Outcome != OutcomeServed {
 		delete(l.copies, c)
 	}
 	switch t.Outcome {
-	case ToldConflict:
+	case OutcomeConflict:
 		l.stats.Conflicts++
-	case ToldBusy:
+	case OutcomeBusy:
 		l.stats.Busy++
-	case ToldLate:
-		l.stats.Late++
+	case OutcomeTooLate:
+		l.stats.TooLate++
 	}
 	l.do(t)
 }
 
 // busy turns a copy away by the ledger's own bounds. Nothing of it has run.
-func (l *Ledger) busy(c CopyID, d *device) {
-	l.tell(c, Tell{Outcome: ToldBusy, ComeBackMs: l.comeBack(), Advice: l.advice(d)})
+func (l *Store) busy(c CopyID, d *device) {
+	l.tell(c, Respond{Outcome: OutcomeBusy, RetryAfterMs: l.comeBack(), Advice: l.advice(d)})
 }
 
 // turnAway tells a copy that it is not begun: refused, unless an earlier copy that the ledger knows nothing of may
 // have run. Then nobody can promise anything.
-func (l *Ledger) turnAway(c CopyID, d *device, o Outcome, doubtful bool) {
+func (l *Store) turnAway(c CopyID, d *device, o Outcome, doubtful bool) {
 	switch {
 	case doubtful:
-		l.stats.InDoubtFailed++
-		l.tell(c, Tell{Outcome: ToldFailed, Advice: l.advice(d)})
-	case o == ToldBusy:
+		l.stats.UnknownOutcomeFailed++
+		l.tell(c, Respond{Outcome: OutcomeFailed, Advice: l.advice(d)})
+	case o == OutcomeBusy:
 		l.busy(c, d)
 	default:
-		l.tell(c, Tell{Outcome: o, Advice: l.advice(d)})
+		l.tell(c, Respond{Outcome: o, Advice: l.advice(d)})
 	}
 }
 
 // doubtful tells of a copy of an exchange that is not known here, whether an earlier one may have run all the same.
 // If all were sent to this gateway, and it has forgotten nothing that is so young, none came whole.
-func (l *Ledger) doubtful(e Effect, h *History) bool {
-	if !h.Repeat || e == Repeatable {
+func (l *Store) doubtful(e Effect, h *ResendHistory) bool {
+	if !h.IsRetry || e == Repeatable {
 		return false
 	}
 	first := l.now - h.AgeMs
-	known := h.Same && h.AgeMs >= 0 && h.AgeMs < l.set.KeepMs && first > l.startMs && first > l.lostMs
+	known := h.SameGateway && h.AgeMs >= 0 && h.AgeMs < l.set.RetentionMs && first > l.startMs && first > l.lostMs
 	return !known
 }
 
 // comeBack is when there may be room: when something kept is due to go.
-func (l *Ledger) comeBack() float64 {
-	at, ok := l.wheel.Next()
+func (l *Store) comeBack() float64 {
+	at, ok := l.wheel.NextExpiry()
 	if !ok || l.draining { // this gateway will not have any
-		return l.set.MostWaitMs
+		return l.set.MaxRetryAfterMs
 	}
-	return min(max(at-l.now, leastWaitMs), l.set.MostWaitMs)
+	return min(max(at-l.now, leastWaitMs), l.set.MaxRetryAfterMs)
 }
 
-func (l *Ledger) advice(d *device) Advice {
+func (l *Store) advice(d *device) LinkAdvice {
 	if d == nil {
-		return (&Link{}).Advise(&l.set.Link)
+		return (&LinkEstimator{}).Advise(&l.set.Link)
 	}
 	return d.link.Advise(&l.set.Link)
 }
@@ -265,10 +265,10 @@
 // ---- devices ----
 
 // device finds or begins the books of a device; nil if there is no room. One with exchanges is never forgotten.
-func (l *Ledger) device(name string) *device {
+func (l *Store) device(name string) *device {
 	d := l.devices[name]
 	if d == nil {
-		if len(l.devices) >= l.set.MostDevices {
+		if len(l.devices) >= l.set.MaxDevices {
 			front := l.resting.Front()
 			if front == nil {
 				return nil
@@ -284,7 +284,7 @@
 }
 
 // rest puts a device without exchanges at the end of the queue of those that may be forgotten.
-func (l *Ledger) rest(d *device) {
+func (l *Store) rest(d *device) {
 	if d.at != nil {
 		l.resting.Remove(d.at)
 		d.at = nil
@@ -297,8 +297,8 @@
 // ---- exchanges ----
 
 // add begins an exchange, or returns nil where there is no room for it and the bytes that it will hold.
-func (l *Ledger) add(d *device, key string, bytes int) *entry {
-	if d.busy >= l.set.MostPerDevice || !l.room(1, bytes) {
+func (l *Store) add(d *device, key string, bytes int) *entry {
+	if d.busy >= l.set.MaxActivePerDevice || !l.room(1, bytes) {
 		return nil
 	}
 	l.lastID++
@@ -314,8 +314,8 @@
 // room makes room, if it can, for more exchanges and bytes. Answers of reads go first, then uploads that nobody
 // sends, then writes whose window is over. Nothing else goes: what may have run must be known while it may be
 // repeated, or the next copy would run in another cell.
-func (l *Ledger) room(entries, bytes int) bool {
-	for len(l.byID)+entries > l.set.MostExchanges || l.stats.Bytes+bytes > l.set.MostBytes {
+func (l *Store) room(entries, bytes int) bool {
+	for len(l.byID)+entries > l.set.MaxExchanges || l.stats.HeldBytes+bytes > l.set.MaxHeldBytes {
 		var e *entry
 		if at := l.reads.Front(); at != nil {
 			e = at.Value.(*entry)
@@ -336,9 +336,9 @@
 }
 
 // forget drops an exchange. Copies that still wait for it are told that it failed: that can only be guarded against.
-func (l *Ledger) forget(e *entry) {
+func (l *Store) forget(e *entry) {
 	for _, w := range e.waiting {
-		l.tell(w.id, Tell{Outcome: ToldFailed})
+		l.tell(w.id, Respond{Outcome: OutcomeFailed})
 	}
 	e.waiting = nil
 	if e.state == receiving {
@@ -350,13 +350,13 @@
 	delete(l.byID, e.id)
 	delete(e.dev.byKey, e.key)
 	l.rest(e.dev)
-	l.do(Free{ID: e.id, Body: true, Answer: true, All: true})
+	l.do(Release{ID: e.id, Body: true, Response: true, Exchange: true})
 }
 
 const forgotten state = 255
 
 // settle moves an exchange to a state and keeps the counts and queues that follow from it.
-func (l *Ledger) settle(e *entry, to state) {
+func (l *Store) settle(e *entry, to state) {
 	was := e.state
 	busy := func(s state) int {
 		if s == receiving || s == open {
@@ -375,14 +375,14 @@
 		}
 		return 0
 	}
-	l.stats.Open += is(to, open) - is(was, open)
+	l.stats.Running += is(to, open) - is(was, open)
 	l.stats.Undelivered += is(to, answered) - is(was, answered)
 	e.state = to
 	l.queue(e)
 }
 
 // queue puts an exchange at the end of the queue in which it may be forgotten, if it may.
-func (l *Ledger) queue(e *entry) {
+func (l *Store) queue(e *entry) {
 	var to *list.List
 	switch {
 	case e.state == forgotten || e.state == open:
@@ -403,7 +403,7 @@
 }
 
 // unqueue keeps an exchange from being forgotten to make room for itself.
-func (l *Ledger) unqueue(e *entry) {
+func (l *Store) unqueue(e *entry) {
 	if e.list != nil {
 		e.list.Remove(e.at)
 		e.list, e.at = nil, nil
@@ -411,28 +411,28 @@
 }
 
 // hold sets what bytes an exchange holds.
-func (l *Ledger) hold(e *entry, body, up, answer int) {
-	l.stats.Bytes += body + up + answer - e.body - e.upBytes - e.answer
+func (l *Store) hold(e *entry, body, up, answer int) {
+	l.stats.HeldBytes += body + up + answer - e.body - e.upBytes - e.answer
 	e.body, e.upBytes, e.answer = body, up, answer
 }
 
 // forgetMs is when an exchange that is over is forgotten.
-func (l *Ledger) forgetMs(e *entry) float64 {
+func (l *Store) forgetMs(e *entry) float64 {
 	if e.class.Effect == Repeatable {
 		return max(e.deadline, e.touched+leastWaitMs) // a later copy is another wait
 	}
-	return max(e.deadline, e.keepEnd()) + l.set.KeepMs
+	return max(e.deadline, e.keepEnd()) + l.set.RetentionMs
 }
 
 // arm sets an exchange's timer to what comes next for it.
-func (l *Ledger) arm(e *entry) {
+func (l *Store) arm(e *entry) {
 	at := math.Inf(1)
 	for _, w := range e.waiting {
 		at = min(at, e.by(w))
 	}
 	switch {
 	case e.state == receiving:
-		at = min(at, e.touched+l.set.UploadIdleMs)
+		at = min(at, e.touched+l.set.UploadIdleTimeoutMs)
 	case e.state != open:
 		at = min(at, l.forgetMs(e))
 		if e.keepEnd() > l.now {
@@ -443,12 +443,12 @@
 		l.wheel.Cancel(&e.timer)
 		return
 	}
-	l.wheel.Add(&e.timer, at)
+	l.wheel.Schedule(&e.timer, at)
 }
 
 // due handles an exchange whose timer has come.
-func (l *Ledger) due(e *entry) {
-	if e.state == receiving && l.now >= e.touched+l.set.UploadIdleMs ||
+func (l *Store) due(e *entry) {
+	if e.state == receiving && l.now >= e.touched+l.set.UploadIdleTimeoutMs ||
 		e.state != receiving && e.state != open && l.now >= l.forgetMs(e) {
 		l.forget(e)
 		return
@@ -460,7 +460,7 @@
 			continue
 		}
 		// Its device goes away now. What it hears holds for all that come later.
-		l.tell(w.id, Tell{Outcome: ToldFailed, Advice: l.advice(e.dev)})
+		l.tell(w.id, Respond{Outcome: OutcomeFailed, Advice: l.advice(e.dev)})
 		e.told = true
 	}
 	e.waiting = kept
@@ -471,7 +471,7 @@
 // ---- copies ----
 
 // left forgets a copy. Its exchange goes on: the device may come back for it.
-func (l *Ledger) left(c CopyID) {
+func (l *Store) left(c CopyID) {
 	e := l.byID[l.copies[c]]
 	delete(l.copies, c)
 	if e == nil {
@@ -487,7 +487,7 @@
 }
 
 // written notes that an answer went out whole.
-func (l *Ledger) written(w *Written) {
+func (l *Store) written(w *ResponseWritten) {
 	e := l.byID[l.copies[w.Copy]]
 	delete(l.copies, w.Copy)
 	if e == nil {
@@ -501,7 +501,7 @@
 }
 
 // measured takes in what a link was found to be. Copies that wait may have to be told sooner for it.
-func (l *Ledger) measured(m *Measured) {
+func (l *Store) measured(m *LinkMeasured) {
 	d := l.devices[m.Device]
 	if d == nil {
 		return
@@ -520,10 +520,10 @@
 }
 
 // offer decides on a whole copy; fromUpload is one whose body came in blocks and is held.
-func (l *Ledger) offer(o *Offer, fromUpload bool) {
+func (l *Store) offer(o *CopyReceived, fromUpload bool) {
 	d := l.device(o.Device)
 	if d == nil {
-		l.turnAway(o.Copy, nil, ToldBusy, l.doubtful(o.Class.Effect, &o.History))
+		l.turnAway(o.Copy, nil, OutcomeBusy, l.doubtful(o.Class.Effect, &o.ResendHistory))
 		return
 	}
 	d.link.Observe(o.Link)
@@ -532,12 +532,12 @@
 		l.forget(e)
 		e = nil
 	}
-	budget := o.LeftMs - d.link.WaysMs(int(d.usual), o.LeftMs)
+	budget := o.TimeLeftMs - d.link.ExpectedOverheadMs(int(d.usual), o.TimeLeftMs)
 	switch {
 	case e == nil || e.state == receiving:
 		l.begin(d, e, o, budget)
-	case e.sum != o.Sum || e.class.Effect != o.Class.Effect:
-		l.tell(o.Copy, Tell{Outcome: ToldConflict, Advice: l.advice(d)})
+	case e.sum != o.Digest || e.class.Effect != o.Class.Effect:
+		l.tell(o.Copy, Respond{Outcome: OutcomeConflict, Advice: l.advice(d)})
 		if fromUpload { // those bytes must never be taken for the exchange's
 			l.dropUpload(e)
 		}
@@ -547,13 +547,13 @@
 }
 
 // begin takes a request that the ledger does not know; e is its upload if the body came in blocks.
-func (l *Ledger) begin(d *device, e *entry, o *Offer, budget float64) {
+func (l *Store) begin(d *device, e *entry, o *CopyReceived, budget float64) {
 	if e != nil {
-		budget = min(budget, e.deadline-l.now-d.link.roundTrip(o.LeftMs)/2)
+		budget = min(budget, e.deadline-l.now-d.link.roundTrip(o.TimeLeftMs)/2)
 	}
-	doubtful := l.doubtful(o.Class.Effect, &o.History)
+	doubtful := l.doubtful(o.Class.Effect, &o.ResendHistory)
 	if l.draining && e == nil {
-		l.turnAway(o.Copy, d, ToldBusy, doubtful)
+		l.turnAway(o.Copy, d, OutcomeBusy, doubtful)
 		return
 	}
 	if doubtful {
@@ -565,8 +565,8 @@
 		}
 		budget = min(budget, left)
 	}
-	if !(budget >= l.set.LeastRunMs) { // also what is no number
-		l.turnAway(o.Copy, d, ToldLate, doubtful)
+	if !(budget >= l.set.MinRunMs) { // also what is no number
+		l.turnAway(o.Copy, d, OutcomeTooLate, doubtful)
 		if doubtful {
 			l.remember(d, e, o)
 		} else if e != nil {
@@ -575,82 +575,82 @@
 		return
 	}
 	answer := l.answerPlace(o.Class)
-	came := o.CameMs
+	came := o.ClientDelayMs
 	if e == nil {
-		if e = l.add(d, o.Key, o.Bytes+answer); e == nil {
-			l.turnAway(o.Copy, d, ToldBusy, doubtful)
+		if e = l.add(d, o.Key, o.BodyBytes+answer); e == nil {
+			l.turnAway(o.Copy, d, OutcomeBusy, doubtful)
 			return
 		}
-		e.deadline = l.now + d.link.left(o.LeftMs)
+		e.deadline = l.now + d.link.left(o.TimeLeftMs)
 		l.settle(e, open)
 	} else {
 		l.unqueue(e)
 		if !l.room(0, answer) {
-			l.turnAway(o.Copy, d, ToldBusy, doubtful)
+			l.turnAway(o.Copy, d, OutcomeBusy, doubtful)
 			l.queue(e) // the blocks stay: the last one may come again
 			return
 		}
 		came += l.now - e.firstMs
 		l.settle(e, open)
 	}
-	e.class, e.sum, e.shard, e.cameMs = o.Class, o.Sum, o.Shard, came
+	e.class, e.sum, e.shard, e.cameMs = o.Class, o.Digest, o.Shard, came
 	if doubtful { // what is refused now may have run all the same
 		e.ran, e.ranMs, e.lastMs, e.ranShard = true, l.now-o.AgeMs, l.now-o.AgeMs, o.Shard
 	}
-	l.hold(e, o.Bytes, 0, answer)
+	l.hold(e, o.BodyBytes, 0, answer)
 	l.start(e, o, budget, o.Shard)
 }
 
 // remember keeps a failure that a device has been told of a request that is not known here: an earlier copy that
 // comes late must neither run nor be told otherwise.
-func (l *Ledger) remember(d *device, e *entry, o *Offer) {
+func (l *Store) remember(d *device, e *entry, o *CopyReceived) {
 	if e == nil {
 		if e = l.add(d, o.Key, 0); e == nil {
 			return // it would only have been the better
 		}
-		e.deadline = l.now + d.link.left(o.LeftMs)
+		e.deadline = l.now + d.link.left(o.TimeLeftMs)
 	}
-	e.class, e.sum, e.told = o.Class, o.Sum, true
+	e.class, e.sum, e.told = o.Class, o.Digest, true
 	l.settle(e, failed)
 	l.freeBody(e)
 	l.arm(e)
 }
 
 // start begins a run.
-func (l *Ledger) start(e *entry, o *Offer, budget float64, shard int) {
+func (l *Store) start(e *entry, o *CopyReceived, budget float64, shard int) {
 	l.stats.Runs++
 	e.run++
 	l.wait(e, o)
-	l.do(Run{ID: e.id, Run: e.run, Copy: o.Copy, LeftMs: budget, CameMs: e.cameMs, Shard: shard})
+	l.do(StartRun{ID: e.id, Run: e.run, Copy: o.Copy, TimeLeftMs: budget, ClientDelayMs: e.cameMs, Shard: shard})
 }
 
 // wait lets a copy wait for its exchange's answer.
-func (l *Ledger) wait(e *entry, o *Offer) {
-	if len(e.waiting) >= l.set.MostWaiting { // the oldest connection is the likeliest to be half open
-		l.tell(e.waiting[0].id, Tell{Outcome: ToldSuperseded})
+func (l *Store) wait(e *entry, o *CopyReceived) {
+	if len(e.waiting) >= l.set.MaxWaitingCopies { // the oldest connection is the likeliest to be half open
+		l.tell(e.waiting[0].id, Respond{Outcome: OutcomeSuperseded})
 		e.waiting = e.waiting[1:]
 	}
-	e.waiting = append(e.waiting, waiter{o.Copy, l.now + max(0, o.LeftMs)})
+	e.waiting = append(e.waiting, waiter{o.Copy, l.now + max(0, o.TimeLeftMs)})
 	e.touched = l.now
 	l.copies[o.Copy] = e.id
 	l.arm(e)
 }
 
 // join decides on a copy of an exchange that is known.
-func (l *Ledger) join(e *entry, o *Offer, budget float64) {
+func (l *Store) join(e *entry, o *CopyReceived, budget float64) {
 	d := e.dev
 	e.touched = l.now
 	if e.deadline > l.now { // the copy that a stall has kept back the least tells it best
-		e.deadline = min(e.deadline, l.now+d.link.left(o.LeftMs))
+		e.deadline = min(e.deadline, l.now+d.link.left(o.TimeLeftMs))
 	}
 	switch e.state {
 	case open:
 		l.stats.Joined++
 		l.wait(e, o)
 	case answered, delivered:
-		l.stats.Kept++
+		l.stats.ServedFromCache++
 		l.copies[o.Copy] = e.id
-		l.tell(o.Copy, Tell{Outcome: ToldServed, ID: e.id, Kept: true, Advice: l.advice(d)})
+		l.tell(o.Copy, Respond{Outcome: OutcomeServed, ID: e.id, FromCache: true, Advice: l.advice(d)})
 	case failed:
 		if left, may := l.mayRunAgain(e, budget); may && !l.draining {
 			l.unqueue(e)
@@ -665,16 +665,16 @@
 			}
 		}
 		if e.inDoubt() {
-			l.stats.InDoubtFailed++
+			l.stats.UnknownOutcomeFailed++
 			e.told = true
 			l.freeBody(e)
 		}
-		l.tell(o.Copy, Tell{Outcome: ToldFailed, Advice: l.advice(d)})
+		l.tell(o.Copy, Respond{Outcome: OutcomeFailed, Advice: l.advice(d)})
 	}
 }
 
 // mayRunAgain tells whether a request in doubt may be given to the core once more, and for how long.
-func (l *Ledger) mayRunAgain(e *entry, budget float64) (left float64, may bool) {
+func (l *Store) mayRunAgain(e *entry, budget float64) (left float64, may bool) {
 	left = budget
 	if e.deadline > l.now {
 		left = min(left, e.deadline-l.now)
@@ -688,16 +688,16 @@
 			return 0, false
 		}
 	}
-	return left, left >= l.set.LeastRunMs
+	return left, left >= l.set.MinRunMs
 }
 
 // runAgain gives a request in doubt to the core once more.
-func (l *Ledger) runAgain(e *entry, o *Offer, left float64) {
-	l.stats.Again++
+func (l *Store) runAgain(e *entry, o *CopyReceived, left float64) {
+	l.stats.Reruns++
 	l.settle(e, open)
-	l.hold(e, o.Bytes, e.coming(), l.answerPlace(e.class))
+	l.hold(e, o.BodyBytes, e.coming(), l.answerPlace(e.class))
 	if e.deadline < l.now { // its device has come back for another wait
-		e.deadline = l.now + e.dev.link.left(o.LeftMs)
+		e.deadline = l.now + e.dev.link.left(o.TimeLeftMs)
 	}
 	shard := e.shard
 	if e.ran && e.class.Effect == ByKey && e.class.Scope == ScopeCell {
@@ -708,72 +708,72 @@
 
 // answerPlace is what is set aside for the answer of a run. That of a write must be kept, so it has its place from
 // the start; a read's is kept if there is room.
-func (l *Ledger) answerPlace(c Class) int {
+func (l *Store) answerPlace(c Class) int {
 	if c.Effect == Repeatable {
 		return 0
 	}
-	return l.set.MostBody
+	return l.set.MaxBodyBytes
 }
 
 // again is how many more bytes another run of a request in doubt holds.
-func (l *Ledger) again(e *entry, o *Offer) int {
-	return o.Bytes + e.coming() + l.answerPlace(e.class) - e.body - e.upBytes - e.answer
+func (l *Store) again(e *entry, o *CopyReceived) int {
+	return o.BodyBytes + e.coming() + l.answerPlace(e.class) - e.body - e.upBytes - e.answer
 }
 
 // freeBody lets go of a body that will not be run any more, and of the answer's place. An upload that is coming in
 // beside it, to be compared, goes on.
-func (l *Ledger) freeBody(e *entry) {
+func (l *Store) freeBody(e *entry) {
 	l.hold(e, 0, e.coming(), 0)
 	if e.upBytes == 0 {
-		l.do(Free{ID: e.id, Body: true})
+		l.do(Release{ID: e.id, Body: true})
 	}
 }
 
 // ended takes the end of a run.
-func (l *Ledger) ended(v *Ended) {
+func (l *Store) ended(v *RunEnded) {
 	e := l.byID[v.ID]
 	if e == nil || e.state != open || e.run != v.Run {
 		return
 	}
-	if v.Ran && (!e.ran || e.class.Effect == ByKey && v.RanMs >= e.windowEnd()) {
-		e.ran, e.ranMs, e.ranShard = true, v.RanMs, v.Shard
+	if v.MayHaveExecuted && (!e.ran || e.class.Effect == ByKey && v.FirstSentMs >= e.windowEnd()) {
+		e.ran, e.ranMs, e.ranShard = true, v.FirstSentMs, v.Shard
 	}
-	if v.Ran {
-		e.lastMs = max(e.lastMs, v.RanMs)
+	if v.MayHaveExecuted {
+		e.lastMs = max(e.lastMs, v.FirstSentMs)
 	}
 	e.touched = l.now
 	waiting := e.waiting
 	e.waiting = nil
 	advice := l.advice(e.dev)
 	switch {
-	case v.Verdict == Served && !e.told:
-		e.dev.usual += (float64(v.Bytes) - e.dev.usual) / 4
+	case v.Result == RunServed && !e.told:
+		e.dev.usual += (float64(v.ResponseBytes) - e.dev.usual) / 4
 		// A read's answer needs no place; if there is none, it goes to those who wait and is then forgotten.
 		l.freeBody(e)
-		keep := e.class.Effect != Repeatable || l.room(0, v.Bytes)
-		l.hold(e, 0, e.upBytes, v.Bytes)
+		keep := e.class.Effect != Repeatable || l.room(0, v.ResponseBytes)
+		l.hold(e, 0, e.upBytes, v.ResponseBytes)
 		l.settle(e, answered)
 		for _, w := range waiting {
-			l.tell(w.id, Tell{Outcome: ToldServed, ID: e.id, Advice: advice})
+			l.tell(w.id, Respond{Outcome: OutcomeServed, ID: e.id, Advice: advice})
 		}
 		if !keep {
 			l.stats.Evicted++
 			l.forget(e)
 			return
 		}
-	case v.Verdict == Refused && !e.ran && !e.told:
+	case v.Result == RunRejected && !e.ran && !e.told:
 		for _, w := range waiting {
-			l.tell(w.id, Tell{Outcome: ToldRefused, ComeBackMs: v.ComeBackMs, Advice: advice})
+			l.tell(w.id, Respond{Outcome: OutcomeRejected, RetryAfterMs: v.RetryAfterMs, Advice: advice})
 		}
 		l.forget(e)
 		return
 	default:
 		// Also an answer that came after a copy was told of a failure: that is final.
-		if v.Verdict == Served {
-			l.do(Free{ID: e.id, Answer: true})
+		if v.Result == RunServed {
+			l.do(Release{ID: e.id, Response: true})
 		}
 		for _, w := range waiting {
-			l.tell(w.id, Tell{Outcome: ToldFailed, Advice: advice})
+			l.tell(w.id, Respond{Outcome: OutcomeFailed, Advice: advice})
 		}
 		e.told = e.told || len(waiting) > 0
 		l.settle(e, failed)
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -8,23 +8,23 @@
 
 // LinkSettings are an operator's bounds of what a link's history may decide.
 type LinkSettings struct {
-	LeastDeadMs, MostDeadMs float64 // a link counts as dead after a silence within these
-	LeastBlock, MostBlock   int     // size of a block
-	BlockMs                 float64 // a block should not take longer than this
+	MinLivenessTimeoutMs, MaxLivenessTimeoutMs float64 // a link counts as dead after a silence within these
+	MinBlockBytes, MaxBlockBytes               int     // size of a block
+	MaxBlockTransferMs                         float64 // a block should not take longer than this
 }
 
-// Sample is what a connection has measured since it last told. Zero fields tell nothing.
-type Sample struct {
+// LinkSample is what a connection has measured since it last told. Zero fields tell nothing.
+type LinkSample struct {
 	RoundTripMs float64
 	Bytes       int     // delivered over BytesMs
-	BytesMs     float64 //
-	GapMs       float64 // the longest time without a byte in the middle of something
+	TransferMs  float64 //
+	MaxGapMs    float64 // the longest time without a byte in the middle of something
 }
 
-// Advice is what a link's history says of how to use it.
-type Advice struct {
-	DeadMs float64 // after a silence of this the connection is dead
-	Block  int     // size of a block to send
+// LinkAdvice is what a link's history says of how to use it.
+type LinkAdvice struct {
+	LivenessTimeoutMs float64 // after a silence of this the connection is dead
+	BlockBytes        int     // size of a block to send
 }
 
 const (
@@ -39,14 +39,14 @@
 	usualGap         = 0.5      // quantile of gaps that an answer is expected to meet
 )
 
-// Link is what is known of one device's link: 32 bytes and a sketch.
-type Link struct {
+// LinkEstimator is what is known of one device's link: 32 bytes and a sketch.
+type LinkEstimator struct {
 	rtt, dev, rate float64
 	gaps           quantile.Sketch
 }
 
 // Observe takes a sample in. What cannot be a measurement is left out: it comes from devices.
-func (l *Link) Observe(s Sample) {
+func (l *LinkEstimator) Observe(s LinkSample) {
 	sane := func(ms float64) bool { return ms > 0 && ms <= mostMs }
 	if sane(s.RoundTripMs) {
 		if l.rtt == 0 {
@@ -56,21 +56,21 @@
 			l.rtt += rttGain * (s.RoundTripMs - l.rtt)
 		}
 	}
-	if s.Bytes >= smallestSample && sane(s.BytesMs) {
-		rate := float64(s.Bytes) / s.BytesMs
+	if s.Bytes >= smallestSample && sane(s.TransferMs) {
+		rate := float64(s.Bytes) / s.TransferMs
 		if l.rate == 0 {
 			l.rate = rate
 		} else {
 			l.rate += rateGain * (rate - l.rate)
 		}
 	}
-	if sane(s.GapMs) {
-		l.gaps.Add(s.GapMs)
+	if sane(s.MaxGapMs) {
+		l.gaps.Add(s.MaxGapMs)
 	}
 }
 
 // roundTrip is what goes to the link of a device's time.
-func (l *Link) roundTrip(ofMs float64) float64 {
+func (l *LinkEstimator) roundTrip(ofMs float64) float64 {
 	if l.rtt == 0 {
 		return min(firstRoundTripMs, firstPart*max(0, ofMs))
 	}
@@ -78,16 +78,16 @@
 }
 
 // bytesPerMs is the smoothed rate.
-func (l *Link) bytesPerMs() float64 {
+func (l *LinkEstimator) bytesPerMs() float64 {
 	if l.rate == 0 {
 		return firstRate
 	}
 	return l.rate
 }
 
-// WaysMs is how much of a device's time goes to its link, as a rule: the way of the last bytes here, since its time
+// ExpectedOverheadMs is how much of a device's time goes to its link, as a rule: the way of the last bytes here, since its time
 // counts from its sending, and the way back of an answer of so many bytes.
-func (l *Link) WaysMs(bytes int, ofMs float64) float64 {
+func (l *LinkEstimator) ExpectedOverheadMs(bytes int, ofMs float64) float64 {
 	ms := l.roundTrip(ofMs) + l.margin() + float64(bytes)/l.bytesPerMs()
 	if l.gaps.Count() >= 8 { // fewer may be one bad moment
 		ms += l.gaps.Quantile(usualGap) / 2 // it may fall before, into or behind the answer
@@ -96,23 +96,23 @@
 }
 
 // margin is kept back besides, as RFC 6298 does: an answer at the last moment is late as often as not.
-func (l *Link) margin() float64 { return max(leastMargin, 4*l.dev) }
+func (l *LinkEstimator) margin() float64 { return max(leastMargin, 4*l.dev) }
 
 // left is what is left here of a time that was left at the device when it sent.
-func (l *Link) left(ms float64) float64 { return max(0, ms-l.roundTrip(ms)/2) }
+func (l *LinkEstimator) left(ms float64) float64 { return max(0, ms-l.roundTrip(ms)/2) }
 
 // Advise tells how to use the link.
-func (l *Link) Advise(set *LinkSettings) Advice {
+func (l *LinkEstimator) Advise(set *LinkSettings) LinkAdvice {
 	rtt := l.roundTrip(math.Inf(1))
 	dead := rtt + 4*max(l.dev, rtt/8)
 	if l.gaps.Count() >= 8 {
 		dead = max(dead, 2*l.gaps.Quantile(0.99))
 	} else {
-		dead = set.MostDeadMs // one that nothing is known of gets the benefit
+		dead = set.MaxLivenessTimeoutMs // one that nothing is known of gets the benefit
 	}
-	block := set.LeastBlock
-	for block*2 <= set.MostBlock && float64(block*2) <= l.bytesPerMs()*set.BlockMs {
+	block := set.MinBlockBytes
+	for block*2 <= set.MaxBlockBytes && float64(block*2) <= l.bytesPerMs()*set.MaxBlockTransferMs {
 		block *= 2
 	}
-	return Advice{DeadMs: min(max(dead, set.LeastDeadMs), set.MostDeadMs), Block: block}
+	return LinkAdvice{LivenessTimeoutMs: min(max(dead, set.MinLivenessTimeoutMs), set.MaxLivenessTimeoutMs), BlockBytes: block}
 }
--- a/internal/dedup/exchange/link_test.go
+++ b/internal/dedup/exchange/link_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var linkSettings = LinkSettings{LeastDeadMs: 1000, MostDeadMs: 10_000, LeastBlock: 64, MostBlock: 16384, BlockMs: 400}
+var linkSettings = LinkSettings{MinLivenessTimeoutMs: 1000, MaxLivenessTimeoutMs: 10_000, MinBlockBytes: 64, MaxBlockBytes: 16384, MaxBlockTransferMs: 400}
 
 func TestLinkFollowsWhatItIsTold(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -19,17 +19,17 @@
 		"stalling": {100, 20, 50, 2500, 16384, [2]float64{4500, 6000}},
 		"hopeless": {2000, 500, 0.5, 9000, 128, [2]float64{10_000, 10_000}},
 	} {
-		r, l := rand.New(rand.NewPCG(1, 1)), &Link{}
+		r, l := rand.New(rand.NewPCG(1, 1)), &LinkEstimator{}
 		for range 200 {
-			l.Observe(Sample{RoundTripMs: c.rtt + c.jitter*(2*r.Float64()-1), Bytes: 2000, BytesMs: 2000 / c.rate, GapMs: c.gap})
+			l.Observe(LinkSample{RoundTripMs: c.rtt + c.jitter*(2*r.Float64()-1), Bytes: 2000, TransferMs: 2000 / c.rate, MaxGapMs: c.gap})
 		}
 		a := l.Advise(&linkSettings)
-		if a.Block != c.block || a.DeadMs < c.dead[0] || a.DeadMs > c.dead[1] {
+		if a.BlockBytes != c.block || a.LivenessTimeoutMs < c.dead[0] || a.LivenessTimeoutMs > c.dead[1] {
 			t.Errorf("%s: %+v, want blocks of %d and dead after %v", name, a, c.block, c.dead)
 		}
 		// An answer of 1,000 bytes: there and back, on the wire, half a usual stall, and what it may vary.
 		want := c.rtt + 1000/c.rate + c.gap/2
-		if got := l.WaysMs(1000, 1e6); got < want*0.9 || got > want*1.1+max(25, 4*c.jitter) {
+		if got := l.ExpectedOverheadMs(1000, 1e6); got < want*0.9 || got > want*1.1+max(25, 4*c.jitter) {
 			t.Errorf("%s: %v ms for an answer, want about %v", name, got, want)
 		}
 	}
@@ -37,11 +37,11 @@
 
 // What devices tell may be anything.
 func TestLinkLeavesOutNonsense(t *testing.T) {
-	l := &Link{}
+	l := &LinkEstimator{}
 	for _, x := range []float64{math.NaN(), math.Inf(1), -5, 0, 1e12} {
-		l.Observe(Sample{RoundTripMs: x, Bytes: 1000, BytesMs: x, GapMs: x})
+		l.Observe(LinkSample{RoundTripMs: x, Bytes: 1000, TransferMs: x, MaxGapMs: x})
 	}
-	l.Observe(Sample{Bytes: 3, BytesMs: 1})
+	l.Observe(LinkSample{Bytes: 3, TransferMs: 1})
 	if l.rtt != 0 || l.rate != 0 || l.gaps.Count() != 0 {
 		t.Errorf("%+v", l)
 	}
@@ -51,8 +51,8 @@
 			t.Errorf("of %v ms: %v, want %v", left, got, want)
 		}
 	}
-	if a := l.Advise(&linkSettings); a.DeadMs != 10_000 {
-		t.Errorf("an unknown link is dead after %v", a.DeadMs)
+	if a := l.Advise(&linkSettings); a.LivenessTimeoutMs != 10_000 {
+		t.Errorf("an unknown link is dead after %v", a.LivenessTimeoutMs)
 	}
 }
 
@@ -64,16 +64,16 @@
 		t.Fatal(err)
 	}
 	offer := func(id CopyID, left, rtt float64) Action {
-		return l.Step(1e6, Offer{Copy: id, Device: "d", Key: string(rune('a' + id)), LeftMs: left, History: History{AgeMs: -1}, Link: Sample{RoundTripMs: rtt}})[0]
+		return l.Step(1e6, CopyReceived{Copy: id, Device: "d", Key: string(rune('a' + id)), TimeLeftMs: left, ResendHistory: ResendHistory{AgeMs: -1}, Link: LinkSample{RoundTripMs: rtt}})[0]
 	}
-	if r, ok := offer(1, 2000, 400).(Run); !ok || r.LeftMs > 1600 || r.LeftMs < 700 {
+	if r, ok := offer(1, 2000, 400).(StartRun); !ok || r.TimeLeftMs > 1600 || r.TimeLeftMs < 700 {
 		t.Errorf("%+v", r)
 	}
-	if a, ok := offer(2, 300, 0).(Tell); !ok || a.Outcome != ToldLate {
+	if a, ok := offer(2, 300, 0).(Respond); !ok || a.Outcome != OutcomeTooLate {
 		t.Errorf("%+v", a)
 	}
 	for i, left := range []float64{0, -100, math.NaN()} {
-		if a, ok := offer(CopyID(10+i), left, 0).(Tell); !ok || a.Outcome != ToldLate {
+		if a, ok := offer(CopyID(10+i), left, 0).(Respond); !ok || a.Outcome != OutcomeTooLate {
 			t.Errorf("%v ms left: %+v", left, a)
 		}
 	}
@@ -81,9 +81,9 @@
 
 func TestSettingsOutOfRange(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"exchanges": func(s *Settings) { s.MostExchanges = 0 }, "bytes": func(s *Settings) { s.MostBytes = s.MostBody },
-		"keeping": func(s *Settings) { s.KeepMs = math.NaN() }, "dead": func(s *Settings) { s.Link.MostDeadMs = 1 },
-		"block": func(s *Settings) { s.Link.LeastBlock = 8 }, "come back": func(s *Settings) { s.MostWaitMs = 1 },
+		"exchanges": func(s *Settings) { s.MaxExchanges = 0 }, "bytes": func(s *Settings) { s.MaxHeldBytes = s.MaxBodyBytes },
+		"keeping": func(s *Settings) { s.RetentionMs = math.NaN() }, "dead": func(s *Settings) { s.Link.MaxLivenessTimeoutMs = 1 },
+		"block": func(s *Settings) { s.Link.MinBlockBytes = 8 }, "come back": func(s *Settings) { s.MaxRetryAfterMs = 1 },
 	} {
 		set := testSettings()
 		change(&set)
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -19,16 +19,16 @@
 )
 
 func testSettings() Settings {
-	return Settings{MostExchanges: mEntries, MostDevices: 4, MostPerDevice: 3, MostWaiting: 2, MostBytes: mBytes,
-		MostBody: mBody, MostBlocks: 8, KeepMs: mKeepMs, UploadIdleMs: 500, LeastRunMs: 20, MostWaitMs: 2000,
-		Link: LinkSettings{LeastDeadMs: 200, MostDeadMs: 5000, LeastBlock: 64, MostBlock: 4096, BlockMs: 200}}
+	return Settings{MaxExchanges: mEntries, MaxDevices: 4, MaxActivePerDevice: 3, MaxWaitingCopies: 2, MaxHeldBytes: mBytes,
+		MaxBodyBytes: mBody, MaxUploadBlocks: 8, RetentionMs: mKeepMs, UploadIdleTimeoutMs: 500, MinRunMs: 20, MaxRetryAfterMs: 2000,
+		Link: LinkSettings{MinLivenessTimeoutMs: 200, MaxLivenessTimeoutMs: 5000, MinBlockBytes: 64, MaxBlockBytes: 4096, MaxBlockTransferMs: 200}}
 }
 
 // world is the simplest gateway round a ledger: it holds what the ledger says, runs what it says, and checks each
 // action against what it knows of every exchange itself.
 type world struct {
 	t      *testing.T
-	l      *Ledger
+	l      *Store
 	now    float64
 	log    []string
 	copies map[CopyID]*mCopy
@@ -44,12 +44,12 @@
 	dev, key string
 	class    Class
 	body     []byte
-	block    *Block
+	block    *BlockReceived
 	by       float64
 	told     int
 	left     bool
 	served   ID
-	sum      Sum
+	sum      Digest
 }
 
 type mRun struct {
@@ -62,7 +62,7 @@
 type mExchange struct {
 	dev, key string
 	class    Class
-	sum      Sum
+	sum      Digest
 	run      int
 	open     bool
 	body     []byte // held for its upload
@@ -87,7 +87,7 @@
 	w.t.Fatalf(format, args...)
 }
 
-func sumOf(body []byte) (s Sum) {
+func sumOf(body []byte) (s Digest) {
 	d := xxhash.Sum64(body)
 	for i := range 8 {
 		s[i] = byte(d >> (8 * i))
@@ -103,7 +103,7 @@
 	var whole []Action // what asks for another step is done last, as its order is
 	for _, a := range w.l.Step(w.now, events...) {
 		w.log = append(w.log, fmt.Sprintf("     -> %T%+v", a, a))
-		if _, ok := a.(Whole); ok {
+		if _, ok := a.(AssembleBody); ok {
 			whole = append(whole, a)
 			continue
 		}
@@ -118,7 +118,7 @@
 func (w *world) action(a Action) {
 	w.t.Helper()
 	switch a := a.(type) {
-	case Append:
+	case AppendBlock:
 		c := w.copies[a.Copy]
 		x := w.known[a.ID]
 		if x == nil {
@@ -129,15 +129,15 @@
 			w.fail("a block at %d is appended to %d bytes", c.block.Offset, len(x.body))
 		}
 		x.body = append(x.body, c.body...)
-	case Whole:
+	case AssembleBody:
 		c, x := w.copies[a.Copy], w.known[a.ID]
 		if x.body != nil {
 			x.sum = sumOf(x.body)
 		}
 		c.sum = x.sum
-		w.step(Assembled{Offer{Copy: a.Copy, Device: c.dev, Key: c.key, Class: c.class, Sum: c.sum, Bytes: len(x.body),
-			LeftMs: c.by - w.now, Shard: mShard(int(c.key[2] - '0')), History: History{c.block.Repeat, c.block.Same, w.age(c)}}})
-	case Run:
+		w.step(BodyAssembled{CopyReceived{Copy: a.Copy, Device: c.dev, Key: c.key, Class: c.class, Digest: c.sum, BodyBytes: len(x.body),
+			TimeLeftMs: c.by - w.now, Shard: mShard(int(c.key[2] - '0')), ResendHistory: ResendHistory{c.block.IsRetry, c.block.SameGateway, w.age(c)}}})
+	case StartRun:
 		c := w.copies[a.Copy]
 		x := w.known[a.ID]
 		if x == nil {
@@ -154,22 +154,22 @@
 			w.fail("another content is run")
 		}
 		x.open, x.run, x.class, x.sum = true, a.Run, c.class, c.sum
-		if a.LeftMs < 20 {
-			w.fail("a run of %v ms", a.LeftMs)
+		if a.TimeLeftMs < 20 {
+			w.fail("a run of %v ms", a.TimeLeftMs)
 		}
 		if h := w.history[c.dev+c.key]; h != nil && h.ran && c.class.Effect != Repeatable && w.now < h.ranMs+h.window {
 			switch {
 			case c.class.Effect == Once:
 				w.fail("ran once, and again")
-			case w.now+a.LeftMs > h.ranMs+h.window:
-				w.fail("a repeat may go out at %v, the window ends at %v", w.now+a.LeftMs, h.ranMs+h.window)
+			case w.now+a.TimeLeftMs > h.ranMs+h.window:
+				w.fail("a repeat may go out at %v, the window ends at %v", w.now+a.TimeLeftMs, h.ranMs+h.window)
 			case c.class.Scope == ScopeCell && a.Shard != h.shard:
 				w.fail("a repeat in cell %d of what ran in %d", a.Shard, h.shard)
 			case c.class.Scope == ScopeZone:
 				w.fail("a repeat in an unknown zone")
 			}
 		}
-	case Tell:
+	case Respond:
 		c := w.copies[a.Copy]
 		if c == nil {
 			w.fail("an unknown copy is told")
@@ -180,10 +180,10 @@
 		if c.left {
 			w.fail("copy %d is told after it has left", a.Copy)
 		}
-		if w.now > c.by+guardMs+2*tickMs && a.Outcome != ToldSuperseded {
+		if w.now > c.by+guardMs+2*tickMs && a.Outcome != OutcomeSuperseded {
 			w.fail("copy %d is told %v ms late", a.Copy, w.now-c.by)
 		}
-		if a.Advice.DeadMs != 0 && (a.Advice.DeadMs < 200 || a.Advice.DeadMs > 5000 || a.Advice.Block < 64 || a.Advice.Block > 4096) {
+		if a.Advice.LivenessTimeoutMs != 0 && (a.Advice.LivenessTimeoutMs < 200 || a.Advice.LivenessTimeoutMs > 5000 || a.Advice.BlockBytes < 64 || a.Advice.BlockBytes > 4096) {
 			w.fail("advice %+v", a.Advice)
 		}
 		var x *mExchange // that the copy belongs to, if any
@@ -193,38 +193,38 @@
 			}
 		}
 		switch a.Outcome {
-		case ToldServed:
+		case OutcomeServed:
 			if w.known[a.ID] != x || x == nil || x.answer < 0 || x.sum != c.sum {
 				w.fail("copy %d is served what is not its own", a.Copy)
 			}
 			c.served = a.ID
 			fallthrough
-		case ToldFailed:
-			if x != nil && (x.open == false || a.Outcome == ToldFailed) && x.sum == c.sum {
+		case OutcomeFailed:
+			if x != nil && (x.open == false || a.Outcome == OutcomeFailed) && x.sum == c.sum {
 				if x.hasFinal && x.final != a.Outcome {
 					w.fail("exchange %s/%s was told %d, now %d", c.dev, c.key, x.final, a.Outcome)
 				}
 				x.hasFinal, x.final = true, a.Outcome
 			}
-		case ToldRefused:
+		case OutcomeRejected:
 			if h := w.history[c.dev+c.key]; h != nil && h.ran && x != nil && c.class.Effect != Repeatable && x.run > 0 && h.ranMs+h.window > w.now {
 				w.fail("what may have run is refused")
 			}
-			if a.ComeBackMs < 0 {
-				w.fail("come back %v", a.ComeBackMs)
+			if a.RetryAfterMs < 0 {
+				w.fail("come back %v", a.RetryAfterMs)
 			}
-		case ToldBusy, ToldLate:
-			if doubt := w.copies[a.Copy]; doubt.block != nil && doubt.block.Repeat && !doubt.block.Same && doubt.class.Effect != Repeatable {
+		case OutcomeBusy, OutcomeTooLate:
+			if doubt := w.copies[a.Copy]; doubt.block != nil && doubt.block.IsRetry && !doubt.block.SameGateway && doubt.class.Effect != Repeatable {
 				w.fail("what may have run elsewhere is refused")
 			}
-			if a.Outcome == ToldLate {
+			if a.Outcome == OutcomeTooLate {
 				break
 			}
-			if !(a.ComeBackMs >= leastWaitMs && a.ComeBackMs <= 2000) {
-				w.fail("come back %v", a.ComeBackMs)
+			if !(a.RetryAfterMs >= leastWaitMs && a.RetryAfterMs <= 2000) {
+				w.fail("come back %v", a.RetryAfterMs)
 			}
 		}
-	case Free:
+	case Release:
 		x := w.known[a.ID]
 		if x == nil {
 			return
@@ -232,10 +232,10 @@
 		if a.Body {
 			x.body = nil
 		}
-		if a.Answer {
+		if a.Response {
 			x.answer = -1
 		}
-		if a.All {
+		if a.Exchange {
 			if x.open {
 				w.fail("an open exchange is forgotten")
 			}
@@ -247,16 +247,16 @@
 			}
 			delete(w.known, a.ID)
 		}
-	case WakeAt:
+	case SetTimer:
 		w.wakeMs = a.AtMs
 	}
 }
 
 // end ends an open run.
-func (w *world) end(id ID, x *mExchange, v Verdict, ran bool, shard, size int) {
+func (w *world) end(id ID, x *mExchange, v RunResult, ran bool, shard, size int) {
 	w.t.Helper()
 	x.open = false
-	if v == Served {
+	if v == RunServed {
 		ran = true
 	}
 	key := x.dev + x.key
@@ -270,7 +270,7 @@
 		}
 	}
 	x.answer = size
-	w.step(Ended{ID: id, Run: x.run, Verdict: v, Bytes: size, ComeBackMs: 50, Ran: ran, RanMs: w.now - 10, Shard: shard})
+	w.step(RunEnded{ID: id, Run: x.run, Result: v, ResponseBytes: size, RetryAfterMs: 50, MayHaveExecuted: ran, FirstSentMs: w.now - 10, Shard: shard})
 }
 
 // check compares the ledger's books with a recount.
@@ -289,7 +289,7 @@
 		if e.state == answered {
 			undelivered++
 		}
-		if e.state != open0 && !e.timer.Set() {
+		if e.state != open0 && !e.timer.Pending() {
 			w.fail("exchange %d will never be forgotten", id)
 		}
 		if len(e.waiting) > 0 && e.state != open0 {
@@ -299,10 +299,10 @@
 			w.fail("exchange %d holds %d bytes, the books say %d", id, len(held.body), e.body+e.upBytes)
 		}
 	}
-	if bytes != got.Bytes || open != got.Open || undelivered != got.Undelivered {
+	if bytes != got.HeldBytes || open != got.Running || undelivered != got.Undelivered {
 		w.fail("books: %+v, recount: %d bytes, %d open, %d undelivered", got, bytes, open, undelivered)
 	}
-	if got.Bytes > mBytes || got.Exchanges > mEntries || got.Devices > 4 {
+	if got.HeldBytes > mBytes || got.Exchanges > mEntries || got.Devices > 4 {
 		w.fail("over the bounds: %+v", got)
 	}
 	for name, d := range w.l.devices {
@@ -316,7 +316,7 @@
 			w.fail("device %s: %d busy, recount %d", name, d.busy, n)
 		}
 	}
-	if at, ok := w.l.wheel.Next(); ok && (w.wakeMs == 0 || w.wakeMs > at) {
+	if at, ok := w.l.wheel.NextExpiry(); ok && (w.wakeMs == 0 || w.wakeMs > at) {
 		w.fail("the next wake is at %v, the wheel wants %v", w.wakeMs, at)
 	}
 }
@@ -375,8 +375,8 @@
 				if b%14 == 0 {
 					age = -1
 				}
-				w.step(Offer{Copy: w.last, Device: dev, Key: c.key, Class: c.class, Sum: c.sum, Bytes: len(c.body),
-					LeftMs: c.by - w.now, Shard: mShard(key), History: History{repeat, b%3 == 0, age}, Link: Sample{RoundTripMs: float64(b), GapMs: float64(a)}})
+				w.step(CopyReceived{Copy: w.last, Device: dev, Key: c.key, Class: c.class, Digest: c.sum, BodyBytes: len(c.body),
+					TimeLeftMs: c.by - w.now, Shard: mShard(key), ResendHistory: ResendHistory{repeat, b%3 == 0, age}, Link: LinkSample{RoundTripMs: float64(b), MaxGapMs: float64(a)}})
 			case 2, 3: // a block: mostly the one that is due
 				content := mContent(key, variant)
 				size := 40
@@ -396,12 +396,12 @@
 				if b%5 == 0 {
 					total = len(content) + b%16/15
 				}
-				c.block = &Block{Device: dev, Key: c.key, Tag: tag, Offset: offset, Len: len(c.body),
-					Digest: xxhash.Sum64(c.body), More: offset+size < len(content), Total: total, LeftMs: c.by - w.now}
+				c.block = &BlockReceived{Device: dev, Key: c.key, Tag: tag, Offset: offset, Length: len(c.body),
+					Digest: xxhash.Sum64(c.body), More: offset+size < len(content), TotalBytes: total, TimeLeftMs: c.by - w.now}
 				w.last++
 				c.block.Copy = w.last
 				w.copies[w.last] = c
-				c.block.Effect, c.block.History = c.class.Effect, History{b%7 == 0, b%3 == 0, w.age(c)}
+				c.block.Effect, c.block.ResendHistory = c.class.Effect, ResendHistory{b%7 == 0, b%3 == 0, w.age(c)}
 				w.step(*c.block)
 			case 4: // a connection goes, or an answer is written
 				if w.last == 0 {
@@ -409,26 +409,26 @@
 				}
 				id := w.last - CopyID(a)%min(w.last, 8)
 				if x := w.copies[id]; x.served != 0 && b%2 == 0 {
-					w.step(Written{Copy: id, Link: Sample{Bytes: 1000, BytesMs: float64(b)}})
+					w.step(ResponseWritten{Copy: id, Link: LinkSample{Bytes: 1000, TransferMs: float64(b)}})
 				} else if b%5 == 0 {
-					w.step(Measured{Device: x.dev, Link: Sample{RoundTripMs: float64(4 * a)}})
+					w.step(LinkMeasured{Device: x.dev, Link: LinkSample{RoundTripMs: float64(4 * a)}})
 				} else {
 					x.left = true
-					w.step(Left{id})
+					w.step(CopyCanceled{id})
 				}
 			case 5, 6: // a run ends
 				n := a
 				for id := ID(1); id <= w.l.lastID; id++ {
 					if x := w.known[id]; x != nil && x.open {
 						if n--; n < 0 || id == w.l.lastID {
-							w.end(id, x, Verdict(b%3), b%4 >= 2, max(mShard(int(x.key[2]-'0')), b%3), b%(mBody+1))
+							w.end(id, x, RunResult(b%3), b%4 >= 2, max(mShard(int(x.key[2]-'0')), b%3), b%(mBody+1))
 							break
 						}
 					}
 				}
 			case 7: // time
 				if a == 255 && b > 250 {
-					w.step(Drain{})
+					w.step(ShutdownStarted{})
 					continue
 				}
 				for end := w.now + float64(a*b%300); ; {
@@ -438,24 +438,24 @@
 					}
 					w.now = max(w.now, w.wakeMs)
 					w.wakeMs = 0
-					w.step(Wake{})
+					w.step(TimerFired{})
 				}
 			}
 		}
 		// In the end every copy has been told, and all is forgotten.
 		for id, x := range w.known {
 			if x.open {
-				w.end(id, x, Failed, true, 1, 0)
+				w.end(id, x, RunFailed, true, 1, 0)
 			}
 		}
 		for n := 0; w.wakeMs != 0; n++ {
 			w.now, w.wakeMs = max(w.now, w.wakeMs), 0
-			w.step(Wake{})
+			w.step(TimerFired{})
 			if n > 1000 {
 				w.fail("it never comes to rest")
 			}
 		}
-		if s := w.l.Stats(); s.Exchanges != 0 || s.Bytes != 0 || len(w.known) != 0 {
+		if s := w.l.Stats(); s.Exchanges != 0 || s.HeldBytes != 0 || len(w.known) != 0 {
 			w.fail("left over: %+v, %d known", s, len(w.known))
 		}
 		for id, c := range w.copies {
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -18,9 +18,9 @@
 // The platform's start opens its one listener and no more, and has no desk: what the operator's file does not name
 // is not there. With it there are the fronts that it names.
 func TestWhatIsOffIsNotThere(t *testing.T) {
-	ledger := exchange.Settings{MostExchanges: 16, MostDevices: 8, MostPerDevice: 4, MostWaiting: 2, MostBytes: 1 << 20,
-		MostBody: 64 << 10, MostBlocks: 64, KeepMs: 1000, UploadIdleMs: 2000, LeastRunMs: 20, MostWaitMs: 2000,
-		Link: exchange.LinkSettings{LeastDeadMs: 500, MostDeadMs: 5000, LeastBlock: 64, MostBlock: 4096, BlockMs: 300}}
+	ledger := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxHeldBytes: 1 << 20,
+		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
+		Link: exchange.LinkSettings{MinLivenessTimeoutMs: 500, MaxLivenessTimeoutMs: 5000, MinBlockBytes: 64, MaxBlockBytes: 4096, MaxBlockTransferMs: 300}}
 	goroutines := map[string]int{}
 	for name, c := range map[string]struct {
 		edge *config.Edge
@@ -75,9 +75,9 @@
 		defer taken.Close()
 		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2),
 			Known: lifecycle.List{}}
-		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MostExchanges: 1,
-			MostDevices: 1, MostPerDevice: 1, MostWaiting: 1, MostBytes: 1 << 20, MostBody: 1 << 10, MostBlocks: 1, KeepMs: 1,
-			UploadIdleMs: 1, LeastRunMs: 1, MostWaitMs: 100, Link: exchange.LinkSettings{LeastDeadMs: 1, MostDeadMs: 1, LeastBlock: 16, MostBlock: 16, BlockMs: 1}}}}
+		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MaxExchanges: 1,
+			MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxHeldBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1,
+			UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100, Link: exchange.LinkSettings{MinLivenessTimeoutMs: 1, MaxLivenessTimeoutMs: 1, MinBlockBytes: 16, MaxBlockBytes: 16, MaxBlockTransferMs: 1}}}}
 		g, err := New(cfg, edge, clock.NewSystem(), Network{Listen: n.Listen, Dial: n.Dial})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -99,7 +99,7 @@
 		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.Read, Write: f.Write,
 		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MostUnits}}
 	if d != nil {
-		p.front.KeepMs = d.Ledger.KeepMs
+		p.front.KeepMs = d.Ledger.RetentionMs
 	}
 	for _, r := range f.Roots {
 		p.front.Roots = append(p.front.Roots, sftpserver.Root(r))
--- a/internal/quantile/sketch.go
+++ b/internal/quantile/sketch.go
@@ -29,14 +29,14 @@
 		i = int(min(math.Log2(ms)*perDoubling, buckets-1))
 	}
 	if s.count[i] == full {
-		s.Fade()
+		s.Decay()
 	}
 	s.count[i]++
 	s.total++
 }
 
-// Fade halves all counts, rounding down: a bucket that was met once is forgotten.
-func (s *Sketch) Fade() {
+// Decay halves all counts, rounding down: a bucket that was met once is forgotten.
+func (s *Sketch) Decay() {
 	s.total = 0
 	for i := range s.count {
 		s.count[i] /= 2
--- a/internal/quantile/sketch_test.go
+++ b/internal/quantile/sketch_test.go
@@ -57,7 +57,7 @@
 		t.Errorf("%d values, %v and %v: a full bucket must halve all and lose none", n, s.Quantile(0.01), s.Quantile(0.99))
 	}
 	for range 20 {
-		s.Fade()
+		s.Decay()
 	}
 	if s.Count() != 0 {
 		t.Errorf("%d values after they have faded", s.Count())
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -300,10 +300,10 @@
 	if r.Ledger {
 		edge.Devices = &config.Devices{CoAP: r.addrs["coap"], HTTP: r.addrs["http"], MaxConns: 4 * r.Devices, MaxOpen: 8,
 			MaxMessage: 33 << 10, FirstTime: 10 * time.Second, IdleTime: time.Minute, HoldOff: time.Second,
-			Ledger: exchange.Settings{MostExchanges: 100 * r.Devices, MostDevices: 2*r.Devices + 8, MostPerDevice: 16,
-				MostWaiting: 4, MostBytes: 64 << 20, MostBody: 64 << 10, MostBlocks: 1024, KeepMs: 30_000,
-				UploadIdleMs: 20_000, LeastRunMs: 20, MostWaitMs: 2000,
-				Link: exchange.LinkSettings{LeastDeadMs: 2000, MostDeadMs: 8000, LeastBlock: 64, MostBlock: 8 << 10, BlockMs: 300}}}
+			Ledger: exchange.Settings{MaxExchanges: 100 * r.Devices, MaxDevices: 2*r.Devices + 8, MaxActivePerDevice: 16,
+				MaxWaitingCopies: 4, MaxHeldBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
+				UploadIdleTimeoutMs: 20_000, MinRunMs: 20, MaxRetryAfterMs: 2000,
+				Link: exchange.LinkSettings{MinLivenessTimeoutMs: 2000, MaxLivenessTimeoutMs: 8000, MinBlockBytes: 64, MaxBlockBytes: 8 << 10, MaxBlockTransferMs: 300}}}
 	}
 	gw, err := gateway.New(cfg, edge, clock.NewSystem(), gateway.Network{Listen: r.Network.Listen, Dial: r.dialNodes()})
 	if err != nil {
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -34,8 +34,8 @@
 	slot       int8
 }
 
-// Set tells whether a timer is waiting.
-func (t *Timer[T]) Set() bool { return t.home != nil }
+// Pending tells whether a timer is waiting.
+func (t *Timer[T]) Pending() bool { return t.home != nil }
 
 // list is a ring with a sentinel that is made at its first use.
 type list[T any] struct{ root Timer[T] }
@@ -78,8 +78,8 @@
 // Len is the number of waiting timers.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Add sets a timer, moving it if it is set already. A time that has passed is due at the next tick.
-func (w *Wheel[T]) Add(t *Timer[T], atMs float64) {
+// Schedule sets a timer, moving it if it is set already. A time that has passed is due at the next tick.
+func (w *Wheel[T]) Schedule(t *Timer[T], atMs float64) {
 	w.Cancel(t)
 	tick := math.Ceil((atMs - w.baseMs) / w.tickMs)
 	switch {
@@ -128,9 +128,9 @@
 	return true
 }
 
-// Next tells when the next timer may be due: never after it, and never so early that calling Advance then
+// NextExpiry tells when the next timer may be due: never after it, and never so early that calling Advance then
 // achieves nothing at all.
-func (w *Wheel[T]) Next() (ms float64, ok bool) {
+func (w *Wheel[T]) NextExpiry() (ms float64, ok bool) {
 	if w.count == 0 {
 		return 0, false
 	}
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -34,7 +34,7 @@
 			remove(x)
 			order++
 			model = append(model, plain{x, max(now+1, now+after), order})
-			w.Add(x, 1000+tick*float64(now+after))
+			w.Schedule(x, 1000+tick*float64(now+after))
 		}
 		for i := 0; i+1 < len(steps); i += 2 {
 			far := int64(1) << (steps[i] >> 2 % 32) // up to beyond the horizon
@@ -79,7 +79,7 @@
 			if w.Len() != len(model) {
 				t.Fatalf("%d timers, want %d", w.Len(), len(model))
 			}
-			next, ok := w.Next()
+			next, ok := w.NextExpiry()
 			for _, p := range model {
 				if p.at <= now {
 					t.Fatalf("%d was due at %d, it is %d", p.timer.Value, p.at, now)
@@ -99,16 +99,16 @@
 	w := New[string](0, 1)
 	var fired []string
 	for i, at := range []float64{-5, 0, 0.5, 1, 1.5} {
-		w.Add(&Timer[string]{Value: fmt.Sprint(i)}, at)
+		w.Schedule(&Timer[string]{Value: fmt.Sprint(i)}, at)
 	}
 	far := &Timer[string]{Value: "far"}
-	w.Add(far, 1e300)
+	w.Schedule(far, 1e300)
 	w.Advance(1, func(x *Timer[string]) { fired = append(fired, x.Value) })
 	if !slices.Equal(fired, []string{"0", "1", "2", "3"}) || w.Len() != 2 {
 		t.Errorf("fired %v by 1 ms, %d left", fired, w.Len())
 	}
 	w.Advance(3e9, func(x *Timer[string]) { fired = append(fired, x.Value) })
-	if !far.Set() || len(fired) != 5 || !w.Cancel(far) || w.Cancel(far) {
+	if !far.Pending() || len(fired) != 5 || !w.Cancel(far) || w.Cancel(far) {
 		t.Errorf("fired %v by 3e9 ms", fired)
 	}
 }
@@ -142,14 +142,14 @@
 			r, now := rand.New(rand.NewPCG(1, 2)), 0.0
 			w, all := New[int](0, 1), make([]Timer[int], n)
 			for i := range all {
-				w.Add(&all[i], r.Float64()*span)
+				w.Schedule(&all[i], r.Float64()*span)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				w.Add(&all[r.IntN(n)], now+span)
+				w.Schedule(&all[r.IntN(n)], now+span)
 				if i%16 == 0 {
 					now++
-					w.Advance(now, func(x *Timer[int]) { w.Add(x, now+span) })
+					w.Advance(now, func(x *Timer[int]) { w.Schedule(x, now+span) })
 				}
 			}
 		})
