--- /dev/null
+++ b/internal/quantile/bench_test.go
@@ -0,0 +1,81 @@
+package quantile
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"github.com/DataDog/sketches-go/ddsketch"
+)
+
+const (
+	benchValues = 4096
+	windowSize  = 1000 // values that the sorted window keeps
+)
+
+// BenchmarkSketch compares the sketch with the last thousand values, sorted at each query, and with a library's sketch
+// of the same accuracy. The number in a name is how many values are added for each query.
+func BenchmarkSketch(b *testing.B) {
+	for _, every := range []int{1, 16} {
+		random := rand.New(rand.NewPCG(1, 2))
+		values := make([]float64, benchValues)
+		for i := range values {
+			values[i] = math.Exp(3 + 1.5*random.NormFloat64())
+		}
+		sum := 0.0
+		b.Run(fmt.Sprintf("buckets/%d", every), func(b *testing.B) { sum += benchmarkBuckets(b, values, every) })
+		b.Run(fmt.Sprintf("sorted/%d", every), func(b *testing.B) { sum += benchmarkSorted(b, values, every) })
+		b.Run(fmt.Sprintf("ddsketch/%d", every), func(b *testing.B) { sum += benchmarkDDSketch(b, values, every) })
+		if sum == 0 {
+			b.Fatal("no values")
+		}
+	}
+}
+
+func benchmarkBuckets(b *testing.B, values []float64, every int) (sum float64) {
+	sketch := &Sketch{}
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		sketch.Add(values[i%benchValues])
+		if i%every == 0 {
+			sum += sketch.Quantile(0.99)
+		}
+	}
+	return sum
+}
+
+func benchmarkSorted(b *testing.B, values []float64, every int) (sum float64) {
+	window, sorted := make([]float64, 0, windowSize), make([]float64, 0, windowSize)
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		if len(window) < windowSize {
+			window = append(window, values[i%benchValues])
+		} else {
+			window[i%windowSize] = values[i%benchValues]
+		}
+		if i%every == 0 {
+			sorted = append(sorted[:0], window...)
+			slices.Sort(sorted)
+			sum += sorted[len(sorted)*99/100]
+		}
+	}
+	return sum
+}
+
+func benchmarkDDSketch(b *testing.B, values []float64, every int) (sum float64) {
+	sketch, err := ddsketch.LogCollapsingLowestDenseDDSketch(0.09, bucketCount)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		sketch.Add(values[i%benchValues])
+		if i%every == 0 {
+			quantile, _ := sketch.GetValueAtQuantile(0.99)
+			sum += quantile
+		}
+	}
+	return sum
+}
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,9 +1,10 @@
-// Package wheel is a hierarchical timing wheel: deadlines by the hundred thousand, most of which are moved or
-// cancelled before they are due. Adding and cancelling cost a few pointer writes, whatever the number.
+// Package timerwheel provides a hierarchical timing wheel for large numbers of timers, most of which are rescheduled or
+// canceled before they expire. Scheduling and canceling take constant time, whatever the number of timers.
 //
-// Times are float64 milliseconds on the caller's clock. A timer is due at the first tick at or after its time,
-// never before it. What is due at one tick fires in the order of adding, so that runs repeat. A Wheel is not
-// safe for concurrent use.
+// A Wheel has no clock and starts no goroutine: its owner passes the time to Advance and calls every method from one
+// goroutine. Times are float64 milliseconds on the owner's clock. A timer expires at the first tick at or after its
+// time, never before it. Timers that expire at the same tick fire in the order in which they were scheduled, so that
+// runs are reproducible.
 package timerwheel
 
 import (
@@ -14,122 +15,91 @@
 )
 
 const (
-	slotBits = 6
-	slots    = 1 << slotBits // of one level
-	levels   = 5             // 2^30 ticks; what lies further waits in the last slot it can and is sorted again
-	mask     = slots - 1
-	horizon  = 1 << (slotBits * levels)
+	slotBits      = 6
+	slotsPerLevel = 1 << slotBits
+	slotMask      = slotsPerLevel - 1
+	levelCount    = 5
+	// horizonTicks is the number of ticks that the levels span. A timer beyond it waits in the last slot within reach
+	// and is placed again when that slot is cascaded.
+	horizonTicks = 1 << (slotBits * levelCount)
 )
 
-// Timer is an entry. Its zero value is not in any wheel. It may be added again once it has fired or been
-// cancelled, so that its owner needs no allocation for each deadline.
-type Timer[T any] struct {
-	Value T
-
-	tick       int64
-	order      uint64
-	prev, next *Timer[T]
-	home       *list[T]
-	level      int8
-	slot       int8
-}
-
-// Pending tells whether a timer is waiting.
-func (t *Timer[T]) Pending() bool { return t.home != nil }
-
-// list is a ring with a sentinel that is made at its first use.
-type list[T any] struct{ root Timer[T] }
-
-func (l *list[T]) empty() bool { return l.root.next == nil || l.root.next == &l.root }
-
-func (l *list[T]) push(t *Timer[T]) {
-	if l.root.next == nil {
-		l.root.next, l.root.prev = &l.root, &l.root
-	}
-	t.prev, t.next, t.home = l.root.prev, &l.root, l
-	t.prev.next, l.root.prev = t, t
-}
-
-func (t *Timer[T]) unlink() {
-	t.prev.next, t.next.prev = t.next, t.prev
-	t.prev, t.next, t.home = nil, nil, nil
-}
-
-// Wheel holds timers.
+// Wheel is a set of pending timers. It is not safe for concurrent use.
 type Wheel[T any] struct {
-	tickMs float64
-	baseMs float64
-	now    int64 // the last tick that has been handled
-	level  [levels][slots]list[T]
-	used   [levels]uint64 // slots that may hold timers
-	count  int
-	orders uint64
-	due    []*Timer[T] // scratch
+	tickMs       float64
+	baseMs       float64
+	currentTick  int64 // the last tick that Advance has handled
+	levels       [levelCount][slotsPerLevel]timerList[T]
+	occupied     [levelCount]uint64 // a bit for each slot that may hold timers
+	count        int
+	lastSequence uint64
+	expired      []*Timer[T] // buffer that fireSlot reuses
 }
 
-// New returns a wheel that stands at nowMs. It panics if tickMs is not above zero.
+// New returns an empty wheel whose time is nowMs. It panics if tickMs is not above zero.
 func New[T any](nowMs, tickMs float64) *Wheel[T] {
 	if !(tickMs > 0) {
-		panic("wheel: a tick must be above zero")
+		panic("timerwheel: tick must be above zero")
 	}
 	return &Wheel[T]{tickMs: tickMs, baseMs: nowMs}
 }
 
-// Len is the number of waiting timers.
+// Len returns the number of pending timers.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Schedule sets a timer, moving it if it is set already. A time that has passed is due at the next tick.
-func (w *Wheel[T]) Schedule(t *Timer[T], atMs float64) {
-	w.Cancel(t)
+// Schedule sets a timer to expire at atMs. A timer that is already pending is moved. A time that has passed, or that
+// is not a number, expires at the next tick.
+func (w *Wheel[T]) Schedule(timer *Timer[T], atMs float64) {
+	w.Cancel(timer)
 	tick := math.Ceil((atMs - w.baseMs) / w.tickMs)
 	switch {
-	case !(tick > float64(w.now)): // also what is no number
-		t.tick = w.now + 1
+	case !(tick > float64(w.currentTick)): // negated so that it includes NaN
+		timer.tick = w.currentTick + 1
 	case tick > math.MaxInt64/2:
-		t.tick = math.MaxInt64 / 2
+		timer.tick = math.MaxInt64 / 2
 	default:
-		t.tick = int64(tick)
+		timer.tick = int64(tick)
 	}
-	w.orders++
-	t.order = w.orders
+	w.lastSequence++
+	timer.sequence = w.lastSequence
 	w.count++
-	w.place(t)
+	w.place(timer)
 }
 
-// place links a timer into the slot of the lowest level that its distance fits.
-func (w *Wheel[T]) place(t *Timer[T]) {
-	at := t.tick
-	if at-w.now >= horizon {
-		at = w.now + horizon - 1
+// place links a timer into the slot of the lowest level that covers its distance from the current tick.
+func (w *Wheel[T]) place(timer *Timer[T]) {
+	tick := timer.tick
+	if tick-w.currentTick >= horizonTicks {
+		tick = w.currentTick + horizonTicks - 1
 	}
-	// The level is that of the highest digit in which the time differs from now: all lower slots of that
-	// digit's present round are still to come.
+	// The level is that of the highest digit in which the tick differs from the current one: in the present round of
+	// that digit all lower slots are still to come.
 	level := 0
-	if diff := uint64(at ^ w.now); diff != 0 {
-		level = min((bits.Len64(diff)-1)/slotBits, levels-1)
+	if diff := uint64(tick ^ w.currentTick); diff != 0 {
+		level = min((bits.Len64(diff)-1)/slotBits, levelCount-1)
 	}
-	slot := int(at>>(slotBits*level)) & mask
-	t.level, t.slot = int8(level), int8(slot)
-	w.level[level][slot].push(t)
-	w.used[level] |= 1 << slot
+	slot := int(tick>>(slotBits*level)) & slotMask
+	timer.level, timer.slot = int8(level), int8(slot)
+	w.levels[level][slot].push(timer)
+	w.occupied[level] |= 1 << slot
 }
 
-// Cancel takes a timer out. It tells whether it was set.
-func (w *Wheel[T]) Cancel(t *Timer[T]) bool {
-	if t.home == nil {
+// Cancel removes a timer and reports whether it was pending.
+func (w *Wheel[T]) Cancel(timer *Timer[T]) bool {
+	if timer.list == nil {
 		return false
 	}
-	home := t.home
-	t.unlink()
+	list := timer.list
+	timer.unlink()
 	w.count--
-	if home.empty() {
-		w.used[t.level] &^= 1 << t.slot
+	if list.empty() {
+		w.occupied[timer.level] &^= 1 << timer.slot
 	}
 	return true
 }
 
-// NextExpiry tells when the next timer may be due: never after it, and never so early that calling Advance then
-// achieves nothing at all.
+// NextExpiry returns the time in milliseconds at which Advance should be called next, and false if no timer is
+// pending. The time is never after the first expiry. It may be before it, when timers must first move to a lower level.
 func (w *Wheel[T]) NextExpiry() (ms float64, ok bool) {
 	if w.count == 0 {
 		return 0, false
@@ -137,95 +107,94 @@
 	return w.baseMs + float64(w.nextTick())*w.tickMs, true
 }
 
-// nextTick is the next tick at which a slot fires or is dealt out to lower levels.
+// nextTick returns the next tick at which a slot fires or is cascaded to lower levels.
 func (w *Wheel[T]) nextTick() int64 {
-	best := int64(math.MaxInt64)
-	for level := range levels {
-		used := w.used[level]
-		if used == 0 {
+	earliest := int64(math.MaxInt64)
+	for level := range levelCount {
+		occupied := w.occupied[level]
+		if occupied == 0 {
 			continue
 		}
 		shift := slotBits * level
-		digit := int(w.now>>shift) & mask
-		// Slots above the present digit come in this round, those up to it in the next.
-		ahead := used &^ (1<<(digit+1) - 1)
-		round := w.now >> (shift + slotBits)
-		if ahead == 0 {
-			ahead, round = used, round+1
+		digit := int(w.currentTick>>shift) & slotMask
+		// Slots above the present digit are reached in this round, the others in the next.
+		candidates := occupied &^ (1<<(digit+1) - 1)
+		round := w.currentTick >> (shift + slotBits)
+		if candidates == 0 {
+			candidates, round = occupied, round+1
 		}
-		at := (round<<slotBits + int64(bits.TrailingZeros64(ahead))) << shift
-		best = min(best, at)
+		tick := (round<<slotBits + int64(bits.TrailingZeros64(candidates))) << shift
+		earliest = min(earliest, tick)
 	}
-	return best
+	return earliest
 }
 
-// Advance moves the wheel to nowMs and calls fire for each timer that has come due, soonest first. fire may add
-// and cancel timers; one added for a time that has passed is due at the next tick.
+// Advance moves the wheel to nowMs and calls fire for each timer that expires, the earliest first. A timer is not
+// pending when fire is called for it. fire may schedule and cancel timers; one scheduled for a time that has passed
+// expires at the next tick.
 func (w *Wheel[T]) Advance(nowMs float64, fire func(*Timer[T])) {
-	end := int64(math.Floor((nowMs - w.baseMs) / w.tickMs))
+	endTick := int64(math.Floor((nowMs - w.baseMs) / w.tickMs))
 	for w.count > 0 {
-		at := w.nextTick()
-		if at > end {
+		tick := w.nextTick()
+		if tick > endTick {
 			break
 		}
-		w.now = at
-		// From the top down: what is dealt out may belong into a lower slot of this very tick.
-		for level := levels - 1; level > 0; level-- {
-			if at&(1<<(slotBits*level)-1) != 0 {
+		w.currentTick = tick
+		// From the top level down, because a cascaded timer may belong into a lower slot of this same tick.
+		for level := levelCount - 1; level > 0; level-- {
+			if tick&(1<<(slotBits*level)-1) != 0 {
 				continue
 			}
-			w.deal(level, int(at>>(slotBits*level))&mask)
+			w.cascade(level, int(tick>>(slotBits*level))&slotMask)
 		}
-		w.fire(int(at)&mask, fire)
+		w.fireSlot(int(tick)&slotMask, fire)
 	}
-	w.now = max(w.now, end)
+	w.currentTick = max(w.currentTick, endTick)
 }
 
-// deal sorts the timers of a slot again.
-func (w *Wheel[T]) deal(level, slot int) {
-	l := &w.level[level][slot]
-	if l.empty() {
+// cascade moves the timers of a slot to the levels that their remaining distance needs.
+func (w *Wheel[T]) cascade(level, slot int) {
+	list := &w.levels[level][slot]
+	if list.empty() {
 		return
 	}
-	w.used[level] &^= 1 << slot
-	first := l.root.next
-	l.root.prev.next = nil // cut the ring: what goes back into this slot must not be met again
-	l.root.next, l.root.prev = &l.root, &l.root
-	for t := first; t != nil; {
-		next := t.next
-		if t.tick <= w.now {
-			t.level, t.slot = 0, int8(w.now&mask)
-			w.level[0][t.slot].push(t)
-			w.used[0] |= 1 << t.slot
+	w.occupied[level] &^= 1 << slot
+	// The timers are detached first, because place may put some of them back into this slot.
+	for timer := list.detach(); timer != nil; {
+		next := timer.next
+		if timer.tick <= w.currentTick {
+			timer.level, timer.slot = 0, int8(w.currentTick&slotMask)
+			w.levels[0][timer.slot].push(timer)
+			w.occupied[0] |= 1 << timer.slot
 		} else {
-			w.place(t)
+			w.place(timer)
 		}
-		t = next
+		timer = next
 	}
 }
 
-// fire calls fire for the timers of a slot of the lowest level, in the order of adding.
-func (w *Wheel[T]) fire(slot int, fire func(*Timer[T])) {
-	l := &w.level[0][slot]
-	if l.empty() {
+// fireSlot calls fire for the timers of a slot of the lowest level, in the order in which they were scheduled.
+func (w *Wheel[T]) fireSlot(slot int, fire func(*Timer[T])) {
+	list := &w.levels[0][slot]
+	if list.empty() {
 		return
 	}
-	due := w.due[:0]
-	w.due = nil // while it is read
+	expired := w.expired[:0]
+	w.expired = nil // fire may call Advance again
 	sorted := true
-	for t := l.root.next; t != &l.root; t = t.next {
-		sorted = sorted && (len(due) == 0 || due[len(due)-1].order < t.order)
-		due = append(due, t)
-	}
-	if !sorted { // some came down from higher levels later than others were added here
-		slices.SortFunc(due, func(a, b *Timer[T]) int { return cmp.Compare(a.order, b.order) })
-	}
-	for i, t := range due {
-		due[i] = nil
-		if t.home == l { // else cancelled or moved by one before it
-			w.Cancel(t)
-			fire(t)
+	for timer := list.root.next; timer != &list.root; timer = timer.next {
+		sorted = sorted && (len(expired) == 0 || expired[len(expired)-1].sequence < timer.sequence)
+		expired = append(expired, timer)
+	}
+	if !sorted { // a timer cascaded from a higher level stands behind one that was scheduled later
+		slices.SortFunc(expired, func(a, b *Timer[T]) int { return cmp.Compare(a.sequence, b.sequence) })
+	}
+	for i, timer := range expired {
+		expired[i] = nil
+		if timer.list == list { // otherwise an earlier call of fire has canceled or moved it
+			w.Cancel(timer)
+			fire(timer)
 		}
 	}
-	w.due = due[:0]
+	w.expired = expired[:0]
 }
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,203 +1,154 @@
 package timerwheel
 
 import (
-	"container/heap"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 )
 
-// FuzzWheel checks random steps against the plain program: a list that is searched.
+const (
+	modelBaseMs = 1000
+	modelTickMs = 4.0
+)
+
+// modelTimer is a pending timer of the model.
+type modelTimer struct {
+	timer *Timer[int]
+	tick  int64
+	order int
+}
+
+// wheelModel drives a wheel beside a plain list of its timers that is searched.
+type wheelModel struct {
+	t       *testing.T
+	wheel   *Wheel[int]
+	pending []modelTimer
+	all     []*Timer[int]
+	tick    int64 // current tick
+	order   int   // of the last timer that was scheduled
+}
+
+func newWheelModel(t *testing.T) *wheelModel {
+	return &wheelModel{t: t, wheel: New[int](modelBaseMs, modelTickMs)}
+}
+
+// timeOf returns the time of a tick in milliseconds.
+func timeOf(tick int64) float64 { return modelBaseMs + modelTickMs*float64(tick) }
+
+// remove takes a timer out of the model and reports whether it was pending.
+func (m *wheelModel) remove(timer *Timer[int]) bool {
+	before := len(m.pending)
+	m.pending = slices.DeleteFunc(m.pending, func(p modelTimer) bool { return p.timer == timer })
+	return len(m.pending) < before
+}
+
+// schedule sets a timer so many ticks from now.
+func (m *wheelModel) schedule(timer *Timer[int], ticks int64) {
+	m.remove(timer)
+	m.order++
+	m.pending = append(m.pending, modelTimer{timer, max(m.tick+1, m.tick+ticks), m.order})
+	m.wheel.Schedule(timer, timeOf(m.tick+ticks))
+}
+
+func (m *wheelModel) cancel(timer *Timer[int]) {
+	m.t.Helper()
+	if got, want := m.wheel.Cancel(timer), m.remove(timer); got != want {
+		m.t.Fatalf("canceled %v, want %v", got, want)
+	}
+}
+
+// advance moves the wheel and the model forward.
+func (m *wheelModel) advance(ticks int64) {
+	end := m.tick + ticks
+	m.wheel.Advance(timeOf(end), func(timer *Timer[int]) { m.fired(timer, end) })
+	m.tick = end
+}
+
+// fired checks that a timer that fires is the next of the model.
+func (m *wheelModel) fired(timer *Timer[int], end int64) {
+	earliest := slices.MinFunc(m.pending, func(a, b modelTimer) int {
+		if a.tick != b.tick {
+			return int(min(1, max(-1, a.tick-b.tick)))
+		}
+		return a.order - b.order
+	})
+	if earliest.timer != timer || earliest.tick > end {
+		m.t.Fatalf("fired %d, want %d, which expires at %d of %d", timer.Value, earliest.timer.Value, earliest.tick, end)
+	}
+	m.tick = earliest.tick
+	m.remove(timer)
+	if timer.Value%3 == 0 && timer.Value > 0 { // a timer that reschedules itself and cancels another
+		m.schedule(timer, int64(timer.Value))
+		other := m.all[timer.Value-1]
+		if m.wheel.Cancel(other) != m.remove(other) {
+			m.t.Fatal("a timer canceled by another that fires")
+		}
+		timer.Value-- // so that it ends
+	}
+}
+
+// check compares what the wheel reports with the model.
+func (m *wheelModel) check() {
+	if m.wheel.Len() != len(m.pending) {
+		m.t.Fatalf("%d timers, want %d", m.wheel.Len(), len(m.pending))
+	}
+	next, ok := m.wheel.NextExpiry()
+	for _, p := range m.pending {
+		if p.tick <= m.tick {
+			m.t.Fatalf("timer %d expires at %d, it is %d", p.timer.Value, p.tick, m.tick)
+		}
+		if expiry := timeOf(p.tick); next > expiry {
+			m.t.Fatalf("next expiry at %v, but timer %d expires at %v", next, p.timer.Value, expiry)
+		}
+	}
+	if ok != (len(m.pending) > 0) || ok && next <= timeOf(m.tick) {
+		m.t.Fatalf("next expiry %v, %v at %d with %d timers", next, ok, m.tick, len(m.pending))
+	}
+}
+
+// FuzzWheel checks random steps against the model.
 func FuzzWheel(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Add([]byte{0, 255, 3, 0, 64, 0, 0, 63, 1, 3, 255, 2, 3, 200, 3, 250})
 	f.Add([]byte{0, 5, 4, 0, 5, 3, 3, 9, 0, 5, 0, 5, 3, 1, 3, 255, 3, 255, 3, 255})
 	f.Add([]byte{7, 240, 11, 255, 15, 255, 3, 100, 7, 255, 3, 128, 11, 255})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		type plain struct {
-			timer *Timer[int]
-			at    int64
-			order int
-		}
-		const tick = 4.0
-		w := New[int](1000, tick)
-		var model []plain
-		now, order := int64(0), 0 // in ticks
-		remove := func(x *Timer[int]) bool {
-			n := len(model)
-			model = slices.DeleteFunc(model, func(p plain) bool { return p.timer == x })
-			return len(model) < n
-		}
-		var all []*Timer[int]
-		add := func(x *Timer[int], after int64) {
-			remove(x)
-			order++
-			model = append(model, plain{x, max(now+1, now+after), order})
-			w.Schedule(x, 1000+tick*float64(now+after))
-		}
+		m := newWheelModel(t)
 		for i := 0; i+1 < len(steps); i += 2 {
-			far := int64(1) << (steps[i] >> 2 % 32) // up to beyond the horizon
-			n := int64(steps[i+1]) * max(1, far/64)
+			scale := int64(1) << (steps[i] >> 2 % 32) // up to beyond the horizon
+			ticks := int64(steps[i+1]) * max(1, scale/64)
 			switch steps[i] % 4 {
 			case 0, 1:
-				x := &Timer[int]{Value: len(all)}
-				all = append(all, x)
-				add(x, n)
+				timer := &Timer[int]{Value: len(m.all)}
+				m.all = append(m.all, timer)
+				m.schedule(timer, ticks)
 			case 2:
-				if len(all) > 0 {
-					x := all[int(n)%len(all)]
-					if got, want := w.Cancel(x), remove(x); got != want {
-						t.Fatalf("cancelled %v, want %v", got, want)
-					}
+				if len(m.all) > 0 {
+					m.cancel(m.all[int(ticks)%len(m.all)])
 				}
 			case 3:
-				end := now + n
-				w.Advance(1000+tick*float64(end), func(x *Timer[int]) {
-					best := slices.MinFunc(model, func(a, b plain) int {
-						if a.at != b.at {
-							return int(min(1, max(-1, a.at-b.at)))
-						}
-						return a.order - b.order
-					})
-					if best.timer != x || best.at > end {
-						t.Fatalf("fired %d, want %d, due at %d of %d", x.Value, best.timer.Value, best.at, end)
-					}
-					now = best.at
-					remove(x)
-					if x.Value%3 == 0 && x.Value > 0 { // a timer that sets itself and cancels another
-						add(x, int64(x.Value))
-						y := all[x.Value-1]
-						if w.Cancel(y) != remove(y) {
-							t.Fatal("a timer cancelled from within another")
-						}
-						x.Value-- // not for ever
-					}
-				})
-				now = end
-			}
-			if w.Len() != len(model) {
-				t.Fatalf("%d timers, want %d", w.Len(), len(model))
-			}
-			next, ok := w.NextExpiry()
-			for _, p := range model {
-				if p.at <= now {
-					t.Fatalf("%d was due at %d, it is %d", p.timer.Value, p.at, now)
-				}
-				if due := 1000 + tick*float64(p.at); next > due {
-					t.Fatalf("next at %v, but %d is due at %v", next, p.timer.Value, due)
-				}
-			}
-			if ok != (len(model) > 0) || ok && next <= 1000+tick*float64(now) {
-				t.Fatalf("next %v, %v at %d with %d timers", next, ok, now, len(model))
+				m.advance(ticks)
 			}
+			m.check()
 		}
 	})
 }
 
-func TestOddTimes(t *testing.T) {
-	w := New[string](0, 1)
+func TestExpiryOfPastFractionalAndDistantTimes(t *testing.T) {
+	wheel := New[string](0, 1)
 	var fired []string
+	record := func(timer *Timer[string]) { fired = append(fired, timer.Value) }
 	for i, at := range []float64{-5, 0, 0.5, 1, 1.5} {
-		w.Schedule(&Timer[string]{Value: fmt.Sprint(i)}, at)
+		wheel.Schedule(&Timer[string]{Value: fmt.Sprint(i)}, at)
 	}
-	far := &Timer[string]{Value: "far"}
-	w.Schedule(far, 1e300)
-	w.Advance(1, func(x *Timer[string]) { fired = append(fired, x.Value) })
-	if !slices.Equal(fired, []string{"0", "1", "2", "3"}) || w.Len() != 2 {
-		t.Errorf("fired %v by 1 ms, %d left", fired, w.Len())
+	distant := &Timer[string]{Value: "distant"}
+	wheel.Schedule(distant, 1e300)
+	wheel.Advance(1, record)
+	if !slices.Equal(fired, []string{"0", "1", "2", "3"}) || wheel.Len() != 2 {
+		t.Errorf("fired %v by 1 ms, %d pending", fired, wheel.Len())
 	}
-	w.Advance(3e9, func(x *Timer[string]) { fired = append(fired, x.Value) })
-	if !far.Pending() || len(fired) != 5 || !w.Cancel(far) || w.Cancel(far) {
+	wheel.Advance(3e9, record)
+	if !distant.Pending() || len(fired) != 5 || !wheel.Cancel(distant) || wheel.Cancel(distant) {
 		t.Errorf("fired %v by 3e9 ms", fired)
 	}
 }
-
-// The plain rivals: a heap in which cancelled entries stay until they come up, and a map that is searched.
-
-type heapEntry struct {
-	at   float64
-	dead bool
-}
-
-type plainHeap []*heapEntry
-
-func (h plainHeap) Len() int           { return len(h) }
-func (h plainHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h plainHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *plainHeap) Push(x any)        { *h = append(*h, x.(*heapEntry)) }
-func (h *plainHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
-}
-
-// BenchmarkTimers is a ledger's use: n deadlines wait; each step moves one, and one in sixteen lets a
-// millisecond pass and what is due is set again. One in a hundred is due before it is moved.
-func BenchmarkTimers(b *testing.B) {
-	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
-		span := float64(n) / 4 // how far ahead deadlines lie
-		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
-			r, now := rand.New(rand.NewPCG(1, 2)), 0.0
-			w, all := New[int](0, 1), make([]Timer[int], n)
-			for i := range all {
-				w.Schedule(&all[i], r.Float64()*span)
-			}
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ {
-				w.Schedule(&all[r.IntN(n)], now+span)
-				if i%16 == 0 {
-					now++
-					w.Advance(now, func(x *Timer[int]) { w.Schedule(x, now+span) })
-				}
-			}
-		})
-		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
-			r, now := rand.New(rand.NewPCG(1, 2)), 0.0
-			var h plainHeap
-			all := make([]*heapEntry, n)
-			for i := range all {
-				all[i] = &heapEntry{at: r.Float64() * span}
-				heap.Push(&h, all[i])
-			}
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ {
-				k := r.IntN(n)
-				all[k].dead = true
-				all[k] = &heapEntry{at: now + span}
-				heap.Push(&h, all[k])
-				if i%16 == 0 {
-					for now++; h[0].at <= now; {
-						if x := heap.Pop(&h).(*heapEntry); !x.dead {
-							x.at = now + span
-							heap.Push(&h, x)
-						}
-					}
-				}
-			}
-		})
-		if n > 1e5 {
-			continue // the search takes seconds
-		}
-		b.Run(fmt.Sprintf("map/%d", n), func(b *testing.B) {
-			r, now := rand.New(rand.NewPCG(1, 2)), 0.0
-			m := map[int]float64{}
-			for i := range n {
-				m[i] = r.Float64() * span
-			}
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ {
-				m[r.IntN(n)] = now + span
-				if i%16 == 0 {
-					now++
-					for k, at := range m {
-						if at <= now {
-							m[k] = now + span
-						}
-					}
-				}
-			}
-		})
-	}
-}
