--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -63,60 +63,60 @@
 	d := &Desk{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*lifecycle.Request{},
 		held: map[exchange.ID]*held{}, stop: func() {}}
 	for _, c := range opt.Classes {
-		d.classes[c.Name] = exchange.Class{Effect: c.Effect, Scope: c.Scope,
+		d.classes[c.Name] = exchange.Class{Effect: c.Idempotency, Scope: c.DedupScope,
 			WindowMs: clock.Ms(c.DedupWindow)}
 	}
 	return d, nil
 }
 
-// Offer implements core.Desk.
-func (d *Desk) Offer(nowMs float64, r *lifecycle.Request) {
+// Submit implements core.Desk.
+func (d *Desk) Submit(nowMs float64, r *lifecycle.Request) {
 	d.last++
 	r.Device.Ticket = d.last
 	d.copies[d.last] = r
 	id, v := exchange.CopyID(d.last), r.Device
 	if b := v.Block; b != nil {
 		d.step(nowMs, exchange.BlockReceived{Copy: id, Device: v.ID, Key: v.Key, Tag: b.Tag, Offset: b.Offset, Length: len(v.Body),
-			Digest: xxhash.Sum64(v.Body), More: b.More, TotalBytes: b.Total, TimeLeftMs: r.LeftMs,
+			Digest: xxhash.Sum64(v.Body), More: b.More, TotalBytes: b.Total, TimeLeftMs: r.RemainingMs,
 			Effect: d.classes[r.Class].Effect, ResendHistory: d.history(r), Link: linkSample(v.Link)})
 		return
 	}
-	d.step(nowMs, d.offer(r, v.BodySum, len(v.Body)))
+	d.step(nowMs, d.offer(r, v.BodyDigest, len(v.Body)))
 }
 
 // offer makes the ledger's event of a whole copy.
 func (d *Desk) offer(r *lifecycle.Request, body [32]byte, size int) exchange.CopyReceived {
 	v := r.Device
-	sum := sha256.Sum256(append(v.Head[:], body[:]...))
+	sum := sha256.Sum256(append(v.HeadDigest[:], body[:]...))
 	return exchange.CopyReceived{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
-		Digest: exchange.Digest(sum[:16]), BodyBytes: size, TimeLeftMs: r.LeftMs, ClientDelayMs: r.CameMs, Shard: r.Shard,
+		Digest: exchange.Digest(sum[:16]), BodyBytes: size, TimeLeftMs: r.RemainingMs, ClientDelayMs: r.ClientDelayMs, Shard: r.Shard,
 		ResendHistory: d.history(r), Link: linkSample(v.Link)}
 }
 
 func (d *Desk) history(r *lifecycle.Request) exchange.ResendHistory {
-	return exchange.ResendHistory{IsRetry: r.Repeat, SameGateway: r.Device.SentTo != "" && r.Device.SentTo == d.opt.Gateway, AgeMs: r.Device.AgeMs}
+	return exchange.ResendHistory{IsRetry: r.IsRetry, SameGateway: r.Device.PreviousGateway != "" && r.Device.PreviousGateway == d.opt.Gateway, AgeMs: r.Device.AgeMs}
 }
 
 // linkSample converts a measurement of a link to the store's form.
-func linkSample(l lifecycle.Link) exchange.LinkSample {
+func linkSample(l lifecycle.LinkSample) exchange.LinkSample {
 	return exchange.LinkSample{RoundTripMs: l.RoundTripMs, Bytes: l.Bytes, TransferMs: l.BytesMs, MaxGapMs: l.GapMs}
 }
 
-// Gone implements core.Desk.
-func (d *Desk) Gone(nowMs float64, r *lifecycle.Request) {
+// Cancel implements core.Desk.
+func (d *Desk) Cancel(nowMs float64, r *lifecycle.Request) {
 	if t := r.Device.Ticket; t != 0 {
 		delete(d.copies, t)
 		d.step(nowMs, exchange.CopyCanceled{Copy: exchange.CopyID(t)})
 	}
 }
 
-// Written implements core.Desk.
-func (d *Desk) Written(nowMs float64, r *lifecycle.Request, l lifecycle.Link) {
+// ResponseWritten implements core.Desk.
+func (d *Desk) ResponseWritten(nowMs float64, r *lifecycle.Request, l lifecycle.LinkSample) {
 	d.step(nowMs, exchange.ResponseWritten{Copy: exchange.CopyID(r.Device.Ticket), Link: linkSample(l)})
 }
 
-// Measured implements core.Desk.
-func (d *Desk) Measured(nowMs float64, device string, l lifecycle.Link) {
+// LinkMeasured implements core.Desk.
+func (d *Desk) LinkMeasured(nowMs float64, device string, l lifecycle.LinkSample) {
 	d.step(nowMs, exchange.LinkMeasured{Device: device, Link: linkSample(l)})
 }
 
@@ -193,10 +193,10 @@
 		body = d.held[a.ID].body
 	}
 	id := fmt.Sprintf("%s-%x-%x", d.opt.Name, uint64(a.ID), a.Run)
-	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, LeftMs: a.TimeLeftMs,
-		CameMs: a.ClientDelayMs, Units: r.Units, Shard: a.Shard, Hosts: r.Hosts, Repeat: r.Repeat || a.Run > 1, Fresh: true,
-		Carrier: r.Carrier, Load: r.Device.Load(id, body)}
-	run.Reply = func(v lifecycle.Answer) { d.ended(a, v) }
+	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, RemainingMs: a.TimeLeftMs,
+		ClientDelayMs: a.ClientDelayMs, Units: r.Units, Shard: a.Shard, Gateways: r.Gateways, IsRetry: r.IsRetry || a.Run > 1, IsFirstAttempt: true,
+		Upstream: r.Upstream, Payload: r.Device.BuildPayload(id, body)}
+	run.Respond = func(v lifecycle.Response) { d.ended(a, v) }
 	d.opt.Take(nowMs, run)
 }
 
@@ -204,10 +204,10 @@
 type sizer interface{ Size() int }
 
 // ended takes the one answer of a run. It is called by the core, in the midst of its own step.
-func (d *Desk) ended(a exchange.StartRun, v lifecycle.Answer) {
-	ev := exchange.RunEnded{ID: a.ID, Run: a.Run, Result: exchange.RunFailed, MayHaveExecuted: v.Ran, FirstSentMs: v.RanMs, Shard: v.Shard,
-		RetryAfterMs: v.ComeBackMs}
-	switch v.Verdict {
+func (d *Desk) ended(a exchange.StartRun, v lifecycle.Response) {
+	ev := exchange.RunEnded{ID: a.ID, Run: a.Run, Result: exchange.RunFailed, MayHaveExecuted: v.MayHaveExecuted, FirstSentMs: v.FirstAttemptMs, Shard: v.Shard,
+		RetryAfterMs: v.RetryAfterMs}
+	switch v.Kind {
 	case lifecycle.Served:
 		h := d.hold(a.ID)
 		h.answer = v.Result
@@ -218,15 +218,15 @@
 			ev.ResponseBytes = x.Size()
 		}
 		ev.Result = exchange.RunServed
-	case lifecycle.Refused:
+	case lifecycle.Rejected:
 		ev.Result = exchange.RunRejected
 	}
 	d.step(d.opt.Now(), ev)
 }
 
-var verdicts = [...]lifecycle.Verdict{
-	exchange.OutcomeServed: lifecycle.Served, exchange.OutcomeRejected: lifecycle.Refused, exchange.OutcomeBusy: lifecycle.Refused,
-	exchange.OutcomeTooLate: lifecycle.Refused, exchange.OutcomeFailed: lifecycle.Failed, exchange.OutcomeConflict: lifecycle.Conflict,
+var verdicts = [...]lifecycle.ResponseKind{
+	exchange.OutcomeServed: lifecycle.Served, exchange.OutcomeRejected: lifecycle.Rejected, exchange.OutcomeBusy: lifecycle.Rejected,
+	exchange.OutcomeTooLate: lifecycle.Rejected, exchange.OutcomeFailed: lifecycle.Failed, exchange.OutcomeConflict: lifecycle.Conflict,
 	exchange.OutcomeContinue: lifecycle.Continue, exchange.OutcomeIncomplete: lifecycle.Incomplete, exchange.OutcomeTooLarge: lifecycle.TooLarge,
 	exchange.OutcomeSuperseded: lifecycle.Superseded,
 }
@@ -238,13 +238,13 @@
 	if r == nil {
 		return
 	}
-	a := lifecycle.Answer{Verdict: verdicts[t.Outcome], ComeBackMs: t.RetryAfterMs, Have: t.ReceivedBytes, Kept: t.FromCache,
-		DeadMs: t.Advice.LivenessTimeoutMs, Block: t.Advice.BlockBytes}
+	a := lifecycle.Response{Kind: verdicts[t.Outcome], RetryAfterMs: t.RetryAfterMs, BufferedBytes: t.ReceivedBytes, Cached: t.FromCache,
+		IdleTimeoutMs: t.Advice.LivenessTimeoutMs, BlockSize: t.Advice.BlockBytes}
 	if t.Outcome == exchange.OutcomeServed {
 		h := d.held[t.ID]
 		a.Result, a.ETag = h.answer, h.etag
 	}
-	r.Reply(a)
+	r.Respond(a)
 }
 
 // count adds what has changed to the counters.
--- a/internal/frontend/requestparse/form.go
+++ b/internal/frontend/requestparse/form.go
@@ -47,13 +47,13 @@
 	if most := 2 * clock.Ms(class.Deadline); float64(f.LeftMs) > most {
 		return nil, nil, fmt.Errorf("X-Time-Left-Ms is over %.0f", most)
 	}
-	if class.Effect == scheduler.ByKey && f.Key == "" {
+	if class.Idempotency == scheduler.IdempotentWithKey && f.Key == "" {
 		return nil, nil, fmt.Errorf("class %s needs an Idempotency-Key", class.Name)
 	}
 	if f.Key != "" && !Visible(f.Key) {
 		return nil, nil, errors.New("Idempotency-Key is too long or not plain text")
 	}
-	req := &lifecycle.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, LeftMs: float64(f.LeftMs), Repeat: f.Repeat}
+	req := &lifecycle.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, RemainingMs: float64(f.LeftMs), IsRetry: f.Repeat}
 	if !hasPlan(set, f.Plan) {
 		return nil, nil, errors.New("unknown plan")
 	}
@@ -88,7 +88,7 @@
 				err = strconv.ErrRange
 			}
 		case "hosts":
-			req.Hosts, err = strconv.Atoi(v)
+			req.Gateways, err = strconv.Atoi(v)
 		default:
 			continue
 		}
@@ -127,7 +127,7 @@
 	ID     string  // of a read, which has no upload key
 	AgeMs  float64 // since it first sent it; below zero: not told
 	SentTo string  // the gateway that it sent earlier copies to
-	Link   lifecycle.Link
+	Link   lifecycle.LinkSample
 }
 
 // Device makes a parsed request a copy of a device's exchange. load is what the carrier would send; its header and
@@ -137,7 +137,7 @@
 		return errors.New("the device's name is missing, too long or not plain text")
 	}
 	key := f.Key
-	if class.Effect == scheduler.Repeatable {
+	if class.Idempotency == scheduler.Idempotent {
 		key = c.ID
 	} else if key == "" { // of a class that must not run twice
 		return fmt.Errorf("class %s needs an Idempotency-Key from a device", class.Name)
@@ -145,7 +145,7 @@
 	if !Visible(key) {
 		return errors.New("the request's id is missing, too long or not plain text")
 	}
-	if class.Effect == scheduler.Repeatable != (f.Method == http.MethodGet) {
+	if class.Idempotency == scheduler.Idempotent != (f.Method == http.MethodGet) {
 		return fmt.Errorf("class %s does not go with this method", class.Name)
 	}
 	h := sha256.New()
@@ -158,16 +158,16 @@
 	own := sha256.Sum256([]byte(c.Device + "\x00" + key))
 	nodeKey := hex.EncodeToString(own[:16])
 	prefix := "r\x00"
-	if class.Effect != scheduler.Repeatable {
+	if class.Idempotency != scheduler.Idempotent {
 		prefix = "w\x00"
 	}
 	req.ClientID = ""
-	req.Device = &lifecycle.Device{ID: c.Device, Key: prefix + key, Head: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, SentTo: c.SentTo, Link: c.Link,
-		Load: func(id string, body []byte) any {
+	req.Device = &lifecycle.DeviceRequest{ID: c.Device, Key: prefix + key, HeadDigest: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, PreviousGateway: c.SentTo, Link: c.Link,
+		BuildPayload: func(id string, body []byte) any {
 			l := *load
 			l.Header = load.Header.Clone()
 			l.Header.Set("X-Correlation-Id", id)
-			if class.Effect != scheduler.Repeatable {
+			if class.Idempotency != scheduler.Idempotent {
 				l.Header.Set("Idempotency-Key", nodeKey)
 			}
 			l.Body = body
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -47,9 +47,9 @@
 	defer m.mu.Unlock()
 	now := m.clock.NowMs()
 	if _, ok := m.level[volume]; !ok {
-		m.level[volume], m.last[volume] = m.plan.LimitCap, now
+		m.level[volume], m.last[volume] = m.plan.LimitBurst, now
 	}
-	m.level[volume] = min(m.plan.LimitCap, m.level[volume]+m.plan.Limit*(now-m.last[volume])/1000) - units
+	m.level[volume] = min(m.plan.LimitBurst, m.level[volume]+m.plan.Limit*(now-m.last[volume])/1000) - units
 	m.last[volume] = now
 	m.worst = min(m.worst, m.level[volume])
 	m.units[wire] += units
@@ -74,7 +74,7 @@
 	defer cancel()
 	go lp.Run(ctx)
 
-	list := lifecycle.List{Scope: scheduler.Whole}
+	list := lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}
 	ports := map[string]string{}
 	for shard := range 2 {
 		node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -97,10 +97,10 @@
 			return nil
 		}
 		name := fmt.Sprint("n", shard)
-		list.Nodes = append(list.Nodes, &lifecycle.Node{Name: name, Addr: node.Listener.Addr().String(), Shard: shard})
+		list.Servers = append(list.Servers, &lifecycle.Server{Name: name, Addr: node.Listener.Addr().String(), Shard: shard})
 		ports[name] = files.Addr
 	}
-	lp.Nodes(list)
+	lp.UpdateEndpoints(list)
 	lp.Sync()
 
 	web := httptest.NewServer(&httpserver.Front{Loop: lp, Clock: now, Metrics: counts, Settings: &set,
@@ -111,7 +111,7 @@
 		Options: sftpserver.Options{MaxConns: 32, UnitBytes: unit, Read: set.Classes[0], Write: set.Classes[1], Shards: 2,
 			MostUnits: 6, Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}},
 		Carrier: sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 200,
-			Address: func(n *lifecycle.Node) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Finish)}
+			Address: func(n *lifecycle.Server) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Complete)}
 	go front.Serve(ln)
 	advance := func(ms float64) { // in steps small enough for the module's wakes
 		for ; ms > 0; ms -= 10 {
@@ -201,8 +201,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t.Logf("lowest level %.1f, units %v, refused %d of %d", m.worst, m.units, counts.Get("answers_refused"), counts.Get("requests_taken"))
-	if m.worst < -m.plan.LimitDebt {
-		t.Errorf("a store fell to %.1f, the slack is %.1f", m.worst, m.plan.LimitDebt)
+	if m.worst < -m.plan.LimitOverdraft {
+		t.Errorf("a store fell to %.1f, the slack is %.1f", m.worst, m.plan.LimitOverdraft)
 	}
 	if m.arrivals != counts.Get("attempts_started") {
 		t.Errorf("%d requests reached the nodes, the core sent %d", m.arrivals, counts.Get("attempts_started"))
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -52,7 +52,7 @@
 			if len(opened) != len(c.want) {
 				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
 			}
-			if got := g.loop.Desk() != nil; got != (c.edge.Devices != nil) {
+			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
 				t.Errorf("%s: a desk: %v", name, got)
 			}
 			g.Stop()
@@ -74,7 +74,7 @@
 		}
 		defer taken.Close()
 		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2),
-			Known: lifecycle.List{}}
+			Known: lifecycle.EndpointUpdate{}}
 		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MaxExchanges: 1,
 			MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxHeldBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1,
 			UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100, Link: exchange.LinkSettings{MinLivenessTimeoutMs: 1, MaxLivenessTimeoutMs: 1, MinBlockBytes: 16, MaxBlockBytes: 16, MaxBlockTransferMs: 1}}}}
