--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -38,8 +38,8 @@
 			MaxHeldBytes: int(num("max_held_bytes", 8<<20)), MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024,
 			RetentionMs: num("keep_ms", 60_000), UploadIdleTimeoutMs: num("upload_idle_ms", 30_000),
 			MinRunMs: num("least_run_ms", 20), MaxRetryAfterMs: num("max_wait_ms", 5000),
-			Link: exchange.LinkSettings{MinLivenessTimeoutMs: num("least_dead_ms", 2000), MaxLivenessTimeoutMs: num("most_dead_ms", 15_000),
-				MinBlockBytes: int(num("least_block_bytes", 64)), MaxBlockBytes: int(num("most_block_bytes", 16<<10)),
+			Link: exchange.LinkSettings{MinIdleTimeoutMs: num("least_dead_ms", 2000), MaxIdleTimeoutMs: num("most_dead_ms", 15_000),
+				MinBlockSize: int(num("least_block_bytes", 64)), MaxBlockSize: int(num("most_block_bytes", 16<<10)),
 				MaxBlockTransferMs: num("block_ms", 500)}}}
 	var errs []error
 	if d.CoAP == "" && d.HTTP == "" {
@@ -59,14 +59,14 @@
 		{"idle_ms", clock.Ms(d.IdleTime), 1000, 1e8}, {"hold_off_ms", clock.Ms(d.HoldOff), 0, 1e6},
 		{"max_exchanges", float64(d.Ledger.MaxExchanges), 1, 1 << 24}, {"max_devices", float64(d.Ledger.MaxDevices), 1, 1 << 24},
 		{"max_held_bytes", float64(d.Ledger.MaxHeldBytes), 128 << 10, 1 << 40},
-		{"least_block_bytes", float64(d.Ledger.Link.MinBlockBytes), 16, 1024},
-		{"most_block_bytes", float64(d.Ledger.Link.MaxBlockBytes), 16, 64 << 10},
+		{"least_block_bytes", float64(d.Ledger.Link.MinBlockSize), 16, 1024},
+		{"most_block_bytes", float64(d.Ledger.Link.MaxBlockSize), 16, 64 << 10},
 	} {
 		if !(c.v >= c.least && c.v <= c.most) {
 			errs = append(errs, fmt.Errorf("%s is not from %.0f to %.0f", c.name, c.least, c.most))
 		}
 	}
-	if n := d.Ledger.Link.MinBlockBytes; n&(n-1) != 0 {
+	if n := d.Ledger.Link.MinBlockSize; n&(n-1) != 0 {
 		errs = append(errs, errors.New("least_block_bytes is not a power of two"))
 	}
 	if _, err := exchange.New(d.Ledger); err != nil {
--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -63,8 +63,8 @@
 	d := &Desk{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*lifecycle.Request{},
 		held: map[exchange.ID]*held{}, stop: func() {}}
 	for _, c := range opt.Classes {
-		d.classes[c.Name] = exchange.Class{Effect: c.Idempotency, Scope: c.DedupScope,
-			WindowMs: clock.Ms(c.DedupWindow)}
+		d.classes[c.Name] = exchange.Class{Idempotency: c.Idempotency, DedupScope: c.DedupScope,
+			DedupWindowMs: clock.Ms(c.DedupWindow)}
 	}
 	return d, nil
 }
@@ -77,8 +77,8 @@
 	id, v := exchange.CopyID(d.last), r.Device
 	if b := v.Block; b != nil {
 		d.step(nowMs, exchange.BlockReceived{Copy: id, Device: v.ID, Key: v.Key, Tag: b.Tag, Offset: b.Offset, Length: len(v.Body),
-			Digest: xxhash.Sum64(v.Body), More: b.More, TotalBytes: b.Total, TimeLeftMs: r.RemainingMs,
-			Effect: d.classes[r.Class].Effect, ResendHistory: d.history(r), Link: linkSample(v.Link)})
+			Digest: xxhash.Sum64(v.Body), More: b.More, TotalBytes: b.Total, RemainingMs: r.RemainingMs,
+			Idempotency: d.classes[r.Class].Idempotency, ResendHistory: d.history(r), Link: linkSample(v.Link)})
 		return
 	}
 	d.step(nowMs, d.offer(r, v.BodyDigest, len(v.Body)))
@@ -89,7 +89,7 @@
 	v := r.Device
 	sum := sha256.Sum256(append(v.HeadDigest[:], body[:]...))
 	return exchange.CopyReceived{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
-		Digest: exchange.Digest(sum[:16]), BodyBytes: size, TimeLeftMs: r.RemainingMs, ClientDelayMs: r.ClientDelayMs, Shard: r.Shard,
+		Digest: exchange.Digest(sum[:16]), BodyBytes: size, RemainingMs: r.RemainingMs, ClientDelayMs: r.ClientDelayMs, Shard: r.Shard,
 		ResendHistory: d.history(r), Link: linkSample(v.Link)}
 }
 
@@ -193,7 +193,7 @@
 		body = d.held[a.ID].body
 	}
 	id := fmt.Sprintf("%s-%x-%x", d.opt.Name, uint64(a.ID), a.Run)
-	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, RemainingMs: a.TimeLeftMs,
+	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, RemainingMs: a.RemainingMs,
 		ClientDelayMs: a.ClientDelayMs, Units: r.Units, Shard: a.Shard, Gateways: r.Gateways, IsRetry: r.IsRetry || a.Run > 1, IsFirstAttempt: true,
 		Upstream: r.Upstream, Payload: r.Device.BuildPayload(id, body)}
 	run.Respond = func(v lifecycle.Response) { d.ended(a, v) }
@@ -205,7 +205,7 @@
 
 // ended takes the one answer of a run. It is called by the core, in the midst of its own step.
 func (d *Desk) ended(a exchange.StartRun, v lifecycle.Response) {
-	ev := exchange.RunEnded{ID: a.ID, Run: a.Run, Result: exchange.RunFailed, MayHaveExecuted: v.MayHaveExecuted, FirstSentMs: v.FirstAttemptMs, Shard: v.Shard,
+	ev := exchange.RunEnded{ID: a.ID, Run: a.Run, Result: exchange.RunFailed, MayHaveExecuted: v.MayHaveExecuted, FirstAttemptMs: v.FirstAttemptMs, Shard: v.Shard,
 		RetryAfterMs: v.RetryAfterMs}
 	switch v.Kind {
 	case lifecycle.Served:
@@ -238,8 +238,8 @@
 	if r == nil {
 		return
 	}
-	a := lifecycle.Response{Kind: verdicts[t.Outcome], RetryAfterMs: t.RetryAfterMs, BufferedBytes: t.ReceivedBytes, Cached: t.FromCache,
-		IdleTimeoutMs: t.Advice.LivenessTimeoutMs, BlockSize: t.Advice.BlockBytes}
+	a := lifecycle.Response{Kind: verdicts[t.Outcome], RetryAfterMs: t.RetryAfterMs, BufferedBytes: t.BufferedBytes, Cached: t.Cached,
+		IdleTimeoutMs: t.Advice.IdleTimeoutMs, BlockSize: t.Advice.BlockSize}
 	if t.Outcome == exchange.OutcomeServed {
 		h := d.held[t.ID]
 		a.Result, a.ETag = h.answer, h.etag
--- a/internal/dedup/desk_test.go
+++ b/internal/dedup/desk_test.go
@@ -30,7 +30,7 @@
 	b := &bench{t: t, now: 1e6}
 	set := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxHeldBytes: 1 << 20,
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
-		Link: exchange.LinkSettings{MinLivenessTimeoutMs: 500, MaxLivenessTimeoutMs: 5000, MinBlockBytes: 64, MaxBlockBytes: 4096, MaxBlockTransferMs: 300}}
+		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
 	if change != nil {
 		change(&set)
 	}
--- a/internal/dedup/exchange/bench_test.go
+++ b/internal/dedup/exchange/bench_test.go
@@ -21,16 +21,16 @@
 			for i := range names {
 				names[i] = fmt.Sprint("device-", i)
 			}
-			push := Class{Effect: ByKey, Scope: ScopeCell, WindowMs: 1}
+			push := Class{Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindowMs: 1}
 			now, copies, runs := 0.0, CopyID(0), ID(0)
 			one := func(name, key string) {
 				copies++
-				for _, a := range l.Step(now, CopyReceived{Copy: copies, Device: name, Key: key, Class: push, TimeLeftMs: 1000, Shard: 1, ResendHistory: ResendHistory{AgeMs: -1}}) {
+				for _, a := range l.Step(now, CopyReceived{Copy: copies, Device: name, Key: key, Class: push, RemainingMs: 1000, Shard: 1, ResendHistory: ResendHistory{AgeMs: -1}}) {
 					if r, ok := a.(StartRun); ok {
 						runs = r.ID
 					}
 				}
-				l.Step(now, RunEnded{ID: runs, Run: 1, ResponseBytes: 32, MayHaveExecuted: true, FirstSentMs: now, Shard: 1})
+				l.Step(now, RunEnded{ID: runs, Run: 1, ResponseBytes: 32, MayHaveExecuted: true, FirstAttemptMs: now, Shard: 1})
 				l.Step(now, ResponseWritten{Copy: copies})
 			}
 			var before, after runtime.MemStats
--- a/internal/dedup/exchange/contract.go
+++ b/internal/dedup/exchange/contract.go
@@ -19,26 +19,26 @@
 
 // The kinds of effect and the groups of nodes that drop repeats are the decision module's.
 type (
-	Effect = scheduler.Idempotency
-	Scope  = scheduler.DedupScope
+	Idempotency = scheduler.Idempotency
+	DedupScope  = scheduler.DedupScope
 )
 
 // They by their names there.
 const (
-	Repeatable = scheduler.Idempotent
-	ByKey      = scheduler.IdempotentWithKey
-	Once       = scheduler.NotIdempotent
+	Idempotent        = scheduler.Idempotent
+	IdempotentWithKey = scheduler.IdempotentWithKey
+	NotIdempotent     = scheduler.NotIdempotent
 
-	ScopeAll  = scheduler.DedupAll
-	ScopeZone = scheduler.DedupZone
-	ScopeCell = scheduler.DedupCell
+	DedupAll  = scheduler.DedupAll
+	DedupZone = scheduler.DedupZone
+	DedupCell = scheduler.DedupCell
 )
 
 // Class is what the ledger must know of a request's class.
 type Class struct {
-	Effect   Effect
-	Scope    Scope
-	WindowMs float64 // of ByKey: how long repeats are dropped after the first send
+	Idempotency   Idempotency
+	DedupScope    DedupScope
+	DedupWindowMs float64 // of ByKey: how long repeats are dropped after the first send
 }
 
 // Digest is a digest of a request's content: copies are the same if it is.
@@ -70,7 +70,7 @@
 	Class         Class
 	Digest        Digest
 	BodyBytes     int // of its body
-	TimeLeftMs    float64
+	RemainingMs   float64
 	ClientDelayMs float64 // how much of its time it took to get here
 	Shard         int     // that it names; -1: a new object
 	ResendHistory
@@ -90,13 +90,13 @@
 	Device, Key    string
 	Tag            string // of the upload, by which the device tells its bodies apart
 	Offset, Length int
-	Digest         uint64 // of its bytes
-	More           bool   // further blocks follow
-	TotalBytes     int    // size of the body as the device says; below zero: not told
-	Effect         Effect // of the exchange's class
+	Digest         uint64      // of its bytes
+	More           bool        // further blocks follow
+	TotalBytes     int         // size of the body as the device says; below zero: not told
+	Idempotency    Idempotency // of the exchange's class
 	ResendHistory
-	TimeLeftMs float64
-	Link       LinkSample
+	RemainingMs float64
+	Link        LinkSample
 }
 
 // BodyAssembled tells what a body is that a Whole action asked for.
@@ -135,7 +135,7 @@
 	ResponseBytes   int     // of the answer, with Served
 	RetryAfterMs    float64 // with Refused
 	MayHaveExecuted bool    // an attempt may have run
-	FirstSentMs     float64 // when the first such one was sent
+	FirstAttemptMs  float64 // when the first such one was sent
 	Shard           int     // and where
 }
 
@@ -163,7 +163,7 @@
 	ID            ID
 	Run           int // counts from 1
 	Copy          CopyID
-	TimeLeftMs    float64
+	RemainingMs   float64
 	ClientDelayMs float64 // time that the link took
 	Shard         int     // where it must run; -1: anywhere
 }
@@ -191,8 +191,8 @@
 	Outcome       Outcome
 	ID            ID      // with ToldServed: whose answer
 	RetryAfterMs  float64 // of a refusal
-	ReceivedBytes int
-	FromCache     bool // the answer was kept from an earlier copy's run
+	BufferedBytes int
+	Cached        bool // the answer was kept from an earlier copy's run
 	Advice        LinkAdvice
 }
 
--- a/internal/dedup/exchange/ledger.go
+++ b/internal/dedup/exchange/ledger.go
@@ -75,10 +75,10 @@
 func (e *entry) keepEnd() float64 { return e.window(e.lastMs) }
 
 func (e *entry) window(from float64) float64 {
-	if !e.ran || e.class.Effect != ByKey {
+	if !e.ran || e.class.Idempotency != IdempotentWithKey {
 		return math.Inf(-1)
 	}
-	return from + e.class.WindowMs
+	return from + e.class.DedupWindowMs
 }
 
 // coming is what is held of an upload that is not whole yet.
@@ -139,8 +139,8 @@
 		{"blocks of an upload", set.MaxUploadBlocks > 0}, {"time that writes are kept", set.RetentionMs > 0},
 		{"idle time of an upload", set.UploadIdleTimeoutMs > 0}, {"least time of a run", set.MinRunMs > 0},
 		{"longest time to come back", set.MaxRetryAfterMs >= leastWaitMs},
-		{"silence of a dead link", l.MinLivenessTimeoutMs > 0 && l.MaxLivenessTimeoutMs >= l.MinLivenessTimeoutMs},
-		{"size of a block", l.MinBlockBytes >= 16 && l.MaxBlockBytes >= l.MinBlockBytes},
+		{"silence of a dead link", l.MinIdleTimeoutMs > 0 && l.MaxIdleTimeoutMs >= l.MinIdleTimeoutMs},
+		{"size of a block", l.MinBlockSize >= 16 && l.MaxBlockSize >= l.MinBlockSize},
 		{"time of a block", l.MaxBlockTransferMs > 0},
 	} {
 		if !c.ok {
@@ -237,8 +237,8 @@
 
 // doubtful tells of a copy of an exchange that is not known here, whether an earlier one may have run all the same.
 // If all were sent to this gateway, and it has forgotten nothing that is so young, none came whole.
-func (l *Store) doubtful(e Effect, h *ResendHistory) bool {
-	if !h.IsRetry || e == Repeatable {
+func (l *Store) doubtful(e Idempotency, h *ResendHistory) bool {
+	if !h.IsRetry || e == Idempotent {
 		return false
 	}
 	first := l.now - h.AgeMs
@@ -327,7 +327,7 @@
 			return false
 		}
 		l.stats.Evicted++
-		if e.class.Effect != Repeatable && (e.ran || e.told) {
+		if e.class.Idempotency != Idempotent && (e.ran || e.told) {
 			l.lostMs = max(l.lostMs, e.firstMs, e.lastMs)
 		}
 		l.forget(e)
@@ -388,9 +388,9 @@
 	case e.state == forgotten || e.state == open:
 	case e.state == receiving:
 		to = &l.uploads
-	case e.class.Effect == Repeatable:
+	case e.class.Idempotency == Idempotent:
 		to = &l.reads
-	case e.keepEnd() <= l.now && e.class.Effect == ByKey || !e.ran:
+	case e.keepEnd() <= l.now && e.class.Idempotency == IdempotentWithKey || !e.ran:
 		to = &l.past
 	}
 	if e.list == to && to != &l.uploads {
@@ -418,7 +418,7 @@
 
 // forgetMs is when an exchange that is over is forgotten.
 func (l *Store) forgetMs(e *entry) float64 {
-	if e.class.Effect == Repeatable {
+	if e.class.Idempotency == Idempotent {
 		return max(e.deadline, e.touched+leastWaitMs) // a later copy is another wait
 	}
 	return max(e.deadline, e.keepEnd()) + l.set.RetentionMs
@@ -523,7 +523,7 @@
 func (l *Store) offer(o *CopyReceived, fromUpload bool) {
 	d := l.device(o.Device)
 	if d == nil {
-		l.turnAway(o.Copy, nil, OutcomeBusy, l.doubtful(o.Class.Effect, &o.ResendHistory))
+		l.turnAway(o.Copy, nil, OutcomeBusy, l.doubtful(o.Class.Idempotency, &o.ResendHistory))
 		return
 	}
 	d.link.Observe(o.Link)
@@ -532,11 +532,11 @@
 		l.forget(e)
 		e = nil
 	}
-	budget := o.TimeLeftMs - d.link.ExpectedOverheadMs(int(d.usual), o.TimeLeftMs)
+	budget := o.RemainingMs - d.link.ExpectedOverheadMs(int(d.usual), o.RemainingMs)
 	switch {
 	case e == nil || e.state == receiving:
 		l.begin(d, e, o, budget)
-	case e.sum != o.Digest || e.class.Effect != o.Class.Effect:
+	case e.sum != o.Digest || e.class.Idempotency != o.Class.Idempotency:
 		l.tell(o.Copy, Respond{Outcome: OutcomeConflict, Advice: l.advice(d)})
 		if fromUpload { // those bytes must never be taken for the exchange's
 			l.dropUpload(e)
@@ -549,9 +549,9 @@
 // begin takes a request that the ledger does not know; e is its upload if the body came in blocks.
 func (l *Store) begin(d *device, e *entry, o *CopyReceived, budget float64) {
 	if e != nil {
-		budget = min(budget, e.deadline-l.now-d.link.roundTrip(o.TimeLeftMs)/2)
+		budget = min(budget, e.deadline-l.now-d.link.roundTrip(o.RemainingMs)/2)
 	}
-	doubtful := l.doubtful(o.Class.Effect, &o.ResendHistory)
+	doubtful := l.doubtful(o.Class.Idempotency, &o.ResendHistory)
 	if l.draining && e == nil {
 		l.turnAway(o.Copy, d, OutcomeBusy, doubtful)
 		return
@@ -560,8 +560,8 @@
 		// Another gateway, or this one before its start, may have run it. Where its window is open and its cell
 		// the same, nodes drop what they have; else nobody knows what another run would do.
 		left := -1.0
-		if o.Class.Effect == ByKey && o.AgeMs >= 0 && o.Class.Scope != ScopeZone && (o.Shard >= 0 || o.Class.Scope == ScopeAll) {
-			left = o.Class.WindowMs - o.AgeMs - windowSpare
+		if o.Class.Idempotency == IdempotentWithKey && o.AgeMs >= 0 && o.Class.DedupScope != DedupZone && (o.Shard >= 0 || o.Class.DedupScope == DedupAll) {
+			left = o.Class.DedupWindowMs - o.AgeMs - windowSpare
 		}
 		budget = min(budget, left)
 	}
@@ -581,7 +581,7 @@
 			l.turnAway(o.Copy, d, OutcomeBusy, doubtful)
 			return
 		}
-		e.deadline = l.now + d.link.left(o.TimeLeftMs)
+		e.deadline = l.now + d.link.left(o.RemainingMs)
 		l.settle(e, open)
 	} else {
 		l.unqueue(e)
@@ -608,7 +608,7 @@
 		if e = l.add(d, o.Key, 0); e == nil {
 			return // it would only have been the better
 		}
-		e.deadline = l.now + d.link.left(o.TimeLeftMs)
+		e.deadline = l.now + d.link.left(o.RemainingMs)
 	}
 	e.class, e.sum, e.told = o.Class, o.Digest, true
 	l.settle(e, failed)
@@ -621,7 +621,7 @@
 	l.stats.Runs++
 	e.run++
 	l.wait(e, o)
-	l.do(StartRun{ID: e.id, Run: e.run, Copy: o.Copy, TimeLeftMs: budget, ClientDelayMs: e.cameMs, Shard: shard})
+	l.do(StartRun{ID: e.id, Run: e.run, Copy: o.Copy, RemainingMs: budget, ClientDelayMs: e.cameMs, Shard: shard})
 }
 
 // wait lets a copy wait for its exchange's answer.
@@ -630,7 +630,7 @@
 		l.tell(e.waiting[0].id, Respond{Outcome: OutcomeSuperseded})
 		e.waiting = e.waiting[1:]
 	}
-	e.waiting = append(e.waiting, waiter{o.Copy, l.now + max(0, o.TimeLeftMs)})
+	e.waiting = append(e.waiting, waiter{o.Copy, l.now + max(0, o.RemainingMs)})
 	e.touched = l.now
 	l.copies[o.Copy] = e.id
 	l.arm(e)
@@ -641,7 +641,7 @@
 	d := e.dev
 	e.touched = l.now
 	if e.deadline > l.now { // the copy that a stall has kept back the least tells it best
-		e.deadline = min(e.deadline, l.now+d.link.left(o.TimeLeftMs))
+		e.deadline = min(e.deadline, l.now+d.link.left(o.RemainingMs))
 	}
 	switch e.state {
 	case open:
@@ -650,7 +650,7 @@
 	case answered, delivered:
 		l.stats.ServedFromCache++
 		l.copies[o.Copy] = e.id
-		l.tell(o.Copy, Respond{Outcome: OutcomeServed, ID: e.id, FromCache: true, Advice: l.advice(d)})
+		l.tell(o.Copy, Respond{Outcome: OutcomeServed, ID: e.id, Cached: true, Advice: l.advice(d)})
 	case failed:
 		if left, may := l.mayRunAgain(e, budget); may && !l.draining {
 			l.unqueue(e)
@@ -679,12 +679,12 @@
 	if e.deadline > l.now {
 		left = min(left, e.deadline-l.now)
 	}
-	if !e.inDoubt() || e.class.Effect == Once && e.ran || e.ran && e.class.Effect == ByKey && e.class.Scope == ScopeZone {
+	if !e.inDoubt() || e.class.Idempotency == NotIdempotent && e.ran || e.ran && e.class.Idempotency == IdempotentWithKey && e.class.DedupScope == DedupZone {
 		return 0, false // the ledger can name a cell, but no zone
 	}
-	if e.ran && e.class.Effect == ByKey {
+	if e.ran && e.class.Idempotency == IdempotentWithKey {
 		left = min(left, e.windowEnd()-l.now-windowSpare)
-		if e.class.Scope == ScopeCell && e.ranShard < 0 {
+		if e.class.DedupScope == DedupCell && e.ranShard < 0 {
 			return 0, false
 		}
 	}
@@ -697,10 +697,10 @@
 	l.settle(e, open)
 	l.hold(e, o.BodyBytes, e.coming(), l.answerPlace(e.class))
 	if e.deadline < l.now { // its device has come back for another wait
-		e.deadline = l.now + e.dev.link.left(o.TimeLeftMs)
+		e.deadline = l.now + e.dev.link.left(o.RemainingMs)
 	}
 	shard := e.shard
-	if e.ran && e.class.Effect == ByKey && e.class.Scope == ScopeCell {
+	if e.ran && e.class.Idempotency == IdempotentWithKey && e.class.DedupScope == DedupCell {
 		shard = e.ranShard
 	}
 	l.start(e, o, left, shard)
@@ -709,7 +709,7 @@
 // answerPlace is what is set aside for the answer of a run. That of a write must be kept, so it has its place from
 // the start; a read's is kept if there is room.
 func (l *Store) answerPlace(c Class) int {
-	if c.Effect == Repeatable {
+	if c.Idempotency == Idempotent {
 		return 0
 	}
 	return l.set.MaxBodyBytes
@@ -735,11 +735,11 @@
 	if e == nil || e.state != open || e.run != v.Run {
 		return
 	}
-	if v.MayHaveExecuted && (!e.ran || e.class.Effect == ByKey && v.FirstSentMs >= e.windowEnd()) {
-		e.ran, e.ranMs, e.ranShard = true, v.FirstSentMs, v.Shard
+	if v.MayHaveExecuted && (!e.ran || e.class.Idempotency == IdempotentWithKey && v.FirstAttemptMs >= e.windowEnd()) {
+		e.ran, e.ranMs, e.ranShard = true, v.FirstAttemptMs, v.Shard
 	}
 	if v.MayHaveExecuted {
-		e.lastMs = max(e.lastMs, v.FirstSentMs)
+		e.lastMs = max(e.lastMs, v.FirstAttemptMs)
 	}
 	e.touched = l.now
 	waiting := e.waiting
@@ -750,7 +750,7 @@
 		e.dev.usual += (float64(v.ResponseBytes) - e.dev.usual) / 4
 		// A read's answer needs no place; if there is none, it goes to those who wait and is then forgotten.
 		l.freeBody(e)
-		keep := e.class.Effect != Repeatable || l.room(0, v.ResponseBytes)
+		keep := e.class.Idempotency != Idempotent || l.room(0, v.ResponseBytes)
 		l.hold(e, 0, e.upBytes, v.ResponseBytes)
 		l.settle(e, answered)
 		for _, w := range waiting {
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -8,9 +8,9 @@
 
 // LinkSettings are an operator's bounds of what a link's history may decide.
 type LinkSettings struct {
-	MinLivenessTimeoutMs, MaxLivenessTimeoutMs float64 // a link counts as dead after a silence within these
-	MinBlockBytes, MaxBlockBytes               int     // size of a block
-	MaxBlockTransferMs                         float64 // a block should not take longer than this
+	MinIdleTimeoutMs, MaxIdleTimeoutMs float64 // a link counts as dead after a silence within these
+	MinBlockSize, MaxBlockSize         int     // size of a block
+	MaxBlockTransferMs                 float64 // a block should not take longer than this
 }
 
 // LinkSample is what a connection has measured since it last told. Zero fields tell nothing.
@@ -23,8 +23,8 @@
 
 // LinkAdvice is what a link's history says of how to use it.
 type LinkAdvice struct {
-	LivenessTimeoutMs float64 // after a silence of this the connection is dead
-	BlockBytes        int     // size of a block to send
+	IdleTimeoutMs float64 // after a silence of this the connection is dead
+	BlockSize     int     // size of a block to send
 }
 
 const (
@@ -108,11 +108,11 @@
 	if l.gaps.Count() >= 8 {
 		dead = max(dead, 2*l.gaps.Quantile(0.99))
 	} else {
-		dead = set.MaxLivenessTimeoutMs // one that nothing is known of gets the benefit
+		dead = set.MaxIdleTimeoutMs // one that nothing is known of gets the benefit
 	}
-	block := set.MinBlockBytes
-	for block*2 <= set.MaxBlockBytes && float64(block*2) <= l.bytesPerMs()*set.MaxBlockTransferMs {
+	block := set.MinBlockSize
+	for block*2 <= set.MaxBlockSize && float64(block*2) <= l.bytesPerMs()*set.MaxBlockTransferMs {
 		block *= 2
 	}
-	return LinkAdvice{LivenessTimeoutMs: min(max(dead, set.MinLivenessTimeoutMs), set.MaxLivenessTimeoutMs), BlockBytes: block}
+	return LinkAdvice{IdleTimeoutMs: min(max(dead, set.MinIdleTimeoutMs), set.MaxIdleTimeoutMs), BlockSize: block}
 }
--- a/internal/dedup/exchange/link_test.go
+++ b/internal/dedup/exchange/link_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var linkSettings = LinkSettings{MinLivenessTimeoutMs: 1000, MaxLivenessTimeoutMs: 10_000, MinBlockBytes: 64, MaxBlockBytes: 16384, MaxBlockTransferMs: 400}
+var linkSettings = LinkSettings{MinIdleTimeoutMs: 1000, MaxIdleTimeoutMs: 10_000, MinBlockSize: 64, MaxBlockSize: 16384, MaxBlockTransferMs: 400}
 
 func TestLinkFollowsWhatItIsTold(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -24,7 +24,7 @@
 			l.Observe(LinkSample{RoundTripMs: c.rtt + c.jitter*(2*r.Float64()-1), Bytes: 2000, TransferMs: 2000 / c.rate, MaxGapMs: c.gap})
 		}
 		a := l.Advise(&linkSettings)
-		if a.BlockBytes != c.block || a.LivenessTimeoutMs < c.dead[0] || a.LivenessTimeoutMs > c.dead[1] {
+		if a.BlockSize != c.block || a.IdleTimeoutMs < c.dead[0] || a.IdleTimeoutMs > c.dead[1] {
 			t.Errorf("%s: %+v, want blocks of %d and dead after %v", name, a, c.block, c.dead)
 		}
 		// An answer of 1,000 bytes: there and back, on the wire, half a usual stall, and what it may vary.
@@ -51,8 +51,8 @@
 			t.Errorf("of %v ms: %v, want %v", left, got, want)
 		}
 	}
-	if a := l.Advise(&linkSettings); a.LivenessTimeoutMs != 10_000 {
-		t.Errorf("an unknown link is dead after %v", a.LivenessTimeoutMs)
+	if a := l.Advise(&linkSettings); a.IdleTimeoutMs != 10_000 {
+		t.Errorf("an unknown link is dead after %v", a.IdleTimeoutMs)
 	}
 }
 
@@ -64,9 +64,9 @@
 		t.Fatal(err)
 	}
 	offer := func(id CopyID, left, rtt float64) Action {
-		return l.Step(1e6, CopyReceived{Copy: id, Device: "d", Key: string(rune('a' + id)), TimeLeftMs: left, ResendHistory: ResendHistory{AgeMs: -1}, Link: LinkSample{RoundTripMs: rtt}})[0]
+		return l.Step(1e6, CopyReceived{Copy: id, Device: "d", Key: string(rune('a' + id)), RemainingMs: left, ResendHistory: ResendHistory{AgeMs: -1}, Link: LinkSample{RoundTripMs: rtt}})[0]
 	}
-	if r, ok := offer(1, 2000, 400).(StartRun); !ok || r.TimeLeftMs > 1600 || r.TimeLeftMs < 700 {
+	if r, ok := offer(1, 2000, 400).(StartRun); !ok || r.RemainingMs > 1600 || r.RemainingMs < 700 {
 		t.Errorf("%+v", r)
 	}
 	if a, ok := offer(2, 300, 0).(Respond); !ok || a.Outcome != OutcomeTooLate {
@@ -82,8 +82,8 @@
 func TestSettingsOutOfRange(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"exchanges": func(s *Settings) { s.MaxExchanges = 0 }, "bytes": func(s *Settings) { s.MaxHeldBytes = s.MaxBodyBytes },
-		"keeping": func(s *Settings) { s.RetentionMs = math.NaN() }, "dead": func(s *Settings) { s.Link.MaxLivenessTimeoutMs = 1 },
-		"block": func(s *Settings) { s.Link.MinBlockBytes = 8 }, "come back": func(s *Settings) { s.MaxRetryAfterMs = 1 },
+		"keeping": func(s *Settings) { s.RetentionMs = math.NaN() }, "dead": func(s *Settings) { s.Link.MaxIdleTimeoutMs = 1 },
+		"block": func(s *Settings) { s.Link.MinBlockSize = 8 }, "come back": func(s *Settings) { s.MaxRetryAfterMs = 1 },
 	} {
 		set := testSettings()
 		change(&set)
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -21,7 +21,7 @@
 func testSettings() Settings {
 	return Settings{MaxExchanges: mEntries, MaxDevices: 4, MaxActivePerDevice: 3, MaxWaitingCopies: 2, MaxHeldBytes: mBytes,
 		MaxBodyBytes: mBody, MaxUploadBlocks: 8, RetentionMs: mKeepMs, UploadIdleTimeoutMs: 500, MinRunMs: 20, MaxRetryAfterMs: 2000,
-		Link: LinkSettings{MinLivenessTimeoutMs: 200, MaxLivenessTimeoutMs: 5000, MinBlockBytes: 64, MaxBlockBytes: 4096, MaxBlockTransferMs: 200}}
+		Link: LinkSettings{MinIdleTimeoutMs: 200, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 200}}
 }
 
 // world is the simplest gateway round a ledger: it holds what the ledger says, runs what it says, and checks each
@@ -136,7 +136,7 @@
 		}
 		c.sum = x.sum
 		w.step(BodyAssembled{CopyReceived{Copy: a.Copy, Device: c.dev, Key: c.key, Class: c.class, Digest: c.sum, BodyBytes: len(x.body),
-			TimeLeftMs: c.by - w.now, Shard: mShard(int(c.key[2] - '0')), ResendHistory: ResendHistory{c.block.IsRetry, c.block.SameGateway, w.age(c)}}})
+			RemainingMs: c.by - w.now, Shard: mShard(int(c.key[2] - '0')), ResendHistory: ResendHistory{c.block.IsRetry, c.block.SameGateway, w.age(c)}}})
 	case StartRun:
 		c := w.copies[a.Copy]
 		x := w.known[a.ID]
@@ -154,18 +154,18 @@
 			w.fail("another content is run")
 		}
 		x.open, x.run, x.class, x.sum = true, a.Run, c.class, c.sum
-		if a.TimeLeftMs < 20 {
-			w.fail("a run of %v ms", a.TimeLeftMs)
+		if a.RemainingMs < 20 {
+			w.fail("a run of %v ms", a.RemainingMs)
 		}
-		if h := w.history[c.dev+c.key]; h != nil && h.ran && c.class.Effect != Repeatable && w.now < h.ranMs+h.window {
+		if h := w.history[c.dev+c.key]; h != nil && h.ran && c.class.Idempotency != Idempotent && w.now < h.ranMs+h.window {
 			switch {
-			case c.class.Effect == Once:
+			case c.class.Idempotency == NotIdempotent:
 				w.fail("ran once, and again")
-			case w.now+a.TimeLeftMs > h.ranMs+h.window:
-				w.fail("a repeat may go out at %v, the window ends at %v", w.now+a.TimeLeftMs, h.ranMs+h.window)
-			case c.class.Scope == ScopeCell && a.Shard != h.shard:
+			case w.now+a.RemainingMs > h.ranMs+h.window:
+				w.fail("a repeat may go out at %v, the window ends at %v", w.now+a.RemainingMs, h.ranMs+h.window)
+			case c.class.DedupScope == DedupCell && a.Shard != h.shard:
 				w.fail("a repeat in cell %d of what ran in %d", a.Shard, h.shard)
-			case c.class.Scope == ScopeZone:
+			case c.class.DedupScope == DedupZone:
 				w.fail("a repeat in an unknown zone")
 			}
 		}
@@ -183,7 +183,7 @@
 		if w.now > c.by+guardMs+2*tickMs && a.Outcome != OutcomeSuperseded {
 			w.fail("copy %d is told %v ms late", a.Copy, w.now-c.by)
 		}
-		if a.Advice.LivenessTimeoutMs != 0 && (a.Advice.LivenessTimeoutMs < 200 || a.Advice.LivenessTimeoutMs > 5000 || a.Advice.BlockBytes < 64 || a.Advice.BlockBytes > 4096) {
+		if a.Advice.IdleTimeoutMs != 0 && (a.Advice.IdleTimeoutMs < 200 || a.Advice.IdleTimeoutMs > 5000 || a.Advice.BlockSize < 64 || a.Advice.BlockSize > 4096) {
 			w.fail("advice %+v", a.Advice)
 		}
 		var x *mExchange // that the copy belongs to, if any
@@ -207,14 +207,14 @@
 				x.hasFinal, x.final = true, a.Outcome
 			}
 		case OutcomeRejected:
-			if h := w.history[c.dev+c.key]; h != nil && h.ran && x != nil && c.class.Effect != Repeatable && x.run > 0 && h.ranMs+h.window > w.now {
+			if h := w.history[c.dev+c.key]; h != nil && h.ran && x != nil && c.class.Idempotency != Idempotent && x.run > 0 && h.ranMs+h.window > w.now {
 				w.fail("what may have run is refused")
 			}
 			if a.RetryAfterMs < 0 {
 				w.fail("come back %v", a.RetryAfterMs)
 			}
 		case OutcomeBusy, OutcomeTooLate:
-			if doubt := w.copies[a.Copy]; doubt.block != nil && doubt.block.IsRetry && !doubt.block.SameGateway && doubt.class.Effect != Repeatable {
+			if doubt := w.copies[a.Copy]; doubt.block != nil && doubt.block.IsRetry && !doubt.block.SameGateway && doubt.class.Idempotency != Idempotent {
 				w.fail("what may have run elsewhere is refused")
 			}
 			if a.Outcome == OutcomeTooLate {
@@ -239,10 +239,10 @@
 			if x.open {
 				w.fail("an open exchange is forgotten")
 			}
-			if h := w.history[x.dev+x.key]; x.run > 0 && x.class.Effect == ByKey && h != nil && h.ran && w.now < h.ranMs+h.window {
+			if h := w.history[x.dev+x.key]; x.run > 0 && x.class.Idempotency == IdempotentWithKey && h != nil && h.ran && w.now < h.ranMs+h.window {
 				w.fail("exchange %d is forgotten %v ms before its window ends", a.ID, h.ranMs+h.window-w.now)
 			}
-			if x.class.Effect == Once { // kept for the time that the settings say, and no window tells more
+			if x.class.Idempotency == NotIdempotent { // kept for the time that the settings say, and no window tells more
 				delete(w.history, x.dev+x.key)
 			}
 			delete(w.known, a.ID)
@@ -260,17 +260,17 @@
 		ran = true
 	}
 	key := x.dev + x.key
-	if ran && x.class.Effect != Repeatable {
+	if ran && x.class.Idempotency != Idempotent {
 		h := w.history[key]
 		if h == nil || !h.ran || w.now-10 >= h.ranMs+h.window {
-			w.history[key] = &mRun{true, w.now - 10, shard, x.class.WindowMs}
-			if x.class.Effect == Once {
+			w.history[key] = &mRun{true, w.now - 10, shard, x.class.DedupWindowMs}
+			if x.class.Idempotency == NotIdempotent {
 				w.history[key].window = math.Inf(1)
 			}
 		}
 	}
 	x.answer = size
-	w.step(RunEnded{ID: id, Run: x.run, Result: v, ResponseBytes: size, RetryAfterMs: 50, MayHaveExecuted: ran, FirstSentMs: w.now - 10, Shard: shard})
+	w.step(RunEnded{ID: id, Run: x.run, Result: v, ResponseBytes: size, RetryAfterMs: 50, MayHaveExecuted: ran, FirstAttemptMs: w.now - 10, Shard: shard})
 }
 
 // check compares the ledger's books with a recount.
@@ -336,8 +336,8 @@
 	return w.now - w.first[name]
 }
 
-var mClasses = []Class{{Effect: Repeatable}, {Effect: ByKey, Scope: ScopeCell, WindowMs: mWindow},
-	{Effect: ByKey, Scope: ScopeZone, WindowMs: mWindow}, {Effect: Once}, {Effect: ByKey, Scope: ScopeAll, WindowMs: mWindow}}
+var mClasses = []Class{{Idempotency: Idempotent}, {Idempotency: IdempotentWithKey, DedupScope: DedupCell, DedupWindowMs: mWindow},
+	{Idempotency: IdempotentWithKey, DedupScope: DedupZone, DedupWindowMs: mWindow}, {Idempotency: NotIdempotent}, {Idempotency: IdempotentWithKey, DedupScope: DedupAll, DedupWindowMs: mWindow}}
 
 // body is the content of a key; keys differ in class and size, variants in content.
 func mContent(key, variant int) []byte {
@@ -376,7 +376,7 @@
 					age = -1
 				}
 				w.step(CopyReceived{Copy: w.last, Device: dev, Key: c.key, Class: c.class, Digest: c.sum, BodyBytes: len(c.body),
-					TimeLeftMs: c.by - w.now, Shard: mShard(key), ResendHistory: ResendHistory{repeat, b%3 == 0, age}, Link: LinkSample{RoundTripMs: float64(b), MaxGapMs: float64(a)}})
+					RemainingMs: c.by - w.now, Shard: mShard(key), ResendHistory: ResendHistory{repeat, b%3 == 0, age}, Link: LinkSample{RoundTripMs: float64(b), MaxGapMs: float64(a)}})
 			case 2, 3: // a block: mostly the one that is due
 				content := mContent(key, variant)
 				size := 40
@@ -397,11 +397,11 @@
 					total = len(content) + b%16/15
 				}
 				c.block = &BlockReceived{Device: dev, Key: c.key, Tag: tag, Offset: offset, Length: len(c.body),
-					Digest: xxhash.Sum64(c.body), More: offset+size < len(content), TotalBytes: total, TimeLeftMs: c.by - w.now}
+					Digest: xxhash.Sum64(c.body), More: offset+size < len(content), TotalBytes: total, RemainingMs: c.by - w.now}
 				w.last++
 				c.block.Copy = w.last
 				w.copies[w.last] = c
-				c.block.Effect, c.block.ResendHistory = c.class.Effect, ResendHistory{b%7 == 0, b%3 == 0, w.age(c)}
+				c.block.Idempotency, c.block.ResendHistory = c.class.Idempotency, ResendHistory{b%7 == 0, b%3 == 0, w.age(c)}
 				w.step(*c.block)
 			case 4: // a connection goes, or an answer is written
 				if w.last == 0 {
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -38,7 +38,7 @@
 
 // onBlock decides on a block. Its copy is told at once, except for the last one, which waits for the answer.
 func (l *Store) onBlock(b *BlockReceived) {
-	doubtful := l.doubtful(b.Effect, &b.ResendHistory)
+	doubtful := l.doubtful(b.Idempotency, &b.ResendHistory)
 	d := l.device(b.Device)
 	if d == nil {
 		l.turnAway(b.Copy, nil, OutcomeBusy, doubtful)
@@ -87,7 +87,7 @@
 		if u.whole { // nothing can be added: what does not match it begins anew, and is compared when it is whole
 			have = 0
 		}
-		l.tell(b.Copy, Respond{Outcome: OutcomeIncomplete, ReceivedBytes: have, Advice: advice})
+		l.tell(b.Copy, Respond{Outcome: OutcomeIncomplete, BufferedBytes: have, Advice: advice})
 		return
 	}
 	if !has { // else it has come again
@@ -118,7 +118,7 @@
 	l.queue(e)
 	l.arm(e)
 	if b.More {
-		l.tell(b.Copy, Respond{Outcome: OutcomeContinue, ReceivedBytes: u.have, Advice: advice})
+		l.tell(b.Copy, Respond{Outcome: OutcomeContinue, BufferedBytes: u.have, Advice: advice})
 		return
 	}
 	l.do(AssembleBody{ID: e.id, Copy: b.Copy})
@@ -130,7 +130,7 @@
 		l.turnAway(b.Copy, d, OutcomeBusy, doubtful)
 		return nil
 	}
-	if !(b.TimeLeftMs >= l.set.MinRunMs) {
+	if !(b.RemainingMs >= l.set.MinRunMs) {
 		l.turnAway(b.Copy, d, OutcomeTooLate, doubtful)
 		return nil
 	}
@@ -139,7 +139,7 @@
 		l.turnAway(b.Copy, d, OutcomeBusy, doubtful)
 		return nil
 	}
-	e.deadline = l.now + d.link.left(b.TimeLeftMs)
+	e.deadline = l.now + d.link.left(b.RemainingMs)
 	l.stats.UploadsStarted++
 	l.queue(e)
 	l.arm(e)
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -51,7 +51,7 @@
 		p.coap = &coapserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
 			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpen,
 				MaxMessage: o.MaxMessage, FirstTime: o.FirstTime, IdleTime: o.IdleTime,
-				LeastDead: clock.Duration(o.Ledger.Link.MinLivenessTimeoutMs), MostDead: clock.Duration(o.Ledger.Link.MaxLivenessTimeoutMs),
+				LeastDead: clock.Duration(o.Ledger.Link.MinIdleTimeoutMs), MostDead: clock.Duration(o.Ledger.Link.MaxIdleTimeoutMs),
 				HoldOff: o.HoldOff, GuardTime: 25 * time.Millisecond}}
 	}
 	if o.HTTP != "" {
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -20,7 +20,7 @@
 func TestWhatIsOffIsNotThere(t *testing.T) {
 	ledger := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxHeldBytes: 1 << 20,
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
-		Link: exchange.LinkSettings{MinLivenessTimeoutMs: 500, MaxLivenessTimeoutMs: 5000, MinBlockBytes: 64, MaxBlockBytes: 4096, MaxBlockTransferMs: 300}}
+		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
 	goroutines := map[string]int{}
 	for name, c := range map[string]struct {
 		edge *config.Edge
@@ -77,7 +77,7 @@
 			Known: lifecycle.EndpointUpdate{}}
 		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MaxExchanges: 1,
 			MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxHeldBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1,
-			UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100, Link: exchange.LinkSettings{MinLivenessTimeoutMs: 1, MaxLivenessTimeoutMs: 1, MinBlockBytes: 16, MaxBlockBytes: 16, MaxBlockTransferMs: 1}}}}
+			UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100, Link: exchange.LinkSettings{MinIdleTimeoutMs: 1, MaxIdleTimeoutMs: 1, MinBlockSize: 16, MaxBlockSize: 16, MaxBlockTransferMs: 1}}}}
 		g, err := New(cfg, edge, clock.NewSystem(), Network{Listen: n.Listen, Dial: n.Dial})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -303,7 +303,7 @@
 			Ledger: exchange.Settings{MaxExchanges: 100 * r.Devices, MaxDevices: 2*r.Devices + 8, MaxActivePerDevice: 16,
 				MaxWaitingCopies: 4, MaxHeldBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
 				UploadIdleTimeoutMs: 20_000, MinRunMs: 20, MaxRetryAfterMs: 2000,
-				Link: exchange.LinkSettings{MinLivenessTimeoutMs: 2000, MaxLivenessTimeoutMs: 8000, MinBlockBytes: 64, MaxBlockBytes: 8 << 10, MaxBlockTransferMs: 300}}}
+				Link: exchange.LinkSettings{MinIdleTimeoutMs: 2000, MaxIdleTimeoutMs: 8000, MinBlockSize: 64, MaxBlockSize: 8 << 10, MaxBlockTransferMs: 300}}}
 	}
 	gw, err := gateway.New(cfg, edge, clock.NewSystem(), gateway.Network{Listen: r.Network.Listen, Dial: r.dialNodes()})
 	if err != nil {
