--- /dev/null
+++ b/internal/architecture/page_test.go
@@ -0,0 +1,140 @@
+package architecture
+
+import (
+	"go/ast"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+const architecturePage = "docs/ARCHITECTURE.md"
+
+// codeSpan is a piece of the page in backquotes.
+var codeSpan = regexp.MustCompile("`([^`]+)`")
+
+// qualifiedName is package.Name or package.Type.Member as the page writes them.
+var qualifiedName = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*)(?:\.(\w+))?$`)
+
+// TestArchitecturePageNamesWhatExists checks that each directory, file and declaration that the page names is there.
+func TestArchitecturePageNamesWhatExists(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(root, architecturePage))
+	if err != nil {
+		t.Fatal(err)
+	}
+	declared := declarations(t)
+	spans := codeSpan.FindAllStringSubmatch(string(text), -1)
+	if len(spans) == 0 {
+		t.Fatal("the page names nothing")
+	}
+	checked := 0
+	for _, span := range spans {
+		if checkSpan(t, span[1], declared) {
+			checked++
+		}
+	}
+	if checked == 0 {
+		t.Error("no name of the page was recognised as a path or a declaration")
+	}
+}
+
+// checkSpan checks one code span; it reports whether that was a path or a qualified name.
+func checkSpan(t *testing.T, span string, declared map[string]bool) bool {
+	t.Helper()
+	if strings.HasPrefix(span, "internal/") || strings.HasPrefix(span, "cmd/") || strings.HasPrefix(span, "docs/") {
+		if _, err := os.Stat(filepath.Join(root, strings.TrimSuffix(span, "/..."))); err != nil {
+			t.Errorf("the page names %s: %v", span, err)
+		}
+		return true
+	}
+	match := qualifiedName.FindStringSubmatch(span)
+	if match == nil || !declared[match[1]] {
+		return false
+	}
+	if !declared[span] {
+		t.Errorf("the page names %s, which is not declared", span)
+	}
+	return true
+}
+
+// declarations returns the names of this module's packages, and what they declare as package.Name and package.Type.Member.
+func declarations(t *testing.T) map[string]bool {
+	t.Helper()
+	declared := map[string]bool{}
+	for _, dir := range append(packagesBelow(t, "internal"), packagesBelow(t, "cmd")...) {
+		for _, name := range sourceFiles(t, dir) {
+			file := parse(t, name, 0)
+			declared[file.Name.Name] = true
+			for _, decl := range file.Decls {
+				addDeclaration(declared, file.Name.Name, decl)
+			}
+		}
+	}
+	return declared
+}
+
+// addDeclaration adds what one declaration declares.
+func addDeclaration(declared map[string]bool, pkg string, decl ast.Decl) {
+	switch decl := decl.(type) {
+	case *ast.FuncDecl:
+		declared[pkg+"."+receiver(decl)+decl.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range decl.Specs {
+			addSpec(declared, pkg, spec)
+		}
+	}
+}
+
+// receiver returns the type of a method's receiver and a dot, or nothing for a function.
+func receiver(decl *ast.FuncDecl) string {
+	if decl.Recv == nil {
+		return ""
+	}
+	expr := decl.Recv.List[0].Type
+	if star, ok := expr.(*ast.StarExpr); ok {
+		expr = star.X
+	}
+	if index, ok := expr.(*ast.IndexExpr); ok {
+		expr = index.X
+	}
+	if name, ok := expr.(*ast.Ident); ok {
+		return name.Name + "."
+	}
+	return ""
+}
+
+// addSpec adds a type with its members, or constants and variables.
+func addSpec(declared map[string]bool, pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			declared[pkg+"."+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		declared[pkg+"."+spec.Name.Name] = true
+		for _, member := range members(spec.Type) {
+			declared[pkg+"."+spec.Name.Name+"."+member] = true
+		}
+	}
+}
+
+// members returns the names of a struct's fields or an interface's methods.
+func members(expr ast.Expr) []string {
+	var list *ast.FieldList
+	switch expr := expr.(type) {
+	case *ast.StructType:
+		list = expr.Fields
+	case *ast.InterfaceType:
+		list = expr.Methods
+	default:
+		return nil
+	}
+	var names []string
+	for _, field := range list.List {
+		for _, name := range field.Names {
+			names = append(names, name.Name)
+		}
+	}
+	return names
+}
