--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -32,6 +32,9 @@
 	FileClientError = "file_client_error"
 	DeviceError     = "device_error"
 
+	FleetMemberChanged    = "fleet_member_changed"
+	FleetIdentityConflict = "fleet_identity_conflict"
+
 	BGPSession   = "bgp_session"
 	BGPAnnounced = "bgp_announced"
 
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -12,6 +12,15 @@
 // maxQueued bounds the datagrams that wait to be written.
 const maxQueued = 256
 
+// Names of counters.
+const (
+	counterReadErrors      = "fleet_read_errors"
+	counterWriteErrors     = "fleet_write_errors"
+	counterDatagramsSent   = "fleet_datagrams_sent"
+	counterDatagramsUnsent = "fleet_datagrams_unsent" // dropped because the queue was full
+	counterBytesSent       = "fleet_bytes_sent"
+)
+
 // Socket sends and receives datagrams without blocking its callers.
 type Socket struct {
 	conn       net.PacketConn
@@ -50,7 +59,7 @@
 			return
 		}
 		if err != nil { // for instance an ICMP error in response to an earlier write
-			s.metrics.Add("fleet_read_errors", 1)
+			s.metrics.Add(counterReadErrors, 1)
 			continue
 		}
 		receive(buffer[:n])
@@ -71,11 +80,11 @@
 
 func (s *Socket) write(o outgoing) {
 	if _, err := s.conn.WriteTo(o.datagram, o.to); err != nil {
-		s.metrics.Add("fleet_write_errors", 1)
+		s.metrics.Add(counterWriteErrors, 1)
 		return
 	}
-	s.metrics.Add("fleet_datagrams_sent", 1)
-	s.metrics.Add("fleet_bytes_sent", int64(len(o.datagram)))
+	s.metrics.Add(counterDatagramsSent, 1)
+	s.metrics.Add(counterBytesSent, int64(len(o.datagram)))
 }
 
 // Send queues a datagram. It drops the datagram if the queue is full.
@@ -83,7 +92,7 @@
 	select {
 	case s.queue <- outgoing{to: net.UDPAddrFromAddrPort(to), datagram: datagram}:
 	default:
-		s.metrics.Add("fleet_datagrams_unsent", 1)
+		s.metrics.Add(counterDatagramsUnsent, 1)
 	}
 }
 
--- /dev/null
+++ b/internal/peer/options.go
@@ -0,0 +1,157 @@
+package peer
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+
+	"gaugerelay/internal/membership"
+	"gaugerelay/internal/outlier"
+	"gaugerelay/internal/peerlatency"
+	"gaugerelay/internal/quota"
+)
+
+// Options configure a Service.
+type Options struct {
+	// Self is the number of this gateway.
+	Self uint16
+	// Peers are the addresses of all gateways, including this one, by number.
+	Peers []netip.AddrPort
+	// Key authenticates datagrams. Without a key anyone who reaches the address of the gateway is accepted.
+	Key []byte
+	// Incarnation distinguishes this process from other processes that run, or ran, under the same number.
+	Incarnation uint32
+	// Seed initializes the random number generator of the membership protocol.
+	Seed uint64
+
+	// ProbePeriodMs and ProbeTimeoutMs are the times of membership probes; see membership.Settings.
+	ProbePeriodMs, ProbeTimeoutMs float64
+	// LeaseMs is the duration of a quota lease.
+	LeaseMs float64
+	// ClockDrift is the largest relative difference between the rates of two gateways' clocks.
+	ClockDrift float64
+	// MaxGrantedFraction is the largest fraction of its own share of a quota that a gateway grants to others.
+	MaxGrantedFraction float64
+	// MaxVolumes bounds the volumes whose quota is shared.
+	MaxVolumes int
+}
+
+// Settings of the state machines that operators cannot change.
+const (
+	// maxReportingPeers bounds the gateways whose state is kept for each server and volume.
+	maxReportingPeers = 64
+	// maxServers bounds the servers on which gateways report.
+	maxServers = 4096
+
+	// requestsPerLease is how often a quota lease may be requested during its duration.
+	requestsPerLease = 10
+	// quotaIdleTimeoutMs is how long a gateway grants leases of a volume's quota after its last request for the volume.
+	quotaIdleTimeoutMs = 60_000
+
+	// outlierReportAgeMs is the age beyond which an outlier report is ignored.
+	outlierReportAgeMs = 3000
+	// outlierReportIntervalMs is the interval at which valid outlier reports are repeated.
+	outlierReportIntervalMs = 1000
+	outlierDecayMs          = 2000
+	// outlierQuorumFraction is the fraction of the alive gateways that must report a server to eject it.
+	outlierQuorumFraction = 0.34
+	// maxEjectedFraction is the largest fraction of the servers that may be ejected at the same time.
+	maxEjectedFraction = 0.34
+
+	// latencyReportAgeMs is the age beyond which a latency report is ignored.
+	latencyReportAgeMs      = 1000
+	latencyReportIntervalMs = 200
+	latencyDecayMs          = 500
+	// maxLatencyReports bounds the latency reports of one round. They fit into one datagram.
+	maxLatencyReports = 14
+)
+
+func (o Options) membershipSettings() membership.Settings {
+	settings := membership.DefaultSettings(o.Self, len(o.Peers), o.Incarnation, o.Seed)
+	settings.ProbePeriodMs, settings.ProbeTimeoutMs = o.ProbePeriodMs, o.ProbeTimeoutMs
+	return settings
+}
+
+func (o Options) quotaSettings() quota.Settings {
+	return quota.Settings{
+		Self:               o.Self,
+		Incarnation:        o.Incarnation,
+		LeaseMs:            o.LeaseMs,
+		ClockDrift:         o.ClockDrift,
+		MaxGrantedFraction: o.MaxGrantedFraction,
+		RequestIntervalMs:  o.LeaseMs / requestsPerLease,
+		IdleTimeoutMs:      quotaIdleTimeoutMs,
+		MaxPools:           o.MaxVolumes,
+		MaxPeers:           min(len(o.Peers), maxReportingPeers),
+	}
+}
+
+func (o Options) outlierSettings() outlier.Settings {
+	return outlier.Settings{
+		DecayMs:            outlierDecayMs,
+		MinFailures:        3,
+		MinFailureRatio:    0.5,
+		MaxAttemptWeight:   10,
+		MaxReportAgeMs:     outlierReportAgeMs,
+		ReportIntervalMs:   outlierReportIntervalMs,
+		MinQuorum:          2,
+		QuorumFraction:     outlierQuorumFraction,
+		MaxEjectedFraction: maxEjectedFraction,
+		MaxServers:         maxServers,
+		MaxPeers:           min(len(o.Peers), maxReportingPeers),
+	}
+}
+
+func (o Options) latencySettings() peerlatency.Settings {
+	return peerlatency.Settings{
+		DecayMs:             latencyDecayMs,
+		MaxAgeMs:            latencyReportAgeMs,
+		ReportIntervalMs:    latencyReportIntervalMs,
+		MaxServersPerReport: maxLatencyReports,
+		MaxServers:          maxServers,
+		MaxPeers:            min(max(2, len(o.Peers)), maxReportingPeers),
+	}
+}
+
+// Bounds are the times in milliseconds that follow from Options.
+type Bounds struct {
+	// FailureDetectionMs bounds the time until a gateway that died is declared dead.
+	FailureDetectionMs float64
+	// QuotaReturnMs bounds the time until the leases of a dead gateway have expired.
+	QuotaReturnMs float64
+	// StartupHoldMs is the time after its start in which a gateway does not use the part of its share that an earlier
+	// process may have granted.
+	StartupHoldMs float64
+	// ReportAgeMs is the age beyond which an outlier report is ignored.
+	ReportAgeMs float64
+	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. It is ReportAgeMs longer
+	// if a datagram is lost.
+	EjectionMs float64
+}
+
+// Bounds returns the bounds that these options lead to.
+func (o Options) Bounds() Bounds {
+	return Bounds{
+		FailureDetectionMs: o.membershipSettings().DetectionBoundMs(),
+		QuotaReturnMs:      o.quotaSettings().GrantHoldMs(),
+		StartupHoldMs:      o.quotaSettings().GrantHoldMs(),
+		ReportAgeMs:        outlierReportAgeMs,
+		EjectionMs:         o.outlierSettings().FailureDecayBoundMs() + ejectedRequestIntervalMs,
+	}
+}
+
+// ParseAddrs parses the addresses of gateways, each an IP address and a port, and rejects duplicates.
+func ParseAddrs(texts []string) ([]netip.AddrPort, error) {
+	var addrs []netip.AddrPort
+	for _, text := range texts {
+		addr, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return nil, fmt.Errorf("peer %q is not an address and a port", text)
+		}
+		if slices.Contains(addrs, addr) {
+			return nil, fmt.Errorf("peer %q is there twice", text)
+		}
+		addrs = append(addrs, addr)
+	}
+	return addrs, nil
+}
--- /dev/null
+++ b/internal/peer/send.go
@@ -0,0 +1,82 @@
+package peer
+
+import (
+	"slices"
+
+	"gaugerelay/internal/peer/datagram"
+)
+
+// maxReportRecipients bounds the gateways to which one round of reports is sent.
+const maxReportRecipients = 16
+
+// send sends membership and quota messages to the gateways that they name, and reports to the gateways whose turn it is.
+func (s *Service) send(outbox messages) {
+	if s.socket == nil {
+		return
+	}
+	packets := packetSet{template: datagram.Packet{From: s.options.Self, Incarnation: s.options.Incarnation}}
+	for _, m := range outbox.membership {
+		p := packets.to(m.Peer)
+		p.Membership = append(p.Membership, m)
+	}
+	for _, m := range outbox.quota {
+		p := packets.to(m.Peer)
+		p.Quota = append(p.Quota, m)
+	}
+	if len(outbox.outlierReports) > 0 {
+		for _, peer := range s.reportRecipients() {
+			packets.to(peer).OutlierReports = outbox.outlierReports
+		}
+	}
+	if len(outbox.latencyReports) > 0 {
+		for _, peer := range s.reportRecipients() {
+			packets.to(peer).LatencyReports = outbox.latencyReports
+		}
+	}
+	s.sendPackets(packets)
+}
+
+// sendPackets encodes and sends packets. Packets to gateways that do not exist are dropped.
+func (s *Service) sendPackets(packets packetSet) {
+	for i, peer := range packets.recipients {
+		if int(peer) >= len(s.options.Peers) {
+			continue
+		}
+		for _, b := range s.codec.Encode(*packets.packets[i], &s.lastDatagramNumber) {
+			s.socket.Send(s.options.Peers[peer], b)
+		}
+	}
+}
+
+// reportRecipients returns the gateways that receive a round of reports: all that are alive or, in a large cluster,
+// maxReportRecipients of them in rotation.
+func (s *Service) reportRecipients() []uint16 {
+	alive := s.members.AliveMembers()
+	if len(alive) <= maxReportRecipients {
+		return alive
+	}
+	var recipients []uint16
+	for range maxReportRecipients {
+		recipients = append(recipients, alive[s.nextRecipient%len(alive)])
+		s.nextRecipient++
+	}
+	return recipients
+}
+
+// packetSet holds one packet for each recipient, in the order in which the recipients were first named.
+type packetSet struct {
+	template   datagram.Packet // header of each packet
+	recipients []uint16
+	packets    []*datagram.Packet // parallel to recipients
+}
+
+// to returns the packet for a recipient.
+func (s *packetSet) to(peer uint16) *datagram.Packet {
+	if i := slices.Index(s.recipients, peer); i >= 0 {
+		return s.packets[i]
+	}
+	packet := s.template
+	s.recipients = append(s.recipients, peer)
+	s.packets = append(s.packets, &packet)
+	return &packet
+}
--- /dev/null
+++ b/internal/peer/service.go
@@ -0,0 +1,145 @@
+package peer
+
+import (
+	"log/slog"
+	"math"
+	"net"
+
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/membership"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/outlier"
+	"gaugerelay/internal/peer/datagram"
+	"gaugerelay/internal/peerlatency"
+	"gaugerelay/internal/quota"
+	"gaugerelay/internal/scheduler"
+)
+
+// EventLoop is what a Service needs of the event loop. Its methods may be called from any goroutine.
+type EventLoop interface {
+	// Post calls f on the goroutine of the loop.
+	Post(f func(nowMs float64))
+	// AfterFunc calls f on the goroutine of the loop after ms milliseconds, unless stop is called before.
+	AfterFunc(ms float64, f func(nowMs float64)) (stop func())
+}
+
+// Service exchanges state with the other gateways. Its methods must be called on the goroutine of the event loop, except
+// Start and Close, and InitialQuotaShare, which any goroutine may call.
+type Service struct {
+	options Options
+	metrics *metrics.Set
+	log     *slog.Logger
+	loop    EventLoop // nil before Start
+
+	codec              *datagram.Codec
+	socket             *datagram.Socket        // nil before Start
+	replayWindows      []datagram.ReplayWindow // by the number of the sender
+	lastDatagramNumber uint64
+
+	members   *membership.Memberlist
+	quotas    *quota.Allocator
+	outliers  *outlier.Detector
+	latencies *peerlatency.Aggregator
+	servers   serverTable
+
+	// The following fields hold input for the next step.
+
+	inbox   messages
+	demands []quota.Demand
+
+	nextRecipient   int     // rotates the recipients of reports
+	nextEjectionsMs float64 // when ejections are next passed to the scheduler
+	nextStepMs      float64
+	stopTimer       func() // cancels the timer for nextStepMs
+}
+
+var _ lifecycle.Peers = (*Service)(nil)
+
+// New returns the Service of a gateway that has just started, or an error if the options are out of range.
+func New(options Options, counters *metrics.Set, log *slog.Logger) (*Service, error) {
+	s := &Service{
+		options:       options,
+		metrics:       counters,
+		log:           log,
+		codec:         datagram.NewCodec(options.Key),
+		replayWindows: make([]datagram.ReplayWindow, len(options.Peers)),
+		servers:       newServerTable(),
+		stopTimer:     func() {},
+	}
+	var err error
+	if s.members, err = membership.New(options.membershipSettings()); err != nil {
+		return nil, err
+	}
+	if s.quotas, err = quota.New(options.quotaSettings()); err != nil {
+		return nil, err
+	}
+	if s.outliers, err = outlier.New(options.outlierSettings()); err != nil {
+		return nil, err
+	}
+	if s.latencies, err = peerlatency.New(options.latencySettings()); err != nil {
+		return nil, err
+	}
+	s.quotas.SetPeers(s.members.AliveMembers())
+	s.outliers.SetAliveGateways(len(options.Peers))
+	return s, nil
+}
+
+// InitialQuotaShare returns the fraction of its even share of a quota that the gateway may use until it has heard from
+// other gateways.
+func (s *Service) InitialQuotaShare() float64 { return 1 - s.options.MaxGrantedFraction }
+
+// Start begins to exchange datagrams over a connection, which the service owns from then on. It must be called once,
+// before the event loop calls other methods of the service.
+func (s *Service) Start(conn net.PacketConn, loop EventLoop) {
+	s.loop = loop
+	s.socket = datagram.Open(conn, s.metrics, s.receive)
+	loop.Post(func(nowMs float64) { s.nextStepMs = nowMs })
+}
+
+// Close closes the connection and waits for the goroutines of the service. It has no effect before Start.
+func (s *Service) Close() {
+	if s.socket != nil {
+		s.socket.Close()
+	}
+}
+
+// Leave makes the service announce with the next step that this gateway shuts down.
+func (s *Service) Leave(float64) {
+	s.members.Leave()
+	s.nextStepMs = 0
+}
+
+// ReportDemand implements lifecycle.Peers. It drops the demand if too many wait for the next step.
+func (s *Service) ReportDemand(nowMs float64, demand scheduler.QuotaDemand) {
+	if len(s.demands) < maxPending {
+		s.demands = append(s.demands, quota.Demand{
+			Pool:     uint64(demand.Volume),
+			Gateways: demand.Gateways,
+			Fraction: demand.Share,
+			Resync:   demand.First,
+		})
+	}
+	s.stepBy(nowMs, nowMs+batchDelayMs)
+}
+
+// QuotaExpiresMs implements lifecycle.Peers.
+func (s *Service) QuotaExpiresMs(volume scheduler.VolumeID) float64 {
+	return s.quotas.FirstLeaseExpiryMs(uint64(volume))
+}
+
+// stepBy schedules the next step for atMs unless an earlier one is scheduled.
+func (s *Service) stepBy(nowMs, atMs float64) { s.scheduleStep(nowMs, min(s.nextStepMs, atMs)) }
+
+// scheduleStep schedules the next step for atMs unless one at the same time or earlier is scheduled in the future. An
+// infinite time schedules no step.
+func (s *Service) scheduleStep(nowMs, atMs float64) {
+	if atMs >= s.nextStepMs && s.nextStepMs > nowMs {
+		return
+	}
+	s.stopTimer()
+	s.nextStepMs = atMs
+	if s.loop != nil && !math.IsInf(atMs, 1) {
+		// The loop calls BeginStep after each function that it runs, so the function itself has nothing to do.
+		s.stopTimer = s.loop.AfterFunc(max(minTimerMs, atMs-nowMs), func(float64) {})
+	}
+}
