--- a/cmd/faultbench/members.go
+++ b/cmd/faultbench/members.go
@@ -21,9 +21,9 @@
 		}
 		for _, loss := range []float64{0, 0.05, 0.2} {
 			ms := c.Seconds * 1000 * min(1, 200/float64(n)) // a thousand take a minute of the machine's time for each 10 s
-			rep := membershipsim.Measure(membershipsim.Options{Members: n, Loss: loss, DelayMs: 1, MoreMs: 12, Seed: c.Seed}, ms, 5)
+			rep := membershipsim.Measure(membershipsim.Options{MemberCount: n, LossRate: loss, MinDelayMs: 1, JitterMs: 12, Seed: c.Seed}, ms, 5)
 			fmt.Printf("%4d gateways, %2.0f %% lost: %v\n", n, 100*loss, rep)
-			wrong, unknown = wrong+rep.False, unknown+rep.Unknown
+			wrong, unknown = wrong+rep.FalseDeaths, unknown+rep.Undetected
 		}
 	}
 	fmt.Printf("unknown=%d false=%d\n", unknown, wrong)
--- a/internal/testbed/membershipsim/sim.go
+++ b/internal/testbed/membershipsim/sim.go
@@ -15,18 +15,18 @@
 
 // Options are a play.
 type Options struct {
-	Members         int
-	Loss            float64
-	DelayMs, MoreMs float64 // of a message: at the least, and drawn beside
-	Seed            uint64
+	MemberCount          int
+	LossRate             float64
+	MinDelayMs, JitterMs float64 // of a message: at the least, and drawn beside
+	Seed                 uint64
 }
 
-// Sim is a fleet.
-type Sim struct {
-	NowMs float64
-	Bytes int
-	Sent  int
-	False int // times that a member was held for dead that was not
+// Simulation is a fleet.
+type Simulation struct {
+	NowMs       float64
+	Bytes       int
+	Datagrams   int
+	FalseDeaths int // times that a member was held for dead that was not
 
 	opt    Options
 	rnd    *rand.Rand
@@ -72,28 +72,28 @@
 }
 
 // New starts a fleet.
-func New(o Options) *Sim {
-	s := &Sim{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 51)), cut: func(int, int) bool { return false }, codec: datagram.NewCodec(nil)}
-	for i := range o.Members {
+func New(o Options) *Simulation {
+	s := &Simulation{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 51)), cut: func(int, int) bool { return false }, codec: datagram.NewCodec(nil)}
+	for i := range o.MemberCount {
 		s.all = append(s.all, &node{})
-		s.Start(i)
+		s.StartMember(i)
 	}
 	return s
 }
 
 // Settings are those of a member.
-func (s *Sim) Settings(i int) membership.Settings {
-	return membership.DefaultSettings(uint16(i), s.opt.Members, s.lives, s.opt.Seed<<20+uint64(s.lives))
+func (s *Simulation) Settings(i int) membership.Settings {
+	return membership.DefaultSettings(uint16(i), s.opt.MemberCount, s.lives, s.opt.Seed<<20+uint64(s.lives))
 }
 
-// Start starts a member anew, with nothing that it knew.
-func (s *Sim) Start(i int) {
+// StartMember starts a member anew, with nothing that it knew.
+func (s *Simulation) StartMember(i int) {
 	s.lives++
 	book, err := membership.New(s.Settings(i))
 	if err != nil {
 		panic(err) // they are this package's own
 	}
-	n := &node{book: book, wake: math.Inf(1), deadSince: make([]float64, s.opt.Members)}
+	n := &node{book: book, wake: math.Inf(1), deadSince: make([]float64, s.opt.MemberCount)}
 	for j := range n.deadSince {
 		n.deadSince[j] = math.NaN()
 	}
@@ -102,10 +102,10 @@
 }
 
 // Kill ends a member.
-func (s *Sim) Kill(i int) { s.all[i].dead = true }
+func (s *Simulation) Kill(i int) { s.all[i].dead = true }
 
 // Pause stops a member, or lets it go on with all that has come.
-func (s *Sim) Pause(i int, paused bool) {
+func (s *Simulation) Pause(i int, paused bool) {
 	n := s.all[i]
 	if n.paused = paused; !paused {
 		in := n.inbox
@@ -114,8 +114,8 @@
 	}
 }
 
-// Cut tells which links carry nothing; nil: all are well.
-func (s *Sim) Cut(f func(from, to int) bool) {
+// Partition tells which links carry nothing; nil: all are well.
+func (s *Simulation) Partition(f func(from, to int) bool) {
 	if f == nil {
 		f = func(int, int) bool { return false }
 	}
@@ -123,7 +123,7 @@
 }
 
 // Run goes on for a time.
-func (s *Sim) Run(ms float64) {
+func (s *Simulation) Run(ms float64) {
 	end := s.NowMs + ms
 	for s.events.Len() > 0 && s.events.all[0].at <= end {
 		e := heap.Pop(&s.events).(event)
@@ -148,13 +148,13 @@
 	s.NowMs = end
 }
 
-func (s *Sim) push(e event) {
+func (s *Simulation) push(e event) {
 	s.events.no++
 	e.no = s.events.no
 	heap.Push(&s.events, e)
 }
 
-func (s *Sim) step(i int, in []membership.Message) {
+func (s *Simulation) step(i int, in []membership.Message) {
 	n := s.all[i]
 	out, changes := n.book.Step(s.NowMs, in)
 	for _, c := range changes {
@@ -167,21 +167,21 @@
 		}
 		n.deadSince[c.Member] = s.NowMs
 		if other := s.all[c.Member]; !other.dead && !other.paused && !s.cut(i, int(c.Member)) {
-			s.False++
+			s.FalseDeaths++
 		}
 	}
 	for _, m := range out {
 		to := int(m.Peer)
 		var count uint64
 		for _, b := range s.codec.Encode(datagram.Packet{From: uint16(i), Membership: []membership.Message{m}}, &count) {
-			s.Sent++
+			s.Datagrams++
 			s.Bytes += len(b)
 		}
-		if s.rnd.Float64() < s.opt.Loss || s.cut(i, to) {
+		if s.rnd.Float64() < s.opt.LossRate || s.cut(i, to) {
 			continue
 		}
 		m.Peer = uint16(i)
-		s.push(event{at: s.NowMs + s.opt.DelayMs + s.opt.MoreMs*s.rnd.Float64(), to: to, m: m})
+		s.push(event{at: s.NowMs + s.opt.MinDelayMs + s.opt.JitterMs*s.rnd.Float64(), to: to, m: m})
 	}
 	if next := max(n.book.NextStepMs(), s.NowMs+1); next < n.wake {
 		n.wake = next
@@ -189,8 +189,8 @@
 	}
 }
 
-// Held tells how many of the members that run hold a member for being in a state.
-func (s *Sim) Held(i int, state membership.State) (n int) {
+// CountState tells how many of the members that run hold a member for being in a state.
+func (s *Simulation) CountState(i int, state membership.State) (n int) {
 	for j, other := range s.all {
 		if j != i && !other.dead && !other.paused && other.book.State(uint16(i)) == state {
 			n++
@@ -200,7 +200,7 @@
 }
 
 // Running is how many members run, without one.
-func (s *Sim) Running(but int) (n int) {
+func (s *Simulation) Running(but int) (n int) {
 	for j, other := range s.all {
 		if j != but && !other.dead && !other.paused {
 			n++
@@ -211,14 +211,14 @@
 
 // Report is what a play has measured.
 type Report struct {
-	DetectP50, DetectP99 float64 // from a death to a member's knowing of it, in ms
-	BoundMs              float64
-	Unknown              int     // pairs of a death and a member that did not know of it within the bound
-	Open                 int     // the same where the play ended before the bound
-	FalsePerHour         float64 // times that one that runs was held for dead, in a gateway's hour
-	False                int
-	DatagramsPerS        float64 // a gateway's
-	BytesPerS            float64
+	DetectionP50Ms, DetectionP99Ms float64 // from a death to a member's knowing of it, in ms
+	BoundMs                        float64
+	Undetected                     int     // pairs of a death and a member that did not know of it within the bound
+	Unfinished                     int     // the same where the play ended before the bound
+	FalseDeathsPerHour             float64 // times that one that runs was held for dead, in a gateway's hour
+	FalseDeaths                    int
+	DatagramsPerSecond             float64 // a gateway's
+	BytesPerSecond                 float64
 }
 
 // Measure lets a fleet run for a time, with some deaths in the middle of it.
@@ -226,8 +226,8 @@
 	s := New(o)
 	s.Run(ms / 3)
 	killed := map[int]float64{}
-	for range min(deaths, o.Members/2) {
-		i := s.rnd.IntN(o.Members)
+	for range min(deaths, o.MemberCount/2) {
+		i := s.rnd.IntN(o.MemberCount)
 		if s.all[i].dead {
 			continue
 		}
@@ -237,7 +237,7 @@
 	}
 	bound := s.Settings(0).DetectionBoundMs()
 	s.Run(max(ms/3, min(bound, 4*ms)))
-	rep := Report{BoundMs: bound, False: s.False}
+	rep := Report{BoundMs: bound, FalseDeaths: s.FalseDeaths}
 	var times []float64
 	for i, at := range killed {
 		for j, n := range s.all {
@@ -246,9 +246,9 @@
 			}
 			switch t := n.deadSince[i] - at; {
 			case math.IsNaN(t) && s.NowMs-at < bound:
-				rep.Open++
+				rep.Unfinished++
 			case math.IsNaN(t) || t > bound:
-				rep.Unknown++
+				rep.Undetected++
 			default:
 				times = append(times, t)
 			}
@@ -256,16 +256,16 @@
 	}
 	slices.Sort(times)
 	if n := len(times); n > 0 {
-		rep.DetectP50, rep.DetectP99 = times[n/2], times[n*99/100]
+		rep.DetectionP50Ms, rep.DetectionP99Ms = times[n/2], times[n*99/100]
 	}
-	hours := s.NowMs / 3_600_000 * float64(o.Members)
-	rep.FalsePerHour = float64(s.False) / hours
-	rep.DatagramsPerS, rep.BytesPerS = float64(s.Sent)/hours/3600, float64(s.Bytes)/hours/3600
+	hours := s.NowMs / 3_600_000 * float64(o.MemberCount)
+	rep.FalseDeathsPerHour = float64(s.FalseDeaths) / hours
+	rep.DatagramsPerSecond, rep.BytesPerSecond = float64(s.Datagrams)/hours/3600, float64(s.Bytes)/hours/3600
 	return rep
 }
 
 // String is a line of a table.
 func (r Report) String() string {
 	return fmt.Sprintf("detected p50 %5.0f p99 %5.0f ms (bound %7.0f, not within it %d, not at the end %d)  false %.3f a gateway's hour  %5.1f datagrams/s %6.0f bytes/s",
-		r.DetectP50, r.DetectP99, r.BoundMs, r.Unknown, r.Open, r.FalsePerHour, r.DatagramsPerS, r.BytesPerS)
+		r.DetectionP50Ms, r.DetectionP99Ms, r.BoundMs, r.Undetected, r.Unfinished, r.FalseDeathsPerHour, r.DatagramsPerSecond, r.BytesPerSecond)
 }
--- a/internal/testbed/membershipsim/sim_test.go
+++ b/internal/testbed/membershipsim/sim_test.go
@@ -6,8 +6,8 @@
 	"gaugerelay/internal/membership"
 )
 
-func fleet(n int, loss float64, seed uint64) *Sim {
-	return New(Options{Members: n, Loss: loss, DelayMs: 1, MoreMs: 8, Seed: seed})
+func fleet(n int, loss float64, seed uint64) *Simulation {
+	return New(Options{MemberCount: n, LossRate: loss, MinDelayMs: 1, JitterMs: 8, Seed: seed})
 }
 
 // A death is known everywhere within the bound, and nobody else is held for dead, whatever is lost.
@@ -17,8 +17,8 @@
 		loss float64
 	}{{3, 0}, {3, 0.05}, {10, 0}, {10, 0.05}, {10, 0.2}, {40, 0.05}} {
 		for seed := range uint64(4) {
-			rep := Measure(Options{Members: c.n, Loss: c.loss, DelayMs: 1, MoreMs: 8, Seed: seed}, 30_000, 3)
-			if rep.Unknown > 0 || c.loss < 0.1 && rep.False > 0 {
+			rep := Measure(Options{MemberCount: c.n, LossRate: c.loss, MinDelayMs: 1, JitterMs: 8, Seed: seed}, 30_000, 3)
+			if rep.Undetected > 0 || c.loss < 0.1 && rep.FalseDeaths > 0 {
 				t.Errorf("%d members, %.0f %% lost, seed %d: %v", c.n, 100*c.loss, seed, rep)
 			}
 		}
@@ -29,17 +29,17 @@
 func TestHalvesFindTogether(t *testing.T) {
 	s := fleet(6, 0, 5)
 	s.Run(3000)
-	s.Cut(func(from, to int) bool { return from%2 != to%2 })
+	s.Partition(func(from, to int) bool { return from%2 != to%2 })
 	s.Run(s.Settings(0).DetectionBoundMs())
 	for i := range 6 {
-		if got := s.Held(i, membership.Dead); got != 3 {
+		if got := s.CountState(i, membership.Dead); got != 3 {
 			t.Errorf("member %d is held for dead by %d of the other half", i, got)
 		}
 	}
-	s.Cut(nil)
+	s.Partition(nil)
 	s.Run(s.Settings(0).DetectionBoundMs())
 	for i := range 6 {
-		if got := s.Held(i, membership.Alive); got != 5 {
+		if got := s.CountState(i, membership.Alive); got != 5 {
 			t.Errorf("member %d is held for alive by %d behind the cut", i, got)
 		}
 	}
@@ -48,10 +48,10 @@
 // One direction of a single link is cut: relays are asked, and nobody is held for dead.
 func TestOneWayCutOfALinkKillsNobody(t *testing.T) {
 	s := fleet(6, 0, 8)
-	s.Cut(func(from, to int) bool { return from == 1 && to == 2 })
+	s.Partition(func(from, to int) bool { return from == 1 && to == 2 })
 	s.Run(60_000)
-	if s.False > 0 || s.Held(2, membership.Dead)+s.Held(1, membership.Dead) > 0 {
-		t.Errorf("%d held for dead", s.False)
+	if s.FalseDeaths > 0 || s.CountState(2, membership.Dead)+s.CountState(1, membership.Dead) > 0 {
+		t.Errorf("%d held for dead", s.FalseDeaths)
 	}
 }
 
@@ -61,7 +61,7 @@
 	s.Run(3000)
 	s.Pause(2, true)
 	s.Run(s.Settings(0).DetectionBoundMs())
-	if got := s.Held(2, membership.Dead); got != 5 {
+	if got := s.CountState(2, membership.Dead); got != 5 {
 		t.Errorf("%d hold the paused one for dead", got)
 	}
 	s.Pause(2, false)
@@ -73,7 +73,7 @@
 		}
 		s.Run(500)
 	}
-	if got := s.Held(2, membership.Alive); got != 5 {
+	if got := s.CountState(2, membership.Alive); got != 5 {
 		t.Errorf("%d hold the woken one for alive", got)
 	}
 }
@@ -84,12 +84,12 @@
 	for range 3 {
 		s.Kill(1)
 		s.Run(s.Settings(0).DetectionBoundMs())
-		if got := s.Held(1, membership.Dead); got != 4 {
+		if got := s.CountState(1, membership.Dead); got != 4 {
 			t.Errorf("%d hold it for dead", got)
 		}
-		s.Start(1)
+		s.StartMember(1)
 		s.Run(10_000)
-		if got := s.Held(1, membership.Alive); got != 4 {
+		if got := s.CountState(1, membership.Alive); got != 4 {
 			t.Errorf("%d hold it for alive", got)
 		}
 	}
@@ -101,7 +101,7 @@
 	s.Run(2000)
 	s.all[3].book.Leave()
 	s.Run(6000)
-	if got := s.Held(3, membership.Left); got != 4 {
+	if got := s.CountState(3, membership.Left); got != 4 {
 		t.Errorf("%d know that it has left", got)
 	}
 }
