--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -33,6 +33,9 @@
 	SFTPClientError = "file_client_error"
 	DeviceError     = "device_error"
 
+	FleetMemberChanged    = "fleet_member_changed"
+	FleetIdentityConflict = "fleet_identity_conflict"
+
 	BGPSession   = "bgp_session"
 	BGPAnnounced = "bgp_announced"
 
