--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-func TestManual(t *testing.T) {
-	m := NewManual(100)
+func TestManualRunsTimersInOrder(t *testing.T) {
+	clock := NewManual(100)
 	var ran []float64
-	note := func() { ran = append(ran, m.NowMs()) }
-	m.AfterFunc(20, func() { note(); m.AfterFunc(5, note) })
-	m.AfterFunc(10, note)
-	m.AfterFunc(15, note)()
-	m.AfterFunc(50, note)
-	m.Advance(30)
-	if want := []float64{110, 120, 125}; !slices.Equal(ran, want) || m.NowMs() != 130 {
-		t.Errorf("ran at %v, now %v", ran, m.NowMs())
+	record := func() { ran = append(ran, clock.NowMs()) }
+	clock.AfterFunc(20, func() { record(); clock.AfterFunc(5, record) })
+	clock.AfterFunc(10, record)
+	clock.AfterFunc(15, record)()
+	clock.AfterFunc(50, record)
+	clock.Advance(30)
+	if want := []float64{110, 120, 125}; !slices.Equal(ran, want) || clock.NowMs() != 130 {
+		t.Errorf("ran at %v, now %v", ran, clock.NowMs())
 	}
 	done := make(chan struct{})
-	m.AfterFunc(-1, func() { close(done) })
+	clock.AfterFunc(-1, func() { close(done) })
 	<-done
 }
 
 func TestSystemNeverRunsBackwards(t *testing.T) {
-	s := NewSystem()
-	a := s.NowMs()
-	if b := s.NowMs(); b < a || a < 1.7e12 {
-		t.Errorf("%v, then %v", a, b)
+	clock := NewSystem()
+	first := clock.NowMs()
+	if second := clock.NowMs(); second < first || first < 1.7e12 {
+		t.Errorf("%v, then %v", first, second)
 	}
 	done := make(chan struct{})
-	s.AfterFunc(-1, func() { close(done) })
+	clock.AfterFunc(-1, func() { close(done) })
 	<-done
 }
