--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -14,8 +14,8 @@
 type Clock interface {
 	// NowMs returns the current time in milliseconds since the Unix epoch. It never runs backwards.
 	NowMs() float64
-	// AfterFunc calls f once after ms milliseconds, in a goroutine that is not the caller's; delays up to 0 are already
-	// due. A call of stop prevents the callback if it has not begun.
+	// AfterFunc calls f once after ms milliseconds, never within the call of AfterFunc itself; a delay of 0 or less is
+	// already due. A call of stop prevents the callback if it has not begun.
 	AfterFunc(ms float64, f func()) (stop func())
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,6 @@
-// Package metrics counts what the gateway takes in, sends and answers.
+// Package metrics holds the gateway's counters and writes them in the form of GET /metrics.
+//
+// It runs no goroutine; everything in it is safe for concurrent use.
 package metrics
 
 import (
@@ -8,51 +10,52 @@
 	"sync/atomic"
 )
 
-// Registry is a group of named counters, printed in the order of their first use. It is safe for concurrent use.
+// Registry is a group of named counters. A counter exists from its first use on, and counters are written in the order
+// of their first use.
 type Registry struct {
-	mu    sync.Mutex
-	names []string
-	all   map[string]*atomic.Int64
+	mu       sync.Mutex
+	names    []string // in the order of first use
+	counters map[string]*atomic.Int64
 }
 
-// New returns an empty set.
-func New() *Registry { return &Registry{all: map[string]*atomic.Int64{}} }
-
-// Counter returns the counter of that name.
-func (s *Registry) Counter(name string) *atomic.Int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.all[name]
-	if c == nil {
-		c = &atomic.Int64{}
-		s.all[name] = c
-		s.names = append(s.names, name)
+// New returns an empty registry.
+func New() *Registry { return &Registry{counters: map[string]*atomic.Int64{}} }
+
+// Counter returns the counter with a name and creates it at 0 if there is none. Callers that count often keep it.
+func (r *Registry) Counter(name string) *atomic.Int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	counter := r.counters[name]
+	if counter == nil {
+		counter = &atomic.Int64{}
+		r.counters[name] = counter
+		r.names = append(r.names, name)
 	}
-	return c
+	return counter
 }
 
-// Add counts n more under a name.
-func (s *Registry) Add(name string, n int64) { s.Counter(name).Add(n) }
+// Add adds n to the counter with a name.
+func (r *Registry) Add(name string, n int64) { r.Counter(name).Add(n) }
 
-// Get reads a counter.
-func (s *Registry) Get(name string) int64 { return s.Counter(name).Load() }
+// Get returns the value of the counter with a name and, like Counter, creates it if there is none.
+func (r *Registry) Get(name string) int64 { return r.Counter(name).Load() }
 
-// WriteText writes one "name value" line a counter.
-func (s *Registry) WriteText(w io.Writer) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, n := range s.names {
-		fmt.Fprintf(w, "%s %d\n", n, s.all[n].Load())
+// WriteText writes one line "name value" for each counter. Errors of w are ignored: its readers may have gone away.
+func (r *Registry) WriteText(w io.Writer) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, name := range r.names {
+		fmt.Fprintf(w, "%s %d\n", name, r.counters[name].Load())
 	}
 }
 
-// Snapshot is a copy of the counters.
-func (s *Registry) Snapshot() map[string]int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := make(map[string]int64, len(s.all))
-	for n, c := range s.all {
-		out[n] = c.Load()
+// Snapshot returns the current values by name.
+func (r *Registry) Snapshot() map[string]int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	values := make(map[string]int64, len(r.counters))
+	for name, counter := range r.counters {
+		values[name] = counter.Load()
 	}
-	return out
+	return values
 }
