--- a/cmd/gaugerelay/main_test.go
+++ b/cmd/gaugerelay/main_test.go
@@ -187,7 +187,7 @@
 	}()
 	<-reached
 	cmd.Process.Signal(syscall.SIGTERM)
-	until("msg=stopping")
+	until("msg=shutdown_started")
 	close(release)
 	if a := <-answer; a != "200 layer" {
 		t.Errorf("answer %q", a)
@@ -246,7 +246,7 @@
 	want("0 watch=1&after=0")
 	cmd.Process.Signal(syscall.SIGHUP)
 	cmd.Process.Signal(syscall.SIGTERM)
-	until("msg=stopping")
+	until("msg=shutdown_started")
 	cmd.Process.Signal(syscall.SIGHUP)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
@@ -269,7 +269,7 @@
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		cmd.Process.Signal(s)
 	}
-	until("msg=stopping")
+	until("msg=shutdown_started")
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -17,6 +17,7 @@
 	"gaugerelay/internal/frontend/coapserver"
 	"gaugerelay/internal/frontend/httpserver"
 	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 )
 
 // devices are the fronts for devices on poor links, with the desk that they share.
@@ -84,7 +85,7 @@
 			WriteTimeout: 4*p.g.longest + p.opt.FirstTime, IdleTimeout: p.opt.IdleTime, MaxHeaderBytes: 16 << 10,
 			ConnState: p.conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 				return p.http.ConnContext(p.conns.Context(ctx, nc), nc)
-			}, DisableGeneralOptionsHandler: true}
+			}, DisableGeneralOptionsHandler: true, ErrorLog: logevent.HTTPServerLog()}
 		clients := p.conns.Listen(ln, p.opt.MaxConns)
 		p.g.serve("devices", func() error { return p.serve.Serve(clients) })
 		p.g.listening("devices by HTTP", ln.Addr().String())
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -11,6 +11,7 @@
 	"gaugerelay/internal/frontend/httpserver"
 	"gaugerelay/internal/frontend/sftpserver"
 	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/upstream/sftpclient"
 )
 
@@ -51,7 +52,7 @@
 	}
 	p.serve = &http.Server{Handler: p.front, ReadHeaderTimeout: headTime, ReadTimeout: requestTime,
 		WriteTimeout: p.g.longest + answerTime, IdleTimeout: idleTime, MaxHeaderBytes: 16 << 10, ConnState: p.conns.State,
-		ConnContext: p.conns.Context, DisableGeneralOptionsHandler: true}
+		ConnContext: p.conns.Context, DisableGeneralOptionsHandler: true, ErrorLog: logevent.HTTPServerLog()}
 	ln := p.conns.Listen(p.ln, max(1, p.g.cfg.Sockets*3/8))
 	p.g.serve("clients", func() error { return p.serve.Serve(ln) })
 	p.g.listening("clients", p.ln.Addr().String())
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -1,16 +1,21 @@
-// Package event names what the program logs, so that every record of one kind carries the same message and the same
-// fields and can be searched for. It sets up the program's logger.
+// Package logevent names the events that the program logs, so that all records of one kind have the same message and the
+// same fields and can be searched for. It also sets up the program's logger.
+//
+// It holds no state of its own and runs no goroutine.
 package logevent
 
 import (
 	"io"
+	"log"
 	"log/slog"
+	"strings"
 )
 
-// Names of events. They are the messages of log records and do not change between versions.
+// Names of events. They are the messages of log records; operators search for them, so a change of a value is a change of
+// the program's interface.
 const (
 	ListenerStarted = "listener_started"
-	ShutdownStarted = "stopping"
+	ShutdownStarted = "shutdown_started"
 
 	ReloadDone            = "reload_done"
 	ReloadFailed          = "reload_failed"
@@ -23,22 +28,23 @@
 	AgentAway           = "agent_away"
 	AgentBack           = "agent_back"
 
-	RequestAccepted  = "request_taken"
-	RequestCompleted = "request_answered"
-	RequestCanceled  = "request_dropped"
+	RequestAccepted  = "request_accepted"
+	RequestCompleted = "request_completed"
+	RequestCanceled  = "request_canceled"
 	AttemptStarted   = "attempt_started"
 	AttemptEnded     = "attempt_ended"
 
-	SFTPClientError = "file_client_error"
+	SFTPClientError = "sftp_client_error"
 	DeviceError     = "device_error"
 
 	BGPSession   = "bgp_session"
 	BGPAnnounced = "bgp_announced"
 
-	SchedulerMessage = "scheduler_note"
+	HTTPServerMessage = "http_server_message"
+	SchedulerMessage  = "scheduler_message"
 )
 
-// Keys of fields.
+// Keys of fields that several events have. Latencies are in milliseconds.
 const (
 	Address = "addr"
 	Client  = "client"
@@ -49,12 +55,23 @@
 	Server  = "server"
 	Status  = "status"
 	TookMs  = "took_ms"
-	AgeMs   = "age_ms"
 	Version = "version"
 )
 
-// Setup makes a text logger that writes records of a level and above the default one. Records of the standard
-// library's log package, of which net/http writes some, go through it at level INFO.
+// Setup makes the default logger one that writes text records of a level and above to out. Records of the standard
+// library's log package go through it too, at level INFO and with their text as the message.
 func Setup(out io.Writer, level slog.Level) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level})))
 }
+
+// HTTPServerLog returns a logger for http.Server.ErrorLog. It logs each message of the server as an HTTPServerMessage
+// event at level INFO with the default logger.
+func HTTPServerLog() *log.Logger { return log.New(httpServerWriter{}, "", 0) }
+
+// httpServerWriter logs each Write as one event.
+type httpServerWriter struct{}
+
+func (httpServerWriter) Write(message []byte) (int, error) {
+	slog.Info(HTTPServerMessage, "text", strings.TrimSuffix(string(message), "\n"))
+	return len(message), nil
+}
