--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -34,10 +34,10 @@
 		for i := 0; i < len(b.Items); {
 			it := b.Items[i]
 			switch it.Kind {
-			case simwire.Killed:
+			case simwire.InstanceKilled:
 				delete(hosts, it.Instance)
 				i++
-			case simwire.Opened:
+			case simwire.InstanceOpened:
 				s, err := scheduler.New(it.Settings, it.Seed)
 				if err != nil {
 					return fmt.Errorf("instance %d: %w", it.Instance, err)
@@ -47,7 +47,7 @@
 			default: // all that follows for the same life of this instance is one step
 				var events []scheduler.Event
 				for ; i < len(b.Items) && b.Items[i].Instance == it.Instance &&
-					b.Items[i].Kind == simwire.Happened; i++ {
+					b.Items[i].Kind == simwire.EventOccurred; i++ {
 					events = append(events, b.Items[i].Event)
 				}
 				if s := hosts[it.Instance]; s != nil {
@@ -55,7 +55,7 @@
 				}
 			}
 		}
-		simwire.Finish(w, b)
+		simwire.WriteEnd(w, b)
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -66,8 +66,8 @@
 func step(w *bufio.Writer, inst int, s *scheduler.Scheduler, b *simwire.Batch, events []scheduler.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			simwire.GiveIn(w, inst, fmt.Sprint(p))
+			simwire.WriteFailure(w, inst, fmt.Sprint(p))
 		}
 	}()
-	simwire.Reply(w, inst, s.Step(b.Now, events))
+	simwire.WriteActions(w, inst, s.Step(b.Now, events))
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -98,7 +98,7 @@
 	var out strings.Builder
 	fmt.Fprintf(&out, "batch %q at %d\n", b.Seq, b.Now)
 	for _, item := range b.Items {
-		if item.Kind == simwire.Opened {
+		if item.Kind == simwire.InstanceOpened {
 			fmt.Fprintf(&out, "%d %d seed %d %v\n", item.Kind, item.Instance, item.Seed, item.Settings)
 		} else {
 			fmt.Fprintf(&out, "%d %d %v\n", item.Kind, item.Instance, item.Event)
@@ -168,7 +168,7 @@
 func TestGoldenReplies(t *testing.T) {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	simwire.Reply(w, 3, []scheduler.Action{
+	simwire.WriteActions(w, 3, []scheduler.Action{
 		scheduler.Send{ID: 7001, Server: 501, Timeout: 80*time.Millisecond + 125*time.Microsecond},
 		scheduler.Send{ID: 4294967295, Server: 4294967295, StartDeadline: time.Second},
 		scheduler.Send{ID: 7001, Server: 501, Timeout: -time.Millisecond},
@@ -182,9 +182,9 @@
 		scheduler.QuotaDemand{},
 		scheduler.Log{Text: "two servers known"},
 	})
-	simwire.Reply(w, 4, nil)
-	simwire.GiveIn(w, 5, "index out of range\nsecond line")
-	simwire.Finish(w, &simwire.Batch{Seq: "12"})
+	simwire.WriteActions(w, 4, nil)
+	simwire.WriteFailure(w, 5, "index out of range\nsecond line")
+	simwire.WriteEnd(w, &simwire.Batch{Seq: "12"})
 	w.Flush()
 	compareGolden(t, "replies.txt", out.String())
 }
@@ -280,7 +280,7 @@
 			t.Fatal(err)
 		}
 		answer(t, w, schedulers, batch)
-		simwire.Finish(w, batch)
+		simwire.WriteEnd(w, batch)
 	}
 }
 
@@ -290,9 +290,9 @@
 	var events []scheduler.Event
 	for i, item := range batch.Items {
 		switch item.Kind {
-		case simwire.Killed:
+		case simwire.InstanceKilled:
 			delete(schedulers, item.Instance)
-		case simwire.Opened:
+		case simwire.InstanceOpened:
 			scheduler, err := scheduler.New(item.Settings, item.Seed)
 			if err != nil {
 				t.Fatal(err)
@@ -300,10 +300,10 @@
 			schedulers[item.Instance] = scheduler
 		default:
 			events = append(events, item.Event)
-			if i+1 < len(batch.Items) && batch.Items[i+1].Kind == simwire.Happened && batch.Items[i+1].Instance == item.Instance {
+			if i+1 < len(batch.Items) && batch.Items[i+1].Kind == simwire.EventOccurred && batch.Items[i+1].Instance == item.Instance {
 				continue
 			}
-			simwire.Reply(w, item.Instance, schedulers[item.Instance].Step(batch.Now, events))
+			simwire.WriteActions(w, item.Instance, schedulers[item.Instance].Step(batch.Now, events))
 			events = nil
 		}
 	}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -38,8 +38,8 @@
 	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
 }
 
-// settings reads the Setup pairs. Unknown paths are skipped.
-func settings(f *fields) (s scheduler.Settings) {
+// parseSettings reads the Setup pairs. Unknown paths are skipped.
+func parseSettings(f *fields) (s scheduler.Settings) {
 	p := &pairs{vals: make(map[string]string, len(f.vals))}
 	for _, kv := range f.vals {
 		if k, v, ok := strings.Cut(kv, "="); ok {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -13,19 +13,19 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Kind is what an Item holds.
-type Kind uint8
+// ItemKind is what an Item holds.
+type ItemKind uint8
 
 // The kinds of item.
 const (
-	Happened Kind = iota // an Event for a running instance
-	Opened               // an instance has come up
-	Killed               // an instance has ended
+	EventOccurred  ItemKind = iota // an Event for a running instance
+	InstanceOpened                 // an instance has come up
+	InstanceKilled                 // an instance has ended
 )
 
 // Item is one entry of a batch, in the order of the wire.
 type Item struct {
-	Kind     Kind
+	Kind     ItemKind
 	Instance int
 	Seed     uint64             // with Opened
 	Settings scheduler.Settings // with Opened
@@ -203,11 +203,11 @@
 func (r *Reader) item(f *fields) (it Item, known bool, err error) {
 	switch f.name {
 	case "OPEN_INSTANCE":
-		it.Kind = Opened
+		it.Kind = InstanceOpened
 		it.Seed = f.whole("Prng", 64, false)
-		it.Settings = settings(f)
+		it.Settings = parseSettings(f)
 	case "KILL":
-		it.Kind = Killed
+		it.Kind = InstanceKilled
 	case "BACKENDS_CHANGED":
 		it.Event, err = r.nodeList(f)
 	case "NEW_REQUEST":
@@ -301,8 +301,8 @@
 	return l, nil
 }
 
-// Reply prints the actions of one instance.
-func Reply(w *bufio.Writer, inst int, actions []scheduler.Action) {
+// WriteActions prints the actions of one instance.
+func WriteActions(w *bufio.Writer, inst int, actions []scheduler.Action) {
 	if len(actions) == 0 {
 		return
 	}
@@ -329,13 +329,13 @@
 	}
 }
 
-// GiveIn prints that the decision code has failed.
-func GiveIn(w *bufio.Writer, inst int, why string) {
+// WriteFailure prints that the decision code has failed.
+func WriteFailure(w *bufio.Writer, inst int, why string) {
 	fmt.Fprintf(w, "FOR %d\nGIVE_IN %s\n", inst, strings.ReplaceAll(why, "\n", " "))
 }
 
-// Finish ends a reply.
-func Finish(w *bufio.Writer, b *Batch) { fmt.Fprintf(w, "FINISHED %s\n", b.Seq) }
+// WriteEnd ends a reply.
+func WriteEnd(w *bufio.Writer, b *Batch) { fmt.Fprintf(w, "FINISHED %s\n", b.Seq) }
 
 func printMs(d time.Duration) string {
 	if d == 0 {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -74,7 +74,7 @@
 	s := b.Items[0].Settings
 	c := s.Classes[0]
 	switch {
-	case b.Items[0].Kind != Opened || b.Items[0].Seed != 5:
+	case b.Items[0].Kind != InstanceOpened || b.Items[0].Seed != 5:
 		t.Errorf("item %+v", b.Items[0])
 	case c.Idempotency != scheduler.IdempotentWithKey || c.DedupScope != scheduler.DedupZone || !c.OrderedByKey || !c.Write || c.LatencyObjective != time.Second/2:
 		t.Errorf("class %+v", c)
@@ -110,12 +110,12 @@
 func TestReply(t *testing.T) {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	Reply(w, 3, []scheduler.Action{scheduler.Send{ID: 7, Server: 51, Timeout: 80 * time.Millisecond},
+	WriteActions(w, 3, []scheduler.Action{scheduler.Send{ID: 7, Server: 51, Timeout: 80 * time.Millisecond},
 		scheduler.Send{ID: 8, Server: 51}, scheduler.Reject{ID: 9, RetryAfter: 250 * time.Millisecond}, scheduler.Fail{ID: 10},
 		scheduler.CancelAttempt{ID: 7, Attempt: 1}, scheduler.WatchEndpoints{}, scheduler.ProbeServer{Server: 51},
 		scheduler.SetTimer{At: 8912250 * time.Microsecond}, scheduler.Log{Text: "hello"}})
-	Reply(w, 4, nil)
-	Finish(w, &Batch{Seq: "12"})
+	WriteActions(w, 4, nil)
+	WriteEnd(w, &Batch{Seq: "12"})
 	w.Flush()
 	want := "FOR 3\nFORWARD 7 80 51\nFORWARD 8 - 51\nNOT_NOW 9 250\nEND_FAILED 10\nCANCEL 7 1\nLISTEN 1\nPROBE 51\n" +
 		"SET_TIMER 1 8912.25\nDEBUG hello\nFINISHED 12\n"
