--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts schedulers on the simulator's wire: standard input to standard output.
+// Command simhost runs schedulers for the simulator: it reads batches of events from standard input and writes the
+// schedulers' actions to standard output, until the input ends. It has one goroutine.
 package main
 
 import (
@@ -12,6 +13,9 @@
 	"gaugerelay/internal/simwire"
 )
 
+// bufferSize is the size of the output's buffer in bytes.
+const bufferSize = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -19,55 +23,79 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	hosts := map[int]*scheduler.Scheduler{}
+	reader := simwire.NewReader(in)
+	h := &host{out: bufio.NewWriterSize(out, bufferSize), schedulers: map[int]*scheduler.Scheduler{}}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for i := 0; i < len(b.Items); {
-			it := b.Items[i]
-			switch it.Kind {
-			case simwire.InstanceKilled:
-				delete(hosts, it.Instance)
-				i++
-			case simwire.InstanceOpened:
-				s, err := scheduler.New(it.Settings, it.Seed)
-				if err != nil {
-					return fmt.Errorf("instance %d: %w", it.Instance, err)
-				}
-				hosts[it.Instance] = s
-				i++
-			default: // all that follows for the same life of this instance is one step
-				var events []scheduler.Event
-				for ; i < len(b.Items) && b.Items[i].Instance == it.Instance &&
-					b.Items[i].Kind == simwire.EventOccurred; i++ {
-					events = append(events, b.Items[i].Event)
-				}
-				if s := hosts[it.Instance]; s != nil {
-					step(w, it.Instance, s, b, events)
-				}
+		if err := h.handle(batch); err != nil {
+			return err
+		}
+	}
+}
+
+// host owns the schedulers of all running instances.
+type host struct {
+	out        *bufio.Writer
+	schedulers map[int]*scheduler.Scheduler // by instance
+}
+
+// handle replies to one batch.
+func (h *host) handle(batch *simwire.Batch) error {
+	for items := batch.Items; len(items) > 0; {
+		item := items[0]
+		switch item.Kind {
+		case simwire.InstanceKilled:
+			delete(h.schedulers, item.Instance)
+			items = items[1:]
+		case simwire.InstanceOpened:
+			opened, err := scheduler.New(item.Settings, item.Seed)
+			if err != nil {
+				return fmt.Errorf("instance %d: %w", item.Instance, err)
 			}
+			h.schedulers[item.Instance] = opened
+			items = items[1:]
+		default:
+			events := leadingEvents(items)
+			items = items[len(events):]
+			h.step(batch, item.Instance, events)
 		}
-		simwire.WriteEnd(w, b)
-		if err := w.Flush(); err != nil {
-			return err
+	}
+	simwire.WriteEnd(h.out, batch)
+	return h.out.Flush()
+}
+
+// leadingEvents returns the events up to the first item that is for another instance or is not an event. They are for the
+// same run of an instance, and form one step.
+func leadingEvents(items []simwire.Item) []scheduler.Event {
+	var events []scheduler.Event
+	for _, item := range items {
+		if item.Instance != items[0].Instance || item.Kind != simwire.EventOccurred {
+			break
 		}
+		events = append(events, item.Event)
 	}
+	return events
 }
 
-// step runs one instance; a panic there becomes GIVE_IN.
-func step(w *bufio.Writer, inst int, s *scheduler.Scheduler, b *simwire.Batch, events []scheduler.Event) {
+// step runs the scheduler of an instance, if there is one, and writes its actions. A panic of the scheduler is reported
+// as the instance's failure.
+func (h *host) step(batch *simwire.Batch, instance int, events []scheduler.Event) {
+	running := h.schedulers[instance]
+	if running == nil {
+		return
+	}
 	defer func() {
-		if p := recover(); p != nil {
-			simwire.WriteFailure(w, inst, fmt.Sprint(p))
+		if reason := recover(); reason != nil {
+			simwire.WriteFailure(h.out, instance, fmt.Sprint(reason))
 		}
 	}()
-	simwire.WriteActions(w, inst, s.Step(b.Now, events))
+	simwire.WriteActions(h.out, instance, running.Step(batch.Now, events))
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,12 +6,14 @@
 	"testing"
 )
 
+// setup opens an instance with one class, one plan and one server.
 const setup = "OPEN_INSTANCE 5 Lanes.count=1 Lanes.0.Name=read Lanes.0.PromiseMs=500.0 Lanes.0.DeadlineMs=3000.0" +
 	" Lanes.0.Idempotency=repeatable Lanes.0.Worth=2.0 Plans.count=1 Plans.0.Name=gold Plans.0.Shares=1.0" +
 	" Plans.0.Pays=1.0 Siblings=2 FamilyInfo.NShards=1 FamilyInfo.MeanUnits=2.0 Limits.AttemptsCap=4 TickMs=2.0\n" +
 	"BACKENDS_CHANGED 1 stale_copy 1\nITEM 1 live k - 0 51 z\n"
 
-func talk(t *testing.T, in string) string {
+// reply returns the whole output for an input that must be usable.
+func reply(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -20,8 +22,8 @@
 	return out.String()
 }
 
-func TestConversation(t *testing.T) {
-	got := talk(t, "CLOCK 1000 1\nEND\n"+
+func TestHostAnswersRequest(t *testing.T) {
+	got := reply(t, "CLOCK 1000 1\nEND\n"+
 		"CLOCK 1002 2\nTARGET_INSTANCE 0\n"+setup+"END\n"+
 		"CLOCK 1004 3\nTARGET_INSTANCE 0\nNEW_REQUEST 7 read gold 42 3000 9 2 0 1 0\nEND\n"+
 		"CLOCK 1054 4\nTARGET_INSTANCE 0\nCLOSED_ATTEMPT 7 50 - 1 10 0 51 0 -\nEND\n")
@@ -35,16 +37,16 @@
 	}
 }
 
-func TestKilledAndOpenedInOneBatch(t *testing.T) {
-	got := talk(t, "CLOCK 1002 1\nTARGET_INSTANCE 0\n"+setup+"NEW_REQUEST 7 read gold 42 3000 9 2 0 1 0\nEND\n"+
+func TestHostReopensInstanceInOneBatch(t *testing.T) {
+	got := reply(t, "CLOCK 1002 1\nTARGET_INSTANCE 0\n"+setup+"NEW_REQUEST 7 read gold 42 3000 9 2 0 1 0\nEND\n"+
 		"CLOCK 1004 2\nTARGET_INSTANCE 0\nKILL\n"+setup+"NEW_REQUEST 8 read gold 43 3000 9 2 0 1 0\nEND\n"+
 		"CLOCK 5000 3\nTARGET_INSTANCE 0\nREMINDER 1\nEND\n")
 	if !strings.Contains(got, "FORWARD 8 ") || strings.Contains(got, "END_FAILED 7") || strings.Contains(got, "NOT_NOW 7") {
-		t.Errorf("reply\n%s", got)
+		t.Errorf("got\n%s", got)
 	}
 }
 
-func TestUnusableSettingsAndBadInputAreErrors(t *testing.T) {
+func TestRunRejectsInvalidSettingsAndInput(t *testing.T) {
 	for _, in := range []string{"CLOCK 1 1\nTARGET_INSTANCE 0\nOPEN_INSTANCE 5 Siblings=2\nEND\n", "CLOCK 1 1\n", "HELLO\n"} {
 		var out bytes.Buffer
 		if err := run(strings.NewReader(in), &out); err == nil {
--- /dev/null
+++ b/internal/simwire/reader.go
@@ -0,0 +1,162 @@
+// Package simwire is the adapter between the scheduler and the simulator's text protocol: it parses batches of events and
+// writes replies. It decides nothing.
+//
+// A batch is a group of lines from CLOCK to END; each line is a name and values separated by single spaces, and "-" is an
+// absent value. Unknown lines, and further values of known ones, are those of a later version and are skipped. The names
+// on the wire are the simulator's; this package alone translates them.
+//
+// The package runs no goroutine. Readers and the writer functions are not safe for concurrent use.
+package simwire
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"gaugerelay/internal/scheduler"
+)
+
+// Lines that delimit batches and select instances.
+const (
+	lineBatchStart     = "CLOCK"
+	lineBatchEnd       = "END"
+	lineTargetInstance = "TARGET_INSTANCE"
+)
+
+// bufferSize is the size of the reader's buffer in bytes.
+const bufferSize = 1 << 20
+
+// noInstance is the target of a batch's items before its first TARGET_INSTANCE.
+const noInstance = -1
+
+// ItemKind says what an Item holds.
+type ItemKind uint8
+
+// The kinds of items.
+const (
+	EventOccurred  ItemKind = iota // an event for a running instance
+	InstanceOpened                 // an instance has started
+	InstanceKilled                 // an instance has ended
+)
+
+// String returns the kind's name.
+func (k ItemKind) String() string {
+	switch k {
+	case EventOccurred:
+		return "event occurred"
+	case InstanceOpened:
+		return "instance opened"
+	case InstanceKilled:
+		return "instance killed"
+	default:
+		return "unknown"
+	}
+}
+
+// Item is one entry of a batch.
+type Item struct {
+	Kind     ItemKind
+	Instance int
+	Seed     uint64             // for InstanceOpened
+	Settings scheduler.Settings // for InstanceOpened
+	Event    scheduler.Event    // for EventOccurred
+}
+
+// Batch holds everything that happens at one moment, in the order of the wire.
+type Batch struct {
+	Now   time.Duration // on the simulator's clock
+	Seq   string        // the batch's number, to be repeated by WriteEnd
+	Items []Item
+}
+
+// Reader reads batches.
+type Reader struct {
+	in   *bufio.Reader
+	line int // number of the last line that was read
+}
+
+// NewReader returns a Reader that reads from r.
+func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, bufferSize)} }
+
+// Next reads a batch. It returns io.EOF if the input ends before the batch, and an error with the number of the line if
+// the batch is malformed or incomplete; the Reader must not be used after an error.
+func (r *Reader) Next() (*Batch, error) {
+	start, err := r.readLine()
+	if err != nil {
+		return nil, err
+	}
+	if start.name != lineBatchStart {
+		return nil, fmt.Errorf("line %d: %s expected, got %q", r.line, lineBatchStart, start.name)
+	}
+	batch := &Batch{Now: start.ms("time"), Seq: start.text("number")}
+	if start.err != nil {
+		return nil, r.atLine(start.err)
+	}
+	if err := r.readItems(batch); err != nil {
+		return nil, err
+	}
+	return batch, nil
+}
+
+// readItems reads a batch's lines up to its end.
+func (r *Reader) readItems(batch *Batch) error {
+	instance := noInstance
+	for {
+		line, err := r.readLine()
+		switch {
+		case err == io.EOF:
+			return r.atLine(fmt.Errorf("%s is missing", lineBatchEnd))
+		case err != nil:
+			return err
+		case line.name == lineBatchEnd:
+			return nil
+		case line.name == lineTargetInstance:
+			instance = int(line.integer("Gateway", countBits))
+		default:
+			if err := r.readItem(batch, instance, line); err != nil {
+				return err
+			}
+		}
+		if line.err != nil {
+			return r.atLine(line.err)
+		}
+	}
+}
+
+// readItem adds the item that begins with a line to the batch, unless it is unknown or the line is malformed, which
+// line.err then tells.
+func (r *Reader) readItem(batch *Batch, instance int, line *fieldParser) error {
+	item, known, err := r.parseItem(line)
+	if err != nil {
+		return err
+	}
+	if !known || line.err != nil {
+		return nil
+	}
+	if instance == noInstance {
+		line.fail(fmt.Errorf("%s: no %s before it", line.name, lineTargetInstance))
+		return nil
+	}
+	item.Instance = instance
+	batch.Items = append(batch.Items, item)
+	return nil
+}
+
+// readLine returns a parser of the next line's values.
+func (r *Reader) readLine() (*fieldParser, error) {
+	text, err := r.in.ReadString('\n')
+	if err == io.EOF && text != "" {
+		return nil, fmt.Errorf("line %d: cut off at the end of input", r.line+1)
+	}
+	if err != nil {
+		return nil, err
+	}
+	r.line++
+	fields := strings.Split(strings.TrimRight(text, "\r\n"), " ")
+	return &fieldParser{name: fields[0], values: fields[1:]}, nil
+}
+
+// atLine adds the number of the last line to an error.
+func (r *Reader) atLine(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,98 +9,160 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// pairs is the Setup of an instance; the first bad value is kept in err.
-type pairs struct {
-	vals map[string]string
-	err  error
+// idempotencies translates the wire's effects of repeated requests.
+var idempotencies = map[string]scheduler.Idempotency{
+	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
+}
+
+// dedupScopes translates the wire's groups of servers that share deduplication.
+var dedupScopes = map[string]scheduler.DedupScope{
+	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
 }
 
-func (p *pairs) num(path string) float64 {
-	v, ok := p.vals[path]
-	if !ok || v == "" || v == "-" {
+// settingsParser looks up settings by their path. Absent ones are zero values, and the first error, in the order of reading, is kept in err.
+type settingsParser struct {
+	values map[string]string
+	err    error
+}
+
+// number returns a number; "" and "-" are 0.
+func (p *settingsParser) number(path string) float64 {
+	value := p.values[path]
+	if value == "" || value == absent {
 		return 0
 	}
-	x, err := strconv.ParseFloat(v, 64)
+	x, err := strconv.ParseFloat(value, 64)
 	if err != nil && p.err == nil {
-		p.err = fmt.Errorf("OPEN_INSTANCE: %s is not a number: %q", path, v)
+		p.err = fmt.Errorf("%s: %s is not a number: %q", lineInstanceOpened, path, value)
 	}
 	return x
 }
 
-func (p *pairs) ms(path string) time.Duration { return ms(p.num(path + "Ms")) }
-func (p *pairs) yes(path string) bool         { return p.vals[path] == "true" || p.vals[path] == "1" }
+// count returns a number truncated to an integer.
+func (p *settingsParser) count(path string) int { return int(p.number(path)) }
 
-var effects = map[string]scheduler.Idempotency{
-	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
-}
+// ms returns the time in milliseconds at the path with the suffix Ms.
+func (p *settingsParser) ms(path string) time.Duration { return fromMs(p.number(path + "Ms")) }
 
-var groups = map[string]scheduler.DedupScope{
-	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
+func (p *settingsParser) bool(path string) bool {
+	return p.values[path] == "true" || p.values[path] == "1"
 }
 
-// parseSettings reads the Setup pairs. Unknown paths are skipped.
-func parseSettings(f *fields) (s scheduler.Settings) {
-	p := &pairs{vals: make(map[string]string, len(f.vals))}
-	for _, kv := range f.vals {
-		if k, v, ok := strings.Cut(kv, "="); ok {
-			p.vals[k] = v
+// parseSettings reads the rest of a line, pairs "path=value". Unknown paths are skipped.
+func parseSettings(line *fieldParser) scheduler.Settings {
+	p := &settingsParser{values: make(map[string]string, len(line.values))}
+	for _, pair := range line.values {
+		if path, value, ok := strings.Cut(pair, "="); ok {
+			p.values[path] = value
 		}
 	}
-	writes := strings.Split(p.vals["FamilyInfo.ClassWrites"], ",")
-	for i := range int(p.num("Lanes.count")) {
-		at := fmt.Sprintf("Lanes.%d.", i)
-		c := scheduler.Class{
-			Name: p.vals[at+"Name"], LatencyObjective: p.ms(at + "Promise"), ObjectiveStretch: p.num(at + "AimStretch"),
-			Deadline: p.ms(at + "Deadline"), DedupWindow: p.ms(at + "DedupWindow"),
-			OrderedByKey: p.yes(at + "InTurn"), Stream: p.yes(at + "Stream"),
-			PriorityWeight: p.num(at + "Worth"), LateFraction: p.num(at + "LateValue"),
-			Write: i < len(writes) && writes[i] == "true",
-		}
-		var ok, ok2 bool
-		c.Idempotency, ok = effects[p.vals[at+"Idempotency"]]
-		if c.DedupScope, ok2 = groups[p.vals[at+"KeyScope"]]; !ok2 {
-			c.DedupScope = scheduler.DedupCell // an unknown group: the narrowest
-		}
-		if !ok {
-			c.Idempotency = scheduler.NotIdempotent // an unknown effect: the strictest
-		}
-		s.Classes = append(s.Classes, c)
+	var settings scheduler.Settings
+	settings.Classes = p.classes()
+	settings.Plans = p.plans()
+	p.readDeployment(&settings)
+	p.readAttemptLimits(&settings)
+	p.readServerLimits(&settings)
+	p.readBudgets(&settings)
+	if p.err != nil {
+		line.fail(p.err)
 	}
-	for i := range int(p.num("Plans.count")) {
-		at := fmt.Sprintf("Plans.%d.", i)
-		s.Plans = append(s.Plans, scheduler.Plan{
-			Name: p.vals[at+"Name"], Rate: p.num(at + "UsualRate"), Reserve: p.num(at + "Reservation"),
-			Weight: p.num(at + "Shares"), PriorityFactor: p.num(at + "Pays"), Limit: p.num(at + "CeilingRate"),
-			LimitBurst: p.num(at + "CapDepth"), LimitOverdraft: p.num(at + "CapSlack"),
-		})
+	return settings
+}
+
+func (p *settingsParser) classes() (classes []scheduler.Class) {
+	writes := strings.Split(p.values["FamilyInfo.ClassWrites"], ",")
+	for i := range p.count("Lanes.count") {
+		class := p.class(fmt.Sprintf("Lanes.%d.", i))
+		class.Write = i < len(writes) && writes[i] == "true"
+		classes = append(classes, class)
 	}
-	s.Gateways = int(p.num("Siblings"))
-	s.Shards = int(p.num("FamilyInfo.NShards"))
-	s.MeanUnits, s.MaxUnits = p.num("FamilyInfo.MeanUnits"), p.num("FamilyInfo.MostUnits")
-	s.FairShareWeight, s.SurplusWeight = p.num("FamilyInfo.FairWorth"), p.num("FamilyInfo.IdleWorth")
-	s.PollEndpoints = p.vals["Discovery"] == "ask"
-	s.MaxPollInterval = p.ms("Invariants.AskWithin")
-	s.MaxAttempts = int(p.num("Limits.AttemptsCap"))
-	s.AllowHedging = p.yes("Limits.MayDuplicate")
-	s.AllowCancel, s.AllowProbes = p.yes("Limits.Cancel"), p.yes("Limits.Probing")
-	if p.yes("Limits.RetryAfter") {
-		s.MaxRetryAfter = p.ms("Limits.MaxRetryAfter")
+	return classes
+}
+
+// class reads the class whose settings have a prefix.
+func (p *settingsParser) class(prefix string) scheduler.Class {
+	class := scheduler.Class{
+		Name:             p.values[prefix+"Name"],
+		LatencyObjective: p.ms(prefix + "Promise"),
+		ObjectiveStretch: p.number(prefix + "AimStretch"),
+		Deadline:         p.ms(prefix + "Deadline"),
+		DedupWindow:      p.ms(prefix + "DedupWindow"),
+		OrderedByKey:     p.bool(prefix + "InTurn"),
+		Stream:           p.bool(prefix + "Stream"),
+		PriorityWeight:   p.number(prefix + "Worth"),
+		LateFraction:     p.number(prefix + "LateValue"),
+	}
+	var ok bool
+	if class.Idempotency, ok = idempotencies[p.values[prefix+"Idempotency"]]; !ok {
+		class.Idempotency = scheduler.NotIdempotent // an unknown one is read as the strictest
 	}
-	s.ResponseGrace, s.DrainGrace = p.ms("Invariants.GraceToAnswer"), p.ms("Invariants.DrainGrace")
-	s.InitialCapacity, s.SlowStartDuration = p.num("Invariants.StartCapacity"), p.ms("Invariants.RampTime")
-	s.OverloadMultiple, s.OverloadWindow = p.num("Invariants.FallMultiple"), p.ms("Invariants.Fall")
-	s.SlowStartUnits = p.num("FamilyInfo.ColdBears")
-	s.KeyCooldown = p.ms("Invariants.KeyRest")
-	s.RetryBudgetMin, s.RetryBudgetRatio = p.num("Invariants.ExtraFloor"), p.num("Invariants.ExtraRatio")
-	s.RetryBudgetWindow = p.ms("Invariants.CountedOver")
-	s.UsagePeriod = p.ms("FamilyInfo.UsePeriod")
-	s.ReportsForeignUnits = p.yes("FamilyInfo.TellsElsewhere")
-	if v := p.vals["Report.Fields"]; v != "" && v != "-" {
-		s.LoadReportFields = strings.Split(v, ",")
+	if class.DedupScope, ok = dedupScopes[p.values[prefix+"KeyScope"]]; !ok {
+		class.DedupScope = scheduler.DedupCell // an unknown one is read as the narrowest
+	}
+	return class
+}
+
+func (p *settingsParser) plans() (plans []scheduler.Plan) {
+	for i := range p.count("Plans.count") {
+		prefix := fmt.Sprintf("Plans.%d.", i)
+		plans = append(plans, scheduler.Plan{
+			Name:           p.values[prefix+"Name"],
+			Rate:           p.number(prefix + "UsualRate"),
+			Reserve:        p.number(prefix + "Reservation"),
+			Weight:         p.number(prefix + "Shares"),
+			PriorityFactor: p.number(prefix + "Pays"),
+			Limit:          p.number(prefix + "CeilingRate"),
+			LimitBurst:     p.number(prefix + "CapDepth"),
+			LimitOverdraft: p.number(prefix + "CapSlack"),
+		})
 	}
-	s.MinStepInterval = p.ms("Tick")
-	if f.err == nil {
-		f.err = p.err
+	return plans
+}
+
+// readDeployment reads the sizes of the deployment and the weights of shared capacity.
+func (p *settingsParser) readDeployment(settings *scheduler.Settings) {
+	settings.Gateways = p.count("Siblings")
+	settings.Shards = p.count("FamilyInfo.NShards")
+	settings.MeanUnits = p.number("FamilyInfo.MeanUnits")
+	settings.MaxUnits = p.number("FamilyInfo.MostUnits")
+	settings.FairShareWeight = p.number("FamilyInfo.FairWorth")
+	settings.SurplusWeight = p.number("FamilyInfo.IdleWorth")
+	settings.PollEndpoints = p.values["Discovery"] == "ask"
+	settings.MaxPollInterval = p.ms("Invariants.AskWithin")
+}
+
+// readAttemptLimits reads what the gateway may do with attempts.
+func (p *settingsParser) readAttemptLimits(settings *scheduler.Settings) {
+	settings.MaxAttempts = p.count("Limits.AttemptsCap")
+	settings.AllowHedging = p.bool("Limits.MayDuplicate")
+	settings.AllowCancel = p.bool("Limits.Cancel")
+	settings.AllowProbes = p.bool("Limits.Probing")
+	if p.bool("Limits.RetryAfter") {
+		settings.MaxRetryAfter = p.ms("Limits.MaxRetryAfter")
+	}
+	settings.ResponseGrace = p.ms("Invariants.GraceToAnswer")
+	settings.DrainGrace = p.ms("Invariants.DrainGrace")
+}
+
+// readServerLimits reads what servers bear after a start and after failures.
+func (p *settingsParser) readServerLimits(settings *scheduler.Settings) {
+	settings.InitialCapacity = p.number("Invariants.StartCapacity")
+	settings.SlowStartDuration = p.ms("Invariants.RampTime")
+	settings.OverloadMultiple = p.number("Invariants.FallMultiple")
+	settings.OverloadWindow = p.ms("Invariants.Fall")
+	settings.SlowStartUnits = p.number("FamilyInfo.ColdBears")
+	settings.KeyCooldown = p.ms("Invariants.KeyRest")
+}
+
+// readBudgets reads the retry budget, what servers report and how often the scheduler may run.
+func (p *settingsParser) readBudgets(settings *scheduler.Settings) {
+	settings.RetryBudgetMin = p.number("Invariants.ExtraFloor")
+	settings.RetryBudgetRatio = p.number("Invariants.ExtraRatio")
+	settings.RetryBudgetWindow = p.ms("Invariants.CountedOver")
+	settings.UsagePeriod = p.ms("FamilyInfo.UsePeriod")
+	settings.ReportsForeignUnits = p.bool("FamilyInfo.TellsElsewhere")
+	if fields := p.values["Report.Fields"]; fields != "" && fields != absent {
+		settings.LoadReportFields = strings.Split(fields, ",")
 	}
-	return s
+	settings.MinStepInterval = p.ms("Tick")
 }
