--- a/cmd/gaugerelay/machine_chaos.go
+++ b/cmd/gaugerelay/machine_chaos.go
@@ -25,5 +25,5 @@
 		return nil, gateway.Network{}, err
 	}
 	n := faultnet.New(o)
-	return clock.NewSystemWithOffset(o.Wall), gateway.Network{Listen: n.Listen, Dial: n.Dial(clock.Duration(cfg.ConnectMs))}, nil
+	return clock.NewSystemWithOffset(o.Wall), gateway.Network{Listen: n.Listen, Dial: n.Dial(clock.Duration(cfg.ConnectTimeoutMs))}, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,31 +23,31 @@
 
 // What holds where the platform does not say: net's own defaults would wait and keep without end.
 const (
-	defaultIdleMs    = 30_000
-	defaultConnectMs = 1_000
-	defaultSockets   = 1024
+	defaultIdleConnTimeoutMs = 30_000
+	defaultConnectTimeoutMs  = 1_000
+	defaultMaxSockets        = 1024
 )
 
 // What is as large as it can be. A time beyond 30 years is one that never ends; a count beyond a million would be
 // memory that no machine has.
 const (
-	mostMs    = 1e12
-	mostCount = 1 << 20
+	maxMs    = 1e12
+	maxCount = 1 << 20
 )
 
 // Config is all that the program needs to know.
 type Config struct {
-	Name, Listen, Discovery string
-	Seed                    uint64
-	Cores, MemoryMB         float64
-	Sockets                 int
-	Known                   lifecycle.EndpointUpdate
-	KnownBad                int // entries of it that could not be read
-	Settings                scheduler.Settings
-	Self                    int      // this gateway's number
-	PeerListen              string   // where it is reached by others; "": nowhere
-	Peers                   []string // where it reaches the gateways, itself included, in the order of their numbers
-	ConnIdleMs, ConnectMs   float64
+	Name, Listen, Discovery             string
+	Seed                                uint64
+	Cores, MemoryMB                     float64
+	MaxSockets                          int
+	KnownEndpoints                      lifecycle.EndpointUpdate
+	InvalidKnownEntries                 int // entries of it that could not be read
+	Settings                            scheduler.Settings
+	GatewayIndex                        int      // this gateway's number
+	PeerListen                          string   // where it is reached by others; "": nowhere
+	Peers                               []string // where it reaches the gateways, itself included, in the order of their numbers
+	IdleConnTimeoutMs, ConnectTimeoutMs float64
 
 	fileDiscovery string // Discovery as the file has it
 }
@@ -98,15 +98,15 @@
 	return next, nil
 }
 
-// Restart names what differs between two configurations and is read at the start only.
-func (c *Config) Restart(next *Config) (names []string) {
+// RestartRequired names what differs between two configurations and is read at the start only.
+func (c *Config) RestartRequired(next *Config) (names []string) {
 	for _, f := range []struct {
 		name string
 		same bool
 	}{
 		{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen},
-		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets},
-		{"settings", reflect.DeepEqual(c.Settings, next.Settings) && c.ConnIdleMs == next.ConnIdleMs && c.ConnectMs == next.ConnectMs},
+		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.MaxSockets == next.MaxSockets},
+		{"settings", reflect.DeepEqual(c.Settings, next.Settings) && c.IdleConnTimeoutMs == next.IdleConnTimeoutMs && c.ConnectTimeoutMs == next.ConnectTimeoutMs},
 	} {
 		if !f.same {
 			names = append(names, f.name)
@@ -121,161 +121,161 @@
 	if err != nil {
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
-	r := &reader{}
+	r := &valueReader{}
 	c := &Config{
-		Name: r.str(v, "name"), Listen: r.str(v, "listen"), Discovery: r.str(v, "discovery"),
-		Cores: r.num(v, "limits", "cores"), MemoryMB: r.num(v, "limits", "memory_mb"),
-		Sockets: r.count(v, "limits", "sockets"),
+		Name: r.text(v, "name"), Listen: r.text(v, "listen"), Discovery: r.text(v, "discovery"),
+		Cores: r.number(v, "limits", "cores"), MemoryMB: r.number(v, "limits", "memory_mb"),
+		MaxSockets: r.count(v, "limits", "sockets"),
 	}
 	c.fileDiscovery = c.Discovery
-	if seed := r.str(v, "seed"); seed != "" {
+	if seed := r.text(v, "seed"); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed %q: not 64 bits in hex", seed)
 		}
 	}
 	if known := v.Get("known"); known != nil && known.Type() == fastjson.TypeObject {
-		c.Known, c.KnownBad = discovery.Decode(known) // discovery's data, and old: not worth not starting for
+		c.KnownEndpoints, c.InvalidKnownEntries = discovery.Decode(known) // discovery's data, and old: not worth not starting for
 	}
-	c.Known.Kind = scheduler.CachedSnapshot // whatever it says of itself, it is as last seen
+	c.KnownEndpoints.Kind = scheduler.CachedSnapshot // whatever it says of itself, it is as last seen
 	s := v.Get("settings")
 	if s == nil || s.Type() != fastjson.TypeObject {
 		return nil, errors.New("settings is missing")
 	}
-	c.ConnIdleMs, c.ConnectMs = min(r.num(s, "Limits", "ConnIdleMs"), mostMs), min(r.num(s, "Limits", "ConnectTimeoutMs"), mostMs)
-	if c.ConnIdleMs == 0 {
-		c.ConnIdleMs = defaultIdleMs
+	c.IdleConnTimeoutMs, c.ConnectTimeoutMs = min(r.number(s, "Limits", "ConnIdleMs"), maxMs), min(r.number(s, "Limits", "ConnectTimeoutMs"), maxMs)
+	if c.IdleConnTimeoutMs == 0 {
+		c.IdleConnTimeoutMs = defaultIdleConnTimeoutMs
 	}
-	if c.ConnectMs == 0 {
-		c.ConnectMs = defaultConnectMs
+	if c.ConnectTimeoutMs == 0 {
+		c.ConnectTimeoutMs = defaultConnectTimeoutMs
 	}
-	if c.Sockets == 0 {
-		c.Sockets = defaultSockets
+	if c.MaxSockets == 0 {
+		c.MaxSockets = defaultMaxSockets
 	}
 	c.Settings = r.settings(s)
-	c.Self, c.PeerListen = r.count(s, "SelfIndex"), r.str(v, "peer_listen")
+	c.GatewayIndex, c.PeerListen = r.count(s, "SelfIndex"), r.text(v, "peer_listen")
 	for _, p := range v.GetArray("peers") {
 		c.Peers = append(c.Peers, string(p.GetStringBytes()))
 	}
 	return c, r.err
 }
 
-// reader keeps the first bad value in err.
-type reader struct{ err error }
+// valueReader keeps the first bad value in err.
+type valueReader struct{ err error }
 
-func (r *reader) bad(path []string, want string) {
+func (r *valueReader) fail(path []string, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%q is not %s", path, want)
 	}
 }
 
-// num reads a number; an absent one is 0.
-func (r *reader) num(v *fastjson.Value, path ...string) float64 {
+// number reads a number; an absent one is 0.
+func (r *valueReader) number(v *fastjson.Value, path ...string) float64 {
 	x := v.Get(path...)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return 0
 	}
 	f, err := x.Float64()
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 {
-		r.bad(path, "a number from 0 up")
+		r.fail(path, "a number from 0 up")
 		return 0
 	}
 	return f
 }
 
-func (r *reader) str(v *fastjson.Value, path ...string) string {
+func (r *valueReader) text(v *fastjson.Value, path ...string) string {
 	x := v.Get(path...)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return ""
 	}
 	b, err := x.StringBytes()
 	if err != nil {
-		r.bad(path, "a text")
+		r.fail(path, "a text")
 	}
 	return string(b)
 }
 
-func (r *reader) yes(v *fastjson.Value, path ...string) bool {
+func (r *valueReader) bool(v *fastjson.Value, path ...string) bool {
 	x := v.Get(path...)
 	if x == nil || x.Type() == fastjson.TypeNull {
 		return false
 	}
 	b, err := x.Bool()
 	if err != nil {
-		r.bad(path, "true or false")
+		r.fail(path, "true or false")
 	}
 	return b
 }
 
 // ms reads a time; as good as for ever is the longest that a time.Duration can be added to.
-func (r *reader) ms(v *fastjson.Value, path ...string) time.Duration {
+func (r *valueReader) ms(v *fastjson.Value, path ...string) time.Duration {
 	path[len(path)-1] += "Ms"
-	return clock.Duration(min(r.num(v, path...), mostMs))
+	return clock.Duration(min(r.number(v, path...), maxMs))
 }
 
 // count reads a whole number of things that there are.
-func (r *reader) count(v *fastjson.Value, path ...string) int {
-	n := r.num(v, path...)
-	if n > mostCount || n != math.Trunc(n) {
-		r.bad(path, fmt.Sprintf("a whole number up to %d", int(mostCount)))
+func (r *valueReader) count(v *fastjson.Value, path ...string) int {
+	n := r.number(v, path...)
+	if n > maxCount || n != math.Trunc(n) {
+		r.fail(path, fmt.Sprintf("a whole number up to %d", int(maxCount)))
 		return 0
 	}
 	return int(n)
 }
 
-var effects = map[string]scheduler.Idempotency{
+var idempotencies = map[string]scheduler.Idempotency{
 	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
 }
 
-var groups = map[string]scheduler.DedupScope{
+var dedupScopes = map[string]scheduler.DedupScope{
 	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
 }
 
 // settings reads the object that an instance of the simulator gets in its first message. Unknown keys are
 // skipped, an unknown effect or group is read as the strictest.
-func (r *reader) settings(v *fastjson.Value) (s scheduler.Settings) {
+func (r *valueReader) settings(v *fastjson.Value) (s scheduler.Settings) {
 	writes := v.GetArray("FamilyInfo", "ClassWrites")
 	for i, l := range v.GetArray("Lanes") {
 		c := scheduler.Class{
-			Name: r.str(l, "Name"), LatencyObjective: r.ms(l, "Promise"), ObjectiveStretch: r.num(l, "AimStretch"),
+			Name: r.text(l, "Name"), LatencyObjective: r.ms(l, "Promise"), ObjectiveStretch: r.number(l, "AimStretch"),
 			Deadline: r.ms(l, "Deadline"), DedupWindow: r.ms(l, "DedupWindow"),
-			OrderedByKey: r.yes(l, "InTurn"), Stream: r.yes(l, "Stream"),
-			PriorityWeight: r.num(l, "Worth"), LateFraction: r.num(l, "LateValue"),
+			OrderedByKey: r.bool(l, "InTurn"), Stream: r.bool(l, "Stream"),
+			PriorityWeight: r.number(l, "Worth"), LateFraction: r.number(l, "LateValue"),
 			Write: i < len(writes) && writes[i].Type() == fastjson.TypeTrue,
 		}
 		var ok bool
-		if c.Idempotency, ok = effects[r.str(l, "Idempotency")]; !ok {
+		if c.Idempotency, ok = idempotencies[r.text(l, "Idempotency")]; !ok {
 			c.Idempotency = scheduler.NotIdempotent
 		}
-		if c.DedupScope, ok = groups[r.str(l, "KeyScope")]; !ok {
+		if c.DedupScope, ok = dedupScopes[r.text(l, "KeyScope")]; !ok {
 			c.DedupScope = scheduler.DedupCell
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for _, p := range v.GetArray("Plans") {
 		s.Plans = append(s.Plans, scheduler.Plan{
-			Name: r.str(p, "Name"), Rate: r.num(p, "UsualRate"), Reserve: r.num(p, "Reservation"),
-			Weight: r.num(p, "Shares"), PriorityFactor: r.num(p, "Pays"), Limit: r.num(p, "CeilingRate"),
-			LimitBurst: r.num(p, "CapDepth"), LimitOverdraft: r.num(p, "CapSlack"),
+			Name: r.text(p, "Name"), Rate: r.number(p, "UsualRate"), Reserve: r.number(p, "Reservation"),
+			Weight: r.number(p, "Shares"), PriorityFactor: r.number(p, "Pays"), Limit: r.number(p, "CeilingRate"),
+			LimitBurst: r.number(p, "CapDepth"), LimitOverdraft: r.number(p, "CapSlack"),
 		})
 	}
 	s.Gateways, s.Shards = r.count(v, "Siblings"), r.count(v, "FamilyInfo", "NShards")
-	s.MeanUnits, s.MaxUnits = r.num(v, "FamilyInfo", "MeanUnits"), r.num(v, "FamilyInfo", "MostUnits")
-	s.FairShareWeight, s.SurplusWeight = r.num(v, "FamilyInfo", "FairWorth"), r.num(v, "FamilyInfo", "IdleWorth")
-	s.PollEndpoints = r.str(v, "Discovery") == "ask"
+	s.MeanUnits, s.MaxUnits = r.number(v, "FamilyInfo", "MeanUnits"), r.number(v, "FamilyInfo", "MostUnits")
+	s.FairShareWeight, s.SurplusWeight = r.number(v, "FamilyInfo", "FairWorth"), r.number(v, "FamilyInfo", "IdleWorth")
+	s.PollEndpoints = r.text(v, "Discovery") == "ask"
 	s.MaxPollInterval = r.ms(v, "Invariants", "AskWithin")
 	s.MaxAttempts = r.count(v, "Limits", "AttemptsCap")
-	s.AllowHedging, s.AllowCancel = r.yes(v, "Limits", "MayDuplicate"), r.yes(v, "Limits", "Cancel")
-	s.AllowProbes = r.yes(v, "Limits", "Probing")
-	if r.yes(v, "Limits", "RetryAfter") {
+	s.AllowHedging, s.AllowCancel = r.bool(v, "Limits", "MayDuplicate"), r.bool(v, "Limits", "Cancel")
+	s.AllowProbes = r.bool(v, "Limits", "Probing")
+	if r.bool(v, "Limits", "RetryAfter") {
 		s.MaxRetryAfter = r.ms(v, "Limits", "MaxRetryAfter")
 	}
 	s.ResponseGrace, s.DrainGrace = r.ms(v, "Invariants", "GraceToAnswer"), r.ms(v, "Invariants", "DrainGrace")
-	s.InitialCapacity, s.SlowStartDuration = r.num(v, "Invariants", "StartCapacity"), r.ms(v, "Invariants", "RampTime")
-	s.OverloadMultiple, s.OverloadWindow = r.num(v, "Invariants", "FallMultiple"), r.ms(v, "Invariants", "Fall")
-	s.SlowStartUnits, s.KeyCooldown = r.num(v, "FamilyInfo", "ColdBears"), r.ms(v, "Invariants", "KeyRest")
-	s.RetryBudgetMin, s.RetryBudgetRatio = r.num(v, "Invariants", "ExtraFloor"), r.num(v, "Invariants", "ExtraRatio")
+	s.InitialCapacity, s.SlowStartDuration = r.number(v, "Invariants", "StartCapacity"), r.ms(v, "Invariants", "RampTime")
+	s.OverloadMultiple, s.OverloadWindow = r.number(v, "Invariants", "FallMultiple"), r.ms(v, "Invariants", "Fall")
+	s.SlowStartUnits, s.KeyCooldown = r.number(v, "FamilyInfo", "ColdBears"), r.ms(v, "Invariants", "KeyRest")
+	s.RetryBudgetMin, s.RetryBudgetRatio = r.number(v, "Invariants", "ExtraFloor"), r.number(v, "Invariants", "ExtraRatio")
 	s.RetryBudgetWindow, s.UsagePeriod = r.ms(v, "Invariants", "CountedOver"), r.ms(v, "FamilyInfo", "UsePeriod")
-	s.ReportsForeignUnits = r.yes(v, "FamilyInfo", "TellsElsewhere")
+	s.ReportsForeignUnits = r.bool(v, "FamilyInfo", "TellsElsewhere")
 	for _, f := range v.GetArray("Report", "Fields") {
 		name, _ := f.StringBytes()
 		s.LoadReportFields = append(s.LoadReportFields, string(name))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 || c.ConnIdleMs != 30000 ||
-		c.ConnectMs != 250 || c.Known.Version != 41 || c.Known.Kind != scheduler.CachedSnapshot || c.Known.Servers[0].Shard != 3 {
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.MaxSockets != 1024 || c.MemoryMB != 192 || c.IdleConnTimeoutMs != 30000 ||
+		c.ConnectTimeoutMs != 250 || c.KnownEndpoints.Version != 41 || c.KnownEndpoints.Kind != scheduler.CachedSnapshot || c.KnownEndpoints.Servers[0].Shard != 3 {
 		t.Errorf("%+v", c)
 	}
 	push := scheduler.Class{Name: "push", LatencyObjective: 400 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: scheduler.IdempotentWithKey,
@@ -98,7 +98,7 @@
 			continue
 		}
 		s := cfg.Settings
-		if s.Classes[1].DedupWindow <= 0 || s.MaxPollInterval <= 0 || cfg.ConnIdleMs > mostMs ||
+		if s.Classes[1].DedupWindow <= 0 || s.MaxPollInterval <= 0 || cfg.IdleConnTimeoutMs > maxMs ||
 			time.Duration(2e18)+s.Classes[1].DedupWindow+s.MaxPollInterval < time.Duration(2e18) {
 			t.Errorf("%s: %+v", c.new, s)
 		}
@@ -107,7 +107,7 @@
 
 func TestKnownWithABadEntry(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(good, `"servers":[`, `"servers":[{"id":"x","cell":-3},`, 1)))
-	if err != nil || c.KnownBad != 1 || len(c.Known.Servers) != 1 {
+	if err != nil || c.InvalidKnownEntries != 1 || len(c.KnownEndpoints.Servers) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
@@ -115,7 +115,7 @@
 // Limits that are not told do not mean none.
 func TestDefaults(t *testing.T) {
 	c, err := Parse([]byte(`{"settings":{}}`))
-	if err != nil || c.ConnectMs != defaultConnectMs || c.ConnIdleMs != defaultIdleMs || c.Sockets != defaultSockets {
+	if err != nil || c.ConnectTimeoutMs != defaultConnectTimeoutMs || c.IdleConnTimeoutMs != defaultIdleConnTimeoutMs || c.MaxSockets != defaultMaxSockets {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
@@ -137,8 +137,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := e.Files
-	if f == nil || f.Read.Name != "pull" || f.Write.Name != "push" || len(f.Roots) != 2 || f.Roots[0].Volume != 0x3b4d60021 || f.Roots[1].Hosts != 1 {
+	f := e.SFTP
+	if f == nil || f.ReadClass.Name != "pull" || f.WriteClass.Name != "push" || len(f.Roots) != 2 || f.Roots[0].Volume != 0x3b4d60021 || f.Roots[1].Hosts != 1 {
 		t.Errorf("%+v", f)
 	}
 	if b := e.BGP; b == nil || b.LocalAS != 65001 || b.HoldMs != 90000 || len(b.Addresses) != 1 || b.NextHop.IsValid() {
@@ -150,7 +150,7 @@
 		t.Errorf("%+v, %+v, %v", e.Devices, d, err)
 	}
 	for _, c := range [][3]string{{"s-5be2a07c", "127.0.0.3:7070", "127.0.0.1:2201"}, {"s-2", "127.0.0.3:7070", "127.0.0.3:2222"}} {
-		if addr, ok := f.Address(c[0], c[1]); !ok || addr != c[2] {
+		if addr, ok := f.BackendAddress(c[0], c[1]); !ok || addr != c[2] {
 			t.Errorf("%s: %s", c[0], addr)
 		}
 	}
@@ -194,7 +194,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if e, err := ParseEdge([]byte("{}"), &set); err != nil || e.Files != nil || e.BGP != nil || e.Devices != nil {
+	if e, err := ParseEdge([]byte("{}"), &set); err != nil || e.SFTP != nil || e.BGP != nil || e.Devices != nil {
 		t.Errorf("an empty file turns something on: %+v, %v", e, err)
 	}
 }
@@ -227,7 +227,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if names := strings.Join(c.Restart(next), ","); next.Discovery != step.discovery || names != step.restart {
+		if names := strings.Join(c.RestartRequired(next), ","); next.Discovery != step.discovery || names != step.restart {
 			t.Errorf("%q: discovery %s, restart for %q", step.new, next.Discovery, names)
 		}
 		c = next
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -20,46 +20,46 @@
 
 // Edge is what an operator sets up beside the platform's configuration. Nil parts are off.
 type Edge struct {
-	Files   *Files
+	SFTP    *SFTP
 	BGP     *bgp.Options
 	Devices *Devices
 	Fleet   *Fleet
 }
 
-// Files sets up the front for file commands.
-type Files struct {
-	Listen    string
-	MaxConns  int
-	UnitBytes float64
-	Read      scheduler.Class
-	Write     scheduler.Class
-	Roots     []FileRoot
-	Port      int               // of file commands, on the host of each node that Backends does not name
-	Backends  map[string]string // addresses by node id
-	// Lookup, if set, knows more addresses by node id.
-	Lookup func(node string) (addr string, ok bool)
+// SFTP sets up the front for file commands.
+type SFTP struct {
+	Listen      string
+	MaxConns    int
+	UnitBytes   float64
+	ReadClass   scheduler.Class
+	WriteClass  scheduler.Class
+	Roots       []SFTPRoot
+	BackendPort int               // of file commands, on the host of each node that Backends does not name
+	Backends    map[string]string // addresses by node id
+	// LookupBackend, if set, knows more addresses by node id.
+	LookupBackend func(node string) (addr string, ok bool)
 }
 
-// FileRoot is a part of the tree of paths and what it draws on.
-type FileRoot struct {
+// SFTPRoot is a part of the tree of paths and what it draws on.
+type SFTPRoot struct {
 	Path, Plan string
 	Volume     uint64
 	Hosts      int
 }
 
-// Address tells where a node takes file commands.
-func (f *Files) Address(node, addr string) (string, bool) {
+// BackendAddress tells where a node takes file commands.
+func (f *SFTP) BackendAddress(node, addr string) (string, bool) {
 	if to, ok := f.Backends[node]; ok {
 		return to, true
 	}
-	if f.Lookup != nil {
-		return f.Lookup(node)
+	if f.LookupBackend != nil {
+		return f.LookupBackend(node)
 	}
 	host, _, err := net.SplitHostPort(addr)
-	if f.Port == 0 || err != nil {
+	if f.BackendPort == 0 || err != nil {
 		return "", false
 	}
-	return net.JoinHostPort(host, strconv.Itoa(f.Port)), true
+	return net.JoinHostPort(host, strconv.Itoa(f.BackendPort)), true
 }
 
 // LoadEdge reads the operator's file.
@@ -92,53 +92,53 @@
 	}
 	e := &Edge{}
 	if s := v.Get("sftp"); s != nil {
-		if e.Files, err = files(s, set); err != nil {
+		if e.SFTP, err = parseSFTP(s, set); err != nil {
 			return nil, fmt.Errorf("sftp: %w", err)
 		}
 	}
 	if b := v.Get("bgp"); b != nil {
-		if e.BGP, err = announcements(b); err != nil {
+		if e.BGP, err = parseBGP(b); err != nil {
 			return nil, fmt.Errorf("bgp: %w", err)
 		}
 	}
 	if d := v.Get("devices"); d != nil {
-		if e.Devices, err = devices(d); err != nil {
+		if e.Devices, err = parseDevices(d); err != nil {
 			return nil, fmt.Errorf("devices: %w", err)
 		}
 	}
 	if f := v.Get("fleet"); f != nil {
-		if e.Fleet, err = fleetOf(f); err != nil {
+		if e.Fleet, err = parseFleet(f); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
 	return e, nil
 }
 
-// maxAddresses fit in one UPDATE.
-const maxAddresses = 256
+// maxAnnouncedPrefixes fit in one UPDATE.
+const maxAnnouncedPrefixes = 256
 
-func announcements(v *fastjson.Value) (*bgp.Options, error) {
-	r := &reader{}
-	o := &bgp.Options{Peer: r.str(v, "peer"), HoldMs: 90_000}
-	errs := []error{hostPort("peer", o.Peer)}
+func parseBGP(v *fastjson.Value) (*bgp.Options, error) {
+	r := &valueReader{}
+	o := &bgp.Options{Peer: r.text(v, "peer"), HoldMs: 90_000}
+	errs := []error{checkHostPort("peer", o.Peer)}
 	for name, at := range map[string]*uint32{"local_as": &o.LocalAS, "peer_as": &o.PeerAS} {
-		n := r.num(v, name)
+		n := r.number(v, name)
 		if n < 1 || n > math.MaxUint32 || n != math.Trunc(n) {
 			errs = append(errs, fmt.Errorf("%s is not an AS number", name))
 		}
 		*at = uint32(n)
 	}
 	if v.Exists("hold_ms") {
-		o.HoldMs = r.num(v, "hold_ms")
+		o.HoldMs = r.number(v, "hold_ms")
 	}
 	if o.HoldMs != 0 && (o.HoldMs < 3000 || o.HoldMs > 65_535_000) {
 		errs = append(errs, errors.New("hold_ms is neither 0 nor from 3000 to 65535000"))
 	}
 	var err error
-	if o.RouterID, err = netip.ParseAddr(r.str(v, "router_id")); err != nil || !o.RouterID.Is4() || o.RouterID.IsUnspecified() {
+	if o.RouterID, err = netip.ParseAddr(r.text(v, "router_id")); err != nil || !o.RouterID.Is4() || o.RouterID.IsUnspecified() {
 		errs = append(errs, errors.New("router_id is not an IPv4 address"))
 	}
-	if text := r.str(v, "next_hop"); text != "" {
+	if text := r.text(v, "next_hop"); text != "" {
 		if o.NextHop, err = netip.ParseAddr(text); err != nil || !o.NextHop.Is4() {
 			errs = append(errs, errors.New("next_hop is not an IPv4 address"))
 		}
@@ -150,14 +150,14 @@
 		}
 		o.Addresses = append(o.Addresses, p)
 	}
-	if n := len(o.Addresses); n == 0 || n > maxAddresses {
-		errs = append(errs, fmt.Errorf("announce: %d prefixes, wants 1 to %d", n, maxAddresses))
+	if n := len(o.Addresses); n == 0 || n > maxAnnouncedPrefixes {
+		errs = append(errs, fmt.Errorf("announce: %d prefixes, wants 1 to %d", n, maxAnnouncedPrefixes))
 	}
-	return o, first(append(errs, r.err))
+	return o, firstError(append(errs, r.err))
 }
 
-// first is the first error: what is wrong is told in one plain line.
-func first(errs []error) error {
+// firstError is the first error: what is wrong is told in one plain line.
+func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -166,26 +166,26 @@
 	return nil
 }
 
-func hostPort(what, addr string) error {
+func checkHostPort(what, addr string) error {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return fmt.Errorf("%s %q is not host:port", what, addr)
 	}
 	return nil
 }
 
-func files(v *fastjson.Value, set *scheduler.Settings) (*Files, error) {
-	r := &reader{}
-	f := &Files{Listen: r.str(v, "listen"), MaxConns: int(r.num(v, "max_connections")),
-		UnitBytes: r.num(v, "unit_bytes"), Port: int(r.num(v, "backend_port")), Backends: map[string]string{}}
+func parseSFTP(v *fastjson.Value, set *scheduler.Settings) (*SFTP, error) {
+	r := &valueReader{}
+	f := &SFTP{Listen: r.text(v, "listen"), MaxConns: int(r.number(v, "max_connections")),
+		UnitBytes: r.number(v, "unit_bytes"), BackendPort: int(r.number(v, "backend_port")), Backends: map[string]string{}}
 	if f.MaxConns == 0 {
 		f.MaxConns = 16
 	}
 	if f.UnitBytes == 0 {
 		f.UnitBytes = 16 << 10
 	}
-	errs := []error{hostPort("listen", f.Listen)}
-	for name, at := range map[string]*scheduler.Class{"read_class": &f.Read, "write_class": &f.Write} {
-		want, found := r.str(v, name), false
+	errs := []error{checkHostPort("listen", f.Listen)}
+	for name, at := range map[string]*scheduler.Class{"read_class": &f.ReadClass, "write_class": &f.WriteClass} {
+		want, found := r.text(v, name), false
 		for _, c := range set.Classes {
 			if c.Name == want {
 				*at, found = c, true
@@ -195,10 +195,10 @@
 			errs = append(errs, fmt.Errorf("%s: the settings have no class %q", name, want))
 		}
 	}
-	if f.Write.Idempotency == scheduler.Idempotent && f.Write.Name != "" {
-		errs = append(errs, fmt.Errorf("write_class: repeats of %q need no key, so writes would be repeated freely", f.Write.Name))
+	if f.WriteClass.Idempotency == scheduler.Idempotent && f.WriteClass.Name != "" {
+		errs = append(errs, fmt.Errorf("write_class: repeats of %q need no key, so writes would be repeated freely", f.WriteClass.Name))
 	}
-	if f.Port > 65535 || f.MaxConns < 1 || f.MaxConns > 4096 || f.UnitBytes < 1 {
+	if f.BackendPort > 65535 || f.MaxConns < 1 || f.MaxConns > 4096 || f.UnitBytes < 1 {
 		errs = append(errs, errors.New("backend_port, max_connections or unit_bytes is out of range"))
 	}
 	plans := map[string]bool{}
@@ -206,8 +206,8 @@
 		plans[p.Name] = true
 	}
 	for _, x := range v.GetArray("roots") {
-		root := FileRoot{Path: r.str(x, "path"), Plan: r.str(x, "plan"), Hosts: int(r.num(x, "hosts"))}
-		volume, err := strconv.ParseUint(r.str(x, "volume"), 16, 64)
+		root := SFTPRoot{Path: r.text(x, "path"), Plan: r.text(x, "plan"), Hosts: int(r.number(x, "hosts"))}
+		volume, err := strconv.ParseUint(r.text(x, "volume"), 16, 64)
 		root.Volume = volume
 		if err != nil || !plans[root.Plan] || root.Path != path.Clean(root.Path) || !path.IsAbs(root.Path) {
 			errs = append(errs, fmt.Errorf("root %q: wants a clean absolute path, a volume in hex and a known plan", root.Path))
@@ -224,11 +224,11 @@
 		o.Visit(func(id []byte, addr *fastjson.Value) {
 			text := string(addr.GetStringBytes())
 			f.Backends[string(id)] = text
-			errs = append(errs, hostPort("backend "+string(id), text))
+			errs = append(errs, checkHostPort("backend "+string(id), text))
 		})
 	}
-	if f.Port == 0 && len(f.Backends) == 0 {
+	if f.BackendPort == 0 && len(f.Backends) == 0 {
 		errs = append(errs, errors.New("neither backend_port nor backends"))
 	}
-	return f, first(append(errs, r.err))
+	return f, firstError(append(errs, r.err))
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -10,12 +10,12 @@
 // The fleet's part of the operator's file: what is left out comes from the platform, and what cannot be is told.
 func TestFleet(t *testing.T) {
 	set := testbed.Settings(2)
-	c := &Config{Self: 1, PeerListen: "127.0.0.1:7946", Peers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
+	c := &Config{GatewayIndex: 1, PeerListen: "127.0.0.1:7946", Peers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
 	e, err := ParseEdge([]byte(`{"fleet":{}}`), &set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen, o, err := e.Fleet.With(c)
+	listen, o, err := e.Fleet.Resolve(c)
 	if err != nil || listen != c.PeerListen || o.Self != 1 || len(o.Peers) != 3 || o.LeaseMs != 2000 || o.MaxGrantedFraction != 0.5 {
 		t.Errorf("%q, %+v, %v", listen, o, err)
 	}
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if listen, o, err = e.Fleet.With(c); err != nil || listen != "127.0.0.1:9" || len(o.Peers) != 1 || string(o.Key) != "k" ||
+	if listen, o, err = e.Fleet.Resolve(c); err != nil || listen != "127.0.0.1:9" || len(o.Peers) != 1 || string(o.Key) != "k" ||
 		o.LeaseMs != 500 || o.ProbePeriodMs != 100 || o.ProbeTimeoutMs != 30 || o.MaxVolumes != 7 || o.MaxGrantedFraction != 0.25 || o.ClockDrift != 0.05 {
 		t.Errorf("%q, %+v, %v", listen, o, err)
 	}
@@ -32,7 +32,7 @@
 		`{"lease_ms":1}`, `{"period_ms":0}`, `{"clock_drift":1}`, `{"max_volumes":0}`, `{"self":-1}`, `{"key":3}`} {
 		e, err := ParseEdge([]byte(`{"fleet":`+bad+`}`), &set)
 		if err == nil {
-			_, _, err = e.Fleet.With(c)
+			_, _, err = e.Fleet.Resolve(c)
 		}
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", bad, err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -176,7 +176,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			listen, options, err := edge.Fleet.With(platform)
+			listen, options, err := edge.Fleet.Resolve(platform)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -38,7 +38,7 @@
 	// Nodes know runs by this, and devices the gateway: no other and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gateway = strconv.FormatUint(xxhash.Sum64String(name), 16)
-	deduplicator, err = dedup.New(dedup.Options{Settings: o.Ledger, Classes: g.cfg.Settings.Classes,
+	deduplicator, err = dedup.New(dedup.Options{Settings: o.Exchanges, Classes: g.cfg.Settings.Classes,
 		Name: name, Gateway: gateway, Metrics: g.Metrics, Now: g.Clock.NowMs,
 		After: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
 		Take:  func(nowMs float64, r *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, r) }})
@@ -49,9 +49,9 @@
 	p := &devices{g: g, opt: o}
 	if o.CoAP != "" {
 		p.coap = &coapserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpen,
-				MaxMessage: o.MaxMessage, FirstTime: o.FirstTime, IdleTime: o.IdleTime,
-				LeastDead: clock.Duration(o.Ledger.Link.MinIdleTimeoutMs), MostDead: clock.Duration(o.Ledger.Link.MaxIdleTimeoutMs),
+			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpenRequests,
+				MaxMessage: o.MaxMessageBytes, FirstTime: o.FirstMessageTimeout, IdleTime: o.IdleTimeout,
+				LeastDead: clock.Duration(o.Exchanges.Link.MinIdleTimeoutMs), MostDead: clock.Duration(o.Exchanges.Link.MaxIdleTimeoutMs),
 				HoldOff: o.HoldOff, GuardTime: 25 * time.Millisecond}}
 	}
 	if o.HTTP != "" {
@@ -80,8 +80,8 @@
 		}
 		p.lns = append(p.lns, ln)
 		// A body may take as long as the longest time that a request may name; so may its answer.
-		p.serve = &http.Server{Handler: p.http, ReadHeaderTimeout: p.opt.FirstTime, ReadTimeout: 2*p.g.longest + p.opt.FirstTime,
-			WriteTimeout: 4*p.g.longest + p.opt.FirstTime, IdleTimeout: p.opt.IdleTime, MaxHeaderBytes: 16 << 10,
+		p.serve = &http.Server{Handler: p.http, ReadHeaderTimeout: p.opt.FirstMessageTimeout, ReadTimeout: 2*p.g.longest + p.opt.FirstMessageTimeout,
+			WriteTimeout: 4*p.g.longest + p.opt.FirstMessageTimeout, IdleTimeout: p.opt.IdleTimeout, MaxHeaderBytes: 16 << 10,
 			ConnState: p.conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 				return p.http.ConnContext(p.conns.Context(ctx, nc), nc)
 			}, DisableGeneralOptionsHandler: true, ErrorLog: logevent.HTTPServerLog()}
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -44,13 +44,13 @@
 				go io.Copy(io.Discard, c)
 			}
 		}()
-		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, ConnectMs: 250,
-			ConnIdleMs: 30_000, Settings: testsettings.Settings(1)}
+		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", MaxSockets: 64, ConnectTimeoutMs: 250,
+			IdleConnTimeoutMs: 30_000, Settings: testsettings.Settings(1)}
 		for i := range cfg.Settings.Classes {
 			c := &cfg.Settings.Classes[i]
 			c.Deadline, c.LatencyObjective = deadline, min(c.LatencyObjective, deadline/2)
 		}
-		cfg.Known = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot, Servers: []*lifecycle.Server{{Name: "a", Addr: "127.0.0.2:1"}}}
+		cfg.KnownEndpoints = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot, Servers: []*lifecycle.Server{{Name: "a", Addr: "127.0.0.2:1"}}}
 		g, err := New(cfg, &config.Edge{}, clock.NewSystem(), Network{Dial: n.Dial, Listen: n.Listen})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -22,7 +22,7 @@
 
 func newPeers(g *Gateway, f *config.Fleet) (*peers, error) {
 	p := &peers{g: g}
-	listen, o, err := f.With(g.cfg)
+	listen, o, err := f.Resolve(g.cfg)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -165,18 +165,18 @@
 		loop.Deduplicator = deduplicator
 	}
 	g.loop = eventloop.New(loop)
-	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
-		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
+	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectTimeoutMs, ConnIdleMs: cfg.IdleConnTimeoutMs,
+		RestMs: restMs, MaxConns: cfg.MaxSockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
-	g.watcher = discovery.New(cfg.Discovery, cfg.Known, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
+	g.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
 	front := newPlatform(g)
 	if others != nil { // before the fronts: parts are known sooner, and are given back later
 		g.parts = append(g.parts, others)
 		front.front.Fleet = others.show
 	}
 	g.parts = append(g.parts, front)
-	if edge.Files != nil {
-		g.parts = append(g.parts, newFiles(g, edge.Files, edge.Devices))
+	if edge.SFTP != nil {
+		g.parts = append(g.parts, newFiles(g, edge.SFTP, edge.Devices))
 	}
 	if edge.Devices != nil {
 		g.parts = append(g.parts, newDevices(g, edge.Devices, deviceGateway))
@@ -191,12 +191,12 @@
 func (g *Gateway) Start() error {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	go g.loop.Run(g.ctx)
-	g.watcher.NormalizeStartTimes(g.cfg.Known)
-	g.loop.UpdateEndpoints(g.cfg.Known)
+	g.watcher.NormalizeStartTimes(g.cfg.KnownEndpoints)
+	g.loop.UpdateEndpoints(g.cfg.KnownEndpoints)
 	if !g.cfg.Settings.PollEndpoints { // the module asks for nothing then, and what the agent has counts as told
 		g.watcher.KeepOpen(g.ctx)
 	}
-	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.KnownBad))
+	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.InvalidKnownEntries))
 	for i, p := range g.parts {
 		if err := p.start(g.ctx); err != nil {
 			for _, p := range g.parts[:i] {
@@ -276,7 +276,7 @@
 		return
 	}
 	g.Metrics.Add("reloads", 1)
-	if names := g.cfg.Restart(next); len(names) > 0 {
+	if names := g.cfg.RestartRequired(next); len(names) > 0 {
 		slog.Warn(logevent.ReloadRestartRequired, "changed", strings.Join(names, ", "))
 	}
 	slog.Info(logevent.ReloadDone, "discovery", next.Discovery)
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -27,8 +27,8 @@
 		want []string
 	}{
 		"the platform": {&config.Edge{}, []string{"127.0.0.1:1"}},
-		"coap":         {&config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: ledger}}, []string{"127.0.0.1:1", "127.0.0.1:2"}},
-		"both": {&config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", HTTP: "127.0.0.1:3", MaxConns: 8, Ledger: ledger}},
+		"coap":         {&config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Exchanges: ledger}}, []string{"127.0.0.1:1", "127.0.0.1:2"}},
+		"both": {&config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", HTTP: "127.0.0.1:3", MaxConns: 8, Exchanges: ledger}},
 			[]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				opened = append(opened, addr)
 				return n.Listen(addr)
 			}}
-			cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2)}
+			cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", MaxSockets: 64, Settings: testsettings.Settings(2)}
 			before := runtime.NumGoroutine()
 			g, err := New(cfg, c.edge, clock.NewSystem(), network)
 			if err != nil {
@@ -73,9 +73,9 @@
 			t.Fatal(err)
 		}
 		defer taken.Close()
-		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2),
-			Known: lifecycle.EndpointUpdate{}}
-		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MaxExchanges: 1,
+		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", MaxSockets: 64, Settings: testsettings.Settings(2),
+			KnownEndpoints: lifecycle.EndpointUpdate{}}
+		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Exchanges: exchange.Settings{MaxExchanges: 1,
 			MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxHeldBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1,
 			UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100, Link: exchange.LinkSettings{MinIdleTimeoutMs: 1, MaxIdleTimeoutMs: 1, MinBlockSize: 16, MaxBlockSize: 16, MaxBlockTransferMs: 1}}}}
 		g, err := New(cfg, edge, clock.NewSystem(), Network{Listen: n.Listen, Dial: n.Dial})
--- a/internal/gateway/news_test.go
+++ b/internal/gateway/news_test.go
@@ -71,10 +71,10 @@
 	now := clock.NewManual(1e12)
 	opened, attempts := make(chan bool), 0
 	ln := testbed.Listen(t)
-	cfg := &config.Config{Name: "gw", Listen: "x", Discovery: list.Listener.Addr().String(), Sockets: 64, ConnectMs: 5000,
-		ConnIdleMs: 30_000, Settings: testbed.Settings(1)}
+	cfg := &config.Config{Name: "gw", Listen: "x", Discovery: list.Listener.Addr().String(), MaxSockets: 64, ConnectTimeoutMs: 5000,
+		IdleConnTimeoutMs: 30_000, Settings: testbed.Settings(1)}
 	cfg.Settings.PollEndpoints = false
-	cfg.Known = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot}
+	cfg.KnownEndpoints = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot}
 	g, err := New(cfg, &config.Edge{}, now, Network{Listen: func(string) (net.Listener, error) { return ln, nil },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -39,7 +39,7 @@
 }
 
 func newPlatform(g *Gateway) *platform {
-	clients := max(1, g.cfg.Sockets*3/8)
+	clients := max(1, g.cfg.MaxSockets*3/8)
 	conns := &httpserver.Conns{Most: max(1, clients*15/16), Clock: g.Clock, Metrics: g.Metrics,
 		MostAhead: int(g.cfg.MemoryMB * aheadPart * (1 << 20))}
 	return &platform{g: g, conns: conns, front: &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock,
@@ -53,7 +53,7 @@
 	p.serve = &http.Server{Handler: p.front, ReadHeaderTimeout: headTime, ReadTimeout: requestTime,
 		WriteTimeout: p.g.longest + answerTime, IdleTimeout: idleTime, MaxHeaderBytes: 16 << 10, ConnState: p.conns.State,
 		ConnContext: p.conns.Context, DisableGeneralOptionsHandler: true, ErrorLog: logevent.HTTPServerLog()}
-	ln := p.conns.Listen(p.ln, max(1, p.g.cfg.Sockets*3/8))
+	ln := p.conns.Listen(p.ln, max(1, p.g.cfg.MaxSockets*3/8))
 	p.g.serve("clients", func() error { return p.serve.Serve(ln) })
 	p.g.listening("clients", p.ln.Addr().String())
 	return nil
@@ -85,22 +85,22 @@
 type files struct {
 	base
 	g     *Gateway
-	opt   *config.Files
+	opt   *config.SFTP
 	ln    net.Listener
 	front *sftpserver.Front
 	back  *sftpclient.Backend
 }
 
-func newFiles(g *Gateway, f *config.Files, d *config.Devices) *files {
+func newFiles(g *Gateway, f *config.SFTP, d *config.Devices) *files {
 	p := &files{g: g, opt: f}
-	p.back = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectMs, ConnIdleMs: g.cfg.ConnIdleMs,
-		MaxSessions: max(1, g.cfg.Sockets/16), Dial: g.net.Dial,
-		Address: func(n *lifecycle.Server) (string, bool) { return f.Address(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Complete)
+	p.back = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectTimeoutMs, ConnIdleMs: g.cfg.IdleConnTimeoutMs,
+		MaxSessions: max(1, g.cfg.MaxSockets/16), Dial: g.net.Dial,
+		Address: func(n *lifecycle.Server) (string, bool) { return f.BackendAddress(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Complete)
 	p.front = &sftpserver.Front{Loop: g.loop, Carrier: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
-		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.Read, Write: f.Write,
+		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.ReadClass, Write: f.WriteClass,
 		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MaxUnits}}
 	if d != nil {
-		p.front.KeepMs = d.Ledger.RetentionMs
+		p.front.KeepMs = d.Exchanges.RetentionMs
 	}
 	for _, r := range f.Roots {
 		p.front.Roots = append(p.front.Roots, sftpserver.Root(r))
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -292,15 +292,15 @@
 			ln.Close()
 		}
 	}
-	cfg := &config.Config{Name: "soak", Listen: r.addrs["platform"], Discovery: "127.0.0.1:1", Sockets: 4096,
-		ConnIdleMs: 30_000, ConnectMs: 1000, Known: known, Settings: set, Seed: r.Seed}
-	edge := &config.Edge{Files: &config.Files{Listen: r.addrs["files"], MaxConns: 4 * r.Devices, UnitBytes: 16 << 10,
-		Read: set.Classes[0], Write: push, Roots: []config.FileRoot{{Path: root, Plan: "business", Volume: 7, Hosts: 1}},
-		Lookup: r.fileAddr}}
+	cfg := &config.Config{Name: "soak", Listen: r.addrs["platform"], Discovery: "127.0.0.1:1", MaxSockets: 4096,
+		IdleConnTimeoutMs: 30_000, ConnectTimeoutMs: 1000, KnownEndpoints: known, Settings: set, Seed: r.Seed}
+	edge := &config.Edge{SFTP: &config.SFTP{Listen: r.addrs["files"], MaxConns: 4 * r.Devices, UnitBytes: 16 << 10,
+		ReadClass: set.Classes[0], WriteClass: push, Roots: []config.SFTPRoot{{Path: root, Plan: "business", Volume: 7, Hosts: 1}},
+		LookupBackend: r.fileAddr}}
 	if r.Ledger {
-		edge.Devices = &config.Devices{CoAP: r.addrs["coap"], HTTP: r.addrs["http"], MaxConns: 4 * r.Devices, MaxOpen: 8,
-			MaxMessage: 33 << 10, FirstTime: 10 * time.Second, IdleTime: time.Minute, HoldOff: time.Second,
-			Ledger: exchange.Settings{MaxExchanges: 100 * r.Devices, MaxDevices: 2*r.Devices + 8, MaxActivePerDevice: 16,
+		edge.Devices = &config.Devices{CoAP: r.addrs["coap"], HTTP: r.addrs["http"], MaxConns: 4 * r.Devices, MaxOpenRequests: 8,
+			MaxMessageBytes: 33 << 10, FirstMessageTimeout: 10 * time.Second, IdleTimeout: time.Minute, HoldOff: time.Second,
+			Exchanges: exchange.Settings{MaxExchanges: 100 * r.Devices, MaxDevices: 2*r.Devices + 8, MaxActivePerDevice: 16,
 				MaxWaitingCopies: 4, MaxHeldBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
 				UploadIdleTimeoutMs: 20_000, MinRunMs: 20, MaxRetryAfterMs: 2000,
 				Link: exchange.LinkSettings{MinIdleTimeoutMs: 2000, MaxIdleTimeoutMs: 8000, MinBlockSize: 64, MaxBlockSize: 8 << 10, MaxBlockTransferMs: 300}}}
