--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -17,20 +17,20 @@
 	"gaugerelay/internal/logevent"
 )
 
-type attempt struct {
-	node   *Server
-	sentMs float64
-	cancel func()
-	ended  bool
-	unrun  bool // it has ended and never ran
+type attemptState struct {
+	server        *Server
+	sentMs        float64
+	cancel        func()
+	ended         bool
+	neverExecuted bool // it has ended and never ran
 }
 
-type entry struct {
-	req      *Request
-	expiryMs float64
-	answered bool
-	tries    []*attempt
-	out      int
+type requestState struct {
+	request    *Request
+	deadlineMs float64
+	done       bool
+	attempts   []*attemptState
+	inFlight   int
 }
 
 // Manager is the state of one gateway.
@@ -40,21 +40,21 @@
 	deduplicator Deduplicator
 	peers        Peers
 	// For the fleet: whether the list has changed since it was told, and what is gone since then.
-	endpointsChanged bool
-	removed          []*Server
-	events           []scheduler.Event
-	open             map[scheduler.RequestID]*entry
-	byName           map[string]*entry // of open, those that have a ClientID
-	servers          map[scheduler.ServerID]*Server
-	ids              map[string]scheduler.ServerID
-	lastID           scheduler.RequestID
-	lastNo           scheduler.ServerID
-	listed           bool
-	wakeAt           time.Duration // as last asked for
-	woken            bool
-	traced           bool // single requests and attempts are logged
-	authorizer       *Authorizer
-	lease            *endpointlease.Lease // nil: the list may be used without a bound
+	endpointsChanged   bool
+	removedServers     []*Server
+	pendingEvents      []scheduler.Event
+	requests           map[scheduler.RequestID]*requestState
+	requestsByClientID map[string]*requestState // of open, those that have a ClientID
+	servers            map[scheduler.ServerID]*Server
+	serverIDs          map[string]scheduler.ServerID
+	lastRequestID      scheduler.RequestID
+	lastServerID       scheduler.ServerID
+	hasEndpoints       bool
+	timerAt            time.Duration // as last asked for
+	timerFired         bool
+	traceRequests      bool // single requests and attempts are logged
+	authorizer         *Authorizer
+	endpointLease      *endpointlease.Lease // nil: the list may be used without a bound
 }
 
 // Options are the collaborators of a Manager. Scheduler and Environment are required.
@@ -80,15 +80,15 @@
 		authorizer = NewAuthorizer(AuthorizerOptions{})
 	}
 	return &Manager{scheduler: options.Scheduler, environment: options.Environment, deduplicator: options.Deduplicator,
-		peers: options.Peers, lease: options.EndpointLease, authorizer: authorizer, traced: options.TraceRequests,
-		open: map[scheduler.RequestID]*entry{}, byName: map[string]*entry{},
-		servers: map[scheduler.ServerID]*Server{}, ids: map[string]scheduler.ServerID{}}
+		peers: options.Peers, endpointLease: options.EndpointLease, authorizer: authorizer, traceRequests: options.TraceRequests,
+		requests: map[scheduler.RequestID]*requestState{}, requestsByClientID: map[string]*requestState{},
+		servers: map[scheduler.ServerID]*Server{}, serverIDs: map[string]scheduler.ServerID{}}
 }
 
 // OpenRequests is the number of requests not yet answered.
 func (c *Manager) OpenRequests() (n int) {
-	for _, e := range c.open {
-		if !e.answered {
+	for _, e := range c.requests {
+		if !e.done {
 			n++
 		}
 	}
@@ -96,10 +96,10 @@
 }
 
 // ServerCount is the number of nodes that are not gone.
-func (c *Manager) ServerCount() int { return len(c.ids) }
+func (c *Manager) ServerCount() int { return len(c.serverIDs) }
 
 // Ready tells whether a node list is held. An empty one from before the start does not count.
-func (c *Manager) Ready() bool { return c.listed }
+func (c *Manager) Ready() bool { return c.hasEndpoints }
 
 // Submit hands a client's request in.
 func (c *Manager) Submit(nowMs float64, r *Request) {
@@ -110,25 +110,25 @@
 		c.deduplicator.Submit(nowMs, r)
 		return
 	}
-	if r.ClientID != "" && c.byName[r.ClientID] != nil {
+	if r.ClientID != "" && c.requestsByClientID[r.ClientID] != nil {
 		// UpdateEndpoints tell requests by this name. The other one's client must get the answer to its own.
 		c.environment.Count("requests_duplicate")
 		r.Respond(Response{Kind: DuplicateID})
 		return
 	}
-	for c.lastID++; c.open[c.lastID] != nil; c.lastID++ { // after 2^32 requests ids come round
+	for c.lastRequestID++; c.requests[c.lastRequestID] != nil; c.lastRequestID++ { // after 2^32 requests ids come round
 	}
-	r.id = c.lastID
-	e := &entry{req: r, expiryMs: nowMs + r.RemainingMs}
-	c.open[r.id] = e
+	r.id = c.lastRequestID
+	e := &requestState{request: r, deadlineMs: nowMs + r.RemainingMs}
+	c.requests[r.id] = e
 	if r.ClientID != "" {
-		c.byName[r.ClientID] = e
+		c.requestsByClientID[r.ClientID] = e
 	}
 	c.environment.Count("requests_taken")
-	if c.traced {
+	if c.traceRequests {
 		c.environment.Trace(logevent.RequestTaken, logevent.Request, r.ClientID, "id", r.id, "class", r.Class, "shard", r.Shard, "left_ms", r.RemainingMs)
 	}
-	c.events = append(c.events, scheduler.RequestArrived{ID: r.id, Class: r.Class, Plan: r.Plan,
+	c.pendingEvents = append(c.pendingEvents, scheduler.RequestArrived{ID: r.id, Class: r.Class, Plan: r.Plan,
 		Volume: scheduler.VolumeID(r.Volume), Key: r.Key, TTL: clock.Duration(r.RemainingMs), ClientDelay: clock.Duration(r.ClientDelayMs),
 		Units: r.Units, Shard: r.Shard, Gateways: r.Gateways, IsRetry: r.IsRetry, IsFirstAttempt: r.IsFirstAttempt})
 }
@@ -140,95 +140,95 @@
 		c.deduplicator.Cancel(nowMs, r)
 		return
 	}
-	e := c.open[r.id]
-	if e == nil || e.req != r || e.answered {
+	e := c.requests[r.id]
+	if e == nil || e.request != r || e.done {
 		return
 	}
-	e.answered = true
+	e.done = true
 	c.environment.Count("requests_dropped")
-	if c.traced {
+	if c.traceRequests {
 		c.environment.Trace(logevent.RequestDropped, logevent.Request, r.ClientID, "id", r.id)
 	}
-	c.events = append(c.events, scheduler.RequestCanceled{ID: r.id})
-	c.settle(e)
+	c.pendingEvents = append(c.pendingEvents, scheduler.RequestCanceled{ID: r.id})
+	c.releaseIfDone(e)
 }
 
 // Complete tells how an attempt ended. A second end of the same attempt is ignored.
 func (c *Manager) Complete(nowMs float64, r *Request, n int, res AttemptResult) {
-	e := c.open[r.id]
-	if e == nil || e.req != r || n < 0 || n >= len(e.tries) || e.tries[n].ended {
+	e := c.requests[r.id]
+	if e == nil || e.request != r || n < 0 || n >= len(e.attempts) || e.attempts[n].ended {
 		return
 	}
-	t := e.tries[n]
+	t := e.attempts[n]
 	t.ended = true
-	t.unrun = res.Status == scheduler.StatusOverloaded || res.Status == scheduler.StatusConnectFailed || res.Status == scheduler.StatusNotSent
-	e.out--
-	c.environment.Count("attempts_" + statusNames[res.Status])
-	if c.traced {
-		c.environment.Trace(logevent.AttemptEnded, logevent.Request, r.ClientID, "id", r.id, logevent.Attempt, n, logevent.Server, t.node.Name,
-			logevent.Status, statusNames[res.Status], logevent.TookMs, nowMs-t.sentMs)
+	t.neverExecuted = res.Status == scheduler.StatusOverloaded || res.Status == scheduler.StatusConnectFailed || res.Status == scheduler.StatusNotSent
+	e.inFlight--
+	c.environment.Count("attempts_" + attemptStatusNames[res.Status])
+	if c.traceRequests {
+		c.environment.Trace(logevent.AttemptEnded, logevent.Request, r.ClientID, "id", r.id, logevent.Attempt, n, logevent.Server, t.server.Name,
+			logevent.Status, attemptStatusNames[res.Status], logevent.TookMs, nowMs-t.sentMs)
 	}
 	if c.peers != nil {
-		c.peers.AttemptEnded(nowMs, t.node, res.Status, nowMs-t.sentMs)
+		c.peers.AttemptEnded(nowMs, t.server, res.Status, nowMs-t.sentMs)
 	}
-	if res.Status == scheduler.StatusOK && !e.answered { // the first answer of a node goes to the client as it is
-		c.answer(e, Response{Kind: Served, Result: res.Body})
+	if res.Status == scheduler.StatusOK && !e.done { // the first answer of a node goes to the client as it is
+		c.respond(e, Response{Kind: Served, Result: res.Body})
 	}
-	c.events = append(c.events, scheduler.AttemptEnded{ID: r.id, Attempt: n, Server: t.node.id, Status: res.Status,
-		Latency: clock.Duration(nowMs - t.sentMs), RequestDone: e.answered, VolumeUsage: res.VolumeUsage, HasVolumeUsage: res.HasVolumeUsage,
+	c.pendingEvents = append(c.pendingEvents, scheduler.AttemptEnded{ID: r.id, Attempt: n, Server: t.server.id, Status: res.Status,
+		Latency: clock.Duration(nowMs - t.sentMs), RequestDone: e.done, VolumeUsage: res.VolumeUsage, HasVolumeUsage: res.HasVolumeUsage,
 		ForeignUnits: res.ForeignUnits, LoadReport: res.LoadReport})
-	c.settle(e)
+	c.releaseIfDone(e)
 }
 
-var statusNames = [...]string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
+var attemptStatusNames = [...]string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
 // ProbeEnded tells what a probe found.
 func (c *Manager) ProbeEnded(n *Server, latencyMs float64, s scheduler.Status, report []float64) {
-	c.events = append(c.events, scheduler.ProbeEnded{Server: n.id, Status: s,
+	c.pendingEvents = append(c.pendingEvents, scheduler.ProbeEnded{Server: n.id, Status: s,
 		Latency: clock.Duration(latencyMs), LoadReport: report})
 }
 
-// renew renews the lease on the list by what has come of discovery.
-func (c *Manager) renew(l EndpointUpdate) {
-	if c.lease == nil {
+// renewEndpointLease renews the lease on the list by what has come of discovery.
+func (c *Manager) renewEndpointLease(l EndpointUpdate) {
+	if c.endpointLease == nil {
 		return
 	}
 	if l.CallDurationMs > 0 {
-		c.lease.RecordCallLatency(l.CallDurationMs)
+		c.endpointLease.RecordCallLatency(l.CallDurationMs)
 	}
 	switch {
 	case l.Kind == scheduler.Delta || l.Kind == scheduler.Snapshot || l.Kind == scheduler.Heartbeat:
-		c.lease.Renew(l.CompleteAsOfMs)
+		c.endpointLease.Renew(l.CompleteAsOfMs)
 	case l.Kind == scheduler.WatchFailed && l.Failure == CallUnreachable:
-		c.lease.RecordUnreachable(l.CompleteAsOfMs)
+		c.endpointLease.RecordUnreachable(l.CompleteAsOfMs)
 	case l.Kind == scheduler.WatchFailed && l.Failure == CallRejected:
-		c.lease.RecordRejection(l.CompleteAsOfMs)
+		c.endpointLease.RecordRejection(l.CompleteAsOfMs)
 	}
-	c.authorizer.SetEndpointsValidUntil(c.lease.ExpiresAtMs())
+	c.authorizer.SetEndpointsValidUntil(c.endpointLease.ExpiresAtMs())
 }
 
-// listUntil is when the list may no longer be used, for the module; 0: there is no such time.
-func (c *Manager) listUntil() time.Duration {
-	if c.lease == nil {
+// endpointsValidUntil is when the list may no longer be used, for the module; 0: there is no such time.
+func (c *Manager) endpointsValidUntil() time.Duration {
+	if c.endpointLease == nil {
 		return 0
 	}
-	return clock.Duration(c.lease.ExpiresAtMs())
+	return clock.Duration(c.endpointLease.ExpiresAtMs())
 }
 
 // UpdateEndpoints brings news of the node list.
 func (c *Manager) UpdateEndpoints(l EndpointUpdate) {
-	c.renew(l)
-	ev := scheduler.EndpointUpdate{Version: l.Version, Kind: l.Kind, ValidUntil: c.listUntil()}
+	c.renewEndpointLease(l)
+	ev := scheduler.EndpointUpdate{Version: l.Version, Kind: l.Kind, ValidUntil: c.endpointsValidUntil()}
 	listed := map[scheduler.ServerID]bool{}
 	for _, n := range l.Servers {
-		id := c.ids[n.Name]
+		id := c.serverIDs[n.Name]
 		if id == 0 {
 			if n.State == scheduler.Removed {
 				continue // nothing is known of it, and nothing will be
 			}
-			c.lastNo++
-			id = c.lastNo
-			c.ids[n.Name] = id
+			c.lastServerID++
+			id = c.lastServerID
+			c.serverIDs[n.Name] = id
 		}
 		n.id = id
 		listed[id] = true
@@ -245,58 +245,58 @@
 		ev.Servers = append(ev.Servers, scheduler.Server{ID: id, State: n.State, Shard: n.Shard, Kind: n.Kind, Zone: n.Zone,
 			StartedAt: clock.Duration(n.StartedMs), Size: n.Weight})
 		if n.State == scheduler.Removed {
-			c.forget(n)
+			c.removeServer(n)
 		}
 	}
 	if l.Kind == scheduler.Snapshot || l.Kind == scheduler.CachedSnapshot {
 		for id, n := range c.servers {
 			if !listed[id] {
 				n.closed.Store(true)
-				c.forget(n)
+				c.removeServer(n)
 			}
 		}
 	}
 	if l.Kind < scheduler.WatchFailed && (l.Kind != scheduler.CachedSnapshot || len(l.Servers) > 0) {
-		c.listed = true
+		c.hasEndpoints = true
 	}
-	c.events = append(c.events, ev)
+	c.pendingEvents = append(c.pendingEvents, ev)
 	c.endpointsChanged = true
 }
 
-// forget drops a node that is gone: every one that replaces another has a name of its own, and on a long day there
+// removeServer drops a node that is gone: every one that replaces another has a name of its own, and on a long day there
 // are many. Attempts keep theirs as long as they need it.
-func (c *Manager) forget(n *Server) {
+func (c *Manager) removeServer(n *Server) {
 	delete(c.servers, n.id)
-	delete(c.ids, n.Name)
+	delete(c.serverIDs, n.Name)
 	if c.peers != nil {
-		c.removed = append(c.removed, n)
+		c.removedServers = append(c.removedServers, n)
 	}
 }
 
 // BeginShutdown tells that the gateway ends, and by when all that is open must have been answered: also what was taken
 // before anyone knew, and may wait for longer than the platform leaves the program.
 func (c *Manager) BeginShutdown(atMs float64) {
-	c.events = append(c.events, scheduler.ShutdownStarted{Deadline: clock.Duration(atMs)})
+	c.pendingEvents = append(c.pendingEvents, scheduler.ShutdownStarted{Deadline: clock.Duration(atMs)})
 }
 
 // TimerFired tells that a time asked for with Outside.WakeAt has come.
 func (c *Manager) TimerFired() {
-	c.woken = true
-	c.events = append(c.events, scheduler.TimerFired{})
+	c.timerFired = true
+	c.pendingEvents = append(c.pendingEvents, scheduler.TimerFired{})
 }
 
-// roundOff is more than what a time loses on its way to a timer and back as float64 milliseconds since the epoch.
-const roundOff = time.Microsecond
+// timerRoundingError is more than what a time loses on its way to a timer and back as float64 milliseconds since the epoch.
+const timerRoundingError = time.Microsecond
 
-// now is the time of a step. A wake that comes for the time asked for never comes before it: seen a few hundred
+// stepTime is the time of a step. A wake that comes for the time asked for never comes before it: seen a few hundred
 // nanoseconds early, for want of digits, it would be none to the module, which waits for that time and asks for no
 // other. Nothing would wake it any more, and what is held would stay until something else happens.
-func (c *Manager) now(ms float64) time.Duration {
+func (c *Manager) stepTime(ms float64) time.Duration {
 	now := clock.Duration(ms)
-	if c.woken && now < c.wakeAt && c.wakeAt-now < roundOff {
-		now = c.wakeAt
+	if c.timerFired && now < c.timerAt && c.timerAt-now < timerRoundingError {
+		now = c.timerAt
 	}
-	c.woken = false
+	c.timerFired = false
 	return now
 }
 
@@ -304,27 +304,27 @@
 func (c *Manager) Step(nowMs float64) {
 	if c.peers != nil {
 		if c.endpointsChanged {
-			c.peers.EndpointsChanged(nowMs, slices.SortedFunc(maps.Values(c.servers), func(a, b *Server) int { return cmp.Compare(a.id, b.id) }), c.removed)
-			c.endpointsChanged, c.removed = false, nil
+			c.peers.EndpointsChanged(nowMs, slices.SortedFunc(maps.Values(c.servers), func(a, b *Server) int { return cmp.Compare(a.id, b.id) }), c.removedServers)
+			c.endpointsChanged, c.removedServers = false, nil
 		}
-		c.events = append(c.peers.BeginStep(nowMs), c.events...)
+		c.pendingEvents = append(c.peers.BeginStep(nowMs), c.pendingEvents...)
 	}
-	if len(c.events) == 0 {
+	if len(c.pendingEvents) == 0 {
 		return
 	}
-	events := c.events
-	c.events = nil
-	for _, a := range c.scheduler.Step(c.now(nowMs), events) {
+	events := c.pendingEvents
+	c.pendingEvents = nil
+	for _, a := range c.scheduler.Step(c.stepTime(nowMs), events) {
 		switch a := a.(type) {
 		case scheduler.Send:
-			c.send(nowMs, a)
+			c.startAttempt(nowMs, a)
 		case scheduler.Reject:
-			c.end(a.ID, Response{Kind: Rejected, RetryAfterMs: clock.Ms(a.RetryAfter), Reason: a.Reason})
+			c.finish(a.ID, Response{Kind: Rejected, RetryAfterMs: clock.Ms(a.RetryAfter), Reason: a.Reason})
 		case scheduler.Fail:
-			c.end(a.ID, Response{Kind: Failed, Reason: a.Reason})
+			c.finish(a.ID, Response{Kind: Failed, Reason: a.Reason})
 		case scheduler.CancelAttempt:
-			if e := c.open[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.tries) && !e.tries[a.Attempt].ended {
-				e.tries[a.Attempt].cancel()
+			if e := c.requests[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.attempts) && !e.attempts[a.Attempt].ended {
+				e.attempts[a.Attempt].cancel()
 			}
 		case scheduler.WatchEndpoints:
 			c.environment.WatchEndpoints()
@@ -337,7 +337,7 @@
 				c.peers.ReportDemand(nowMs, a)
 			}
 		case scheduler.SetTimer:
-			c.wakeAt = a.At
+			c.timerAt = a.At
 			c.environment.SetTimer(clock.Ms(a.At))
 		case scheduler.Log:
 			c.environment.Log(a.Text)
@@ -347,46 +347,46 @@
 	}
 }
 
-func (c *Manager) send(nowMs float64, a scheduler.Send) {
-	e, n := c.open[a.ID], c.servers[a.Server]
+func (c *Manager) startAttempt(nowMs float64, a scheduler.Send) {
+	e, n := c.requests[a.ID], c.servers[a.Server]
 	if e == nil || n == nil {
 		c.environment.Log(fmt.Sprintf("send of request %d to node %d: not known", a.ID, a.Server))
 		return
 	}
-	deadline := e.expiryMs
+	deadline := e.deadlineMs
 	if a.Timeout != 0 {
 		deadline = min(deadline, nowMs+clock.Ms(a.Timeout))
 	}
 	begin := 0.0
 	if c.peers != nil {
-		begin = c.peers.QuotaExpiresMs(scheduler.VolumeID(e.req.Volume))
+		begin = c.peers.QuotaExpiresMs(scheduler.VolumeID(e.request.Volume))
 	}
 	if before := clock.Ms(a.StartDeadline); before != 0 && (begin == 0 || before < begin) {
 		begin = before
 	}
-	t := &attempt{node: n, sentMs: nowMs}
-	e.tries = append(e.tries, t)
-	e.out++
+	t := &attemptState{server: n, sentMs: nowMs}
+	e.attempts = append(e.attempts, t)
+	e.inFlight++
 	c.environment.Count("attempts_started")
-	if c.traced {
-		c.environment.Trace(logevent.AttemptStarted, logevent.Request, e.req.ClientID, "id", a.ID, logevent.Attempt, len(e.tries)-1, logevent.Server, n.Name)
+	if c.traceRequests {
+		c.environment.Trace(logevent.AttemptStarted, logevent.Request, e.request.ClientID, "id", a.ID, logevent.Attempt, len(e.attempts)-1, logevent.Server, n.Name)
 	}
-	t.cancel = e.req.Upstream.Start(Attempt{Request: e.req, Number: len(e.tries) - 1, Server: n, DeadlineMs: deadline,
+	t.cancel = e.request.Upstream.Start(Attempt{Request: e.request, Number: len(e.attempts) - 1, Server: n, DeadlineMs: deadline,
 		StartDeadlineMs: begin, Authorizer: c.authorizer})
 }
 
-func (c *Manager) end(id scheduler.RequestID, a Response) {
-	if e := c.open[id]; e != nil && !e.answered {
-		c.answer(e, a)
-		c.settle(e)
+func (c *Manager) finish(id scheduler.RequestID, a Response) {
+	if e := c.requests[id]; e != nil && !e.done {
+		c.respond(e, a)
+		c.releaseIfDone(e)
 	}
 }
 
-var verdictNames = [...]string{"answers_served", "answers_refused", "answers_failed"}
+var responseCounters = [...]string{"answers_served", "answers_refused", "answers_failed"}
 
 // reasonCounters are the names of the counters of refused and failed answers by reason.
-var reasonCounters = func() (names [len(verdictNames)][scheduler.ReasonCount]string) {
-	for v, verdict := range verdictNames {
+var reasonCounters = func() (names [len(responseCounters)][scheduler.ReasonCount]string) {
+	for v, verdict := range responseCounters {
 		for r := range names[v] {
 			names[v][r] = verdict + "_" + scheduler.Reason(r).String()
 		}
@@ -394,29 +394,29 @@
 	return names
 }()
 
-// answer gives the one final answer.
-func (c *Manager) answer(e *entry, a Response) {
-	e.answered = true
-	c.environment.Count(verdictNames[a.Kind])
+// respond gives the one final answer.
+func (c *Manager) respond(e *requestState, a Response) {
+	e.done = true
+	c.environment.Count(responseCounters[a.Kind])
 	if a.Kind == Rejected || a.Kind == Failed {
 		c.environment.Count(reasonCounters[a.Kind][a.Reason])
 	}
-	if c.traced {
-		c.environment.Trace(logevent.RequestAnswered, logevent.Request, e.req.ClientID, "id", e.req.id, "verdict", verdictNames[a.Kind], logevent.Reason, a.Reason.String())
+	if c.traceRequests {
+		c.environment.Trace(logevent.RequestAnswered, logevent.Request, e.request.ClientID, "id", e.request.id, "verdict", responseCounters[a.Kind], logevent.Reason, a.Reason.String())
 	}
 	a.Shard = -1
-	for _, t := range e.tries {
-		if !t.unrun && !a.MayHaveExecuted { // the first in time: the window in which repeats are dropped begins there
-			a.MayHaveExecuted, a.FirstAttemptMs, a.Shard = true, t.sentMs, t.node.Shard
+	for _, t := range e.attempts {
+		if !t.neverExecuted && !a.MayHaveExecuted { // the first in time: the window in which repeats are dropped begins there
+			a.MayHaveExecuted, a.FirstAttemptMs, a.Shard = true, t.sentMs, t.server.Shard
 		}
 	}
-	e.req.Respond(a)
+	e.request.Respond(a)
 }
 
-// settle forgets a request that is answered and has no attempt out.
-func (c *Manager) settle(e *entry) {
-	if e.answered && e.out == 0 {
-		delete(c.open, e.req.id)
-		delete(c.byName, e.req.ClientID)
+// releaseIfDone forgets a request that is answered and has no attempt out.
+func (c *Manager) releaseIfDone(e *requestState) {
+	if e.done && e.inFlight == 0 {
+		delete(c.requests, e.request.id)
+		delete(c.requestsByClientID, e.request.ClientID)
 	}
 }
