--- /dev/null
+++ b/internal/lifecycle/attempts.go
@@ -0,0 +1,194 @@
+package lifecycle
+
+import (
+	"fmt"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/scheduler"
+)
+
+// requestState is what the Manager knows of a request that is not done, or of which an attempt is in flight.
+type requestState struct {
+	request    *Request
+	deadlineMs float64
+	done       bool            // it was responded to or canceled
+	attempts   []*attemptState // by number
+	inFlight   int             // attempts that have not ended
+}
+
+// attemptState is what the Manager knows of an attempt.
+type attemptState struct {
+	server        *Server
+	sentMs        float64
+	cancel        func()
+	ended         bool
+	neverExecuted bool // it ended in a way that proves that the server did not execute it
+}
+
+// attemptInFlight returns the attempt of a number, or nil if there is none or it has ended.
+func (s *requestState) attemptInFlight(number int) *attemptState {
+	if number < 0 || number >= len(s.attempts) || s.attempts[number].ended {
+		return nil
+	}
+	return s.attempts[number]
+}
+
+// firstPossibleExecution returns the first attempt that may have been executed, or nil. Its start begins the window in which
+// servers drop duplicates.
+func (s *requestState) firstPossibleExecution() *attemptState {
+	for _, attempt := range s.attempts {
+		if !attempt.neverExecuted {
+			return attempt
+		}
+	}
+	return nil
+}
+
+// stateOf returns the state of a request, or nil if it was never accepted or is released.
+func (m *Manager) stateOf(request *Request) *requestState {
+	state := m.requests[request.id]
+	if state == nil || state.request != request {
+		return nil
+	}
+	return state
+}
+
+// startAttempt executes a Send of the scheduler.
+func (m *Manager) startAttempt(nowMs float64, send scheduler.Send) {
+	state, server := m.requests[send.ID], m.servers[send.Server]
+	if state == nil || server == nil {
+		m.environment.Log(fmt.Sprintf("send of request %d to node %d: not known", send.ID, send.Server))
+		return
+	}
+	deadlineMs := state.deadlineMs
+	if send.Timeout != 0 {
+		deadlineMs = min(deadlineMs, nowMs+clock.Ms(send.Timeout))
+	}
+	startDeadlineMs := m.startDeadlineMs(state.request, send)
+	number := len(state.attempts)
+	attempt := &attemptState{server: server, sentMs: nowMs}
+	state.attempts = append(state.attempts, attempt)
+	state.inFlight++
+	m.environment.Count(counterAttemptsStarted)
+	if m.traceRequests {
+		m.environment.Trace(logevent.AttemptStarted, logevent.Request, state.request.ClientID, "id", send.ID,
+			logevent.Attempt, number, logevent.Server, server.Name)
+	}
+	attempt.cancel = state.request.Upstream.Start(Attempt{
+		Request:         state.request,
+		Number:          number,
+		Server:          server,
+		DeadlineMs:      deadlineMs,
+		StartDeadlineMs: startDeadlineMs,
+		Authorizer:      m.authorizer,
+	})
+}
+
+// startDeadlineMs returns the earlier of the scheduler's start deadline and the expiry of the quota lease that the request
+// relies on. 0 means that there is neither.
+func (m *Manager) startDeadlineMs(request *Request, send scheduler.Send) float64 {
+	deadlineMs := 0.0
+	if m.peers != nil {
+		deadlineMs = m.peers.QuotaExpiresMs(scheduler.VolumeID(request.Volume))
+	}
+	if sendMs := clock.Ms(send.StartDeadline); sendMs != 0 && (deadlineMs == 0 || sendMs < deadlineMs) {
+		deadlineMs = sendMs
+	}
+	return deadlineMs
+}
+
+// cancelAttempt executes a CancelAttempt of the scheduler. The attempt still ends in a Complete.
+func (m *Manager) cancelAttempt(action scheduler.CancelAttempt) {
+	state := m.requests[action.ID]
+	if state == nil {
+		return
+	}
+	if attempt := state.attemptInFlight(action.Attempt); attempt != nil {
+		attempt.cancel()
+	}
+}
+
+// Complete records how an attempt ended. A second end of the same attempt is ignored.
+func (m *Manager) Complete(nowMs float64, request *Request, number int, result AttemptResult) {
+	state := m.stateOf(request)
+	if state == nil {
+		return
+	}
+	attempt := state.attemptInFlight(number)
+	if attempt == nil {
+		return
+	}
+	latencyMs := nowMs - attempt.sentMs
+	attempt.ended = true
+	attempt.neverExecuted = provesNotExecuted(result.Status)
+	state.inFlight--
+	m.environment.Count(counterAttemptsPrefix + attemptStatusNames[result.Status])
+	if m.traceRequests {
+		m.environment.Trace(logevent.AttemptEnded, logevent.Request, request.ClientID, "id", request.id,
+			logevent.Attempt, number, logevent.Server, attempt.server.Name,
+			logevent.Status, attemptStatusNames[result.Status], logevent.TookMs, latencyMs)
+	}
+	if m.peers != nil {
+		m.peers.AttemptEnded(nowMs, attempt.server, result.Status, latencyMs)
+	}
+	if result.Status == scheduler.StatusOK && !state.done {
+		m.respond(state, Response{Kind: Served, Result: result.Body})
+	}
+	m.pendingEvents = append(m.pendingEvents, scheduler.AttemptEnded{
+		ID:             request.id,
+		Attempt:        number,
+		Server:         attempt.server.id,
+		Status:         result.Status,
+		Latency:        clock.Duration(latencyMs),
+		RequestDone:    state.done,
+		VolumeUsage:    result.VolumeUsage,
+		HasVolumeUsage: result.HasVolumeUsage,
+		ForeignUnits:   result.ForeignUnits,
+		LoadReport:     result.LoadReport,
+	})
+	m.releaseIfDone(state)
+}
+
+// provesNotExecuted reports whether an attempt that ended with a status was certainly not executed.
+func provesNotExecuted(status scheduler.Status) bool {
+	switch status {
+	case scheduler.StatusOverloaded, scheduler.StatusConnectFailed, scheduler.StatusNotSent:
+		return true
+	}
+	return false
+}
+
+// finish gives an open request its final response. It has no effect on a request that is done.
+func (m *Manager) finish(id scheduler.RequestID, response Response) {
+	if state := m.requests[id]; state != nil && !state.done {
+		m.respond(state, response)
+		m.releaseIfDone(state)
+	}
+}
+
+// respond gives the one final response. The caller checks that the request is not done.
+func (m *Manager) respond(state *requestState, response Response) {
+	state.done = true
+	m.environment.Count(responseCounters[response.Kind])
+	if response.Kind == Rejected || response.Kind == Failed {
+		m.environment.Count(reasonCounters[response.Kind][response.Reason])
+	}
+	if m.traceRequests {
+		m.environment.Trace(logevent.RequestAnswered, logevent.Request, state.request.ClientID, "id", state.request.id,
+			"verdict", responseCounters[response.Kind], logevent.Reason, response.Reason.String())
+	}
+	response.Shard = -1
+	if attempt := state.firstPossibleExecution(); attempt != nil {
+		response.MayHaveExecuted, response.FirstAttemptMs, response.Shard = true, attempt.sentMs, attempt.server.Shard
+	}
+	state.request.Respond(response)
+}
+
+// releaseIfDone forgets a request that is done and has no attempt in flight.
+func (m *Manager) releaseIfDone(state *requestState) {
+	if state.done && state.inFlight == 0 {
+		delete(m.requests, state.request.id)
+		delete(m.requestsByClientID, state.request.ClientID)
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/endpoints.go
@@ -0,0 +1,209 @@
+package lifecycle
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/scheduler"
+)
+
+// EndpointUpdate is an update of the endpoint list, or of the state of its watch.
+type EndpointUpdate struct {
+	Version uint64
+	Kind    scheduler.UpdateKind
+	Servers []*Server
+	// CompleteAsOfMs is the time before which no change is missing. If Kind is scheduler.WatchFailed, it is the start of the call.
+	CompleteAsOfMs float64
+	// CallDurationMs is how long discovery took to answer a call. It is set in the first update of a call and 0 in others.
+	CallDurationMs float64
+	// Failure is set if Kind is scheduler.WatchFailed.
+	Failure CallFailure
+}
+
+// CallFailure tells what a failed call of discovery proves.
+type CallFailure uint8
+
+// The kinds of failure.
+const (
+	// CallRejected means that discovery rejected or broke off the call: it is down, or it has too many callers.
+	CallRejected CallFailure = iota
+	// CallUnreachable means that nothing accepted the connection.
+	CallUnreachable
+	// CallInconclusive means that the call failed on this machine or exceeded its time, which proves nothing of discovery.
+	CallInconclusive
+
+	callFailureCount = iota
+)
+
+var callFailureNames = [callFailureCount]string{
+	CallRejected:     "rejected",
+	CallUnreachable:  "unreachable",
+	CallInconclusive: "inconclusive",
+}
+
+// String returns the name of the failure, and "unknown" for other values.
+func (f CallFailure) String() string {
+	if int(f) < len(callFailureNames) {
+		return callFailureNames[f]
+	}
+	return "unknown"
+}
+
+// isSnapshot reports whether the update holds the complete endpoint list.
+func (u *EndpointUpdate) isSnapshot() bool {
+	return u.Kind == scheduler.Snapshot || u.Kind == scheduler.CachedSnapshot
+}
+
+// providesEndpoints reports whether requests can be served once the update is applied. An empty cached list from before the
+// start does not count.
+func (u *EndpointUpdate) providesEndpoints() bool {
+	switch u.Kind {
+	case scheduler.Delta, scheduler.Snapshot:
+		return true
+	case scheduler.CachedSnapshot:
+		return len(u.Servers) > 0
+	}
+	return false
+}
+
+// ServerCount returns the number of servers in the endpoint list.
+func (m *Manager) ServerCount() int { return len(m.serverIDs) }
+
+// Ready reports whether an endpoint list has been received that requests can be served by.
+func (m *Manager) Ready() bool { return m.hasEndpoints }
+
+// UpdateEndpoints applies an update of the endpoint list. The Manager keeps the update's Servers.
+func (m *Manager) UpdateEndpoints(update EndpointUpdate) {
+	m.renewEndpointLease(update)
+	event := scheduler.EndpointUpdate{Version: update.Version, Kind: update.Kind, ValidUntil: m.endpointsValidUntil()}
+	listed := map[scheduler.ServerID]bool{}
+	for _, server := range update.Servers {
+		if !m.assignID(server) {
+			continue
+		}
+		listed[server.id] = true
+		m.replaceEntry(server)
+		event.Servers = append(event.Servers, server.schedulerServer())
+		if server.State == scheduler.Removed {
+			m.removeServer(server)
+		}
+	}
+	if update.isSnapshot() {
+		m.removeUnlisted(listed)
+	}
+	if update.providesEndpoints() {
+		m.hasEndpoints = true
+	}
+	m.pendingEvents = append(m.pendingEvents, event)
+	m.endpointsChanged = true
+}
+
+// assignID gives an entry the id of its server, a new one if the server is new. It returns false for the removal of a server
+// that is not known, which can be ignored.
+func (m *Manager) assignID(server *Server) bool {
+	id := m.serverIDs[server.Name]
+	if id == 0 {
+		if server.State == scheduler.Removed {
+			return false
+		}
+		m.lastServerID++
+		id = m.lastServerID
+		m.serverIDs[server.Name] = id
+	}
+	server.id = id
+	return true
+}
+
+// replaceEntry replaces the previous entry of a server. Attempts may hold that one: it closes if the server moved, and shares
+// the closed state of the new one otherwise. A closed entry is never opened again, because it may mean an earlier process.
+func (m *Manager) replaceEntry(server *Server) {
+	server.closed = &atomic.Bool{}
+	if previous := m.servers[server.id]; previous != nil {
+		if previous.Addr == server.Addr && !previous.Closed() {
+			server.closed = previous.closed
+		} else {
+			previous.closed.Store(true)
+		}
+	}
+	server.closed.Store(server.State != scheduler.Ready)
+	m.servers[server.id] = server
+}
+
+// removeUnlisted closes and removes every server that a snapshot does not list.
+func (m *Manager) removeUnlisted(listed map[scheduler.ServerID]bool) {
+	for id, server := range m.servers {
+		if !listed[id] {
+			server.closed.Store(true)
+			m.removeServer(server)
+		}
+	}
+}
+
+// removeServer forgets a server. A server that replaces another has a name and id of its own, so that kept ones would
+// accumulate. Attempts keep their entries for as long as they need them.
+func (m *Manager) removeServer(server *Server) {
+	delete(m.servers, server.id)
+	delete(m.serverIDs, server.Name)
+	if m.peers != nil {
+		m.removedServers = append(m.removedServers, server)
+	}
+}
+
+// renewEndpointLease renews the lease on the endpoint list by what an update proves.
+func (m *Manager) renewEndpointLease(update EndpointUpdate) {
+	if m.endpointLease == nil {
+		return
+	}
+	if update.CallDurationMs > 0 {
+		m.endpointLease.RecordCallLatency(update.CallDurationMs)
+	}
+	switch update.Kind {
+	case scheduler.Delta, scheduler.Snapshot, scheduler.Heartbeat:
+		m.endpointLease.Renew(update.CompleteAsOfMs)
+	case scheduler.WatchFailed:
+		m.recordCallFailure(update)
+	}
+	m.authorizer.SetEndpointsValidUntil(m.endpointLease.ExpiresAtMs())
+}
+
+// recordCallFailure records a failed call of discovery at the lease.
+func (m *Manager) recordCallFailure(update EndpointUpdate) {
+	switch update.Failure {
+	case CallUnreachable:
+		m.endpointLease.RecordUnreachable(update.CompleteAsOfMs)
+	case CallRejected:
+		m.endpointLease.RecordRejection(update.CompleteAsOfMs)
+	}
+}
+
+// endpointsValidUntil returns when the endpoint list expires. 0 means never.
+func (m *Manager) endpointsValidUntil() time.Duration {
+	if m.endpointLease == nil {
+		return 0
+	}
+	return clock.Duration(m.endpointLease.ExpiresAtMs())
+}
+
+// ProbeEnded records the result of a probe.
+func (m *Manager) ProbeEnded(server *Server, latencyMs float64, status scheduler.Status, loadReport []float64) {
+	m.pendingEvents = append(m.pendingEvents, scheduler.ProbeEnded{
+		Server:     server.id,
+		Status:     status,
+		Latency:    clock.Duration(latencyMs),
+		LoadReport: loadReport,
+	})
+}
+
+// stepPeers tells the peers of changed endpoints and puts their events before those of the step.
+func (m *Manager) stepPeers(nowMs float64) {
+	if m.endpointsChanged {
+		servers := slices.SortedFunc(maps.Values(m.servers), func(a, b *Server) int { return cmp.Compare(a.id, b.id) })
+		m.peers.EndpointsChanged(nowMs, servers, m.removedServers)
+		m.endpointsChanged, m.removedServers = false, nil
+	}
+	m.pendingEvents = append(m.peers.BeginStep(nowMs), m.pendingEvents...)
+}
--- /dev/null
+++ b/internal/lifecycle/manager.go
@@ -0,0 +1,221 @@
+package lifecycle
+
+import (
+	"fmt"
+	"time"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/endpointlease"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/scheduler"
+)
+
+// Options are the collaborators of a Manager. Scheduler and Environment are required.
+type Options struct {
+	Scheduler   Scheduler
+	Environment Environment
+	// Deduplicator handles the requests of devices. If it is nil, they are handled like all others.
+	Deduplicator Deduplicator
+	// Peers coordinates with the other gateways. nil means that there are none.
+	Peers Peers
+	// EndpointLease bounds for how long an endpoint list is used that cannot be refreshed. nil means without a bound.
+	EndpointLease *endpointlease.Lease
+	// Authorizer authorizes the first byte of each attempt. nil means NewAuthorizer(AuthorizerOptions{}).
+	Authorizer *Authorizer
+	// TraceRequests enables Environment.Trace.
+	TraceRequests bool
+}
+
+// Manager owns the open requests and the endpoint list of one gateway. Create one with New. Its methods must be called from
+// one goroutine; what they report reaches the scheduler at the next Step. nowMs is the current time in milliseconds.
+type Manager struct {
+	scheduler    Scheduler
+	environment  Environment
+	deduplicator Deduplicator
+	peers        Peers
+	authorizer   *Authorizer
+	// endpointLease is nil if the endpoint list may be used without a bound.
+	endpointLease *endpointlease.Lease
+	traceRequests bool
+
+	// pendingEvents are the events since the last step.
+	pendingEvents []scheduler.Event
+
+	requests map[scheduler.RequestID]*requestState
+	// requestsByClientID holds those of requests that have a ClientID.
+	requestsByClientID map[string]*requestState
+	lastRequestID      scheduler.RequestID
+
+	servers      map[scheduler.ServerID]*Server
+	serverIDs    map[string]scheduler.ServerID
+	lastServerID scheduler.ServerID
+	// hasEndpoints reports that a usable endpoint list has been received.
+	hasEndpoints bool
+	// endpointsChanged and removedServers are what Peers.EndpointsChanged has not been told yet.
+	endpointsChanged bool
+	removedServers   []*Server
+
+	// timerAt is the time of the last timer that the scheduler asked for.
+	timerAt time.Duration
+	// timerFired reports that a timer has fired since the last step.
+	timerFired bool
+}
+
+// New returns a Manager without requests and servers.
+func New(options Options) *Manager {
+	authorizer := options.Authorizer
+	if authorizer == nil {
+		authorizer = NewAuthorizer(AuthorizerOptions{})
+	}
+	return &Manager{
+		scheduler:          options.Scheduler,
+		environment:        options.Environment,
+		deduplicator:       options.Deduplicator,
+		peers:              options.Peers,
+		authorizer:         authorizer,
+		endpointLease:      options.EndpointLease,
+		traceRequests:      options.TraceRequests,
+		requests:           map[scheduler.RequestID]*requestState{},
+		requestsByClientID: map[string]*requestState{},
+		servers:            map[scheduler.ServerID]*Server{},
+		serverIDs:          map[string]scheduler.ServerID{},
+	}
+}
+
+// OpenRequests returns the number of accepted requests that have neither been responded to nor canceled.
+func (m *Manager) OpenRequests() (count int) {
+	for _, state := range m.requests {
+		if !state.done {
+			count++
+		}
+	}
+	return count
+}
+
+// Submit accepts a client's request. A request that is already canceled is ignored: its Cancel is still to come. A request of
+// a device goes to the Deduplicator, which submits what is to run.
+func (m *Manager) Submit(nowMs float64, request *Request) {
+	if request.canceled.Load() {
+		return
+	}
+	if request.Device != nil && m.deduplicator != nil {
+		m.deduplicator.Submit(nowMs, request)
+		return
+	}
+	if request.ClientID != "" && m.requestsByClientID[request.ClientID] != nil {
+		// Servers know requests by this name. The client of the other request must get the response to its own.
+		m.environment.Count(counterRequestsDuplicate)
+		request.Respond(Response{Kind: DuplicateID})
+		return
+	}
+	m.accept(nowMs, request)
+}
+
+// accept opens a request under a new id and reports it to the scheduler.
+func (m *Manager) accept(nowMs float64, request *Request) {
+	request.id = m.nextRequestID()
+	state := &requestState{request: request, deadlineMs: nowMs + request.RemainingMs}
+	m.requests[request.id] = state
+	if request.ClientID != "" {
+		m.requestsByClientID[request.ClientID] = state
+	}
+	m.environment.Count(counterRequestsAccepted)
+	if m.traceRequests {
+		m.environment.Trace(logevent.RequestTaken, logevent.Request, request.ClientID, "id", request.id,
+			"class", request.Class, "shard", request.Shard, "left_ms", request.RemainingMs)
+	}
+	m.pendingEvents = append(m.pendingEvents, scheduler.RequestArrived{
+		ID:             request.id,
+		Class:          request.Class,
+		Plan:           request.Plan,
+		Volume:         scheduler.VolumeID(request.Volume),
+		Key:            request.Key,
+		TTL:            clock.Duration(request.RemainingMs),
+		ClientDelay:    clock.Duration(request.ClientDelayMs),
+		Units:          request.Units,
+		Shard:          request.Shard,
+		Gateways:       request.Gateways,
+		IsRetry:        request.IsRetry,
+		IsFirstAttempt: request.IsFirstAttempt,
+	})
+}
+
+// nextRequestID returns an id that no open request has. After 2^32 requests ids wrap around.
+func (m *Manager) nextRequestID() scheduler.RequestID {
+	m.lastRequestID++
+	for m.requests[m.lastRequestID] != nil {
+		m.lastRequestID++
+	}
+	return m.lastRequestID
+}
+
+// Cancel ends a request whose client has gone: it gets no response. It has no effect on a request that is done.
+func (m *Manager) Cancel(nowMs float64, request *Request) {
+	request.Cancel()
+	if request.Device != nil && m.deduplicator != nil {
+		m.deduplicator.Cancel(nowMs, request)
+		return
+	}
+	state := m.stateOf(request)
+	if state == nil || state.done {
+		return
+	}
+	state.done = true
+	m.environment.Count(counterRequestsCanceled)
+	if m.traceRequests {
+		m.environment.Trace(logevent.RequestDropped, logevent.Request, request.ClientID, "id", request.id)
+	}
+	m.pendingEvents = append(m.pendingEvents, scheduler.RequestCanceled{ID: request.id})
+	m.releaseIfDone(state)
+}
+
+// BeginShutdown reports that the gateway shuts down, and by when every open request must have been responded to. That bounds
+// also requests from before the shutdown, whose deadlines may be later than the end of the program.
+func (m *Manager) BeginShutdown(deadlineMs float64) {
+	m.pendingEvents = append(m.pendingEvents, scheduler.ShutdownStarted{Deadline: clock.Duration(deadlineMs)})
+}
+
+// Step passes the events since the last step to the scheduler and executes its actions in their order.
+func (m *Manager) Step(nowMs float64) {
+	if m.peers != nil {
+		m.stepPeers(nowMs)
+	}
+	if len(m.pendingEvents) == 0 {
+		return
+	}
+	events := m.pendingEvents
+	m.pendingEvents = nil
+	for _, action := range m.scheduler.Step(m.stepTime(nowMs), events) {
+		m.execute(nowMs, action)
+	}
+}
+
+// execute executes one action of the scheduler.
+func (m *Manager) execute(nowMs float64, action scheduler.Action) {
+	switch action := action.(type) {
+	case scheduler.Send:
+		m.startAttempt(nowMs, action)
+	case scheduler.Reject:
+		m.finish(action.ID, Response{Kind: Rejected, RetryAfterMs: clock.Ms(action.RetryAfter), Reason: action.Reason})
+	case scheduler.Fail:
+		m.finish(action.ID, Response{Kind: Failed, Reason: action.Reason})
+	case scheduler.CancelAttempt:
+		m.cancelAttempt(action)
+	case scheduler.WatchEndpoints:
+		m.environment.WatchEndpoints()
+	case scheduler.ProbeServer:
+		if server := m.servers[action.Server]; server != nil {
+			m.environment.ProbeServer(server)
+		}
+	case scheduler.QuotaDemand:
+		if m.peers != nil {
+			m.peers.ReportDemand(nowMs, action)
+		}
+	case scheduler.SetTimer:
+		m.setTimer(action.At)
+	case scheduler.Log:
+		m.environment.Log(action.Text)
+	default:
+		m.environment.Log(fmt.Sprintf("unknown action %T", action))
+	}
+}
