--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -124,7 +124,7 @@
 
 // ended counts the ends of attempts.
 func ended(m *metrics.Set) (n int64) {
-	for _, how := range []string{"ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"} {
+	for _, how := range []string{"ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent"} {
 		n += m.Get("attempts_" + how)
 	}
 	return n
@@ -161,8 +161,8 @@
 	if st, err := cl.Stat("/layers/a.tar"); err != nil || st.Size() != 5003 {
 		t.Errorf("stat: %v %v", st, err)
 	}
-	if r.counts.Get("requests_taken") != 4 || r.counts.Get("answers_served") != 4 {
-		t.Errorf("OPEN, WRITE, READ and STAT made %d requests, %d served", r.counts.Get("requests_taken"), r.counts.Get("answers_served"))
+	if r.counts.Get("requests_accepted") != 4 || r.counts.Get("answers_served") != 4 {
+		t.Errorf("OPEN, WRITE, READ and STAT made %d requests, %d served", r.counts.Get("requests_accepted"), r.counts.Get("answers_served"))
 	}
 }
 
@@ -196,7 +196,7 @@
 	if err := r.while(done); err != nil || !bytes.Equal(got.Bytes(), data) {
 		t.Errorf("down: %v, %d bytes", err, got.Len())
 	}
-	if n := r.counts.Get("answers_refused") + r.counts.Get("answers_failed"); n != 0 { // READs past the end may be out
+	if n := r.counts.Get("answers_rejected") + r.counts.Get("answers_failed"); n != 0 { // READs past the end may be out
 		t.Errorf("%d not served", n)
 	}
 }
@@ -222,7 +222,7 @@
 			t.Errorf("%s: %v, want code %d", what, c.err, c.want)
 		}
 	}
-	if n := r.counts.Get("requests_taken"); n != 0 {
+	if n := r.counts.Get("requests_accepted"); n != 0 {
 		t.Errorf("%d requests reached the module", n)
 	}
 	if _, err := cl.Open("/layers/none"); code(err) != sftpclient.StatusNoSuchFile {
@@ -264,7 +264,7 @@
 	if got := c.status(); got != sftpclient.StatusFailure {
 		t.Errorf("code %d", got)
 	}
-	if n := r.counts.Get("requests_taken"); n != 0 {
+	if n := r.counts.Get("requests_accepted"); n != 0 {
 		t.Errorf("%d requests reached the module", n)
 	}
 }
@@ -293,7 +293,7 @@
 	if n := r.counts.Get("file_commands_cut_off"); n != 1 {
 		t.Errorf("%d ends", n)
 	}
-	if n := r.counts.Get("requests_taken"); n != 0 || len(r.files.Log()) != 0 || string(r.files.File("/layers/a")) != "old" {
+	if n := r.counts.Get("requests_accepted"); n != 0 || len(r.files.Log()) != 0 || string(r.files.File("/layers/a")) != "old" {
 		t.Errorf("%d requests taken, the file server saw %v", n, r.files.Log())
 	}
 }
@@ -322,8 +322,8 @@
 	go f.ReadAt(make([]byte, 4), 0)
 	<-reached
 	c.Close()
-	r.until(func() bool { return r.counts.Get("requests_dropped") == 1 })
-	r.until(func() bool { return r.counts.Get("attempts_cancelled") == 1 }) // it is called off
+	r.until(func() bool { return r.counts.Get("requests_canceled") == 1 })
+	r.until(func() bool { return r.counts.Get("attempts_canceled") == 1 }) // it is called off
 	close(release)
 	if got := r.counts.Get("answers_served"); got != 1 || r.loop.OpenRequests() != 0 {
 		t.Errorf("%d served (the OPEN alone was due), %d open", got, r.loop.OpenRequests())
@@ -387,7 +387,7 @@
 	r.list(scheduler.Draining)
 	done := make(chan error, 1)
 	go func() { _, err := r.client().Open("/layers/a"); done <- err }()
-	r.until(func() bool { return r.counts.Get("requests_taken") == 1 })
+	r.until(func() bool { return r.counts.Get("requests_accepted") == 1 })
 	err := r.while(done)
 	if code(err) != sftpclient.StatusFailure || !strings.Contains(err.Error(), "retry after ") {
 		t.Errorf("%v", err)
@@ -626,7 +626,7 @@
 			}
 		}
 		r.loop.Sync()
-		taken := r.counts.Get("requests_taken")
+		taken := r.counts.Get("requests_accepted")
 		if served := r.counts.Get("answers_served"); served != taken || r.loop.OpenRequests() != 0 {
 			t.Fatalf("%d taken, %d served, %d open", taken, served, r.loop.OpenRequests())
 		}
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -200,7 +200,7 @@
 
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t.Logf("lowest level %.1f, units %v, refused %d of %d", m.worst, m.units, counts.Get("answers_refused"), counts.Get("requests_taken"))
+	t.Logf("lowest level %.1f, units %v, refused %d of %d", m.worst, m.units, counts.Get("answers_rejected"), counts.Get("requests_accepted"))
 	if m.worst < -m.plan.LimitOverdraft {
 		t.Errorf("a store fell to %.1f, the slack is %.1f", m.worst, m.plan.LimitOverdraft)
 	}
@@ -208,7 +208,7 @@
 		t.Errorf("%d requests reached the nodes, the core sent %d", m.arrivals, counts.Get("attempts_started"))
 	}
 	// The test would prove nothing if either wire were idle or the limits did not bind.
-	if m.units["http"] < 30 || m.units["file"] < 30 || counts.Get("answers_refused") == 0 {
-		t.Errorf("units %v, %d refused", m.units, counts.Get("answers_refused"))
+	if m.units["http"] < 30 || m.units["file"] < 30 || counts.Get("answers_rejected") == 0 {
+		t.Errorf("units %v, %d refused", m.units, counts.Get("answers_rejected"))
 	}
 }
--- a/internal/lifecycle/counters.go
+++ b/internal/lifecycle/counters.go
@@ -4,9 +4,9 @@
 
 // Names of counters. Those of attempts and responses continue with a status or reason.
 const (
-	counterRequestsAccepted  = "requests_taken"
+	counterRequestsAccepted  = "requests_accepted"
 	counterRequestsDuplicate = "requests_duplicate"
-	counterRequestsCanceled  = "requests_dropped"
+	counterRequestsCanceled  = "requests_canceled"
 	counterAttemptsStarted   = "attempts_started"
 
 	counterAttemptsPrefix = "attempts_"
@@ -15,7 +15,7 @@
 // responseCounters are the names of the counters of responses to accepted requests.
 var responseCounters = [...]string{
 	Served:   "answers_served",
-	Rejected: "answers_refused",
+	Rejected: "answers_rejected",
 	Failed:   "answers_failed",
 }
 
@@ -33,10 +33,10 @@
 var attemptStatusNames = [...]string{
 	scheduler.StatusOK:              "ok",
 	scheduler.StatusError:           "error",
-	scheduler.StatusOverloaded:      "full",
+	scheduler.StatusOverloaded:      "overloaded",
 	scheduler.StatusTimedOut:        "timed_out",
 	scheduler.StatusConnectFailed:   "connect_failed",
-	scheduler.StatusConnectionReset: "reset",
-	scheduler.StatusCanceled:        "cancelled",
-	scheduler.StatusNotSent:         "moot",
+	scheduler.StatusConnectionReset: "connection_reset",
+	scheduler.StatusCanceled:        "canceled",
+	scheduler.StatusNotSent:         "not_sent",
 }
