--- /dev/null
+++ b/internal/lifecycle/fuzz_test.go
@@ -0,0 +1,168 @@
+package lifecycle_test
+
+import (
+	"testing"
+
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/scheduler"
+)
+
+// requestModel is what a request must look like from outside.
+type requestModel struct {
+	request       *lifecycle.Request
+	id            scheduler.RequestID
+	responses     int
+	done          bool   // it was responded to or canceled
+	attemptsEnded []bool // by number
+}
+
+// fuzzHarness runs a Manager beside a model of each of its requests.
+type fuzzHarness struct {
+	t         *testing.T
+	manager   *lifecycle.Manager
+	decisions *scriptedScheduler
+	upstream  *recordingUpstream
+	models    []*requestModel
+}
+
+func newFuzzHarness(t *testing.T) *fuzzHarness {
+	t.Helper()
+	h := &fuzzHarness{t: t, decisions: &scriptedScheduler{}, upstream: &recordingUpstream{}}
+	h.manager = newManager(h.decisions)
+	h.manager.UpdateEndpoints(snapshot(scheduler.Ready))
+	h.manager.Step(0)
+	return h
+}
+
+// submit submits a further request.
+func (h *fuzzHarness) submit(nowMs float64) {
+	model := &requestModel{id: scheduler.RequestID(len(h.models) + 1)}
+	model.request = &lifecycle.Request{RemainingMs: 1000, Upstream: h.upstream,
+		Respond: func(lifecycle.Response) { model.responses++ }}
+	h.models = append(h.models, model)
+	h.manager.Submit(nowMs, model.request)
+	h.manager.Step(nowMs)
+}
+
+// The operations on a request, by the lowest bits of a fuzzer's byte. 0 submits a further request.
+const (
+	opSend           = 1
+	opAttemptOK      = 2
+	opAttemptError   = 3
+	opClientCancel   = 4
+	opFail           = 5
+	opReject         = 6
+	opInvalidActions = 7
+	opCount          = 8
+)
+
+// perform performs an operation on a request and its model. It returns the number of events that the scheduler must get. The
+// highest bits of the byte are the number of an attempt.
+func (h *fuzzHarness) perform(nowMs float64, model *requestModel, operation byte) (wantEvents int) {
+	number := int(operation >> 5)
+	switch operation % opCount {
+	case opAttemptOK:
+		return h.completeAttempt(nowMs, model, number, scheduler.StatusOK)
+	case opAttemptError:
+		return h.completeAttempt(nowMs, model, number, scheduler.StatusError)
+	case opClientCancel:
+		h.manager.Cancel(nowMs, model.request)
+		if model.done {
+			return 0
+		}
+		model.done = true
+		return 1
+	case opSend:
+		if !model.done {
+			h.decisions.actions = []scheduler.Action{scheduler.Send{ID: model.id, Server: 1}}
+			model.attemptsEnded = append(model.attemptsEnded, false)
+		}
+	case opFail: // perhaps of a request that is done
+		h.decisions.actions = []scheduler.Action{scheduler.Fail{ID: model.id}}
+		model.done = true
+	case opReject:
+		h.decisions.actions = []scheduler.Action{scheduler.Reject{ID: model.id}}
+		model.done = true
+	case opInvalidActions:
+		h.decisions.actions = []scheduler.Action{
+			scheduler.CancelAttempt{ID: model.id, Attempt: number},
+			scheduler.ProbeServer{Server: 9},
+			scheduler.Send{ID: 999, Server: 1},
+			scheduler.Send{ID: model.id, Server: 99},
+			scheduler.Fail{ID: 999},
+		}
+	}
+	h.manager.TimerFired() // makes the scheduler return its actions
+	return 1
+}
+
+// completeAttempt ends an attempt, which may have ended before or not exist.
+func (h *fuzzHarness) completeAttempt(nowMs float64, model *requestModel, number int, status scheduler.Status) (wantEvents int) {
+	h.manager.Complete(nowMs, model.request, number, lifecycle.AttemptResult{Status: status})
+	if number >= len(model.attemptsEnded) || model.attemptsEnded[number] {
+		return 0
+	}
+	model.attemptsEnded[number] = true
+	model.done = model.done || status == scheduler.StatusOK
+	return 1
+}
+
+// checkStep checks what a step on a request has brought.
+func (h *fuzzHarness) checkStep(step int, operation byte, model *requestModel, wantEvents int) {
+	h.t.Helper()
+	events := h.decisions.events
+	if len(events) != wantEvents {
+		h.t.Fatalf("step %d (%d): the scheduler got %v, want %d events", step, operation, events, wantEvents)
+	}
+	if wantEvents == 1 {
+		if ended, ok := events[0].(scheduler.AttemptEnded); ok && (ended.RequestDone != model.done || ended.ID != model.id) {
+			h.t.Fatalf("step %d: %+v, done is %v", step, ended, model.done)
+		}
+	}
+	if model.responses > 1 {
+		h.t.Fatalf("step %d: %d responses", step, model.responses)
+	}
+}
+
+// checkTotals checks the open requests and the started attempts.
+func (h *fuzzHarness) checkTotals() {
+	h.t.Helper()
+	open, started := 0, 0
+	for _, model := range h.models {
+		started += len(model.attemptsEnded)
+		if !model.done {
+			open++
+			if model.responses != 0 {
+				h.t.Fatalf("request %d is open and has %d responses", model.id, model.responses)
+			}
+		}
+	}
+	if h.manager.OpenRequests() != open || len(h.upstream.started) != started {
+		h.t.Fatalf("%d open, want %d; %d started, want %d", h.manager.OpenRequests(), open, len(h.upstream.started), started)
+	}
+}
+
+// FuzzRequests checks random steps against a model of each request: it is open, responded to or canceled; whatever races, it
+// gets at most one response, and the scheduler learns of the end of each attempt once, and whether the request is done by then.
+func FuzzRequests(f *testing.F) {
+	f.Add([]byte{0, 1, 2, 5, 3})
+	f.Add([]byte{0, 1, 1, 2, 2, 10, 2, 4, 3, 5})
+	f.Add([]byte{0, 8, 1, 9, 4, 2, 12, 5, 13, 3, 11, 2})
+	f.Add([]byte{0, 1, 3, 2, 2, 0, 1, 6, 7, 2})
+	f.Fuzz(func(t *testing.T, operations []byte) {
+		h := newFuzzHarness(t)
+		for step, operation := range operations {
+			nowMs := float64(step)
+			h.decisions.events = nil
+			if operation%opCount == 0 || len(h.models) == 0 {
+				h.submit(nowMs)
+				continue
+			}
+			model := h.models[int(operation>>3)%len(h.models)]
+			wantEvents := h.perform(nowMs, model, operation)
+			h.manager.Step(nowMs)
+			h.checkStep(step, operation, model, wantEvents)
+		}
+		h.checkTotals()
+	})
+}
