--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,5 +1,11 @@
-// Package loop runs the one goroutine that owns the core and the decision module. Everyone else reaches them
-// through its bounded inbox.
+// Package eventloop runs the one goroutine that owns the state of requests (package lifecycle) and the scheduler. All other
+// goroutines reach them through its bounded inbox.
+//
+// What waits in the inbox is handled together, in its order, and then the scheduler steps once. The loop itself never waits for
+// another goroutine, so a full inbox soon has room again.
+//
+// Methods of Loop may be called from any goroutine unless their comments say otherwise. Whoever calls Run owns the goroutine.
+// Once Run has returned, nothing that is still in the inbox or posted later is handled.
 package eventloop
 
 import (
@@ -7,18 +13,19 @@
 	"log/slog"
 	"sync/atomic"
 
-	"gaugerelay/internal/scheduler"
-
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/endpointlease"
 	"gaugerelay/internal/lifecycle"
-	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
 )
 
-// inboxSize bounds what waits for the loop; above the last quarter new requests are turned away, so that the
-// ends of attempts, which must not be lost, always find room soon.
-const inboxSize = 4096
+const (
+	// inboxSize bounds the tasks that wait for the loop.
+	inboxSize = 4096
+	// requestInboxSize is from how many waiting tasks on new requests are rejected, so that the ends of attempts, which must
+	// not be lost, soon have room.
+	requestInboxSize = inboxSize * 3 / 4
+)
 
 // Options are the collaborators of a Loop. Scheduler, Clock and Metrics are required. The functions are called on the loop's
 // goroutine, must not block, and do nothing if they are nil.
@@ -41,32 +48,42 @@
 	OnReady func()
 }
 
-// Loop owns a core.
+// setDefaults replaces the functions that are nil.
+func (o *Options) setDefaults() {
+	if o.WatchEndpoints == nil {
+		o.WatchEndpoints = func() {}
+	}
+	if o.ProbeServer == nil {
+		o.ProbeServer = func(*lifecycle.Server) {}
+	}
+	if o.OnReady == nil {
+		o.OnReady = func() {}
+	}
+}
+
+// task is work for the loop's goroutine. It gets the current time in milliseconds.
+type task func(nowMs float64)
+
+// Loop runs a lifecycle.Manager on one goroutine. Create one with New and run it with Run.
 type Loop struct {
-	options  Options
-	requests *lifecycle.Manager
-	inbox    chan func(nowMs float64)
-	done     chan struct{}
-	stop     func() // of the pending wake
-	ready    atomic.Bool
-	openNo   atomic.Int64
+	options Options
+	manager *lifecycle.Manager
+	inbox   chan task
+	done    chan struct{} // closed when Run returns
+	// stopTimer stops the pending timer of the scheduler. It belongs to the loop's goroutine.
+	stopTimer func()
+
+	ready        atomic.Bool
+	openRequests atomic.Int64 // as of the last step
 }
 
 // New returns a Loop that handles nothing until Run is called.
 func New(options Options) *Loop {
-	if options.WatchEndpoints == nil {
-		options.WatchEndpoints = func() {}
-	}
-	if options.ProbeServer == nil {
-		options.ProbeServer = func(*lifecycle.Server) {}
-	}
-	if options.OnReady == nil {
-		options.OnReady = func() {}
-	}
-	l := &Loop{options: options, inbox: make(chan func(float64), inboxSize), done: make(chan struct{}), stop: func() {}}
-	l.requests = lifecycle.New(lifecycle.Options{
+	options.setDefaults()
+	l := &Loop{options: options, inbox: make(chan task, inboxSize), done: make(chan struct{}), stopTimer: func() {}}
+	l.manager = lifecycle.New(lifecycle.Options{
 		Scheduler:     options.Scheduler,
-		Environment:   outside{l},
+		Environment:   environment{l},
 		Deduplicator:  options.Deduplicator,
 		Peers:         options.Peers,
 		EndpointLease: options.EndpointLease,
@@ -76,144 +93,80 @@
 	return l
 }
 
-// Run handles the inbox until ctx ends.
+// Run handles the inbox until ctx ends. It must be called once.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-l.inbox:
-			now := l.options.Clock.NowMs()
-			f(now)
-			for n := len(l.inbox); n > 0; n-- { // all that waits is one step
-				(<-l.inbox)(now)
-			}
-			// A wake that came while these were handled is for a time that is later than theirs. Taken for one that
-			// came too early it would be none, and the module would wait for another for good.
-			l.requests.Step(l.options.Clock.NowMs())
-			if l.requests.Ready() && !l.ready.Swap(true) {
-				l.options.OnReady()
-			}
-			l.openNo.Store(int64(l.requests.OpenRequests()))
+		case first := <-l.inbox:
+			l.step(first)
 		}
 	}
 }
 
-// Submit hands a request in. It returns false, having done nothing, when the inbox is too full or closed.
-func (l *Loop) Submit(r *lifecycle.Request) bool {
-	if len(l.inbox) > inboxSize*3/4 {
-		return false
+// step handles a task and all that wait behind it, and then steps the scheduler.
+func (l *Loop) step(first task) {
+	nowMs := l.options.Clock.NowMs()
+	first(nowMs)
+	for n := len(l.inbox); n > 0; n-- {
+		(<-l.inbox)(nowMs)
 	}
-	return l.post(func(now float64) { l.requests.Submit(now, r) })
-}
-
-// SubmitOnLoop submits a request from the loop's goroutine, as a Deduplicator does, without a pass through the inbox.
-func (l *Loop) SubmitOnLoop(nowMs float64, r *lifecycle.Request) { l.requests.Submit(nowMs, r) }
-
-// Cancel tells that a request's client has gone away.
-func (l *Loop) Cancel(r *lifecycle.Request) {
-	r.Cancel()
-	l.post(func(now float64) { l.requests.Cancel(now, r) })
-}
-
-// ResponseWritten tells that a device's answer was written whole to its connection.
-func (l *Loop) ResponseWritten(r *lifecycle.Request, link lifecycle.LinkSample) {
-	l.post(func(now float64) { l.options.Deduplicator.ResponseWritten(now, r, link) })
-}
-
-// LinkMeasured tells what a device's link was found to be.
-func (l *Loop) LinkMeasured(device string, link lifecycle.LinkSample) {
-	l.post(func(now float64) { l.options.Deduplicator.LinkMeasured(now, device, link) })
-}
-
-// DrainDeduplicator tells the desk to begin nothing new.
-func (l *Loop) DrainDeduplicator() {
-	l.post(func(now float64) {
-		if d := l.options.Deduplicator; d != nil {
-			d.Drain(now)
-		}
-	})
-}
-
-// Deduplicator returns Options.Deduplicator.
-func (l *Loop) Deduplicator() lifecycle.Deduplicator { return l.options.Deduplicator }
-
-// BeginShutdown tells that the gateway ends, and by when all that is open must have been answered.
-func (l *Loop) BeginShutdown(atMs float64) { l.post(func(float64) { l.requests.BeginShutdown(atMs) }) }
-
-// Post calls f on the loop's goroutine.
-func (l *Loop) Post(f func(nowMs float64)) { l.post(f) }
-
-// AfterFunc calls f on the loop's goroutine when ms have passed.
-func (l *Loop) AfterFunc(ms float64, f func(nowMs float64)) (stop func()) {
-	return l.options.Clock.AfterFunc(ms, func() { l.post(f) })
-}
-
-// Complete tells how an attempt ended.
-func (l *Loop) Complete(a lifecycle.Attempt, res lifecycle.AttemptResult) {
-	l.post(func(now float64) { l.requests.Complete(now, a.Request, a.Number, res) })
-}
-
-// ProbeEnded tells what a probe found.
-func (l *Loop) ProbeEnded(n *lifecycle.Server, latencyMs float64, s scheduler.Status, report []float64) {
-	l.post(func(float64) { l.requests.ProbeEnded(n, latencyMs, s, report) })
-}
-
-// UpdateEndpoints brings news of the node list.
-func (l *Loop) UpdateEndpoints(list lifecycle.EndpointUpdate) {
-	l.post(func(float64) { l.requests.UpdateEndpoints(list) })
+	// The clock is read again, because a timer that has fired meanwhile is for a later time than nowMs. The scheduler would
+	// take it for one that is too early, and never ask for another.
+	l.manager.Step(l.options.Clock.NowMs())
+	if l.manager.Ready() && !l.ready.Swap(true) {
+		l.options.OnReady()
+	}
+	l.openRequests.Store(int64(l.manager.OpenRequests()))
 }
 
-// Ready tells whether requests can be served.
-func (l *Loop) Ready() bool { return l.ready.Load() }
-
-// OpenRequests is the number of requests not yet answered.
-func (l *Loop) OpenRequests() int { return int(l.openNo.Load()) }
-
-// post waits for room in the inbox; the loop never waits for anyone, so there soon is some.
-func (l *Loop) post(f func(nowMs float64)) bool {
+// post puts a task into the inbox, and waits while that is full. It returns false if the loop has ended.
+func (l *Loop) post(t task) bool {
 	select {
-	case <-l.done: // an ended loop leaves its inbox unread, room or not
+	case <-l.done: // an ended loop leaves its inbox unread, even if that has room
 		return false
 	default:
 	}
 	select {
-	case l.inbox <- f:
+	case l.inbox <- t:
 		return true
 	case <-l.done:
 		return false
 	}
 }
 
-// outside is the loop as the core sees it; its methods run on the loop's goroutine.
-type outside struct{ l *Loop }
+// Post calls f on the loop's goroutine with the current time in milliseconds. It waits while the inbox is full. f is not called
+// if the loop ends first.
+func (l *Loop) Post(f func(nowMs float64)) { l.post(f) }
 
-func (o outside) SetTimer(ms float64) {
-	o.l.stop()
-	o.l.stop = o.l.options.Clock.AfterFunc(ms-o.l.options.Clock.NowMs(), func() {
-		o.l.post(func(float64) { o.l.requests.TimerFired() })
-	})
+// AfterFunc calls f on the loop's goroutine after a duration in milliseconds, unless stop is called first.
+func (l *Loop) AfterFunc(ms float64, f func(nowMs float64)) (stop func()) {
+	return l.options.Clock.AfterFunc(ms, func() { l.post(f) })
 }
 
-func (o outside) WatchEndpoints()                 { o.l.options.WatchEndpoints() }
-func (o outside) ProbeServer(n *lifecycle.Server) { o.l.options.ProbeServer(n) }
-func (o outside) Log(text string)                 { slog.Info(logevent.SchedulerNote, "text", text) }
-func (o outside) Count(name string)               { o.l.options.Metrics.Add(name, 1) }
-
-func (o outside) Trace(name string, fields ...any) { slog.Debug(name, fields...) }
-
-// Sync returns once all that was handed in before it has been decided on.
+// Sync returns once all that was posted before has been handled and the scheduler has stepped, or the loop has ended. It must
+// not be called on the loop's goroutine.
 func (l *Loop) Sync() {
-	for range 2 { // the second is handled after the step that the first came before
-		done := make(chan struct{})
-		if !l.post(func(float64) { close(done) }) {
+	for range 2 { // the second task is handled after the step that follows the first
+		handled := make(chan struct{})
+		if !l.post(func(float64) { close(handled) }) {
 			return
 		}
 		select {
-		case <-done:
-		case <-l.done: // it may have ended with that in its inbox
+		case <-handled:
+		case <-l.done: // the loop may have ended with the task in its inbox
 			return
 		}
 	}
 }
+
+// Ready reports whether the gateway can serve requests. Once true, it stays so.
+func (l *Loop) Ready() bool { return l.ready.Load() }
+
+// OpenRequests returns the number of open requests as of the last step.
+func (l *Loop) OpenRequests() int { return int(l.openRequests.Load()) }
+
+// Deduplicator returns Options.Deduplicator.
+func (l *Loop) Deduplicator() lifecycle.Deduplicator { return l.options.Deduplicator }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -5,91 +5,106 @@
 	"testing"
 	"time"
 
-	"gaugerelay/internal/scheduler"
-
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
 )
 
-// stepper records when it was stepped and asks to be woken at a time.
-type stepper struct {
-	at    []time.Duration
-	wake  time.Duration
-	block chan struct{}
+// timerScheduler records the times of its steps, and asks once for a timer.
+type timerScheduler struct {
+	stepTimes []time.Duration
+	timerAt   time.Duration // 0: none
+	blocked   chan struct{} // steps wait until it is closed; nil: they do not
 }
 
-func (s *stepper) Step(now time.Duration, _ []scheduler.Event) []scheduler.Action {
-	if s.block != nil {
-		<-s.block
+func (s *timerScheduler) Step(now time.Duration, _ []scheduler.Event) []scheduler.Action {
+	if s.blocked != nil {
+		<-s.blocked
 	}
-	s.at = append(s.at, now)
-	if s.wake == 0 {
+	s.stepTimes = append(s.stepTimes, now)
+	if s.timerAt == 0 {
 		return nil
 	}
-	at := s.wake
-	s.wake = 0
+	at := s.timerAt
+	s.timerAt = 0
 	return []scheduler.Action{scheduler.SetTimer{At: at}}
 }
 
-// woken is a running loop whose module was stepped at 100 ms and asks to be woken at 150; end ends it.
-func woken() (now *clock.Manual, s *stepper, l *Loop, end func()) {
-	now, s = clock.NewManual(100), &stepper{wake: 150 * time.Millisecond}
-	l = New(Options{Scheduler: s, Clock: now, Metrics: metrics.New()})
-	ctx, cancel := context.WithCancel(context.Background())
+// runningLoop is a loop that has stepped at 100 ms, and whose scheduler has asked for a timer at 150 ms.
+type runningLoop struct {
+	*Loop
+	clock     *clock.Manual
+	decisions *timerScheduler
+	cancel    context.CancelFunc
+}
+
+func startLoop(t *testing.T) *runningLoop {
+	t.Helper()
+	l := &runningLoop{clock: clock.NewManual(100), decisions: &timerScheduler{timerAt: 150 * time.Millisecond}}
+	l.Loop = New(Options{Scheduler: l.decisions, Clock: l.clock, Metrics: metrics.New()})
+	var ctx context.Context
+	ctx, l.cancel = context.WithCancel(context.Background())
 	go l.Run(ctx)
 	l.UpdateEndpoints(lifecycle.EndpointUpdate{})
 	l.Sync()
-	return now, s, l, func() { cancel(); <-l.done }
+	return l
+}
+
+// end ends the loop and waits for it.
+func (l *runningLoop) end() {
+	l.cancel()
+	<-l.done
 }
 
-// The module is woken at the time it asked for, by the one clock.
-func TestWake(t *testing.T) {
-	now, s, l, end := woken()
-	now.Advance(49)
+// The scheduler's timer fires at the time that it asked for, by the loop's clock.
+func TestTimerFires(t *testing.T) {
+	l := startLoop(t)
+	l.clock.Advance(49)
 	l.Sync()
-	now.Advance(1)
+	l.clock.Advance(1)
 	l.Sync()
-	end()
-	if len(s.at) != 2 || s.at[1] != 150*time.Millisecond || !l.Ready() {
-		t.Errorf("stepped at %v, ready %v", s.at, l.Ready())
+	l.end()
+	if times := l.decisions.stepTimes; len(times) != 2 || times[1] != 150*time.Millisecond || !l.Ready() {
+		t.Errorf("stepped at %v, ready is %v", times, l.Ready())
 	}
 	if l.Submit(&lifecycle.Request{}) {
-		t.Error("an ended loop took a request")
+		t.Error("an ended loop accepted a request")
 	}
 }
 
-// A wake that comes while what came before it is handled belongs to the same step, and is not too early for it.
-func TestWakeDuringAStep(t *testing.T) {
-	now, s, l, end := woken()
-	l.Post(func(float64) { now.Advance(70) }) // the loop has read the clock, and the wake falls due now
+// A timer that fires while earlier tasks are handled belongs to the same step, and is not too early for it.
+func TestTimerFiresDuringStep(t *testing.T) {
+	l := startLoop(t)
+	l.Post(func(float64) { l.clock.Advance(70) }) // the loop has read the clock, and the timer fires now
 	l.Sync()
-	end()
-	if len(s.at) != 2 || s.at[1] != 170*time.Millisecond {
-		t.Errorf("stepped at %v, want the last at 170 ms", s.at)
+	l.end()
+	if times := l.decisions.stepTimes; len(times) != 2 || times[1] != 170*time.Millisecond {
+		t.Errorf("stepped at %v, want the last at 170 ms", times)
 	}
 }
 
 // Requests leave the last quarter of the inbox to the ends of attempts.
-func TestFullInboxTurnsRequestsAwayOnly(t *testing.T) {
-	s := &stepper{block: make(chan struct{})}
-	l := New(Options{Scheduler: s, Clock: clock.NewManual(0), Metrics: metrics.New()})
-	taken := 0
+func TestFullInboxRejectsRequestsOnly(t *testing.T) {
+	decisions := &timerScheduler{blocked: make(chan struct{})}
+	l := New(Options{Scheduler: decisions, Clock: clock.NewManual(0), Metrics: metrics.New()})
+	accepted := 0
 	for l.Submit(&lifecycle.Request{Respond: func(lifecycle.Response) {}}) {
-		taken++
+		accepted++
 	}
-	if taken != inboxSize*3/4+1 {
-		t.Errorf("%d requests fitted", taken)
+	if accepted != inboxSize*3/4+1 {
+		t.Errorf("%d requests were accepted", accepted)
 	}
 	for range inboxSize / 4 / 2 {
-		l.Complete(lifecycle.Attempt{Request: &lifecycle.Request{}}, lifecycle.AttemptResult{}) // would block if there were no room
+		// Complete would block if there were no room.
+		l.Complete(lifecycle.Attempt{Request: &lifecycle.Request{}}, lifecycle.AttemptResult{})
 	}
-	close(s.block)
+	close(decisions.blocked)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go l.Run(ctx)
 	l.Sync()
 	if !l.Submit(&lifecycle.Request{Respond: func(lifecycle.Response) {}}) {
-		t.Error("no room once it is worked off")
+		t.Error("no room after the inbox was handled")
 	}
 }
