--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -4,7 +4,7 @@
 // What waits in the inbox is handled together, in its order, and then the scheduler steps once. The loop itself never waits for
 // another goroutine, so a full inbox soon has room again.
 //
-// Methods of Loop may be called from any goroutine unless their comments say otherwise. Whoever calls Run owns the goroutine.
+// Methods of Loop may be called from any goroutine unless their comments say otherwise. The caller of Run owns the goroutine.
 // Once Run has returned, nothing that is still in the inbox or posted later is handled.
 package eventloop
 
--- a/internal/eventloop/requests.go
+++ b/internal/eventloop/requests.go
@@ -19,7 +19,7 @@
 	l.manager.Submit(nowMs, request)
 }
 
-// Cancel ends a request whose client has gone: it gets no response. Request.Canceled is true when Cancel returns.
+// Cancel ends a request whose client no longer waits: it gets no response. Request.Canceled is true when Cancel returns.
 func (l *Loop) Cancel(request *lifecycle.Request) {
 	request.Cancel()
 	l.post(func(nowMs float64) { l.manager.Cancel(nowMs, request) })
--- a/internal/lifecycle/counters_test.go
+++ b/internal/lifecycle/counters_test.go
@@ -32,7 +32,7 @@
 	return environment.counts
 }
 
-// The counters of an attempt tell how it ended, and those of a response its kind and reason.
+// The counters of an attempt show how it ended, and those of a response its kind and reason.
 func TestCounters(t *testing.T) {
 	reject := scheduler.Reject{ID: 1, Reason: scheduler.ReasonNoServer}
 	fail := scheduler.Fail{ID: 1, Reason: scheduler.ReasonNoServer}
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -24,7 +24,7 @@
 	Failure CallFailure
 }
 
-// CallFailure tells what a failed call of discovery proves.
+// CallFailure classifies a failed call of discovery by what it proves.
 type CallFailure uint8
 
 // The kinds of failure.
@@ -198,7 +198,7 @@
 	})
 }
 
-// stepPeers tells the peers of changed endpoints and puts their events before those of the step.
+// stepPeers reports changed endpoints to the peers and puts their events before those of the step.
 func (m *Manager) stepPeers(nowMs float64) {
 	if m.endpointsChanged {
 		servers := slices.SortedFunc(maps.Values(m.servers), func(a, b *Server) int { return cmp.Compare(a.id, b.id) })
--- a/internal/lifecycle/endpoints_test.go
+++ b/internal/lifecycle/endpoints_test.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// An upstream that holds an attempt back must see that its server has drained, moved or gone.
+// An upstream that holds an attempt back must see that its server has drained, moved or been removed.
 func TestServerIsClosedByUpdates(t *testing.T) {
 	for name, change := range map[string]lifecycle.EndpointUpdate{
 		"draining": snapshot(scheduler.Draining),
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -51,7 +51,7 @@
 	lastServerID scheduler.ServerID
 	// hasEndpoints reports that a usable endpoint list has been received.
 	hasEndpoints bool
-	// endpointsChanged and removedServers are what Peers.EndpointsChanged has not been told yet.
+	// endpointsChanged and removedServers are the changes since the last call of Peers.EndpointsChanged.
 	endpointsChanged bool
 	removedServers   []*Server
 
@@ -92,8 +92,8 @@
 	return count
 }
 
-// Submit accepts a client's request. A request that is already canceled is ignored: its Cancel is still to come. A request of
-// a device goes to the Deduplicator, which submits what is to run.
+// Submit accepts a client's request. A request that is already canceled is ignored and not counted. A request of a device goes
+// to the Deduplicator, which submits what is to run.
 func (m *Manager) Submit(nowMs float64, request *Request) {
 	if request.canceled.Load() {
 		return
@@ -149,7 +149,7 @@
 	return m.lastRequestID
 }
 
-// Cancel ends a request whose client has gone: it gets no response. It has no effect on a request that is done.
+// Cancel ends a request whose client no longer waits: it gets no response. It has no effect on a request that is done.
 func (m *Manager) Cancel(nowMs float64, request *Request) {
 	request.Cancel()
 	if request.Device != nil && m.deduplicator != nil {
