--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -53,7 +53,7 @@
 		if l.isClosed() || errors.Is(err, net.ErrClosed) {
 			return nil, net.ErrClosed
 		}
-		l.metrics.Add("accepts_failed_"+Name(err), 1)
+		l.metrics.Add("accepts_failed_"+errnoName(err), 1)
 		if broken(err) {
 			continue // the next connection is not concerned
 		}
@@ -96,8 +96,8 @@
 	return errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
 
-// Name is the name of the system's error, for counters: "other" if it is none of its.
-func Name(err error) string {
+// errnoName is the name of the system's error, for counters: "other" if it is none of its.
+func errnoName(err error) string {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
 		if name := unix.ErrnoName(errno); name != "" {
--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -98,7 +98,7 @@
 	})
 	for name, devices := range map[string]bool{"http": false, "http for devices": true} {
 		b.Run(name, func(b *testing.B) {
-			f := &httpserver.Front{Loop: &atOnce{[]byte("done")}, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Devices: devices}
+			f := &httpserver.Handler{Loop: &atOnce{[]byte("done")}, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, ServesDevices: devices}
 			server := &http.Server{Handler: f, ConnContext: f.ConnContext}
 			nc := dial(b, func(ln net.Listener) { server.Serve(ln) })
 			raw := fmt.Appendf(nil, "PUT /push/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nX-Service-Class: push\r\nX-Plan: basic\r\nX-Time-Left-Ms: 2000\r\nIdempotency-Key: k1\r\nX-Device-Id: dev\r\nX-IO: volume=1,units=2,shard=3,hosts=1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -144,10 +144,10 @@
 	}
 	c.queue = nil
 	c.room.Broadcast()
-	if !gracefulclose.EndSending(c.nc) {
+	if !gracefulclose.CloseWrite(c.nc) {
 		c.nc.Close()
 	}
-	c.nc.SetReadDeadline(time.Now().Add(gracefulclose.CloseMs * time.Millisecond))
+	c.nc.SetReadDeadline(time.Now().Add(gracefulclose.TimeoutMs * time.Millisecond))
 	c.mu.Unlock()
 	for _, p := range open {
 		p.stop()
@@ -453,7 +453,7 @@
 		r.ageMs += clock.Ms(now.Sub(c.after))
 	}
 	link := c.sample
-	if err := requestparse.Device(req, class, r.fields, requestparse.Copy{Device: r.device, ID: r.fields.Key, AgeMs: r.ageMs, SentTo: r.sentTo, Link: link}, load); err != nil {
+	if err := requestparse.MakeDeviceRequest(req, class, r.fields, requestparse.DeviceFields{DeviceID: r.device, ReadID: r.fields.IdempotencyKey, AgeMs: r.ageMs, PreviousGateway: r.sentTo, Link: link}, load); err != nil {
 		return err
 	}
 	c.device = r.device
--- a/internal/frontend/coapserver/message.go
+++ b/internal/frontend/coapserver/message.go
@@ -126,15 +126,15 @@
 			r.device = string(o.Value)
 		case coapwire.OptLeft:
 			v, err = number()
-			r.fields.LeftMs, left = uint64(v), true
+			r.fields.RemainingMs, left = uint64(v), true
 		case coapwire.OptKey:
-			r.fields.Key = string(o.Value)
+			r.fields.IdempotencyKey = string(o.Value)
 		case coapwire.OptPlan:
 			r.fields.Plan = string(o.Value)
 		case coapwire.OptIO:
 			r.fields.IO = string(o.Value)
 		case coapwire.OptRepeat:
-			r.fields.Repeat = true
+			r.fields.IsRetry = true
 		case coapwire.OptSentTo:
 			r.sentTo = string(o.Value)
 		case coapwire.OptAge:
--- a/internal/frontend/gracefulclose/hangup.go
+++ b/internal/frontend/gracefulclose/hangup.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// CloseMs is how long a connection whose sending has ended is read on, so that its client can take the last answer and
+// TimeoutMs is how long a connection whose sending has ended is read on, so that its client can take the last answer and
 // end it. It is as long as an answer may be late and still be one, by the platform's word.
-const CloseMs = 500
+const TimeoutMs = 500
 
-// EndSending ends the sending alone. False: it cannot be ended alone, or has been.
-func EndSending(nc net.Conn) bool {
+// CloseWrite ends the sending alone. False: it cannot be ended alone, or has been.
+func CloseWrite(nc net.Conn) bool {
 	half, ok := nc.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
 }
@@ -21,8 +21,8 @@
 // Closed over bytes that have not been read it would be reset, and the last answer lost where the client has not got it
 // yet. Nobody else may read it meanwhile.
 func Close(nc net.Conn) {
-	if EndSending(nc) {
-		nc.SetReadDeadline(time.Now().Add(CloseMs * time.Millisecond))
+	if CloseWrite(nc) {
+		nc.SetReadDeadline(time.Now().Add(TimeoutMs * time.Millisecond))
 		io.Copy(io.Discard, nc)
 	}
 	nc.Close()
--- a/internal/frontend/httpserver/conns.go
+++ b/internal/frontend/httpserver/conns.go
@@ -36,16 +36,16 @@
 
 var errFlood = errors.New("more requests sent at once than may be")
 
-// Conns bounds the client connections. Over Most open ones it sheds silent and idle ones, so that a client
+// ConnTracker bounds the client connections. Over Most open ones it sheds silent and idle ones, so that a client
 // that has a request finds its connection taken and read. Only one from which nothing has been read since its
 // last answer is ever shed: a request that has been read is taken, and its connection stays until the answer.
-type Conns struct {
-	Most int
-	// MostAhead bounds the bytes kept of what clients send while their requests are open, over all connections; 0: each
+type ConnTracker struct {
+	MaxOpen int
+	// MaxPipelinedBytes bounds the bytes kept of what clients send while their requests are open, over all connections; 0: each
 	// one's own bound alone holds.
-	MostAhead int
-	Clock     clock.Clock
-	Metrics   *metrics.Set
+	MaxPipelinedBytes int
+	Clock             clock.Clock
+	Metrics           *metrics.Set
 
 	mu    sync.Mutex
 	open  int
@@ -58,16 +58,16 @@
 	closing list.List
 }
 
-// Listen returns a listener whose connections the server must be given for State to know them; most are open at once,
+// LimitListener returns a listener whose connections the server must be given for State to know them; most are open at once,
 // those included whose last bytes are still read. It stands in for netutil.LimitListener, behind which a connection's
 // sending cannot be ended on its own.
-func (c *Conns) Listen(ln net.Listener, most int) net.Listener {
+func (c *ConnTracker) LimitListener(ln net.Listener, most int) net.Listener {
 	return &listener{Listener: ln, conns: c, room: make(chan struct{}, most), closed: make(chan struct{})}
 }
 
 type listener struct {
 	net.Listener
-	conns  *Conns
+	conns  *ConnTracker
 	room   chan struct{} // one for each open connection
 	once   sync.Once
 	closed chan struct{}
@@ -95,7 +95,7 @@
 // client is a client's connection.
 type client struct {
 	net.Conn
-	conns  *Conns
+	conns  *ConnTracker
 	closed func() // called once it is closed
 
 	// These belong to conns.mu.
@@ -137,8 +137,8 @@
 
 type connKey struct{}
 
-// Context makes the connection known to the front. It is an http.Server's ConnContext.
-func (c *Conns) Context(ctx context.Context, nc net.Conn) context.Context {
+// ConnContext makes the connection known to the front. It is an http.Server's ConnContext.
+func (c *ConnTracker) ConnContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
@@ -218,8 +218,8 @@
 	if k.over { // all has been given back
 		return 0
 	}
-	if c.MostAhead > 0 {
-		n = min(n, max(0, c.MostAhead-c.ahead))
+	if c.MaxPipelinedBytes > 0 {
+		n = min(n, max(0, c.MaxPipelinedBytes-c.ahead))
 	}
 	k.held += n
 	c.ahead += n
@@ -260,11 +260,11 @@
 		return
 	}
 	k.ending = c.closing.PushBack(k)
-	k.unguard = c.Clock.AfterFunc(gracefulclose.CloseMs, k.finish)
-	if !gracefulclose.EndSending(k.Conn) {
+	k.unguard = c.Clock.AfterFunc(gracefulclose.TimeoutMs, k.finish)
+	if !gracefulclose.CloseWrite(k.Conn) {
 		k.close()
 	}
-	if c.quiet == nil && c.closing.Len() > max(1, c.Most/16) {
+	if c.quiet == nil && c.closing.Len() > max(1, c.MaxOpen/16) {
 		first(&c.closing).close()
 	}
 }
@@ -306,8 +306,8 @@
 	k.in, k.at, k.since = l, l.PushBack(k), k.conns.Clock.NowMs()
 }
 
-// State is an http.Server's ConnState.
-func (c *Conns) State(nc net.Conn, s http.ConnState) {
+// ConnState is an http.Server's ConnState.
+func (c *ConnTracker) ConnState(nc net.Conn, s http.ConnState) {
 	k, ok := nc.(*client)
 	if !ok {
 		return
@@ -336,7 +336,7 @@
 }
 
 // Count is how many connections are open, and how many of them have a request.
-func (c *Conns) Count() (open, busy int) {
+func (c *ConnTracker) Count() (open, busy int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open, c.open - c.idle.Len() - c.fresh.Len()
@@ -344,7 +344,7 @@
 
 // Drain closes the connections without a request, and from now on the others behind their answers. The channel
 // closes when none is left. http.Server's own ways to do so have the fault that client.Read guards against.
-func (c *Conns) Drain() (quiet <-chan struct{}) {
+func (c *ConnTracker) Drain() (quiet <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quiet = make(chan struct{})
@@ -353,7 +353,7 @@
 }
 
 // sweep sheds what there is no room for. c.mu is held.
-func (c *Conns) sweep() {
+func (c *ConnTracker) sweep() {
 	if c.quiet != nil {
 		for _, l := range []*list.List{&c.fresh, &c.idle} {
 			for l.Len() > 0 {
@@ -370,7 +370,7 @@
 		return
 	}
 	now := c.Clock.NowMs()
-	for c.open > c.Most {
+	for c.open > c.MaxOpen {
 		silent, idle := first(&c.fresh), first(&c.idle)
 		switch {
 		case silent != nil && (now-silent.since >= speakMs || idle == nil):
@@ -381,7 +381,7 @@
 			return
 		}
 	}
-	for k := first(&c.idle); k != nil && c.open > c.Most/2; k = first(&c.idle) {
+	for k := first(&c.idle); k != nil && c.open > c.MaxOpen/2; k = first(&c.idle) {
 		if left := lingerMs - (now - k.since); left > 0 {
 			if !c.armed {
 				c.armed = true
@@ -393,7 +393,7 @@
 	}
 }
 
-func (c *Conns) later() {
+func (c *ConnTracker) later() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.armed = false
@@ -407,7 +407,7 @@
 	return l.Front().Value.(*client)
 }
 
-func (c *Conns) drop(k *client) {
+func (c *ConnTracker) drop(k *client) {
 	k.leave()
 	k.shed = true
 	c.open--
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -69,14 +69,14 @@
 type since struct{}
 
 // ConnContext is an http.Server's, for a front for devices.
-func (f *Front) ConnContext(ctx context.Context, _ net.Conn) context.Context {
+func (f *Handler) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	at := &atomic.Uint64{}
 	at.Store(math.Float64bits(f.Clock.NowMs()))
 	return context.WithValue(ctx, since{}, at)
 }
 
 // after is that time.
-func (f *Front) after(ctx context.Context) *atomic.Uint64 {
+func (f *Handler) after(ctx context.Context) *atomic.Uint64 {
 	if at, ok := ctx.Value(since{}).(*atomic.Uint64); ok {
 		return at
 	}
@@ -84,9 +84,9 @@
 }
 
 // device makes a request a copy of an exchange.
-func (f *Front) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpmessage.Request, link lifecycle.LinkSample) error {
+func (f *Handler) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpmessage.Request, link lifecycle.LinkSample) error {
 	h := r.Header
-	c := requestparse.Copy{Device: h.Get("X-Device-Id"), ID: fields.ID, AgeMs: -1, SentTo: h.Get("X-Sent-To"), Link: link}
+	c := requestparse.DeviceFields{DeviceID: h.Get("X-Device-Id"), ReadID: fields.CorrelationID, AgeMs: -1, PreviousGateway: h.Get("X-Sent-To"), Link: link}
 	if len(h["X-Device-Id"]) > 1 {
 		return errors.New("X-Device-Id is there more than once")
 	}
@@ -104,7 +104,7 @@
 	if c.AgeMs >= 0 { // told when it was sent; how long it was on its way is known only to be less than this
 		c.AgeMs += f.Clock.NowMs() - math.Float64frombits(f.after(r.Context()).Load())
 	}
-	if err := requestparse.Device(req, class, fields, c, load); err != nil {
+	if err := requestparse.MakeDeviceRequest(req, class, fields, c, load); err != nil {
 		return err
 	}
 	req.Device.Body, req.Device.BodyDigest = load.Body, sha256.Sum256(load.Body)
@@ -112,7 +112,7 @@
 }
 
 // serveDevice writes a device's answer, or the part of it that the device lacks, and tells whether that went out.
-func (f *Front) serveDevice(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
+func (f *Handler) serveDevice(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
 	body := a.Result.([]byte)
 	began := f.Clock.NowMs()
 	w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -20,9 +20,9 @@
 	})
 }
 
-func newDeviceFront(take func(*lifecycle.Request)) (*Front, *fakeLoop) {
+func newDeviceFront(take func(*lifecycle.Request)) (*Handler, *fakeLoop) {
 	f, l, _ := newFront(take)
-	f.Devices = true
+	f.ServesDevices = true
 	return f, l
 }
 
--- a/internal/frontend/httpserver/front.go
+++ b/internal/frontend/httpserver/front.go
@@ -44,20 +44,20 @@
 	Ready() bool
 }
 
-// Front is an http.Handler.
-type Front struct {
+// Handler is an http.Handler.
+type Handler struct {
 	Loop     Loop
-	Carrier  lifecycle.Upstream
+	Upstream lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Set
 	Settings *scheduler.Settings
-	// Devices makes it the front for devices on poor links: requests are copies of exchanges, told by X-Device-Id.
-	Devices bool
-	// Fleet answers what this gateway knows of its fleet; nil: it is in none.
-	Fleet   http.HandlerFunc
-	Gateway string // told to devices: another at each start
+	// ServesDevices makes it the front for devices on poor links: requests are copies of exchanges, told by X-Device-Id.
+	ServesDevices bool
+	// FleetStatus answers what this gateway knows of its fleet; nil: it is in none.
+	FleetStatus http.HandlerFunc
+	GatewayID   string // told to devices: another at each start
 	// Conns makes the front keep clients' connections free while stopping, once no new ones are to be expected.
-	Conns *Conns
+	Conns *ConnTracker
 	// HoldUps tells since when what is read now may have waited for this process. nil: it never does.
 	HoldUps *clock.HoldUps
 
@@ -69,13 +69,13 @@
 }
 
 // Drain makes the front tell that it is not ready and answer all that it takes from now on before endMs.
-func (f *Front) Drain(endMs float64) {
+func (f *Handler) Drain(endMs float64) {
 	f.keepMs.Store(math.Float64bits(f.Clock.NowMs() + comingMs))
 	f.endMs.Store(math.Float64bits(endMs))
 }
 
 // yields tells whether a request that has come is to be refused for its connection's sake.
-func (f *Front) yields(nowMs, endMs float64) bool {
+func (f *Handler) yields(nowMs, endMs float64) bool {
 	if f.Conns == nil {
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // answered tells how long a request took that was not refused for its connection's sake.
-func (f *Front) answered(cameMs float64) {
+func (f *Handler) answered(cameMs float64) {
 	if f.Conns != nil {
 		f.paceMu.Lock()
 		defer f.paceMu.Unlock()
@@ -99,11 +99,11 @@
 	}
 }
 
-// Close makes each answer from now on the last of its connection.
-func (f *Front) Close() { f.closing.Store(true) }
+// DisableKeepAlives makes each answer from now on the last of its connection.
+func (f *Handler) DisableKeepAlives() { f.closing.Store(true) }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := f.HoldUps.Since(f.Clock.NowMs())
 	if k := clientOf(r.Context()); k != nil && k.wasShed() {
 		panic(http.ErrAbortHandler) // its client has been told that it was not taken
@@ -124,18 +124,18 @@
 		io.WriteString(w, "ready\n")
 		return
 	case "/fleet":
-		if f.Fleet != nil {
-			f.Fleet(w, r)
+		if f.FleetStatus != nil {
+			f.FleetStatus(w, r)
 			return
 		}
 	case "/metrics":
-		if !f.Devices { // they are the operators'
+		if !f.ServesDevices { // they are the operators'
 			f.Metrics.Print(w)
 			return
 		}
 	}
-	if f.Devices {
-		w.Header().Set("X-Gateway", f.Gateway)
+	if f.ServesDevices {
+		w.Header().Set("X-Gateway", f.GatewayID)
 		defer func() { f.after(r.Context()).Store(math.Float64bits(f.Clock.NowMs())) }()
 	}
 	req, code, err := f.parse(r)
@@ -152,10 +152,10 @@
 	req.Respond = func(a lifecycle.Response) { answers <- a }
 	req.ClientDelayMs = f.Clock.NowMs() - arrived
 	req.RemainingMs -= req.ClientDelayMs
-	if !f.Devices { // what a device's link takes the desk knows
+	if !f.ServesDevices { // what a device's link takes the desk knows
 		req.RemainingMs -= marginMs
 	}
-	if k := clientOf(r.Context()); k != nil && !f.Devices { // what devices ask for goes on without them
+	if k := clientOf(r.Context()); k != nil && !f.ServesDevices { // what devices ask for goes on without them
 		if req.ClientDisconnected = func() bool { return socketstate.HungUp(k.Conn) }; req.ClientDisconnected() {
 			f.Metrics.Add("requests_abandoned", 1) // it waited for longer, unread, than its client did
 			panic(http.ErrAbortHandler)
@@ -204,13 +204,13 @@
 	}
 }
 
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
+func (f *Handler) answer(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
 	if f.closing.Load() { // it may have begun while the request was out: what is told to end crosses no request
 		w.Header().Set("Connection", "close")
 	}
 	switch a.Kind {
 	case lifecycle.Served:
-		if f.Devices {
+		if f.ServesDevices {
 			f.serveDevice(w, r, req, a)
 			return
 		}
@@ -232,7 +232,7 @@
 	}
 }
 
-func (f *Front) refuse(w http.ResponseWriter, comeBackMs float64) {
+func (f *Handler) refuse(w http.ResponseWriter, comeBackMs float64) {
 	if comeBackMs > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(comeBackMs/1000, 'f', 3, 64))
 	}
@@ -240,7 +240,7 @@
 }
 
 // parse reads a client's request; what is malformed never reaches the module.
-func (f *Front) parse(r *http.Request) (*lifecycle.Request, int, error) {
+func (f *Handler) parse(r *http.Request) (*lifecycle.Request, int, error) {
 	bad := func(format string, args ...any) (*lifecycle.Request, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
@@ -268,9 +268,9 @@
 		return bad("X-Time-Left-Ms is not a whole number")
 	}
 	fields := requestparse.Fields{Method: r.Method, Path: r.URL.Path, Class: r.Header.Get("X-Service-Class"),
-		Plan: r.Header.Get("X-Plan"), IO: r.Header.Get("X-IO"), ID: r.Header.Get("X-Correlation-Id"),
-		Key: r.Header.Get("Idempotency-Key"), LeftMs: left, Repeat: r.Header.Get("X-Repeat") == "1"}
-	if !requestparse.Visible(fields.ID) {
+		Plan: r.Header.Get("X-Plan"), IO: r.Header.Get("X-IO"), CorrelationID: r.Header.Get("X-Correlation-Id"),
+		IdempotencyKey: r.Header.Get("Idempotency-Key"), RemainingMs: left, IsRetry: r.Header.Get("X-Repeat") == "1"}
+	if !requestparse.IsIdentifier(fields.CorrelationID) {
 		return bad("X-Correlation-Id is missing, too long or not plain text")
 	}
 	req, class, err := requestparse.Parse(f.Settings, fields)
@@ -291,17 +291,17 @@
 		}
 		return bad("the body is not whole")
 	}
-	header := http.Header{"X-Correlation-Id": {fields.ID}}
-	if fields.Key != "" {
-		header.Set("Idempotency-Key", fields.Key)
+	header := http.Header{"X-Correlation-Id": {fields.CorrelationID}}
+	if fields.IdempotencyKey != "" {
+		header.Set("Idempotency-Key", fields.IdempotencyKey)
 	}
 	if ct := r.Header.Get("Content-Type"); ct != "" {
 		header.Set("Content-Type", ct)
 	}
 	load := &httpmessage.Request{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath,
 		RawQuery: r.URL.RawQuery, Header: header, Body: body}
-	req.Upstream, req.Payload = f.Carrier, load
-	if f.Devices {
+	req.Upstream, req.Payload = f.Upstream, load
+	if f.ServesDevices {
 		if err := f.device(req, class, fields, r, load, reader.measured()); err != nil {
 			return bad("%w", err)
 		}
--- a/internal/frontend/httpserver/front_test.go
+++ b/internal/frontend/httpserver/front_test.go
@@ -41,10 +41,10 @@
 	l.written = append(l.written, r)
 }
 
-func newFront(take func(*lifecycle.Request)) (*Front, *fakeLoop, *clock.Manual) {
+func newFront(take func(*lifecycle.Request)) (*Handler, *fakeLoop, *clock.Manual) {
 	set := testbed.Settings(4)
 	l, now := &fakeLoop{take: take}, clock.NewManual(1e12)
-	return &Front{Loop: l, Clock: now, Metrics: metrics.New(), Settings: &set}, l, now
+	return &Handler{Loop: l, Clock: now, Metrics: metrics.New(), Settings: &set}, l, now
 }
 
 // request is a good one; change spoils it.
@@ -255,20 +255,20 @@
 		if r := l.taken[len(l.taken)-1]; r.RemainingMs != 100 || w.Code != 200 || w.Header().Get("Connection") != closes {
 			t.Errorf("%v left, %d, connection %q", r.RemainingMs, w.Code, w.Header().Get("Connection"))
 		}
-		f.Close()
+		f.DisableKeepAlives()
 	}
 }
 
 // At the end of a stop idle connections go at once, busy ones with their answers.
 func TestConnsDrain(t *testing.T) {
-	c := &Conns{Most: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
+	c := &ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
 	var k [3]*client
 	for i, s := range []http.ConnState{http.StateNew, http.StateIdle, http.StateActive} {
 		ours, _ := net.Pipe()
 		k[i] = &client{Conn: ours, conns: c}
-		c.State(k[i], http.StateNew)
+		c.ConnState(k[i], http.StateNew)
 		if s != http.StateNew {
-			c.State(k[i], s)
+			c.ConnState(k[i], s)
 		}
 	}
 	quiet := c.Drain()
@@ -280,7 +280,7 @@
 		t.Error("quiet with a request open")
 	default:
 	}
-	c.State(k[2], http.StateIdle)
+	c.ConnState(k[2], http.StateIdle)
 	<-quiet
 	if !k[2].shed {
 		t.Error("kept after its answer")
@@ -295,7 +295,7 @@
 	f.Add([]byte{0, 0, 0, 0, 1, 9, 17, 25, 0, 0, 2, 10, 7, 7, 7, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		now := clock.NewManual(1e12)
-		c := &Conns{Most: 3, Clock: now, Metrics: metrics.New()}
+		c := &ConnTracker{MaxOpen: 3, Clock: now, Metrics: metrics.New()}
 		type model struct {
 			k     *client
 			peer  net.Conn
@@ -312,7 +312,7 @@
 				ours, theirs := net.Pipe()
 				m := &model{&client{Conn: ours, conns: c}, theirs, http.StateNew}
 				all = append(all, m)
-				c.State(m.k, http.StateNew)
+				c.ConnState(m.k, http.StateNew)
 			} else {
 				m := all[int(s>>3)%len(all)]
 				switch s % 8 {
@@ -329,13 +329,13 @@
 					}
 				case 2: // its answer is written
 					if m.state == http.StateActive {
-						c.State(m.k, http.StateActive)
-						c.State(m.k, http.StateIdle)
+						c.ConnState(m.k, http.StateActive)
+						c.ConnState(m.k, http.StateIdle)
 						m.state = http.StateIdle
 					}
 				case 3: // it ends
 					if m.state != http.StateClosed {
-						c.State(m.k, http.StateClosed)
+						c.ConnState(m.k, http.StateClosed)
 						m.state = http.StateClosed
 					}
 				default:
@@ -354,7 +354,7 @@
 					}
 				}
 			}
-			if open != c.open || open > c.Most && sheddable > 0 {
+			if open != c.open || open > c.MaxOpen && sheddable > 0 {
 				t.Fatalf("step %d: %d open, counted as %d, %d could be shed", i, open, c.open, sheddable)
 			}
 		}
@@ -363,11 +363,11 @@
 
 // A request read from a connection that is shed at that moment is not taken: its client sends it once more.
 func TestReadLosesToShedding(t *testing.T) {
-	c := &Conns{Most: 1, Clock: clock.NewManual(0), Metrics: metrics.New()}
+	c := &ConnTracker{MaxOpen: 1, Clock: clock.NewManual(0), Metrics: metrics.New()}
 	ours, theirs := net.Pipe()
 	k := &client{conns: c}
 	k.Conn = reading{ours, func() { c.drop(k) }}
-	c.State(k, http.StateNew)
+	c.ConnState(k, http.StateNew)
 	go theirs.Write([]byte("GET"))
 	if n, err := k.Read(make([]byte, 3)); n != 0 || err == nil {
 		t.Errorf("read %d, %v", n, err)
@@ -390,14 +390,14 @@
 // before; a silent one goes before those only if it has had time to speak.
 func TestIdleAndSilentConnections(t *testing.T) {
 	now := clock.NewManual(0)
-	c := &Conns{Most: 4, Clock: now, Metrics: metrics.New()}
+	c := &ConnTracker{MaxOpen: 4, Clock: now, Metrics: metrics.New()}
 	k := make([]*client, 6)
 	add := func(i int, s http.ConnState) {
 		ours, _ := net.Pipe()
 		k[i] = &client{Conn: ours, conns: c}
-		c.State(k[i], http.StateNew)
+		c.ConnState(k[i], http.StateNew)
 		if s != http.StateNew {
-			c.State(k[i], s)
+			c.ConnState(k[i], s)
 		}
 	}
 	gone := func(at string, want ...int) {
@@ -422,7 +422,7 @@
 	now.Advance(1)
 	gone("after two seconds", 0, 1, 2)
 	add(5, http.StateNew)
-	c.Most = 1
-	c.State(k[5], http.StateActive)
+	c.MaxOpen = 1
+	c.ConnState(k[5], http.StateActive)
 	gone("a silent one first", 0, 1, 2, 3, 4)
 }
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -51,14 +51,14 @@
 }
 
 // exchangeRaw writes a request to a server of the front and returns all bytes of its response.
-func exchangeRaw(t *testing.T, f *Front, request string) []byte {
+func exchangeRaw(t *testing.T, f *Handler, request string) []byte {
 	t.Helper()
 	ln := testbed.Listen(t)
-	conns := &Conns{Most: 9, Clock: f.Clock, Metrics: f.Metrics}
-	server := &http.Server{Handler: f, ConnState: conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-		return conns.Context(f.ConnContext(ctx, nc), nc)
+	conns := &ConnTracker{MaxOpen: 9, Clock: f.Clock, Metrics: f.Metrics}
+	server := &http.Server{Handler: f, ConnState: conns.ConnState, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+		return conns.ConnContext(f.ConnContext(ctx, nc), nc)
 	}}
-	go server.Serve(conns.Listen(ln, 9))
+	go server.Serve(conns.LimitListener(ln, 9))
 	t.Cleanup(func() { server.Close() })
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -114,7 +114,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := newDeviceFront(answering(c.answer))
-			f.Gateway = "gateway-1"
+			f.GatewayID = "gateway-1"
 			compareGolden(t, "device-"+name, quoteLines(exchangeRaw(t, f, c.request)))
 		})
 	}
@@ -147,14 +147,14 @@
 func TestGoldenOperators(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
-		change func(*Front, *fakeLoop)
+		change func(*Handler, *fakeLoop)
 	}{
-		"ready":           {"/ready", func(*Front, *fakeLoop) {}},
-		"not-ready":       {"/ready", func(_ *Front, l *fakeLoop) { l.unready = true }},
-		"ready-draining":  {"/ready", func(f *Front, _ *fakeLoop) { f.Drain(1e12 + 100) }},
-		"closing":         {"/ready", func(f *Front, _ *fakeLoop) { f.Close() }},
-		"metrics-empty":   {"/metrics", func(*Front, *fakeLoop) {}},
-		"metrics-several": {"/metrics", func(f *Front, _ *fakeLoop) { f.Metrics.Add("b_second", 3); f.Metrics.Add("a_first", 12) }},
+		"ready":           {"/ready", func(*Handler, *fakeLoop) {}},
+		"not-ready":       {"/ready", func(_ *Handler, l *fakeLoop) { l.unready = true }},
+		"ready-draining":  {"/ready", func(f *Handler, _ *fakeLoop) { f.Drain(1e12 + 100) }},
+		"closing":         {"/ready", func(f *Handler, _ *fakeLoop) { f.DisableKeepAlives() }},
+		"metrics-empty":   {"/metrics", func(*Handler, *fakeLoop) {}},
+		"metrics-several": {"/metrics", func(f *Handler, _ *fakeLoop) { f.Metrics.Add("b_second", 3); f.Metrics.Add("a_first", 12) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, l, _ := newFront(nil)
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -31,7 +31,7 @@
 // server is the front on a real listener.
 type server struct {
 	holder
-	conns *Conns
+	conns *ConnTracker
 	clock *clock.Manual
 	http  *http.Server
 	addr  string
@@ -43,13 +43,13 @@
 	s := &server{holder: holder{make(chan *lifecycle.Request, 16), make(chan *lifecycle.Request, 16)}, clock: clock.NewManual(1e12),
 		addr: ln.Addr().String()}
 	m := metrics.New()
-	s.conns = &Conns{Most: 9, Clock: s.clock, Metrics: m}
-	s.http = &http.Server{Handler: &Front{Loop: s.holder, Clock: s.clock, Metrics: m, Settings: &set},
-		ConnState: s.conns.State, ConnContext: s.conns.Context}
+	s.conns = &ConnTracker{MaxOpen: 9, Clock: s.clock, Metrics: m}
+	s.http = &http.Server{Handler: &Handler{Loop: s.holder, Clock: s.clock, Metrics: m, Settings: &set},
+		ConnState: s.conns.ConnState, ConnContext: s.conns.ConnContext}
 	if change != nil {
 		ln = change(s, ln)
 	}
-	go s.http.Serve(s.conns.Listen(ln, 9))
+	go s.http.Serve(s.conns.LimitListener(ln, 9))
 	t.Cleanup(func() { s.http.Close() })
 	return s
 }
@@ -119,7 +119,7 @@
 	there = make(chan bool, 4)
 	s = serving(t, func(s *server, ln net.Listener) net.Listener {
 		s.http.ConnState = func(nc net.Conn, at http.ConnState) {
-			if s.conns.State(nc, at); at == state {
+			if s.conns.ConnState(nc, at); at == state {
 				there <- true
 			}
 		}
@@ -193,7 +193,7 @@
 	const clients = 3
 	g := &gated{read: make(chan struct{}), left: clients * (len(get(1)) + aheadMost)}
 	s := serving(t, func(_ *server, ln net.Listener) net.Listener { g.Listener = ln; return g })
-	s.conns.MostAhead = aheadMost / 2
+	s.conns.MaxPipelinedBytes = aheadMost / 2
 	held := func() int {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
@@ -208,8 +208,8 @@
 		all = append(all, c)
 	}
 	soon(t, "all that was sent", g.read) // and all but the last pieces of it have been kept, or dropped
-	if n := held(); n == 0 || n > s.conns.MostAhead {
-		t.Errorf("%d bytes are held of %d at most", n, s.conns.MostAhead)
+	if n := held(); n == 0 || n > s.conns.MaxPipelinedBytes {
+		t.Errorf("%d bytes are held of %d at most", n, s.conns.MaxPipelinedBytes)
 	}
 	for _, c := range all {
 		c.Close()
@@ -272,7 +272,7 @@
 		"stopping": {get(1), "HTTP/1.1 200"},
 	} {
 		s := serving(t, nil)
-		s.http.Handler.(*Front).closing.Store(name == "stopping")
+		s.http.Handler.(*Handler).closing.Store(name == "stopping")
 		k := s.dial(t)
 		sent := make(chan error, 1)
 		go func() {
@@ -310,7 +310,7 @@
 	if n != 1 {
 		t.Errorf("%d linger, want 1", n)
 	}
-	s.clock.Advance(gracefulclose.CloseMs) // and none for longer than that
+	s.clock.Advance(gracefulclose.TimeoutMs) // and none for longer than that
 	for _, c := range all {
 		for _, err := io.WriteString(c, "more"); err == nil; _, err = io.WriteString(c, "more") {
 			runtime.Gosched()
@@ -356,7 +356,7 @@
 	drained := make(chan (<-chan struct{}), 4)
 	s := serving(t, func(s *server, ln net.Listener) net.Listener {
 		s.http.ConnState = func(nc net.Conn, at http.ConnState) {
-			if s.conns.State(nc, at); at == http.StateIdle {
+			if s.conns.ConnState(nc, at); at == http.StateIdle {
 				drained <- s.conns.Drain()
 			}
 		}
--- a/internal/frontend/httpserver/yield_test.go
+++ b/internal/frontend/httpserver/yield_test.go
@@ -14,14 +14,14 @@
 // none, and its clients would hold the gateway for gone. Before the stop, and while new connections may come, none is.
 func TestLastFreeConnectionIsKept(t *testing.T) {
 	f, l, now := newFront(nil)
-	f.Conns = &Conns{Most: 9, Clock: now, Metrics: metrics.New()}
+	f.Conns = &ConnTracker{MaxOpen: 9, Clock: now, Metrics: metrics.New()}
 	var open []net.Conn
 	for range 4 {
 		a, b := net.Pipe()
 		defer a.Close()
 		defer b.Close()
 		c := &client{Conn: a, conns: f.Conns}
-		f.Conns.State(c, http.StateNew)
+		f.Conns.ConnState(c, http.StateNew)
 		open = append(open, c)
 	}
 	l.take = func(r *lifecycle.Request) { // 30 ms for each, a hundred requests a second
@@ -34,7 +34,7 @@
 			if i < busy {
 				state = http.StateActive
 			}
-			f.Conns.State(c, state)
+			f.Conns.ConnState(c, state)
 		}
 		before := f.Metrics.Get("requests_yielded")
 		code := serve(f)
@@ -61,7 +61,7 @@
 	}
 }
 
-func serve(f *Front) int {
+func serve(f *Handler) int {
 	w := httptest.NewRecorder()
 	f.ServeHTTP(w, request(nil))
 	return w.Code
--- a/internal/frontend/requestparse/form.go
+++ b/internal/frontend/requestparse/form.go
@@ -22,10 +22,10 @@
 // Fields are the parts of a request as a client gave them.
 type Fields struct {
 	Method, Path, Class, Plan, IO string
-	ID                            string // "": it has none
-	Key                           string // Idempotency-Key
-	LeftMs                        uint64
-	Repeat                        bool
+	CorrelationID                 string // "": it has none
+	IdempotencyKey                string // Idempotency-Key
+	RemainingMs                   uint64
+	IsRetry                       bool
 }
 
 // Parse checks the fields and makes a request of them. Its carrier and load are the caller's to set.
@@ -41,16 +41,16 @@
 		return nil, nil, errors.New("the path's last part is not 16 hex digits")
 	}
 	// A client may wait longer than its class does, but the books of a request are kept as long as that.
-	if most := 2 * clock.Ms(class.Deadline); float64(f.LeftMs) > most {
+	if most := 2 * clock.Ms(class.Deadline); float64(f.RemainingMs) > most {
 		return nil, nil, fmt.Errorf("X-Time-Left-Ms is over %.0f", most)
 	}
-	if class.Idempotency == scheduler.IdempotentWithKey && f.Key == "" {
+	if class.Idempotency == scheduler.IdempotentWithKey && f.IdempotencyKey == "" {
 		return nil, nil, fmt.Errorf("class %s needs an Idempotency-Key", class.Name)
 	}
-	if f.Key != "" && !Visible(f.Key) {
+	if f.IdempotencyKey != "" && !IsIdentifier(f.IdempotencyKey) {
 		return nil, nil, errors.New("Idempotency-Key is too long or not plain text")
 	}
-	req := &lifecycle.Request{ClientID: f.ID, Class: class.Name, Plan: f.Plan, Key: piece, RemainingMs: float64(f.LeftMs), IsRetry: f.Repeat}
+	req := &lifecycle.Request{ClientID: f.CorrelationID, Class: class.Name, Plan: f.Plan, Key: piece, RemainingMs: float64(f.RemainingMs), IsRetry: f.IsRetry}
 	if !hasPlan(set, f.Plan) {
 		return nil, nil, errors.New("unknown plan")
 	}
@@ -60,8 +60,8 @@
 	return req, class, nil
 }
 
-// Visible tells whether a text can be a name: visible ASCII, and not too much of it.
-func Visible(s string) bool {
+// IsIdentifier tells whether a text can be a name: visible ASCII, and not too much of it.
+func IsIdentifier(s string) bool {
 	return s != "" && len(s) <= 128 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
@@ -118,28 +118,28 @@
 	return len(set.Plans) == 0
 }
 
-// Copy is what a device says of a copy beside the request itself.
-type Copy struct {
-	Device string
-	ID     string  // of a read, which has no upload key
-	AgeMs  float64 // since it first sent it; below zero: not told
-	SentTo string  // the gateway that it sent earlier copies to
-	Link   lifecycle.LinkSample
+// DeviceFields is what a device says of a copy beside the request itself.
+type DeviceFields struct {
+	DeviceID        string
+	ReadID          string  // of a read, which has no upload key
+	AgeMs           float64 // since it first sent it; below zero: not told
+	PreviousGateway string  // the gateway that it sent earlier copies to
+	Link            lifecycle.LinkSample
 }
 
-// Device makes a parsed request a copy of a device's exchange. load is what the carrier would send; its header and
+// DeviceID makes a parsed request a copy of a device's exchange. load is what the carrier would send; its header and
 // body are replaced for each run. The same request gives the same exchange whichever front it came over.
-func Device(req *lifecycle.Request, class *scheduler.Class, f Fields, c Copy, load *httpmessage.Request) error {
-	if !Visible(c.Device) {
+func MakeDeviceRequest(req *lifecycle.Request, class *scheduler.Class, f Fields, c DeviceFields, load *httpmessage.Request) error {
+	if !IsIdentifier(c.DeviceID) {
 		return errors.New("the device's name is missing, too long or not plain text")
 	}
-	key := f.Key
+	key := f.IdempotencyKey
 	if class.Idempotency == scheduler.Idempotent {
-		key = c.ID
+		key = c.ReadID
 	} else if key == "" { // of a class that must not run twice
 		return fmt.Errorf("class %s needs an Idempotency-Key from a device", class.Name)
 	}
-	if !Visible(key) {
+	if !IsIdentifier(key) {
 		return errors.New("the request's id is missing, too long or not plain text")
 	}
 	if class.Idempotency == scheduler.Idempotent != (f.Method == http.MethodGet) {
@@ -152,14 +152,14 @@
 	}
 	fmt.Fprintf(h, "%x %v %d", req.Volume, req.Units, req.Shard)
 	// Nodes drop repeats by this key alone, and two devices may well use the same one.
-	own := sha256.Sum256([]byte(c.Device + "\x00" + key))
+	own := sha256.Sum256([]byte(c.DeviceID + "\x00" + key))
 	nodeKey := hex.EncodeToString(own[:16])
 	prefix := "r\x00"
 	if class.Idempotency != scheduler.Idempotent {
 		prefix = "w\x00"
 	}
 	req.ClientID = ""
-	req.Device = &lifecycle.DeviceRequest{ID: c.Device, Key: prefix + key, HeadDigest: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, PreviousGateway: c.SentTo, Link: c.Link,
+	req.Device = &lifecycle.DeviceRequest{ID: c.DeviceID, Key: prefix + key, HeadDigest: [32]byte(h.Sum(nil)), AgeMs: c.AgeMs, PreviousGateway: c.PreviousGateway, Link: c.Link,
 		BuildPayload: func(id string, body []byte) any {
 			l := *load
 			l.Header = load.Header.Clone()
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -122,7 +122,7 @@
 	c.mu.Lock()
 	c.lost()
 	c.mu.Unlock()
-	if !gracefulclose.EndSending(c.Conn) {
+	if !gracefulclose.CloseWrite(c.Conn) {
 		return c.Conn.Close()
 	}
 	return c.SetReadDeadline(time.Now())
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -104,8 +104,8 @@
 	lp.UpdateEndpoints(list)
 	lp.Sync()
 
-	web := httptest.NewServer(&httpserver.Front{Loop: lp, Clock: now, Metrics: counts, Settings: &set,
-		Carrier: httpclient.New(httpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 200}, now, counts, lp)})
+	web := httptest.NewServer(&httpserver.Handler{Loop: lp, Clock: now, Metrics: counts, Settings: &set,
+		Upstream: httpclient.New(httpclient.Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxConns: 200}, now, counts, lp)})
 	defer web.Close()
 	ln := testbed.Listen(t)
 	front := &sftpserver.Front{Loop: lp, Clock: now, Metrics: counts,
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -25,8 +25,8 @@
 	g     *Gateway
 	opt   *config.Devices
 	coap  *coapserver.Front
-	http  *httpserver.Front
-	conns *httpserver.Conns
+	http  *httpserver.Handler
+	conns *httpserver.ConnTracker
 	lns   []net.Listener
 	serve *http.Server
 }
@@ -55,9 +55,9 @@
 				HoldOff: o.HoldOff, GuardTime: 25 * time.Millisecond}}
 	}
 	if o.HTTP != "" {
-		p.http = &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, Devices: true, Gateway: gateway}
-		p.conns = &httpserver.Conns{Most: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
+		p.http = &httpserver.Handler{Loop: g.loop, Upstream: g.back, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, ServesDevices: true, GatewayID: gateway}
+		p.conns = &httpserver.ConnTracker{MaxOpen: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
 	}
 	return p, nil
 }
@@ -82,10 +82,10 @@
 		// A body may take as long as the longest time that a request may name; so may its answer.
 		p.serve = &http.Server{Handler: p.http, ReadHeaderTimeout: p.opt.FirstTime, ReadTimeout: 2*p.g.longest + p.opt.FirstTime,
 			WriteTimeout: 4*p.g.longest + p.opt.FirstTime, IdleTimeout: p.opt.IdleTime, MaxHeaderBytes: 16 << 10,
-			ConnState: p.conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-				return p.http.ConnContext(p.conns.Context(ctx, nc), nc)
+			ConnState: p.conns.ConnState, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+				return p.http.ConnContext(p.conns.ConnContext(ctx, nc), nc)
 			}, DisableGeneralOptionsHandler: true}
-		clients := p.conns.Listen(ln, p.opt.MaxConns)
+		clients := p.conns.LimitListener(ln, p.opt.MaxConns)
 		p.g.serve("devices", func() error { return p.serve.Serve(clients) })
 		p.g.listening("devices by HTTP", ln.Addr().String())
 	}
@@ -116,7 +116,7 @@
 		all.Go(func() { within(t.leave-t.close, p.coap.End) })
 	}
 	if p.http != nil {
-		p.http.Close()
+		p.http.DisableKeepAlives()
 		all.Go(func() {
 			select {
 			case <-p.conns.Drain():
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -18,10 +18,10 @@
 // closes its own.
 func TestDrainKeepsServing(t *testing.T) {
 	ln := testbed.Listen(t)
-	front := &httpserver.Front{Clock: clock.NewManual(0), Loop: ready{}, Metrics: metrics.New()}
-	conns := &httpserver.Conns{Most: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
-	server := &http.Server{Handler: front, ConnState: conns.State}
-	go server.Serve(conns.Listen(ln, 9))
+	front := &httpserver.Handler{Clock: clock.NewManual(0), Loop: ready{}, Metrics: metrics.New()}
+	conns := &httpserver.ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
+	server := &http.Server{Handler: front, ConnState: conns.ConnState}
+	go server.Serve(conns.LimitListener(ln, 9))
 	defer server.Close()
 	url := "http://" + ln.Addr().String() + "/metrics"
 	get := func(c *http.Client) error {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -111,7 +111,7 @@
 	cfg     *config.Config
 	net     Network
 	loop    *eventloop.Loop
-	back    *httpclient.Backend
+	back    *httpclient.Client
 	watcher *discovery.Watcher
 	holdUps *clock.HoldUps
 	parts   []part // in the order of their start
@@ -144,8 +144,8 @@
 		g.longest, g.shortest = max(g.longest, class.Deadline), min(g.shortest, class.Deadline)
 	}
 	g.loop = eventloop.New(scheduler, c, g.Metrics)
-	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
-		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
+	g.back = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectMs, ConnIdleTimeoutMs: cfg.ConnIdleMs,
+		ReuseDelayMs: restMs, MaxConns: cfg.Sockets / 2, LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
 	gate := g.loop.Authorizer()
 	gate.WaitForUpdates, gate.OnDenied = g.catchUp, g.denied
@@ -158,7 +158,7 @@
 	if others != nil { // before the fronts: parts are known sooner, and are given back later
 		g.loop.SetPeers(others.fleet)
 		g.parts = append(g.parts, others)
-		front.front.Fleet = others.show
+		front.front.FleetStatus = others.show
 	}
 	g.parts = append(g.parts, front)
 	if edge.Files != nil {
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -32,16 +32,16 @@
 	base
 	g     *Gateway
 	ln    net.Listener
-	front *httpserver.Front
-	conns *httpserver.Conns
+	front *httpserver.Handler
+	conns *httpserver.ConnTracker
 	serve *http.Server
 }
 
 func newPlatform(g *Gateway) *platform {
 	clients := max(1, g.cfg.Sockets*3/8)
-	conns := &httpserver.Conns{Most: max(1, clients*15/16), Clock: g.Clock, Metrics: g.Metrics,
-		MostAhead: int(g.cfg.MemoryMB * aheadPart * (1 << 20))}
-	return &platform{g: g, conns: conns, front: &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock,
+	conns := &httpserver.ConnTracker{MaxOpen: max(1, clients*15/16), Clock: g.Clock, Metrics: g.Metrics,
+		MaxPipelinedBytes: int(g.cfg.MemoryMB * aheadPart * (1 << 20))}
+	return &platform{g: g, conns: conns, front: &httpserver.Handler{Loop: g.loop, Upstream: g.back, Clock: g.Clock,
 		Metrics: g.Metrics, Settings: &g.cfg.Settings, Conns: conns, HoldUps: g.holdUps}}
 }
 
@@ -50,9 +50,9 @@
 		return err
 	}
 	p.serve = &http.Server{Handler: p.front, ReadHeaderTimeout: headTime, ReadTimeout: requestTime,
-		WriteTimeout: p.g.longest + answerTime, IdleTimeout: idleTime, MaxHeaderBytes: 16 << 10, ConnState: p.conns.State,
-		ConnContext: p.conns.Context, DisableGeneralOptionsHandler: true}
-	ln := p.conns.Listen(p.ln, max(1, p.g.cfg.Sockets*3/8))
+		WriteTimeout: p.g.longest + answerTime, IdleTimeout: idleTime, MaxHeaderBytes: 16 << 10, ConnState: p.conns.ConnState,
+		ConnContext: p.conns.ConnContext, DisableGeneralOptionsHandler: true}
+	ln := p.conns.LimitListener(p.ln, max(1, p.g.cfg.Sockets*3/8))
 	p.g.serve("clients", func() error { return p.serve.Serve(ln) })
 	p.g.listening("clients", p.ln.Addr().String())
 	return nil
@@ -69,11 +69,11 @@
 
 // drain ends an HTTP front inside the time that the platform gives. A client that is told nothing goes on using
 // the connections it has; closed too soon, they would leave it without a gateway until the next start.
-func drain(ln net.Listener, front *httpserver.Front, conns *httpserver.Conns, t stopTimes, after func(ms float64) <-chan time.Time) {
+func drain(ln net.Listener, front *httpserver.Handler, conns *httpserver.ConnTracker, t stopTimes, after func(ms float64) <-chan time.Time) {
 	<-after(t.accept)
 	ln.Close()
 	<-after(t.close - t.accept)
-	front.Close()
+	front.DisableKeepAlives()
 	select {
 	case <-conns.Drain():
 	case <-after(t.leave - t.close):
--- a/internal/upstream/httpclient/backend.go
+++ b/internal/upstream/httpclient/backend.go
@@ -26,16 +26,16 @@
 
 // Options are the limits of a Backend.
 type Options struct {
-	ConnectMs, ConnIdleMs float64
-	MaxConns              int      // connections open at once, to all nodes
-	ReportFields          []string // of X-Backend-Load, in order
-	RestMs                float64  // how long a connection rests behind an answer before the next request goes out on it
+	ConnectTimeoutMs, ConnIdleTimeoutMs float64
+	MaxConns                            int      // connections open at once, to all nodes
+	LoadReportFields                    []string // of X-Backend-Load, in order
+	ReuseDelayMs                        float64  // how long a connection rests behind an answer before the next request goes out on it
 	// Dial opens connections; nil: the machine's network.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Backend sends attempts by http.Transport.
-type Backend struct {
+// Client sends attempts by http.Transport.
+type Client struct {
 	opt       Options
 	clock     clock.Clock
 	metrics   *metrics.Set
@@ -45,30 +45,30 @@
 	conns     atomic.Int64
 }
 
-// Sink takes the ends of attempts and probes.
-type Sink interface {
+// ResultHandler takes the ends of attempts and probes.
+type ResultHandler interface {
 	Complete(lifecycle.Attempt, lifecycle.AttemptResult)
 	ProbeEnded(*lifecycle.Server, float64, scheduler.Status, []float64)
 }
 
 // New returns a backend.
-func New(opt Options, c clock.Clock, m *metrics.Set, sink Sink) *Backend {
-	b := &Backend{opt: opt, clock: c, metrics: m, finish: sink.Complete, probed: sink.ProbeEnded}
+func New(opt Options, c clock.Clock, m *metrics.Set, sink ResultHandler) *Client {
+	b := &Client{opt: opt, clock: c, metrics: m, finish: sink.Complete, probed: sink.ProbeEnded}
 	b.transport = &http.Transport{
 		DialContext:         b.dial,
 		DisableCompression:  true, // the body must pass unchanged
 		MaxIdleConnsPerHost: max(opt.MaxConns, 1),
 		// Under the machine's own idle time: what is written to a connection it has closed ends as a reset.
-		IdleConnTimeout:        clock.Duration(opt.ConnIdleMs * 0.6),
+		IdleConnTimeout:        clock.Duration(opt.ConnIdleTimeoutMs * 0.6),
 		MaxResponseHeaderBytes: 16 << 10,
 	}
 	return b
 }
 
 // Close closes the idle connections.
-func (b *Backend) Close() { b.transport.CloseIdleConnections() }
+func (b *Client) Close() { b.transport.CloseIdleConnections() }
 
-func (b *Backend) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (b *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if b.conns.Add(1) > int64(b.opt.MaxConns) {
 		b.conns.Add(-1)
 		b.metrics.Add("connections_capped", 1)
@@ -76,7 +76,7 @@
 	}
 	dial := b.opt.Dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: clock.Duration(b.opt.ConnectMs), KeepAlive: -1}).DialContext
+		dial = (&net.Dialer{Timeout: clock.Duration(b.opt.ConnectTimeoutMs), KeepAlive: -1}).DialContext
 	}
 	c, err := dial(ctx, network, addr)
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // Start implements core.Carrier.
-func (b *Backend) Start(a lifecycle.Attempt) func() {
+func (b *Client) Start(a lifecycle.Attempt) func() {
 	ctx, cancel := clock.WithDeadline(b.clock, a.DeadlineMs)
 	go func() {
 		defer cancel(nil) // the body of an answer has been read by then
@@ -98,7 +98,7 @@
 }
 
 // attempt runs one attempt to its end.
-func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) lifecycle.AttemptResult {
+func (b *Client) attempt(ctx context.Context, a lifecycle.Attempt) lifecycle.AttemptResult {
 	for {
 		t := &try{Attempt: a, ctx: ctx, body: len(a.Request.Payload.(*httpmessage.Request).Body)}
 		res := b.attemptOnce(ctx, a, t)
@@ -111,7 +111,7 @@
 	}
 }
 
-func (b *Backend) attemptOnce(ctx context.Context, a lifecycle.Attempt, t *try) lifecycle.AttemptResult {
+func (b *Client) attemptOnce(ctx context.Context, a lifecycle.Attempt, t *try) lifecycle.AttemptResult {
 	load := a.Request.Payload.(*httpmessage.Request)
 	req := (&http.Request{
 		Method: load.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -159,7 +159,7 @@
 }
 
 // ended tells how an attempt without an answer ended.
-func (b *Backend) ended(ctx context.Context, t *try) scheduler.Status {
+func (b *Client) ended(ctx context.Context, t *try) scheduler.Status {
 	whole := t.whole.Load()
 	switch cause := context.Cause(ctx); {
 	case !whole && t.Request.Canceled(): // nothing that its node has to answer for
@@ -182,7 +182,7 @@
 }
 
 // told takes in what an answer tells beside its body. What cannot be read is counted and left out.
-func (b *Backend) told(res *lifecycle.AttemptResult, h http.Header) {
+func (b *Client) told(res *lifecycle.AttemptResult, h http.Header) {
 	number := func(name string) (float64, bool) {
 		text := h.Get(name)
 		if text == "" {
@@ -204,14 +204,14 @@
 	}
 }
 
-func (b *Backend) report(text string) []float64 {
+func (b *Client) report(text string) []float64 {
 	v, err := fastjson.Parse(text)
 	if err != nil || v.Type() != fastjson.TypeObject {
 		b.metrics.Add("node_bad_headers", 1)
 		return nil
 	}
-	out := make([]float64, len(b.opt.ReportFields))
-	for i, f := range b.opt.ReportFields {
+	out := make([]float64, len(b.opt.LoadReportFields))
+	for i, f := range b.opt.LoadReportFields {
 		// A field that is missing or no number tells nothing; read as 0 it would tell of an idle node.
 		x, err := -1.0, error(nil)
 		if at := v.Get(f); at != nil {
@@ -227,9 +227,9 @@
 }
 
 // Probe asks a node for its load and tells the loop what it found.
-func (b *Backend) Probe(n *lifecycle.Server) {
+func (b *Client) Probe(n *lifecycle.Server) {
 	path := "/health"
-	if len(b.opt.ReportFields) > 0 {
+	if len(b.opt.LoadReportFields) > 0 {
 		path = "/status/load"
 	}
 	go func() {
@@ -257,7 +257,7 @@
 			status = scheduler.StatusError
 		default:
 			status = scheduler.StatusOK
-			if len(b.opt.ReportFields) > 0 {
+			if len(b.opt.LoadReportFields) > 0 {
 				report = b.report(string(body))
 			}
 		}
--- a/internal/upstream/httpclient/backend_test.go
+++ b/internal/upstream/httpclient/backend_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-func newBackend() (*Backend, *sink, *metrics.Set, *clock.Manual) {
+func newBackend() (*Client, *sink, *metrics.Set, *clock.Manual) {
 	s, m, now := &sink{make(chan lifecycle.AttemptResult, 1), make(chan scheduler.Status, 1)}, metrics.New(), clock.NewManual(1e12)
-	return New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxConns: 10, ReportFields: []string{"queue"}}, now, m, s), s, m, now
+	return New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxConns: 10, LoadReportFields: []string{"queue"}}, now, m, s), s, m, now
 }
 
 func request(put bool) *lifecycle.Request {
@@ -312,7 +312,7 @@
 		<-peeked
 	})
 	b, s, _, now := newBackend()
-	b.clock, b.opt.RestMs = armed{now, second}, 5
+	b.clock, b.opt.ReuseDelayMs = armed{now, second}, 5
 	defer b.Close()
 	a := lifecycle.Attempt{Request: request(false), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 1000}
 	b.Start(a)
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -161,7 +161,7 @@
 // answer to the next request.
 type conn struct {
 	net.Conn
-	back *Backend
+	back *Client
 	try  atomic.Pointer[try] // nil with a probe
 	shut atomic.Bool
 
@@ -265,7 +265,7 @@
 	c.mu.Lock()
 	left := 0.0
 	if c.used && c.answer == nil && !c.spoilt {
-		left = c.wholeMs + c.back.opt.RestMs - c.back.clock.NowMs()
+		left = c.wholeMs + c.back.opt.ReuseDelayMs - c.back.clock.NowMs()
 	}
 	c.mu.Unlock()
 	if left > 0 {
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -110,7 +110,7 @@
 			addr, requests := recordRequests(t)
 			b, s, _, _ := newBackend()
 			defer b.Close()
-			b.opt.ReportFields = fields
+			b.opt.LoadReportFields = fields
 			b.Probe(&lifecycle.Server{Addr: addr})
 			<-s.probes
 			wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
