--- /dev/null
+++ b/internal/upstream/httpclient/client_test.go
@@ -0,0 +1,117 @@
+package httpclient
+
+import (
+	"net/http"
+	"testing"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/httpmessage"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
+)
+
+// recordedResults receives the results of attempts and probes.
+type recordedResults struct {
+	attempts chan lifecycle.AttemptResult
+	probes   chan scheduler.Status
+}
+
+func (r *recordedResults) Complete(_ lifecycle.Attempt, result lifecycle.AttemptResult) {
+	r.attempts <- result
+}
+
+func (r *recordedResults) ProbeEnded(_ *lifecycle.Server, _ float64, status scheduler.Status, _ []float64) {
+	r.probes <- status
+}
+
+// testClient is a client on a clock that the test moves.
+type testClient struct {
+	*Client
+	results  *recordedResults
+	counters *metrics.Set
+	now      *clock.Manual
+}
+
+func newTestClient() *testClient {
+	c := &testClient{
+		results:  &recordedResults{make(chan lifecycle.AttemptResult, 1), make(chan scheduler.Status, 1)},
+		counters: metrics.New(),
+		now:      clock.NewManual(1e12),
+	}
+	options := Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxConns: 10, LoadReportFields: []string{"queue"}}
+	c.Client = New(options, c.now, c.counters, c.results)
+	return c
+}
+
+// attemptAt returns an attempt at an address that has a second.
+func (c *testClient) attemptAt(addr string, request *lifecycle.Request) lifecycle.Attempt {
+	return lifecycle.Attempt{Request: request, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + 1000}
+}
+
+func getRequest() *lifecycle.Request {
+	return newTestRequest("GET", nil)
+}
+
+func putRequest() *lifecycle.Request {
+	return newTestRequest("PUT", []byte("data"))
+}
+
+func newTestRequest(method string, body []byte) *lifecycle.Request {
+	return &lifecycle.Request{Payload: &httpmessage.Request{Method: method, Path: "/pull/1", RawQuery: "a=%20b",
+		Header: http.Header{"Idempotency-Key": {"k"}}, Body: body}}
+}
+
+// FuzzAttempts compares attempts on reused connections with a model of random server behaviors: each attempt is one request
+// at the server, whatever http.Transport would resend, and ends as the protocol's table says.
+func FuzzAttempts(f *testing.F) {
+	add := func(script ...behavior) {
+		bytes := make([]byte, len(script))
+		for i, b := range script {
+			bytes[i] = byte(b)
+		}
+		f.Add(bytes)
+	}
+	add(respond, respond, closeWithoutResponse, respond, closeWithoutResponse)
+	add(respond, asPUT+closeWithoutResponse, respond, asPUT+respond, closeWithoutResponse, garbageAndClose)
+	add(internalError, rejectUnprocessed, rejectWithoutProof, halfResponse, tooLargeBody, respond, invalidHeaders, asPUT+halfResponse)
+	add(duplicateResponse, respond, asPUT+duplicateResponse, noiseAfterResponse, respond, asPUT+noiseAfterResponse, respond,
+		interimResponses, respond)
+	add(noise, respond, hugeLength, asPUT+noise, conflictingLengths, longHead, asPUT+respond, interimResponses,
+		asPUT+duplicateResponse, closeWithoutResponse)
+	add(noLength, respond, noLengthReset, asPUT+noLength, respond, asPUT+noLengthReset, respond)
+	add(respondAndClose, respond, garbageAndClose, respond, asPUT+garbageAndClose, asPUT+rejectUnprocessed, closeWithoutResponse)
+	f.Fuzz(func(t *testing.T, script []byte) {
+		server, c := newFakeServer(t), newTestClient()
+		defer c.Close()
+		listed := &lifecycle.Server{Addr: server.addr}
+		for i, x := range script[:min(len(script), 12)] {
+			b, request, wantBody := behavior(x&127)%behaviorCount, getRequest(), "GET/pull/1?a=%20b"
+			if behavior(x) >= asPUT {
+				request, wantBody = putRequest(), "PUT/pull/1?a=%20bdata"
+			}
+			server.behaviors <- b
+			c.Start(lifecycle.Attempt{Request: request, Server: listed, DeadlineMs: c.now.NowMs() + 1000})
+			result := <-c.results.attempts
+			if result.Status != expectedStatus[b] || int(server.requests.Load()) != i+1 {
+				t.Fatalf("attempt %d, behavior %d: status %d, want %d; the server received %d requests", i, b, result.Status,
+					expectedStatus[b], server.requests.Load())
+			}
+			checkResult(t, b, result, wantBody)
+		}
+	})
+}
+
+// checkResult checks what an attempt reports beside its status.
+func checkResult(t *testing.T, b behavior, result lifecycle.AttemptResult, wantBody string) {
+	t.Helper()
+	if result.Status == scheduler.StatusOK && string(result.Body.([]byte)) != wantBody {
+		t.Fatalf("body %q, want %q", result.Body, wantBody)
+	}
+	if b == respond && (result.VolumeUsage != 0.85 || !result.HasVolumeUsage || result.ForeignUnits != 3 || result.LoadReport[0] != 7) {
+		t.Fatalf("headers read as %+v", result)
+	}
+	if b == invalidHeaders && (result.HasVolumeUsage || result.ForeignUnits != 0 || result.LoadReport != nil) {
+		t.Fatalf("invalid headers read as %+v", result)
+	}
+}
--- /dev/null
+++ b/internal/upstream/httpclient/fakeserver_test.go
@@ -0,0 +1,175 @@
+package httpclient
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"gaugerelay/internal/httpmessage"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/testbed"
+)
+
+// behavior is what a fake server does with a request. The fuzz corpus holds the numbers.
+type behavior byte
+
+const (
+	respond behavior = iota
+	respondAndClose
+	internalError
+	rejectUnprocessed
+	rejectWithoutProof // that the request was not executed
+	closeWithoutResponse
+	garbageAndClose
+	halfResponse
+	tooLargeBody
+	invalidHeaders
+
+	// These leave the connection open.
+
+	noise
+	hugeLength
+	conflictingLengths
+	longHead
+	interimResponses
+	duplicateResponse
+	noiseAfterResponse
+
+	// The end of the connection is the end of these responses; a reset is none.
+
+	noLength
+	noLengthReset
+
+	behaviorCount
+)
+
+// asPUT marks a behavior in a fuzz script whose request is a PUT.
+const asPUT behavior = 128
+
+// expectedStatus is how an attempt ends, by the behavior of its server.
+var expectedStatus = [behaviorCount]scheduler.Status{
+	respond:              scheduler.StatusOK,
+	respondAndClose:      scheduler.StatusOK,
+	internalError:        scheduler.StatusError,
+	rejectUnprocessed:    scheduler.StatusOverloaded,
+	rejectWithoutProof:   scheduler.StatusError,
+	closeWithoutResponse: scheduler.StatusConnectionReset,
+	garbageAndClose:      scheduler.StatusError,
+	halfResponse:         scheduler.StatusConnectionReset,
+	tooLargeBody:         scheduler.StatusError,
+	invalidHeaders:       scheduler.StatusOK,
+	noise:                scheduler.StatusError,
+	hugeLength:           scheduler.StatusError,
+	conflictingLengths:   scheduler.StatusError,
+	longHead:             scheduler.StatusError,
+	interimResponses:     scheduler.StatusOK,
+	duplicateResponse:    scheduler.StatusOK,
+	noiseAfterResponse:   scheduler.StatusOK,
+	noLength:             scheduler.StatusOK,
+	noLengthReset:        scheduler.StatusConnectionReset,
+}
+
+// fakeServer is a storage server that handles each request by the next behavior it is given.
+type fakeServer struct {
+	addr      string
+	behaviors chan behavior
+	requests  atomic.Int32 // complete requests received
+}
+
+func newFakeServer(t testing.TB) *fakeServer {
+	s := &fakeServer{behaviors: make(chan behavior, 1)}
+	s.addr = testbed.Serve(t, s.serve)
+	return s
+}
+
+// serve handles the requests of a connection until a behavior ends it.
+func (s *fakeServer) serve(c net.Conn) {
+	in := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(r.Body)
+		s.requests.Add(1)
+		b, echo := <-s.behaviors, r.Method+r.RequestURI+string(body)
+		if !writeWithLength(c, b, echo) {
+			writeRaw(c, b, echo)
+		}
+		if closesConnection(b) {
+			return
+		}
+	}
+}
+
+// closesConnection reports whether a behavior ends the connection after the response.
+func closesConnection(b behavior) bool {
+	switch b {
+	case respondAndClose, closeWithoutResponse, noLength, noLengthReset, garbageAndClose, halfResponse:
+		return true
+	}
+	return false
+}
+
+// writeWithLength writes the response of a behavior that is well-formed. It returns false if it is not.
+func writeWithLength(c net.Conn, b behavior, echo string) bool {
+	write := func(status string, body string, headers ...string) {
+		fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
+			strings.Join(append(headers, ""), "\r\n"), body)
+	}
+	switch b {
+	case respond:
+		write("200 OK", echo, "X-Volume-Use: 85", "X-Served-Elsewhere: 3", `X-Backend-Load: {"queue":7}`)
+	case respondAndClose:
+		write("200 OK", echo, "Connection: close")
+	case internalError:
+		write("500 Internal Server Error", "")
+	case rejectUnprocessed:
+		write("503 Service Unavailable", "", "X-Unprocessed: 1")
+	case rejectWithoutProof:
+		write("503 Service Unavailable", "")
+	case tooLargeBody:
+		write("200 OK", strings.Repeat("x", httpmessage.MaxBodyBytes+1))
+	case interimResponses:
+		io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")
+		write("200 OK", echo)
+	case invalidHeaders:
+		write("200 OK", echo, "X-Volume-Use: much", "X-Served-Elsewhere: -1", "X-Backend-Load: {")
+	default:
+		return false
+	}
+	return true
+}
+
+// writeRaw writes the bytes of a behavior whose response is malformed, cut off, or followed by more.
+func writeRaw(c net.Conn, b behavior, echo string) {
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(echo), echo)
+	switch b {
+	case noLength, noLengthReset:
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+echo)
+		if b == noLengthReset {
+			c.(*net.TCPConn).SetLinger(0)
+		}
+	case garbageAndClose:
+		io.WriteString(c, "what?\r\n\r\n")
+	case halfResponse:
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+	case noise:
+		io.WriteString(c, "\x00\x01\x02")
+	case hugeLength:
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx")
+	case conflictingLengths:
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx")
+	case longHead:
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("x", maxHeadBytes))
+	case duplicateResponse:
+		io.WriteString(c, response+strings.Replace(response, echo, strings.Repeat("?", len(echo)), 1))
+	case noiseAfterResponse:
+		io.WriteString(c, response+"noise\r\n\r\n")
+	}
+}
--- /dev/null
+++ b/internal/upstream/httpclient/framing_test.go
@@ -0,0 +1,33 @@
+package httpclient
+
+import "testing"
+
+// FuzzResponseFraming: however a response is cut into pieces, its end is found at the same byte, and what follows the end is
+// never taken for part of it.
+func FuzzResponseFraming(f *testing.F) {
+	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\n\r\n", byte(5))
+	f.Add("HTTP/1.1 503 no\r\ncontent-length:0\r\n\r\n", byte(1))
+	f.Add("HTTP/1.1 200 OK\n\nrest", byte(2))
+	f.Add("HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", byte(3))
+	f.Add("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", byte(9))
+	f.Fuzz(func(t *testing.T, text string, piece byte) {
+		n, complete, err := feedInPieces(text, max(1, len(text)))
+		n2, complete2, err2 := feedInPieces(text, int(piece)+1)
+		if complete != complete2 || (err == nil) != (err2 == nil) || err == nil && n != n2 {
+			t.Errorf("%d %v %v in one piece, %d %v %v in pieces of %d", n, complete, err, n2, complete2, err2, int(piece)+1)
+		}
+	})
+}
+
+// feedInPieces feeds a text to a responseFraming until its end is found.
+func feedInPieces(text string, size int) (n int, complete bool, err error) {
+	f := &responseFraming{}
+	for p := []byte(text); len(p) > 0 && !complete && err == nil; {
+		k := min(size, len(p))
+		var taken int
+		taken, complete, err = f.feed(p[:k])
+		n += taken
+		p = p[k:]
+	}
+	return n, complete, err
+}
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -42,6 +42,7 @@
 
 // recordRequests starts a server that answers each request with 200 and sends its exact bytes to the channel.
 func recordRequests(t *testing.T) (addr string, requests <-chan []byte) {
+	t.Helper()
 	recorded := make(chan []byte, 16)
 	addr = testbed.Serve(t, func(c net.Conn) {
 		var wire bytes.Buffer
@@ -61,9 +62,9 @@
 }
 
 func TestGoldenAttempts(t *testing.T) {
-	for name, c := range map[string]struct {
-		load   httpmessage.Request
-		leftMs float64
+	for name, test := range map[string]struct {
+		payload httpmessage.Request
+		leftMs  float64
 	}{
 		"read":                {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-1"}}}, 1000},
 		"read-query":          {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", RawQuery: "x=%2F&y=a+b", Header: http.Header{}}, 1000},
@@ -80,26 +81,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, requests := recordRequests(t)
-			b, s, _, now := newBackend()
-			defer b.Close()
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &c.load}, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + c.leftMs})
-			<-s.ends
+			c := newTestClient()
+			defer c.Close()
+			c.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &test.payload}, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + test.leftMs})
+			<-c.results.attempts
 			compareGolden(t, "attempt-"+name, quoteLines(<-requests))
 		})
 	}
 }
 
-// The second of two attempts at a node is written like the first.
+// The second of two attempts on a connection is written like the first.
 func TestGoldenSecondAttemptOnConnection(t *testing.T) {
 	addr, requests := recordRequests(t)
-	b, s, _, now := newBackend()
-	defer b.Close()
+	c := newTestClient()
+	defer c.Close()
 	var wire []byte
 	for n := range 2 {
-		b.Start(lifecycle.Attempt{Request: request(true), Number: n + 1, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: now.NowMs() + 900})
-		<-s.ends
+		c.Start(lifecycle.Attempt{Request: putRequest(), Number: n + 1, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + 900})
+		<-c.results.attempts
 		wire = append(wire, <-requests...)
-		now.Advance(20)
+		c.now.Advance(20)
 	}
 	compareGolden(t, "attempt-second", quoteLines(wire))
 }
@@ -108,11 +109,11 @@
 	for name, fields := range map[string][]string{"health": nil, "load": {"queue"}} {
 		t.Run(name, func(t *testing.T) {
 			addr, requests := recordRequests(t)
-			b, s, _, _ := newBackend()
-			defer b.Close()
-			b.opt.LoadReportFields = fields
-			b.Probe(&lifecycle.Server{Addr: addr})
-			<-s.probes
+			c := newTestClient()
+			defer c.Close()
+			c.options.LoadReportFields = fields
+			c.Probe(&lifecycle.Server{Addr: addr})
+			<-c.results.probes
 			wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 			compareGolden(t, "probe-"+name, quoteLines(wire))
 		})
--- /dev/null
+++ b/internal/upstream/httpclient/probe.go
@@ -0,0 +1,61 @@
+package httpclient
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"gaugerelay/internal/httpmessage"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/scheduler"
+)
+
+const (
+	probeTimeout   = time.Second
+	healthPath     = "/health"
+	loadReportPath = "/status/load"
+)
+
+// Probe asks a server for its load, or for its health if there are no load report fields. It does not block; the result goes
+// to the ResultHandler.
+func (c *Client) Probe(server *lifecycle.Server) {
+	path := healthPath
+	if len(c.options.LoadReportFields) > 0 {
+		path = loadReportPath
+	}
+	go func() {
+		startMs := c.clock.NowMs()
+		status, report := c.probe(server, path)
+		c.results.ProbeEnded(server, c.clock.NowMs()-startMs, status, report)
+	}()
+}
+
+// probe sends a probe and waits for its response. The report is nil if there is none.
+func (c *Client) probe(server *lifecycle.Server, path string) (status scheduler.Status, report []float64) {
+	if server.Closed() {
+		return scheduler.StatusConnectFailed, nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.Addr+path, nil)
+	if err != nil {
+		return scheduler.StatusConnectFailed, nil
+	}
+	response, err := c.transport.RoundTrip(request)
+	if err != nil {
+		return scheduler.StatusConnectFailed, nil
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, httpmessage.MaxBodyBytes))
+	switch {
+	case err != nil:
+		return scheduler.StatusConnectionReset, nil
+	case response.StatusCode != http.StatusOK:
+		return scheduler.StatusError, nil
+	}
+	if len(c.options.LoadReportFields) > 0 {
+		report = c.parseLoadReport(string(body))
+	}
+	return scheduler.StatusOK, report
+}
--- /dev/null
+++ b/internal/upstream/httpclient/probe_test.go
@@ -0,0 +1,25 @@
+package httpclient
+
+import (
+	"testing"
+
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/scheduler"
+)
+
+func TestProbe(t *testing.T) {
+	server, c := newFakeServer(t), newTestClient()
+	for _, test := range []struct {
+		behavior behavior
+		want     scheduler.Status
+	}{
+		{respond, scheduler.StatusOK},
+		{rejectUnprocessed, scheduler.StatusError},
+		{halfResponse, scheduler.StatusConnectionReset},
+	} {
+		server.behaviors <- test.behavior
+		if c.Probe(&lifecycle.Server{Addr: server.addr}); <-c.results.probes != test.want {
+			t.Errorf("behavior %d: not %d", test.behavior, test.want)
+		}
+	}
+}
