--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -6,7 +6,8 @@
 //
 // # Invariants
 //
-//   - A datagram is processed at most once, and only if it was sent by another gateway of the cluster.
+//   - Only datagrams of other gateways of the cluster are processed. Duplicates that a datagram.ReplayWindow detects are
+//     dropped, and the messages tolerate those that it misses.
 //   - The messages and demands that wait for the next step are bounded.
 //   - The state of other gateways may be missing or late at any time. The gateway then uses its own measurements and the
 //     share of each quota that it owns.
