--- a/internal/scheduler/discoverycalls_test.go
+++ b/internal/scheduler/discoverycalls_test.go
@@ -18,11 +18,11 @@
 		{5, 60 * ms, 8 * time.Second}, {60, 50 * ms, 8 * time.Second}, {300, 8 * ms, 8 * time.Second}, {300, 8 * ms, 25 * time.Second},
 		{900, 3 * ms, 12 * time.Second},
 	} {
-		t.Run(fmt.Sprint(c.gates, "x", c.cost, ",", c.outage), func(t *testing.T) { playOutage(t, c.gates, c.cost, c.outage) })
+		t.Run(fmt.Sprint(c.gates, "x", c.cost, ",", c.outage), func(t *testing.T) { simulateOutage(t, c.gates, c.cost, c.outage) })
 	}
 }
 
-func playOutage(t *testing.T, gates int, cost, outage time.Duration) {
+func simulateOutage(t *testing.T, gates int, cost, outage time.Duration) {
 	const (
 		giveUp = 2 * time.Second
 		step   = 2 * ms
@@ -33,16 +33,16 @@
 		from time.Duration
 	}
 	list := func() Event { return EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}, {ID: 2, Shard: 1}}} }
-	ss, news := make([]*Scheduler, gates), make([][]Event, gates)
+	schedulers, news := make([]*Scheduler, gates), make([][]Event, gates)
 	watching, out := make([]bool, gates), make([]bool, gates)
-	for i := range ss {
-		set := testSettings()
-		set.Gateways, set.PollEndpoints, set.MaxPollInterval = gates, true, 10*time.Second
-		s, err := New(set, uint64(i))
+	for i := range schedulers {
+		settings := testSettings()
+		settings.Gateways, settings.PollEndpoints, settings.MaxPollInterval = gates, true, 10*time.Second
+		s, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ss[i], news[i] = s, []Event{EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1}}}}
+		schedulers[i], news[i] = s, []Event{EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1}}}}
 	}
 	var waiting []call
 	now, free := time.Hour, time.Hour
@@ -61,7 +61,7 @@
 				told++
 				news[g] = append(news[g], list())
 			}
-			for i, s := range ss {
+			for i, s := range schedulers {
 				for _, a := range s.Step(now, append(news[i], TimerFired{})) {
 					if _, ok := a.(WatchEndpoints); !ok {
 						continue
@@ -81,7 +81,7 @@
 		t.Fatalf("%d of %d gateways were told at first", told, gates)
 	}
 	now += time.Minute
-	for i := range ss {
+	for i := range schedulers {
 		watching[i] = false
 		news[i] = append(news[i], EndpointUpdate{Kind: WatchClosed})
 	}
@@ -97,27 +97,27 @@
 
 // Nothing is sent by a list that may no longer be used, and what is held leaves as soon as it is renewed.
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.PollEndpoints = true })
+	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
 	nodes := []Server{{ID: 1}, {ID: 2, Shard: 1}}
-	until := g.now + 10*time.Second
-	g.step(EndpointUpdate{Kind: Snapshot, Servers: nodes, ValidUntil: until})
-	g.now = until - 1
-	sent := sendsOf(g.step(g.ask("read", "gold", 1, 2, 1)))
+	until := gateway.now + 10*time.Second
+	gateway.step(EndpointUpdate{Kind: Snapshot, Servers: nodes, ValidUntil: until})
+	gateway.now = until - 1
+	sent := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 1)))
 	if len(sent) != 1 {
 		t.Fatalf("sent %v in the last moment of a list that holds", sent)
 	}
-	g.step(AttemptEnded{ID: sent[0], Server: 1, Status: StatusOK, Latency: ms, RequestDone: true})
-	g.now = until
-	if got := sendsOf(g.step(g.ask("read", "gold", 1, 2, 1))); len(got) != 0 {
+	gateway.step(AttemptEnded{ID: sent[0], Server: 1, Status: StatusOK, Latency: ms, RequestDone: true})
+	gateway.now = until
+	if got := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 1))); len(got) != 0 {
 		t.Errorf("sent %v by an expired list", got)
 	}
-	if got := sendsOf(g.step(EndpointUpdate{Kind: Heartbeat, ValidUntil: until + time.Second})); len(got) != 1 {
+	if got := sentIDs(gateway.step(EndpointUpdate{Kind: Heartbeat, ValidUntil: until + time.Second})); len(got) != 1 {
 		t.Errorf("sent %v once the list was renewed", got)
 	}
-	g.now = until + time.Second
-	last := g.ask("read", "gold", 1, 2, 1)
+	gateway.now = until + time.Second
+	last := gateway.newArrival("read", "gold", 1, 2, 1)
 	refusals := 0
-	for _, a := range append(g.step(last), g.after(5*time.Second)...) {
+	for _, a := range append(gateway.step(last), gateway.advance(5*time.Second)...) {
 		switch a := a.(type) {
 		case Send:
 			t.Errorf("sent to %d by a list that has expired again", a.Server)
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -8,69 +8,69 @@
 // This file holds how the list of nodes is taken in.
 
 const (
-	mostShards = 1 << 12 // a list with a shard beyond, and beyond the settings', errs
+	maxShards = 1 << 12 // a list with a shard beyond, and beyond the settings', errs
 )
 
-// list applies news of the nodes. A node that drains or is gone gets nothing more from now on.
-func (s *Scheduler) list(l *EndpointUpdate) {
-	s.listUntil = l.ValidUntil
-	switch l.Kind {
+// applyEndpointUpdate applies news of the nodes. A node that drains or is gone gets nothing more from now on.
+func (s *Scheduler) applyEndpointUpdate(update *EndpointUpdate) {
+	s.endpointsValidUntil = update.ValidUntil
+	switch update.Kind {
 	case Heartbeat:
-		s.watching()
+		s.watchOpened()
 		return
 	case WatchIdle:
-		s.callBehindWatch(silentSpread)
+		s.schedulePollAfterWatch(idlePollSpread)
 		return
 	case WatchClosed:
-		s.callBehindWatch(mostSpread)
+		s.schedulePollAfterWatch(maxPollSpread)
 		return
 	case WatchFailed:
-		s.callBehindFailure()
+		s.schedulePollAfterFailure()
 		return
 	}
-	if l.Kind != CachedSnapshot {
-		s.answered(l)
+	if update.Kind != CachedSnapshot {
+		s.recordPollSuccess(update)
 	}
 	named := map[ServerID]bool{}
-	for _, e := range l.Servers {
-		if e.Shard < 0 || e.Shard >= max(mostShards, s.set.Shards) {
+	for _, e := range update.Servers {
+		if e.Shard < 0 || e.Shard >= max(maxShards, s.settings.Shards) {
 			continue
 		}
 		named[e.ID] = true
-		n := s.nodes[e.ID]
-		if n == nil {
-			n = &node{}
-			s.nodes[e.ID] = n
+		server := s.servers[e.ID]
+		if server == nil {
+			server = &serverEntry{}
+			s.servers[e.ID] = server
 		}
-		if n.window == 0 || e.StartedAt != n.StartedAt { // new or restarted
-			n.window, n.spare, n.latency = windowStart, s.share(windowSpare), s.threshold
-			n.failures, n.turned, n.holdUntil, n.answered, n.erredAt = 0, 0, 0, 0, 0 // the old process's
-			n.starting = s.newSlowStartBudget()
+		if server.window == 0 || e.StartedAt != server.StartedAt { // new or restarted
+			server.window, server.surplusWindow, server.latency = initialWindow, s.evenShare(initialSurplusWindow), s.latencyThreshold
+			server.connectFailures, server.consecutiveRejects, server.backoffUntil, server.lastResponseAt, server.lastErrorAt = 0, 0, 0, 0, 0 // the old process's
+			server.slowStart = s.newSlowStartBudget()
 		}
-		n.Server = e
+		server.Server = e
 		for len(s.shards) <= e.Shard {
-			s.shards = append(s.shards, &shard{byVol: map[VolumeID]*flow{}})
+			s.shards = append(s.shards, &shard{flowsByVolume: map[VolumeID]*flow{}})
 		}
 	}
-	if l.Kind != Delta {
-		for id, n := range s.nodes {
+	if update.Kind != Delta {
+		for id, server := range s.servers {
 			if !named[id] {
-				n.State = Removed
+				server.State = Removed
 			}
 		}
 	}
-	for _, sh := range s.shards {
-		sh.nodes = sh.nodes[:0]
+	for _, shard := range s.shards {
+		shard.servers = shard.servers[:0]
 	}
-	for id, n := range s.nodes {
-		if n.State == Ready {
-			s.shards[n.Shard].nodes = append(s.shards[n.Shard].nodes, n)
-		} else if n.State == Removed {
-			delete(s.nodes, id) // its attempts keep it as long as they need it
+	for id, server := range s.servers {
+		if server.State == Ready {
+			s.shards[server.Shard].servers = append(s.shards[server.Shard].servers, server)
+		} else if server.State == Removed {
+			delete(s.servers, id) // its attempts keep it as long as they need it
 		}
 	}
-	for _, sh := range s.shards {
-		slices.SortFunc(sh.nodes, func(a, b *node) int {
+	for _, shard := range s.shards {
+		slices.SortFunc(shard.servers, func(a, b *serverEntry) int {
 			return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.ID, b.ID))
 		})
 	}
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// fleet is the size that the tests of many gateways play: what each does alone must stay small in sum.
-const fleet = 300
+// simulatedGateways is the size that the tests of many gateways play: what each does alone must stay small in sum.
+const simulatedGateways = 300
 
-// fleetNodes is a list of one node a shard.
-func fleetNodes(n int) (l EndpointUpdate) {
+// endpointList is a list of one node a shard.
+func endpointList(n int) (l EndpointUpdate) {
 	l.Kind = CachedSnapshot
 	for i := range n {
 		l.Servers = append(l.Servers, Server{ID: ServerID(i + 1), Shard: i})
@@ -25,22 +25,22 @@
 func TestALimitThroughFewOfManyGateways(t *testing.T) {
 	for hosts := 1; hosts <= 3; hosts++ {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			set := testSettings()
-			set.Gateways, set.Shards = fleet, 20
-			plan := &set.Plans[3]
+			settings := testSettings()
+			settings.Gateways, settings.Shards = simulatedGateways, 20
+			plan := &settings.Plans[3]
 			plan.LimitBurst, plan.LimitOverdraft = 2*6*float64(hosts), 6
 			rnd := rand.New(rand.NewPCG(uint64(hosts), 5))
-			ss := make([]*Scheduler, hosts)
-			for i := range ss {
-				s, err := New(set, rnd.Uint64())
+			schedulers := make([]*Scheduler, hosts)
+			for i := range schedulers {
+				s, err := New(settings, rnd.Uint64())
 				if err != nil {
 					t.Fatal(err)
 				}
-				ss[i] = s
-				s.Step(time.Hour, []Event{fleetNodes(set.Shards)})
+				schedulers[i] = s
+				s.Step(time.Hour, []Event{endpointList(settings.Shards)})
 			}
 			id, units, sent := RequestID(0), map[RequestID]float64{}, 0.0
-			store := bucket{rate: plan.Limit, most: plan.LimitBurst, level: plan.LimitBurst, last: time.Hour}
+			store := tokenBucket{rate: plan.Limit, capacity: plan.LimitBurst, tokens: plan.LimitBurst, updatedAt: time.Hour}
 			const length = 20 * time.Second
 			for now := time.Hour; now < time.Hour+length; now += 5 * ms {
 				events := make([][]Event, hosts)
@@ -50,19 +50,19 @@
 					units[id] = u
 					i := rnd.IntN(hosts)
 					events[i] = append(events[i], RequestArrived{ID: id, Class: "read", Plan: plan.Name, Volume: 7, Key: uint64(id),
-						TTL: time.Second, Units: u, Shard: rnd.IntN(set.Shards), Gateways: hosts})
+						TTL: time.Second, Units: u, Shard: rnd.IntN(settings.Shards), Gateways: hosts})
 				}
-				for i, s := range ss {
+				for i, s := range schedulers {
 					for _, a := range s.Step(now, append(events[i], TimerFired{})) {
 						if a, ok := a.(Send); ok {
-							store.take(now, units[a.ID])
+							store.consume(now, units[a.ID])
 							sent += units[a.ID]
 							s.Step(now, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Status: StatusOK, Latency: 5 * ms, RequestDone: true}})
 						}
 					}
 				}
-				if store.level < -plan.LimitOverdraft {
-					t.Fatalf("the limit's store is at %.1f, %v after the start", store.level, now-time.Hour)
+				if store.tokens < -plan.LimitOverdraft {
+					t.Fatalf("the limit's store is at %.1f, %v after the start", store.tokens, now-time.Hour)
 				}
 			}
 			if most := plan.Limit * length.Seconds(); sent < 0.8*most {
@@ -74,15 +74,15 @@
 
 // BenchmarkFleetList is what news of the list costs one gateway: all of 200 nodes, and one of them.
 func BenchmarkFleetList(b *testing.B) {
-	set := testSettings()
-	set.Gateways, set.Shards = fleet, 200
+	settings := testSettings()
+	settings.Gateways, settings.Shards = simulatedGateways, 200
 	for name, nodes := range map[string]int{"whole": 200, "change": 1} {
 		b.Run(name, func(b *testing.B) {
-			s, err := New(set, 1)
+			s, err := New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			l := fleetNodes(200)
+			l := endpointList(200)
 			s.Step(time.Hour, []Event{l})
 			l.Kind, l.Servers = Delta, l.Servers[:nodes]
 			if nodes > 1 {
@@ -98,15 +98,15 @@
 
 // BenchmarkFleetRequest is what a request costs the module, from its arrival to its answer, with 200 nodes known.
 func BenchmarkFleetRequest(b *testing.B) {
-	set := testSettings()
-	set.Gateways, set.Shards = fleet, 200
+	settings := testSettings()
+	settings.Gateways, settings.Shards = simulatedGateways, 200
 	for name, shard := range map[string]int{"named": 0, "new": -1} {
 		b.Run(name, func(b *testing.B) {
-			s, err := New(set, 1)
+			s, err := New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			s.Step(time.Hour, []Event{fleetNodes(200)})
+			s.Step(time.Hour, []Event{endpointList(200)})
 			now, id := time.Hour, RequestID(0)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -130,26 +130,26 @@
 // TestAFleetOpensFewConnections: 300 gateways with new objects alone, a hundred each, over 200 nodes. A node that a
 // gateway has not sent to before costs a connection; in sum they stay at fewMet for each gateway. None probes.
 func TestAFleetOpensFewConnections(t *testing.T) {
-	set := testSettings()
-	set.Gateways, set.Shards, set.PollEndpoints = fleet, 200, true
+	settings := testSettings()
+	settings.Gateways, settings.Shards, settings.PollEndpoints = simulatedGateways, 200, true
 	dials, perNode := 0, map[ServerID]int{}
-	for seed := range uint64(fleet) {
-		s, err := New(set, seed)
+	for seed := range uint64(simulatedGateways) {
+		s, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now, id := time.Hour, RequestID(0)
-		s.Step(now, []Event{fleetNodes(set.Shards)})
-		for n := range newObjects(t, s, &now, &id, 100, func(ServerID) Status { return StatusOK }) {
+		s.Step(now, []Event{endpointList(settings.Shards)})
+		for n := range placeNewObjects(t, s, &now, &id, 100, func(ServerID) Status { return StatusOK }) {
 			dials++
 			perNode[n]++
 		}
 	}
-	if dials > fleet*fewMet {
-		t.Errorf("%d connections from %d gateways, at most %d wanted", dials, fleet, fleet*fewMet)
+	if dials > simulatedGateways*minKnownServers {
+		t.Errorf("%d connections from %d gateways, at most %d wanted", dials, simulatedGateways, simulatedGateways*minKnownServers)
 	}
 	for n, c := range perNode {
-		if mean := fleet * fewMet / set.Shards; c > 3*mean {
+		if mean := simulatedGateways * minKnownServers / settings.Shards; c > 3*mean {
 			t.Errorf("node %d got %d connections, the mean is %d", n, c, mean)
 		}
 	}
@@ -158,13 +158,13 @@
 // TestALongRunKeepsTheTables: 40 minutes with a new volume, node and piece of data every 100 ms. What is kept is
 // bounded by the last minute and a quarter, and by what is out.
 func TestALongRunKeepsTheTables(t *testing.T) {
-	set := testSettings()
-	s, err := New(set, 1)
+	settings := testSettings()
+	s, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	s.Step(now, []Event{fleetNodes(2)})
+	s.Step(now, []Event{endpointList(2)})
 	last, attempts := ServerID(0), map[RequestID]int{}
 	for k := range 40 * 60 * 10 {
 		now += 100 * ms
@@ -172,7 +172,7 @@
 		news := EndpointUpdate{Kind: Delta, Servers: []Server{{ID: n, Shard: 0}, {ID: last, Shard: 0, State: Removed}}}
 		last = n
 		class := []string{"read", "bulk", "once"}[k%3]
-		a := RequestArrived{ID: RequestID(k + 1), Class: class, Plan: set.Plans[k%4].Name, Volume: VolumeID(k), Key: uint64(k),
+		a := RequestArrived{ID: RequestID(k + 1), Class: class, Plan: settings.Plans[k%4].Name, Volume: VolumeID(k), Key: uint64(k),
 			TTL: time.Second, Units: 2, Shard: k % 2, Gateways: 1}
 		for todo := s.Step(now, []Event{news, a, TimerFired{}}); len(todo) > 0; todo = todo[1:] {
 			if a, ok := todo[0].(Send); ok {
@@ -183,32 +183,32 @@
 			}
 		}
 		flows := 0
-		for _, sh := range s.shards {
-			flows += len(sh.flows)
+		for _, shard := range s.shards {
+			flows += len(shard.flows)
 		}
-		most := int((idleVolume + idleVolume/4) / (100 * ms))
-		if len(s.volumes) > most+1 || len(s.nodes) > 4 || len(s.reqs) > 20 || len(s.expiries) > 20 || flows > 100 ||
-			len(s.turns) > 100 {
+		most := int((volumeIdleTimeout + volumeIdleTimeout/4) / (100 * ms))
+		if len(s.volumes) > most+1 || len(s.servers) > 4 || len(s.requests) > 20 || len(s.deadlines) > 20 || flows > 100 ||
+			len(s.keyQueues) > 100 {
 			t.Fatalf("after %v: %d volumes, %d nodes, %d requests, %d expiries, %d flows, %d turns", now-time.Hour,
-				len(s.volumes), len(s.nodes), len(s.reqs), len(s.expiries), flows, len(s.turns))
+				len(s.volumes), len(s.servers), len(s.requests), len(s.deadlines), flows, len(s.keyQueues))
 		}
 	}
 	for k := range 20 {
 		s.Step(now+time.Duration(k)*time.Second, []Event{TimerFired{}})
 	}
-	if len(s.reqs) != 0 || len(s.expiries) != 0 {
-		t.Errorf("%d requests, %d expiries at the end", len(s.reqs), len(s.expiries))
+	if len(s.requests) != 0 || len(s.deadlines) != 0 {
+		t.Errorf("%d requests, %d expiries at the end", len(s.requests), len(s.deadlines))
 	}
 }
 
 // Parts of a limit that move: a volume starts with what no gateway ever lends, tells what it could use, and is held to
 // the part that it is told. Where gateways do not share, nothing of that is there.
 func TestPartsOfALimit(t *testing.T) {
-	g := newGate(t, func(s *Settings) { s.QuotaLeases, s.InitialQuotaShare = true, 0.5 })
+	gateway := newTestGateway(t, func(s *Settings) { s.QuotaLeases, s.InitialQuotaShare = true, 0.5 })
 	ask := func(units float64) (demands []QuotaDemand) {
-		a := g.ask("read", "capped", 7, units, 1)
+		a := gateway.newArrival("read", "capped", 7, units, 1)
 		a.Gateways = 2
-		for _, a := range append(g.step(a), g.after(10*ms)...) {
+		for _, a := range append(gateway.step(a), gateway.advance(10*ms)...) {
 			if d, ok := a.(QuotaDemand); ok {
 				demands = append(demands, d)
 			}
@@ -218,9 +218,9 @@
 	if d := ask(1); len(d) != 1 || !d[0].First || d[0].Volume != 7 || d[0].Gateways != 2 {
 		t.Fatalf("told %+v of a new volume", d)
 	}
-	v := g.s.volumes[7]
-	if v.limit.rate != 5 || v.limit.most != 6 { // half of an even part of 20 and 24
-		t.Errorf("starts with %v units a second, up to %v", v.limit.rate, v.limit.most)
+	volume := gateway.scheduler.volumes[7]
+	if volume.limit.rate != 5 || volume.limit.capacity != 6 { // half of an even part of 20 and 24
+		t.Errorf("starts with %v units a second, up to %v", volume.limit.rate, volume.limit.capacity)
 	}
 	told := 0
 	for range 100 { // a second at 100 units/s, five times the limit
@@ -233,53 +233,53 @@
 	if told < 5 || told > 11 {
 		t.Errorf("told %d times in a second", told)
 	}
-	if got := v.demand(7).Share; got < 2 || got > 5 {
+	if got := volume.quotaDemand(7).Share; got < 2 || got > 5 {
 		t.Errorf("%.2f of the limit could be used, asked for was about 3", got)
 	}
-	g.step(QuotaShare{Volume: 7, Share: 0.9}, QuotaShare{Volume: 99, Share: 1})
-	if v.limit.rate != 18 || v.limit.most != 24*0.9 {
-		t.Errorf("told of nine tenths: %v units a second, up to %v", v.limit.rate, v.limit.most)
+	gateway.step(QuotaShare{Volume: 7, Share: 0.9}, QuotaShare{Volume: 99, Share: 1})
+	if volume.limit.rate != 18 || volume.limit.capacity != 24*0.9 {
+		t.Errorf("told of nine tenths: %v units a second, up to %v", volume.limit.rate, volume.limit.capacity)
 	}
-	g.after(3 * time.Second)
-	if g.step(QuotaShare{Volume: 7, Share: 0.1}); v.limit.at(g.now) > 2.4+1e-9 {
-		t.Errorf("%v units are left of a part whose store holds 2.4", v.limit.level)
+	gateway.advance(3 * time.Second)
+	if gateway.step(QuotaShare{Volume: 7, Share: 0.1}); volume.limit.available(gateway.now) > 2.4+1e-9 {
+		t.Errorf("%v units are left of a part whose store holds 2.4", volume.limit.tokens)
 	}
-	plain := newGate(t, func(s *Settings) { s.InitialQuotaShare = 0.5 })
-	a := plain.ask("read", "capped", 7, 1, 1)
+	plain := newTestGateway(t, func(s *Settings) { s.InitialQuotaShare = 0.5 })
+	a := plain.newArrival("read", "capped", 7, 1, 1)
 	for _, a := range plain.step(a) {
 		if _, ok := a.(QuotaDemand); ok {
 			t.Error("told though nobody shares")
 		}
 	}
-	if v := plain.s.volumes[7]; v.limit.rate != 20 || v.limit.most != 24 {
-		t.Errorf("without sharing %v units a second, up to %v", v.limit.rate, v.limit.most)
+	if volume := plain.scheduler.volumes[7]; volume.limit.rate != 20 || volume.limit.capacity != 24 {
+		t.Errorf("without sharing %v units a second, up to %v", volume.limit.rate, volume.limit.capacity)
 	}
 }
 
 // A node that several gateways find failing gets one request in a rest, and new objects go elsewhere, for as long as that
 // is told.
 func TestAShunnedNodeIsTriedALittle(t *testing.T) {
-	g := newGate(t, nil)
+	gateway := newTestGateway(t, nil)
 	const rest = 400 * ms
 	sends := map[ServerID]int{}
 	play := func(d time.Duration, shun bool) {
 		clear(sends)
-		for end := g.now + d; g.now < end; {
+		for end := gateway.now + d; gateway.now < end; {
 			events := []Event{TimerFired{}}
 			if shun {
 				events = append(events, EjectServer{Server: 1, MinInterval: rest}, EjectServer{Server: 99, MinInterval: rest})
 			}
-			a := g.ask("read", "gold", int(g.id%5), 1, uint64(g.id))
-			if a.Shard = int(g.id % 2); g.id%4 == 3 {
+			a := gateway.newArrival("read", "gold", int(gateway.lastID%5), 1, uint64(gateway.lastID))
+			if a.Shard = int(gateway.lastID % 2); gateway.lastID%4 == 3 {
 				a.Shard = -1
 			}
-			for _, act := range g.step(append(events, a)...) {
+			for _, act := range gateway.step(append(events, a)...) {
 				if s, ok := act.(Send); ok {
 					sends[s.Server]++
-					g.step(AttemptEnded{ID: s.ID, Server: s.Server, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
+					gateway.step(AttemptEnded{ID: s.ID, Server: s.Server, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
 				}
 			}
-			g.now += 10 * ms
+			gateway.now += 10 * ms
 		}
 	}
 	play(2*time.Second, false)
@@ -290,7 +290,7 @@
 	if sends[1] < 5 || sends[1] > int(4*time.Second/rest)+2 || sends[2] < 150 {
 		t.Errorf("shunned: %v", sends)
 	}
-	g.after(rest)
+	gateway.advance(rest)
 	if play(2*time.Second, false); sends[1] < 50 {
 		t.Errorf("afterwards: %v", sends)
 	}
@@ -299,41 +299,41 @@
 // What others have measured of a node counts as answers: a gateway that sees few of its own learns that the node has
 // become slow, and that it is well again. Of a node that nothing is asked of little is kept.
 func TestLatenciesOfOthersCount(t *testing.T) {
-	g := newGate(t, nil)
-	n := g.s.nodes[1]
+	gateway := newTestGateway(t, nil)
+	server := gateway.scheduler.servers[1]
 	hear := func(d, latency time.Duration) {
-		for end := g.now + d; g.now < end; g.now += 100 * ms {
-			a := g.ask("read", "gold", 7, 1, 1) // one request a second keeps the shard busy
+		for end := gateway.now + d; gateway.now < end; gateway.now += 100 * ms {
+			a := gateway.newArrival("read", "gold", 7, 1, 1) // one request a second keeps the shard busy
 			a.Shard = 0
 			events := []Event{PeerLatency{Server: 1, Latency: latency}, PeerLatency{Server: 99, Latency: latency}}
-			if g.now%time.Second == 0 {
+			if gateway.now%time.Second == 0 {
 				events = append(events, a)
 			}
-			for _, act := range g.step(events...) {
+			for _, act := range gateway.step(events...) {
 				if s, ok := act.(Send); ok {
-					g.step(AttemptEnded{ID: s.ID, Server: s.Server, Status: StatusOK, Latency: latency, RequestDone: true})
+					gateway.step(AttemptEnded{ID: s.ID, Server: s.Server, Status: StatusOK, Latency: latency, RequestDone: true})
 				}
 			}
 		}
 	}
 	hear(3*time.Second, 10*ms)
-	if n.latency > 20*ms {
-		t.Errorf("L is %v of a quick node", n.latency)
+	if server.latency > 20*ms {
+		t.Errorf("L is %v of a quick node", server.latency)
 	}
 	hear(3*time.Second, 200*ms)
-	if n.latency < 100*ms {
-		t.Errorf("L is %v of a slow node", n.latency)
+	if server.latency < 100*ms {
+		t.Errorf("L is %v of a slow node", server.latency)
 	}
 	hear(4*time.Second, 10*ms)
-	if n.latency > 50*ms {
-		t.Errorf("L is %v of one that is quick again", n.latency)
+	if server.latency > 50*ms {
+		t.Errorf("L is %v of one that is quick again", server.latency)
 	}
-	other := g.s.nodes[2]
+	other := gateway.scheduler.servers[2]
 	for range 1000 {
-		g.step(PeerLatency{Server: 2, Latency: 30 * ms})
+		gateway.step(PeerLatency{Server: 2, Latency: 30 * ms})
 	}
-	if other.answers > mostSeen || other.sum > mostSeen*30*ms {
-		t.Errorf("%v answers of %v are kept", other.answers, other.sum)
+	if other.latencySamples > maxPeerSamples || other.latencySum > maxPeerSamples*30*ms {
+		t.Errorf("%v answers of %v are kept", other.latencySamples, other.latencySum)
 	}
 }
 
@@ -343,9 +343,9 @@
 	const gates = 300
 	var asked []time.Duration
 	for i := range gates {
-		set := testSettings()
-		set.Gateways, set.PollEndpoints = gates, true
-		s, err := New(set, uint64(i))
+		settings := testSettings()
+		settings.Gateways, settings.PollEndpoints = gates, true
+		s, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -368,29 +368,29 @@
 		s.Step(now, []Event{EndpointUpdate{Kind: WatchIdle}})
 		fell := now
 		at := calls(now + 3*time.Second)
-		if len(at) != 1 || at[0] > fell+silentSpread+20*ms {
+		if len(at) != 1 || at[0] > fell+idlePollSpread+20*ms {
 			t.Fatalf("gateway %d: asked again %v behind the silence", i, at)
 		}
 		asked = append(asked, at[0]-fell)
 	}
 	// A few gateways need no spread: their calls take no longer than that together.
-	set := testSettings()
-	set.Gateways, set.PollEndpoints = 5, true
-	s, err := New(set, 1)
+	settings := testSettings()
+	settings.Gateways, settings.PollEndpoints = 5, true
+	s, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Step(time.Hour, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
-	if s.callTook != 0 {
-		t.Errorf("a list that nobody asked for tells that a call takes %v", s.callTook)
+	if s.pollLatency != 0 {
+		t.Errorf("a list that nobody asked for tells that a call takes %v", s.pollLatency)
 	}
 	s.Step(time.Hour+time.Minute, []Event{EndpointUpdate{Kind: WatchIdle}})
-	if wait := s.askAgain - s.now; wait > 5*callGuess {
+	if wait := s.nextPollAt - s.now; wait > 5*defaultPollLatency {
 		t.Errorf("one of five gateways asks %v behind a silence", wait)
 	}
 	early := 0
 	for _, d := range asked {
-		if d < silentSpread/2 {
+		if d < idlePollSpread/2 {
 			early++
 		}
 	}
@@ -405,9 +405,9 @@
 func TestCallsBehindWatchesThatEnd(t *testing.T) {
 	for _, siblings := range []int{1, 5, 300} {
 		for seed := range uint64(40) {
-			set := testSettings()
-			set.Gateways, set.PollEndpoints, set.MaxPollInterval = siblings, true, 8*time.Second
-			s, err := New(set, seed)
+			settings := testSettings()
+			settings.Gateways, settings.PollEndpoints, settings.MaxPollInterval = siblings, true, 8*time.Second
+			s, err := New(settings, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -415,8 +415,8 @@
 			next := func(scope UpdateKind) (wait time.Duration) {
 				s.Step(now, []Event{EndpointUpdate{Kind: scope}})
 				from := now
-				for s.askAgain > now {
-					now = s.askAgain
+				for s.nextPollAt > now {
+					now = s.nextPollAt
 				}
 				called := false
 				for _, a := range s.Step(now, []Event{TimerFired{}}) {
@@ -430,14 +430,14 @@
 				return now - from
 			}
 			for i := range 12 {
-				if wait := next(WatchFailed); wait > 4*set.MaxPollInterval-set.MaxPollInterval/2 {
+				if wait := next(WatchFailed); wait > 4*settings.MaxPollInterval-settings.MaxPollInterval/2 {
 					t.Fatalf("%d gateways: %v behind failed call %d", siblings, wait, i)
 				}
 			}
 			for i := range 12 {
 				s.Step(now, []Event{EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, State: Draining}}}})
 				now += 100 * ms
-				if wait := next(WatchClosed); wait > set.MaxPollInterval/2 {
+				if wait := next(WatchClosed); wait > settings.MaxPollInterval/2 {
 					t.Fatalf("%d gateways: %v behind end %d of a watch that told", siblings, wait, i)
 				}
 			}
--- a/internal/scheduler/ordering.go
+++ b/internal/scheduler/ordering.go
@@ -4,37 +4,39 @@
 
 // This file holds the order of requests for one key.
 
-func (s *Scheduler) inTurn(r *request) bool { return r.class.OrderedByKey && r.Key != NoKey }
+func (s *Scheduler) isOrderedByKey(request *request) bool {
+	return request.class.OrderedByKey && request.Key != NoKey
+}
 
-func (s *Scheduler) queueTurn(r *request) {
-	t := s.turns[r.Key]
-	if t == nil {
-		t = &turn{}
-		s.turns[r.Key] = t
+func (s *Scheduler) enqueueForKey(request *request) {
+	queue := s.keyQueues[request.Key]
+	if queue == nil {
+		queue = &keyQueue{}
+		s.keyQueues[request.Key] = queue
 	}
-	t.queue = append(t.queue, r)
+	queue.requests = append(queue.requests, request)
 }
 
-// firstInTurn tells whether every earlier request of the key is over, without an attempt out, and rested.
+// isHeadOfLine tells whether every earlier request of the key is over, without an attempt out, and rested.
 // The rest binds later requests only, not a request's own further attempts.
-func (s *Scheduler) firstInTurn(r *request) bool {
-	t := s.turns[r.Key]
-	return t.queue[0] == r && (s.now >= t.rest || len(r.tries) > 0)
+func (s *Scheduler) isHeadOfLine(request *request) bool {
+	queue := s.keyQueues[request.Key]
+	return queue.requests[0] == request && (s.now >= queue.cooldownUntil || len(request.attempts) > 0)
 }
 
-// restTurn notes that an attempt may go on running.
-func (s *Scheduler) restTurn(r *request) {
-	if t := s.turns[r.Key]; s.inTurn(r) && t != nil {
-		t.rest = max(t.rest, s.now+s.set.KeyCooldown+s.set.MinStepInterval)
+// startKeyCooldown notes that an attempt may go on running.
+func (s *Scheduler) startKeyCooldown(request *request) {
+	if queue := s.keyQueues[request.Key]; s.isOrderedByKey(request) && queue != nil {
+		queue.cooldownUntil = max(queue.cooldownUntil, s.now+s.settings.KeyCooldown+s.settings.MinStepInterval)
 	}
 }
 
-func (s *Scheduler) leaveTurn(r *request) {
-	t := s.turns[r.Key]
-	if i := slices.Index(t.queue, r); i >= 0 {
-		t.queue = slices.Delete(t.queue, i, i+1)
+func (s *Scheduler) dequeueForKey(request *request) {
+	queue := s.keyQueues[request.Key]
+	if i := slices.Index(queue.requests, request); i >= 0 {
+		queue.requests = slices.Delete(queue.requests, i, i+1)
 	}
-	if len(t.queue) == 0 && s.now >= t.rest {
-		delete(s.turns, r.Key)
+	if len(queue.requests) == 0 && s.now >= queue.cooldownUntil {
+		delete(s.keyQueues, request.Key)
 	}
 }
--- a/internal/scheduler/outcome.go
+++ b/internal/scheduler/outcome.go
@@ -8,140 +8,140 @@
 
 // This file holds what becomes of a request when an attempt or its time ends.
 
-// outcome books the end of an attempt and decides what becomes of its request.
-func (s *Scheduler) outcome(o *AttemptEnded) {
-	r := s.reqs[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.tries) || r.tries[o.Attempt].closed {
+// recordOutcome books the end of an attempt and decides what becomes of its request.
+func (s *Scheduler) recordOutcome(outcome *AttemptEnded) {
+	request := s.requests[outcome.ID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) || request.attempts[outcome.Attempt].ended {
 		return
 	}
-	t := r.tries[o.Attempt]
-	n := t.node
-	t.closed, r.out = true, r.out-1
-	if !t.lost {
-		n.inUse--
-		r.shard.byVol[r.Volume].out--
+	attempt := request.attempts[outcome.Attempt]
+	server := attempt.server
+	attempt.ended, request.outstanding = true, request.outstanding-1
+	if !attempt.lost {
+		server.inFlight--
+		request.shard.flowsByVolume[request.Volume].outstanding--
 	}
-	n.closedAt, n.took = s.now, s.now-t.sentAt
-	s.observe(n, t, o)
-	if o.Status == StatusOK {
-		s.learn(r.vol, r.Units, o)
+	server.lastEndedAt, server.lastDuration = s.now, s.now-attempt.sentAt
+	s.recordServerOutcome(server, attempt, outcome)
+	if outcome.Status == StatusOK {
+		s.recordVolumeUsage(request.volume, request.Units, outcome)
 	}
-	switch o.Status {
+	switch outcome.Status {
 	case StatusError, StatusTimedOut, StatusConnectionReset, StatusCanceled:
-		if !r.mayRun || t.sentAt < r.mayRunAt {
-			r.mayRun, r.mayRunAt, r.ranZone = true, t.sentAt, n.Zone
+		if !request.mayHaveExecuted || attempt.sentAt < request.mayHaveExecutedSince {
+			request.mayHaveExecuted, request.mayHaveExecutedSince, request.executionZone = true, attempt.sentAt, server.Zone
 		}
 	}
-	if o.Status == StatusTimedOut || o.Status == StatusConnectionReset || o.Status == StatusCanceled {
-		s.restTurn(r)
+	if outcome.Status == StatusTimedOut || outcome.Status == StatusConnectionReset || outcome.Status == StatusCanceled {
+		s.startKeyCooldown(request)
 	}
-	if r.over = r.over || o.RequestDone; r.over {
-		s.settle(r)
+	if request.finished = request.finished || outcome.RequestDone; request.finished {
+		s.releaseIfDone(request)
 		return
 	}
-	if r.out > 0 || r.held {
+	if request.outstanding > 0 || request.queued {
 		return
 	}
 	// Another attempt, if the rules allow one and the aim can still be met.
-	r.notBefore = s.now + n.latency/4
-	if r.Shard == -1 && !r.mayRun { // a new object that nobody has yet may go elsewhere
-		if sh := s.roomiest(); sh != nil {
-			r.shard = sh
+	request.retryNotBefore = s.now + server.latency/4
+	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that nobody has yet may go elsewhere
+		if shard := s.leastLoadedShard(); shard != nil {
+			request.shard = shard
 		}
 	}
-	if o.Status != StatusTimedOut && r.notBefore+s.threshold/2 <= r.due && s.mayRepeat(r) && s.extraLeft() {
-		s.hold(r)
+	if outcome.Status != StatusTimedOut && request.retryNotBefore+s.latencyThreshold/2 <= request.objectiveAt && s.mayRetry(request) && s.retryBudgetLeft() {
+		s.enqueue(request)
 	} else {
-		s.giveUp(r, ReasonRetryNotAllowed)
+		s.rejectOrFail(request, ReasonRetryNotAllowed)
 	}
 }
 
-// learn takes in what an answer tells of its volume's use through other gateways.
-func (s *Scheduler) learn(v *volume, units float64, o *AttemptEnded) {
-	if s.set.ReportsForeignUnits && o.ForeignUnits >= 0 && o.ForeignUnits < 1e9 { // told, and not absurd
-		fade := math.Exp2(-float64(s.now-v.toldAt) / float64(2*halfLife))
-		v.own, v.foreign, v.toldAt = fade*v.own+units, fade*v.foreign+o.ForeignUnits, s.now
+// recordVolumeUsage takes in what an answer tells of its volume's use through other gateways.
+func (s *Scheduler) recordVolumeUsage(volume *volumeEntry, units float64, outcome *AttemptEnded) {
+	if s.settings.ReportsForeignUnits && outcome.ForeignUnits >= 0 && outcome.ForeignUnits < 1e9 { // told, and not absurd
+		fade := math.Exp2(-float64(s.now-volume.usageUpdatedAt) / float64(2*latencyHalfLife))
+		volume.localUnits, volume.foreignUnits, volume.usageUpdatedAt = fade*volume.localUnits+units, fade*volume.foreignUnits+outcome.ForeignUnits, s.now
 	}
 }
 
-// giveUp ends a request: refused where that is true to its effect, else failed.
-func (s *Scheduler) giveUp(r *request, reason Reason) {
-	if s.listExpired() {
+// rejectOrFail ends a request: refused where that is true to its effect, else failed.
+func (s *Scheduler) rejectOrFail(request *request, reason Reason) {
+	if s.endpointsExpired() {
 		reason = ReasonEndpointsExpired
 	}
-	if r.class.Idempotency == Idempotent || r.out == 0 && !r.mayRun ||
-		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupAll {
-		s.do(Reject{ID: r.ID, RetryAfter: s.comeBack(r), Reason: reason})
+	if request.class.Idempotency == Idempotent || request.outstanding == 0 && !request.mayHaveExecuted ||
+		request.class.Idempotency == IdempotentWithKey && request.class.DedupScope == DedupAll {
+		s.emit(Reject{ID: request.ID, RetryAfter: s.retryAfter(request), Reason: reason})
 	} else {
-		s.do(Fail{ID: r.ID, Reason: reason})
+		s.emit(Fail{ID: request.ID, Reason: reason})
 	}
-	s.end(r)
+	s.finish(request)
 }
 
-// comeBack is when a refused client does well to try again: one that comes while its node is still working
+// retryAfter is when a refused client does well to try again: one that comes while its node is still working
 // off what it has is refused again, but much later than that its aim has passed; and the volume's limit must
 // have room by then.
-func (s *Scheduler) comeBack(r *request) time.Duration {
-	wait := s.threshold
-	for _, n := range r.shard.nodes {
-		wait = min(max(wait, s.delay(n)), 2*s.threshold)
+func (s *Scheduler) retryAfter(request *request) time.Duration {
+	wait := s.latencyThreshold
+	for _, server := range request.shard.servers {
+		wait = min(max(wait, s.expectedLatency(server)), 2*s.latencyThreshold)
 	}
-	if v := r.vol; v.plan.Limit > 0 {
-		short := r.Units - v.limit.at(s.now)
-		wait = max(wait, time.Duration(short/v.limit.rate*float64(time.Second)))
+	if volume := request.volume; volume.plan.Limit > 0 {
+		short := request.Units - volume.limit.available(s.now)
+		wait = max(wait, time.Duration(short/volume.limit.rate*float64(time.Second)))
 	}
-	return min(wait, s.set.MaxRetryAfter)
+	return min(wait, s.settings.MaxRetryAfter)
 }
 
-// callOff gives up the attempts of a request for which nobody waits any more: where a node stops work that is
+// cancelAttempts gives up the attempts of a request for which nobody waits any more: where a node stops work that is
 // given up, it is free for others. Elsewhere that costs a connection.
-func (s *Scheduler) callOff(r *request) {
-	for i, t := range r.tries {
-		if s.set.AllowCancel && !t.closed {
-			s.do(CancelAttempt{ID: r.ID, Attempt: i})
+func (s *Scheduler) cancelAttempts(request *request) {
+	for i, attempt := range request.attempts {
+		if s.settings.AllowCancel && !attempt.ended {
+			s.emit(CancelAttempt{ID: request.ID, Attempt: i})
 		}
 	}
 }
 
-// end marks a request as over: nothing more is sent for it.
-func (s *Scheduler) end(r *request) {
-	r.over = true
-	if r.held {
-		r.unhold()
+// finish marks a request as over: nothing more is sent for it.
+func (s *Scheduler) finish(request *request) {
+	request.finished = true
+	if request.queued {
+		request.dequeue()
 	}
-	s.settle(r)
+	s.releaseIfDone(request)
 }
 
-// settle forgets a request that is over and has nothing out.
-func (s *Scheduler) settle(r *request) {
-	if r.out > 0 {
+// releaseIfDone forgets a request that is over and has nothing out.
+func (s *Scheduler) releaseIfDone(request *request) {
+	if request.outstanding > 0 {
 		return
 	}
-	if s.inTurn(r) {
-		s.leaveTurn(r)
+	if s.isOrderedByKey(request) {
+		s.dequeueForKey(request)
 	}
-	delete(s.reqs, r.ID)
+	delete(s.requests, request.ID)
 }
 
-// expire answers whatever is still open when its client's time is up.
-func (s *Scheduler) expire() {
-	for len(s.expiries) > 0 && s.expiries[0].at <= s.now {
-		r := heap.Pop(&s.expiries).(expiry).r
-		if !r.over && r.expiry != 0 {
-			s.giveUp(r, ReasonDeadlineExceeded)
+// expireRequests answers whatever is still open when its client's time is up.
+func (s *Scheduler) expireRequests() {
+	for len(s.deadlines) > 0 && s.deadlines[0].at <= s.now {
+		request := heap.Pop(&s.deadlines).(deadline).request
+		if !request.finished && request.expiresAt != 0 {
+			s.rejectOrFail(request, ReasonDeadlineExceeded)
 		}
 	}
 }
 
-// curtail moves the ends of all requests that have longer to where the gateway ends. It guards against those
+// shortenDeadlines moves the ends of all requests that have longer to where the gateway ends. It guards against those
 // that were taken before and are out for longer than that: their clients would get no answer.
-func (s *Scheduler) curtail(at time.Duration) {
-	s.endsAt = at
-	for i := range s.expiries { // later ones become equal, so the heap keeps its order
-		if e := &s.expiries[i]; e.at > at {
+func (s *Scheduler) shortenDeadlines(at time.Duration) {
+	s.shutdownDeadline = at
+	for i := range s.deadlines { // later ones become equal, so the heap keeps its order
+		if e := &s.deadlines[i]; e.at > at {
 			e.at = at
-			if e.r.expiry != 0 {
-				e.r.expiry, e.r.due = at, min(e.r.due, at)
+			if e.request.expiresAt != 0 {
+				e.request.expiresAt, e.request.objectiveAt = at, min(e.request.objectiveAt, at)
 			}
 		}
 	}
--- a/internal/scheduler/permission.go
+++ b/internal/scheduler/permission.go
@@ -2,47 +2,49 @@
 
 // This file holds what the rules allow to be sent or repeated now.
 
-// mayGo tells whether the rules let a request be sent to a node now.
-func (s *Scheduler) mayGo(n *node, r *request) bool {
-	if s.listExpired() || r.over || r.expiry <= s.now || len(r.tries) >= s.set.MaxAttempts {
+// authorizeSend tells whether the rules let a request be sent to a node now.
+func (s *Scheduler) authorizeSend(server *serverEntry, request *request) bool {
+	if s.endpointsExpired() || request.finished || request.expiresAt <= s.now || len(request.attempts) >= s.settings.MaxAttempts {
 		return false
 	}
-	if len(r.tries) == 0 {
-		if r.vol.plan.Limit > 0 && r.vol.limit.at(s.now) < r.Units {
+	if len(request.attempts) == 0 {
+		if request.volume.plan.Limit > 0 && request.volume.limit.available(s.now) < request.Units {
 			return false
 		}
-	} else if !s.mayRepeat(r) || !s.extraLeft() {
+	} else if !s.mayRetry(request) || !s.retryBudgetLeft() {
 		return false
-	} else if r.mayRun && r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupZone && n.Zone != r.ranZone {
+	} else if request.mayHaveExecuted && request.class.Idempotency == IdempotentWithKey && request.class.DedupScope == DedupZone && server.Zone != request.executionZone {
 		return false // the group that drops repeats; all nodes of a shard are one cell
 	}
-	if s.inTurn(r) && !s.firstInTurn(r) {
+	if s.isOrderedByKey(request) && !s.isHeadOfLine(request) {
 		return false
 	}
-	return s.admits(n)
+	return s.slowStartAllows(server)
 }
 
-// listExpired tells whether the list is too old to send by: any of its nodes may drain, and the news of that counts as
+// endpointsExpired tells whether the list is too old to send by: any of its nodes may drain, and the news of that counts as
 // told.
-func (s *Scheduler) listExpired() bool { return s.listUntil != 0 && s.now >= s.listUntil }
+func (s *Scheduler) endpointsExpired() bool {
+	return s.endpointsValidUntil != 0 && s.now >= s.endpointsValidUntil
+}
 
-// mayRepeat tells whether the class allows another attempt at this node.
-func (s *Scheduler) mayRepeat(r *request) bool {
-	harmless := !r.mayRun || r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentWithKey && s.now < r.repeatBefore()
-	return harmless && len(r.tries) < s.set.MaxAttempts && r.out == 0
+// mayRetry tells whether the class allows another attempt at this node.
+func (s *Scheduler) mayRetry(request *request) bool {
+	harmless := !request.mayHaveExecuted || request.class.Idempotency == Idempotent ||
+		request.class.Idempotency == IdempotentWithKey && s.now < request.retryStartDeadline()
+	return harmless && len(request.attempts) < s.settings.MaxAttempts && request.outstanding == 0
 }
 
-// extraLeft tells whether the budget has room for a further attempt.
-func (s *Scheduler) extraLeft() bool {
-	if s.set.RetryBudgetWindow == 0 {
+// retryBudgetLeft tells whether the budget has room for a further attempt.
+func (s *Scheduler) retryBudgetLeft() bool {
+	if s.settings.RetryBudgetWindow == 0 {
 		return true
 	}
-	for len(s.taken) > 0 && s.now-s.taken[0] >= s.set.RetryBudgetWindow {
-		s.taken = s.taken[1:]
+	for len(s.admittedInWindow) > 0 && s.now-s.admittedInWindow[0] >= s.settings.RetryBudgetWindow {
+		s.admittedInWindow = s.admittedInWindow[1:]
 	}
-	for len(s.extras) > 0 && s.now-s.extras[0] > s.set.RetryBudgetWindow {
-		s.extras = s.extras[1:]
+	for len(s.retriesInWindow) > 0 && s.now-s.retriesInWindow[0] > s.settings.RetryBudgetWindow {
+		s.retriesInWindow = s.retriesInWindow[1:]
 	}
-	return float64(len(s.extras)+1) <= s.set.RetryBudgetMin+s.set.RetryBudgetRatio*float64(len(s.taken))
+	return float64(len(s.retriesInWindow)+1) <= s.settings.RetryBudgetMin+s.settings.RetryBudgetRatio*float64(len(s.admittedInWindow))
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -10,242 +10,242 @@
 
 const ms = time.Millisecond
 
-// referee follows one gateway from outside and checks the seven rules on every action. What it books of
+// ruleChecker follows one gateway from outside and checks the seven rules on every action. What it books of
 // limits and cold nodes is this gateway's even part, the only thing that one gateway can be held to alone
 // (but see coldMost).
-type referee struct {
-	t       *testing.T
-	set     Settings
-	classes map[string]Class
-	plans   map[string]Plan
-	now     time.Duration
-	started time.Duration
-	reqs    map[RequestID]*judged
-	order   []*judged // taken in this life
-	nodes   map[ServerID]*judgedNode
-	limits  map[VolumeID]*judgedBucket // they outlive the gateway
-	taken   []time.Duration
-	extras  []time.Duration
-	// coldMost is the most units a cold node may get in FallWindow in the scenario's pool.
-	coldMost float64
+type ruleChecker struct {
+	t        *testing.T
+	settings Settings
+	classes  map[string]Class
+	plans    map[string]Plan
+	now      time.Duration
+	started  time.Duration
+	requests map[RequestID]*checkedRequest
+	order    []*checkedRequest // taken in this life
+	servers  map[ServerID]*checkedServer
+	limits   map[VolumeID]*checkedBucket // they outlive the gateway
+	admitted []time.Duration
+	retries  []time.Duration
+	// maxSlowStartUnits is the most units a cold node may get in FallWindow in the scenario's pool.
+	maxSlowStartUnits float64
 }
 
-type judged struct {
-	a        RequestArrived
-	class    Class
-	expiry   time.Duration
-	over     bool
-	attempts []*judgedTry
-	rest     time.Duration
+type checkedRequest struct {
+	arrival       RequestArrived
+	class         Class
+	expiresAt     time.Duration
+	finished      bool
+	attempts      []*checkedAttempt
+	cooldownUntil time.Duration
 }
 
-type judgedTry struct {
-	node   *judgedNode
-	sent   time.Duration
-	closed bool
+type checkedAttempt struct {
+	server *checkedServer
+	sentAt time.Duration
+	ended  bool
 	status Status
 }
 
-type judgedNode struct {
+type checkedServer struct {
 	Server
-	told time.Duration // that it drains or is gone
-	out  bool
-	cold []sent
+	outOfServiceAt time.Duration // that it drains or is gone
+	outOfService   bool
+	slowStartSends []sentUnits
 }
 
-// sent is a stamped amount.
-type sent struct {
+// sentUnits is a stamped amount.
+type sentUnits struct {
 	at    time.Duration
 	units float64
 }
 
-type judgedBucket struct {
-	level float64
-	at    time.Duration
+type checkedBucket struct {
+	tokens    float64
+	updatedAt time.Duration
 }
 
-func (f *referee) bad(format string, args ...any) {
+func (f *ruleChecker) fatalf(format string, args ...any) {
 	f.t.Helper()
 	f.t.Fatalf("at %v: "+format, append([]any{f.now}, args...)...)
 }
 
-func (f *referee) restart() {
-	f.reqs, f.order, f.taken, f.extras = map[RequestID]*judged{}, nil, nil, nil
+func (f *ruleChecker) restart() {
+	f.requests, f.order, f.admitted, f.retries = map[RequestID]*checkedRequest{}, nil, nil, nil
 	f.started = f.now
 }
 
-func (f *referee) list(l EndpointUpdate) {
+func (f *ruleChecker) applyUpdate(l EndpointUpdate) {
 	if l.Kind == WatchFailed {
 		return
 	}
 	named := map[ServerID]bool{}
 	for _, e := range l.Servers {
 		named[e.ID] = true
-		n := f.nodes[e.ID]
-		if n == nil {
-			n = &judgedNode{}
-			f.nodes[e.ID] = n
+		server := f.servers[e.ID]
+		if server == nil {
+			server = &checkedServer{}
+			f.servers[e.ID] = server
 		}
-		n.Server = e
-		f.tell(n, e.State != Ready)
+		server.Server = e
+		f.setOutOfService(server, e.State != Ready)
 	}
 	if l.Kind != Delta {
-		for id, n := range f.nodes {
+		for id, server := range f.servers {
 			if !named[id] {
-				f.tell(n, true)
+				f.setOutOfService(server, true)
 			}
 		}
 	}
 }
 
-func (f *referee) tell(n *judgedNode, out bool) {
-	if out && !n.out {
-		n.told = f.now
+func (f *ruleChecker) setOutOfService(server *checkedServer, out bool) {
+	if out && !server.outOfService {
+		server.outOfServiceAt = f.now
 	}
-	n.out = out
+	server.outOfService = out
 }
 
-func (f *referee) outcome(o AttemptEnded) {
-	r := f.reqs[o.ID]
-	t := r.attempts[o.Attempt]
-	t.closed, t.status = true, o.Status
+func (f *ruleChecker) recordOutcome(o AttemptEnded) {
+	request := f.requests[o.ID]
+	t := request.attempts[o.Attempt]
+	t.ended, t.status = true, o.Status
 	if o.Status == StatusTimedOut || o.Status == StatusConnectionReset || o.Status == StatusCanceled {
-		r.rest = f.now + f.set.KeyCooldown
+		request.cooldownUntil = f.now + f.settings.KeyCooldown
 	}
 	if o.RequestDone {
-		r.over = true
+		request.finished = true
 	}
 }
 
-func mayHaveRun(t *judgedTry) bool {
-	return !t.closed || t.status != StatusOverloaded && t.status != StatusConnectFailed && t.status != StatusNotSent
+func mayHaveExecuted(t *checkedAttempt) bool {
+	return !t.ended || t.status != StatusOverloaded && t.status != StatusConnectFailed && t.status != StatusNotSent
 }
 
-// send checks a Send against rules 1 to 7.
-func (f *referee) send(a Send) *judgedTry {
-	r, n := f.reqs[a.ID], f.nodes[a.Server]
-	if r == nil || n == nil {
-		f.bad("send of an unknown request or node: %+v", a)
+// checkSend checks a Send against rules 1 to 7.
+func (f *ruleChecker) checkSend(a Send) *checkedAttempt {
+	request, server := f.requests[a.ID], f.servers[a.Server]
+	if request == nil || server == nil {
+		f.fatalf("send of an unknown request or node: %+v", a)
 	}
-	if r.over {
-		f.bad("rule 1: sent %d after its end", a.ID)
+	if request.finished {
+		f.fatalf("rule 1: sent %d after its end", a.ID)
 	}
-	if r.a.Shard >= 0 && n.Shard != r.a.Shard {
-		f.bad("sent %d to shard %d, its data is on %d", a.ID, n.Shard, r.a.Shard)
+	if request.arrival.Shard >= 0 && server.Shard != request.arrival.Shard {
+		f.fatalf("sent %d to shard %d, its data is on %d", a.ID, server.Shard, request.arrival.Shard)
 	}
-	if len(r.attempts) >= f.set.MaxAttempts {
-		f.bad("more attempts than allowed for %d", a.ID)
+	if len(request.attempts) >= f.settings.MaxAttempts {
+		f.fatalf("more attempts than allowed for %d", a.ID)
 	}
-	for _, t := range r.attempts {
-		if !t.closed && !f.set.AllowHedging {
-			f.bad("rule 2: two attempts of %d at once", a.ID)
+	for _, t := range request.attempts {
+		if !t.ended && !f.settings.AllowHedging {
+			f.fatalf("rule 2: two attempts of %d at once", a.ID)
 		}
-		if !mayHaveRun(t) {
+		if !mayHaveExecuted(t) {
 			continue
 		}
-		switch r.class.Idempotency {
+		switch request.class.Idempotency {
 		case NotIdempotent:
-			f.bad("rule 2: %d may have run and is sent again", a.ID)
+			f.fatalf("rule 2: %d may have run and is sent again", a.ID)
 		case IdempotentWithKey:
-			same := r.class.DedupScope == DedupAll || r.class.DedupScope == DedupZone && t.node.Zone == n.Zone ||
-				r.class.DedupScope == DedupCell && t.node.Shard == n.Shard
-			if !same || f.now-t.sent > r.class.DedupWindow {
-				f.bad("rule 2: repeat of %d outside its group or window", a.ID)
+			same := request.class.DedupScope == DedupAll || request.class.DedupScope == DedupZone && t.server.Zone == server.Zone ||
+				request.class.DedupScope == DedupCell && t.server.Shard == server.Shard
+			if !same || f.now-t.sentAt > request.class.DedupWindow {
+				f.fatalf("rule 2: repeat of %d outside its group or window", a.ID)
 			}
 		}
 	}
-	if n.out && f.now-n.told > f.set.DrainGrace {
-		f.bad("rule 3: sent to node %d, told away at %v", n.ID, n.told)
+	if server.outOfService && f.now-server.outOfServiceAt > f.settings.DrainGrace {
+		f.fatalf("rule 3: sent to node %d, told away at %v", server.ID, server.outOfServiceAt)
 	}
-	if n.StartedAt > 0 && f.now-n.StartedAt < f.set.SlowStartDuration {
-		n.cold = append(n.cold, sent{f.now, r.a.Units})
+	if server.StartedAt > 0 && f.now-server.StartedAt < f.settings.SlowStartDuration {
+		server.slowStartSends = append(server.slowStartSends, sentUnits{f.now, request.arrival.Units})
 		sum := 0.0
-		for _, c := range n.cold {
-			if f.now-c.at <= f.set.OverloadWindow {
+		for _, c := range server.slowStartSends {
+			if f.now-c.at <= f.settings.OverloadWindow {
 				sum += c.units
 			}
 		}
-		if sum > f.coldMost {
-			f.bad("rule 4: %.1f units to cold node %d within %v", sum, n.ID, f.set.OverloadWindow)
+		if sum > f.maxSlowStartUnits {
+			f.fatalf("rule 4: %.1f units to cold node %d within %v", sum, server.ID, f.settings.OverloadWindow)
 		}
 	}
-	if r.class.OrderedByKey && r.a.Key != NoKey {
+	if request.class.OrderedByKey && request.arrival.Key != NoKey {
 		for _, e := range f.order {
-			if e == r {
+			if e == request {
 				break
 			}
-			if !e.class.OrderedByKey || e.a.Key != r.a.Key {
+			if !e.class.OrderedByKey || e.arrival.Key != request.arrival.Key {
 				continue
 			}
-			open := slices.ContainsFunc(e.attempts, func(t *judgedTry) bool { return !t.closed })
-			if !e.over || open || len(r.attempts) == 0 && f.now < e.rest {
-				f.bad("rule 5: %d sent before its turn behind %d", r.a.ID, e.a.ID)
+			open := slices.ContainsFunc(e.attempts, func(t *checkedAttempt) bool { return !t.ended })
+			if !e.finished || open || len(request.attempts) == 0 && f.now < e.cooldownUntil {
+				f.fatalf("rule 5: %d sent before its turn behind %d", request.arrival.ID, e.arrival.ID)
 			}
 		}
 	}
-	if len(r.attempts) > 0 && f.set.RetryBudgetWindow > 0 {
-		f.extras = append(f.extras, f.now)
+	if len(request.attempts) > 0 && f.settings.RetryBudgetWindow > 0 {
+		f.retries = append(f.retries, f.now)
 		in := func(ts []time.Duration) (k int) {
 			for _, t := range ts {
-				if f.now-t < f.set.RetryBudgetWindow {
+				if f.now-t < f.settings.RetryBudgetWindow {
 					k++
 				}
 			}
 			return k
 		}
-		if float64(in(f.extras)) > f.set.RetryBudgetMin+f.set.RetryBudgetRatio*float64(in(f.taken))+1e-9 {
-			f.bad("rule 6: %d further attempts for %d requests", in(f.extras), in(f.taken))
+		if float64(in(f.retries)) > f.settings.RetryBudgetMin+f.settings.RetryBudgetRatio*float64(in(f.admitted))+1e-9 {
+			f.fatalf("rule 6: %d further attempts for %d requests", in(f.retries), in(f.admitted))
 		}
 	}
-	if p := f.plans[r.a.Plan]; p.Limit > 0 && len(r.attempts) == 0 {
-		hosts := float64(r.a.Gateways)
-		b := f.limits[r.a.Volume]
+	if p := f.plans[request.arrival.Plan]; p.Limit > 0 && len(request.attempts) == 0 {
+		hosts := float64(request.arrival.Gateways)
+		b := f.limits[request.arrival.Volume]
 		if b == nil {
-			b = &judgedBucket{level: p.LimitBurst / hosts}
-			f.limits[r.a.Volume] = b
+			b = &checkedBucket{tokens: p.LimitBurst / hosts}
+			f.limits[request.arrival.Volume] = b
 		}
-		b.level = min(p.LimitBurst/hosts, b.level+p.Limit/hosts*(f.now-b.at).Seconds()) - r.a.Units
-		b.at = f.now
-		if b.level < -1e-6 {
-			f.bad("rule 7: volume %d %.2f units past its even part", r.a.Volume, -b.level)
+		b.tokens = min(p.LimitBurst/hosts, b.tokens+p.Limit/hosts*(f.now-b.updatedAt).Seconds()) - request.arrival.Units
+		b.updatedAt = f.now
+		if b.tokens < -1e-6 {
+			f.fatalf("rule 7: volume %d %.2f units past its even part", request.arrival.Volume, -b.tokens)
 		}
 	}
-	t := &judgedTry{node: n, sent: f.now}
-	r.attempts = append(r.attempts, t)
+	t := &checkedAttempt{server: server, sentAt: f.now}
+	request.attempts = append(request.attempts, t)
 	return t
 }
 
-func (f *referee) refuse(a Reject) {
-	r := f.reqs[a.ID]
-	if r == nil || r.over {
-		f.bad("rule 1: second answer for %d", a.ID)
+func (f *ruleChecker) checkReject(a Reject) {
+	request := f.requests[a.ID]
+	if request == nil || request.finished {
+		f.fatalf("rule 1: second answer for %d", a.ID)
 	}
-	ran := slices.ContainsFunc(r.attempts, mayHaveRun)
-	if ran && (r.class.Idempotency == NotIdempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope != DedupAll) {
-		f.bad("rule 2: refused %d, which may have run", a.ID)
+	ran := slices.ContainsFunc(request.attempts, mayHaveExecuted)
+	if ran && (request.class.Idempotency == NotIdempotent || request.class.Idempotency == IdempotentWithKey && request.class.DedupScope != DedupAll) {
+		f.fatalf("rule 2: refused %d, which may have run", a.ID)
 	}
-	r.over = true
+	request.finished = true
 }
 
-func (f *referee) fail(a Fail) {
-	r := f.reqs[a.ID]
-	if r == nil || r.over {
-		f.bad("rule 1: second answer for %d", a.ID)
+func (f *ruleChecker) checkFail(a Fail) {
+	request := f.requests[a.ID]
+	if request == nil || request.finished {
+		f.fatalf("rule 1: second answer for %d", a.ID)
 	}
-	r.over = true
+	request.finished = true
 }
 
-// unanswered checks that no request is older than its client's patience.
-func (f *referee) unanswered() {
-	for _, r := range f.reqs {
-		if !r.over && f.now > r.expiry+f.set.ResponseGrace {
-			f.bad("rule 1: %d was never answered (expired at %v)", r.a.ID, r.expiry)
+// checkDeadlines checks that no request is older than its client's patience.
+func (f *ruleChecker) checkDeadlines() {
+	for _, request := range f.requests {
+		if !request.finished && f.now > request.expiresAt+f.settings.ResponseGrace {
+			f.fatalf("rule 1: %d was never answered (expired at %v)", request.arrival.ID, request.expiresAt)
 		}
 	}
 }
 
 func propertySettings(k int) Settings {
-	set := Settings{Gateways: 3, Shards: 4, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.4, SurplusWeight: 0.1,
+	settings := Settings{Gateways: 3, Shards: 4, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.4, SurplusWeight: 0.1,
 		MaxAttempts: 4, AllowCancel: true, ResponseGrace: 8 * ms, DrainGrace: 250 * ms, InitialCapacity: 0.2,
 		SlowStartDuration: 18 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * ms, SlowStartUnits: 24,
 		KeyCooldown: 200 * ms, MinStepInterval: 2 * ms, UsagePeriod: time.Second, ReportsForeignUnits: true,
@@ -265,34 +265,34 @@
 			{Name: "large", Rate: 20, Reserve: 20, Weight: 2, PriorityFactor: 0.9},
 		}}
 	if k%2 == 0 {
-		set.RetryBudgetMin, set.RetryBudgetRatio, set.RetryBudgetWindow = 3, 0.15, 5*time.Second
+		settings.RetryBudgetMin, settings.RetryBudgetRatio, settings.RetryBudgetWindow = 3, 0.15, 5*time.Second
 	}
-	return set
+	return settings
 }
 
 // TestRulesHoldOverArbitraryEvents plays random legal events, outcomes and restarts against the referee.
 func TestRulesHoldOverArbitraryEvents(t *testing.T) {
 	for k := range 24 {
-		t.Run(fmt.Sprint(k), func(t *testing.T) { playRules(t, k) })
+		t.Run(fmt.Sprint(k), func(t *testing.T) { checkRules(t, k) })
 	}
 }
 
-func playRules(t *testing.T, k int) {
-	set := propertySettings(k)
+func checkRules(t *testing.T, k int) {
+	settings := propertySettings(k)
 	rnd := rand.New(rand.NewPCG(uint64(k), 7))
-	f := &referee{t: t, set: set, classes: map[string]Class{}, plans: map[string]Plan{},
-		nodes: map[ServerID]*judgedNode{}, limits: map[VolumeID]*judgedBucket{}, now: 1e6 * ms}
-	for _, c := range set.Classes {
-		f.classes[c.Name] = c
+	checker := &ruleChecker{t: t, settings: settings, classes: map[string]Class{}, plans: map[string]Plan{},
+		servers: map[ServerID]*checkedServer{}, limits: map[VolumeID]*checkedBucket{}, now: 1e6 * ms}
+	for _, c := range settings.Classes {
+		checker.classes[c.Name] = c
 	}
-	for _, p := range set.Plans {
-		f.plans[p.Name] = p
+	for _, p := range settings.Plans {
+		checker.plans[p.Name] = p
 	}
 	// Half of what fells a node of 200 units a second, when fully warm; this gateway never gets more.
-	f.coldMost = max(set.SlowStartUnits/float64(set.Gateways), set.OverloadMultiple/2*200*set.OverloadWindow.Seconds())
+	checker.maxSlowStartUnits = max(settings.SlowStartUnits/float64(settings.Gateways), settings.OverloadMultiple/2*200*settings.OverloadWindow.Seconds())
 	var s *Scheduler
 	var pool []Server
-	for i := range set.Shards {
+	for i := range settings.Shards {
 		pool = append(pool, Server{ID: ServerID(100 + i), Shard: i, Zone: "za", Size: 1})
 	}
 	type pending struct {
@@ -305,108 +305,108 @@
 	sends, answers := 0, 0
 	open := func() {
 		var err error
-		if s, err = New(set, rnd.Uint64()); err != nil {
+		if s, err = New(settings, rnd.Uint64()); err != nil {
 			t.Fatal(err)
 		}
-		f.restart()
+		checker.restart()
 		due, wakes = nil, nil
 	}
 	act := func(events []Event) {
-		for _, a := range s.Step(f.now, events) {
+		for _, a := range s.Step(checker.now, events) {
 			switch a := a.(type) {
 			case Send:
-				tr := f.send(a)
+				tr := checker.checkSend(a)
 				sends++
-				r := f.reqs[a.ID]
-				o := AttemptEnded{ID: a.ID, Attempt: len(r.attempts) - 1, Server: a.Server}
+				request := checker.requests[a.ID]
+				o := AttemptEnded{ID: a.ID, Attempt: len(request.attempts) - 1, Server: a.Server}
 				o.Status = []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusError, StatusOverloaded, StatusTimedOut, StatusConnectFailed, StatusConnectionReset, StatusNotSent}[rnd.IntN(10)]
-				at := f.now + time.Duration(rnd.ExpFloat64()*float64(80*ms))
+				at := checker.now + time.Duration(rnd.ExpFloat64()*float64(80*ms))
 				if rnd.IntN(20) == 0 {
-					at = r.expiry // a hang
+					at = request.expiresAt // a hang
 				}
-				if at >= r.expiry {
-					at, o.Status = r.expiry, StatusTimedOut
+				if at >= request.expiresAt {
+					at, o.Status = request.expiresAt, StatusTimedOut
 				}
-				if a.Timeout > 0 && at > f.now+a.Timeout {
-					at, o.Status = f.now+a.Timeout, StatusTimedOut
+				if a.Timeout > 0 && at > checker.now+a.Timeout {
+					at, o.Status = checker.now+a.Timeout, StatusTimedOut
 				}
-				o.Latency = at - tr.sent
+				o.Latency = at - tr.sentAt
 				due = append(due, pending{at, o})
 			case Reject:
-				f.refuse(a)
+				checker.checkReject(a)
 				answers++
 			case Fail:
-				f.fail(a)
+				checker.checkFail(a)
 				answers++
 			case SetTimer:
 				wakes = append(wakes, a.At)
 			}
 		}
-		f.unanswered()
+		checker.checkDeadlines()
 	}
 	open()
-	act([]Event{listAnd(f, EndpointUpdate{Kind: CachedSnapshot, Servers: slices.Clone(pool)})})
-	end := f.now + 20*time.Second
-	for f.now < end+5*time.Second {
-		f.now += 2 * ms
+	act([]Event{observedUpdate(checker, EndpointUpdate{Kind: CachedSnapshot, Servers: slices.Clone(pool)})})
+	end := checker.now + 20*time.Second
+	for checker.now < end+5*time.Second {
+		checker.now += 2 * ms
 		var events []Event
-		if rnd.IntN(2000) == 0 && f.now < end { // killed and opened again in the same batch
+		if rnd.IntN(2000) == 0 && checker.now < end { // killed and opened again in the same batch
 			open()
-			events = append(events, listAnd(f, EndpointUpdate{Kind: CachedSnapshot, Servers: slices.Clone(pool)}))
+			events = append(events, observedUpdate(checker, EndpointUpdate{Kind: CachedSnapshot, Servers: slices.Clone(pool)}))
 		}
-		if i := rnd.IntN(len(pool)); rnd.IntN(700) == 0 && f.now < end {
+		if i := rnd.IntN(len(pool)); rnd.IntN(700) == 0 && checker.now < end {
 			switch rnd.IntN(4) {
 			case 0:
 				pool[i].State = Draining
 			case 1: // a restart: same id, new start
-				pool[i].State, pool[i].StartedAt = Ready, f.now-time.Duration(rnd.IntN(2000))*ms
+				pool[i].State, pool[i].StartedAt = Ready, checker.now-time.Duration(rnd.IntN(2000))*ms
 			case 2: // a replacement
 				old := pool[i]
 				old.State = Removed
 				pool[i] = Server{ID: nextNode, Shard: old.Shard, Zone: []string{"za", "zb"}[rnd.IntN(2)],
-					StartedAt: f.now, Size: 1}
+					StartedAt: checker.now, Size: 1}
 				nextNode++
-				events = append(events, listAnd(f, EndpointUpdate{Kind: Delta, Servers: []Server{old}}))
+				events = append(events, observedUpdate(checker, EndpointUpdate{Kind: Delta, Servers: []Server{old}}))
 			case 3:
-				events = append(events, listAnd(f, EndpointUpdate{Kind: WatchFailed}))
+				events = append(events, observedUpdate(checker, EndpointUpdate{Kind: WatchFailed}))
 			}
 			scope := []UpdateKind{Delta, Snapshot}[rnd.IntN(2)]
-			events = append(events, listAnd(f, EndpointUpdate{Kind: scope, Servers: slices.Clone(pool)}))
+			events = append(events, observedUpdate(checker, EndpointUpdate{Kind: scope, Servers: slices.Clone(pool)}))
 		}
-		for rnd.IntN(3) == 0 && f.now < end {
-			c := set.Classes[rnd.IntN(len(set.Classes))]
+		for rnd.IntN(3) == 0 && checker.now < end {
+			c := settings.Classes[rnd.IntN(len(settings.Classes))]
 			v := rnd.IntN(8)
-			a := RequestArrived{ID: nextID, Class: c.Name, Plan: set.Plans[v%2].Name, Volume: VolumeID(v),
+			a := RequestArrived{ID: nextID, Class: c.Name, Plan: settings.Plans[v%2].Name, Volume: VolumeID(v),
 				Key: uint64(rnd.IntN(12)), TTL: c.Deadline, Units: float64(1 + rnd.IntN(6)),
-				Shard: rnd.IntN(set.Shards+1) - 1, Gateways: 1 + v%3, IsRetry: rnd.IntN(6) == 0}
+				Shard: rnd.IntN(settings.Shards+1) - 1, Gateways: 1 + v%3, IsRetry: rnd.IntN(6) == 0}
 			if a.IsRetry {
 				a.TTL = time.Duration(rnd.IntN(int(c.Deadline-ms))) + ms
 			}
 			nextID++
-			r := &judged{a: a, class: c, expiry: f.now + a.TTL}
-			f.reqs[a.ID], f.order = r, append(f.order, r)
-			f.taken = append(f.taken, f.now)
+			request := &checkedRequest{arrival: a, class: c, expiresAt: checker.now + a.TTL}
+			checker.requests[a.ID], checker.order = request, append(checker.order, request)
+			checker.admitted = append(checker.admitted, checker.now)
 			events = append(events, a)
 		}
 		due = slices.DeleteFunc(due, func(p pending) bool {
-			if p.at > f.now {
+			if p.at > checker.now {
 				return false
 			}
-			r := f.reqs[p.o.ID]
-			p.o.RequestDone = r.over || p.o.Status == StatusOK
+			request := checker.requests[p.o.ID]
+			p.o.RequestDone = request.finished || p.o.Status == StatusOK
 			if p.o.Status == StatusOK {
-				r.over = true
+				request.finished = true
 				answers++
 			}
-			f.outcome(p.o)
+			checker.recordOutcome(p.o)
 			events = append(events, p.o)
-			if rnd.IntN(50) == 0 && r.over {
+			if rnd.IntN(50) == 0 && request.finished {
 				events = append(events, RequestCanceled{ID: p.o.ID})
 			}
 			return true
 		})
 		wakes = slices.DeleteFunc(wakes, func(w time.Duration) bool {
-			if w > f.now {
+			if w > checker.now {
 				return false
 			}
 			events = append(events, TimerFired{})
@@ -416,9 +416,9 @@
 			act(events)
 		}
 	}
-	for _, r := range f.reqs {
-		if !r.over {
-			f.bad("rule 1: %d is open at the end", r.a.ID)
+	for _, request := range checker.requests {
+		if !request.finished {
+			checker.fatalf("rule 1: %d is open at the end", request.arrival.ID)
 		}
 	}
 	if sends < 120 || answers < 1000 {
@@ -426,9 +426,9 @@
 	}
 }
 
-// listAnd shows a list to the referee and passes it on.
-func listAnd(f *referee, l EndpointUpdate) Event {
-	f.list(l)
+// observedUpdate shows a list to the referee and passes it on.
+func observedUpdate(checker *ruleChecker, l EndpointUpdate) Event {
+	checker.applyUpdate(l)
 	return l
 }
 
@@ -438,45 +438,45 @@
 func TestManyGatewaysShareAColdNode(t *testing.T) {
 	for gates, seeds := range map[int]uint64{1: 40, 5: 40, 120: 40, 300: 10} {
 		for seed := range seeds {
-			t.Run(fmt.Sprintf("%d/%d", gates, seed), func(t *testing.T) { playCold(t, gates, seed) })
+			t.Run(fmt.Sprintf("%d/%d", gates, seed), func(t *testing.T) { simulateRestart(t, gates, seed) })
 		}
 	}
 }
 
-func playCold(t *testing.T, gates int, seed uint64) {
+func simulateRestart(t *testing.T, gates int, seed uint64) {
 	const full = 80.0 // units a second
-	set := propertySettings(1)
-	set.Gateways, set.Shards, set.PollEndpoints, set.OverloadWindow, set.SlowStartUnits = gates, 1, false, time.Second, 12
-	set.Plans[1].Rate = 0.6 * full / 8 // what the volumes are sized for is a usual day's load
+	settings := propertySettings(1)
+	settings.Gateways, settings.Shards, settings.PollEndpoints, settings.OverloadWindow, settings.SlowStartUnits = gates, 1, false, time.Second, 12
+	settings.Plans[1].Rate = 0.6 * full / 8 // what the volumes are sized for is a usual day's load
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	now, restart := time.Hour, time.Hour+30*time.Second
 	type pending struct {
 		at time.Duration
 		o  AttemptEnded
 	}
-	ss, asleep, due := make([]*Scheduler, gates), make([]time.Duration, gates), make([][]pending, gates)
+	schedulers, asleep, due := make([]*Scheduler, gates), make([]time.Duration, gates), make([][]pending, gates)
 	queue := make([][]Event, gates)
 	units := map[RequestID]float64{}
-	for i := range ss {
-		s, err := New(set, rnd.Uint64())
+	for i := range schedulers {
+		s, err := New(settings, rnd.Uint64())
 		if err != nil {
 			t.Fatal(err)
 		}
-		ss[i] = s
+		schedulers[i] = s
 		queue[i] = []Event{EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1, Shard: 0}}}}
 	}
-	var window []sent
+	var window []sentUnits
 	free, id, warmUnits, coldUnits, borne := now, RequestID(1), 0.0, 0.0, 0.0
 	for ; now < restart+12*time.Second; now += 4 * ms {
 		cold := now >= restart
 		rate := full
 		if cold {
-			age := float64(now-restart) / float64(set.SlowStartDuration)
-			rate *= set.InitialCapacity + (1-set.InitialCapacity)*age
-			borne += set.SlowStartUnits * (1 + (1/set.InitialCapacity-1)*age) * 0.004 / set.OverloadWindow.Seconds()
+			age := float64(now-restart) / float64(settings.SlowStartDuration)
+			rate *= settings.InitialCapacity + (1-settings.InitialCapacity)*age
+			borne += settings.SlowStartUnits * (1 + (1/settings.InitialCapacity-1)*age) * 0.004 / settings.OverloadWindow.Seconds()
 		}
 		if now == restart {
-			for i := range ss {
+			for i := range schedulers {
 				queue[i] = append(queue[i], EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, Shard: 0, StartedAt: now}}})
 			}
 		}
@@ -494,7 +494,7 @@
 				queue[i], id = append(queue[i], a), id+1
 			}
 		}
-		for i, s := range ss {
+		for i, s := range schedulers {
 			if now < asleep[i] {
 				continue
 			}
@@ -523,17 +523,17 @@
 					continue
 				}
 				coldUnits += u
-				window = append(window, sent{now, u})
-				for now-window[0].at > set.OverloadWindow {
+				window = append(window, sentUnits{now, u})
+				for now-window[0].at > settings.OverloadWindow {
 					window = window[1:]
 				}
 				sum := 0.0
 				for _, w := range window {
 					sum += w.units
 				}
-				if most := set.OverloadMultiple * rate * set.OverloadWindow.Seconds(); sum > most {
+				if most := settings.OverloadMultiple * rate * settings.OverloadWindow.Seconds(); sum > most {
 					t.Fatalf("rule 4: %.0f units within %v, %v after its start; it falls at %.0f",
-						sum, set.OverloadWindow, now-restart, most)
+						sum, settings.OverloadWindow, now-restart, most)
 				}
 			}
 		}
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// leastStart is the part of its capacity that a node starts with if less is told: a budget of nothing would last for
+// minInitialCapacity is the part of its capacity that a node starts with if less is told: a budget of nothing would last for
 // the whole of its warming up.
-const leastStart = 0.01
+const minInitialCapacity = 0.01
 
 // usable checks settings and fills in what they may leave out. It decides nothing.
 func (set Settings) usable() (Settings, error) {
@@ -41,7 +41,7 @@
 	if !(set.InitialQuotaShare > 0 && set.InitialQuotaShare < 1) || !set.QuotaLeases {
 		set.InitialQuotaShare = 1
 	}
-	set.InitialCapacity = max(set.InitialCapacity, leastStart)
+	set.InitialCapacity = max(set.InitialCapacity, minInitialCapacity)
 	if set.SlowStartUnits <= 0 { // not told: a call of mean work from each gateway
 		set.SlowStartUnits = max(1, set.MeanUnits) * float64(set.Gateways)
 	}
