--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -69,7 +69,7 @@
 
 // New returns a scheduler for one gateway, or an error if the settings cannot be used.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
-	settings, err := settings.usable()
+	settings, err := settings.validated()
 	if err != nil {
 		return nil, err
 	}
