--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -16,20 +16,20 @@
 	s.endpointsValidUntil = update.ValidUntil
 	switch update.Kind {
 	case Heartbeat:
-		s.watchOpened()
+		s.poller.watchOpened(s.now)
 		return
 	case WatchIdle:
-		s.schedulePollAfterWatch(idlePollSpread)
+		s.poller.scheduleAfterWatch(s.now, idlePollSpread)
 		return
 	case WatchClosed:
-		s.schedulePollAfterWatch(maxPollSpread)
+		s.poller.scheduleAfterWatch(s.now, maxPollSpread)
 		return
 	case WatchFailed:
-		s.schedulePollAfterFailure()
+		s.poller.scheduleAfterFailure(s.now)
 		return
 	}
 	if update.Kind != CachedSnapshot {
-		s.recordPollSuccess(update)
+		s.poller.entriesReceived(s.now, update)
 	}
 	named := map[ServerID]bool{}
 	for _, e := range update.Servers {
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -381,11 +381,11 @@
 		t.Fatal(err)
 	}
 	s.Step(time.Hour, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
-	if s.pollLatency != 0 {
-		t.Errorf("a list that nobody asked for tells that a call takes %v", s.pollLatency)
+	if s.poller.pollLatency != 0 {
+		t.Errorf("a list that nobody asked for tells that a call takes %v", s.poller.pollLatency)
 	}
 	s.Step(time.Hour+time.Minute, []Event{EndpointUpdate{Kind: WatchIdle}})
-	if wait := s.nextPollAt - s.now; wait > 5*defaultPollLatency {
+	if wait := s.poller.nextPollAt - s.now; wait > 5*defaultPollLatency {
 		t.Errorf("one of five gateways asks %v behind a silence", wait)
 	}
 	early := 0
@@ -415,8 +415,8 @@
 			next := func(scope UpdateKind) (wait time.Duration) {
 				s.Step(now, []Event{EndpointUpdate{Kind: scope}})
 				from := now
-				for s.nextPollAt > now {
-					now = s.nextPollAt
+				for s.poller.nextPollAt > now {
+					now = s.poller.nextPollAt
 				}
 				called := false
 				for _, a := range s.Step(now, []Event{TimerFired{}}) {
--- a/internal/scheduler/module_test.go
+++ b/internal/scheduler/module_test.go
@@ -188,7 +188,7 @@
 			t.Fatal(err)
 		}
 		s.Step(time.Hour, []Event{EndpointUpdate{Kind: CachedSnapshot}})
-		first[(s.nextPollAt - time.Hour).Round(time.Second)] = true
+		first[(s.poller.nextPollAt - time.Hour).Round(time.Second)] = true
 	}
 	if len(first) < 8 {
 		t.Errorf("20 gateways of 300 call within %d different seconds", len(first))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -58,11 +58,7 @@
 	timerArmed                 bool
 	stalledAt                  time.Duration // when this gateway last woke too late
 	lastEvictionAt             time.Duration // when volumes were last looked through
-	nextPollAt                 time.Duration // when to subscribe (again)
-	lastPollAt                 time.Duration // when that was done last
-	pollInFlight               bool          // and nothing has come of it yet
-	pollLatency                time.Duration // the shortest time in which that was answered; 0: it never was
-	pollFailures               int           // calls in a row that failed
+	poller                     endpointPoller
 	endpointsValidUntil        time.Duration // the list may be used until then; 0: without a bound
 	shutdownDeadline           time.Duration // when all must have been answered, since the gateway ends; 0: it does not
 }
@@ -77,6 +73,7 @@
 		plans: map[string]*Plan{}, longestTTL: map[*Class]time.Duration{},
 		requests: map[RequestID]*request{}, volumes: map[VolumeID]*volumeEntry{},
 		servers: map[ServerID]*serverEntry{}, keyQueues: map[uint64]*keyQueue{}}
+	s.poller = endpointPoller{gateways: settings.Gateways, maxInterval: settings.MaxPollInterval, minDelay: settings.MinStepInterval, random: s.random}
 	for i := range settings.Classes {
 		c := &settings.Classes[i]
 		s.classes[c.Name] = c
@@ -111,7 +108,7 @@
 	}
 	if !s.started {
 		s.started, s.startedAt, s.windowsUpdatedAt = true, s.now, s.now
-		s.scheduleFirstPoll()
+		s.poller.scheduleFirst(s.now)
 	}
 	for _, e := range events {
 		switch e := e.(type) {
@@ -189,6 +186,14 @@
 	}
 }
 
+// pollEndpoints opens a watch of the endpoint list where the gateway has to ask for it.
+func (s *Scheduler) pollEndpoints() {
+	if s.settings.PollEndpoints && s.poller.due(s.now) {
+		s.emit(WatchEndpoints{})
+		s.poller.pollStarted(s.now)
+	}
+}
+
 // emit records an action.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
@@ -201,8 +206,8 @@
 			at = min(at, max(s.deadlines[0].at, s.now+1))
 		}
 	}
-	if s.settings.PollEndpoints && (at == 0 || s.nextPollAt < at) {
-		at = max(s.nextPollAt, s.now+1)
+	if s.settings.PollEndpoints && (at == 0 || s.poller.nextPollAt < at) {
+		at = max(s.poller.nextPollAt, s.now+1)
 	}
 	if at != 0 && (!s.timerArmed || at < s.timerAt) {
 		s.timerArmed, s.timerAt = true, at
