--- /dev/null
+++ b/internal/config/bgp.go
@@ -0,0 +1,66 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+
+	"github.com/valyala/fastjson"
+
+	"gaugerelay/internal/bgp"
+)
+
+const (
+	// maxAnnouncedPrefixes fit in one UPDATE message.
+	maxAnnouncedPrefixes = 256
+
+	// Hold times in milliseconds; 0 stands for none.
+	defaultHoldMs = 90_000
+	minHoldMs     = 3000
+	maxHoldMs     = 65_535_000
+)
+
+func parseBGP(object *fastjson.Value) (*bgp.Options, error) {
+	r := &valueReader{}
+	options := &bgp.Options{Peer: r.text(object, "peer")}
+	errs := []error{checkHostPort("peer", options.Peer)}
+	var err error
+	options.LocalAS, err = r.autonomousSystem(object, "local_as")
+	errs = append(errs, err)
+	options.PeerAS, err = r.autonomousSystem(object, "peer_as")
+	errs = append(errs, err)
+	options.HoldMs = r.numberOr(defaultHoldMs, object, "hold_ms")
+	if options.HoldMs != 0 && (options.HoldMs < minHoldMs || options.HoldMs > maxHoldMs) {
+		errs = append(errs, errors.New("hold_ms is neither 0 nor from 3000 to 65535000"))
+	}
+	options.RouterID, err = netip.ParseAddr(r.text(object, "router_id"))
+	if err != nil || !options.RouterID.Is4() || options.RouterID.IsUnspecified() {
+		errs = append(errs, errors.New("router_id is not an IPv4 address"))
+	}
+	if nextHop := r.text(object, "next_hop"); nextHop != "" {
+		if options.NextHop, err = netip.ParseAddr(nextHop); err != nil || !options.NextHop.Is4() {
+			errs = append(errs, errors.New("next_hop is not an IPv4 address"))
+		}
+	}
+	for _, value := range object.GetArray("announce") {
+		prefix, err := netip.ParsePrefix(string(value.GetStringBytes()))
+		if err != nil || !prefix.Addr().Is4() || prefix != prefix.Masked() {
+			errs = append(errs, fmt.Errorf("announce: %s is not an IPv4 prefix such as 192.0.2.7/32", value))
+		}
+		options.Addresses = append(options.Addresses, prefix)
+	}
+	if n := len(options.Addresses); n == 0 || n > maxAnnouncedPrefixes {
+		errs = append(errs, fmt.Errorf("announce: %d prefixes, wants 1 to %d", n, maxAnnouncedPrefixes))
+	}
+	return options, firstError(append(errs, r.err))
+}
+
+// autonomousSystem reads the number of an autonomous system.
+func (r *valueReader) autonomousSystem(object *fastjson.Value, name string) (uint32, error) {
+	n := r.number(object, name)
+	if n < 1 || n > math.MaxUint32 || n != math.Trunc(n) {
+		return uint32(n), fmt.Errorf("%s is not an AS number", name)
+	}
+	return uint32(n), nil
+}
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -11,66 +11,108 @@
 	"gaugerelay/internal/dedup/exchange"
 )
 
-// Devices sets up the fronts for devices on poor links. An empty address is off.
+// Bounds of the store of exchanges that operators cannot choose.
+const (
+	maxWaitingCopies = 4
+	maxBodyBytes     = 64 << 10
+	maxUploadBlocks  = 1024
+)
+
+// Devices sets up the frontends for devices on poor links. An empty address is off.
 type Devices struct {
-	CoAP, HTTP                                 string
+	CoAP, HTTP string // addresses
+	// MaxConns bounds the connections of each frontend, MaxOpenRequests the requests open on one of them.
 	MaxConns, MaxOpenRequests, MaxMessageBytes int
-	FirstMessageTimeout, IdleTimeout, HoldOff  time.Duration
-	Exchanges                                  exchange.Settings
+	// A connection's first message arrives within FirstMessageTimeout; one that is idle for IdleTimeout is pinged; HoldOff
+	// is CoAP's hold-off: when a device that is released may connect again.
+	FirstMessageTimeout, IdleTimeout, HoldOff time.Duration
+	Exchanges                                 exchange.Settings
 }
 
-// parseDevices reads the part. What is left out has the default that the example file tells.
-func parseDevices(v *fastjson.Value) (*Devices, error) {
+func parseDevices(object *fastjson.Value) (*Devices, error) {
 	r := &valueReader{}
-	num := func(name string, otherwise float64) float64 {
-		if !v.Exists(name) {
-			return otherwise
-		}
-		return r.number(v, name)
-	}
-	d := &Devices{CoAP: r.text(v, "coap"), HTTP: r.text(v, "http"),
-		MaxConns: int(num("max_connections", 256)), MaxOpenRequests: int(num("max_open", 8)),
-		MaxMessageBytes:     int(num("max_message_bytes", 33<<10)),
-		FirstMessageTimeout: clock.Duration(num("first_ms", 10_000)), IdleTimeout: clock.Duration(num("idle_ms", 300_000)),
-		HoldOff: clock.Duration(num("hold_off_ms", 5000)),
-		Exchanges: exchange.Settings{MaxExchanges: int(num("max_exchanges", 4096)), MaxDevices: int(num("max_devices", 4096)),
-			MaxActivePerDevice: int(num("max_exchanges_per_device", 16)), MaxWaitingCopies: 4,
-			MaxHeldBytes: int(num("max_held_bytes", 8<<20)), MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024,
-			RetentionMs: num("keep_ms", 60_000), UploadIdleTimeoutMs: num("upload_idle_ms", 30_000),
-			MinRunMs: num("least_run_ms", 20), MaxRetryAfterMs: num("max_wait_ms", 5000),
-			Link: exchange.LinkSettings{MinIdleTimeoutMs: num("least_dead_ms", 2000), MaxIdleTimeoutMs: num("most_dead_ms", 15_000),
-				MinBlockSize: int(num("least_block_bytes", 64)), MaxBlockSize: int(num("most_block_bytes", 16<<10)),
-				MaxBlockTransferMs: num("block_ms", 500)}}}
-	var errs []error
+	d := readDevices(r, object)
+	errs := []error{r.err}
 	if d.CoAP == "" && d.HTTP == "" {
 		errs = append(errs, errors.New("neither coap nor http names an address"))
 	}
-	for name, addr := range map[string]string{"coap": d.CoAP, "http": d.HTTP} {
-		if addr != "" {
-			errs = append(errs, checkHostPort(name, addr))
-		}
+	if d.CoAP != "" {
+		errs = append(errs, checkHostPort("coap", d.CoAP))
+	}
+	if d.HTTP != "" {
+		errs = append(errs, checkHostPort("http", d.HTTP))
+	}
+	errs = append(errs, d.checkRanges())
+	if size := d.Exchanges.Link.MinBlockSize; size&(size-1) != 0 {
+		errs = append(errs, errors.New("least_block_bytes is not a power of two"))
+	}
+	if _, err := exchange.New(d.Exchanges); err != nil {
+		errs = append(errs, err)
 	}
-	for _, c := range []struct {
-		name           string
-		v, least, most float64
+	return d, firstError(errs)
+}
+
+// readDevices reads the values. Absent ones have the defaults that the example file shows.
+func readDevices(r *valueReader, object *fastjson.Value) *Devices {
+	number := func(name string, otherwise float64) float64 { return r.numberOr(otherwise, object, name) }
+	integer := func(name string, otherwise float64) int { return int(number(name, otherwise)) }
+	duration := func(name string, otherwise float64) time.Duration {
+		return clock.Duration(number(name, otherwise))
+	}
+	return &Devices{
+		CoAP:                r.text(object, "coap"),
+		HTTP:                r.text(object, "http"),
+		MaxConns:            integer("max_connections", 256),
+		MaxOpenRequests:     integer("max_open", 8),
+		MaxMessageBytes:     integer("max_message_bytes", 33<<10),
+		FirstMessageTimeout: duration("first_ms", 10_000),
+		IdleTimeout:         duration("idle_ms", 300_000),
+		HoldOff:             duration("hold_off_ms", 5000),
+		Exchanges: exchange.Settings{
+			MaxExchanges:        integer("max_exchanges", 4096),
+			MaxDevices:          integer("max_devices", 4096),
+			MaxActivePerDevice:  integer("max_exchanges_per_device", 16),
+			MaxWaitingCopies:    maxWaitingCopies,
+			MaxHeldBytes:        integer("max_held_bytes", 8<<20),
+			MaxBodyBytes:        maxBodyBytes,
+			MaxUploadBlocks:     maxUploadBlocks,
+			RetentionMs:         number("keep_ms", 60_000),
+			UploadIdleTimeoutMs: number("upload_idle_ms", 30_000),
+			MinRunMs:            number("least_run_ms", 20),
+			MaxRetryAfterMs:     number("max_wait_ms", 5000),
+			Link: exchange.LinkSettings{
+				MinIdleTimeoutMs:   number("least_dead_ms", 2000),
+				MaxIdleTimeoutMs:   number("most_dead_ms", 15_000),
+				MinBlockSize:       integer("least_block_bytes", 64),
+				MaxBlockSize:       integer("most_block_bytes", 16<<10),
+				MaxBlockTransferMs: number("block_ms", 500),
+			},
+		},
+	}
+}
+
+// checkRanges returns an error for the first value out of range, of those that exchange.New does not check more strictly.
+func (d *Devices) checkRanges() error {
+	for _, value := range []struct {
+		name     string
+		value    float64
+		min, max float64
 	}{
-		{"max_connections", float64(d.MaxConns), 1, 1 << 20}, {"max_open", float64(d.MaxOpenRequests), 1, 1024},
-		{"max_message_bytes", float64(d.MaxMessageBytes), 1152, 1 << 20}, {"first_ms", clock.Ms(d.FirstMessageTimeout), 1, 1e6},
-		{"idle_ms", clock.Ms(d.IdleTimeout), 1000, 1e8}, {"hold_off_ms", clock.Ms(d.HoldOff), 0, 1e6},
-		{"max_exchanges", float64(d.Exchanges.MaxExchanges), 1, 1 << 24}, {"max_devices", float64(d.Exchanges.MaxDevices), 1, 1 << 24},
+		{"max_connections", float64(d.MaxConns), 1, 1 << 20},
+		{"max_open", float64(d.MaxOpenRequests), 1, 1024},
+		{"max_message_bytes", float64(d.MaxMessageBytes), 1152, 1 << 20},
+		{"first_ms", clock.Ms(d.FirstMessageTimeout), 1, 1e6},
+		{"idle_ms", clock.Ms(d.IdleTimeout), 1000, 1e8},
+		{"hold_off_ms", clock.Ms(d.HoldOff), 0, 1e6},
+		{"max_exchanges", float64(d.Exchanges.MaxExchanges), 1, 1 << 24},
+		{"max_devices", float64(d.Exchanges.MaxDevices), 1, 1 << 24},
 		{"max_held_bytes", float64(d.Exchanges.MaxHeldBytes), 128 << 10, 1 << 40},
 		{"least_block_bytes", float64(d.Exchanges.Link.MinBlockSize), 16, 1024},
 		{"most_block_bytes", float64(d.Exchanges.Link.MaxBlockSize), 16, 64 << 10},
 	} {
-		if !(c.v >= c.least && c.v <= c.most) {
-			errs = append(errs, fmt.Errorf("%s is not from %.0f to %.0f", c.name, c.least, c.most))
+		if !(value.value >= value.min && value.value <= value.max) {
+			return fmt.Errorf("%s is not from %.0f to %.0f", value.name, value.min, value.max)
 		}
 	}
-	if n := d.Exchanges.Link.MinBlockSize; n&(n-1) != 0 {
-		errs = append(errs, errors.New("least_block_bytes is not a power of two"))
-	}
-	if _, err := exchange.New(d.Exchanges); err != nil {
-		errs = append(errs, err)
-	}
-	return d, firstError(append([]error{r.err}, errs...))
+	return nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,71 +9,100 @@
 	"gaugerelay/internal/peer"
 )
 
-// Fleet sets up how gateways agree with each other. What is left out comes from the platform's configuration.
+// Defaults and bounds of the exchange between gateways.
+const (
+	defaultProbePeriodMs      = 500
+	defaultLeaseMs            = 2000
+	defaultClockDrift         = 0.01
+	defaultMaxGrantedFraction = 0.5
+	defaultMaxVolumes         = 4096
+
+	minProbePeriodMs, maxProbePeriodMs = 10, 60_000
+	minLeaseMs, maxLeaseMs             = 100, 60_000
+	maxClockDrift                      = 0.2
+	// maxGrantedFraction leaves a gateway half of its even share of a limit: that share's bucket holds two requests of the
+	// largest size, and with less than half of it the largest could never be sent.
+	maxGrantedFraction = 0.5
+
+	// probeTimeoutFraction is the part of a probe period after which a probe has timed out.
+	probeTimeoutFraction = 0.3
+	// maxPeers is how many gateways have a number.
+	maxPeers = 1 << 16
+)
+
+// platformIndex as a Fleet's GatewayIndex stands for the number in the platform's configuration.
+const platformIndex = -1
+
+// Fleet sets up the exchange between gateways. Values that are left out come from the platform's configuration.
 type Fleet struct {
-	Listen       string
-	GatewayIndex int // below zero: the platform's
+	Listen       string // "": the platform's
+	GatewayIndex int    // below zero: the platform's
 	Peers        []string
-	Options      peer.Options // without Self, Peers, Life and Seed
+	Options      peer.Options // without Self, Peers, Incarnation and Seed
 }
 
-func parseFleet(v *fastjson.Value) (*Fleet, error) {
+func parseFleet(object *fastjson.Value) (*Fleet, error) {
 	r := &valueReader{}
-	f := &Fleet{Listen: r.text(v, "listen"), GatewayIndex: -1, Options: peer.Options{Key: []byte(r.text(v, "key")), ProbePeriodMs: 500, LeaseMs: 2000,
-		ClockDrift: 0.01, MaxGrantedFraction: 0.5, MaxVolumes: 4096}}
-	if v.Exists("self") {
-		f.GatewayIndex = r.count(v, "self")
+	f := &Fleet{Listen: r.text(object, "listen"), GatewayIndex: platformIndex}
+	f.Options.Key = []byte(r.text(object, "key"))
+	if object.Exists("self") {
+		f.GatewayIndex = r.count(object, "self")
 	}
-	for _, p := range v.GetArray("peers") {
-		f.Peers = append(f.Peers, string(p.GetStringBytes()))
+	for _, address := range object.GetArray("peers") {
+		f.Peers = append(f.Peers, string(address.GetStringBytes()))
 	}
-	for name, at := range map[string]*float64{"period_ms": &f.Options.ProbePeriodMs, "lease_ms": &f.Options.LeaseMs, "clock_drift": &f.Options.ClockDrift,
-		"lends": &f.Options.MaxGrantedFraction} {
-		if v.Exists(name) {
-			*at = r.number(v, name)
-		}
-	}
-	if v.Exists("max_volumes") {
-		f.Options.MaxVolumes = r.count(v, "max_volumes")
+	f.Options.ProbePeriodMs = r.numberOr(defaultProbePeriodMs, object, "period_ms")
+	f.Options.LeaseMs = r.numberOr(defaultLeaseMs, object, "lease_ms")
+	f.Options.ClockDrift = r.numberOr(defaultClockDrift, object, "clock_drift")
+	f.Options.MaxGrantedFraction = r.numberOr(defaultMaxGrantedFraction, object, "lends")
+	f.Options.MaxVolumes = defaultMaxVolumes
+	if object.Exists("max_volumes") {
+		f.Options.MaxVolumes = r.count(object, "max_volumes")
 	}
-	f.Options.ProbeTimeoutMs = f.Options.ProbePeriodMs * 0.3
-	errs := []error{r.err}
+	f.Options.ProbeTimeoutMs = f.Options.ProbePeriodMs * probeTimeoutFraction
+	return f, firstError([]error{r.err, f.check()})
+}
+
+// check returns an error for the first value out of range.
+func (f *Fleet) check() error {
 	if f.Listen != "" {
-		errs = append(errs, checkHostPort("listen", f.Listen))
+		if err := checkHostPort("listen", f.Listen); err != nil {
+			return err
+		}
 	}
-	if f.Options.ProbePeriodMs < 10 || f.Options.ProbePeriodMs > 60_000 || f.Options.LeaseMs < 100 || f.Options.LeaseMs > 60_000 {
-		errs = append(errs, errors.New("period_ms is not from 10 to 60000, or lease_ms not from 100 to 60000"))
+	o := &f.Options
+	if o.ProbePeriodMs < minProbePeriodMs || o.ProbePeriodMs > maxProbePeriodMs || o.LeaseMs < minLeaseMs || o.LeaseMs > maxLeaseMs {
+		return errors.New("period_ms is not from 10 to 60000, or lease_ms not from 100 to 60000")
 	}
-	if f.Options.ClockDrift > 0.2 || f.Options.MaxGrantedFraction > 0.5 {
-		// Each gateway's even part of a limit's store holds two of the largest requests; with less than half of it the
-		// largest could never go.
-		errs = append(errs, errors.New("clock_drift is over 0.2, or lends over 0.5"))
+	if o.ClockDrift > maxClockDrift || o.MaxGrantedFraction > maxGrantedFraction {
+		return errors.New("clock_drift is over 0.2, or lends over 0.5")
 	}
-	if f.Options.MaxVolumes < 1 {
-		errs = append(errs, errors.New("max_volumes is below 1"))
+	if o.MaxVolumes < 1 {
+		return errors.New("max_volumes is below 1")
 	}
-	return f, firstError(errs)
+	return nil
 }
 
-// Resolve fills in what the platform tells, and makes the options of this gateway's side.
-func (f *Fleet) Resolve(c *Config) (listen string, o peer.Options, err error) {
-	listen, self, peers := f.Listen, f.GatewayIndex, f.Peers
+// Resolve fills in what comes from the platform's configuration. It returns the address to listen on for other gateways,
+// and the options of this gateway's side, of which Incarnation and Seed are still to be set.
+func (f *Fleet) Resolve(platform *Config) (listen string, options peer.Options, err error) {
+	listen, index, peers := f.Listen, f.GatewayIndex, f.Peers
 	if listen == "" {
-		listen = c.PeerListen
+		listen = platform.PeerListen
 	}
 	if len(peers) == 0 {
-		peers = c.Peers
+		peers = platform.Peers
 	}
-	if self < 0 {
-		self = c.GatewayIndex
+	if index < 0 {
+		index = platform.GatewayIndex
 	}
-	o = f.Options
-	if o.Peers, err = peer.ParseAddrs(peers); err != nil {
-		return "", o, fmt.Errorf("fleet: %w", err)
+	options = f.Options
+	if options.Peers, err = peer.ParseAddrs(peers); err != nil {
+		return "", options, fmt.Errorf("fleet: %w", err)
 	}
-	if self >= len(o.Peers) || len(o.Peers) > 1<<16 {
-		return "", o, fmt.Errorf("fleet: number %d of %d peers", self, len(o.Peers))
+	if index >= len(options.Peers) || len(options.Peers) > maxPeers {
+		return "", options, fmt.Errorf("fleet: number %d of %d peers", index, len(options.Peers))
 	}
-	o.Self = uint16(self)
-	return listen, o, firstError([]error{checkHostPort("fleet: listen", listen)})
+	options.Self = uint16(index)
+	return listen, options, checkHostPort("fleet: listen", listen)
 }
