--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -41,7 +41,7 @@
 	links := map[string][]linkshaper.Profile{"all": {linkshaper.Good, linkshaper.Middling, linkshaper.Bad}, "good": {linkshaper.Good},
 		"middling": {linkshaper.Middling}, "bad": {linkshaper.Bad}}[c.Links]
 	o := soak.Options{For: time.Duration(c.Seconds * float64(time.Second)), Seed: c.Seed, Devices: c.Devices, Links: links,
-		Wires: c.Wires, Ledger: true, Odd: c.Odd, Network: gateway.Machine()}
+		Wires: c.Wires, Ledger: true, Odd: c.Odd, Network: gateway.SystemNetwork()}
 	if !c.Calm {
 		o.Restarts, o.Drains = 45*time.Second, 8*time.Second
 		o.Faults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
--- a/cmd/gaugerelay/machine.go
+++ b/cmd/gaugerelay/machine.go
@@ -10,5 +10,5 @@
 
 // machine is the clock and the network that the program runs on.
 func machine(*config.Config) (clock.Clock, gateway.Network, error) {
-	return clock.NewSystem(), gateway.Machine(), nil
+	return clock.NewSystem(), gateway.SystemNetwork(), nil
 }
--- a/cmd/gaugerelay/machine_chaos.go
+++ b/cmd/gaugerelay/machine_chaos.go
@@ -18,7 +18,7 @@
 func machine(cfg *config.Config) (clock.Clock, gateway.Network, error) {
 	text := os.Getenv(faultsVariable)
 	if text == "" {
-		return clock.NewSystem(), gateway.Machine(), nil
+		return clock.NewSystem(), gateway.SystemNetwork(), nil
 	}
 	o, err := faultnet.Parse(text)
 	if err != nil {
--- a/cmd/gaugerelay/main.go
+++ b/cmd/gaugerelay/main.go
@@ -104,7 +104,7 @@
 	}
 	for {
 		select {
-		case err := <-g.Ended():
+		case err := <-g.Failed():
 			return err
 		case s := <-signals:
 			switch s {
@@ -113,7 +113,7 @@
 			case syscall.SIGHUP:
 				g.Reload()
 			default:
-				g.Stop()
+				g.Shutdown()
 				g.Metrics.WriteText(os.Stderr)
 				return nil
 			}
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -92,7 +92,7 @@
 			t.Fatalf("%d attempts are out, want 2", g.Metrics.Get("attempts_started"))
 		}
 		stopped := time.Now()
-		g.Stop()
+		g.Shutdown()
 		ended := time.Now()
 		if took := ended.Sub(stopped); took >= kill {
 			t.Errorf("ended after %v, killed after %v", took, kill)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,8 +76,8 @@
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the machine's
 }
 
-// Machine is the machine's own network.
-func Machine() Network {
+// SystemNetwork is the machine's own network.
+func SystemNetwork() Network {
 	return Network{Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }}
 }
 
@@ -231,14 +231,14 @@
 	return caught
 }
 
-// Ended tells of a part that has ended by itself, which none should.
-func (g *Gateway) Ended() <-chan error { return g.ended }
+// Failed tells of a part that has ended by itself, which none should.
+func (g *Gateway) Failed() <-chan error { return g.ended }
 
-// Nodes brings news of the node list from another source than discovery.
-func (g *Gateway) Nodes(l lifecycle.EndpointUpdate) { g.loop.UpdateEndpoints(l) }
+// UpdateEndpoints brings news of the node list from another source than discovery.
+func (g *Gateway) UpdateEndpoints(l lifecycle.EndpointUpdate) { g.loop.UpdateEndpoints(l) }
 
-// Stop drains the gateway and ends it.
-func (g *Gateway) Stop() {
+// Shutdown drains the gateway and ends it.
+func (g *Gateway) Shutdown() {
 	slog.Info(logevent.ShutdownStarted, "name", g.cfg.Name)
 	t := stopTimesFor(clock.Ms(g.longest))
 	for _, p := range g.parts {
@@ -250,11 +250,11 @@
 		all.Go(func() { p.drain(t) })
 	}
 	all.Wait()
-	g.Kill()
+	g.Close()
 }
 
-// Kill ends the gateway as it is.
-func (g *Gateway) Kill() {
+// Close ends the gateway as it is.
+func (g *Gateway) Close() {
 	for i := len(g.parts) - 1; i >= 0; i-- {
 		g.parts[i].end()
 	}
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -55,7 +55,7 @@
 			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
 				t.Errorf("%s: a desk: %v", name, got)
 			}
-			g.Stop()
+			g.Shutdown()
 			time.Sleep(time.Minute)
 		})
 	}
--- a/internal/gateway/news_test.go
+++ b/internal/gateway/news_test.go
@@ -95,7 +95,7 @@
 	if err := g.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer g.Kill()
+	defer g.Close()
 	for !g.loop.Ready() {
 		g.loop.Sync()
 	}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -121,7 +121,7 @@
 	for _, g := range w.gates {
 		if g.g != nil {
 			w.crashed(g.n, g.g)
-			g.g.Kill()
+			g.g.Close()
 		}
 		g.discovery.Close()
 	}
@@ -289,7 +289,7 @@
 // crashed counts a gateway of which a part has ended by itself. It is asked before the play ends that gateway.
 func (w *world) crashed(n int, g *gateway.Gateway) {
 	select {
-	case err := <-g.Ended():
+	case err := <-g.Failed():
 		w.mu.Lock()
 		w.res.Crashed++
 		w.broken("gateway %d: a part has ended by itself: %v", n, err)
@@ -377,7 +377,7 @@
 					return // it did not start
 				}
 				w.crashed(g.n, old)
-				old.Kill()
+				old.Close()
 				time.Sleep(time.Duration(away * float64(time.Second)))
 				w.start(g)
 			})
@@ -391,7 +391,7 @@
 					return
 				}
 				w.crashed(g.n, old)
-				old.Stop()
+				old.Shutdown()
 				w.start(g)
 			})
 		}
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -134,7 +134,7 @@
 	r.mu.Lock()
 	gw := r.gw
 	r.mu.Unlock()
-	gw.Stop()
+	gw.Shutdown()
 	r.collect(gw)
 	for _, n := range r.nodes {
 		n.stop()
@@ -186,7 +186,7 @@
 	r.mu.Lock()
 	l, gw := r.list(), r.gw
 	r.mu.Unlock()
-	gw.Nodes(l)
+	gw.UpdateEndpoints(l)
 }
 
 // drains replaces nodes: one drains, another of its cell starts, and the old one is gone a little later.
@@ -246,9 +246,9 @@
 		old := r.gw
 		r.mu.Unlock()
 		if n%2 == 0 {
-			old.Kill()
+			old.Close()
 		} else {
-			old.Stop()
+			old.Shutdown()
 		}
 		r.resetOut()
 		time.Sleep(startTime) // what it sent at the last moment comes to its end
