--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -35,7 +35,7 @@
 		HoldOff: clock.Duration(num("hold_off_ms", 5000)),
 		Ledger: exchange.Settings{MaxExchanges: int(num("max_exchanges", 4096)), MaxDevices: int(num("max_devices", 4096)),
 			MaxActivePerDevice: int(num("max_exchanges_per_device", 16)), MaxWaitingCopies: 4,
-			MaxHeldBytes: int(num("max_held_bytes", 8<<20)), MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024,
+			MaxStoredBytes: int(num("max_held_bytes", 8<<20)), MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024,
 			RetentionMs: num("keep_ms", 60_000), UploadIdleTimeoutMs: num("upload_idle_ms", 30_000),
 			MinRunMs: num("least_run_ms", 20), MaxRetryAfterMs: num("max_wait_ms", 5000),
 			Link: exchange.LinkSettings{MinIdleTimeoutMs: num("least_dead_ms", 2000), MaxIdleTimeoutMs: num("most_dead_ms", 15_000),
@@ -58,7 +58,7 @@
 		{"max_message_bytes", float64(d.MaxMessage), 1152, 1 << 20}, {"first_ms", clock.Ms(d.FirstTime), 1, 1e6},
 		{"idle_ms", clock.Ms(d.IdleTime), 1000, 1e8}, {"hold_off_ms", clock.Ms(d.HoldOff), 0, 1e6},
 		{"max_exchanges", float64(d.Ledger.MaxExchanges), 1, 1 << 24}, {"max_devices", float64(d.Ledger.MaxDevices), 1, 1 << 24},
-		{"max_held_bytes", float64(d.Ledger.MaxHeldBytes), 128 << 10, 1 << 40},
+		{"max_held_bytes", float64(d.Ledger.MaxStoredBytes), 128 << 10, 1 << 40},
 		{"least_block_bytes", float64(d.Ledger.Link.MinBlockSize), 16, 1024},
 		{"most_block_bytes", float64(d.Ledger.Link.MaxBlockSize), 16, 64 << 10},
 	} {
--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -267,7 +267,7 @@
 		{"device_uploads", now.UploadsStarted - was.UploadsStarted},
 		{"device_uploads_dropped", now.UploadsDropped - was.UploadsDropped},
 		{"device_evicted", now.Evicted - was.Evicted}, {"device_exchanges_now", now.Exchanges - was.Exchanges},
-		{"device_devices_now", now.Devices - was.Devices}, {"device_bytes_now", now.HeldBytes - was.HeldBytes},
+		{"device_devices_now", now.Devices - was.Devices}, {"device_bytes_now", now.StoredBytes - was.StoredBytes},
 		{"device_undelivered_now", now.Undelivered - was.Undelivered},
 	} {
 		if c.by != 0 {
--- a/internal/dedup/desk_test.go
+++ b/internal/dedup/desk_test.go
@@ -28,7 +28,7 @@
 func newBench(t *testing.T, change func(*exchange.Settings)) *bench {
 	t.Helper()
 	b := &bench{t: t, now: 1e6}
-	set := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxHeldBytes: 1 << 20,
+	set := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxStoredBytes: 1 << 20,
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
 		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
 	if change != nil {
@@ -126,7 +126,7 @@
 		t.Errorf("%d runs; the one that left was told %+v", len(b.runs), first.answers)
 	}
 	b.pass(6000) // its window and its keeping time are over
-	if s := b.d.Stats(); s.Exchanges != 0 || s.HeldBytes != 0 || len(b.d.held) != 0 || len(b.d.copies) != 0 {
+	if s := b.d.Stats(); s.Exchanges != 0 || s.StoredBytes != 0 || len(b.d.held) != 0 || len(b.d.copies) != 0 {
 		t.Errorf("left over: %+v, %d held, %d copies", s, len(b.d.held), len(b.d.copies))
 	}
 	if b.send("push", "k", "body", nil); len(b.runs) != 2 {
@@ -269,7 +269,7 @@
 	want("too large", b.send("push", "l", block(0), sized(0, 1<<20, true)), lifecycle.TooLarge, 0)
 	want("longer than told", b.send("push", "m", block(0), sized(0, 32, true)), lifecycle.TooLarge, 0)
 	b.pass(20_000)
-	if s := b.d.Stats(); s.Exchanges != 0 || s.HeldBytes != 0 || len(b.d.held) != 0 {
+	if s := b.d.Stats(); s.Exchanges != 0 || s.StoredBytes != 0 || len(b.d.held) != 0 {
 		t.Errorf("left over: %+v", s)
 	}
 }
--- /dev/null
+++ b/internal/dedup/exchange/expiry.go
@@ -0,0 +1,74 @@
+package exchange
+
+import (
+	"math"
+
+	"gaugerelay/internal/scheduler"
+)
+
+// minReadRetentionMs is for how long the response to a read is retained at least.
+const minReadRetentionMs = 100
+
+// armTimer sets the timer of an exchange to what happens next to it without an event.
+func (s *Store) armTimer(exchange *storedExchange) {
+	nextMs := math.Inf(1)
+	for _, waiter := range exchange.waiting {
+		nextMs = min(nextMs, exchange.respondByMs(waiter))
+	}
+	switch exchange.state {
+	case stateRunning:
+	case stateReceiving:
+		nextMs = min(nextMs, exchange.touchedMs+s.settings.UploadIdleTimeoutMs)
+	default:
+		nextMs = min(nextMs, s.forgetAtMs(exchange))
+		if exchange.retainUntilMs() > s.nowMs {
+			nextMs = min(nextMs, exchange.retainUntilMs()) // it may be evicted from then on
+		}
+	}
+	if math.IsInf(nextMs, 1) {
+		s.wheel.Cancel(&exchange.timer)
+		return
+	}
+	s.wheel.Schedule(&exchange.timer, nextMs)
+}
+
+// forgetAtMs returns when an exchange that has ended is forgotten.
+func (s *Store) forgetAtMs(exchange *storedExchange) float64 {
+	if exchange.class.Idempotency == scheduler.Idempotent {
+		return max(exchange.deadlineMs, exchange.touchedMs+minReadRetentionMs) // a later copy is run again
+	}
+	return max(exchange.deadlineMs, exchange.retainUntilMs()) + s.settings.RetentionMs
+}
+
+// onExpiry handles an exchange whose timer has expired.
+func (s *Store) onExpiry(exchange *storedExchange) {
+	if s.expired(exchange) {
+		s.forget(exchange)
+		return
+	}
+	stillWaiting := exchange.waiting[:0]
+	for _, waiter := range exchange.waiting {
+		if s.nowMs < exchange.respondByMs(waiter) {
+			stillWaiting = append(stillWaiting, waiter)
+			continue
+		}
+		// The device stops waiting now. The failure is final for all later copies as well.
+		s.respond(waiter.id, Respond{Outcome: OutcomeFailed, Advice: s.advice(exchange.device)})
+		exchange.failureReported = true
+	}
+	exchange.waiting = stillWaiting
+	s.updateEvictable(exchange)
+	s.armTimer(exchange)
+}
+
+// expired reports whether the time of an exchange is over.
+func (s *Store) expired(exchange *storedExchange) bool {
+	switch exchange.state {
+	case stateRunning:
+		return false
+	case stateReceiving:
+		return s.nowMs >= exchange.touchedMs+s.settings.UploadIdleTimeoutMs
+	default:
+		return s.nowMs >= s.forgetAtMs(exchange)
+	}
+}
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -6,113 +6,141 @@
 	"gaugerelay/internal/quantile"
 )
 
-// LinkSettings are an operator's bounds of what a link's history may decide.
-type LinkSettings struct {
-	MinIdleTimeoutMs, MaxIdleTimeoutMs float64 // a link counts as dead after a silence within these
-	MinBlockSize, MaxBlockSize         int     // size of a block
-	MaxBlockTransferMs                 float64 // a block should not take longer than this
-}
-
-// LinkSample is what a connection has measured since it last told. Zero fields tell nothing.
+// LinkSample is what a connection has measured since its previous sample. Zero fields mean no measurement.
 type LinkSample struct {
 	RoundTripMs float64
-	Bytes       int     // delivered over BytesMs
-	TransferMs  float64 //
-	MaxGapMs    float64 // the longest time without a byte in the middle of something
+	Bytes       int     // bytes delivered in TransferMs
+	TransferMs  float64 // duration of the delivery
+	MaxGapMs    float64 // the longest time without a byte inside of a message
 }
 
-// LinkAdvice is what a link's history says of how to use it.
+// LinkAdvice is how a connection should use its link.
 type LinkAdvice struct {
-	IdleTimeoutMs float64 // after a silence of this the connection is dead
-	BlockSize     int     // size of a block to send
+	IdleTimeoutMs float64 // the silence after which the connection is dead
+	BlockSize     int     // the size of a block to send, in bytes
 }
 
 const (
-	rttGain, devGain = 1.0 / 8, 1.0 / 4 // as in RFC 6298
-	rateGain         = 1.0 / 4
-	firstRoundTripMs = 600     // of a link that nothing is known of: a poor one, but not beyond
-	firstPart        = 1.0 / 4 // this part of a device's time
-	firstRate        = 16      // bytes a ms, of such a link: a slow cell
-	leastMargin      = 25
-	mostMs           = 3600_000 // what is told beyond is no measurement
-	smallestSample   = 512      // bytes, below which a rate is a round trip's
-	usualGap         = 0.5      // quantile of gaps that an answer is expected to meet
+	// Gains of the smoothed round trip and its deviation, as in RFC 6298, and of the delivery rate.
+	roundTripGain = 1.0 / 8
+	deviationGain = 1.0 / 4
+	rateGain      = 1.0 / 4
+
+	// A link without measurements is taken for a poor one, but it takes no more than a part of the device's time.
+	defaultRoundTripMs       = 600
+	defaultRoundTripFraction = 1.0 / 4
+	defaultBytesPerMs        = 16
+
+	minSafetyMarginMs    = 25
+	maxMeasurementMs     = 3600_000 // a longer time is not a measurement
+	minRateSampleBytes   = 512      // the rate of less measures the round trip
+	minGapSamples        = 8        // fewer may be a single disturbance
+	medianGap            = 0.5
+	highGap              = 0.99
+	idleTimeoutGaps      = 2 // the idle timeout is so many times the high quantile of the gaps
+	deviations           = 4 // as in RFC 6298
+	minDeviationFraction = 8 // the deviation of the idle timeout is at least this part of the round trip
 )
 
-// LinkEstimator is what is known of one device's link: 32 bytes and a sketch.
+// LinkEstimator estimates the round trip, delivery rate and gaps of one device's link from samples: three numbers and
+// a sketch. The zero value knows nothing. It is not safe for concurrent use.
 type LinkEstimator struct {
-	rtt, dev, rate float64
-	gaps           quantile.Sketch
+	roundTripMs float64 // smoothed; 0: unknown
+	deviationMs float64 // smoothed deviation of the round trip
+	bytesPerMs  float64 // smoothed; 0: unknown
+	gaps        quantile.Sketch
 }
 
-// Observe takes a sample in. What cannot be a measurement is left out: it comes from devices.
-func (l *LinkEstimator) Observe(s LinkSample) {
-	sane := func(ms float64) bool { return ms > 0 && ms <= mostMs }
-	if sane(s.RoundTripMs) {
-		if l.rtt == 0 {
-			l.rtt, l.dev = s.RoundTripMs, s.RoundTripMs/2
-		} else {
-			l.dev += devGain * (math.Abs(l.rtt-s.RoundTripMs) - l.dev)
-			l.rtt += rttGain * (s.RoundTripMs - l.rtt)
-		}
+// Observe adds a sample. Samples come from devices, so that values which cannot be measurements are ignored.
+func (l *LinkEstimator) Observe(sample LinkSample) {
+	if plausible(sample.RoundTripMs) {
+		l.observeRoundTrip(sample.RoundTripMs)
 	}
-	if s.Bytes >= smallestSample && sane(s.TransferMs) {
-		rate := float64(s.Bytes) / s.TransferMs
-		if l.rate == 0 {
-			l.rate = rate
-		} else {
-			l.rate += rateGain * (rate - l.rate)
-		}
+	if sample.Bytes >= minRateSampleBytes && plausible(sample.TransferMs) {
+		l.observeRate(float64(sample.Bytes) / sample.TransferMs)
 	}
-	if sane(s.MaxGapMs) {
-		l.gaps.Add(s.MaxGapMs)
+	if plausible(sample.MaxGapMs) {
+		l.gaps.Add(sample.MaxGapMs)
 	}
 }
 
-// roundTrip is what goes to the link of a device's time.
-func (l *LinkEstimator) roundTrip(ofMs float64) float64 {
-	if l.rtt == 0 {
-		return min(firstRoundTripMs, firstPart*max(0, ofMs))
+// plausible reports whether a duration can be a measurement. NaN is not.
+func plausible(ms float64) bool { return ms > 0 && ms <= maxMeasurementMs }
+
+func (l *LinkEstimator) observeRoundTrip(ms float64) {
+	if l.roundTripMs == 0 {
+		l.roundTripMs, l.deviationMs = ms, ms/2
+		return
 	}
-	return l.rtt
+	l.deviationMs += deviationGain * (math.Abs(l.roundTripMs-ms) - l.deviationMs)
+	l.roundTripMs += roundTripGain * (ms - l.roundTripMs)
 }
 
-// bytesPerMs is the smoothed rate.
-func (l *LinkEstimator) bytesPerMs() float64 {
-	if l.rate == 0 {
-		return firstRate
+func (l *LinkEstimator) observeRate(bytesPerMs float64) {
+	if l.bytesPerMs == 0 {
+		l.bytesPerMs = bytesPerMs
+		return
 	}
-	return l.rate
+	l.bytesPerMs += rateGain * (bytesPerMs - l.bytesPerMs)
 }
 
-// ExpectedOverheadMs is how much of a device's time goes to its link, as a rule: the way of the last bytes here, since its time
-// counts from its sending, and the way back of an answer of so many bytes.
-func (l *LinkEstimator) ExpectedOverheadMs(bytes int, ofMs float64) float64 {
-	ms := l.roundTrip(ofMs) + l.margin() + float64(bytes)/l.bytesPerMs()
-	if l.gaps.Count() >= 8 { // fewer may be one bad moment
-		ms += l.gaps.Quantile(usualGap) / 2 // it may fall before, into or behind the answer
+// expectedRoundTripMs returns the round trip to expect of a device that waits for remainingMs.
+func (l *LinkEstimator) expectedRoundTripMs(remainingMs float64) float64 {
+	if l.roundTripMs == 0 {
+		return min(defaultRoundTripMs, defaultRoundTripFraction*max(0, remainingMs))
+	}
+	return l.roundTripMs
+}
+
+// expectedBytesPerMs returns the delivery rate to expect.
+func (l *LinkEstimator) expectedBytesPerMs() float64 {
+	if l.bytesPerMs == 0 {
+		return defaultBytesPerMs
+	}
+	return l.bytesPerMs
+}
+
+// ExpectedOverheadMs returns how much of the time that a device waits its link takes: the way of the request's last
+// bytes, since the device counts from its sending, and the way of a response of so many bytes.
+func (l *LinkEstimator) ExpectedOverheadMs(responseBytes int, remainingMs float64) float64 {
+	ms := l.expectedRoundTripMs(remainingMs) + l.safetyMarginMs() + float64(responseBytes)/l.expectedBytesPerMs()
+	if l.gaps.Count() >= minGapSamples {
+		ms += l.gaps.Quantile(medianGap) / 2 // half, because a gap may fall before, into or after the response
 	}
 	return ms
 }
 
-// margin is kept back besides, as RFC 6298 does: an answer at the last moment is late as often as not.
-func (l *LinkEstimator) margin() float64 { return max(leastMargin, 4*l.dev) }
+// safetyMarginMs returns what is reserved for the variation of the link, as in RFC 6298.
+func (l *LinkEstimator) safetyMarginMs() float64 {
+	return max(minSafetyMarginMs, deviations*l.deviationMs)
+}
+
+// remainingHereMs returns what is left on arrival of the time that was left when the device sent.
+func (l *LinkEstimator) remainingHereMs(remainingMs float64) float64 {
+	return max(0, remainingMs-l.expectedRoundTripMs(remainingMs)/2)
+}
 
-// left is what is left here of a time that was left at the device when it sent.
-func (l *LinkEstimator) left(ms float64) float64 { return max(0, ms-l.roundTrip(ms)/2) }
+// Advise returns how a connection should use the link, within the settings. settings must not be nil.
+func (l *LinkEstimator) Advise(settings *LinkSettings) LinkAdvice {
+	return LinkAdvice{IdleTimeoutMs: l.idleTimeoutMs(settings), BlockSize: l.blockSize(settings)}
+}
 
-// Advise tells how to use the link.
-func (l *LinkEstimator) Advise(set *LinkSettings) LinkAdvice {
-	rtt := l.roundTrip(math.Inf(1))
-	dead := rtt + 4*max(l.dev, rtt/8)
-	if l.gaps.Count() >= 8 {
-		dead = max(dead, 2*l.gaps.Quantile(0.99))
+func (l *LinkEstimator) idleTimeoutMs(settings *LinkSettings) float64 {
+	roundTripMs := l.expectedRoundTripMs(math.Inf(1))
+	timeoutMs := roundTripMs + deviations*max(l.deviationMs, roundTripMs/minDeviationFraction)
+	if l.gaps.Count() >= minGapSamples {
+		timeoutMs = max(timeoutMs, idleTimeoutGaps*l.gaps.Quantile(highGap))
 	} else {
-		dead = set.MaxIdleTimeoutMs // one that nothing is known of gets the benefit
+		timeoutMs = settings.MaxIdleTimeoutMs
 	}
-	block := set.MinBlockSize
-	for block*2 <= set.MaxBlockSize && float64(block*2) <= l.bytesPerMs()*set.MaxBlockTransferMs {
-		block *= 2
+	return min(max(timeoutMs, settings.MinIdleTimeoutMs), settings.MaxIdleTimeoutMs)
+}
+
+// blockSize returns the largest of the minimum size's doublings that the link transfers in the time allowed.
+func (l *LinkEstimator) blockSize(settings *LinkSettings) int {
+	size := settings.MinBlockSize
+	for size*2 <= settings.MaxBlockSize && float64(size*2) <= l.expectedBytesPerMs()*settings.MaxBlockTransferMs {
+		size *= 2
 	}
-	return LinkAdvice{IdleTimeoutMs: min(max(dead, set.MinIdleTimeoutMs), set.MaxIdleTimeoutMs), BlockSize: block}
+	return size
 }
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -1,174 +1,220 @@
 package exchange
 
-// This file decides on uploads: bodies that come in blocks, in order, over as many connections as it takes.
+import (
+	"cmp"
+	"slices"
+)
 
-// block is one that an upload has taken.
+// block is a block that an upload has received.
 type block struct {
-	offset, n int
-	digest    uint64
+	offset, length int
+	digest         uint64
 }
 
-// upload is a body that comes in blocks. Once whole it is remembered as long as its exchange, without its bytes, so
-// that blocks that come again, because only their acknowledgements were lost, are told from other ones.
+// upload is a body that is received in blocks, in order, over as many connections as it takes. A complete one is
+// remembered with its exchange, without its bytes, so that repeated blocks whose acknowledgements were lost are
+// distinguished from blocks of another body.
 type upload struct {
-	tag    string
-	have   int
-	total  int // -1: not told
-	whole  bool
-	blocks []block
+	tag      string
+	received int // bytes
+	total    int // announced size; below zero: unknown
+	complete bool
+	blocks   []block // by offset
 }
 
-// has tells whether the upload has taken this very block; other, whether it has taken one in its place with other
-// bytes. Blocks of another size tell neither.
-func (u *upload) has(b *BlockReceived) (has, other bool) {
-	lo, hi := 0, len(u.blocks)
-	for lo < hi {
-		if mid := (lo + hi) / 2; u.blocks[mid].offset < b.Offset {
-			lo = mid + 1
-		} else {
-			hi = mid
-		}
-	}
-	if lo == len(u.blocks) || u.blocks[lo].offset != b.Offset || u.blocks[lo].n != b.Length {
-		return false, false
-	}
-	same := u.blocks[lo].digest == b.Digest && (u.whole && lo == len(u.blocks)-1) == !b.More
-	return same, !same
+// blockMatch is how a block relates to those that an upload has received.
+type blockMatch uint8
+
+const (
+	blockNew       blockMatch = iota // no block of its offset and length was received
+	blockDuplicate                   // it was received before
+	blockDifferent                   // one with other content, or with another end of the body, was received
+)
+
+// String returns the match in lower case.
+func (m blockMatch) String() string { return nameOf(int(m), "new", "duplicate", "different") }
+
+// match compares a block with those that were received. The upload may be nil.
+func (u *upload) match(received *BlockReceived) blockMatch {
+	if u == nil {
+		return blockNew
+	}
+	i, found := slices.BinarySearchFunc(u.blocks, received.Offset, func(known block, offset int) int {
+		return cmp.Compare(known.offset, offset)
+	})
+	if !found || u.blocks[i].length != received.Length {
+		return blockNew
+	}
+	isLast := u.complete && i == len(u.blocks)-1
+	if u.blocks[i].digest == received.Digest && isLast == !received.More {
+		return blockDuplicate
+	}
+	return blockDifferent
 }
 
-// onBlock decides on a block. Its copy is told at once, except for the last one, which waits for the answer.
-func (l *Store) onBlock(b *BlockReceived) {
-	doubtful := l.doubtful(b.Idempotency, &b.ResendHistory)
-	d := l.device(b.Device)
-	if d == nil {
-		l.turnAway(b.Copy, nil, OutcomeBusy, doubtful)
+// onBlock handles a block. Its copy gets a response at once, except for the last one's, which waits for the exchange's.
+func (s *Store) onBlock(received *BlockReceived) {
+	mayHaveExecuted := s.earlierMayHaveExecuted(received.Idempotency, &received.ResendHistory)
+	device := s.admitDevice(received.Device)
+	if device == nil {
+		s.reject(received.Copy, nil, OutcomeBusy, mayHaveExecuted)
 		return
 	}
-	d.link.Observe(b.Link)
-	advice := l.advice(d)
-	e := d.byKey[b.Key]
-	if e != nil && e.state == receiving && l.now > e.deadline { // its device gave up; this is another try
-		l.forget(e)
-		e = nil
-	}
-	if e == nil {
-		if b.Offset != 0 { // a gateway that has started anew has nothing of it
-			l.tell(b.Copy, Respond{Outcome: OutcomeIncomplete, Advice: advice})
-			return
-		}
-		if e = l.beginUpload(d, b, doubtful); e == nil {
-			return
-		}
-	}
-	u := e.up
-	has, other := false, false
-	if u != nil {
-		has, other = u.has(b)
-	}
-	switch {
-	case u == nil || b.Offset == 0 && (u.tag != b.Tag || !has):
-		// A body begins: the first, another under another tag, or, by RFC 7959, a new one under the same.
-		if b.Offset != 0 {
-			l.tell(b.Copy, Respond{Outcome: OutcomeIncomplete, Advice: advice})
-			return
-		}
-		l.dropUpload(e)
-		u = &upload{tag: b.Tag, total: b.TotalBytes}
-		e.up = u
-	case u.tag != b.Tag:
-		l.tell(b.Copy, Respond{Outcome: OutcomeIncomplete, Advice: advice})
+	device.link.Observe(received.Link)
+	exchange := s.exchangeOfBlock(device, received, mayHaveExecuted)
+	if exchange == nil {
 		return
-	case other, b.TotalBytes >= 0 && u.total >= 0 && b.TotalBytes != u.total:
-		// One upload cannot hold other bytes or be of another size: what is held is worth nothing.
-		l.spoil(e, b.Copy, OutcomeConflict)
+	}
+	match := exchange.upload.match(received)
+	if !s.acceptPosition(exchange, received, match) {
 		return
-	case !has && (b.Offset != u.have || u.whole):
-		have := u.have
-		if u.whole { // nothing can be added: what does not match it begins anew, and is compared when it is whole
-			have = 0
-		}
-		l.tell(b.Copy, Respond{Outcome: OutcomeIncomplete, BufferedBytes: have, Advice: advice})
+	}
+	if match != blockDuplicate && !s.appendBlock(exchange, received, mayHaveExecuted) {
 		return
 	}
-	if !has { // else it has come again
-		if u.total < 0 {
-			u.total = b.TotalBytes
-		}
-		end := b.Offset + b.Length
-		if end > l.set.MaxBodyBytes || u.total > l.set.MaxBodyBytes || len(u.blocks) >= l.set.MaxUploadBlocks ||
-			u.total >= 0 && (end > u.total || !b.More && end != u.total) || b.Length <= 0 && b.More {
-			l.spoil(e, b.Copy, OutcomeTooLarge)
-			return
-		}
-		e.touched = l.now
-		l.unqueue(e)
-		fits := l.room(0, b.Length)
-		l.queue(e)
-		if !fits {
-			l.arm(e)
-			l.turnAway(b.Copy, d, OutcomeBusy, doubtful || e.ran)
-			return
-		}
-		u.blocks = append(u.blocks, block{b.Offset, b.Length, b.Digest})
-		u.have, u.whole = end, !b.More
-		l.hold(e, e.body, e.upBytes+b.Length, e.answer)
-		l.do(AppendBlock{ID: e.id, Copy: b.Copy})
-	}
-	e.touched = l.now
-	l.queue(e)
-	l.arm(e)
-	if b.More {
-		l.tell(b.Copy, Respond{Outcome: OutcomeContinue, BufferedBytes: u.have, Advice: advice})
+	exchange.touchedMs = s.nowMs
+	s.updateEvictable(exchange)
+	s.armTimer(exchange)
+	if !received.More {
+		s.emit(AssembleBody{ID: exchange.id, Copy: received.Copy})
 		return
 	}
-	l.do(AssembleBody{ID: e.id, Copy: b.Copy})
+	s.respond(received.Copy, Respond{Outcome: OutcomeContinue, BufferedBytes: exchange.upload.received,
+		Advice: s.advice(device)})
+}
+
+// exchangeOfBlock returns the exchange that a block belongs to, which it begins with the first block of an upload. If
+// there is none it responds to the copy and returns nil.
+func (s *Store) exchangeOfBlock(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
+	exchange := device.exchanges[received.Key]
+	if exchange != nil && exchange.state == stateReceiving && s.nowMs > exchange.deadlineMs {
+		s.forget(exchange) // the device gave up, and this is the start of another wait
+		exchange = nil
+	}
+	switch {
+	case exchange != nil:
+		return exchange
+	case received.Offset != 0: // for instance after a restart of this gateway
+		s.respondIncomplete(received.Copy, device, 0)
+		return nil
+	default:
+		return s.beginUpload(device, received, mayHaveExecuted)
+	}
 }
 
-// beginUpload begins an exchange by its first block, or tells the copy why not.
-func (l *Store) beginUpload(d *device, b *BlockReceived, doubtful bool) *entry {
-	if l.draining {
-		l.turnAway(b.Copy, d, OutcomeBusy, doubtful)
+// beginUpload begins an exchange with the first block of its upload, or rejects the copy and returns nil.
+func (s *Store) beginUpload(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
+	if s.shuttingDown {
+		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
 		return nil
 	}
-	if !(b.RemainingMs >= l.set.MinRunMs) {
-		l.turnAway(b.Copy, d, OutcomeTooLate, doubtful)
+	if s.tooLate(received.RemainingMs) {
+		s.reject(received.Copy, device, OutcomeTooLate, mayHaveExecuted)
 		return nil
 	}
-	e := l.add(d, b.Key, b.Length)
-	if e == nil {
-		l.turnAway(b.Copy, d, OutcomeBusy, doubtful)
+	added := s.add(device, received.Key, received.Length)
+	if added == nil {
+		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
 		return nil
 	}
-	e.deadline = l.now + d.link.left(b.RemainingMs)
-	l.stats.UploadsStarted++
-	l.queue(e)
-	l.arm(e)
-	return e
+	added.deadlineMs = s.nowMs + device.link.remainingHereMs(received.RemainingMs)
+	s.stats.UploadsStarted++
+	s.updateEvictable(added)
+	s.armTimer(added)
+	return added
 }
 
-// dropUpload lets go of what an upload holds; a run that has begun keeps its body.
-func (l *Store) dropUpload(e *entry) {
-	e.up = nil
-	l.hold(e, e.body, 0, e.answer)
-	l.do(Release{ID: e.id, Body: true})
+// acceptPosition reports whether a block continues its exchange's upload, and starts a new upload where it begins one.
+// Otherwise it responds to the copy.
+func (s *Store) acceptPosition(exchange *storedExchange, received *BlockReceived, match blockMatch) bool {
+	current := exchange.upload
+	switch {
+	case current == nil && received.Offset != 0:
+		s.respondIncomplete(received.Copy, exchange.device, 0)
+		return false
+	case current == nil, received.Offset == 0 && (current.tag != received.Tag || match != blockDuplicate):
+		// The first body, one under another tag, or, by RFC 7959, a new one under the same tag.
+		s.dropUpload(exchange)
+		exchange.upload = &upload{tag: received.Tag, total: received.TotalBytes}
+		return true
+	case current.tag != received.Tag:
+		s.respondIncomplete(received.Copy, exchange.device, 0)
+		return false
+	case match == blockDifferent, current.otherTotal(received.TotalBytes):
+		s.abortUpload(exchange, received.Copy, OutcomeConflict)
+		return false
+	case match == blockNew && current.complete:
+		// Nothing can be appended. The device begins a new body, which is compared once it is complete.
+		s.respondIncomplete(received.Copy, exchange.device, 0)
+		return false
+	case match == blockNew && received.Offset != current.received:
+		s.respondIncomplete(received.Copy, exchange.device, current.received)
+		return false
+	}
+	return true
 }
 
-// spoil ends an upload that makes no sense. What has been run stays known.
-func (l *Store) spoil(e *entry, c CopyID, o Outcome) {
-	l.tell(c, Respond{Outcome: o, Advice: l.advice(e.dev)})
-	if e.state == receiving {
-		l.forget(e)
-		return
+// otherTotal reports whether the announced size of a body differs from the one announced before.
+func (u *upload) otherTotal(total int) bool { return total >= 0 && u.total >= 0 && total != u.total }
+
+// appendBlock adds a block to its exchange's upload. Where the limits do not allow it, it responds to the copy and
+// returns false.
+func (s *Store) appendBlock(exchange *storedExchange, received *BlockReceived, mayHaveExecuted bool) bool {
+	current := exchange.upload
+	if current.total < 0 {
+		current.total = received.TotalBytes
+	}
+	if s.exceedsLimits(current, received) {
+		s.abortUpload(exchange, received.Copy, OutcomeTooLarge)
+		return false
 	}
-	l.dropUpload(e)
+	exchange.touchedMs = s.nowMs
+	s.protectFromEviction(exchange)
+	fits := s.ensureCapacity(0, received.Length)
+	s.updateEvictable(exchange)
+	if !fits {
+		s.armTimer(exchange)
+		s.reject(received.Copy, exchange.device, OutcomeBusy, mayHaveExecuted || exchange.mayHaveExecuted)
+		return false
+	}
+	current.blocks = append(current.blocks, block{received.Offset, received.Length, received.Digest})
+	current.received, current.complete = received.Offset+received.Length, !received.More
+	s.setStoredBytes(exchange, exchange.bodyBytes, exchange.uploadBytes+received.Length, exchange.responseBytes)
+	s.emit(AppendBlock{ID: exchange.id, Copy: received.Copy})
+	return true
 }
 
-// assembled takes the digest of a whole body; from here on it is like a copy that came in one piece.
-func (l *Store) assembled(a *BodyAssembled) {
-	d := l.devices[a.Device]
-	if d == nil || d.byKey[a.Key] == nil || d.byKey[a.Key].up == nil || !d.byKey[a.Key].up.whole {
-		l.tell(a.Copy, Respond{Outcome: OutcomeIncomplete, Advice: l.advice(d)})
+// exceedsLimits reports whether a block makes an upload larger than allowed or announced, or ends it before its
+// announced size, or is empty without ending it.
+func (s *Store) exceedsLimits(current *upload, received *BlockReceived) bool {
+	end := received.Offset + received.Length
+	if end > s.settings.MaxBodyBytes || current.total > s.settings.MaxBodyBytes {
+		return true
+	}
+	if current.total >= 0 && (end > current.total || !received.More && end != current.total) {
+		return true
+	}
+	return len(current.blocks) >= s.settings.MaxUploadBlocks || received.Length <= 0 && received.More
+}
+
+// dropUpload releases what is stored of an upload. A run that has begun retains its body.
+func (s *Store) dropUpload(exchange *storedExchange) {
+	exchange.upload = nil
+	s.setStoredBytes(exchange, exchange.bodyBytes, 0, exchange.responseBytes)
+	s.emit(Release{ID: exchange.id, Body: true})
+}
+
+// abortUpload ends an upload whose blocks contradict each other or the limits. An exchange that has run is remembered.
+func (s *Store) abortUpload(exchange *storedExchange, id CopyID, outcome Outcome) {
+	s.respond(id, Respond{Outcome: outcome, Advice: s.advice(exchange.device)})
+	if exchange.state == stateReceiving {
+		s.forget(exchange)
 		return
 	}
-	l.offer(&a.CopyReceived, true)
+	s.dropUpload(exchange)
+}
+
+// respondIncomplete tells a device how many bytes of its upload are stored, from where it must continue.
+func (s *Store) respondIncomplete(id CopyID, device *trackedDevice, bufferedBytes int) {
+	s.respond(id, Respond{Outcome: OutcomeIncomplete, BufferedBytes: bufferedBytes, Advice: s.advice(device)})
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -18,7 +18,7 @@
 // The platform's start opens its one listener and no more, and has no desk: what the operator's file does not name
 // is not there. With it there are the fronts that it names.
 func TestWhatIsOffIsNotThere(t *testing.T) {
-	ledger := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxHeldBytes: 1 << 20,
+	ledger := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxStoredBytes: 1 << 20,
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
 		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
 	goroutines := map[string]int{}
@@ -76,7 +76,7 @@
 		cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", Sockets: 64, Settings: testsettings.Settings(2),
 			Known: lifecycle.EndpointUpdate{}}
 		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Ledger: exchange.Settings{MaxExchanges: 1,
-			MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxHeldBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1,
+			MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxStoredBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1,
 			UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100, Link: exchange.LinkSettings{MinIdleTimeoutMs: 1, MaxIdleTimeoutMs: 1, MinBlockSize: 16, MaxBlockSize: 16, MaxBlockTransferMs: 1}}}}
 		g, err := New(cfg, edge, clock.NewSystem(), Network{Listen: n.Listen, Dial: n.Dial})
 		if err != nil {
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -301,7 +301,7 @@
 		edge.Devices = &config.Devices{CoAP: r.addrs["coap"], HTTP: r.addrs["http"], MaxConns: 4 * r.Devices, MaxOpen: 8,
 			MaxMessage: 33 << 10, FirstTime: 10 * time.Second, IdleTime: time.Minute, HoldOff: time.Second,
 			Ledger: exchange.Settings{MaxExchanges: 100 * r.Devices, MaxDevices: 2*r.Devices + 8, MaxActivePerDevice: 16,
-				MaxWaitingCopies: 4, MaxHeldBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
+				MaxWaitingCopies: 4, MaxStoredBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
 				UploadIdleTimeoutMs: 20_000, MinRunMs: 20, MaxRetryAfterMs: 2000,
 				Link: exchange.LinkSettings{MinIdleTimeoutMs: 2000, MaxIdleTimeoutMs: 8000, MinBlockSize: 64, MaxBlockSize: 8 << 10, MaxBlockTransferMs: 300}}}
 	}
