--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,6 +18,7 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/config"
+	"gaugerelay/internal/dedup"
 	"gaugerelay/internal/discovery"
 	"gaugerelay/internal/endpointlease"
 	"gaugerelay/internal/eventloop"
@@ -106,14 +107,14 @@
 // Gateway is one gateway.
 type Gateway struct {
 	Clock   clock.Clock
-	Metrics *metrics.Set
+	Metrics *metrics.Registry
 
 	cfg     *config.Config
 	net     Network
 	loop    *eventloop.Loop
 	back    *httpclient.Backend
 	watcher *discovery.Watcher
-	holdUps *clock.HoldUps
+	holdUps *clock.PauseDetector
 	parts   []part // in the order of their start
 	ended   chan error
 	ctx     context.Context
@@ -125,7 +126,7 @@
 
 // New makes a gateway of its settings; nothing of it runs yet.
 func New(cfg *config.Config, edge *config.Edge, c clock.Clock, network Network) (*Gateway, error) {
-	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, net: network, ended: make(chan error, 8), holdUps: clock.WatchHoldUps(c)}
+	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, net: network, ended: make(chan error, 8), holdUps: clock.StartPauseDetector(c)}
 	var others *peers
 	settings := cfg.Settings
 	if edge.Fleet != nil {
@@ -133,7 +134,7 @@
 		if others, err = newPeers(g, edge.Fleet); err != nil {
 			return nil, err
 		}
-		settings.QuotaLeases, settings.InitialQuotaShare = true, others.fleet.StartPart()
+		settings.QuotaLeases, settings.InitialQuotaShare = true, others.fleet.InitialQuotaShare()
 	}
 	scheduler, err := scheduler.New(settings, cfg.Seed)
 	if err != nil {
@@ -143,33 +144,42 @@
 	for _, class := range cfg.Settings.Classes {
 		g.longest, g.shortest = max(g.longest, class.Deadline), min(g.shortest, class.Deadline)
 	}
-	g.loop = eventloop.New(scheduler, c, g.Metrics)
-	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectMs, ConnIdleMs: cfg.ConnIdleMs,
-		RestMs: restMs, MaxConns: cfg.Sockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
-		c, g.Metrics, g.loop)
-	gate := g.loop.Authorizer()
-	gate.WaitForUpdates, gate.OnDenied = g.catchUp, g.denied
+	loop := eventloop.Options{Scheduler: scheduler, Clock: c, Metrics: g.Metrics,
+		Authorizer:     lifecycle.NewAuthorizer(lifecycle.AuthorizerOptions{WaitForUpdates: g.catchUp, OnDenied: g.denied}),
+		WatchEndpoints: func() { g.watcher.Open(g.ctx) },
+		ProbeServer:    func(server *lifecycle.Server) { g.back.Probe(server) },
+		OnReady:        g.notifyReady}
 	if cfg.Settings.PollEndpoints { // where it is pushed, what this machine's agent has counts, and it can always be asked
-		g.loop.SetEndpointLease(endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: notifyWithinMs,
-			DrainGraceMs: clock.Ms(cfg.Settings.DrainGrace), SendDelayMarginMs: heldUpMs}, c.NowMs()))
+		loop.EndpointLease = endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: notifyWithinMs,
+			DrainGraceMs: clock.Ms(cfg.Settings.DrainGrace), SendDelayMarginMs: heldUpMs}, c.NowMs())
+	}
+	if others != nil {
+		loop.Peers = others.fleet
+	}
+	var deviceGateway string
+	if edge.Devices != nil {
+		var deduplicator *dedup.Desk
+		if deduplicator, deviceGateway, err = newDeduplicator(g, edge.Devices); err != nil {
+			return nil, err
+		}
+		loop.Deduplicator = deduplicator
 	}
-	g.watcher = discovery.New(cfg.Discovery, cfg.Known, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
+	g.loop = eventloop.New(loop)
+	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectTimeoutMs, ConnIdleMs: cfg.IdleConnTimeoutMs,
+		RestMs: restMs, MaxConns: cfg.MaxSockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
+		c, g.Metrics, g.loop)
+	g.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
 	front := newPlatform(g)
 	if others != nil { // before the fronts: parts are known sooner, and are given back later
-		g.loop.SetPeers(others.fleet)
 		g.parts = append(g.parts, others)
 		front.front.Fleet = others.show
 	}
 	g.parts = append(g.parts, front)
-	if edge.Files != nil {
-		g.parts = append(g.parts, newFiles(g, edge.Files, edge.Devices))
+	if edge.SFTP != nil {
+		g.parts = append(g.parts, newFiles(g, edge.SFTP, edge.Devices))
 	}
 	if edge.Devices != nil {
-		devices, err := newDevices(g, edge.Devices)
-		if err != nil {
-			return nil, err
-		}
-		g.parts = append(g.parts, devices)
+		g.parts = append(g.parts, newDevices(g, edge.Devices, deviceGateway))
 	}
 	if edge.BGP != nil {
 		g.parts = append(g.parts, newAnnouncer(g, edge.BGP))
@@ -180,19 +190,13 @@
 // Start opens all that clients can reach.
 func (g *Gateway) Start() error {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.loop.WatchEndpoints, g.loop.ProbeServer = func() { g.watcher.Open(g.ctx) }, g.back.Probe
-	g.loop.OnReady = func() {
-		for _, p := range g.parts {
-			p.ready()
-		}
-	}
 	go g.loop.Run(g.ctx)
-	g.watcher.NormalizeStartTimes(g.cfg.Known)
-	g.loop.UpdateEndpoints(g.cfg.Known)
+	g.watcher.NormalizeStartTimes(g.cfg.KnownEndpoints)
+	g.loop.UpdateEndpoints(g.cfg.KnownEndpoints)
 	if !g.cfg.Settings.PollEndpoints { // the module asks for nothing then, and what the agent has counts as told
 		g.watcher.KeepOpen(g.ctx)
 	}
-	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.KnownBad))
+	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.InvalidKnownEntries))
 	for i, p := range g.parts {
 		if err := p.start(g.ctx); err != nil {
 			for _, p := range g.parts[:i] {
@@ -206,6 +210,13 @@
 	return nil
 }
 
+// notifyReady tells all parts that requests can be served.
+func (g *Gateway) notifyReady() {
+	for _, p := range g.parts {
+		p.ready()
+	}
+}
+
 // denied counts an attempt that was not allowed to begin.
 func (g *Gateway) denied(_ *lifecycle.Attempt, why permission.Denial) {
 	g.Metrics.Add("attempts_denied_"+why.String(), 1)
@@ -228,7 +239,7 @@
 
 // Stop drains the gateway and ends it.
 func (g *Gateway) Stop() {
-	slog.Info(logevent.Stopping, "name", g.cfg.Name)
+	slog.Info(logevent.ShutdownStarted, "name", g.cfg.Name)
 	t := stopTimesFor(clock.Ms(g.longest))
 	for _, p := range g.parts {
 		p.stopping(t)
@@ -265,7 +276,7 @@
 		return
 	}
 	g.Metrics.Add("reloads", 1)
-	if names := g.cfg.Restart(next); len(names) > 0 {
+	if names := g.cfg.RestartRequired(next); len(names) > 0 {
 		slog.Warn(logevent.ReloadRestartRequired, "changed", strings.Join(names, ", "))
 	}
 	slog.Info(logevent.ReloadDone, "discovery", next.Discovery)
@@ -291,7 +302,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return accept.Wrap(ln, g.Clock, g.Metrics, clock.Ms(g.shortest), g.holdUps.Held), nil
+	return accept.Wrap(ln, g.Clock, g.Metrics, clock.Ms(g.shortest), g.holdUps.RecordStall), nil
 }
 
 // listening logs that clients or peers can reach an address.
