--- a/internal/dedup/desk.go
+++ b/internal/dedup/desk.go
@@ -21,20 +21,20 @@
 type Options struct {
 	Settings exchange.Settings
 	Classes  []scheduler.Class
-	// Name begins the ids by which nodes know the runs: one that no other gateway and no earlier start has.
-	Name string
-	// Gateway is how it names itself to devices: another at each start.
-	Gateway string
-	Metrics *metrics.Registry
-	Now     func() float64
-	// After calls back on the owner's goroutine.
-	After func(ms float64, f func(nowMs float64)) (stop func())
-	// Take hands a request in to the core.
-	Take func(nowMs float64, r *lifecycle.Request)
+	// RunIDPrefix begins the ids by which nodes know the runs: one that no other gateway and no earlier start has.
+	RunIDPrefix string
+	// GatewayName is how it names itself to devices: another at each start.
+	GatewayName string
+	Metrics     *metrics.Registry
+	NowMs       func() float64
+	// AfterFunc calls back on the owner's goroutine.
+	AfterFunc func(ms float64, f func(nowMs float64)) (stop func())
+	// Submit hands a request in to the core.
+	Submit func(nowMs float64, r *lifecycle.Request)
 }
 
-// Desk implements core.Desk.
-type Desk struct {
+// Coordinator implements core.Desk.
+type Coordinator struct {
 	opt     Options
 	ledger  *exchange.Store
 	classes map[string]exchange.Class
@@ -55,12 +55,12 @@
 }
 
 // New returns a desk.
-func New(opt Options) (*Desk, error) {
+func New(opt Options) (*Coordinator, error) {
 	l, err := exchange.New(opt.Settings)
 	if err != nil {
 		return nil, err
 	}
-	d := &Desk{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*lifecycle.Request{},
+	d := &Coordinator{opt: opt, ledger: l, classes: map[string]exchange.Class{}, copies: map[uint64]*lifecycle.Request{},
 		held: map[exchange.ID]*held{}, stop: func() {}}
 	for _, c := range opt.Classes {
 		d.classes[c.Name] = exchange.Class{Idempotency: c.Idempotency, DedupScope: c.DedupScope,
@@ -70,7 +70,7 @@
 }
 
 // Submit implements core.Desk.
-func (d *Desk) Submit(nowMs float64, r *lifecycle.Request) {
+func (d *Coordinator) Submit(nowMs float64, r *lifecycle.Request) {
 	d.last++
 	r.Device.Ticket = d.last
 	d.copies[d.last] = r
@@ -85,7 +85,7 @@
 }
 
 // offer makes the ledger's event of a whole copy.
-func (d *Desk) offer(r *lifecycle.Request, body [32]byte, size int) exchange.CopyReceived {
+func (d *Coordinator) offer(r *lifecycle.Request, body [32]byte, size int) exchange.CopyReceived {
 	v := r.Device
 	sum := sha256.Sum256(append(v.HeadDigest[:], body[:]...))
 	return exchange.CopyReceived{Copy: exchange.CopyID(v.Ticket), Device: v.ID, Key: v.Key, Class: d.classes[r.Class],
@@ -93,8 +93,8 @@
 		ResendHistory: d.history(r), Link: linkSample(v.Link)}
 }
 
-func (d *Desk) history(r *lifecycle.Request) exchange.ResendHistory {
-	return exchange.ResendHistory{IsRetry: r.IsRetry, SameGateway: r.Device.PreviousGateway != "" && r.Device.PreviousGateway == d.opt.Gateway, AgeMs: r.Device.AgeMs}
+func (d *Coordinator) history(r *lifecycle.Request) exchange.ResendHistory {
+	return exchange.ResendHistory{IsRetry: r.IsRetry, SameGateway: r.Device.PreviousGateway != "" && r.Device.PreviousGateway == d.opt.GatewayName, AgeMs: r.Device.AgeMs}
 }
 
 // linkSample converts a measurement of a link to the store's form.
@@ -103,7 +103,7 @@
 }
 
 // Cancel implements core.Desk.
-func (d *Desk) Cancel(nowMs float64, r *lifecycle.Request) {
+func (d *Coordinator) Cancel(nowMs float64, r *lifecycle.Request) {
 	if t := r.Device.Ticket; t != 0 {
 		delete(d.copies, t)
 		d.step(nowMs, exchange.CopyCanceled{Copy: exchange.CopyID(t)})
@@ -111,22 +111,22 @@
 }
 
 // ResponseWritten implements core.Desk.
-func (d *Desk) ResponseWritten(nowMs float64, r *lifecycle.Request, l lifecycle.LinkSample) {
+func (d *Coordinator) ResponseWritten(nowMs float64, r *lifecycle.Request, l lifecycle.LinkSample) {
 	d.step(nowMs, exchange.ResponseWritten{Copy: exchange.CopyID(r.Device.Ticket), Link: linkSample(l)})
 }
 
 // LinkMeasured implements core.Desk.
-func (d *Desk) LinkMeasured(nowMs float64, device string, l lifecycle.LinkSample) {
+func (d *Coordinator) LinkMeasured(nowMs float64, device string, l lifecycle.LinkSample) {
 	d.step(nowMs, exchange.LinkMeasured{Device: device, Link: linkSample(l)})
 }
 
 // Drain implements core.Desk.
-func (d *Desk) Drain(nowMs float64) { d.step(nowMs, exchange.ShutdownStarted{}) }
+func (d *Coordinator) Drain(nowMs float64) { d.step(nowMs, exchange.ShutdownStarted{}) }
 
 // Stats tells what the ledger holds.
-func (d *Desk) Stats() exchange.Stats { return d.ledger.Stats() }
+func (d *Coordinator) Stats() exchange.Stats { return d.ledger.Stats() }
 
-func (d *Desk) step(nowMs float64, ev exchange.Event) {
+func (d *Coordinator) step(nowMs float64, ev exchange.Event) {
 	var whole []exchange.AssembleBody
 	for _, a := range d.ledger.Step(nowMs, ev) {
 		switch a := a.(type) {
@@ -146,7 +146,7 @@
 			d.free(a)
 		case exchange.SetTimer:
 			d.stop()
-			d.stop = d.opt.After(a.AtMs-nowMs, func(nowMs float64) { d.step(nowMs, exchange.TimerFired{}) })
+			d.stop = d.opt.AfterFunc(a.AtMs-nowMs, func(nowMs float64) { d.step(nowMs, exchange.TimerFired{}) })
 		}
 	}
 	d.count()
@@ -160,7 +160,7 @@
 	}
 }
 
-func (d *Desk) hold(id exchange.ID) *held {
+func (d *Coordinator) hold(id exchange.ID) *held {
 	h := d.held[id]
 	if h == nil {
 		h = &held{}
@@ -169,7 +169,7 @@
 	return h
 }
 
-func (d *Desk) free(f exchange.Release) {
+func (d *Coordinator) free(f exchange.Release) {
 	h := d.held[f.ID]
 	if h == nil {
 		return
@@ -186,25 +186,25 @@
 }
 
 // run hands an exchange's request to the core.
-func (d *Desk) run(nowMs float64, a exchange.StartRun) {
+func (d *Coordinator) run(nowMs float64, a exchange.StartRun) {
 	r := d.copies[uint64(a.Copy)]
 	body := r.Device.Body
 	if r.Device.Block != nil {
 		body = d.held[a.ID].body
 	}
-	id := fmt.Sprintf("%s-%x-%x", d.opt.Name, uint64(a.ID), a.Run)
+	id := fmt.Sprintf("%s-%x-%x", d.opt.RunIDPrefix, uint64(a.ID), a.Run)
 	run := &lifecycle.Request{ClientID: id, Class: r.Class, Plan: r.Plan, Volume: r.Volume, Key: r.Key, RemainingMs: a.RemainingMs,
 		ClientDelayMs: a.ClientDelayMs, Units: r.Units, Shard: a.Shard, Gateways: r.Gateways, IsRetry: r.IsRetry || a.Run > 1, IsFirstAttempt: true,
 		Upstream: r.Upstream, Payload: r.Device.BuildPayload(id, body)}
 	run.Respond = func(v lifecycle.Response) { d.ended(a, v) }
-	d.opt.Take(nowMs, run)
+	d.opt.Submit(nowMs, run)
 }
 
 // sizer is an answer that tells how much it holds.
 type sizer interface{ Size() int }
 
 // ended takes the one answer of a run. It is called by the core, in the midst of its own step.
-func (d *Desk) ended(a exchange.StartRun, v lifecycle.Response) {
+func (d *Coordinator) ended(a exchange.StartRun, v lifecycle.Response) {
 	ev := exchange.RunEnded{ID: a.ID, Run: a.Run, Result: exchange.RunFailed, MayHaveExecuted: v.MayHaveExecuted, FirstAttemptMs: v.FirstAttemptMs, Shard: v.Shard,
 		RetryAfterMs: v.RetryAfterMs}
 	switch v.Kind {
@@ -221,7 +221,7 @@
 	case lifecycle.Rejected:
 		ev.Result = exchange.RunRejected
 	}
-	d.step(d.opt.Now(), ev)
+	d.step(d.opt.NowMs(), ev)
 }
 
 var verdicts = [...]lifecycle.ResponseKind{
@@ -232,7 +232,7 @@
 }
 
 // tell answers a copy.
-func (d *Desk) tell(t exchange.Respond) {
+func (d *Coordinator) tell(t exchange.Respond) {
 	r := d.copies[uint64(t.Copy)]
 	delete(d.copies, uint64(t.Copy))
 	if r == nil {
@@ -248,7 +248,7 @@
 }
 
 // count adds what has changed to the counters.
-func (d *Desk) count() {
+func (d *Coordinator) count() {
 	now := d.ledger.Stats()
 	was := d.told
 	if now == was {
--- a/internal/dedup/desk_test.go
+++ b/internal/dedup/desk_test.go
@@ -18,7 +18,7 @@
 // bench is a desk whose core is the test.
 type bench struct {
 	t     *testing.T
-	d     *Desk
+	d     *Coordinator
 	now   float64
 	runs  []*lifecycle.Request
 	wake  func(float64)
@@ -38,13 +38,13 @@
 	classes = append(classes, scheduler.Class{Name: "zoned", Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupZone, DedupWindow: 3 * time.Second},
 		scheduler.Class{Name: "once", Idempotency: scheduler.NotIdempotent})
 	var err error
-	b.d, err = New(Options{Settings: set, Classes: classes, Name: "gw", Metrics: metrics.New(),
-		Now: func() float64 { return b.now },
-		After: func(ms float64, f func(float64)) func() {
+	b.d, err = New(Options{Settings: set, Classes: classes, RunIDPrefix: "gw", Metrics: metrics.New(),
+		NowMs: func() float64 { return b.now },
+		AfterFunc: func(ms float64, f func(float64)) func() {
 			b.wake, b.wakes = f, b.now+ms
 			return func() { b.wake = nil }
 		},
-		Take: func(_ float64, r *lifecycle.Request) { b.runs = append(b.runs, r) }})
+		Submit: func(_ float64, r *lifecycle.Request) { b.runs = append(b.runs, r) }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -34,14 +34,14 @@
 
 // newDeduplicator returns the deduplicator of the requests of devices, and how this gateway names itself to devices. Its
 // functions use g.loop, which is built after it.
-func newDeduplicator(g *Gateway, o *config.Devices) (deduplicator *dedup.Desk, gateway string, err error) {
+func newDeduplicator(g *Gateway, o *config.Devices) (deduplicator *dedup.Coordinator, gateway string, err error) {
 	// Nodes know runs by this, and devices the gateway: no other and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gateway = strconv.FormatUint(xxhash.Sum64String(name), 16)
 	deduplicator, err = dedup.New(dedup.Options{Settings: o.Exchanges, Classes: g.cfg.Settings.Classes,
-		Name: name, Gateway: gateway, Metrics: g.Metrics, Now: g.Clock.NowMs,
-		After: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
-		Take:  func(nowMs float64, r *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, r) }})
+		RunIDPrefix: name, GatewayName: gateway, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
+		AfterFunc: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
+		Submit:    func(nowMs float64, r *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, r) }})
 	return deduplicator, gateway, err
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -158,7 +158,7 @@
 	}
 	var deviceGateway string
 	if edge.Devices != nil {
-		var deduplicator *dedup.Desk
+		var deduplicator *dedup.Coordinator
 		if deduplicator, deviceGateway, err = newDeduplicator(g, edge.Devices); err != nil {
 			return nil, err
 		}
