--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -73,7 +73,7 @@
 			MaxDevices:          integer("max_devices", 4096),
 			MaxActivePerDevice:  integer("max_exchanges_per_device", 16),
 			MaxWaitingCopies:    maxWaitingCopies,
-			MaxHeldBytes:        integer("max_held_bytes", 8<<20),
+			MaxStoredBytes:        integer("max_held_bytes", 8<<20),
 			MaxBodyBytes:        maxBodyBytes,
 			MaxUploadBlocks:     maxUploadBlocks,
 			RetentionMs:         number("keep_ms", 60_000),
@@ -106,7 +106,7 @@
 		{"hold_off_ms", clock.Ms(d.HoldOff), 0, 1e6},
 		{"max_exchanges", float64(d.Exchanges.MaxExchanges), 1, 1 << 24},
 		{"max_devices", float64(d.Exchanges.MaxDevices), 1, 1 << 24},
-		{"max_held_bytes", float64(d.Exchanges.MaxHeldBytes), 128 << 10, 1 << 40},
+		{"max_held_bytes", float64(d.Exchanges.MaxStoredBytes), 128 << 10, 1 << 40},
 		{"least_block_bytes", float64(d.Exchanges.Link.MinBlockSize), 16, 1024},
 		{"most_block_bytes", float64(d.Exchanges.Link.MaxBlockSize), 16, 64 << 10},
 	} {
