--- a/internal/bgp/bgp_test.go
+++ b/internal/bgp/bgp_test.go
@@ -21,8 +21,8 @@
 )
 
 func options() Options {
-	return Options{LocalAS: 65001, PeerAS: 65000, RouterID: netip.MustParseAddr("127.0.0.2"), HoldMs: 90000,
-		Addresses: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("192.0.2.8/32")}}
+	return Options{LocalAS: 65001, PeerAS: 65000, RouterID: netip.MustParseAddr("127.0.0.2"), HoldTimeMs: 90000,
+		Prefixes: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("192.0.2.8/32")}}
 }
 
 func open(as uint16, hold uint16, id string, caps ...bgp.ParameterCapabilityInterface) *bgp.BGPMessage {
@@ -283,7 +283,7 @@
 	}
 	defer ln.Close()
 	opt := options()
-	opt.Peer = ln.Addr().String()
+	opt.PeerAddress = ln.Addr().String()
 	s := New(opt, clock.NewSystem(), metrics.New())
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Run(ctx)
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -52,9 +52,9 @@
 )
 
 func options(as uint32) bgp.Options {
-	return bgp.Options{LocalAS: as, PeerAS: routerAS, RouterID: netip.MustParseAddr("192.0.2.1"), HoldMs: holdMs,
-		NextHop:   netip.MustParseAddr("192.0.2.2"),
-		Addresses: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("198.51.100.0/24")}}
+	return bgp.Options{LocalAS: as, PeerAS: routerAS, RouterID: netip.MustParseAddr("192.0.2.1"), HoldTimeMs: holdMs,
+		NextHop:  netip.MustParseAddr("192.0.2.2"),
+		Prefixes: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("198.51.100.0/24")}}
 }
 
 // frame returns a message with a header.
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	o.Peer = listener.Addr().String()
+	o.PeerAddress = listener.Addr().String()
 	r := &router{t: t, clock: clock.NewManual(startMs)}
 	r.speaker = bgp.New(o, r.clock, metrics.New())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -26,13 +26,13 @@
 
 // Options are what is announced, and to whom.
 type Options struct {
-	Peer      string // host:port
-	LocalAS   uint32
-	PeerAS    uint32
-	RouterID  netip.Addr
-	HoldMs    float64 // offered; 0: none
-	NextHop   netip.Addr
-	Addresses []netip.Prefix // of the service, IPv4
+	PeerAddress string // host:port
+	LocalAS     uint32
+	PeerAS      uint32
+	RouterID    netip.Addr
+	HoldTimeMs  float64 // offered; 0: none
+	NextHop     netip.Addr
+	Prefixes    []netip.Prefix // of the service, IPv4
 }
 
 const (
@@ -60,7 +60,7 @@
 	if s.opt.LocalAS > 0xffff {
 		as = bgp.AS_TRANS
 	}
-	s.send(bgp.NewBGPOpenMessage(as, uint16(s.opt.HoldMs/1000), s.opt.RouterID.String(),
+	s.send(bgp.NewBGPOpenMessage(as, uint16(s.opt.HoldTimeMs/1000), s.opt.RouterID.String(),
 		[]bgp.OptionParameterInterface{bgp.NewOptionParameterCapability([]bgp.ParameterCapabilityInterface{
 			bgp.NewCapMultiProtocol(bgp.RF_IPv4_UC), bgp.NewCapFourOctetASNumber(s.opt.LocalAS)})}))
 	s.state, s.holdAt = OpenSent, now+largeHoldMs
@@ -97,7 +97,7 @@
 	}
 	s.announced = s.want
 	var routes []*bgp.IPAddrPrefix
-	for _, p := range s.opt.Addresses {
+	for _, p := range s.opt.Prefixes {
 		routes = append(routes, bgp.NewIPAddrPrefix(uint8(p.Bits()), p.Addr().String()))
 	}
 	if !ready {
@@ -182,7 +182,7 @@
 			}
 		}
 	}
-	s.holdMs = min(s.opt.HoldMs, float64(o.HoldTime)*1000)
+	s.holdMs = min(s.opt.HoldTimeMs, float64(o.HoldTime)*1000)
 	s.state = OpenConfirm
 	s.send(bgp.NewBGPKeepAliveMessage())
 	s.keep(now)
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -42,7 +42,7 @@
 func New(opt Options, c clock.Clock, m *metrics.Registry) *Speaker {
 	d := net.Dialer{Timeout: dialTime}
 	return &Speaker{opt: opt, clock: c, metrics: m, ready: make(chan bool, 16), done: make(chan struct{}),
-		dial: func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", opt.Peer) }}
+		dial: func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", opt.PeerAddress) }}
 }
 
 // SetReady announces the addresses, or withdraws them.
@@ -69,7 +69,7 @@
 			return
 		}
 		s.metrics.Add("bgp_sessions_ended", 1)
-		slog.Warn(logevent.BGPSession, "peer", s.opt.Peer, "state", "ended", logevent.Error, err, "retry_within_ms", wait)
+		slog.Warn(logevent.BGPSession, "peer", s.opt.PeerAddress, "state", "ended", logevent.Error, err, "retry_within_ms", wait)
 		due := make(chan struct{})
 		stop := s.clock.AfterFunc(wait*(0.75+0.25*rand.Float64()), func() { close(due) })
 		wait = min(2*wait, retryMaxMs)
@@ -131,7 +131,7 @@
 			}
 			s.metrics.Add("bgp_messages_sent", 1)
 			if m.Header.Type == bgp.BGP_MSG_UPDATE {
-				slog.Info(logevent.BGPAnnounced, "peer", opt.Peer, "announced", ses.announced)
+				slog.Info(logevent.BGPAnnounced, "peer", opt.PeerAddress, "announced", ses.announced)
 			}
 		}
 		ses.out = nil
@@ -153,7 +153,7 @@
 			if !up && ses.state == Established {
 				up = true
 				s.metrics.Add("bgp_sessions_established", 1)
-				slog.Info(logevent.BGPSession, "peer", opt.Peer, "state", "established")
+				slog.Info(logevent.BGPSession, "peer", opt.PeerAddress, "state", "established")
 			}
 		case *want = <-s.ready:
 			ses.setReady(*want)
--- a/internal/coapwire/wire.go
+++ b/internal/coapwire/wire.go
@@ -14,39 +14,39 @@
 // Options of ours, from the numbers that RFC 7252 leaves to experiments. Odd ones are critical: whoever does not know
 // them must not serve the request.
 const (
-	OptDevice message.OptionID = 65001 // string: the device's name; holds for the rest of the connection
-	OptLeft   message.OptionID = 65005 // uint: ms that the device waits for the answer, from its sending
-	OptKey    message.OptionID = 65009 // string: the upload key of a write, the request's id of a read
-	OptPlan   message.OptionID = 65013 // string: the volume's plan
-	OptIO     message.OptionID = 65017 // string: volume, units, shard and hosts, as in X-IO
-	OptRepeat message.OptionID = 65021 // empty: it has been sent before, to its last byte
-	OptAge    message.OptionID = 65024 // uint: ms since it was first sent
-	OptHave   message.OptionID = 65028 // uint, in 4.08: bytes of the upload that are held
-	OptName   message.OptionID = 65032 // string, in the gateway's CSM: how it names itself, another at each start
-	OptSentTo message.OptionID = 65036 // string: the OptName heard when it was first sent; all copies went there
+	OptDevice          message.OptionID = 65001 // string: the device's name; holds for the rest of the connection
+	OptTimeLeft        message.OptionID = 65005 // uint: ms that the device waits for the answer, from its sending
+	OptIdempotencyKey  message.OptionID = 65009 // string: the upload key of a write, the request's id of a read
+	OptPlan            message.OptionID = 65013 // string: the volume's plan
+	OptIO              message.OptionID = 65017 // string: volume, units, shard and hosts, as in X-IO
+	OptRetry           message.OptionID = 65021 // empty: it has been sent before, to its last byte
+	OptAge             message.OptionID = 65024 // uint: ms since it was first sent
+	OptBufferedBytes   message.OptionID = 65028 // uint, in 4.08: bytes of the upload that are held
+	OptGatewayName     message.OptionID = 65032 // string, in the gateway's CSM: how it names itself, another at each start
+	OptPreviousGateway message.OptionID = 65036 // string: the OptName heard when it was first sent; all copies went there
 )
 
 const (
-	// BERTBlock is the unit of block numbers with BERT (RFC 8323, 6).
-	BERTBlock = 1024
-	// DefaultMost is the largest message that a peer takes until its CSM says more.
-	DefaultMost = 1152
+	// BERTBlockSize is the unit of block numbers with BERT (RFC 8323, 6).
+	BERTBlockSize = 1024
+	// DefaultMaxMessageSize is the largest message that a peer takes until its CSM says more.
+	DefaultMaxMessageSize = 1152
 
 	bertSZX     = 7
 	mostOptions = 48 // in one message
 	mostNum     = 1<<20 - 1
 )
 
-// ErrFormat is a message that makes no sense.
-var ErrFormat = errors.New("malformed message")
+// ErrMalformed is a message that makes no sense.
+var ErrMalformed = errors.New("malformed message")
 
-// Frame reads the length of the frame that buf begins with; n is 0 while that has not come.
-func Frame(buf []byte) (n int, err error) {
+// FrameLength reads the length of the frame that buf begins with; n is 0 while that has not come.
+func FrameLength(buf []byte) (n int, err error) {
 	if len(buf) == 0 {
 		return 0, nil
 	}
 	if buf[0]&15 > message.MaxTokenSize {
-		return 0, ErrFormat
+		return 0, ErrMalformed
 	}
 	need := 2 + int(buf[0]&15)
 	switch buf[0] >> 4 {
@@ -62,7 +62,7 @@
 	}
 	var h coder.MessageHeader
 	if _, err := coder.DefaultCoder.DecodeHeader(buf[:need], &h); err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrFormat, err)
+		return 0, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	return int(h.MessageLength), nil
 }
@@ -72,16 +72,16 @@
 func Decode(buf []byte) (*message.Message, error) {
 	var h coder.MessageHeader
 	if _, err := coder.DefaultCoder.DecodeHeader(buf, &h); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrFormat, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	if int(h.MessageLength) != len(buf) {
-		return nil, ErrFormat
+		return nil, ErrMalformed
 	}
 	m := &message.Message{Code: h.Code, Token: append(message.Token(nil), h.Token...), Options: make(message.Options, 0, mostOptions)}
 	rest := buf[h.Length:]
 	n, err := m.Options.Unmarshal(rest, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrFormat, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	m.Payload = rest[n:]
 	return m, nil
@@ -100,8 +100,8 @@
 	return buf
 }
 
-// Uint is a number option in as few bytes as it needs.
-func Uint(id message.OptionID, v uint32) message.Option {
+// UintOption is a number option in as few bytes as it needs.
+func UintOption(id message.OptionID, v uint32) message.Option {
 	var b [4]byte
 	binary.BigEndian.PutUint32(b[:], v)
 	i := 0
@@ -111,8 +111,8 @@
 	return message.Option{ID: id, Value: b[i:]}
 }
 
-// ReadUint reads the value of a number option.
-func ReadUint(b []byte) (v uint32, ok bool) {
+// DecodeUint reads the value of a number option.
+func DecodeUint(b []byte) (v uint32, ok bool) {
 	if len(b) > 4 {
 		return 0, false
 	}
@@ -122,28 +122,28 @@
 	return v, true
 }
 
-// Place is the value of a Block option: a part of a body.
-type Place struct {
+// Block is the value of a Block option: a part of a body.
+type Block struct {
 	Offset, Size int // Size: of a block, or the unit with BERT
 	More, BERT   bool
 }
 
-// ReadPlace reads the value of a Block option.
-func ReadPlace(b []byte) (Place, bool) {
-	v, ok := ReadUint(b)
+// DecodeBlock reads the value of a Block option.
+func DecodeBlock(b []byte) (Block, bool) {
+	v, ok := DecodeUint(b)
 	if !ok || len(b) > 3 {
-		return Place{}, false
+		return Block{}, false
 	}
-	p := Place{More: v&8 != 0, Size: 16 << (v & 7), BERT: v&7 == bertSZX}
+	p := Block{More: v&8 != 0, Size: 16 << (v & 7), BERT: v&7 == bertSZX}
 	if p.BERT {
-		p.Size = BERTBlock
+		p.Size = BERTBlockSize
 	}
 	p.Offset = int(v>>4) * p.Size
 	return p, true
 }
 
 // Option is the place as a Block option. Its size is a power of two from 16 to 1024.
-func (p Place) Option(id message.OptionID) message.Option {
+func (p Block) Option(id message.OptionID) message.Option {
 	szx := uint32(bertSZX)
 	if !p.BERT {
 		for szx = 0; 16<<szx < p.Size; szx++ {
@@ -153,5 +153,5 @@
 	if p.More {
 		v |= 8
 	}
-	return Uint(id, v)
+	return UintOption(id, v)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -141,7 +141,7 @@
 	if f == nil || f.Read.Name != "pull" || f.Write.Name != "push" || len(f.Roots) != 2 || f.Roots[0].Volume != 0x3b4d60021 || f.Roots[1].Hosts != 1 {
 		t.Errorf("%+v", f)
 	}
-	if b := e.BGP; b == nil || b.LocalAS != 65001 || b.HoldMs != 90000 || len(b.Addresses) != 1 || b.NextHop.IsValid() {
+	if b := e.BGP; b == nil || b.LocalAS != 65001 || b.HoldTimeMs != 90000 || len(b.Prefixes) != 1 || b.NextHop.IsValid() {
 		t.Errorf("%+v", b)
 	}
 	// The example tells the defaults: with its addresses alone a part is the same.
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -119,8 +119,8 @@
 
 func announcements(v *fastjson.Value) (*bgp.Options, error) {
 	r := &reader{}
-	o := &bgp.Options{Peer: r.str(v, "peer"), HoldMs: 90_000}
-	errs := []error{hostPort("peer", o.Peer)}
+	o := &bgp.Options{PeerAddress: r.str(v, "peer"), HoldTimeMs: 90_000}
+	errs := []error{hostPort("peer", o.PeerAddress)}
 	for name, at := range map[string]*uint32{"local_as": &o.LocalAS, "peer_as": &o.PeerAS} {
 		n := r.num(v, name)
 		if n < 1 || n > math.MaxUint32 || n != math.Trunc(n) {
@@ -129,9 +129,9 @@
 		*at = uint32(n)
 	}
 	if v.Exists("hold_ms") {
-		o.HoldMs = r.num(v, "hold_ms")
+		o.HoldTimeMs = r.num(v, "hold_ms")
 	}
-	if o.HoldMs != 0 && (o.HoldMs < 3000 || o.HoldMs > 65_535_000) {
+	if o.HoldTimeMs != 0 && (o.HoldTimeMs < 3000 || o.HoldTimeMs > 65_535_000) {
 		errs = append(errs, errors.New("hold_ms is neither 0 nor from 3000 to 65535000"))
 	}
 	var err error
@@ -148,9 +148,9 @@
 		if err != nil || !p.Addr().Is4() || p != p.Masked() {
 			errs = append(errs, fmt.Errorf("announce: %s is not an IPv4 prefix such as 192.0.2.7/32", a))
 		}
-		o.Addresses = append(o.Addresses, p)
+		o.Prefixes = append(o.Prefixes, p)
 	}
-	if n := len(o.Addresses); n == 0 || n > maxAddresses {
+	if n := len(o.Prefixes); n == 0 || n > maxAddresses {
 		errs = append(errs, fmt.Errorf("announce: %d prefixes, wants 1 to %d", n, maxAddresses))
 	}
 	return o, first(append(errs, r.err))
--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -66,7 +66,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					size, err := coapwire.Frame(head)
+					size, err := coapwire.FrameLength(head)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -134,12 +134,12 @@
 					csm := coapwire.Encode(message.Message{Code: codes.CSM})
 					pong := coapwire.Encode(message.Message{Code: codes.Pong})
 					put := coapwire.Encode(ask(codes.PUT, 1, make([]byte, 256), func(o message.Options) message.Options {
-						return o.Set(coapwire.Uint(coapwire.OptLeft, 6000))
+						return o.Set(coapwire.UintOption(coapwire.OptTimeLeft, 6000))
 					}))
 					small := make([]byte, 64)
 					for i := range ends {
 						near, far := net.Pipe()
-						f.Take(far)
+						f.StartConn(far)
 						near.Write(csm)
 						for last := byte(0); last != byte(codes.Ping); { // its CSM, then its ping
 							k, err := near.Read(small)
@@ -157,8 +157,8 @@
 					runtime.GC()
 					runtime.ReadMemStats(&after)
 					b.ReportMetric(float64(held(&after)-held(&before))/float64(n), "B/device")
-					f.CloseAll()
-					f.End()
+					f.Close()
+					f.Shutdown()
 					runtime.KeepAlive(ends)
 				}
 			})
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -51,7 +51,7 @@
 
 // conn is a device's connection. Its first goroutine reads; a second one lives while there is something to write.
 type conn struct {
-	f  *Front
+	f  *Server
 	nc net.Conn
 
 	// The reader's.
@@ -79,10 +79,10 @@
 	block    int
 }
 
-func newConn(f *Front, nc net.Conn) *conn {
+func newConn(f *Server, nc net.Conn) *conn {
 	now := time.Now()
 	c := &conn{f: f, nc: nc, buf: make([]byte, smallBuffer), heard: now, began: now, after: now, open: map[string]*pending{},
-		peerMost: coapwire.DefaultMost, dead: f.MostDead}
+		peerMost: coapwire.DefaultMaxMessageSize, dead: f.MaxIdleTimeout}
 	c.room.L = &c.mu
 	return c
 }
@@ -90,8 +90,8 @@
 // hello is the first message of each side (RFC 8323, 5.3).
 func (c *conn) hello() {
 	c.send(message.Message{Code: codes.CSM, Options: message.Options{
-		coapwire.Uint(message.TCPMaxMessageSize, uint32(c.f.MaxMessage)), {ID: message.TCPBlockWiseTransfer},
-		{ID: coapwire.OptName, Value: []byte(c.f.Gateway)}}}, false)
+		coapwire.UintOption(message.TCPMaxMessageSize, uint32(c.f.MaxMessageSize)), {ID: message.TCPBlockWiseTransfer},
+		{ID: coapwire.OptGatewayName, Value: []byte(c.f.GatewayName)}}}, false)
 }
 
 // release asks the device to go elsewhere once its requests are answered.
@@ -102,7 +102,7 @@
 	c.mu.Unlock()
 	if !was {
 		c.send(message.Message{Code: codes.Release, Options: message.Options{
-			coapwire.Uint(message.TCPHoldOff, uint32(c.f.HoldOff/time.Second))}}, false)
+			coapwire.UintOption(message.TCPHoldOff, uint32(c.f.HoldOff/time.Second))}}, false)
 	}
 }
 
@@ -207,7 +207,7 @@
 func (c *conn) wakeAt() time.Time {
 	switch {
 	case !c.greeted:
-		return c.began.Add(c.f.FirstTime) // from the connecting on, however it dribbles
+		return c.began.Add(c.f.FirstMessageTimeout) // from the connecting on, however it dribbles
 	case !c.pingAt.IsZero():
 		return c.pingAt.Add(c.dead)
 	case c.n > 0:
@@ -215,7 +215,7 @@
 	case len(c.open) > 0:
 		return c.heard.Add(c.dead / 2)
 	}
-	return c.heard.Add(c.f.IdleTime)
+	return c.heard.Add(c.f.KeepaliveTime)
 }
 
 // quiet handles a silence: it asks whether the device is there, or tells, by a counter's name, why the connection
@@ -264,11 +264,11 @@
 func (c *conn) frames(now time.Time) error {
 	at := 0
 	for at < c.n {
-		n, err := coapwire.Frame(c.buf[at:c.n])
+		n, err := coapwire.FrameLength(c.buf[at:c.n])
 		if err != nil {
 			return err
 		}
-		if n > c.f.MaxMessage {
+		if n > c.f.MaxMessageSize {
 			return errors.New("a message over the size that this side told")
 		}
 		if n == 0 || n > c.n-at {
@@ -335,13 +335,13 @@
 	if used {
 		return errors.New("a token that is in use")
 	}
-	if open >= c.f.MaxOpen {
+	if open >= c.f.MaxPendingRequests {
 		c.f.Metrics.Add("device_requests_too_many", 1)
-		if m.Code == codes.PUT && m.Options.HasOption(coapwire.OptRepeat) { // an earlier copy may have run
+		if m.Code == codes.PUT && m.Options.HasOption(coapwire.OptRetry) { // an earlier copy may have run
 			c.reply(m.Token, codes.BadGateway, "failed, it may have been done")
 			return nil
 		}
-		c.reply(m.Token, codes.TooManyRequests, "too many requests are open", coapwire.Uint(message.MaxAge, 1))
+		c.reply(m.Token, codes.TooManyRequests, "too many requests are open", coapwire.UintOption(message.MaxAge, 1))
 		return nil
 	}
 	if err := c.request(m, now); err != nil {
@@ -373,7 +373,7 @@
 		for _, o := range m.Options {
 			switch o.ID {
 			case message.TCPMaxMessageSize:
-				v, ok := coapwire.ReadUint(o.Value)
+				v, ok := coapwire.DecodeUint(o.Value)
 				if !ok || v < 64 {
 					return errors.New("a Max-Message-Size that nothing fits into")
 				}
@@ -468,7 +468,7 @@
 		}
 		d.BodyDigest = sha256.Sum256(d.Body)
 	}
-	req.Upstream = c.f.Carrier
+	req.Upstream = c.f.Upstream
 	req.ClientDelayMs = clock.Ms(now.Sub(c.began))
 	req.RemainingMs -= req.ClientDelayMs
 	if end := math.Float64frombits(c.f.endMs.Load()); end != 0 { // the program ends then, and what it leaves open is lost
@@ -483,7 +483,7 @@
 	c.open[string(p.token)] = p
 	// A copy that took all its time to get here has its answer from the ledger at once. The guard must not race that:
 	// a device that was told of its write by an earlier copy would be told now that it failed.
-	p.stop = c.f.Clock.AfterFunc(max(0, req.RemainingMs)+clock.Ms(c.f.GuardTime), func() { c.late(p) })
+	p.stop = c.f.Clock.AfterFunc(max(0, req.RemainingMs)+clock.Ms(c.f.ResponseGrace), func() { c.late(p) })
 	c.mu.Unlock()
 	req.Respond = func(a lifecycle.Response) { c.answered(p, a) }
 	if !c.f.Loop.Submit(req) {
@@ -519,7 +519,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.IdleTimeoutMs > 0 {
-		c.dead = min(max(clock.Duration(a.IdleTimeoutMs), c.f.LeastDead), c.f.MostDead)
+		c.dead = min(max(clock.Duration(a.IdleTimeoutMs), c.f.MinIdleTimeout), c.f.MaxIdleTimeout)
 	}
 	if a.BlockSize > 0 {
 		c.block = a.BlockSize
@@ -623,21 +623,21 @@
 	case lifecycle.Served:
 		whole = c.served(&m, p, a)
 	case lifecycle.Rejected:
-		text(codes.ServiceUnavailable, "busy, nothing was done", coapwire.Uint(message.MaxAge, seconds(a.RetryAfterMs)))
+		text(codes.ServiceUnavailable, "busy, nothing was done", coapwire.UintOption(message.MaxAge, seconds(a.RetryAfterMs)))
 	case lifecycle.Conflict:
 		text(codes.Conflict, "another content than that of the exchange it names; nothing of it was done")
 	case lifecycle.Continue:
 		echo := *p.in.block1
 		c.mu.Lock()
 		if c.block > 0 && c.block < echo.Size { // the link does better with smaller ones
-			echo = coapwire.Place{Offset: echo.Offset, Size: c.block, More: echo.More}
+			echo = coapwire.Block{Offset: echo.Offset, Size: c.block, More: echo.More}
 		}
 		c.mu.Unlock()
 		m.Code, m.Options = codes.Continue, message.Options{echo.Option(message.Block1)}
 	case lifecycle.Incomplete:
-		text(codes.RequestEntityIncomplete, "a block does not fit on", coapwire.Uint(coapwire.OptHave, uint32(a.BufferedBytes)))
+		text(codes.RequestEntityIncomplete, "a block does not fit on", coapwire.UintOption(coapwire.OptBufferedBytes, uint32(a.BufferedBytes)))
 	case lifecycle.TooLarge:
-		text(codes.RequestEntityTooLarge, "too large", coapwire.Uint(message.Size1, httpmessage.MaxBodyBytes))
+		text(codes.RequestEntityTooLarge, "too large", coapwire.UintOption(message.Size1, httpmessage.MaxBodyBytes))
 	case lifecycle.Superseded:
 		text(codes.Abort, "newer connections wait for the answer")
 		m.Token = nil
@@ -675,43 +675,43 @@
 			m.Code, m.Payload = codes.InternalServerError, []byte("the answer is larger than your Max-Message-Size")
 			return true
 		}
-		at = &coapwire.Place{Size: coapwire.BERTBlock, BERT: c.bert()}
+		at = &coapwire.Block{Size: coapwire.BERTBlockSize, BERT: c.bert()}
 	}
 	size := at.Size
 	switch {
 	case at.BERT && c.bert(): // as many units as are good for the link
 		if advised > 0 {
-			size = max(advised, coapwire.BERTBlock)
+			size = max(advised, coapwire.BERTBlockSize)
 		} else {
 			size = most
 		}
-		size = max(1, min(most, size)/coapwire.BERTBlock) * coapwire.BERTBlock
+		size = max(1, min(most, size)/coapwire.BERTBlockSize) * coapwire.BERTBlockSize
 	case at.BERT:
-		at = &coapwire.Place{Offset: at.Offset, Size: coapwire.BERTBlock}
+		at = &coapwire.Block{Offset: at.Offset, Size: coapwire.BERTBlockSize}
 	}
 	for !at.BERT && size > 16 && (size > most || advised >= 16 && size > advised) && at.Offset%(size/2) == 0 {
 		size /= 2
 	}
 	if !at.BERT {
-		at = &coapwire.Place{Offset: at.Offset, Size: size}
+		at = &coapwire.Block{Offset: at.Offset, Size: size}
 	}
 	if at.Offset > 0 && at.Offset >= len(body) {
 		m.Code, m.Payload = codes.BadOption, []byte("a block behind the end")
 		return false
 	}
 	end := min(at.Offset+size, len(body))
-	at = &coapwire.Place{Offset: at.Offset, Size: at.Size, BERT: at.BERT, More: end < len(body)}
+	at = &coapwire.Block{Offset: at.Offset, Size: at.Size, BERT: at.BERT, More: end < len(body)}
 	m.Options = message.Options{{ID: message.ETag, Value: etag}, at.Option(message.Block2)}
 	if p.in.block1 != nil {
 		m.Options = append(m.Options, p.in.block1.Option(message.Block1))
 	}
-	m.Options = append(m.Options, coapwire.Uint(message.Size2, uint32(len(body))))
+	m.Options = append(m.Options, coapwire.UintOption(message.Size2, uint32(len(body))))
 	m.Payload = body[at.Offset:end]
 	return !at.More
 }
 
 // bert tells whether the device takes blocks of more than 1 KiB (RFC 8323, 6).
-func (c *conn) bert() bool { return c.peerBlk && c.peerMost > coapwire.DefaultMost }
+func (c *conn) bert() bool { return c.peerBlk && c.peerMost > coapwire.DefaultMaxMessageSize }
 
 // seconds is a Max-Age: whole, and at least one, since zero would be "at once".
 func seconds(ms float64) uint32 { return uint32(max(1, math.Ceil(ms/1000))) }
--- a/internal/frontend/coapserver/front.go
+++ b/internal/frontend/coapserver/front.go
@@ -31,16 +31,16 @@
 
 // Options bound a Front.
 type Options struct {
-	Gateway    string        // told to devices: another at each start
-	MaxConns   int           // connections at once
-	MaxOpen    int           // requests open on one connection
-	MaxMessage int           // bytes of a message that is taken
-	FirstTime  time.Duration // for the first message
-	IdleTime   time.Duration // without a byte, before the device is asked whether it is there
-	LeastDead  time.Duration // a silence in the midst of something ends a connection after a time from here,
-	MostDead   time.Duration // to here; the link's history says where
-	HoldOff    time.Duration // told with Release: when a device may connect again
-	GuardTime  time.Duration // behind a request's time the front gives up by itself
+	GatewayName         string        // told to devices: another at each start
+	MaxConns            int           // connections at once
+	MaxPendingRequests  int           // requests open on one connection
+	MaxMessageSize      int           // bytes of a message that is taken
+	FirstMessageTimeout time.Duration // for the first message
+	KeepaliveTime       time.Duration // without a byte, before the device is asked whether it is there
+	MinIdleTimeout      time.Duration // a silence in the midst of something ends a connection after a time from here,
+	MaxIdleTimeout      time.Duration // to here; the link's history says where
+	HoldOff             time.Duration // told with Release: when a device may connect again
+	ResponseGrace       time.Duration // behind a request's time the front gives up by itself
 }
 
 // Loop is what the front asks of the loop.
@@ -51,11 +51,11 @@
 	LinkMeasured(device string, l lifecycle.LinkSample)
 }
 
-// Front serves devices.
-type Front struct {
+// Server serves devices.
+type Server struct {
 	Options
 	Loop     Loop
-	Carrier  lifecycle.Upstream
+	Upstream lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Registry
 	Settings *scheduler.Settings
@@ -69,18 +69,18 @@
 }
 
 // Serve takes connections until the listener closes.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			return err
 		}
-		f.Take(nc)
+		f.StartConn(nc)
 	}
 }
 
-// Take serves a connection in goroutines of its own.
-func (f *Front) Take(nc net.Conn) {
+// StartConn serves a connection in goroutines of its own.
+func (f *Server) StartConn(nc net.Conn) {
 	c := newConn(f, nc)
 	f.mu.Lock()
 	if f.conns == nil {
@@ -111,7 +111,7 @@
 }
 
 // shed closes the connection that has been idle the longest, if one has nothing open. f.mu is held.
-func (f *Front) shed() bool {
+func (f *Server) shed() bool {
 	var oldest *conn
 	var since time.Time
 	for c := range f.conns {
@@ -128,11 +128,11 @@
 	return true
 }
 
-// Stopping makes the front answer all that it takes from now on before endMs.
-func (f *Front) Stopping(endMs float64) { f.endMs.Store(math.Float64bits(endMs)) }
+// SetResponseDeadline makes the front answer all that it takes from now on before endMs.
+func (f *Server) SetResponseDeadline(endMs float64) { f.endMs.Store(math.Float64bits(endMs)) }
 
 // Drain asks devices to go elsewhere. Those between connections may still come for their answers.
-func (f *Front) Drain() {
+func (f *Server) Drain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.draining = true
@@ -141,8 +141,8 @@
 	}
 }
 
-// End answers what is open, closes all connections and waits for that; the listener must be closed before.
-func (f *Front) End() {
+// Shutdown answers what is open, closes all connections and waits for that; the listener must be closed before.
+func (f *Server) Shutdown() {
 	f.mu.Lock()
 	f.ending = true
 	for c := range f.conns {
@@ -152,15 +152,15 @@
 	f.wg.Wait()
 }
 
-// Conns is the number of connections.
-func (f *Front) Conns() int {
+// ConnCount is the number of connections.
+func (f *Server) ConnCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// CloseAll closes all connections as they are.
-func (f *Front) CloseAll() {
+// Close closes all connections as they are.
+func (f *Server) Close() {
 	f.mu.Lock()
 	f.ending = true
 	all := make([]*conn, 0, len(f.conns))
--- a/internal/frontend/coapserver/front_test.go
+++ b/internal/frontend/coapserver/front_test.go
@@ -73,11 +73,11 @@
 	return len(l.taken), len(l.gone), len(l.written)
 }
 
-func testFront(l *fakeLoop) *Front {
+func testFront(l *fakeLoop) *Server {
 	set := testsettings.Settings(4)
-	return &Front{Loop: l, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Options: Options{MaxConns: 4,
-		MaxOpen: 2, MaxMessage: 4096, FirstTime: 5 * time.Second, IdleTime: time.Minute, LeastDead: time.Second,
-		MostDead: 4 * time.Second, HoldOff: 3 * time.Second, GuardTime: 25 * time.Millisecond}}
+	return &Server{Loop: l, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Options: Options{MaxConns: 4,
+		MaxPendingRequests: 2, MaxMessageSize: 4096, FirstMessageTimeout: 5 * time.Second, KeepaliveTime: time.Minute, MinIdleTimeout: time.Second,
+		MaxIdleTimeout: 4 * time.Second, HoldOff: 3 * time.Second, ResponseGrace: 25 * time.Millisecond}}
 }
 
 // client is the device's end of a connection; reading is a goroutine's.
@@ -88,10 +88,10 @@
 	over chan bool
 }
 
-func connect(t *testing.T, f *Front) *client {
+func connect(t *testing.T, f *Server) *client {
 	near, far := net.Pipe()
 	c := &client{t: t, nc: near, in: make(chan *message.Message, 256), over: make(chan bool)}
-	f.Take(far)
+	f.StartConn(far)
 	go func() {
 		defer close(c.over)
 		var buf []byte
@@ -100,7 +100,7 @@
 			n, err := near.Read(chunk)
 			buf = append(buf, chunk[:n]...)
 			for {
-				n, ferr := coapwire.Frame(buf)
+				n, ferr := coapwire.FrameLength(buf)
 				if ferr != nil || n == 0 || n > len(buf) {
 					break
 				}
@@ -124,7 +124,7 @@
 // hello exchanges CSMs and answers the first ping.
 func (c *client) hello(most uint32) {
 	c.t.Helper()
-	c.put(message.Message{Code: codes.CSM, Options: message.Options{coapwire.Uint(message.TCPMaxMessageSize, most),
+	c.put(message.Message{Code: codes.CSM, Options: message.Options{coapwire.UintOption(message.TCPMaxMessageSize, most),
 		{ID: message.TCPBlockWiseTransfer}}})
 	c.want(codes.CSM)
 	c.want(codes.Ping)
@@ -160,8 +160,8 @@
 		class = "pull"
 	}
 	o := message.Options{{ID: message.URIPath, Value: []byte(class)}, {ID: message.URIPath, Value: []byte("7f3a9c21e0b4d655")},
-		{ID: coapwire.OptDevice, Value: []byte("dev")}, coapwire.Uint(coapwire.OptLeft, 2000),
-		{ID: coapwire.OptKey, Value: []byte("k1")}, {ID: coapwire.OptPlan, Value: []byte("basic")},
+		{ID: coapwire.OptDevice, Value: []byte("dev")}, coapwire.UintOption(coapwire.OptTimeLeft, 2000),
+		{ID: coapwire.OptIdempotencyKey, Value: []byte("k1")}, {ID: coapwire.OptPlan, Value: []byte("basic")},
 		{ID: coapwire.OptIO, Value: []byte("volume=1,units=2,shard=3,hosts=1")}}
 	if change != nil {
 		o = change(o)
@@ -170,7 +170,7 @@
 }
 
 // inBubble runs a test in a bubble's time with one connected device.
-func inBubble(t *testing.T, most uint32, take func(*lifecycle.Request), f func(*Front, *fakeLoop, *client)) {
+func inBubble(t *testing.T, most uint32, take func(*lifecycle.Request), f func(*Server, *fakeLoop, *client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLoop{take: take}
@@ -180,8 +180,8 @@
 		synctest.Wait()
 		f(front, l, c)
 		c.nc.Close()
-		front.CloseAll()
-		front.End()
+		front.Close()
+		front.Shutdown()
 	})
 }
 
@@ -190,7 +190,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	block := coapwire.Place{Offset: 2048, Size: 1024, More: true}
+	block := coapwire.Block{Offset: 2048, Size: 1024, More: true}
 	for name, c := range map[string]struct {
 		answer lifecycle.Response
 		code   codes.Code
@@ -209,21 +209,21 @@
 		"other":  {lifecycle.Response{Kind: lifecycle.Conflict}, codes.Conflict, nil},
 		"large":  {lifecycle.Response{Kind: lifecycle.TooLarge}, codes.RequestEntityTooLarge, nil},
 		"gap": {lifecycle.Response{Kind: lifecycle.Incomplete, BufferedBytes: 1024}, codes.RequestEntityIncomplete, func(m *message.Message) bool {
-			n, err := m.Options.GetUint32(coapwire.OptHave)
+			n, err := m.Options.GetUint32(coapwire.OptBufferedBytes)
 			return err == nil && n == 1024
 		}},
 		"more": {lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 3072}, codes.Continue, func(m *message.Message) bool {
 			b, _ := m.Options.GetBytes(message.Block1)
-			p, ok := coapwire.ReadPlace(b)
+			p, ok := coapwire.DecodeBlock(b)
 			return ok && p == block
 		}},
 		"more, smaller": {lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 3072, BlockSize: 256}, codes.Continue, func(m *message.Message) bool {
 			b, _ := m.Options.GetBytes(message.Block1)
-			p, ok := coapwire.ReadPlace(b)
+			p, ok := coapwire.DecodeBlock(b)
 			return ok && p.Offset == 2048 && p.Size == 256
 		}},
 	} {
-		inBubble(t, 4096, answering(c.answer), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, 4096, answering(c.answer), func(f *Server, l *fakeLoop, k *client) {
 			k.put(ask(codes.PUT, 1, make([]byte, 1024), func(o message.Options) message.Options { return o.Add(block.Option(message.Block1)) }))
 			m := k.want(c.code)
 			if c.check != nil && !c.check(m) || m.Token[0] != 1 {
@@ -262,13 +262,13 @@
 		"delete":              {codes.DELETE, "", nil, codes.MethodNotAllowed},
 		"a critical option":   {codes.GET, "", add(message.Option{ID: 65101}), codes.BadOption},
 		"an option twice":     {codes.GET, "", add(message.Option{ID: coapwire.OptPlan, Value: []byte("basic")}), codes.BadOption},
-		"no time":             {codes.GET, "", drop(coapwire.OptLeft), codes.BadRequest},
-		"a long time":         {codes.GET, "", set(coapwire.OptLeft, "\x7f\xff\xff\xff"), codes.BadRequest},
-		"a long number":       {codes.GET, "", set(coapwire.OptLeft, "12345"), codes.BadOption},
+		"no time":             {codes.GET, "", drop(coapwire.OptTimeLeft), codes.BadRequest},
+		"a long time":         {codes.GET, "", set(coapwire.OptTimeLeft, "\x7f\xff\xff\xff"), codes.BadRequest},
+		"a long number":       {codes.GET, "", set(coapwire.OptTimeLeft, "12345"), codes.BadOption},
 		"no device":           {codes.GET, "", drop(coapwire.OptDevice), codes.BadRequest},
 		"a long device":       {codes.GET, "", set(coapwire.OptDevice, strings.Repeat("d", 65)), codes.BadOption},
-		"no key":              {codes.PUT, "x", drop(coapwire.OptKey), codes.BadRequest},
-		"no id":               {codes.GET, "", drop(coapwire.OptKey), codes.BadRequest},
+		"no key":              {codes.PUT, "x", drop(coapwire.OptIdempotencyKey), codes.BadRequest},
+		"no id":               {codes.GET, "", drop(coapwire.OptIdempotencyKey), codes.BadRequest},
 		"no plan":             {codes.GET, "", drop(coapwire.OptPlan), codes.BadRequest},
 		"no IO":               {codes.GET, "", drop(coapwire.OptIO), codes.BadRequest},
 		"no path":             {codes.GET, "", drop(message.URIPath), codes.NotFound},
@@ -279,13 +279,13 @@
 		"a write of a read's": {codes.PUT, "x", func(o message.Options) message.Options {
 			return o.Remove(message.URIPath).Add(message.Option{ID: message.URIPath, Value: []byte("pull")}).Add(message.Option{ID: message.URIPath, Value: []byte("7f3a9c21e0b4d655")})
 		}, codes.BadRequest},
-		"another format":           {codes.GET, "", add(coapwire.Uint(message.Accept, 50)), codes.NotAcceptable},
-		"a block that is not full": {codes.PUT, "x", add(coapwire.Place{Size: 64, More: true}.Option(message.Block1)), codes.BadRequest},
-		"a block that is too much": {codes.PUT, strings.Repeat("x", 65), add(coapwire.Place{Size: 64}.Option(message.Block1)), codes.BadRequest},
-		"BERT that is not full":    {codes.PUT, strings.Repeat("x", 1025), add(coapwire.Place{Size: 1024, BERT: true, More: true}.Option(message.Block1)), codes.BadRequest},
+		"another format":           {codes.GET, "", add(coapwire.UintOption(message.Accept, 50)), codes.NotAcceptable},
+		"a block that is not full": {codes.PUT, "x", add(coapwire.Block{Size: 64, More: true}.Option(message.Block1)), codes.BadRequest},
+		"a block that is too much": {codes.PUT, strings.Repeat("x", 65), add(coapwire.Block{Size: 64}.Option(message.Block1)), codes.BadRequest},
+		"BERT that is not full":    {codes.PUT, strings.Repeat("x", 1025), add(coapwire.Block{Size: 1024, BERT: true, More: true}.Option(message.Block1)), codes.BadRequest},
 		"a bad block":              {codes.PUT, "x", add(message.Option{ID: message.Block1, Value: []byte("1234")}), codes.BadOption},
 	} {
-		inBubble(t, 4096, answering(lifecycle.Response{Result: []byte("fine")}), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, 4096, answering(lifecycle.Response{Result: []byte("fine")}), func(f *Server, l *fakeLoop, k *client) {
 			k.put(ask(c.code, 1, []byte(c.payload), c.change))
 			k.want(c.want)
 			if taken, _, _ := l.counts(); taken != 0 {
@@ -308,19 +308,19 @@
 		"a token in use":        coapwire.Encode(ask(codes.GET, 7, nil, nil)),
 		"a response":            coapwire.Encode(message.Message{Code: codes.Content, Token: message.Token{1}}),
 		"a critical CSM option": coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{{ID: 9}}}),
-		"a size for nothing":    coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{coapwire.Uint(message.TCPMaxMessageSize, 8)}}),
+		"a size for nothing":    coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{coapwire.UintOption(message.TCPMaxMessageSize, 8)}}),
 		"an unknown signal":     coapwire.Encode(message.Message{Code: 0xe7, Token: message.Token{1}}),
 		"fifty options":         coapwire.Encode(message.Message{Code: codes.GET, Options: slices.Repeat(message.Options{{ID: message.URIPath, Value: []byte("a")}}, 50)}),
 	} {
-		inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) {
 			k.put(ask(codes.GET, 7, nil, nil))
 			synctest.Wait()
 			k.nc.Write(raw)
 			k.want(codes.Abort)
 			<-k.over
 			synctest.Wait()
-			if taken, gone, _ := l.counts(); taken != 1 || gone != 1 || f.Conns() != 0 {
-				t.Errorf("%s: %d taken, %d gone, %d connections", name, taken, gone, f.Conns())
+			if taken, gone, _ := l.counts(); taken != 1 || gone != 1 || f.ConnCount() != 0 {
+				t.Errorf("%s: %d taken, %d gone, %d connections", name, taken, gone, f.ConnCount())
 			}
 		})
 	}
@@ -331,7 +331,7 @@
 		k.put(ask(codes.GET, 1, nil, nil))
 		k.want(codes.Abort)
 		<-k.over
-		f.End()
+		f.Shutdown()
 	})
 }
 
@@ -345,7 +345,7 @@
 		most           uint32
 		advised, first int
 	}{{1152, 0, 1024}, {1152, 256, 256}, {4000, 0, 3072}, {4000, 2048, 2048}, {8000, 0, 5000}, {8000, 1024, 1024}} {
-		inBubble(t, c.most, answering(lifecycle.Response{Result: body, ETag: 77, BlockSize: c.advised}), func(f *Front, l *fakeLoop, k *client) {
+		inBubble(t, c.most, answering(lifecycle.Response{Result: body, ETag: 77, BlockSize: c.advised}), func(f *Server, l *fakeLoop, k *client) {
 			k.put(ask(codes.GET, 1, nil, nil))
 			m := k.want(codes.Content)
 			if len(m.Payload) != c.first {
@@ -354,7 +354,7 @@
 			got, n := m.Payload, 1
 			for token := byte(2); m.Options.HasOption(message.Block2); token++ {
 				b, _ := m.Options.GetBytes(message.Block2)
-				p, _ := coapwire.ReadPlace(b)
+				p, _ := coapwire.DecodeBlock(b)
 				etag, _ := m.Options.GetBytes(message.ETag)
 				if size, _ := m.Options.GetUint32(message.Size2); size != 5000 || binary.BigEndian.Uint64(etag) != 77 {
 					t.Fatalf("%+v: size %d, etag %x", c, size, etag)
@@ -362,7 +362,7 @@
 				if !p.More {
 					break
 				}
-				next := coapwire.Place{Offset: len(got), Size: p.Size, BERT: p.BERT}
+				next := coapwire.Block{Offset: len(got), Size: p.Size, BERT: p.BERT}
 				k.put(ask(codes.GET, token, nil, func(o message.Options) message.Options { return o.Add(next.Option(message.Block2)) }))
 				m = k.want(codes.Content)
 				got = append(got, m.Payload...)
@@ -373,7 +373,7 @@
 				t.Errorf("%+v: %d bytes in %d blocks, %d written, %d gone", c, len(got), n, written, gone)
 			}
 			k.put(ask(codes.GET, 100, nil, func(o message.Options) message.Options {
-				return o.Add(coapwire.Place{Offset: 8192, Size: 1024}.Option(message.Block2))
+				return o.Add(coapwire.Block{Offset: 8192, Size: 1024}.Option(message.Block2))
 			}))
 			k.want(codes.BadOption)
 			k.put(ask(codes.GET, 101, nil, func(o message.Options) message.Options {
@@ -388,7 +388,7 @@
 
 // A silence is looked into where something is owed, and ends the connection only if the device does not answer.
 func TestSilences(t *testing.T) {
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) { // in the middle of a frame
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) { // in the middle of a frame
 		raw := coapwire.Encode(ask(codes.PUT, 1, []byte("data"), nil))
 		k.nc.Write(raw[:len(raw)-2])
 		<-k.over
@@ -397,8 +397,8 @@
 			t.Errorf("%d taken of a frame that was never whole", taken)
 		}
 	})
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) { // while a request is open
-		put := ask(codes.PUT, 1, []byte("data"), func(o message.Options) message.Options { return o.Set(coapwire.Uint(coapwire.OptLeft, 6000)) })
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) { // while a request is open
+		put := ask(codes.PUT, 1, []byte("data"), func(o message.Options) message.Options { return o.Set(coapwire.UintOption(coapwire.OptTimeLeft, 6000)) })
 		k.put(put)
 		for range 2 {
 			k.want(codes.Ping)
@@ -411,7 +411,7 @@
 			t.Errorf("%d taken, %d gone", taken, gone)
 		}
 	})
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) { // between requests
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) { // between requests
 		began := time.Now()
 		k.want(codes.Ping)
 		if time.Since(began) < time.Minute/2 {
@@ -420,7 +420,7 @@
 		k.put(message.Message{Code: codes.Pong})
 		synctest.Wait()
 		time.Sleep(30 * time.Second)
-		if f.Conns() != 1 {
+		if f.ConnCount() != 1 {
 			t.Error("an idle device that answers was cut off")
 		}
 	})
@@ -431,30 +431,30 @@
 		if f.Metrics.Get("device_connections_silent") != 1 {
 			t.Error("not counted")
 		}
-		f.End()
+		f.Shutdown()
 	})
 	synctest.Test(t, func(t *testing.T) { // who does not read its answer
 		l := &fakeLoop{take: answering(lifecycle.Response{Result: make([]byte, 3000)})}
 		f := testFront(l)
 		near, far := net.Pipe()
-		f.Take(far)
-		near.Write(coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{coapwire.Uint(message.TCPMaxMessageSize, 4096)}}))
+		f.StartConn(far)
+		near.Write(coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{coapwire.UintOption(message.TCPMaxMessageSize, 4096)}}))
 		near.Write(coapwire.Encode(ask(codes.GET, 1, nil, nil)))
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if taken, gone, written := l.counts(); taken != 1 || gone != 1 || written != 0 || f.Conns() != 0 {
-			t.Errorf("%d taken, %d gone, %d written, %d connections", taken, gone, written, f.Conns())
+		if taken, gone, written := l.counts(); taken != 1 || gone != 1 || written != 0 || f.ConnCount() != 0 {
+			t.Errorf("%d taken, %d gone, %d written, %d connections", taken, gone, written, f.ConnCount())
 		}
 		near.Close()
-		f.End()
+		f.Shutdown()
 	})
 }
 
 // The guard answers what the loop does not; a full inbox and too much at once are refused, and failed if an earlier
 // copy may have run.
 func TestTurnedAway(t *testing.T) {
-	repeat := func(o message.Options) message.Options { return o.Add(message.Option{ID: coapwire.OptRepeat}) }
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) {
+	repeat := func(o message.Options) message.Options { return o.Add(message.Option{ID: coapwire.OptRetry}) }
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) {
 		k.put(ask(codes.GET, 1, nil, nil))
 		k.put(ask(codes.GET, 2, nil, nil))
 		k.put(ask(codes.GET, 3, nil, nil))
@@ -473,7 +473,7 @@
 			t.Errorf("%d gone after %v", gone, time.Since(began))
 		}
 	})
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) {
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) {
 		l.full = true
 		k.put(ask(codes.PUT, 1, []byte("x"), nil))
 		k.want(codes.ServiceUnavailable)
@@ -484,7 +484,7 @@
 
 // A drain asks devices to go, answers what is open, and ends them; connections beyond the bound cost an idle one.
 func TestDrainAndBounds(t *testing.T) {
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) {
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) {
 		k.put(ask(codes.GET, 1, nil, nil))
 		synctest.Wait()
 		idle := connect(t, f)
@@ -498,7 +498,7 @@
 		young.want(codes.CSM)
 		young.want(codes.Release)
 		over := make(chan bool)
-		go func() { f.End(); close(over) }()
+		go func() { f.Shutdown(); close(over) }()
 		<-idle.over
 		synctest.Wait()
 		select {
@@ -510,7 +510,7 @@
 		k.want(codes.Content)
 		<-over
 	})
-	inBubble(t, 4096, nil, func(f *Front, l *fakeLoop, k *client) {
+	inBubble(t, 4096, nil, func(f *Server, l *fakeLoop, k *client) {
 		k.put(ask(codes.GET, 1, nil, nil)) // not idle, so it stays
 		var idle []*client
 		for range 3 {
@@ -524,7 +524,7 @@
 		last := connect(t, f)
 		<-idle[0].over
 		last.hello(4096)
-		if n := f.Conns(); n != 4 {
+		if n := f.ConnCount(); n != 4 {
 			t.Errorf("%d connections", n)
 		}
 	})
@@ -533,7 +533,7 @@
 // FuzzConn feeds a connection anything. Whatever comes, each request that is taken is answered or gone once, what the
 // front sends can be read, and it holds no more than the bounds say.
 func FuzzConn(f *testing.F) {
-	csm := coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{coapwire.Uint(message.TCPMaxMessageSize, 2000), {ID: message.TCPBlockWiseTransfer}}})
+	csm := coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{coapwire.UintOption(message.TCPMaxMessageSize, 2000), {ID: message.TCPBlockWiseTransfer}}})
 	seed := func(parts ...[]byte) {
 		f.Add(bytes.Join(parts, nil), uint8(0))
 		f.Add(bytes.Join(parts, nil), uint8(37))
@@ -543,7 +543,7 @@
 	seed(csm, get, get)
 	seed(csm, put[:20])
 	seed(csm, coapwire.Encode(message.Message{Code: codes.Ping, Token: message.Token{9}}), coapwire.Encode(message.Message{Code: codes.Release}), get)
-	for _, p := range []coapwire.Place{{Size: 16}, {Size: 1024, More: true}, {Offset: 4096, Size: 1024, BERT: true}} {
+	for _, p := range []coapwire.Block{{Size: 16}, {Size: 1024, More: true}, {Offset: 4096, Size: 1024, BERT: true}} {
 		seed(csm, coapwire.Encode(ask(codes.GET, 1, nil, func(o message.Options) message.Options { return o.Add(p.Option(message.Block2)) })),
 			coapwire.Encode(ask(codes.PUT, 2, make([]byte, 1024), func(o message.Options) message.Options { return o.Add(p.Option(message.Block1)) })))
 	}
@@ -576,7 +576,7 @@
 				}
 				data = data[n:]
 			}
-			front.End()
+			front.Shutdown()
 			c.nc.Close()
 		}()
 		answered := map[string]int{}
@@ -591,8 +591,8 @@
 			}
 			break
 		}
-		front.CloseAll()
-		front.End()
+		front.Close()
+		front.Shutdown()
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, r := range append(append([]*lifecycle.Request(nil), l.gone...), l.written...) {
@@ -603,11 +603,11 @@
 			}
 			mu.Unlock()
 		}
-		if n := front.Conns(); n != 0 {
+		if n := front.ConnCount(); n != 0 {
 			t.Errorf("%d connections left", n)
 		}
 		for _, r := range l.taken {
-			if len(r.Device.Body) > front.MaxMessage || r.Device.ID == "" || r.Class == "" {
+			if len(r.Device.Body) > front.MaxMessageSize || r.Device.ID == "" || r.Class == "" {
 				t.Errorf("taken: %+v", r.Device)
 			}
 		}
@@ -622,13 +622,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		near, far := net.Pipe()
-		f.Take(far)
+		f.StartConn(far)
 		go io.Copy(io.Discard, near)
 		near.Write(csm)
 	}
 	b.StopTimer()
-	f.CloseAll()
-	f.End()
+	f.Close()
+	f.Shutdown()
 }
 
 // A message whose last byte comes when its device's time is up still gets the loop's answer, not the guard's: an
@@ -638,11 +638,11 @@
 		time.Sleep(5 * time.Millisecond)
 		r.Respond(lifecycle.Response{Kind: lifecycle.Served, Result: []byte("kept"), Cached: true})
 	}
-	inBubble(t, 4096, slow, func(f *Front, l *fakeLoop, k *client) {
+	inBubble(t, 4096, slow, func(f *Server, l *fakeLoop, k *client) {
 		raw := coapwire.Encode(ask(codes.PUT, 1, []byte("x"), func(o message.Options) message.Options {
 			for i := range o {
-				if o[i].ID == coapwire.OptLeft {
-					o[i] = coapwire.Uint(coapwire.OptLeft, 200)
+				if o[i].ID == coapwire.OptTimeLeft {
+					o[i] = coapwire.UintOption(coapwire.OptTimeLeft, 200)
 				}
 			}
 			return o
--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -42,10 +42,10 @@
 	wire []byte
 }
 
-func newRecorder(f *Front) *recorder {
+func newRecorder(f *Server) *recorder {
 	near, far := net.Pipe()
 	r := &recorder{nc: near}
-	f.Take(far)
+	f.StartConn(far)
 	go r.read()
 	return r
 }
@@ -90,36 +90,36 @@
 func (r *recorder) greet(most uint32) {
 	r.step("connected", nil)
 	r.step("after the device's CSM", coapwire.Encode(message.Message{Code: codes.CSM, Options: message.Options{
-		coapwire.Uint(message.TCPMaxMessageSize, most), {ID: message.TCPBlockWiseTransfer}}}))
+		coapwire.UintOption(message.TCPMaxMessageSize, most), {ID: message.TCPBlockWiseTransfer}}}))
 	r.step("after its pong", coapwire.Encode(message.Message{Code: codes.Pong}))
 }
 
 // recordSession runs a session with a front in a bubble's time and compares all that the front wrote.
-func recordSession(t *testing.T, name string, most uint32, session func(*Front, *recorder)) {
+func recordSession(t *testing.T, name string, most uint32, session func(*Server, *recorder)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var r *recorder
 		front := testFront(&fakeLoop{take: func(q *lifecycle.Request) { q.Respond(r.answer) }})
-		front.Gateway = "gateway-1"
+		front.GatewayName = "gateway-1"
 		r = newRecorder(front)
 		r.greet(most)
 		session(front, r)
 		r.nc.Close()
-		front.CloseAll()
-		front.End()
+		front.Close()
+		front.Shutdown()
 		compareGolden(t, name, r.text.String())
 	})
 }
 
 // withBlock adds a block option to a request.
-func withBlock(id message.OptionID, p coapwire.Place) func(message.Options) message.Options {
+func withBlock(id message.OptionID, p coapwire.Block) func(message.Options) message.Options {
 	return func(o message.Options) message.Options { return o.Add(p.Option(id)) }
 }
 
 func TestGoldenPush(t *testing.T) {
-	recordSession(t, "push", 4096, func(_ *Front, r *recorder) {
-		first := coapwire.Place{Size: 1024, More: true}
-		last := coapwire.Place{Offset: 1024, Size: 1024}
+	recordSession(t, "push", 4096, func(_ *Server, r *recorder) {
+		first := coapwire.Block{Size: 1024, More: true}
+		last := coapwire.Block{Offset: 1024, Size: 1024}
 		r.exchange("first block held", ask(codes.PUT, 1, make([]byte, 1024), withBlock(message.Block1, first)),
 			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024})
 		r.exchange("last block, served", ask(codes.PUT, 2, []byte("rest"), withBlock(message.Block1, last)),
@@ -130,7 +130,7 @@
 }
 
 func TestGoldenResponses(t *testing.T) {
-	block := withBlock(message.Block1, coapwire.Place{Offset: 2048, Size: 1024, More: true})
+	block := withBlock(message.Block1, coapwire.Block{Offset: 2048, Size: 1024, More: true})
 	for name, a := range map[string]lifecycle.Response{
 		"served":         {Result: []byte("done"), ETag: 0x0102},
 		"refused":        {Kind: lifecycle.Rejected, RetryAfterMs: 1200},
@@ -143,7 +143,7 @@
 		"duplicate-open": {Kind: lifecycle.DuplicateID},
 	} {
 		t.Run(name, func(t *testing.T) {
-			recordSession(t, "response-"+name, 4096, func(_ *Front, r *recorder) {
+			recordSession(t, "response-"+name, 4096, func(_ *Server, r *recorder) {
 				r.exchange("a block of a push", ask(codes.PUT, 1, make([]byte, 1024), block), a)
 			})
 		})
@@ -154,17 +154,17 @@
 	answer := lifecycle.Response{Result: bytes.Repeat([]byte("0123456789"), 130), ETag: 77}
 	for name, c := range map[string]struct {
 		most uint32
-		next coapwire.Place
+		next coapwire.Block
 	}{
-		"single": {1152, coapwire.Place{Offset: 1024, Size: 1024}},
-		"small":  {512, coapwire.Place{Offset: 256, Size: 256}},
-		"bert":   {1280, coapwire.Place{Offset: 1024, Size: 1024, BERT: true}},
+		"single": {1152, coapwire.Block{Offset: 1024, Size: 1024}},
+		"small":  {512, coapwire.Block{Offset: 256, Size: 256}},
+		"bert":   {1280, coapwire.Block{Offset: 1024, Size: 1024, BERT: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			recordSession(t, "blocks-"+name, c.most, func(_ *Front, r *recorder) {
+			recordSession(t, "blocks-"+name, c.most, func(_ *Server, r *recorder) {
 				r.exchange("first block", ask(codes.GET, 1, nil, nil), answer)
 				r.exchange("next block", ask(codes.GET, 2, nil, withBlock(message.Block2, c.next)), answer)
-				behind := coapwire.Place{Offset: 8192, Size: 1024}
+				behind := coapwire.Block{Offset: 8192, Size: 1024}
 				r.exchange("behind the end", ask(codes.GET, 3, nil, withBlock(message.Block2, behind)), answer)
 				r.exchange("known already", ask(codes.GET, 4, nil, func(o message.Options) message.Options {
 					return o.Add(message.Option{ID: message.ETag, Value: []byte{0, 0, 0, 0, 0, 0, 0, 77}})
@@ -175,7 +175,7 @@
 }
 
 func TestGoldenSignals(t *testing.T) {
-	recordSession(t, "signals", 4096, func(f *Front, r *recorder) {
+	recordSession(t, "signals", 4096, func(f *Server, r *recorder) {
 		r.step("ping", coapwire.Encode(message.Message{Code: codes.Ping, Token: message.Token{9}}))
 		r.step("ping with custody", coapwire.Encode(message.Message{Code: codes.Ping, Options: message.Options{{ID: message.TCPCustody}}}))
 		r.exchange("malformed", ask(codes.DELETE, 1, nil, nil), lifecycle.Response{})
@@ -189,11 +189,11 @@
 }
 
 func TestGoldenFullInbox(t *testing.T) {
-	recordSession(t, "full-inbox", 4096, func(f *Front, r *recorder) {
+	recordSession(t, "full-inbox", 4096, func(f *Server, r *recorder) {
 		f.Loop.(*fakeLoop).full = true
 		r.exchange("push", ask(codes.PUT, 1, []byte("data"), nil), lifecycle.Response{})
 		r.exchange("repeated push", ask(codes.PUT, 2, []byte("data"), func(o message.Options) message.Options {
-			return o.Add(message.Option{ID: coapwire.OptRepeat})
+			return o.Add(message.Option{ID: coapwire.OptRetry})
 		}), lifecycle.Response{})
 	})
 }
--- a/internal/frontend/coapserver/message.go
+++ b/internal/frontend/coapserver/message.go
@@ -21,8 +21,8 @@
 	ageMs       float64
 	query, etag string
 	tag         string
-	block1      *coapwire.Place
-	block2      *coapwire.Place
+	block1      *coapwire.Block
+	block2      *coapwire.Block
 	total       int // Size1; below zero: not told
 	contentType string
 }
@@ -66,7 +66,7 @@
 			return nil, bad(codes.BadOption, "option %d is too long", o.ID)
 		}
 		number := func() (uint32, error) {
-			v, ok := coapwire.ReadUint(o.Value)
+			v, ok := coapwire.DecodeUint(o.Value)
 			if !ok {
 				return 0, bad(codes.BadOption, "option %d is not a number", o.ID)
 			}
@@ -107,7 +107,7 @@
 				r.etag += string(o.Value)
 			}
 		case message.Block1, message.Block2:
-			p, ok := coapwire.ReadPlace(o.Value)
+			p, ok := coapwire.DecodeBlock(o.Value)
 			if !ok {
 				return nil, bad(codes.BadOption, "a bad block option")
 			}
@@ -124,21 +124,21 @@
 			r.tag = string(o.Value)
 		case coapwire.OptDevice:
 			r.device = string(o.Value)
-		case coapwire.OptLeft:
+		case coapwire.OptTimeLeft:
 			v, err = number()
 			r.fields.LeftMs, left = uint64(v), true
-		case coapwire.OptKey:
+		case coapwire.OptIdempotencyKey:
 			r.fields.Key = string(o.Value)
 		case coapwire.OptPlan:
 			r.fields.Plan = string(o.Value)
 		case coapwire.OptIO:
 			r.fields.IO = string(o.Value)
-		case coapwire.OptRepeat:
+		case coapwire.OptRetry:
 			r.fields.Repeat = true
-		case coapwire.OptSentTo:
+		case coapwire.OptPreviousGateway:
 			r.sentTo = string(o.Value)
 		case coapwire.OptAge:
-			if v, ok := coapwire.ReadUint(o.Value); ok {
+			if v, ok := coapwire.DecodeUint(o.Value); ok {
 				r.ageMs = float64(v)
 			}
 		default:
@@ -164,7 +164,7 @@
 	if p := r.block1; p != nil {
 		n := len(m.Payload)
 		switch {
-		case p.BERT && p.More && (n == 0 || n%coapwire.BERTBlock != 0), !p.BERT && p.More && n != p.Size:
+		case p.BERT && p.More && (n == 0 || n%coapwire.BERTBlockSize != 0), !p.BERT && p.More && n != p.Size:
 			return nil, bad(codes.BadRequest, "a block that is not full")
 		case !p.BERT && n > p.Size:
 			return nil, bad(codes.BadRequest, "a block that is too large")
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -24,7 +24,7 @@
 	base
 	g     *Gateway
 	opt   *config.Devices
-	coap  *coapserver.Front
+	coap  *coapserver.Server
 	http  *httpserver.Front
 	conns *httpserver.Conns
 	lns   []net.Listener
@@ -47,11 +47,11 @@
 func newDevices(g *Gateway, o *config.Devices, gateway string) *devices {
 	p := &devices{g: g, opt: o}
 	if o.CoAP != "" {
-		p.coap = &coapserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpen,
-				MaxMessage: o.MaxMessage, FirstTime: o.FirstTime, IdleTime: o.IdleTime,
-				LeastDead: clock.Duration(o.Ledger.Link.MinIdleTimeoutMs), MostDead: clock.Duration(o.Ledger.Link.MaxIdleTimeoutMs),
-				HoldOff: o.HoldOff, GuardTime: 25 * time.Millisecond}}
+		p.coap = &coapserver.Server{Loop: g.loop, Upstream: g.back, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, Options: coapserver.Options{GatewayName: gateway, MaxConns: o.MaxConns, MaxPendingRequests: o.MaxOpen,
+				MaxMessageSize: o.MaxMessage, FirstMessageTimeout: o.FirstTime, KeepaliveTime: o.IdleTime,
+				MinIdleTimeout: clock.Duration(o.Ledger.Link.MinIdleTimeoutMs), MaxIdleTimeout: clock.Duration(o.Ledger.Link.MaxIdleTimeoutMs),
+				HoldOff: o.HoldOff, ResponseGrace: 25 * time.Millisecond}}
 	}
 	if o.HTTP != "" {
 		p.http = &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
@@ -93,7 +93,7 @@
 
 func (p *devices) stopping(t stopTimes) {
 	if p.coap != nil {
-		p.coap.Stopping(p.g.Clock.NowMs() + t.answer)
+		p.coap.SetResponseDeadline(p.g.Clock.NowMs() + t.answer)
 	}
 	if p.http != nil {
 		p.http.Drain(p.g.Clock.NowMs() + t.answer)
@@ -112,7 +112,7 @@
 	p.close()
 	var all sync.WaitGroup
 	if p.coap != nil {
-		all.Go(func() { within(t.leave-t.close, p.coap.End) })
+		all.Go(func() { within(t.leave-t.close, p.coap.Shutdown) })
 	}
 	if p.http != nil {
 		p.http.Close()
@@ -135,7 +135,7 @@
 func (p *devices) end() {
 	p.close()
 	if p.coap != nil {
-		p.coap.CloseAll()
+		p.coap.Close()
 	}
 	if p.serve != nil {
 		p.serve.Close()
--- a/internal/testbed/fakedevice/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -52,7 +52,7 @@
 	}
 	w.nc, w.link, w.buf = nc, link, nil
 	csm := message.Message{Code: codes.CSM, Options: message.Options{
-		coapwire.Uint(message.TCPMaxMessageSize, uint32(w.MostRead)), {ID: message.TCPBlockWiseTransfer}}}
+		coapwire.UintOption(message.TCPMaxMessageSize, uint32(w.MostRead)), {ID: message.TCPBlockWiseTransfer}}}
 	return w.put(ctx, csm)
 }
 
@@ -69,7 +69,7 @@
 // get reads messages up to the answer to a token.
 func (w *CoAP) get(ctx context.Context, token message.Token) (*message.Message, error) {
 	for {
-		n, err := coapwire.Frame(w.buf)
+		n, err := coapwire.FrameLength(w.buf)
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +94,7 @@
 		w.heard = w.heard || m.Code < codes.CSM
 		switch m.Code {
 		case codes.CSM:
-			w.name, _ = m.Options.GetString(coapwire.OptName)
+			w.name, _ = m.Options.GetString(coapwire.OptGatewayName)
 		case codes.Pong:
 		case codes.Ping:
 			if err := w.put(ctx, message.Message{Code: codes.Pong, Token: m.Token}); err != nil {
@@ -129,8 +129,8 @@
 	}
 	for _, o := range append(more,
 		message.Option{ID: coapwire.OptDevice, Value: []byte(w.Device)},
-		coapwire.Uint(coapwire.OptLeft, uint32(max(1, left.Milliseconds()))),
-		message.Option{ID: coapwire.OptKey, Value: []byte(c.Key)},
+		coapwire.UintOption(coapwire.OptTimeLeft, uint32(max(1, left.Milliseconds()))),
+		message.Option{ID: coapwire.OptIdempotencyKey, Value: []byte(c.Key)},
 		message.Option{ID: coapwire.OptPlan, Value: []byte("basic")},
 		message.Option{ID: coapwire.OptIO, Value: fmt.Appendf(nil, "volume=%s,units=1,shard=%d,hosts=1", c.Piece, c.Shard)}) {
 		opts = opts.Add(o)
@@ -138,9 +138,9 @@
 	if !c.repeat {
 		c.sentTo = w.name
 	} else {
-		opts = opts.Add(message.Option{ID: coapwire.OptSentTo, Value: []byte(c.sentTo)})
-		opts = opts.Add(message.Option{ID: coapwire.OptRepeat})
-		opts = opts.Add(coapwire.Uint(coapwire.OptAge, uint32(time.Since(c.began).Milliseconds())))
+		opts = opts.Add(message.Option{ID: coapwire.OptPreviousGateway, Value: []byte(c.sentTo)})
+		opts = opts.Add(message.Option{ID: coapwire.OptRetry})
+		opts = opts.Add(coapwire.UintOption(coapwire.OptAge, uint32(time.Since(c.began).Milliseconds())))
 	}
 	if err := w.put(ctx, message.Message{Code: code, Token: token, Options: opts, Payload: payload}); err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 		var from message.Options
 		if len(c.have) >= 1024 { // it asks for what it lacks
 			res.have, res.etag = c.have, c.etag
-			from = message.Options{coapwire.Place{Offset: len(c.have) / 1024 * 1024, Size: 1024}.Option(message.Block2)}
+			from = message.Options{coapwire.Block{Offset: len(c.have) / 1024 * 1024, Size: 1024}.Option(message.Block2)}
 		}
 		m, err = w.ask(ctx, c, from, c.Body)
 	}
@@ -205,11 +205,11 @@
 	for restarts := 0; ; {
 		at := w.held[name]
 		end := min(at+size, len(c.Body))
-		p := coapwire.Place{Offset: at, Size: min(size, 1024), BERT: size > 1024, More: end < len(c.Body)}
+		p := coapwire.Block{Offset: at, Size: min(size, 1024), BERT: size > 1024, More: end < len(c.Body)}
 		if !p.More {
 			res.sent, res.sentAt, w.heard = true, time.Now(), false
 		}
-		opts := message.Options{p.Option(message.Block1), coapwire.Uint(message.Size1, uint32(len(c.Body))),
+		opts := message.Options{p.Option(message.Block1), coapwire.UintOption(message.Size1, uint32(len(c.Body))),
 			{ID: message.RequestTag, Value: []byte(content(c.Body))[:8]}}
 		m, err := w.ask(ctx, c, opts, c.Body[at:end])
 		if err != nil {
@@ -219,7 +219,7 @@
 		case codes.Continue:
 			w.held[name] = end
 			if b, err := m.Options.GetBytes(message.Block1); err == nil {
-				if q, ok := coapwire.ReadPlace(b); ok && !q.BERT && q.Size < size && end%q.Size == 0 {
+				if q, ok := coapwire.DecodeBlock(b); ok && !q.BERT && q.Size < size && end%q.Size == 0 {
 					size = q.Size
 				}
 			}
@@ -228,7 +228,7 @@
 				return m, nil
 			}
 			w.held[name] = 0
-			if have, err := m.Options.GetUint32(coapwire.OptHave); err == nil && int(have)%size == 0 && int(have) < len(c.Body) {
+			if have, err := m.Options.GetUint32(coapwire.OptBufferedBytes); err == nil && int(have)%size == 0 && int(have) < len(c.Body) {
 				w.held[name] = int(have)
 			}
 		default:
@@ -245,7 +245,7 @@
 	}
 	for {
 		b, _ := m.Options.GetBytes(message.Block2)
-		p, ok := coapwire.ReadPlace(b)
+		p, ok := coapwire.DecodeBlock(b)
 		etag, _ := m.Options.GetBytes(message.ETag)
 		if !ok || m.Code != codes.Content {
 			if m.Code != codes.Content {
@@ -267,7 +267,7 @@
 			return res, nil
 		}
 		res.have = got
-		next := coapwire.Place{Offset: len(got) / p.Size * p.Size, Size: p.Size, BERT: p.BERT}
+		next := coapwire.Block{Offset: len(got) / p.Size * p.Size, Size: p.Size, BERT: p.BERT}
 		var err error
 		if m, err = w.ask(ctx, c, message.Options{next.Option(message.Block2)}, nil); err != nil {
 			return res, ErrLost
