--- /dev/null
+++ b/internal/coapwire/block.go
@@ -0,0 +1,60 @@
+package coapwire
+
+import "github.com/plgd-dev/go-coap/v3/message"
+
+// BERTBlockSize is the unit, in bytes, in which a Block option with BERT counts (RFC 8323, 6).
+const BERTBlockSize = 1024
+
+// The value of a Block option (RFC 7959, 2.2): the block number, the flag "more", and the size exponent.
+const (
+	sizeExponentMask = 0x7
+	sizeExponentBERT = 7
+	moreFlag         = 0x8
+	numberShift      = 4
+	maxBlockNumber   = 1<<20 - 1
+	minBlockSize     = 16
+	maxBlockLength   = 3 // bytes of the value
+)
+
+// Block is the value of a Block1 or Block2 option: which part of a body a message carries or asks for.
+type Block struct {
+	Offset int  // bytes before the part
+	Size   int  // bytes of the block; with BERT the unit, while the part may hold several
+	More   bool // further parts follow
+	BERT   bool
+}
+
+// DecodeBlock decodes the value of a Block option. It returns false if the value is not one.
+func DecodeBlock(encoded []byte) (Block, bool) {
+	value, ok := DecodeUint(encoded)
+	if !ok || len(encoded) > maxBlockLength {
+		return Block{}, false
+	}
+	exponent := value & sizeExponentMask
+	block := Block{
+		More: value&moreFlag != 0,
+		Size: minBlockSize << exponent,
+		BERT: exponent == sizeExponentBERT,
+	}
+	if block.BERT {
+		block.Size = BERTBlockSize
+	}
+	block.Offset = int(value>>numberShift) * block.Size
+	return block, true
+}
+
+// Option returns the block as an option with the ID of Block1 or Block2. Size must be a power of two from 16 to 1024.
+func (b Block) Option(id message.OptionID) message.Option {
+	exponent := uint32(sizeExponentBERT)
+	if !b.BERT {
+		exponent = 0
+		for minBlockSize<<exponent < b.Size {
+			exponent++
+		}
+	}
+	value := uint32(min(b.Offset/b.Size, maxBlockNumber))<<numberShift | exponent
+	if b.More {
+		value |= moreFlag
+	}
+	return UintOption(id, value)
+}
