--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -73,7 +73,7 @@
 			MaxDevices:          integer("max_devices", 4096),
 			MaxActivePerDevice:  integer("max_exchanges_per_device", 16),
 			MaxWaitingCopies:    maxWaitingCopies,
-			MaxStoredBytes:        integer("max_held_bytes", 8<<20),
+			MaxStoredBytes:      integer("max_held_bytes", 8<<20),
 			MaxBodyBytes:        maxBodyBytes,
 			MaxUploadBlocks:     maxUploadBlocks,
 			RetentionMs:         number("keep_ms", 60_000),
