--- /dev/null
+++ b/internal/dedup/counters.go
@@ -0,0 +1,41 @@
+package dedup
+
+import "gaugerelay/internal/dedup/exchange"
+
+// counters are the names of the counters and what they count. Those that end in _now rise and fall.
+var counters = [...]struct {
+	name  string
+	value func(*exchange.Stats) int
+}{
+	{"device_copies", func(s *exchange.Stats) int { return s.Copies }},
+	{"device_runs", func(s *exchange.Stats) int { return s.Runs }},
+	{"device_copies_joined", func(s *exchange.Stats) int { return s.Joined }},
+	{"device_answers_kept", func(s *exchange.Stats) int { return s.ServedFromCache }},
+	{"device_runs_again", func(s *exchange.Stats) int { return s.Reruns }},
+	{"device_conflicts", func(s *exchange.Stats) int { return s.Conflicts }},
+	{"device_busy", func(s *exchange.Stats) int { return s.Busy }},
+	{"device_late", func(s *exchange.Stats) int { return s.TooLate }},
+	{"device_doubt_failed", func(s *exchange.Stats) int { return s.UnknownOutcomeFailed }},
+	{"device_uploads", func(s *exchange.Stats) int { return s.UploadsStarted }},
+	{"device_uploads_dropped", func(s *exchange.Stats) int { return s.UploadsDropped }},
+	{"device_evicted", func(s *exchange.Stats) int { return s.Evicted }},
+	{"device_exchanges_now", func(s *exchange.Stats) int { return s.Exchanges }},
+	{"device_devices_now", func(s *exchange.Stats) int { return s.Devices }},
+	{"device_bytes_now", func(s *exchange.Stats) int { return s.StoredBytes }},
+	{"device_undelivered_now", func(s *exchange.Stats) int { return s.Undelivered }},
+}
+
+// updateCounters adds what the store has counted since the previous call.
+func (c *Coordinator) updateCounters() {
+	stats := c.store.Stats()
+	counted := c.counted
+	if stats == counted {
+		return
+	}
+	c.counted = stats
+	for _, counter := range &counters {
+		if change := counter.value(&stats) - counter.value(&counted); change != 0 {
+			c.options.Metrics.Add(counter.name, int64(change))
+		}
+	}
+}
--- a/internal/quantile/bench_test.go
+++ b/internal/quantile/bench_test.go
@@ -71,9 +71,14 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		sketch.Add(values[i%benchValues])
+		if err := sketch.Add(values[i%benchValues]); err != nil {
+			b.Fatal(err)
+		}
 		if i%every == 0 {
-			quantile, _ := sketch.GetValueAtQuantile(0.99)
+			quantile, err := sketch.GetValueAtQuantile(0.99)
+			if err != nil {
+				b.Fatal(err)
+			}
 			sum += quantile
 		}
 	}
