--- /dev/null
+++ b/internal/scheduler/deadlines.go
@@ -0,0 +1,61 @@
+package scheduler
+
+import (
+	"container/heap"
+	"time"
+)
+
+// deadline is the time at which a request expires.
+type deadline struct {
+	at      time.Duration
+	request *request
+}
+
+// deadlineHeap orders the deadlines of requests, soonest first. Requests that end earlier stay in it until their deadline.
+type deadlineHeap struct{ entries deadlineEntries }
+
+// add inserts the deadline of a request.
+func (h *deadlineHeap) add(at time.Duration, request *request) {
+	heap.Push(&h.entries, deadline{at: at, request: request})
+}
+
+// next returns the soonest deadline; ok is false if there is none.
+func (h *deadlineHeap) next() (at time.Duration, ok bool) {
+	if len(h.entries) == 0 {
+		return 0, false
+	}
+	return h.entries[0].at, true
+}
+
+// popExpired removes the soonest deadline that has been reached and returns its request, or nil if there is none.
+func (h *deadlineHeap) popExpired(now time.Duration) *request {
+	if len(h.entries) == 0 || h.entries[0].at > now {
+		return nil
+	}
+	return heap.Pop(&h.entries).(deadline).request
+}
+
+// shortenTo moves all later deadlines to latest, together with the expiry and the objective of their requests. The later ones become
+// equal, so the heap keeps its order.
+func (h *deadlineHeap) shortenTo(latest time.Duration) {
+	for i := range h.entries {
+		if entry := &h.entries[i]; entry.at > latest {
+			entry.at = latest
+			entry.request.shortenDeadline(latest)
+		}
+	}
+}
+
+// deadlineEntries implements heap.Interface.
+type deadlineEntries []deadline
+
+func (e deadlineEntries) Len() int           { return len(e) }
+func (e deadlineEntries) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e deadlineEntries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *deadlineEntries) Push(x any)        { *e = append(*e, x.(deadline)) }
+func (e *deadlineEntries) Pop() any {
+	old := *e
+	last := old[len(old)-1]
+	*e = old[:len(old)-1]
+	return last
+}
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -5,73 +5,90 @@
 	"slices"
 )
 
-// This file holds how the list of nodes is taken in.
+// maxShards is the number of shards from which on an endpoint is ignored, unless the settings have more.
+const maxShards = 1 << 12
 
-const (
-	maxShards = 1 << 12 // a list with a shard beyond, and beyond the settings', errs
-)
-
-// applyEndpointUpdate applies news of the nodes. A node that drains or is gone gets nothing more from now on.
+// applyEndpointUpdate takes in a message or a change of state of the watch. A server that drains or is removed gets nothing more
+// from now on.
 func (s *Scheduler) applyEndpointUpdate(update *EndpointUpdate) {
 	s.endpointsValidUntil = update.ValidUntil
 	switch update.Kind {
 	case Heartbeat:
 		s.poller.watchOpened(s.now)
-		return
 	case WatchIdle:
 		s.poller.scheduleAfterWatch(s.now, idlePollSpread)
-		return
 	case WatchClosed:
 		s.poller.scheduleAfterWatch(s.now, maxPollSpread)
-		return
 	case WatchFailed:
 		s.poller.scheduleAfterFailure(s.now)
-		return
-	}
-	if update.Kind != CachedSnapshot {
+	case CachedSnapshot:
+		s.applyServers(update)
+	default:
 		s.poller.entriesReceived(s.now, update)
+		s.applyServers(update)
 	}
-	named := map[ServerID]bool{}
-	for _, e := range update.Servers {
-		if e.Shard < 0 || e.Shard >= max(maxShards, s.settings.Shards) {
+}
+
+// applyServers updates the servers and the shards by the entries of an update.
+func (s *Scheduler) applyServers(update *EndpointUpdate) {
+	listed := map[ServerID]bool{}
+	for _, endpoint := range update.Servers {
+		if endpoint.Shard < 0 || endpoint.Shard >= max(maxShards, s.settings.Shards) {
 			continue
 		}
-		named[e.ID] = true
-		server := s.servers[e.ID]
-		if server == nil {
-			server = &serverEntry{}
-			s.servers[e.ID] = server
-		}
-		if server.window == 0 || e.StartedAt != server.StartedAt { // new or restarted
-			server.window, server.surplusWindow, server.latency = initialWindow, s.evenShare(initialSurplusWindow), s.latencyThreshold
-			server.connectFailures, server.consecutiveRejects, server.backoffUntil, server.lastResponseAt, server.lastErrorAt = 0, 0, 0, 0, 0 // the old process's
-			server.slowStart = s.newSlowStartBudget()
-		}
-		server.Server = e
-		for len(s.shards) <= e.Shard {
-			s.shards = append(s.shards, &shard{flowsByVolume: map[VolumeID]*flow{}})
-		}
+		listed[endpoint.ID] = true
+		s.applyServer(endpoint)
 	}
 	if update.Kind != Delta {
 		for id, server := range s.servers {
-			if !named[id] {
+			if !listed[id] {
 				server.State = Removed
 			}
 		}
 	}
+	s.assignServers()
+}
+
+// applyServer updates a server by its entry in the endpoint list.
+func (s *Scheduler) applyServer(endpoint Server) {
+	server := s.servers[endpoint.ID]
+	if server == nil {
+		server = &serverEntry{}
+		s.servers[endpoint.ID] = server
+	}
+	isNew := server.congestion.window == 0
+	if isNew || endpoint.StartedAt != server.StartedAt {
+		server.congestion.reset(s.latencyThreshold, s.evenShare(initialSurplusWindow))
+		server.forgetProcess()
+		server.slowStart = s.newSlowStartBudget()
+	}
+	server.Server = endpoint
+	for len(s.shards) <= endpoint.Shard {
+		s.shards = append(s.shards, &shard{flowsByVolume: map[VolumeID]*flow{}})
+	}
+}
+
+// assignServers puts the ready servers into their shards and drops the removed ones, which their attempts keep as long as they
+// need them.
+func (s *Scheduler) assignServers() {
 	for _, shard := range s.shards {
 		shard.servers = shard.servers[:0]
 	}
 	for id, server := range s.servers {
-		if server.State == Ready {
-			s.shards[server.Shard].servers = append(s.shards[server.Shard].servers, server)
-		} else if server.State == Removed {
-			delete(s.servers, id) // its attempts keep it as long as they need it
+		switch server.State {
+		case Ready:
+			shard := s.shards[server.Shard]
+			shard.servers = append(shard.servers, server)
+		case Removed:
+			delete(s.servers, id)
 		}
 	}
 	for _, shard := range s.shards {
-		slices.SortFunc(shard.servers, func(a, b *serverEntry) int {
-			return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.ID, b.ID))
-		})
+		slices.SortFunc(shard.servers, compareAge)
 	}
 }
+
+// compareAge orders servers by their start, the longest running first.
+func compareAge(a, b *serverEntry) int {
+	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.ID, b.ID))
+}
--- a/internal/scheduler/fleet_test.go
+++ b/internal/scheduler/fleet_test.go
@@ -187,17 +187,17 @@
 			flows += len(shard.flows)
 		}
 		most := int((volumeIdleTimeout + volumeIdleTimeout/4) / (100 * ms))
-		if len(s.volumes) > most+1 || len(s.servers) > 4 || len(s.requests) > 20 || len(s.deadlines) > 20 || flows > 100 ||
-			len(s.keyQueues) > 100 {
+		if len(s.volumes) > most+1 || len(s.servers) > 4 || len(s.requests) > 20 || len(s.deadlines.entries) > 20 || flows > 100 ||
+			len(s.keyOrder.queues) > 100 {
 			t.Fatalf("after %v: %d volumes, %d nodes, %d requests, %d expiries, %d flows, %d turns", now-time.Hour,
-				len(s.volumes), len(s.servers), len(s.requests), len(s.deadlines), flows, len(s.keyQueues))
+				len(s.volumes), len(s.servers), len(s.requests), len(s.deadlines.entries), flows, len(s.keyOrder.queues))
 		}
 	}
 	for k := range 20 {
 		s.Step(now+time.Duration(k)*time.Second, []Event{TimerFired{}})
 	}
-	if len(s.requests) != 0 || len(s.deadlines) != 0 {
-		t.Errorf("%d requests, %d expiries at the end", len(s.requests), len(s.deadlines))
+	if len(s.requests) != 0 || len(s.deadlines.entries) != 0 {
+		t.Errorf("%d requests, %d expiries at the end", len(s.requests), len(s.deadlines.entries))
 	}
 }
 
@@ -317,23 +317,23 @@
 		}
 	}
 	hear(3*time.Second, 10*ms)
-	if server.latency > 20*ms {
-		t.Errorf("L is %v of a quick node", server.latency)
+	if server.congestion.latency > 20*ms {
+		t.Errorf("L is %v of a quick node", server.congestion.latency)
 	}
 	hear(3*time.Second, 200*ms)
-	if server.latency < 100*ms {
-		t.Errorf("L is %v of a slow node", server.latency)
+	if server.congestion.latency < 100*ms {
+		t.Errorf("L is %v of a slow node", server.congestion.latency)
 	}
 	hear(4*time.Second, 10*ms)
-	if server.latency > 50*ms {
-		t.Errorf("L is %v of one that is quick again", server.latency)
+	if server.congestion.latency > 50*ms {
+		t.Errorf("L is %v of one that is quick again", server.congestion.latency)
 	}
 	other := gateway.scheduler.servers[2]
 	for range 1000 {
 		gateway.step(PeerLatency{Server: 2, Latency: 30 * ms})
 	}
-	if other.latencySamples > maxPeerSamples || other.latencySum > maxPeerSamples*30*ms {
-		t.Errorf("%v answers of %v are kept", other.latencySamples, other.latencySum)
+	if other.congestion.latencySamples > maxPeerSamples || other.congestion.latencySum > maxPeerSamples*30*ms {
+		t.Errorf("%v answers of %v are kept", other.congestion.latencySamples, other.congestion.latencySum)
 	}
 }
 
--- a/internal/scheduler/module_test.go
+++ b/internal/scheduler/module_test.go
@@ -253,17 +253,17 @@
 	quick, slow := newTestGateway(t, nil), newTestGateway(t, nil)
 	quick.serveReads(3*time.Second, 10*ms, 20*ms, StatusOK)
 	slow.serveReads(3*time.Second, 10*ms, 300*ms, StatusOK)
-	if w, v := quick.scheduler.servers[1].window, slow.scheduler.servers[1].window; w < 2*v || v > 2 {
+	if w, v := quick.scheduler.servers[1].congestion.window, slow.scheduler.servers[1].congestion.window; w < 2*v || v > 2 {
 		t.Errorf("window %.1f at 20 ms, %.1f at 300 ms", w, v)
 	}
 }
 
 func TestFastErrorsDoNotOpenTheWindow(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	before := gateway.scheduler.servers[1].latency
+	before := gateway.scheduler.servers[1].congestion.latency
 	gateway.serveReads(2*time.Second, 10*ms, 5*ms, StatusError)
-	if gateway.scheduler.servers[1].latency != before || gateway.scheduler.servers[1].window > initialWindow {
-		t.Errorf("L %v (was %v), window %.1f", gateway.scheduler.servers[1].latency, before, gateway.scheduler.servers[1].window)
+	if gateway.scheduler.servers[1].congestion.latency != before || gateway.scheduler.servers[1].congestion.window > initialWindow {
+		t.Errorf("L %v (was %v), window %.1f", gateway.scheduler.servers[1].congestion.latency, before, gateway.scheduler.servers[1].congestion.window)
 	}
 }
 
@@ -281,7 +281,7 @@
 
 func TestOneLostAnswerDoesNotShutTheNodeOff(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	gateway.scheduler.servers[1].window = 1
+	gateway.scheduler.servers[1].congestion.window = 1
 	lost := gateway.newArrival("read", "gold", 1, 2, 5)
 	if len(sentIDs(gateway.step(lost))) != 1 {
 		t.Fatal("not sent")
@@ -294,7 +294,7 @@
 func TestImpatientClientsAreNotTakenForOldRepeats(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) // shows the usual TTL
-	gateway.scheduler.servers[1].window = 1                   // the next one must wait
+	gateway.scheduler.servers[1].congestion.window = 1        // the next one must wait
 	short, repeat := gateway.newArrival("read", "gold", 1, 2, 6), gateway.newArrival("read", "gold", 1, 2, 7)
 	short.TTL, repeat.TTL = 150*ms, 2*time.Second
 	if got := rejectedIDs(gateway.step(short, repeat)); len(got) != 1 || got[0] != repeat.ID {
@@ -304,7 +304,7 @@
 
 func TestSharesFollowWeights(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	gateway.scheduler.servers[1].window = 1
+	gateway.scheduler.servers[1].congestion.window = 1
 	var events []Event
 	plan := map[RequestID]string{}
 	for k := range 60 {
@@ -318,7 +318,7 @@
 		id := sent[0]
 		count[plan[id]]++
 		gateway.now += 5 * ms
-		gateway.scheduler.servers[1].window = 1
+		gateway.scheduler.servers[1].congestion.window = 1
 		sent = append(sent[1:], sentIDs(gateway.step(AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true}))...)
 	}
 	if count["twice"] < 14 || count["twice"] > 18 || count["gold"] < 6 {
@@ -328,12 +328,12 @@
 
 func TestReservedUnitsLeaveFirst(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	gateway.scheduler.servers[1].window = 1
+	gateway.scheduler.servers[1].congestion.window = 1
 	first := gateway.newArrival("read", "gold", 1, 2, 1)
 	gateway.step(first)
 	gateway.step(gateway.newArrival("read", "twice", 2, 2, 2), gateway.newArrival("read", "twice", 2, 2, 3), gateway.newArrival("read", "kept", 3, 2, 4))
 	gateway.now += 5 * ms
-	gateway.scheduler.servers[1].window = 1
+	gateway.scheduler.servers[1].congestion.window = 1
 	got := sentIDs(gateway.step(AttemptEnded{ID: first.ID, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true}))
 	if len(got) == 0 || got[0] != 4 {
 		t.Errorf("sent %v, want the reserved 4 first", got)
@@ -352,7 +352,7 @@
 		given := map[RequestID]time.Duration{}
 		for began := gateway.now; len(given) < 2 && gateway.now < began+time.Second; gateway.now += ms {
 			server := gateway.scheduler.servers[1]
-			server.latency, server.latencyUpdatedAt, server.backoffUntil = 100*ms, gateway.now, gateway.now+time.Second
+			server.congestion.latency, server.congestion.latencyUpdatedAt, server.backoffUntil = 100*ms, gateway.now, gateway.now+time.Second
 			var events []Event
 			if gateway.now == began {
 				events = []Event{inside, beyond}
@@ -705,7 +705,7 @@
 func TestWindowUnderOneIsKeptInTime(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 100 })
 	server := gateway.scheduler.servers[1]
-	server.window, server.surplusWindow, server.latency, server.lastDuration, server.lastEndedAt = 0.25, 0.25, 40*ms, 40*ms, gateway.now
+	server.congestion.window, server.congestion.surplusWindow, server.congestion.latency, server.lastDuration, server.lastEndedAt = 0.25, 0.25, 40*ms, 40*ms, gateway.now
 	a, kept := gateway.newArrival("bulk", "gold", 1, 2, 5), gateway.newArrival("bulk", "kept", 3, 2, 6)
 	if got := sentIDs(gateway.step(a)); len(got) != 0 {
 		t.Errorf("sent %v right after an answer with a window of a quarter", got)
@@ -716,7 +716,7 @@
 	}
 	gateway.now += 20 * ms
 	gateway.step(AttemptEnded{ID: kept.ID, Server: 1, Status: StatusOK, Latency: 20 * ms, RequestDone: true})
-	server.window, server.surplusWindow = 0.25, 0.25
+	server.congestion.window, server.congestion.surplusWindow = 0.25, 0.25
 	if got := sentIDs(gateway.advance(150 * ms)); len(got) != 1 || got[0] != a.ID {
 		t.Errorf("sent %v, want %d after three times what the last one took", got, a.ID)
 	}
@@ -733,7 +733,7 @@
 		gateway.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusOK, Latency: 600 * ms, RequestDone: true})
 	}
 	gateway.advance(100 * ms)
-	if l := gateway.scheduler.servers[1].latency; l < 450*ms {
+	if l := gateway.scheduler.servers[1].congestion.latency; l < 450*ms {
 		t.Errorf("L is %v after three answers of 600 ms", l)
 	}
 }
@@ -742,7 +742,7 @@
 func TestLFadesWithNothingOut(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	server := gateway.scheduler.servers[1]
-	server.latency, server.latencyUpdatedAt = time.Second, gateway.now
+	server.congestion.latency, server.congestion.latencyUpdatedAt = time.Second, gateway.now
 	if got := rejectedIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 5))); len(got) != 1 {
 		t.Fatalf("refused %v right after answers of a second, want it", got)
 	}
@@ -755,13 +755,13 @@
 // TestASleepIsNotTheNodesLatency: what a stalled gateway is told on waking counts its own sleep.
 func TestASleepIsNotTheNodesLatency(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	before := gateway.scheduler.servers[1].latency
+	before := gateway.scheduler.servers[1].congestion.latency
 	a := gateway.newArrival("bulk", "gold", 1, 2, 5)
 	gateway.step(a)
 	gateway.now += 1800 * ms
 	gateway.step(AttemptEnded{ID: a.ID, Server: 1, Status: StatusOK, Latency: 1800 * ms, RequestDone: true}, TimerFired{})
 	gateway.advance(200 * ms)
-	if l := gateway.scheduler.servers[1].latency; l > 2*before {
+	if l := gateway.scheduler.servers[1].congestion.latency; l > 2*before {
 		t.Errorf("L went from %v to %v over a sleep", before, l)
 	}
 	if got := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 6))); len(got) != 1 {
@@ -844,7 +844,7 @@
 	gateway.step(EndpointUpdate{Kind: Snapshot, Servers: nodes})
 	gateway.now += time.Hour
 	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5), TimerFired{})
-	if l := gateway.scheduler.servers[1].latency; l <= 0 {
+	if l := gateway.scheduler.servers[1].congestion.latency; l <= 0 {
 		t.Errorf("L is %v", l)
 	}
 }
@@ -873,7 +873,8 @@
 	slow := gateway.newArrival("bulk", "capped", 999, 20, 1)
 	gateway.step(slow)
 	gateway.now += volumeIdleTimeout + time.Second
-	gateway.scheduler.volumes[999].limit.configure(0.001, 1e9, gateway.now)
+	limit := &gateway.scheduler.volumes[999].limit
+	limit.rate, limit.capacity, limit.updatedAt = 0.001, 1e9, gateway.now
 	gateway.step(gateway.newArrival("bulk", "gold", 1, 2, 1), TimerFired{})
 	if len(gateway.scheduler.volumes) != 2 || gateway.scheduler.volumes[999] == nil {
 		t.Errorf("%d volumes are known, want the one that asks and the one in debt", len(gateway.scheduler.volumes))
@@ -907,7 +908,7 @@
 	if len(sentIDs(gateway.step(gateway.newArrival("bulk", "gold", 1, 2, 5)))) != 1 {
 		t.Fatal("not sent")
 	}
-	gateway.scheduler.servers[1].latency = 200 * ms // so that the node is not silent yet
+	gateway.scheduler.servers[1].congestion.latency = 200 * ms // so that the node is not silent yet
 	gateway.advance(700 * ms)
 	if got := rejectedIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 6))); len(got) != 1 {
 		t.Errorf("refused %v, want the read with an aim of 400 ms while 700 ms are owed", got)
@@ -918,7 +919,7 @@
 func TestAWindowUnderOneGrowsBack(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 100 })
 	server := gateway.scheduler.servers[1]
-	server.window, server.surplusWindow, server.latency, server.lastDuration, server.lastEndedAt = 0.05, 0.05, time.Second, time.Second, gateway.now
+	server.congestion.window, server.congestion.surplusWindow, server.congestion.latency, server.lastDuration, server.lastEndedAt = 0.05, 0.05, time.Second, time.Second, gateway.now
 	a := gateway.newArrival("bulk", "gold", 1, 2, 5)
 	a.TTL = 8 * time.Second
 	if got := sentIDs(append(gateway.step(a), gateway.advance(1900*ms)...)); len(got) != 1 {
--- /dev/null
+++ b/internal/scheduler/outcomes.go
@@ -0,0 +1,126 @@
+package scheduler
+
+// recordOutcome takes in the end of an attempt and decides what becomes of its request.
+func (s *Scheduler) recordOutcome(outcome *AttemptEnded) {
+	request, attempt := s.outstandingAttempt(outcome)
+	if attempt == nil {
+		return
+	}
+	s.endAttempt(attempt, outcome)
+	switch outcome.Status {
+	case StatusOK:
+		if s.settings.ReportsForeignUnits {
+			request.volume.recordUsage(s.now, request.Units, outcome.ForeignUnits)
+		}
+	case StatusError:
+		request.recordPossibleExecution(attempt)
+	case StatusTimedOut, StatusConnectionReset, StatusCanceled: // it may even go on running
+		request.recordPossibleExecution(attempt)
+		s.keyOrder.startCooldown(s.now, request)
+	}
+	request.finished = request.finished || outcome.RequestDone
+	switch {
+	case request.finished:
+		s.releaseIfDone(request)
+	case request.outstanding == 0 && !request.queued:
+		s.retryOrEnd(request, attempt.server, outcome.Status)
+	}
+}
+
+// outstandingAttempt returns the request and the attempt that an outcome names, or nil if there is no such attempt or it has ended.
+func (s *Scheduler) outstandingAttempt(outcome *AttemptEnded) (*request, *attempt) {
+	request := s.requests[outcome.ID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) {
+		return nil, nil
+	}
+	attempt := request.attempts[outcome.Attempt]
+	if attempt.ended {
+		return nil, nil
+	}
+	return request, attempt
+}
+
+// endAttempt updates the state of an attempt and of its server. Errors give no latency sample, since fast errors must not open the
+// window, nor does an answer in a step that came late.
+func (s *Scheduler) endAttempt(attempt *attempt, outcome *AttemptEnded) {
+	attempt.ended = true
+	attempt.request.outstanding--
+	if !attempt.lost {
+		attempt.releaseSlot()
+	}
+	server := attempt.server
+	if outcome.Status == StatusOK && s.stalledAt != s.now {
+		server.congestion.addSample(outcome.Latency)
+	}
+	server.recordOutcome(s.now, s.latencyThreshold, attempt, outcome.Status)
+}
+
+// rejectOrFail ends a request without an answer: with a Reject where a retry by the client is harmless, else with a Fail.
+func (s *Scheduler) rejectOrFail(request *request, reason Reason) {
+	if s.endpointsExpired() {
+		reason = ReasonEndpointsExpired
+	}
+	if request.isSafeToReject() {
+		s.emit(Reject{ID: request.ID, RetryAfter: s.retryAfter(request), Reason: reason})
+	} else {
+		s.emit(Fail{ID: request.ID, Reason: reason})
+	}
+	s.finish(request)
+}
+
+// isSafeToReject reports whether a retry by the client has no further effect: the request is idempotent, has not been executed,
+// or any server drops the retry as a duplicate.
+func (r *request) isSafeToReject() bool {
+	notExecuted := r.outstanding == 0 && !r.mayHaveExecuted
+	return notExecuted || r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupAll
+}
+
+// cancel ends a request whose client no longer waits, and its outstanding attempts where that is allowed: where servers stop
+// canceled work they are free for other requests, elsewhere a cancel costs a connection.
+func (s *Scheduler) cancel(id RequestID) {
+	request := s.requests[id]
+	if request == nil || request.finished {
+		return
+	}
+	if s.settings.AllowCancel {
+		s.cancelAttempts(request)
+	}
+	s.finish(request)
+}
+
+// cancelAttempts cancels the outstanding attempts of a request.
+func (s *Scheduler) cancelAttempts(request *request) {
+	for i, attempt := range request.attempts {
+		if !attempt.ended {
+			s.emit(CancelAttempt{ID: request.ID, Attempt: i})
+		}
+	}
+}
+
+// expireRequests ends the requests whose deadline has passed, unless their response has started.
+func (s *Scheduler) expireRequests() {
+	for request := s.deadlines.popExpired(s.now); request != nil; request = s.deadlines.popExpired(s.now) {
+		if !request.finished && request.expiresAt != 0 {
+			s.rejectOrFail(request, ReasonDeadlineExceeded)
+		}
+	}
+}
+
+// finish ends a request: nothing more is sent for it.
+func (s *Scheduler) finish(request *request) {
+	request.finished = true
+	if request.queued {
+		request.dequeue()
+	}
+	s.releaseIfDone(request)
+}
+
+// releaseIfDone drops a finished request without outstanding attempts.
+func (s *Scheduler) releaseIfDone(request *request) {
+	if request.outstanding > 0 {
+		return
+	}
+	s.keyOrder.remove(s.now, request)
+	delete(s.requests, request.ID)
+}
--- /dev/null
+++ b/internal/scheduler/retry.go
@@ -0,0 +1,54 @@
+package scheduler
+
+import "time"
+
+// mayRetry reports whether a request may be sent again: that must not execute it twice where this matters, attempts must be left
+// and none may be outstanding.
+func (s *Scheduler) mayRetry(request *request) bool {
+	return request.isSafeToRetry(s.now) && len(request.attempts) < s.settings.MaxAttempts && request.outstanding == 0
+}
+
+// isSafeToRetry reports whether another attempt that starts now has no further effect.
+func (r *request) isSafeToRetry(now time.Duration) bool {
+	return !r.mayHaveExecuted || r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotentWithKey && now < r.retryStartDeadline()
+}
+
+// retryStartDeadline returns the clock time before which a retry must begin, since servers drop duplicates only for a while from
+// the first attempt on and a retry may have to wait for its connection; 0 means that there is no such time.
+func (r *request) retryStartDeadline() time.Duration {
+	if !r.mayHaveExecuted || r.class.Idempotency != IdempotentWithKey {
+		return 0
+	}
+	return r.mayHaveExecutedSince + r.class.DedupWindow
+}
+
+// retryOrEnd queues a request again after a failed attempt, or ends it if a retry is not allowed or would come too late.
+func (s *Scheduler) retryOrEnd(request *request, server *serverEntry, status Status) {
+	request.retryNotBefore = s.now + server.congestion.latency/4
+	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that no server has yet
+		if shard := s.leastLoadedShard(); shard != nil {
+			request.shard = shard
+		}
+	}
+	inTime := request.retryNotBefore+s.latencyThreshold/2 <= request.objectiveAt
+	if status != StatusTimedOut && inTime && s.mayRetry(request) && s.retryBudget.allowsRetry(s.now) {
+		s.enqueue(request)
+	} else {
+		s.rejectOrFail(request, ReasonRetryNotAllowed)
+	}
+}
+
+// retryAfter returns how long a rejected client should wait: until its server has worked off what it has, but not so much longer
+// that the client's objective has passed, and until the volume's limit has room.
+func (s *Scheduler) retryAfter(request *request) time.Duration {
+	wait := s.latencyThreshold
+	for _, server := range request.shard.servers {
+		wait = min(max(wait, server.expectedLatency(s.now, s.latencyThreshold)), 2*s.latencyThreshold)
+	}
+	if volume := request.volume; volume.plan.Limit > 0 {
+		missing := request.Units - volume.limit.available(s.now)
+		wait = max(wait, time.Duration(missing/volume.limit.rate*float64(time.Second)))
+	}
+	return min(wait, s.settings.MaxRetryAfter)
+}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,20 +1,19 @@
-// Package gaugerelay decides when a gateway sends which request to a shared pool of storage nodes.
+// Package scheduler decides when a gateway sends which request to a shared pool of storage servers.
 //
-// The mechanism is PARDA: each node has a window of requests out, moved by latency, and held requests leave by start-time
-// fair tags per volume. The package is pure: it has no clock, no I/O and no goroutine; Scheduler.Step takes events and
-// returns actions. The contract (Settings, events, actions) is in api.go; the other files hold one job each:
+// Each server has a window of requests in flight that latency moves, as in PARDA: it shrinks while answers take longer than a
+// threshold, so that gateways that know nothing of each other share a server and keep its queue short. Queued requests leave by
+// start-time fair queueing, a flow per volume and shard. Around that stand the rules on what may be sent at all: retries, their
+// budget, order by key, volume limits and the slow start of servers.
 //
-//	scheduler.go       the state, New and Step
-//	endpoints.go       the list of nodes
-//	discoverycalls.go  when discovery is called
-//	admission.go       requests that arrive
-//	queueing.go        fair queueing: which request leaves next
-//	permission.go      what the rules allow to be sent or repeated now
-//	ordering.go        the order of requests for one key
-//	slowstart.go       nodes that have just started
-//	window.go          congestion control: the window of each node
-//	outcome.go         ends of attempts and requests
-//	books.go           plain data: queues, buckets, records
+// The package is pure: no clock, no I/O, no goroutine. Scheduler.Step takes the events of one moment and returns the actions to
+// carry out, and the same settings, seed and events always give the same actions. Step guarantees that
+//   - an admitted request ends exactly once, by an answer that the gateway reports, a Reject, a Fail or a RequestCanceled, and
+//     gets no Send after its end;
+//   - a request that the settings do not cover is rejected at once, and events that name unknown requests, attempts or servers
+//     are ignored;
+//   - a timer is pending whenever it has to be called again without any other event.
+//
+// All times are durations on the caller's clock, whose zero is arbitrary and which never runs backwards.
 package scheduler
 
 import (
@@ -25,185 +24,231 @@
 )
 
 const (
-	thresholdFraction = 0.15        // T as part of the shortest aim
-	volumeIdleTimeout = time.Minute // the books of a volume that asks for nothing are kept so long
+	// thresholdFraction is PARDA's latency threshold as a fraction of the shortest latency objective.
+	thresholdFraction = 0.15
+	// volumeIdleTimeout is how long the state of a volume without requests is kept.
+	volumeIdleTimeout = time.Minute
+	// evictionInterval is the least time between two searches for idle state.
+	evictionInterval = volumeIdleTimeout / 4
+	// maxReservedLoss bounds what of a request's priority counts as lost by a late rejection within the reserve.
+	maxReservedLoss = 0.5
 )
 
-// Scheduler makes the decisions of one gateway. It is not safe for concurrent use.
+// Scheduler makes the decisions of one gateway. It is created by New and is not safe for concurrent use.
 type Scheduler struct {
 	settings                   Settings
-	random                     *rand.Rand
 	classes                    map[string]*Class
 	plans                      map[string]*Plan
-	longestTTL                 map[*Class]time.Duration // the longest TTL seen
-	latencyThreshold           time.Duration            // T
-	reservedQueueTimeoutFactor float64                  // patience inside reserves
+	latencyThreshold           time.Duration // T of PARDA
+	reservedQueueTimeoutFactor float64       // queueTimeoutFactor for requests within their reserve
 	meanPlanWeight             float64
-	maxPriority                float64
-	started                    bool
-	startedAt                  time.Duration
-	now                        time.Duration
-	actions                    []Action
-	requests                   map[RequestID]*request
-	deadlines                  deadlineHeap
-	volumes                    map[VolumeID]*volumeEntry
-	servers                    map[ServerID]*serverEntry
-	shards                     []*shard
-	activeShards               []*shard // those with flows, in the order they got busy: the others cost nothing
-	keyQueues                  map[uint64]*keyQueue
-	admittedInWindow           []time.Duration // in the last ExtraWindow
-	retriesInWindow            []time.Duration // further attempts in the last ExtraWindow
-	windowsUpdatedAt           time.Duration   // start of the current window period
-	timerAt                    time.Duration
-	timerArmed                 bool
-	stalledAt                  time.Duration // when this gateway last woke too late
-	lastEvictionAt             time.Duration // when volumes were last looked through
-	poller                     endpointPoller
-	endpointsValidUntil        time.Duration // the list may be used until then; 0: without a bound
-	shutdownDeadline           time.Duration // when all must have been answered, since the gateway ends; 0: it does not
+	maxPriority                float64 // the highest product of PriorityWeight and PriorityFactor
+
+	random    *rand.Rand
+	started   bool // Step has been called
+	startedAt time.Duration
+	now       time.Duration
+	actions   []Action // of the current Step
+
+	requests     map[RequestID]*request // unfinished or with outstanding attempts
+	longestTTL   map[*Class]time.Duration
+	volumes      map[VolumeID]*volumeEntry
+	servers      map[ServerID]*serverEntry
+	shards       []*shard
+	activeShards []*shard // those with flows, in the order they became active
+
+	deadlines   deadlineHeap
+	keyOrder    keyOrder
+	retryBudget retryBudget
+	poller      endpointPoller
+
+	endpointsValidUntil time.Duration // 0: unbounded
+	shutdownDeadline    time.Duration // 0: the gateway is not shutting down
+	windowsUpdatedAt    time.Duration // start of the current period of window updates
+	lastEvictionAt      time.Duration
+	stalledAt           time.Duration // the last Step that came late
+	timerArmed          bool
+	timerAt             time.Duration
 }
 
-// New returns a scheduler for one gateway, or an error if the settings cannot be used.
+// New returns a scheduler for one gateway, or an error if the settings cannot be used. The seed makes its random draws
+// reproducible; gateways need different seeds.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	settings, err := settings.validated()
 	if err != nil {
 		return nil, err
 	}
-	s := &Scheduler{settings: settings, random: rand.New(rand.NewPCG(seed, 1)), classes: map[string]*Class{},
-		plans: map[string]*Plan{}, longestTTL: map[*Class]time.Duration{},
-		requests: map[RequestID]*request{}, volumes: map[VolumeID]*volumeEntry{},
-		servers: map[ServerID]*serverEntry{}, keyQueues: map[uint64]*keyQueue{}}
-	s.poller = endpointPoller{gateways: settings.Gateways, maxInterval: settings.MaxPollInterval, minDelay: settings.MinStepInterval, random: s.random}
-	for i := range settings.Classes {
-		c := &settings.Classes[i]
-		s.classes[c.Name] = c
-		if aim := time.Duration(thresholdFraction * float64(c.LatencyObjective)); s.latencyThreshold == 0 || aim < s.latencyThreshold {
-			s.latencyThreshold = aim
+	s := &Scheduler{
+		settings:   settings,
+		classes:    map[string]*Class{},
+		plans:      map[string]*Plan{},
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		requests:   map[RequestID]*request{},
+		longestTTL: map[*Class]time.Duration{},
+		volumes:    map[VolumeID]*volumeEntry{},
+		servers:    map[ServerID]*serverEntry{},
+	}
+	s.keyOrder = keyOrder{queues: map[uint64]*keyQueue{}, cooldown: settings.KeyCooldown + settings.MinStepInterval}
+	s.retryBudget = retryBudget{
+		window: settings.RetryBudgetWindow, minimum: settings.RetryBudgetMin, ratio: settings.RetryBudgetRatio,
+	}
+	s.poller = endpointPoller{
+		gateways: settings.Gateways, maxInterval: settings.MaxPollInterval, minDelay: settings.MinStepInterval, random: s.random,
+	}
+	s.indexClasses()
+	s.indexPlans()
+	s.reservedQueueTimeoutFactor = reservedQueueTimeoutFactor(settings.FairShareWeight)
+	return s, nil
+}
+
+// indexClasses sets up the classes and the latency threshold.
+func (s *Scheduler) indexClasses() {
+	for i := range s.settings.Classes {
+		class := &s.settings.Classes[i]
+		s.classes[class.Name] = class
+		threshold := time.Duration(thresholdFraction * float64(class.LatencyObjective))
+		if s.latencyThreshold == 0 || threshold < s.latencyThreshold {
+			s.latencyThreshold = threshold
 		}
 	}
-	// Inside its reserve a request is worth a try for as long as that is worth more than a sure answer beyond
-	// one: where answers take L in the mean, one comes within t by 1-exp(-t/L), which is FairWorth here.
-	s.reservedQueueTimeoutFactor = min(max(-math.Log1p(-min(settings.FairShareWeight, 0.5)), queueTimeoutFactor/2), queueTimeoutFactor)
-	for i := range settings.Plans {
-		p := &settings.Plans[i]
-		s.plans[p.Name] = p
-		s.meanPlanWeight += p.Weight / float64(len(settings.Plans))
-		for _, c := range settings.Classes {
-			s.maxPriority = max(s.maxPriority, c.PriorityWeight*p.PriorityFactor)
+}
+
+// indexPlans sets up the plans and the scales of weights and priorities.
+func (s *Scheduler) indexPlans() {
+	for i := range s.settings.Plans {
+		plan := &s.settings.Plans[i]
+		s.plans[plan.Name] = plan
+		s.meanPlanWeight += plan.Weight / float64(len(s.settings.Plans))
+		for _, class := range s.settings.Classes {
+			s.maxPriority = max(s.maxPriority, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
-	if s.maxPriority == 0 { // nothing is worth anything: all alike
+	if s.maxPriority == 0 { // all priorities are zero, so all requests are alike
 		s.maxPriority = 1
 	}
-	return s, nil
 }
 
-// Step takes what happened at one moment and returns what to do now. Time must not run backwards.
+// reservedQueueTimeoutFactor returns the queue timeout factor of requests within their reserve. Such a request is worth sending
+// while that is worth more than a certain answer beyond the reserve: where answers take L in the mean, one comes within t with
+// a probability of 1-exp(-t/L), which equals fairShareWeight here.
+func reservedQueueTimeoutFactor(fairShareWeight float64) float64 {
+	factor := -math.Log1p(-min(fairShareWeight, maxReservedLoss))
+	return min(max(factor, queueTimeoutFactor/2), queueTimeoutFactor)
+}
+
+// Step applies the events of one moment and returns what to do now. An earlier time than that of the last call counts as that.
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = max(now, s.now), nil
-	if s.timerArmed && s.now > s.timerAt+s.latencyThreshold {
-		// This gateway slept: what latencies this batch tells is mostly its own sleep. It guards against
-		// stalls and coarse timers; it could harm only where a batch is late and all its answers are, too.
-		s.stalledAt = s.now
-	}
+	s.detectStall()
 	if !s.started {
 		s.started, s.startedAt, s.windowsUpdatedAt = true, s.now, s.now
 		s.poller.scheduleFirst(s.now)
 	}
-	for _, e := range events {
-		switch e := e.(type) {
-		case EndpointUpdate:
-			s.applyEndpointUpdate(&e)
-		case RequestArrived:
-			s.admit(&e)
-		case AttemptEnded:
-			s.recordOutcome(&e)
-		case RequestCanceled:
-			if request := s.requests[e.ID]; request != nil && !request.finished {
-				s.cancelAttempts(request)
-				s.finish(request)
-			}
-		case ResponseStarted:
-			if request := s.requests[e.ID]; request != nil {
-				request.expiresAt = 0 // it has no deadline any more
-			}
-		case ShutdownStarted:
-			s.shortenDeadlines(e.Deadline)
-		case QuotaShare:
-			if volume := s.volumes[e.Volume]; volume != nil {
-				volume.applyQuotaShare(s.now, e.Share)
-			}
-		case EjectServer:
-			if server := s.servers[e.Server]; server != nil {
-				server.ejectionInterval, server.ejectedUntil, server.backoffUntil = e.MinInterval, s.now+e.MinInterval, max(server.backoffUntil, server.lastSendAt+e.MinInterval)
-			}
-		case PeerLatency:
-			if server := s.servers[e.Server]; server != nil {
-				server.addPeerSample(e.Latency)
-			}
-		case TimerFired:
-			if s.now >= s.timerAt {
-				s.timerArmed = false
-			}
-		}
+	for _, event := range events {
+		s.apply(event)
 	}
 	s.expireRequests()
 	s.pollEndpoints()
-	adapt := s.now-s.windowsUpdatedAt >= s.latencyThreshold
+	s.dispatchActiveShards()
+	s.armTimer()
+	return s.actions
+}
+
+// detectStall notes whether this step comes late. The latencies of its events are then mostly the gateway's own stall and are
+// not held against the servers.
+func (s *Scheduler) detectStall() {
+	if s.timerArmed && s.now > s.timerAt+s.latencyThreshold {
+		s.stalledAt = s.now
+	}
+}
+
+// apply updates the state by one event.
+func (s *Scheduler) apply(event Event) {
+	switch event := event.(type) {
+	case EndpointUpdate:
+		s.applyEndpointUpdate(&event)
+	case RequestArrived:
+		s.admit(&event)
+	case AttemptEnded:
+		s.recordOutcome(&event)
+	case RequestCanceled:
+		s.cancel(event.ID)
+	case ResponseStarted:
+		if request := s.requests[event.ID]; request != nil {
+			request.expiresAt = 0
+		}
+	case ShutdownStarted:
+		s.shutdownDeadline = event.Deadline
+		s.deadlines.shortenTo(event.Deadline)
+	case QuotaShare:
+		if volume := s.volumes[event.Volume]; volume != nil {
+			volume.applyQuotaShare(s.now, event.Share)
+		}
+	case EjectServer:
+		if server := s.servers[event.Server]; server != nil {
+			server.eject(s.now, event.MinInterval)
+		}
+	case PeerLatency:
+		if server := s.servers[event.Server]; server != nil {
+			server.congestion.addPeerSample(event.Latency)
+		}
+	case TimerFired:
+		if s.now >= s.timerAt {
+			s.timerArmed = false
+		}
+	}
+}
+
+// pollEndpoints opens a watch of the endpoint list where the gateway has to ask for it.
+func (s *Scheduler) pollEndpoints() {
+	if s.settings.PollEndpoints && s.poller.due(s.now) {
+		s.emit(WatchEndpoints{})
+		s.poller.pollStarted(s.now)
+	}
+}
+
+// dispatchActiveShards sends queued requests and, once a period, moves the windows. The other shards cost nothing.
+func (s *Scheduler) dispatchActiveShards() {
+	periodEnds := s.now-s.windowsUpdatedAt >= s.latencyThreshold
 	s.activeShards = slices.DeleteFunc(s.activeShards, func(shard *shard) bool {
-		if adapt && s.now > shard.windowsUpdatedAt {
+		if periodEnds && s.now > shard.windowsUpdatedAt {
 			s.updateWindows(shard)
 		}
 		s.dispatch(shard)
 		shard.active = len(shard.flows) > 0
 		return !shard.active
 	})
-	if adapt {
+	if periodEnds {
 		s.windowsUpdatedAt = s.now
 		s.evictIdle()
 	}
-	s.armTimer()
-	return s.actions
 }
 
-// evictIdle drops the turns of keys that have rested, and the books of volumes that have long been idle. With
-// the limit full again they say what new ones would; kept, a client that names ever new volumes would fill
-// the memory.
+// evictIdle drops the state of keys that have cooled down and of volumes that have long been idle, which new state would equal.
+// Otherwise a client that names ever new volumes would fill the memory.
 func (s *Scheduler) evictIdle() {
-	if s.now-s.lastEvictionAt < volumeIdleTimeout/4 {
+	if s.now-s.lastEvictionAt < evictionInterval {
 		return
 	}
 	s.lastEvictionAt = s.now
 	for id, volume := range s.volumes {
-		if s.now-volume.lastRequestAt > volumeIdleTimeout && (volume.plan.Limit == 0 || volume.limit.available(s.now) >= volume.limit.capacity) {
+		if volume.isIdle(s.now) {
 			delete(s.volumes, id)
 		}
 	}
-	for key, queue := range s.keyQueues {
-		if len(queue.requests) == 0 && s.now >= queue.cooldownUntil { // it was left while it rested
-			delete(s.keyQueues, key)
-		}
-	}
-}
-
-// pollEndpoints opens a watch of the endpoint list where the gateway has to ask for it.
-func (s *Scheduler) pollEndpoints() {
-	if s.settings.PollEndpoints && s.poller.due(s.now) {
-		s.emit(WatchEndpoints{})
-		s.poller.pollStarted(s.now)
-	}
+	s.keyOrder.evictIdle(s.now)
 }
 
 // emit records an action.
-func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
+func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
 
-// armTimer asks for the next wake: soon while requests are held or out, at the next expiry at the latest.
+// armTimer asks for the next step: soon while there are requests, and no later than the next deadline or poll.
 func (s *Scheduler) armTimer() {
 	var at time.Duration
 	if len(s.requests) > 0 {
 		at = s.now + max(4*s.settings.MinStepInterval, s.latencyThreshold/16)
-		if len(s.deadlines) > 0 {
-			at = min(at, max(s.deadlines[0].at, s.now+1))
+		if deadline, ok := s.deadlines.next(); ok {
+			at = min(at, max(deadline, s.now+1))
 		}
 	}
 	if s.settings.PollEndpoints && (at == 0 || s.poller.nextPollAt < at) {
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -5,89 +5,104 @@
 	"time"
 )
 
-// This file holds how much a node that has just started may be sent: slow start.
+// Slow start limits what a server that has just started is sent. Let N be the requests of mean size that it bears per
+// OverloadWindow from all gateways together: SlowStartUnits over MeanUnits when it starts, and more with its age. The rule allows
+// N and a slack of about twice its root in any window. Gateways do not coordinate, so each has an even part:
 //
-// Let N be the calls of mean work that a starting node bears in FallWindow, from all gateways together: ColdBears over
-// MeanUnits as it starts, and more by its age. The rule allows N and a slack of about twice its root in any window. Each
-// gateway has an even part of a rate of e times N a window. A part may be far under one call a window: then the gateway has
-// a token now and then, at times that are drawn for each of them on its own, and one that is not used while it is fresh is
-// gone. So, however demand comes, the calls of a window are at most the tokens that were given out in it and in the time F
-// before in which they stay fresh: e x N x (1 + F/FallWindow) in the mean. A gateway that is asked for little does best with
-// few tokens that stay fresh for long, one that is asked for much with many; what it may send in a window is the same.
+// Where gateways are so few that the slack has room for a burst of each of them, each has a bucket that fills at its even part of
+// N per window and holds no more than its part of the slack.
 //
-// Where there are many gateways these are independent draws, whose sum has at most a root of that as its deviation; with
-// slowStartRateFactor the bound is over four of those away for any N.
-//
-// Where there are so few that the slack has room for a burst of each of them, tokens need not be lost: each gateway has a
-// bucket that fills at its even part of N a window and holds no more than its part of the slack.
+// Where there are many, a gateway's part may be far below one request per window. It then gets single tokens, at times that each
+// gateway draws on its own, at its even part of a rate of e·N per window, and a token that is not used during its lifetime F is
+// lost. So, however demand arrives, the requests of a window are at most the tokens issued in it and in the time F before it:
+// e·N·(1 + F/OverloadWindow) in the mean. A gateway with little demand does best with few tokens that live long, one with much
+// demand with many; what it may send per window is the same. The draws are independent, so their sum deviates by at most its
+// root; with slowStartRateFactor the bound is more than four of those away for any N.
 const (
-	slowStartRateFactor  = 0.81 // e x (1 + F/FallWindow) for many gateways
-	slowStartOverdraft   = 1.5  // calls of mean work by which a request may overdraw a bucket: one, and at times more
-	slowStartMaxInFlight = 16.0 // requests out at a starting node, over all gateways
-	minTokenLifetime     = 0.1  // windows
+	// slowStartRateFactor is e·(1 + F/OverloadWindow), the tokens of all gateways as a fraction of N.
+	slowStartRateFactor = 0.81
+	// slowStartOverdraft is by how many requests of mean size a request may overdraw a bucket: one, and sometimes more.
+	slowStartOverdraft = 1.5
+	// slowStartMaxInFlight is how many requests may be in flight at a starting server over all gateways.
+	slowStartMaxInFlight = 16.0
+	// minTokenLifetime is the shortest lifetime of a token, in windows.
+	minTokenLifetime = 0.1
+	// minTokenDemand is the smallest demand per window for which a lifetime is computed.
+	minTokenDemand = 1e-3
+	// tokenLifetimeIterations is enough for the fixed point of slowStartTokenLifetime to converge.
+	tokenLifetimeIterations = 6
+	// slowStartSmallN is the N below which the slack is wider.
+	slowStartSmallN = 30
 )
 
-// slowStartSlack is by how many calls of mean work a starting node that bears n may get more, by the rule.
+// slowStartSlack returns by how many requests of mean size a starting server that bears n may get more.
 func slowStartSlack(n float64) float64 {
-	if n < 30 {
+	if n < slowStartSmallN {
 		return 3*math.Sqrt(n) + 3
 	}
 	return 2*math.Sqrt(n) + 2
 }
 
-// slowStartTokenLifetime is how many windows a token stays fresh where so many calls are asked for in one, each of which waits for
-// so many: what makes the most of a part that is the same for any, e x (1 - exp(-y)) with y calls asked for in both times.
-func slowStartTokenLifetime(calls, waits float64) float64 {
-	calls = max(calls, 1e-3)
+// slowStartTokenLifetime returns the lifetime of a token, in windows, that makes the most of an even part where demand requests
+// arrive per window and each of them waits for patience windows: that with the largest e·(1 - exp(-y)), where y is the demand in
+// both times.
+func slowStartTokenLifetime(demand, patience float64) float64 {
+	demand = max(demand, minTokenDemand)
 	y := 1.0
-	for range 6 { // converges quickly: y = ln(1 + calls + y - calls x waits)
-		y = math.Log(max(1, 1+calls+y-calls*waits))
+	for range tokenLifetimeIterations { // y = ln(1 + demand + y - demand·patience)
+		y = math.Log(max(1, 1+demand+y-demand*patience))
 	}
-	return max(y/calls-waits, minTokenLifetime)
+	return max(y/demand-patience, minTokenLifetime)
 }
 
-// slowStartBudget is this gateway's part of what one starting node may be sent, in units. At zero or above a request may go.
+// slowStartBudget is this gateway's part of what a starting server may be sent, in units. A request may be sent while the level
+// is not negative. Of the two replenishing methods the one that fits the server's tolerance is used.
 type slowStartBudget struct {
 	level     float64
 	updatedAt time.Duration
-	phase     float64 // of its tokens, drawn from 0 to 1, until its first use
+	phase     float64 // of the tokens' times, in (0, 1], until the first call of replenish or replenishTokens; 0: applied
+}
+
+// newSlowStartBudget returns the budget of a server that is new to this gateway or has restarted. It draws the times of the
+// tokens. Right after the gateway's start the budget is negative: a predecessor may just have used a token.
+func (s *Scheduler) newSlowStartBudget() slowStartBudget {
+	phase := 1 - s.random.Float64()
+	if s.now-s.startedAt < s.settings.OverloadWindow {
+		return slowStartBudget{level: -s.meanUnits() * phase, updatedAt: s.now}
+	}
+	return slowStartBudget{phase: phase, updatedAt: s.now}
 }
 
-// replenish takes in the units that have come at a rate, up to what the budget holds at most.
-func (b *slowStartBudget) replenish(now time.Duration, rate, most float64) float64 {
+// replenish adds units at a rate up to a capacity and returns the level.
+func (b *slowStartBudget) replenish(now time.Duration, rate, capacity float64) float64 {
 	b.phase = 0
-	b.level = min(b.level+rate*(now-b.updatedAt).Seconds(), most)
+	b.level = min(b.level+rate*(now-b.updatedAt).Seconds(), capacity)
 	b.updatedAt = now
 	return b.level
 }
 
-// replenishTokens is its level now, where units come at a rate, a token is worth a mean request, and most is what comes while a
-// token is fresh.
-func (b *slowStartBudget) replenishTokens(now time.Duration, rate, mean, most float64) float64 {
-	if b.phase != 0 { // as if tokens had come before: some have a fresh one
-		b.level, b.phase = min(most, mean)-mean*b.phase, 0
+// replenishTokens adds units at a rate and returns the level. A token is worth a request of meanUnits, and lifetimeUnits are what
+// arrives in the lifetime of a token.
+func (b *slowStartBudget) replenishTokens(now time.Duration, rate, meanUnits, lifetimeUnits float64) float64 {
+	if b.phase != 0 { // as if tokens had been issued before: some gateways have a live one
+		b.level, b.phase = min(lifetimeUnits, meanUnits)-meanUnits*b.phase, 0
 	}
 	b.level += rate * (now - b.updatedAt).Seconds()
 	b.updatedAt = now
 	switch {
-	case b.level <= most:
-	case most < mean: // the token is not fresh any more; the next one comes in its turn
-		b.level -= mean * math.Ceil((b.level-most)/mean)
+	case b.level <= lifetimeUnits:
+	case lifetimeUnits < meanUnits: // the token has expired; the next one comes in its turn
+		b.level -= meanUnits * math.Ceil((b.level-lifetimeUnits)/meanUnits)
 	default:
-		b.level = most
+		b.level = lifetimeUnits
 	}
 	return b.level
 }
 
-// newSlowStartBudget is the budget for a node that is new to this gateway or has restarted, with its tokens' times drawn.
-func (s *Scheduler) newSlowStartBudget() slowStartBudget {
-	drawn := 1 - s.random.Float64()
-	if s.now-s.startedAt < s.settings.OverloadWindow { // what ran here before may just have used one
-		return slowStartBudget{level: -s.meanUnits() * drawn, updatedAt: s.now}
-	}
-	return slowStartBudget{phase: drawn, updatedAt: s.now}
-}
+// consume takes the units of a request out of the budget.
+func (b *slowStartBudget) consume(units float64) { b.level -= units }
 
+// meanUnits returns the mean size of a request.
 func (s *Scheduler) meanUnits() float64 {
 	if s.settings.MeanUnits > 0 {
 		return s.settings.MeanUnits
@@ -95,37 +110,54 @@
 	return 1
 }
 
-// inSlowStart tells whether a node may still be warming up.
+// inSlowStart reports whether a server may not have its full capacity yet.
 func (s *Scheduler) inSlowStart(server *serverEntry) bool {
 	return server.StartedAt > 0 && s.now-server.StartedAt < s.settings.SlowStartDuration && s.settings.OverloadMultiple > 0
 }
 
-// slowStartAllows tells whether a node may be sent another request as far as it is starting up.
+// slowStartAllows reports whether slow start lets a server be sent another request.
 func (s *Scheduler) slowStartAllows(server *serverEntry) bool {
-	return !s.inSlowStart(server) || float64(server.inFlight) < max(1, s.evenShare(slowStartMaxInFlight)) && s.replenishSlowStart(server) >= 0
-}
-
-// replenishSlowStart is the level of a starting node's budget now. What the node bears grows with its age; counted is the least
-// that it may have been in the window that ends now.
-func (s *Scheduler) replenishSlowStart(server *serverEntry) float64 {
-	age := max(0, float64(s.now-server.StartedAt-s.settings.OverloadWindow)/float64(s.settings.SlowStartDuration))
-	bears := s.settings.SlowStartUnits * (1 + (1/s.settings.InitialCapacity-1)*age)
-	window, ramp := s.settings.OverloadWindow.Seconds(), s.settings.SlowStartDuration.Seconds()
-	even, mean := s.evenShare(bears)/window, s.meanUnits()
-	if burst := slowStartSlack(bears/mean)/float64(s.settings.Gateways) - slowStartOverdraft; burst >= 0 {
-		return server.slowStart.replenish(s.now, even, burst*mean)
+	if !s.inSlowStart(server) {
+		return true
 	}
-	asked := s.shards[server.Shard].demand(s.now, s.settings.SlowStartDuration) / mean / ramp * window
-	waits := float64(s.latencyThreshold) / thresholdFraction / float64(s.settings.OverloadWindow) // the shortest aim
-	fresh := min(slowStartTokenLifetime(asked, waits), ramp/window)
-	rate := slowStartRateFactor / (1 + fresh) * even
-	return server.slowStart.replenishTokens(s.now, rate, mean, rate*window*fresh)
+	return float64(server.inFlight) < max(1, s.evenShare(slowStartMaxInFlight)) && s.replenishSlowStart(server) >= 0
 }
 
-// consumeSlowStart takes a request's units from a starting node's budget.
+// consumeSlowStart charges a request that is sent to a starting server.
 func (s *Scheduler) consumeSlowStart(server *serverEntry, units float64) {
 	if s.inSlowStart(server) {
 		s.replenishSlowStart(server)
-		server.slowStart.level -= units
+		server.slowStart.consume(units)
+	}
+}
+
+// replenishSlowStart brings a starting server's budget up to date and returns its level.
+func (s *Scheduler) replenishSlowStart(server *serverEntry) float64 {
+	tolerance := s.slowStartTolerance(server)
+	window, meanUnits := s.settings.OverloadWindow.Seconds(), s.meanUnits()
+	rate := s.evenShare(tolerance) / window
+	burst := slowStartSlack(tolerance/meanUnits)/float64(s.settings.Gateways) - slowStartOverdraft
+	if burst >= 0 {
+		return server.slowStart.replenish(s.now, rate, burst*meanUnits)
 	}
+	lifetime := s.tokenLifetime(server)
+	rate = slowStartRateFactor / (1 + lifetime) * rate
+	return server.slowStart.replenishTokens(s.now, rate, meanUnits, rate*window*lifetime)
+}
+
+// slowStartTolerance returns the units per OverloadWindow that a starting server bears from all gateways. It grows with the
+// server's age; what counts is the least that it may have been in the window that ends now.
+func (s *Scheduler) slowStartTolerance(server *serverEntry) float64 {
+	age := max(0, float64(s.now-server.StartedAt-s.settings.OverloadWindow)/float64(s.settings.SlowStartDuration))
+	return s.settings.SlowStartUnits * (1 + (1/s.settings.InitialCapacity-1)*age)
+}
+
+// tokenLifetime returns the lifetime of a starting server's tokens, in windows, by the demand for its shard.
+func (s *Scheduler) tokenLifetime(server *serverEntry) float64 {
+	window, duration := s.settings.OverloadWindow.Seconds(), s.settings.SlowStartDuration.Seconds()
+	units := s.shards[server.Shard].demand.value(s.now, s.settings.SlowStartDuration)
+	demand := units / s.meanUnits() / duration * window
+	shortestObjective := float64(s.latencyThreshold) / thresholdFraction
+	patience := shortestObjective / float64(s.settings.OverloadWindow)
+	return min(slowStartTokenLifetime(demand, patience), duration/window)
 }
