--- a/internal/scheduler/polling_test.go
+++ b/internal/scheduler/polling_test.go
@@ -1,136 +1,142 @@
 package scheduler
 
 import (
-	"fmt"
 	"testing"
 	"time"
 )
 
-// Behind an outage of discovery, which ends all watches, every gateway is told in time: a change that is made as discovery
-// is back counts as told 6 s later, and has to be heeded a grace of 1 s behind that. Calls wait 2 s before they fail, in
-// the outage and where too many come.
-func TestAFleetIsToldBehindAnOutage(t *testing.T) {
-	for _, c := range []struct {
-		gates  int
-		cost   time.Duration
-		outage time.Duration
-	}{
-		{5, 60 * ms, 8 * time.Second}, {60, 50 * ms, 8 * time.Second}, {300, 8 * ms, 8 * time.Second}, {300, 8 * ms, 25 * time.Second},
-		{900, 3 * ms, 12 * time.Second},
-	} {
-		t.Run(fmt.Sprint(c.gates, "x", c.cost, ",", c.outage), func(t *testing.T) { simulateOutage(t, c.gates, c.cost, c.outage) })
+func TestPollsUntilWatchOpens(t *testing.T) {
+	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
+	count := func(actions []Action) (n int) {
+		for _, a := range actions {
+			if _, ok := a.(WatchEndpoints); ok {
+				n++
+			}
+		}
+		return n
+	}
+	gateway.step(EndpointUpdate{Kind: WatchFailed})
+	if n := count(gateway.advance(5 * time.Second)); n == 0 {
+		t.Fatal("not asked again after a broken call")
+	}
+	if n := count(gateway.advance(20 * time.Second)); n < 3 || n > 4 {
+		t.Errorf("asked %d times in 20 s while no call is answered, want one every AskWithin/2", n)
+	}
+	gateway.step(EndpointUpdate{Kind: Delta})
+	if n := count(gateway.advance(60 * time.Second)); n != 0 {
+		t.Errorf("asked %d times while subscribed", n)
+	}
+	for range 5 {
+		gateway.step(EndpointUpdate{Kind: WatchFailed})
+		if n := count(gateway.advance(10 * time.Second)); n < 1 || n > 3 {
+			t.Errorf("asked %d times in 10 s after a broken call", n)
+		}
 	}
 }
 
-func simulateOutage(t *testing.T, gates int, cost, outage time.Duration) {
-	const (
-		giveUp = 2 * time.Second
-		step   = 2 * ms
-		toldIn = 7 * time.Second
-	)
-	type call struct {
-		gate int
-		from time.Duration
+// A gateway without a watch may use its list for MaxPollInterval from its last poll, and four times as long if that poll failed. The next
+// poll comes within MaxPollInterval of the end of a watch, with time left for it, and within four times that of the last failed poll.
+func TestPollAfterWatchEnds(t *testing.T) {
+	for _, siblings := range []int{1, 5, 300} {
+		for seed := range uint64(40) {
+			settings := testSettings()
+			settings.Gateways, settings.PollEndpoints, settings.MaxPollInterval = siblings, true, 8*time.Second
+			s, err := New(settings, seed)
+			if err != nil {
+				t.Fatal(err)
+			}
+			now := time.Hour
+			next := func(scope UpdateKind) (wait time.Duration) {
+				s.Step(now, []Event{EndpointUpdate{Kind: scope}})
+				from := now
+				for s.poller.nextPollAt > now {
+					now = s.poller.nextPollAt
+				}
+				called := false
+				for _, a := range s.Step(now, []Event{TimerFired{}}) {
+					if _, ok := a.(WatchEndpoints); ok {
+						called = true
+					}
+				}
+				if !called {
+					t.Fatal("no call")
+				}
+				return now - from
+			}
+			for i := range 12 {
+				if wait := next(WatchFailed); wait > 4*settings.MaxPollInterval-settings.MaxPollInterval/2 {
+					t.Fatalf("%d gateways: %v behind failed call %d", siblings, wait, i)
+				}
+			}
+			for i := range 12 {
+				s.Step(now, []Event{EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, State: Draining}}}})
+				now += 100 * ms
+				if wait := next(WatchClosed); wait > settings.MaxPollInterval/2 {
+					t.Fatalf("%d gateways: %v behind end %d of a watch that told", siblings, wait, i)
+				}
+			}
+		}
 	}
-	list := func() Event { return EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}, {ID: 2, Shard: 1}}} }
-	schedulers, news := make([]*Scheduler, gates), make([][]Event, gates)
-	watching, out := make([]bool, gates), make([]bool, gates)
-	for i := range schedulers {
+}
+
+// Watches that fall idle are opened again within two seconds, spread over them: what they miss counts as known 6 s after their last message,
+// and 3 s of that have passed. An idle watch is no failed poll, so it does not lengthen the cycle.
+func TestIdleWatchesAreReopenedSoon(t *testing.T) {
+	const gates = 300
+	var asked []time.Duration
+	for i := range gates {
 		settings := testSettings()
-		settings.Gateways, settings.PollEndpoints, settings.MaxPollInterval = gates, true, 10*time.Second
+		settings.Gateways, settings.PollEndpoints = gates, true
 		s, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		schedulers[i], news[i] = s, []Event{EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1}}}}
-	}
-	var waiting []call
-	now, free := time.Hour, time.Hour
-	told := 0
-	play := func(until time.Duration, up bool) {
-		for ; now < until && (!up || told < gates); now += step {
-			for len(waiting) > 0 && now >= waiting[0].from+giveUp {
-				news[waiting[0].gate] = append(news[waiting[0].gate], EndpointUpdate{Kind: WatchFailed})
-				out[waiting[0].gate] = false
-				waiting = waiting[1:]
-			}
-			for up && len(waiting) > 0 && free <= now {
-				free = max(free, now-step) + cost
-				g := waiting[0].gate
-				waiting, out[g], watching[g] = waiting[1:], false, true
-				told++
-				news[g] = append(news[g], list())
-			}
-			for i, s := range schedulers {
-				for _, a := range s.Step(now, append(news[i], TimerFired{})) {
-					if _, ok := a.(WatchEndpoints); !ok {
-						continue
-					}
-					if watching[i] || out[i] {
-						t.Fatalf("gateway %d calls twice", i)
+		now := time.Hour
+		calls := func(until time.Duration) (at []time.Duration) {
+			for ; now < until; now += 10 * ms {
+				for _, a := range s.Step(now, []Event{TimerFired{}}) {
+					if _, ok := a.(WatchEndpoints); ok {
+						at = append(at, now)
+						now += 10 * ms // what a call takes: those of all gateways take 3 s
+						s.Step(now, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
 					}
-					out[i] = true
-					waiting = append(waiting, call{i, now})
 				}
-				news[i] = nil
 			}
+			return at
 		}
+		if at := calls(time.Hour + 10*time.Second); len(at) != 1 {
+			t.Fatalf("%d first calls", len(at))
+		}
+		s.Step(now, []Event{EndpointUpdate{Kind: WatchIdle}})
+		fell := now
+		at := calls(now + 3*time.Second)
+		if len(at) != 1 || at[0] > fell+idlePollSpread+20*ms {
+			t.Fatalf("gateway %d: asked again %v behind the silence", i, at)
+		}
+		asked = append(asked, at[0]-fell)
 	}
-	play(now+15*time.Second, true)
-	if told != gates {
-		t.Fatalf("%d of %d gateways were told at first", told, gates)
-	}
-	now += time.Minute
-	for i := range schedulers {
-		watching[i] = false
-		news[i] = append(news[i], EndpointUpdate{Kind: WatchClosed})
-	}
-	play(now+outage, false)
-	told, free = 0, now
-	back := now
-	play(now+toldIn, true)
-	if told != gates {
-		t.Errorf("%d of %d gateways were told within %v of discovery's return", told, gates, toldIn)
-	}
-	t.Logf("all were told %v behind discovery's return", now-back)
-}
-
-// Nothing is sent by a list that may no longer be used, and what is held leaves as soon as it is renewed.
-func TestNothingIsSentByAnExpiredList(t *testing.T) {
-	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
-	nodes := []Server{{ID: 1}, {ID: 2, Shard: 1}}
-	until := gateway.now + 10*time.Second
-	gateway.step(EndpointUpdate{Kind: Snapshot, Servers: nodes, ValidUntil: until})
-	gateway.now = until - 1
-	sent := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 1)))
-	if len(sent) != 1 {
-		t.Fatalf("sent %v in the last moment of a list that holds", sent)
+	// A few gateways need no spread: their calls take no longer than that together.
+	settings := testSettings()
+	settings.Gateways, settings.PollEndpoints = 5, true
+	s, err := New(settings, 1)
+	if err != nil {
+		t.Fatal(err)
 	}
-	gateway.step(AttemptEnded{ID: sent[0], Server: 1, Status: StatusOK, Latency: ms, RequestDone: true})
-	gateway.now = until
-	if got := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 1))); len(got) != 0 {
-		t.Errorf("sent %v by an expired list", got)
+	s.Step(time.Hour, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
+	if s.poller.pollLatency != 0 {
+		t.Errorf("a list that nobody asked for tells that a call takes %v", s.poller.pollLatency)
 	}
-	if got := sentIDs(gateway.step(EndpointUpdate{Kind: Heartbeat, ValidUntil: until + time.Second})); len(got) != 1 {
-		t.Errorf("sent %v once the list was renewed", got)
+	s.Step(time.Hour+time.Minute, []Event{EndpointUpdate{Kind: WatchIdle}})
+	if wait := s.poller.nextPollAt - s.now; wait > 5*defaultPollLatency {
+		t.Errorf("one of five gateways asks %v behind a silence", wait)
 	}
-	gateway.now = until + time.Second
-	last := gateway.newArrival("read", "gold", 1, 2, 1)
-	refusals := 0
-	for _, a := range append(gateway.step(last), gateway.advance(5*time.Second)...) {
-		switch a := a.(type) {
-		case Send:
-			t.Errorf("sent to %d by a list that has expired again", a.Server)
-		case Reject:
-			if a.ID == last.ID {
-				refusals++
-			}
-			if a.Reason != ReasonEndpointsExpired {
-				t.Errorf("refused for %v", a.Reason)
-			}
+	early := 0
+	for _, d := range asked {
+		if d < idlePollSpread/2 {
+			early++
 		}
 	}
-	if refusals != 1 {
-		t.Errorf("%d refusals", refusals)
+	if early < gates/3 || early > gates*2/3 {
+		t.Errorf("%d of %d ask in the first half of the spread", early, gates)
 	}
 }
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -7,7 +7,96 @@
 	"time"
 )
 
-// slowStartScenario is a shard whose node restarts, asked through many gateways that share nothing.
+func TestReplacementKeepsRunningServerInUse(t *testing.T) {
+	gateway := newTestGateway(t, nil)
+	gateway.advance(2 * time.Second) // the cold node bears the request by now
+	gateway.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 3, Shard: 0, StartedAt: gateway.now}}})
+	for _, a := range gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) {
+		if a, ok := a.(Send); ok && a.Server != 1 {
+			t.Errorf("sent to the cold node %d", a.Server)
+		}
+	}
+}
+
+func TestSlowStartOfOneGateway(t *testing.T) {
+	restart := func(gateway *testGateway) {
+		gateway.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, StartedAt: gateway.now}}})
+	}
+	t.Run("right after the own start nothing", func(t *testing.T) {
+		gateway := newTestGateway(t, nil)
+		restart(gateway)
+		if got := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 5))); len(got) != 0 {
+			t.Errorf("sent %v", got)
+		}
+	})
+	t.Run("a gateway that nobody asks usually sends its even part, one request at a time", func(t *testing.T) {
+		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 0.1 })
+		gateway.advance(2 * time.Second)
+		restart(gateway)
+		sends, units := 0, 0.0
+		for k := range 400 { // 4 s of more than it may send, held long enough to wait for its turn
+			gateway.now += 10 * ms
+			events := []Event{gateway.newArrival("bulk", "gold", 1, 2, uint64(k))}
+			for _, id := range sentIDs(gateway.step(events...)) {
+				sends, units = sends+1, units+2
+				gateway.step(AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: 5 * ms, RequestDone: true})
+			}
+		}
+		// Half of 12 units a second when it starts, twice that after 4 s, and a burst.
+		if units < 18 || units > 42 {
+			t.Errorf("%d requests, %.0f units in 4 s, want about 6 units a second growing slowly", sends, units)
+		}
+	})
+	t.Run("what was sent before does not widen the bound, nor do quick answers", func(t *testing.T) {
+		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 100 })
+		gateway.serveReads(20*time.Second, 20*ms, 30*ms, StatusOK)
+		restart(gateway)
+		if n := gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK); n < 2 || n > 4 { // half of 12 units in a second, and a burst
+			t.Errorf("%d sent in the first second", n)
+		}
+	})
+	// asked plays 12 s of a request of 2 units every 500 ms, to a node that has just started, on one of 80 gateways, whose
+	// even part is 0.11 to 0.5 units a second.
+	asked := func(lat time.Duration) (sends int) {
+		gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 80 })
+		restart(gateway)
+		type pending struct {
+			at time.Duration
+			o  AttemptEnded
+		}
+		var out []pending
+		for k := range 1200 {
+			gateway.now += 10 * ms
+			events := []Event{TimerFired{}}
+			for len(out) > 0 && out[0].at <= gateway.now {
+				events, out = append(events, out[0].o), out[1:]
+			}
+			if k%50 == 0 {
+				events = append(events, gateway.newArrival("bulk", "gold", 1, 2, uint64(k)))
+			}
+			for _, id := range sentIDs(gateway.step(events...)) {
+				sends++
+				out = append(out, pending{gateway.now + lat, AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: lat, RequestDone: true}})
+			}
+		}
+		return sends
+	}
+	t.Run("one of many sends its even part, however quick the answers are", func(t *testing.T) {
+		if quick, slow := asked(5*ms), asked(100*ms); quick < 1 || quick > 3 || slow < 1 || slow > quick {
+			t.Errorf("of 24 requests %d were sent with answers of 5 ms, %d with answers of 100 ms", quick, slow)
+		}
+	})
+	t.Run("a surge does not count as usual", func(t *testing.T) {
+		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 2 })
+		restart(gateway)
+		n := gateway.serveReads(4*time.Second, 10*ms, 500*ms, StatusOK) // 200 units a second
+		if units := 2 * n; units > 30 {
+			t.Errorf("%d units sent in 4 s", units)
+		}
+	})
+}
+
+// slowStartScenario is a shard whose server restarts, with requests through many gateways that do not coordinate.
 type slowStartScenario struct {
 	gateways       int
 	tolerance      float64       // ColdBears
@@ -17,7 +106,7 @@
 	delayedUpdates bool          // gateways are told of the start up to 3 s late
 }
 
-// run plays 20 s behind the restart and tells the worst window as part of the rule's bound, and the units sent.
+// run simulates 20 s after the restart. It returns the units of the worst window as a fraction of the rule's bound, and all units sent.
 func (p slowStartScenario) run(t *testing.T, seed uint64) (worst, units float64) {
 	t.Helper()
 	settings := testSettings()
@@ -95,9 +184,9 @@
 	return worst, units
 }
 
-// However many gateways there are, and however much is asked of them in whatever way, all together keep the bound of a
-// starting node; and where no more is asked than usual it is used.
-func TestSlowStartIsABound(t *testing.T) {
+// All gateways together keep the bound of a starting server, however many they are and however demand arrives; with ordinary demand they
+// use what it bears.
+func TestSlowStartBound(t *testing.T) {
 	for _, gates := range []int{1, 3, 10, 80} {
 		for _, bears := range []float64{2, 10, 51, 400} {
 			for _, p := range []slowStartScenario{
