--- /dev/null
+++ b/cmd/gaugerelay/edge_test.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+
+	"github.com/pkg/sftp"
+
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/testbed/fakefileserver"
+)
+
+// The operator's file enables file commands, which reach a server's file port, and announcements, which are withdrawn
+// before the program ends.
+func TestEdgeFileEnablesSFTPAndBGP(t *testing.T) {
+	files := fakefileserver.New(t)
+	files.Put("/layers/a", []byte("layer"))
+	router := testbed.Listen(t)
+	edge := writeFile(t, "edge.jsonc", fmt.Sprintf(`// an operator's
+	{"sftp":{"listen":"127.0.0.1:0","read_class":"pull","write_class":"push","backends":{"s-1":"%s"},
+	  "roots":[{"path":"/layers","volume":"1","plan":"basic"}]},
+	 "bgp":{"peer":"%s","local_as":65001,"peer_as":65001,"router_id":"127.0.0.1","announce":["192.0.2.7/32"]}}`,
+		files.Addr, router.Addr()))
+	p := startProgram(t, settingsFor(unusedServer), "-edge", edge)
+	addr := p.waitForAddr(`for="file commands"`) // logged before the lines of the session
+	session := acceptBGP(t, router)
+	changeFirstByte(t, addr)
+	if got := string(files.File("/layers/a")); got != "Layer" {
+		t.Errorf("written %q", got)
+	}
+	p.waitForLog("announced=true")
+	p.signal(syscall.SIGTERM)
+	p.waitForLog("announced=false")
+	p.waitForLog("answers_served 3")
+	p.wantExit()
+	cease := []byte{0, 21, 3, 6, 2} // the end of a NOTIFICATION, behind KEEPALIVE, the routes and their withdrawal
+	received, err := io.ReadAll(session)
+	if err != nil || !bytes.HasSuffix(received, cease) {
+		t.Errorf("%v: %x", err, received)
+	}
+}
+
+// acceptBGP establishes the session that the program opens, as its router.
+func acceptBGP(t *testing.T, router net.Listener) net.Conn {
+	t.Helper()
+	session, err := router.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { session.Close() })
+	const identifierEnd = 27 // the last byte of the identifier
+	open := make([]byte, 64)
+	n, err := session.Read(open)
+	if err != nil || n <= identifierEnd+1 {
+		t.Fatalf("OPEN of %d bytes: %v", n, err)
+	}
+	open[identifierEnd]++ // the router's OPEN is the program's with another identifier
+	session.Write(open[:n])
+	keepalive := append(bytes.Repeat([]byte{0xff}, 16), 0, 19, 4)
+	session.Write(keepalive)
+	return session
+}
+
+// changeFirstByte reads the file /layers/a and writes its first byte.
+func changeFirstByte(t *testing.T, addr string) {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	client, err := sftp.NewClientPipe(conn, conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := client.OpenFile("/layers/a", os.O_RDWR)
+	if err != nil {
+		t.Fatal(err)
+	}
+	content := make([]byte, 5)
+	if _, err := file.ReadAt(content, 0); err != nil || string(content) != "layer" {
+		t.Errorf("read %q: %v", content, err)
+	}
+	if _, err := file.WriteAt([]byte("L"), 0); err != nil {
+		t.Errorf("write: %v", err)
+	}
+}
--- a/cmd/gaugerelay/machine.go
+++ b/cmd/gaugerelay/environment.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/gateway"
 )
 
-// machine is the clock and the network that the program runs on.
-func machine(*config.Config) (clock.Clock, gateway.Network, error) {
+// environment returns the clock and the network of the machine.
+func environment(*config.Config) (clock.Clock, gateway.Network, error) {
 	return clock.NewSystem(), gateway.SystemNetwork(), nil
 }
--- /dev/null
+++ b/cmd/gaugerelay/show.go
@@ -0,0 +1,32 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"time"
+)
+
+// showTimeout bounds the whole request to the gateway.
+const showTimeout = 5 * time.Second
+
+// showCommand prints the status of a running gateway's fleet.
+type showCommand struct {
+	Addr string `arg:"" help:"Where the gateway's clients connect."`
+}
+
+// Run prints the status to standard output.
+func (c *showCommand) Run() error {
+	client := &http.Client{Timeout: showTimeout}
+	response, err := client.Get("http://" + c.Addr + "/fleet")
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s is in no fleet, or is no gateway: %s", c.Addr, response.Status)
+	}
+	_, err = io.Copy(os.Stdout, response.Body)
+	return err
+}
