--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -23,15 +23,15 @@
 
 func parseBGP(object *fastjson.Value) (*bgp.Options, error) {
 	r := &valueReader{}
-	options := &bgp.Options{Peer: r.text(object, "peer")}
-	errs := []error{checkHostPort("peer", options.Peer)}
+	options := &bgp.Options{PeerAddress: r.text(object, "peer")}
+	errs := []error{checkHostPort("peer", options.PeerAddress)}
 	var err error
 	options.LocalAS, err = r.autonomousSystem(object, "local_as")
 	errs = append(errs, err)
 	options.PeerAS, err = r.autonomousSystem(object, "peer_as")
 	errs = append(errs, err)
-	options.HoldMs = r.numberOr(defaultHoldMs, object, "hold_ms")
-	if options.HoldMs != 0 && (options.HoldMs < minHoldMs || options.HoldMs > maxHoldMs) {
+	options.HoldTimeMs = r.numberOr(defaultHoldMs, object, "hold_ms")
+	if options.HoldTimeMs != 0 && (options.HoldTimeMs < minHoldMs || options.HoldTimeMs > maxHoldMs) {
 		errs = append(errs, errors.New("hold_ms is neither 0 nor from 3000 to 65535000"))
 	}
 	options.RouterID, err = netip.ParseAddr(r.text(object, "router_id"))
@@ -48,9 +48,9 @@
 		if err != nil || !prefix.Addr().Is4() || prefix != prefix.Masked() {
 			errs = append(errs, fmt.Errorf("announce: %s is not an IPv4 prefix such as 192.0.2.7/32", value))
 		}
-		options.Addresses = append(options.Addresses, prefix)
+		options.Prefixes = append(options.Prefixes, prefix)
 	}
-	if n := len(options.Addresses); n == 0 || n > maxAnnouncedPrefixes {
+	if n := len(options.Prefixes); n == 0 || n > maxAnnouncedPrefixes {
 		errs = append(errs, fmt.Errorf("announce: %d prefixes, wants 1 to %d", n, maxAnnouncedPrefixes))
 	}
 	return options, firstError(append(errs, r.err))
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -21,7 +21,7 @@
 		sftp.Roots[0].Volume != 0x3b4d60021 || sftp.Roots[1].Hosts != 1 {
 		t.Errorf("%+v", sftp)
 	}
-	if b := edge.BGP; b == nil || b.LocalAS != 65001 || b.HoldMs != 90000 || len(b.Addresses) != 1 || b.NextHop.IsValid() {
+	if b := edge.BGP; b == nil || b.LocalAS != 65001 || b.HoldTimeMs != 90000 || len(b.Prefixes) != 1 || b.NextHop.IsValid() {
 		t.Errorf("%+v", b)
 	}
 	// The example shows the defaults: a part with its addresses alone is the same.
--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -66,7 +66,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					size, err := coapwire.Frame(head)
+					size, err := coapwire.FrameLength(head)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -98,7 +98,7 @@
 	})
 	for name, devices := range map[string]bool{"http": false, "http for devices": true} {
 		b.Run(name, func(b *testing.B) {
-			f := &httpserver.Front{Loop: &atOnce{[]byte("done")}, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, Devices: devices}
+			f := &httpserver.Handler{Loop: &atOnce{[]byte("done")}, Clock: clock.NewSystem(), Metrics: metrics.New(), Settings: &set, ServesDevices: devices}
 			server := &http.Server{Handler: f, ConnContext: f.ConnContext}
 			nc := dial(b, func(ln net.Listener) { server.Serve(ln) })
 			raw := fmt.Appendf(nil, "PUT /push/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: 1\r\nX-Service-Class: push\r\nX-Plan: basic\r\nX-Time-Left-Ms: 2000\r\nIdempotency-Key: k1\r\nX-Device-Id: dev\r\nX-IO: volume=1,units=2,shard=3,hosts=1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -134,12 +134,12 @@
 					csm := coapwire.Encode(message.Message{Code: codes.CSM})
 					pong := coapwire.Encode(message.Message{Code: codes.Pong})
 					put := coapwire.Encode(ask(codes.PUT, 1, make([]byte, 256), func(o message.Options) message.Options {
-						return o.Set(coapwire.Uint(coapwire.OptLeft, 6000))
+						return o.Set(coapwire.UintOption(coapwire.OptTimeLeft, 6000))
 					}))
 					small := make([]byte, 64)
 					for i := range ends {
 						near, far := net.Pipe()
-						f.Take(far)
+						f.StartConn(far)
 						near.Write(csm)
 						for last := byte(0); last != byte(codes.Ping); { // its CSM, then its ping
 							k, err := near.Read(small)
@@ -157,8 +157,8 @@
 					runtime.GC()
 					runtime.ReadMemStats(&after)
 					b.ReportMetric(float64(held(&after)-held(&before))/float64(n), "B/device")
-					f.CloseAll()
-					f.End()
+					f.Close()
+					f.Shutdown()
 					runtime.KeepAlive(ends)
 				}
 			})
--- a/internal/gateway/devices.go
+++ b/internal/gateway/devices.go
@@ -25,39 +25,39 @@
 	base
 	g     *Gateway
 	opt   *config.Devices
-	coap  *coapserver.Front
-	http  *httpserver.Front
-	conns *httpserver.Conns
+	coap  *coapserver.Server
+	http  *httpserver.Handler
+	conns *httpserver.ConnTracker
 	lns   []net.Listener
 	serve *http.Server
 }
 
 // newDeduplicator returns the deduplicator of the requests of devices, and how this gateway names itself to devices. Its
 // functions use g.loop, which is built after it.
-func newDeduplicator(g *Gateway, o *config.Devices) (deduplicator *dedup.Desk, gateway string, err error) {
+func newDeduplicator(g *Gateway, o *config.Devices) (deduplicator *dedup.Coordinator, gateway string, err error) {
 	// Nodes know runs by this, and devices the gateway: no other and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gateway = strconv.FormatUint(xxhash.Sum64String(name), 16)
 	deduplicator, err = dedup.New(dedup.Options{Settings: o.Exchanges, Classes: g.cfg.Settings.Classes,
-		Name: name, Gateway: gateway, Metrics: g.Metrics, Now: g.Clock.NowMs,
-		After: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
-		Take:  func(nowMs float64, r *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, r) }})
+		RunIDPrefix: name, GatewayName: gateway, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
+		AfterFunc: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
+		Submit:    func(nowMs float64, r *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, r) }})
 	return deduplicator, gateway, err
 }
 
 func newDevices(g *Gateway, o *config.Devices, gateway string) *devices {
 	p := &devices{g: g, opt: o}
 	if o.CoAP != "" {
-		p.coap = &coapserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, Options: coapserver.Options{Gateway: gateway, MaxConns: o.MaxConns, MaxOpen: o.MaxOpenRequests,
-				MaxMessage: o.MaxMessageBytes, FirstTime: o.FirstMessageTimeout, IdleTime: o.IdleTimeout,
-				LeastDead: clock.Duration(o.Exchanges.Link.MinIdleTimeoutMs), MostDead: clock.Duration(o.Exchanges.Link.MaxIdleTimeoutMs),
-				HoldOff: o.HoldOff, GuardTime: 25 * time.Millisecond}}
+		p.coap = &coapserver.Server{Loop: g.loop, Upstream: g.back, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, Options: coapserver.Options{GatewayName: gateway, MaxConns: o.MaxConns, MaxPendingRequests: o.MaxOpenRequests,
+				MaxMessageSize: o.MaxMessageBytes, FirstMessageTimeout: o.FirstMessageTimeout, KeepaliveTime: o.IdleTimeout,
+				MinIdleTimeout: clock.Duration(o.Exchanges.Link.MinIdleTimeoutMs), MaxIdleTimeout: clock.Duration(o.Exchanges.Link.MaxIdleTimeoutMs),
+				HoldOff: o.HoldOff, ResponseGrace: 25 * time.Millisecond}}
 	}
 	if o.HTTP != "" {
-		p.http = &httpserver.Front{Loop: g.loop, Carrier: g.back, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, Devices: true, Gateway: gateway}
-		p.conns = &httpserver.Conns{Most: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
+		p.http = &httpserver.Handler{Loop: g.loop, Upstream: g.back, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, ServesDevices: true, GatewayID: gateway}
+		p.conns = &httpserver.ConnTracker{MaxOpen: max(1, o.MaxConns*15/16), Clock: g.Clock, Metrics: g.Metrics}
 	}
 	return p
 }
@@ -82,10 +82,10 @@
 		// A body may take as long as the longest time that a request may name; so may its answer.
 		p.serve = &http.Server{Handler: p.http, ReadHeaderTimeout: p.opt.FirstMessageTimeout, ReadTimeout: 2*p.g.longest + p.opt.FirstMessageTimeout,
 			WriteTimeout: 4*p.g.longest + p.opt.FirstMessageTimeout, IdleTimeout: p.opt.IdleTimeout, MaxHeaderBytes: 16 << 10,
-			ConnState: p.conns.State, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-				return p.http.ConnContext(p.conns.Context(ctx, nc), nc)
+			ConnState: p.conns.ConnState, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+				return p.http.ConnContext(p.conns.ConnContext(ctx, nc), nc)
 			}, DisableGeneralOptionsHandler: true, ErrorLog: logevent.HTTPServerLog()}
-		clients := p.conns.Listen(ln, p.opt.MaxConns)
+		clients := p.conns.LimitListener(ln, p.opt.MaxConns)
 		p.g.serve("devices", func() error { return p.serve.Serve(clients) })
 		p.g.listening("devices by HTTP", ln.Addr().String())
 	}
@@ -94,7 +94,7 @@
 
 func (p *devices) stopping(t stopTimes) {
 	if p.coap != nil {
-		p.coap.Stopping(p.g.Clock.NowMs() + t.answer)
+		p.coap.SetResponseDeadline(p.g.Clock.NowMs() + t.answer)
 	}
 	if p.http != nil {
 		p.http.Drain(p.g.Clock.NowMs() + t.answer)
@@ -113,10 +113,10 @@
 	p.close()
 	var all sync.WaitGroup
 	if p.coap != nil {
-		all.Go(func() { within(t.leave-t.close, p.coap.End) })
+		all.Go(func() { within(t.leave-t.close, p.coap.Shutdown) })
 	}
 	if p.http != nil {
-		p.http.Close()
+		p.http.DisableKeepAlives()
 		all.Go(func() {
 			select {
 			case <-p.conns.Drain():
@@ -136,7 +136,7 @@
 func (p *devices) end() {
 	p.close()
 	if p.coap != nil {
-		p.coap.CloseAll()
+		p.coap.Close()
 	}
 	if p.serve != nil {
 		p.serve.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -112,7 +112,7 @@
 	cfg     *config.Config
 	net     Network
 	loop    *eventloop.Loop
-	back    *httpclient.Backend
+	back    *httpclient.Client
 	watcher *discovery.Watcher
 	holdUps *clock.PauseDetector
 	parts   []part // in the order of their start
@@ -158,21 +158,21 @@
 	}
 	var deviceGateway string
 	if edge.Devices != nil {
-		var deduplicator *dedup.Desk
+		var deduplicator *dedup.Coordinator
 		if deduplicator, deviceGateway, err = newDeduplicator(g, edge.Devices); err != nil {
 			return nil, err
 		}
 		loop.Deduplicator = deduplicator
 	}
 	g.loop = eventloop.New(loop)
-	g.back = httpclient.New(httpclient.Options{ConnectMs: cfg.ConnectTimeoutMs, ConnIdleMs: cfg.IdleConnTimeoutMs,
-		RestMs: restMs, MaxConns: cfg.MaxSockets / 2, ReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
+	g.back = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
+		ReuseDelayMs: restMs, MaxConns: cfg.MaxSockets / 2, LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
 	g.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
 	front := newPlatform(g)
 	if others != nil { // before the fronts: parts are known sooner, and are given back later
 		g.parts = append(g.parts, others)
-		front.front.Fleet = others.show
+		front.front.FleetStatus = others.show
 	}
 	g.parts = append(g.parts, front)
 	if edge.SFTP != nil {
