--- /dev/null
+++ b/internal/frontend/coapserver/read.go
@@ -0,0 +1,230 @@
+package coapserver
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/frontend/gracefulclose"
+)
+
+const (
+	// idleBufferSize is the size in bytes of the read buffer of a connection without an incomplete frame. Only frames of
+	// at least this size tell the throughput of a link.
+	idleBufferSize = 512
+	// requestCodesEnd is the first code that is not of a request (RFC 7252, 12.1).
+	requestCodesEnd codes.Code = 32
+)
+
+// Errors of the protocol. They are sent to devices in an Abort, so their texts have no package prefix.
+var (
+	errMessageTooLarge = errors.New("a message over the size that this side told")
+	errNoCSM           = errors.New("the first message must be a CSM")
+	errResponse        = errors.New("a response to no request")
+	errTokenInUse      = errors.New("a token that is in use")
+)
+
+// serve reads and handles messages until the connection ends.
+func (c *conn) serve() {
+	// A close with unread bytes in the socket would reset the connection, and the device would lose the last message.
+	defer gracefulclose.Close(c.netConn)
+	defer c.close()
+	for c.setReadDeadline() {
+		count, readErr := c.netConn.Read(c.buf[c.buffered:])
+		now := time.Now()
+		if count > 0 {
+			c.recordRead(count, now)
+			if err := c.handleFrames(now); err != nil {
+				c.abort(err)
+				return
+			}
+		}
+		if readErr != nil && !c.handleReadError(readErr, now) {
+			return
+		}
+	}
+}
+
+// handleReadError returns whether reading may go on after an error: it may if a deadline has passed and the device is
+// not taken for lost.
+func (c *conn) handleReadError(err error, now time.Time) bool {
+	if !errors.Is(err, os.ErrDeadlineExceeded) {
+		if c.buffered > 0 {
+			c.server.Metrics.Add("device_frames_cut_off", 1)
+		}
+		return false
+	}
+	if counter := c.handleSilence(now); counter != "" {
+		c.server.Metrics.Add(counter, 1)
+		return false
+	}
+	return true
+}
+
+// setReadDeadline sets the deadline of the next read. It returns false if the connection has been closed.
+func (c *conn) setReadDeadline() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.closed {
+		c.netConn.SetReadDeadline(c.readDeadline())
+	}
+	return !c.closed
+}
+
+// readDeadline returns until when the next bytes must arrive; handleSilence acts if they do not. The caller holds c.mu.
+func (c *conn) readDeadline() time.Time {
+	switch {
+	case !c.csmReceived:
+		return c.frameStart.Add(c.server.FirstMessageTimeout) // bytes that trickle in do not extend it
+	case !c.pingSentAt.IsZero():
+		return c.pingSentAt.Add(c.idleTimeout)
+	case c.buffered > 0:
+		return c.lastReadAt.Add(c.idleTimeout)
+	case len(c.pending) > 0:
+		return c.lastReadAt.Add(c.idleTimeout / 2)
+	}
+	return c.lastReadAt.Add(c.server.KeepaliveTime)
+}
+
+// handleSilence acts on a read deadline that has passed. It sends a Ping to a device that may be waiting, and returns ""
+// while the connection goes on. For a connection that counts as lost it returns the name of the counter to increment.
+func (c *conn) handleSilence(now time.Time) (counter string) {
+	c.mu.Lock()
+	early := now.Before(c.readDeadline()) // the deadline has moved since it was set
+	pingPending := !c.pingSentAt.IsZero()
+	c.mu.Unlock()
+	switch {
+	case early:
+		return ""
+	case !c.csmReceived:
+		return "device_connections_silent"
+	case pingPending || c.buffered > 0:
+		return "device_connections_dead"
+	}
+	c.ping(now)
+	return ""
+}
+
+// recordRead updates the buffer's length and the link measurements after count bytes have been read.
+func (c *conn) recordRead(count int, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.buffered > 0 {
+		c.linkSample.GapMs = max(c.linkSample.GapMs, clock.Ms(now.Sub(c.lastReadAt)))
+	} else if c.csmReceived {
+		c.frameStart = now
+	}
+	c.buffered += count
+	c.lastReadAt = now
+}
+
+// handleFrames handles the complete frames in the buffer and keeps the incomplete one behind them. An error ends the
+// connection by an Abort.
+func (c *conn) handleFrames(now time.Time) error {
+	offset := 0
+	for offset < c.buffered {
+		length, err := coapwire.FrameLength(c.buf[offset:c.buffered])
+		if err != nil {
+			return err
+		}
+		if length > c.server.MaxMessageSize {
+			return errMessageTooLarge
+		}
+		if length == 0 || length > c.buffered-offset {
+			c.keepIncompleteFrame(offset, length, now)
+			return nil
+		}
+		if err := c.handleFrame(c.buf[offset:offset+length], now); err != nil {
+			return err
+		}
+		offset += length
+		c.frameStart = now
+	}
+	c.buffered = 0
+	c.resizeBuffer(0)
+	return nil
+}
+
+// keepIncompleteFrame moves the frame at offset to the start of the buffer. length is that of the frame when it is
+// complete, or 0 if that is not known yet.
+func (c *conn) keepIncompleteFrame(offset, length int, now time.Time) {
+	c.buffered = copy(c.buf, c.buf[offset:c.buffered])
+	c.resizeBuffer(length)
+	if offset > 0 {
+		c.frameStart = now
+	}
+}
+
+// resizeBuffer makes room for a frame of a length, or for more bytes if the length is 0, not known. It shrinks the
+// buffer of a connection that holds nothing.
+func (c *conn) resizeBuffer(frameLength int) {
+	size := idleBufferSize
+	if frameLength > size {
+		size = frameLength
+	} else if c.buffered == len(c.buf) {
+		size = 2 * c.buffered
+	}
+	mustGrow := size > len(c.buf)
+	canShrink := len(c.buf) > idleBufferSize && c.buffered == 0 && frameLength == 0
+	if mustGrow || canShrink {
+		buf := make([]byte, size)
+		copy(buf, c.buf[:c.buffered])
+		c.buf = buf
+	}
+}
+
+// handleFrame decodes and handles one complete frame.
+func (c *conn) handleFrame(frame []byte, now time.Time) error {
+	m, err := coapwire.Decode(frame)
+	if err != nil {
+		return err
+	}
+	if len(frame) >= idleBufferSize {
+		c.linkSample.Bytes, c.linkSample.BytesMs = len(frame), clock.Ms(now.Sub(c.frameStart))
+	}
+	return c.handleMessage(m, now)
+}
+
+// handleMessage handles one message. An error ends the connection by an Abort.
+func (c *conn) handleMessage(m *message.Message, now time.Time) error {
+	if !c.csmReceived && m.Code != codes.CSM {
+		return errNoCSM
+	}
+	switch m.Code {
+	case codes.CSM, codes.Ping, codes.Pong, codes.Release, codes.Abort:
+		return c.handleSignal(m, now)
+	case codes.Empty:
+		return nil
+	}
+	if m.Code >= requestCodesEnd {
+		return errResponse
+	}
+	pendingCount, tokenInUse := c.awaitQueueSpace(m.Token)
+	if tokenInUse {
+		return errTokenInUse
+	}
+	if pendingCount >= c.server.MaxPendingRequests {
+		c.rejectOverLimit(m)
+		return nil
+	}
+	if err := c.handleRequest(m, now); err != nil {
+		c.rejectMalformed(m.Token, err)
+	}
+	return nil
+}
+
+// awaitQueueSpace waits while too many messages are queued: a device that does not read may not send requests. It
+// returns the number of pending requests and whether one of them has the token.
+func (c *conn) awaitQueueSpace(token message.Token) (pendingCount int, tokenInUse bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.queue) >= maxQueuedMessages && !c.closed {
+		c.queueShrunk.Wait()
+	}
+	return len(c.pending), c.pending[string(token)] != nil
+}
--- /dev/null
+++ b/internal/frontend/coapserver/request.go
@@ -0,0 +1,216 @@
+package coapserver
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/frontend/requestparse"
+	"gaugerelay/internal/httpmessage"
+	"gaugerelay/internal/lifecycle"
+)
+
+const (
+	maxDeviceNameLength = 64  // bytes
+	inboxFullRetryMs    = 250 // when to retry a request that the Loop's inbox had no room for
+	overLimitRetry      = 1   // seconds until a request beyond MaxPendingRequests may be retried
+)
+
+// pendingRequest is a request of a connection that has no response yet.
+type pendingRequest struct {
+	token     message.Token
+	parsed    *parsedRequest
+	request   *lifecycle.Request
+	stopTimer func() // of the timer that runs expire
+}
+
+// handleRequest parses a request and hands it to the Loop. An error means that it is malformed.
+func (c *conn) handleRequest(m *message.Message, now time.Time) error {
+	parsed, err := parseRequest(m)
+	if err != nil {
+		return err
+	}
+	request, err := c.newRequest(parsed, now)
+	if err != nil {
+		return err
+	}
+	if err := setBody(request.Device, parsed, m.Payload); err != nil {
+		return err
+	}
+	c.setTimes(request, now)
+	pending := &pendingRequest{token: m.Token, parsed: parsed, request: request}
+	if !c.addPending(pending) {
+		return nil
+	}
+	c.submit(pending)
+	return nil
+}
+
+// newRequest checks the fields of a request and makes the Loop's form of it, without body and times. It uses up the
+// link measurements.
+func (c *conn) newRequest(parsed *parsedRequest, now time.Time) (*lifecycle.Request, error) {
+	if parsed.device == "" {
+		parsed.device = c.device
+	}
+	if len(parsed.device) > maxDeviceNameLength {
+		return nil, requestErrorf(codes.BadOption, "the device's name is too long")
+	}
+	request, class, err := requestparse.Parse(c.server.Settings, parsed.fields)
+	if err != nil {
+		return nil, err
+	}
+	payload := &httpmessage.Request{
+		Method:   parsed.fields.Method,
+		Path:     parsed.fields.Path,
+		RawQuery: parsed.query,
+		Header:   http.Header{},
+	}
+	if parsed.contentType != "" {
+		payload.Header.Set("Content-Type", parsed.contentType)
+	}
+	if parsed.ageMs >= 0 {
+		// The age is that at sending. How long the message was on its way is not known, but it was at most this.
+		parsed.ageMs += clock.Ms(now.Sub(c.sentAfter))
+	}
+	deviceCopy := requestparse.Copy{
+		Device: parsed.device,
+		ID:     parsed.fields.Key,
+		AgeMs:  parsed.ageMs,
+		SentTo: parsed.previousGateway,
+		Link:   c.linkSample,
+	}
+	if err := requestparse.Device(request, class, parsed.fields, deviceCopy, payload); err != nil {
+		return nil, err
+	}
+	c.device = parsed.device
+	c.linkSample = lifecycle.LinkSample{}
+	request.Upstream = c.server.Upstream
+	return request, nil
+}
+
+// setBody stores a copy of the payload: a block of an upload or a complete body.
+func setBody(device *lifecycle.DeviceRequest, parsed *parsedRequest, payload []byte) error {
+	device.Body = bytes.Clone(payload)
+	if block := parsed.block1; block != nil && (block.More || block.Offset > 0) {
+		device.Block = &lifecycle.Block{
+			Tag:    parsed.requestTag,
+			Offset: block.Offset,
+			More:   block.More,
+			Total:  parsed.totalSize,
+		}
+		return nil
+	}
+	if len(device.Body) > httpmessage.MaxBodyBytes {
+		return requestErrorf(codes.RequestEntityTooLarge, "the body is over 64 KiB")
+	}
+	device.BodyDigest = sha256.Sum256(device.Body)
+	return nil
+}
+
+// setTimes deducts what the message took to arrive from the time that is left for the request.
+func (c *conn) setTimes(request *lifecycle.Request, now time.Time) {
+	request.ClientDelayMs = clock.Ms(now.Sub(c.frameStart))
+	request.RemainingMs -= request.ClientDelayMs
+	if endMs, ok := c.server.responseDeadline(); ok {
+		request.RemainingMs = min(request.RemainingMs, endMs-c.server.Clock.NowMs())
+	}
+}
+
+// addPending makes a request pending and starts its timer. It returns false if the connection is closed.
+func (c *conn) addPending(p *pendingRequest) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return false
+	}
+	c.pending[string(p.token)] = p
+	// A copy whose time was up on arrival gets its response from the exchange store at once. The timer must not fire
+	// before that: a device whose write an earlier copy has confirmed would be told now that it failed.
+	timeoutMs := max(0, p.request.RemainingMs) + clock.Ms(c.server.ResponseGrace)
+	p.stopTimer = c.server.Clock.AfterFunc(timeoutMs, func() { c.expire(p) })
+	return true
+}
+
+// removePending ends a request's being pending, and returns false if that has ended already. The caller holds c.mu.
+func (c *conn) removePending(p *pendingRequest) bool {
+	if c.pending[string(p.token)] != p {
+		return false
+	}
+	delete(c.pending, string(p.token))
+	return true
+}
+
+// submit hands a pending request to the Loop, or responds to it if the inbox is full.
+func (c *conn) submit(p *pendingRequest) {
+	p.request.Respond = func(response lifecycle.Response) { c.respond(p, response) }
+	if c.server.Loop.Submit(p.request) {
+		return
+	}
+	c.server.Metrics.Add("requests_inbox_full", 1)
+	response := lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: inboxFullRetryMs}
+	if p.request.IsRetry && p.parsed.fields.Method == http.MethodPut {
+		response.Kind = lifecycle.Failed // an earlier copy may have been executed
+	}
+	c.respond(p, response)
+}
+
+// respond queues the response to a request, unless that is no longer pending. It does not block, and is called on the
+// Loop's goroutine or on that of serve.
+func (c *conn) respond(p *pendingRequest, response lifecycle.Response) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if response.IdleTimeoutMs > 0 {
+		timeout := clock.Duration(response.IdleTimeoutMs)
+		c.idleTimeout = min(max(timeout, c.server.MinIdleTimeout), c.server.MaxIdleTimeout)
+	}
+	if response.BlockSize > 0 {
+		c.preferredBlockSize = response.BlockSize
+	}
+	if c.closed || !c.removePending(p) {
+		return // the Loop knows by Cancel
+	}
+	p.stopTimer()
+	c.enqueue(outgoing{answers: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
+}
+
+// expire responds to a request that the Loop has not responded to in time, which is a fault of the program.
+func (c *conn) expire(p *pendingRequest) {
+	c.mu.Lock()
+	expired := c.removePending(p)
+	c.mu.Unlock()
+	if !expired {
+		return
+	}
+	c.server.Metrics.Add("answers_by_guard", 1)
+	c.server.Loop.Cancel(p.request)
+	c.sendText(p.token, codes.GatewayTimeout, "no answer in time")
+}
+
+// rejectOverLimit responds to a request beyond MaxPendingRequests.
+func (c *conn) rejectOverLimit(m *message.Message) {
+	c.server.Metrics.Add("device_requests_too_many", 1)
+	if m.Code == codes.PUT && m.Options.HasOption(coapwire.OptRetry) { // an earlier copy may have been executed
+		c.sendText(m.Token, codes.BadGateway, textFailed)
+		return
+	}
+	c.sendText(m.Token, codes.TooManyRequests, "too many requests are open",
+		coapwire.UintOption(message.MaxAge, overLimitRetry))
+}
+
+// rejectMalformed responds to a malformed request, with the code of a requestError or 4.00.
+func (c *conn) rejectMalformed(token message.Token, err error) {
+	c.server.Metrics.Add("requests_malformed", 1)
+	code := codes.BadRequest
+	var malformed *requestError
+	if errors.As(err, &malformed) {
+		code = malformed.code
+	}
+	c.sendText(token, code, err.Error())
+}
--- /dev/null
+++ b/internal/frontend/coapserver/response.go
@@ -0,0 +1,111 @@
+package coapserver
+
+import (
+	"encoding/binary"
+	"math"
+	"net/http"
+	"strings"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/httpmessage"
+	"gaugerelay/internal/lifecycle"
+)
+
+// textFailed is the payload of a response to a request that may have been executed.
+const textFailed = "failed, it may have been done"
+
+// textMessage returns a response whose payload is a text for whoever debugs a device.
+func textMessage(token message.Token, code codes.Code, text string, options ...message.Option) message.Message {
+	return message.Message{Token: token, Code: code, Payload: []byte(text), Options: options}
+}
+
+// composeResponse makes the message of a response. complete is set if it is a served one and the device then has all
+// of it.
+func (c *conn) composeResponse(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
+	switch response.Kind {
+	case lifecycle.Served:
+		return c.composeServed(p, response)
+	case lifecycle.Rejected:
+		return textMessage(p.token, codes.ServiceUnavailable, "busy, nothing was done",
+			coapwire.UintOption(message.MaxAge, maxAgeSeconds(response.RetryAfterMs))), false
+	case lifecycle.Conflict:
+		return textMessage(p.token, codes.Conflict,
+			"another content than that of the exchange it names; nothing of it was done"), false
+	case lifecycle.Continue:
+		return c.composeContinue(p), false
+	case lifecycle.Incomplete:
+		return textMessage(p.token, codes.RequestEntityIncomplete, "a block does not fit on",
+			coapwire.UintOption(coapwire.OptBufferedBytes, uint32(response.BufferedBytes))), false
+	case lifecycle.TooLarge:
+		return textMessage(p.token, codes.RequestEntityTooLarge, "too large",
+			coapwire.UintOption(message.Size1, httpmessage.MaxBodyBytes)), false
+	case lifecycle.Superseded:
+		return textMessage(nil, codes.Abort, "newer connections wait for the answer"), false
+	default:
+		return textMessage(p.token, codes.BadGateway, textFailed), false
+	}
+}
+
+// composeContinue acknowledges a block of an upload, and advises a smaller size if the link does better with it.
+func (c *conn) composeContinue(p *pendingRequest) message.Message {
+	block := *p.parsed.block1
+	if preferred := c.peerLimits().preferredBlockSize; preferred > 0 && preferred < block.Size {
+		block = coapwire.Block{Offset: block.Offset, Size: preferred, More: block.More}
+	}
+	return message.Message{
+		Token:   p.token,
+		Code:    codes.Continue,
+		Options: message.Options{block.Option(message.Block1)},
+	}
+}
+
+// composeServed makes the message of a served response: all of it, the block that the request asks for, or that the
+// device has it already.
+func (c *conn) composeServed(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
+	body := response.Result.([]byte)
+	limits := c.peerLimits()
+	etag := message.Option{ID: message.ETag, Value: binary.BigEndian.AppendUint64(nil, response.ETag)}
+	m = message.Message{Token: p.token, Code: codes.Content}
+	if p.parsed.fields.Method == http.MethodPut {
+		m.Code = codes.Changed
+	}
+	requested := p.parsed.block2
+	if requested == nil {
+		if m.Code == codes.Content && strings.Contains(p.parsed.etags, string(etag.Value)) {
+			m.Code, m.Options = codes.Valid, message.Options{etag}
+			return m, true
+		}
+		if limits.fitsWhole(len(body)) {
+			m.Options, m.Payload = appendBlock1(message.Options{etag}, p), body
+			return m, true
+		}
+		if !limits.blockwise {
+			return textMessage(p.token, codes.InternalServerError, "the answer is larger than your Max-Message-Size"), true
+		}
+		requested = &coapwire.Block{Size: coapwire.BERTBlockSize, BERT: limits.bert}
+	}
+	block, length := limits.responseBlock(*requested)
+	if block.Offset > 0 && block.Offset >= len(body) {
+		return textMessage(p.token, codes.BadOption, "a block behind the end"), false
+	}
+	end := min(block.Offset+length, len(body))
+	block.More = end < len(body)
+	m.Options = appendBlock1(message.Options{etag, block.Option(message.Block2)}, p)
+	m.Options = append(m.Options, coapwire.UintOption(message.Size2, uint32(len(body))))
+	m.Payload = body[block.Offset:end]
+	return m, !block.More
+}
+
+// appendBlock1 appends the Block1 option that the response to a block of an upload repeats.
+func appendBlock1(options message.Options, p *pendingRequest) message.Options {
+	if p.parsed.block1 == nil {
+		return options
+	}
+	return append(options, p.parsed.block1.Option(message.Block1))
+}
+
+// maxAgeSeconds returns a Max-Age in whole seconds. It is at least one, since zero would mean at once.
+func maxAgeSeconds(ms float64) uint32 { return uint32(max(1, math.Ceil(ms/1000))) }
--- /dev/null
+++ b/internal/frontend/coapserver/signaling.go
@@ -0,0 +1,137 @@
+package coapserver
+
+import (
+	"errors"
+	"log/slog"
+	"math"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
+)
+
+// minPeerMessageSize is the smallest Max-Message-Size in bytes that a device may announce.
+const minPeerMessageSize = 64
+
+// Errors of signaling. All but errAborted are sent to devices in an Abort, so their texts have no package prefix.
+var (
+	errCriticalSignalOption = errors.New("a critical option in a signaling message")
+	errBadMaxMessageSize    = errors.New("a Max-Message-Size that nothing fits into")
+	errAborted              = errors.New("aborted by the device")
+)
+
+// handleSignal handles the signaling messages (RFC 8323, 5). An error ends the connection.
+func (c *conn) handleSignal(m *message.Message, now time.Time) error {
+	for _, option := range m.Options {
+		if isCritical(option.ID) { // none that this server supports has been defined
+			return errCriticalSignalOption
+		}
+	}
+	switch m.Code {
+	case codes.CSM:
+		return c.handleCSM(m, now)
+	case codes.Ping:
+		c.sendPong(m)
+	case codes.Pong:
+		c.handlePong(now)
+	case codes.Release:
+		c.closeWhenIdle()
+	case codes.Abort:
+		return errAborted
+	}
+	return nil
+}
+
+// handleCSM applies the device's capabilities and settings.
+func (c *conn) handleCSM(m *message.Message, now time.Time) error {
+	first := !c.csmReceived
+	c.csmReceived = true
+	err := c.applyCSM(m.Options)
+	if first {
+		// The link's round trip must be known before the first response: a request's time counts from its sending.
+		c.ping(now)
+	}
+	return err
+}
+
+// applyCSM stores the options of a CSM that this server uses.
+func (c *conn) applyCSM(options message.Options) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, option := range options {
+		switch option.ID {
+		case message.TCPMaxMessageSize:
+			size, ok := coapwire.DecodeUint(option.Value)
+			if !ok || size < minPeerMessageSize {
+				return errBadMaxMessageSize
+			}
+			c.peerMaxMessageSize = int(min(size, math.MaxInt32))
+		case message.TCPBlockWiseTransfer:
+			c.peerBlockwise = true
+		}
+	}
+	return nil
+}
+
+// ping sends a Ping, which shows whether the device is there and measures the round trip, unless one is unanswered.
+func (c *conn) ping(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.pingSentAt.IsZero() {
+		c.pingSentAt = now
+		c.enqueue(outgoing{encoded: coapwire.Encode(message.Message{Code: codes.Ping})})
+	}
+}
+
+// sendPong answers a Ping, with Custody if that asks for it (RFC 8323, 5.4.1).
+func (c *conn) sendPong(ping *message.Message) {
+	pong := message.Message{Code: codes.Pong, Token: ping.Token}
+	if ping.Options.HasOption(message.TCPCustody) {
+		pong.Options = message.Options{{ID: message.TCPCustody}}
+	}
+	c.send(pong)
+}
+
+// handlePong ends the round trip of the Ping that is unanswered, if there is one.
+func (c *conn) handlePong(now time.Time) {
+	c.mu.Lock()
+	sentAt := c.pingSentAt
+	c.pingSentAt = time.Time{}
+	c.mu.Unlock()
+	if sentAt.IsZero() {
+		return
+	}
+	c.sentAfter = sentAt
+	roundTripMs := clock.Ms(now.Sub(sentAt))
+	if c.device == "" {
+		c.linkSample.RoundTripMs = roundTripMs // until a request names the device
+		return
+	}
+	// Requests that wait already may have to be answered sooner because of it.
+	c.server.Loop.LinkMeasured(c.device, lifecycle.LinkSample{RoundTripMs: roundTripMs})
+}
+
+// abort ends the connection because of a protocol error: it sends an Abort with the reason and waits until that has been
+// written or the connection is lost. An Abort from the device is not answered.
+func (c *conn) abort(err error) {
+	if errors.Is(err, errAborted) {
+		c.server.Metrics.Add("device_aborts_received", 1)
+		return
+	}
+	c.server.Metrics.Add("device_aborts", 1)
+	slog.Info(logevent.DeviceError, logevent.Client, c.netConn.RemoteAddr().String(), logevent.Error, err)
+	c.sendAndClose(message.Message{Code: codes.Abort, Payload: []byte(err.Error())})
+	c.mu.Lock()
+	for !c.closed {
+		c.queueShrunk.Wait()
+	}
+	c.mu.Unlock()
+}
+
+// isCritical returns whether a receiver that does not know the option must reject its message (RFC 7252, 5.4.1).
+func isCritical(id message.OptionID) bool { return id%2 == 1 }
