--- a/internal/frontend/sftpserver/export_test.go
+++ b/internal/frontend/sftpserver/export_test.go
@@ -1,7 +1,7 @@
 package sftpserver
 
 // Ending tells whether no connection of a front that shuts down is read any more.
-func Ending(f *Front) bool {
+func Ending(f *Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
--- a/internal/frontend/sftpserver/front.go
+++ b/internal/frontend/sftpserver/front.go
@@ -1,4 +1,4 @@
-// Package filefront takes file commands (SFTP version 3 packets over plain TCP, without the cryptography) and
+// Package sftpserver takes file commands (SFTP version 3 packets over plain TCP, without the cryptography) and
 // hands each READ and WRITE to the core as a request of its own.
 //
 // The packets are handled by github.com/pkg/sftp's RequestServer. How answers map to status codes:
@@ -60,16 +60,16 @@
 
 // Options set up a Front.
 type Options struct {
-	MaxConns  int
-	UnitBytes float64 // data of a command that counts one unit
-	Read      scheduler.Class
-	Write     scheduler.Class
-	Roots     []Root
-	Shards    int
-	MostUnits float64
-	// KeepMs is how long a WRITE of a connection that was lost is known behind its window: one that comes again over
+	MaxConns   int
+	UnitBytes  float64 // data of a command that counts one unit
+	ReadClass  scheduler.Class
+	WriteClass scheduler.Class
+	Roots      []Root
+	Shards     int
+	MaxUnits   float64
+	// RetentionMs is how long a WRITE of a connection that was lost is known behind its window: one that comes again over
 	// a new connection joins the first, by the exchange ledger. 0: it does not, and there is no ledger.
-	KeepMs float64
+	RetentionMs float64
 }
 
 // Loop is what the front asks of the loop.
@@ -79,13 +79,13 @@
 	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
 }
 
-// Front serves file commands.
-type Front struct {
+// Server serves file commands.
+type Server struct {
 	Options
-	Loop    Loop
-	Carrier lifecycle.Upstream
-	Clock   clock.Clock
-	Metrics *metrics.Registry
+	Loop     Loop
+	Upstream lifecycle.Upstream
+	Clock    clock.Clock
+	Metrics  *metrics.Registry
 
 	mu     sync.Mutex
 	conns  map[*conn]bool
@@ -95,7 +95,7 @@
 }
 
 // Serve takes connections until the listener closes.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	// Not netutil.LimitListener: behind it a connection's sending cannot be ended, nor its client's end be seen.
 	room := make(chan struct{}, f.MaxConns)
 	for {
@@ -114,7 +114,7 @@
 
 // Shutdown closes idle connections, lets the others finish what they have taken, and waits for them. The
 // listener must be closed before.
-func (f *Front) Shutdown() {
+func (f *Server) Shutdown() {
 	f.mu.Lock()
 	f.ending = true
 	for c := range f.conns {
@@ -125,7 +125,7 @@
 }
 
 // CloseAll closes all connections as they are, and waits for what serves them.
-func (f *Front) CloseAll() {
+func (f *Server) CloseAll() {
 	f.mu.Lock()
 	f.ending = true
 	for c := range f.conns {
@@ -135,7 +135,7 @@
 	f.wg.Wait()
 }
 
-func (f *Front) serve(nc net.Conn) {
+func (f *Server) serve(nc net.Conn) {
 	defer f.wg.Done()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -173,7 +173,7 @@
 
 // handler serves one connection.
 type handler struct {
-	*Front
+	*Server
 	ctx  context.Context // ends when the client has gone
 	host string          // the client, as far as it can be told
 	away func() bool     // whether it has gone, though the end may wait behind commands that have not been read
@@ -190,7 +190,7 @@
 	if r.Method != "Stat" {
 		return nil, errNotServed
 	}
-	rep, err := h.do(r.Filepath, &sftpwire.Command{Op: sftpwire.Stat}, -1)
+	rep, err := h.do(r.Filepath, &sftpwire.Command{Op: sftpwire.OpStat}, -1)
 	if err != nil {
 		return nil, err
 	}
@@ -217,9 +217,9 @@
 	if r.Pflags().Append { // a repeat would append twice, which no offset can prevent
 		return nil, fmt.Errorf("appending: %w", sftp.ErrSSHFxOpUnsupported)
 	}
-	cmd := &sftpwire.Command{Op: sftpwire.Open, Flags: r.Flags}
+	cmd := &sftpwire.Command{Op: sftpwire.OpOpen, Flags: r.Flags}
 	if r.Flags&^sftpwire.FlagRead != 0 {
-		cmd.Key = newKey()
+		cmd.UploadKey = newKey()
 	}
 	if _, err := h.do(r.Filepath, cmd, -1); err != nil {
 		return nil, err
@@ -235,7 +235,7 @@
 		h.Metrics.Add("file_commands_malformed", 1)
 		return nil, err
 	}
-	if cmd.Op == sftpwire.Write && h.KeepMs > 0 {
+	if cmd.Op == sftpwire.OpWrite && h.RetentionMs > 0 {
 		h.exchange(req, cmd, again)
 	} else {
 		req.ClientDisconnected = h.away
@@ -309,17 +309,17 @@
 		return nil, fmt.Errorf("over 64 KiB, or a bad offset: %w", sftp.ErrSSHFxBadMessage)
 	}
 	cmd.Path = name
-	class := &h.Read
-	if cmd.Key != "" {
-		class = &h.Write
+	class := &h.ReadClass
+	if cmd.UploadKey != "" {
+		class = &h.WriteClass
 	}
 	sum := fnv.New64a()
 	io.WriteString(sum, name)
 	key := sum.Sum64()
 	units := math.Ceil(float64(len(cmd.Data)+int(cmd.Length)) / h.UnitBytes)
 	return &lifecycle.Request{Class: class.Name, Plan: root.Plan, Volume: root.Volume, Key: key,
-		RemainingMs: clock.Ms(class.Deadline), Units: min(max(1, units), max(1, h.MostUnits)),
-		Shard: int(key % uint64(max(1, h.Shards))), Gateways: root.Hosts, IsFirstAttempt: true, Upstream: h.Carrier, Payload: cmd}, nil
+		RemainingMs: clock.Ms(class.Deadline), Units: min(max(1, units), max(1, h.MaxUnits)),
+		Shard: int(key % uint64(max(1, h.Shards))), Gateways: root.Hosts, IsFirstAttempt: true, Upstream: h.Upstream, Payload: cmd}, nil
 }
 
 // root finds the longest root that holds a path.
@@ -357,7 +357,7 @@
 	if f.flags&sftpwire.FlagRead == 0 {
 		return 0, fmt.Errorf("not open for reading: %w", sftp.ErrSSHFxPermissionDenied)
 	}
-	rep, err := f.h.do(f.path, &sftpwire.Command{Op: sftpwire.Read, Offset: uint64(off), Length: uint32(len(p))}, -1)
+	rep, err := f.h.do(f.path, &sftpwire.Command{Op: sftpwire.OpRead, Offset: uint64(off), Length: uint32(len(p))}, -1)
 	if err != nil {
 		return 0, err
 	}
@@ -374,7 +374,7 @@
 		return 0, fmt.Errorf("not open for writing: %w", sftp.ErrSSHFxPermissionDenied)
 	}
 	w, again := f.keyFor(p, off)
-	_, err := f.h.do(f.path, &sftpwire.Command{Op: sftpwire.Write, Offset: uint64(off), Data: p, Key: w.key}, again)
+	_, err := f.h.do(f.path, &sftpwire.Command{Op: sftpwire.OpWrite, Offset: uint64(off), Data: p, UploadKey: w.key}, again)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -37,7 +37,7 @@
 	loop   *eventloop.Loop
 	counts *metrics.Registry
 	files  *fakefileserver.Server
-	front  *sftpserver.Front
+	front  *sftpserver.Server
 	ln     net.Listener
 }
 
@@ -56,11 +56,11 @@
 	t.Cleanup(cancel)
 	go r.loop.Run(ctx)
 	r.list(scheduler.Ready)
-	back := sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 64,
+	back := sftpclient.New(sftpclient.Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 64,
 		Address: func(*lifecycle.Server) (string, bool) { return r.files.Addr, true }}, r.clock, r.counts, r.loop.Complete)
-	r.front = &sftpserver.Front{Loop: r.loop, Carrier: back, Clock: r.clock, Metrics: r.counts,
-		Options: sftpserver.Options{MaxConns: 32, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
-			MostUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
+	r.front = &sftpserver.Server{Loop: r.loop, Upstream: back, Clock: r.clock, Metrics: r.counts,
+		Options: sftpserver.Options{MaxConns: 32, UnitBytes: 1024, ReadClass: set.Classes[0], WriteClass: set.Classes[1], Shards: 1,
+			MaxUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
 	go r.front.Serve(r.ln)
 	return r
 }
@@ -574,7 +574,7 @@
 			case 0: // OPEN, creating on some
 				flags := uint32(sftpwire.FlagRead | sftpwire.FlagWrite)
 				if s&16 != 0 {
-					flags |= sftpwire.FlagCreat
+					flags |= sftpwire.FlagCreate
 				}
 				opens++
 				c.send(3, binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(str(b, "/layers/f"), flags), 0))
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -71,9 +71,9 @@
 func newRawSession(t *testing.T) *rawSession {
 	set := testbed.Settings(1)
 	s := &rawSession{t: t, loop: &cannedLoop{}}
-	front := &sftpserver.Front{Loop: s.loop, Clock: clock.NewManual(start), Metrics: metrics.New(),
-		Options: sftpserver.Options{MaxConns: 4, UnitBytes: 1024, Read: set.Classes[0], Write: set.Classes[1], Shards: 1,
-			MostUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
+	front := &sftpserver.Server{Loop: s.loop, Clock: clock.NewManual(start), Metrics: metrics.New(),
+		Options: sftpserver.Options{MaxConns: 4, UnitBytes: 1024, ReadClass: set.Classes[0], WriteClass: set.Classes[1], Shards: 1,
+			MaxUnits: set.MaxUnits, Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}}
 	ln := testbed.Listen(t)
 	go front.Serve(ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
@@ -127,7 +127,7 @@
 func (s *rawSession) open() {
 	s.t.Helper()
 	s.loop.answer = lifecycle.Response{Result: &sftpwire.Reply{}}
-	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead|sftpwire.FlagWrite|sftpwire.FlagCreat), uint32(0))
+	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead|sftpwire.FlagWrite|sftpwire.FlagCreate), uint32(0))
 }
 
 func TestGoldenSession(t *testing.T) {
@@ -147,7 +147,7 @@
 
 func TestGoldenStatuses(t *testing.T) {
 	reply := func(code uint32) lifecycle.Response {
-		return lifecycle.Response{Result: &sftpwire.Reply{Code: code, Text: "the node's own words"}}
+		return lifecycle.Response{Result: &sftpwire.Reply{Code: code, Message: "the node's own words"}}
 	}
 	for name, a := range map[string]lifecycle.Response{
 		"end-of-file":   reply(sftpwire.StatusEOF),
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -92,7 +92,7 @@
 			switch {
 			case c.Op != "open":
 				m.take("file", volume, max(1, float64((c.Bytes+unit-1)/unit)))
-			case c.Flags&sftpwire.FlagCreat != 0: // a client's own OPEN; the others belong to a READ or WRITE
+			case c.Flags&sftpwire.FlagCreate != 0: // a client's own OPEN; the others belong to a READ or WRITE
 				m.take("file", volume, 1)
 			}
 			return nil
@@ -108,10 +108,10 @@
 		Upstream: httpclient.New(httpclient.Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxConns: 200}, now, counts, lp)})
 	defer web.Close()
 	ln := testbed.Listen(t)
-	front := &sftpserver.Front{Loop: lp, Clock: now, Metrics: counts,
-		Options: sftpserver.Options{MaxConns: 32, UnitBytes: unit, Read: set.Classes[0], Write: set.Classes[1], Shards: 2,
-			MostUnits: 6, Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}},
-		Carrier: sftpclient.New(sftpclient.Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 200,
+	front := &sftpserver.Server{Loop: lp, Clock: now, Metrics: counts,
+		Options: sftpserver.Options{MaxConns: 32, UnitBytes: unit, ReadClass: set.Classes[0], WriteClass: set.Classes[1], Shards: 2,
+			MaxUnits: 6, Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}},
+		Upstream: sftpclient.New(sftpclient.Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 200,
 			Address: func(n *lifecycle.Server) (string, bool) { return ports[n.Name], true }}, now, counts, lp.Complete)}
 	go front.Serve(ln)
 	advance := func(ms float64) { // in steps small enough for the module's wakes
--- a/internal/frontend/sftpserver/repeat.go
+++ b/internal/frontend/sftpserver/repeat.go
@@ -112,7 +112,7 @@
 // keyFor gives a WRITE its upload key. again is how long ago a lost connection first sent it; below zero: none did.
 func (f *file) keyFor(p []byte, off int64) (w written, again float64) {
 	w = written{off: off, sum: sha256.Sum256(p), size: len(p), atMs: f.h.Clock.NowMs()}
-	window := clock.Ms(f.h.Write.DedupWindow)
+	window := clock.Ms(f.h.WriteClass.DedupWindow)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if old, ok := f.last[off]; ok && old.same(&w) && w.atMs-old.atMs < window {
@@ -124,8 +124,8 @@
 		}
 	}
 	again = -1
-	if f.h.KeepMs > 0 {
-		if old, ok := f.h.sent.find(f, f.place(), &w, window+f.h.KeepMs); ok {
+	if f.h.RetentionMs > 0 {
+		if old, ok := f.h.sent.find(f, f.place(), &w, window+f.h.RetentionMs); ok {
 			f.h.Metrics.Add("file_writes_rejoined", 1)
 			again = w.atMs - old.atMs
 			w = old
@@ -134,7 +134,7 @@
 	if w.key == "" {
 		w.key = newKey()
 	}
-	if f.h.KeepMs > 0 {
+	if f.h.RetentionMs > 0 {
 		f.h.sent.add(f, f.place(), w)
 	}
 	return w, again
@@ -144,7 +144,7 @@
 
 // Close implements io.Closer. The library also calls it for handles that a lost connection left open.
 func (f *file) Close() error {
-	if f.h.KeepMs > 0 && f.h.ctx.Err() == nil {
+	if f.h.RetentionMs > 0 && f.h.ctx.Err() == nil {
 		f.h.sent.closed(f, f.place(), f.h.Clock.NowMs())
 	}
 	return nil
@@ -152,7 +152,7 @@
 
 // exchange makes a WRITE a copy of an exchange.
 func (h *handler) exchange(req *lifecycle.Request, cmd *sftpwire.Command, again float64) {
-	req.Device = &lifecycle.DeviceRequest{ID: "file " + h.host, Key: "f" + cmd.Key, AgeMs: again,
+	req.Device = &lifecycle.DeviceRequest{ID: "file " + h.host, Key: "f" + cmd.UploadKey, AgeMs: again,
 		HeadDigest: sha256.Sum256(fmt.Appendf(nil, "%d %s", cmd.Offset, cmd.Path)), Body: cmd.Data, BodyDigest: sha256.Sum256(cmd.Data),
 		BuildPayload: func(_ string, body []byte) any {
 			c := *cmd
--- a/internal/frontend/sftpserver/repeat_test.go
+++ b/internal/frontend/sftpserver/repeat_test.go
@@ -60,8 +60,8 @@
 	} {
 		l := &told{a: lifecycle.Response{Result: &sftpwire.Reply{}}}
 		now := clock.NewManual(1e6)
-		f := &Front{Loop: l, Clock: now, Metrics: metrics.New(), Options: Options{UnitBytes: 1024, Shards: 1, MostUnits: 6, KeepMs: 5000,
-			Write: scheduler.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9}, Roots: []Root{{Path: "/", Plan: "basic"}}}}
+		f := &Server{Loop: l, Clock: now, Metrics: metrics.New(), Options: Options{UnitBytes: 1024, Shards: 1, MaxUnits: 6, RetentionMs: 5000,
+			WriteClass: scheduler.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9}, Roots: []Root{{Path: "/", Plan: "basic"}}}}
 		ctxs := map[int]*ctl{}
 		handles := map[int]*file{}
 		get := func(n int) *file {
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -87,20 +87,20 @@
 	g     *Gateway
 	opt   *config.SFTP
 	ln    net.Listener
-	front *sftpserver.Front
-	back  *sftpclient.Backend
+	front *sftpserver.Server
+	back  *sftpclient.Client
 }
 
 func newFiles(g *Gateway, f *config.SFTP, d *config.Devices) *files {
 	p := &files{g: g, opt: f}
-	p.back = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectTimeoutMs, ConnIdleMs: g.cfg.IdleConnTimeoutMs,
+	p.back = sftpclient.New(sftpclient.Options{ConnectTimeoutMs: g.cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: g.cfg.IdleConnTimeoutMs,
 		MaxSessions: max(1, g.cfg.MaxSockets/16), Dial: g.net.Dial,
 		Address: func(n *lifecycle.Server) (string, bool) { return f.BackendAddress(n.Name, n.Addr) }}, g.Clock, g.Metrics, g.loop.Complete)
-	p.front = &sftpserver.Front{Loop: g.loop, Carrier: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
-		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, Read: f.ReadClass, Write: f.WriteClass,
-		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MaxUnits}}
+	p.front = &sftpserver.Server{Loop: g.loop, Upstream: p.back, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
+		MaxConns: f.MaxConns, UnitBytes: f.UnitBytes, ReadClass: f.ReadClass, WriteClass: f.WriteClass,
+		Shards: g.cfg.Settings.Shards, MaxUnits: g.cfg.Settings.MaxUnits}}
 	if d != nil {
-		p.front.KeepMs = d.Exchanges.RetentionMs
+		p.front.RetentionMs = d.Exchanges.RetentionMs
 	}
 	for _, r := range f.Roots {
 		p.front.Roots = append(p.front.Roots, sftpserver.Root(r))
--- a/internal/sftpwire/sftpwire.go
+++ b/internal/sftpwire/sftpwire.go
@@ -21,55 +21,55 @@
 
 // The flags of an OPEN.
 const (
-	FlagRead  = 1
-	FlagWrite = 2
-	FlagCreat = 8
-	FlagTrunc = 16
-	FlagExcl  = 32
+	FlagRead      = 1
+	FlagWrite     = 2
+	FlagCreate    = 8
+	FlagTruncate  = 16
+	FlagExclusive = 32
 )
 
-// UploadKey and TimeLeft name the extended attributes that an OPEN carries.
+// AttrUploadKey and TimeLeft name the extended attributes that an OPEN carries.
 const (
-	UploadKey = "upload-key@gaugerelay"
-	TimeLeft  = "time-left-ms@gaugerelay"
+	AttrUploadKey = "upload-key@gaugerelay"
+	AttrTimeLeft  = "time-left-ms@gaugerelay"
 )
 
-// Unprocessed is the prefix of the message of an SSH_FX_FAILURE by which a server rejects a command that it has not
+// UnprocessedPrefix is the prefix of the message of an SSH_FX_FAILURE by which a server rejects a command that it has not
 // executed. Version 3 has no status code for that.
-const Unprocessed = "unprocessed"
+const UnprocessedPrefix = "unprocessed"
 
 // Op is the operation of a command.
 type Op uint8
 
 // The operations. Open checks, creates or truncates a file; the others open the file by themselves.
 const (
-	Open Op = iota
-	Read
-	Write
-	Stat
+	OpOpen Op = iota
+	OpRead
+	OpWrite
+	OpStat
 )
 
 // Command is the payload of a request that is sent to the file port of a storage server.
 type Command struct {
-	Op     Op
-	Path   string
-	Flags  uint32 // of an Open
-	Offset uint64
-	Length uint32 // of a Read
-	Data   []byte // of a Write
-	Key    string // upload key: servers of one cell drop a repeat that carries it
+	Op        Op
+	Path      string
+	Flags     uint32 // of an Open
+	Offset    uint64
+	Length    uint32 // of a Read
+	Data      []byte // of a Write
+	UploadKey string // upload key: servers of one cell drop a repeat that carries it
 }
 
 // Reply is a server's response to a command.
 type Reply struct {
-	Code  uint32
-	Text  string
-	Data  []byte
-	Attrs Attrs
+	Code    uint32
+	Message string
+	Data    []byte
+	Attrs   Attrs
 }
 
 // Size returns the number of bytes that the reply holds.
-func (r *Reply) Size() int { return len(r.Data) + len(r.Text) }
+func (r *Reply) Size() int { return len(r.Data) + len(r.Message) }
 
 // Attrs are the file attributes in the reply to a Stat.
 type Attrs struct {
--- a/internal/testbed/fakefileserver/fileserver.go
+++ b/internal/testbed/fakefileserver/fileserver.go
@@ -127,10 +127,10 @@
 	h := &handle{s: s, path: r.Filepath, key: uploadKey(r.Attrs)}
 	err := s.run(&Command{Op: "open", Path: h.path, Flags: r.Flags, Key: h.key}, func() error {
 		_, there := s.files[h.path]
-		if !there && r.Flags&sftpwire.FlagCreat == 0 {
+		if !there && r.Flags&sftpwire.FlagCreate == 0 {
 			return sftp.ErrSSHFxNoSuchFile
 		}
-		if !there || r.Flags&sftpwire.FlagTrunc != 0 {
+		if !there || r.Flags&sftpwire.FlagTruncate != 0 {
 			s.files[h.path] = nil
 		}
 		return nil
@@ -153,7 +153,7 @@
 	}
 	count := binary.BigEndian.Uint32(attrs)
 	for attrs = attrs[4:]; count > 0; count-- {
-		if name, value := next(), next(); name == sftpwire.UploadKey {
+		if name, value := next(), next(); name == sftpwire.AttrUploadKey {
 			return value
 		}
 	}
--- a/internal/upstream/sftpclient/backend.go
+++ b/internal/upstream/sftpclient/backend.go
@@ -1,4 +1,4 @@
-// Package filecarrier carries attempts to the file ports of storage nodes as SFTP version 3 packets over plain
+// Package sftpclient carries attempts to the file ports of storage nodes as SFTP version 3 packets over plain
 // TCP, and tells how each of them ended.
 package sftpclient
 
@@ -21,16 +21,16 @@
 
 // Options are the limits of a Backend.
 type Options struct {
-	ConnectMs, ConnIdleMs float64
-	MaxSessions           int // connections open at once, to all nodes
+	ConnectTimeoutMs, ConnIdleTimeoutMs float64
+	MaxSessions                         int // connections open at once, to all nodes
 	// Address tells where a node takes file commands.
 	Address func(n *lifecycle.Server) (addr string, ok bool)
 	// Dial opens connections; nil: the machine's network.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Backend sends attempts over pooled sessions that carry one attempt at a time.
-type Backend struct {
+// Client sends attempts over pooled sessions that carry one attempt at a time.
+type Client struct {
 	opt     Options
 	clock   clock.Clock
 	metrics *metrics.Registry
@@ -51,12 +51,12 @@
 }
 
 // New returns a backend; finish takes the ends of attempts.
-func New(opt Options, c clock.Clock, m *metrics.Registry, finish func(lifecycle.Attempt, lifecycle.AttemptResult)) *Backend {
-	return &Backend{opt: opt, clock: c, metrics: m, finish: finish, idle: map[string][]*session{}}
+func New(opt Options, c clock.Clock, m *metrics.Registry, finish func(lifecycle.Attempt, lifecycle.AttemptResult)) *Client {
+	return &Client{opt: opt, clock: c, metrics: m, finish: finish, idle: map[string][]*session{}}
 }
 
 // Start implements core.Carrier.
-func (b *Backend) Start(a lifecycle.Attempt) func() {
+func (b *Client) Start(a lifecycle.Attempt) func() {
 	ctx, cancel := clock.WithDeadline(b.clock, a.DeadlineMs)
 	go func() {
 		defer cancel(nil)
@@ -73,7 +73,7 @@
 // attempt runs one attempt to its end. An attempt that never ran is reported as Full, also where the connection
 // failed: the file port may be down while the node serves others well, and ConnectFailed would make the module
 // hold the node back for all of them.
-func (b *Backend) attempt(ctx context.Context, a lifecycle.Attempt) {
+func (b *Client) attempt(ctx context.Context, a lifecycle.Attempt) {
 	cmd := a.Request.Payload.(*sftpwire.Command)
 	addr, ok := b.opt.Address(a.Server)
 	if !ok || a.Server.Closed() {
@@ -102,7 +102,7 @@
 	case err != nil:
 		b.metrics.Add("file_answers_malformed", 1)
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusError})
-	case reply.Code == sftpwire.StatusFailure && strings.HasPrefix(reply.Text, sftpwire.Unprocessed):
+	case reply.Code == sftpwire.StatusFailure && strings.HasPrefix(reply.Message, sftpwire.UnprocessedPrefix):
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusOverloaded})
 	case reply.Code == sftpwire.StatusFailure || reply.Code == sftpwire.StatusBadMessage:
 		b.finish(a, lifecycle.AttemptResult{Status: scheduler.StatusError})
@@ -131,7 +131,7 @@
 }
 
 // rest gives a session back.
-func (b *Backend) rest(s *session) {
+func (b *Client) rest(s *session) {
 	s.idleMs = b.clock.NowMs()
 	b.mu.Lock()
 	b.idle[s.addr] = append(b.idle[s.addr], s)
@@ -139,7 +139,7 @@
 }
 
 // ended tells how an attempt without an answer ended.
-func (b *Backend) ended(ctx context.Context, ran bool) scheduler.Status {
+func (b *Client) ended(ctx context.Context, ran bool) scheduler.Status {
 	switch cause := context.Cause(ctx); {
 	case !ran:
 		return scheduler.StatusOverloaded
@@ -152,13 +152,13 @@
 }
 
 // session takes an idle session or opens one.
-func (b *Backend) session(ctx context.Context, addr string) (*session, error) {
+func (b *Client) session(ctx context.Context, addr string) (*session, error) {
 	b.mu.Lock()
 	now := b.clock.NowMs()
 	for list := b.idle[addr]; len(list) > 0; list = b.idle[addr] {
 		s := list[len(list)-1]
 		b.idle[addr] = list[:len(list)-1]
-		if now-s.idleMs < b.opt.ConnIdleMs*0.6 { // under the node's own idle time
+		if now-s.idleMs < b.opt.ConnIdleTimeoutMs*0.6 { // under the node's own idle time
 			b.mu.Unlock()
 			return s, nil
 		}
@@ -176,7 +176,7 @@
 	b.mu.Unlock()
 	dial := b.opt.Dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: clock.Duration(b.opt.ConnectMs), KeepAlive: -1}).DialContext
+		dial = (&net.Dialer{Timeout: clock.Duration(b.opt.ConnectTimeoutMs), KeepAlive: -1}).DialContext
 	}
 	c, err := dial(ctx, "tcp", addr)
 	if err != nil {
@@ -199,7 +199,7 @@
 }
 
 // evict closes an idle session, of whatever node, to make room. b.mu is held.
-func (b *Backend) evict() {
+func (b *Client) evict() {
 	for addr, list := range b.idle {
 		if len(list) > 0 {
 			list[0].Close()
@@ -210,7 +210,7 @@
 	}
 }
 
-func (b *Backend) drop(s *session) {
+func (b *Client) drop(s *session) {
 	s.Close()
 	b.mu.Lock()
 	b.count--
@@ -218,7 +218,7 @@
 }
 
 // Close closes the idle sessions.
-func (b *Backend) Close() {
+func (b *Client) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for addr, list := range b.idle {
@@ -266,7 +266,7 @@
 // run sends a command. ran tells whether its own packet (not the OPEN before a READ or WRITE, which changes
 // nothing) has been written whole.
 func (s *session) run(cmd *sftpwire.Command, a lifecycle.Attempt, leftMs float64) (rep *sftpwire.Reply, handle []byte, ran bool, err error) {
-	if cmd.Op == sftpwire.Stat {
+	if cmd.Op == sftpwire.OpStat {
 		typ, f, err := s.call(newPacket(typeStat, s.next()).text(cmd.Path))
 		ran = written(err)
 		if err != nil {
@@ -277,19 +277,19 @@
 	}
 	flags := cmd.Flags
 	switch cmd.Op {
-	case sftpwire.Read:
+	case sftpwire.OpRead:
 		flags = sftpwire.FlagRead
-	case sftpwire.Write:
+	case sftpwire.OpWrite:
 		flags = sftpwire.FlagWrite
 	}
 	open := newPacket(typeOpen, s.next()).text(cmd.Path).u32(flags).u32(attrExtended)
-	if cmd.Key != "" {
-		open = open.u32(2).text(sftpwire.UploadKey).text(cmd.Key)
+	if cmd.UploadKey != "" {
+		open = open.u32(2).text(sftpwire.AttrUploadKey).text(cmd.UploadKey)
 	} else {
 		open = open.u32(1)
 	}
-	typ, f, err := s.call(open.text(sftpwire.TimeLeft).text(fmt.Sprint(leftMs)))
-	ran = cmd.Op == sftpwire.Open && written(err)
+	typ, f, err := s.call(open.text(sftpwire.AttrTimeLeft).text(fmt.Sprint(leftMs)))
+	ran = cmd.Op == sftpwire.OpOpen && written(err)
 	if err != nil {
 		return nil, nil, ran, err
 	}
@@ -303,14 +303,14 @@
 		return nil, nil, ran, errMalformed
 	}
 	rep = &sftpwire.Reply{}
-	if cmd.Op == sftpwire.Open {
+	if cmd.Op == sftpwire.OpOpen {
 		return rep, handle, ran, nil
 	}
 	if _, why := a.Authorize(s.clock); why != permission.Allowed { // since the OPEN went out
 		return nil, nil, false, errDenied
 	}
 	var p packet
-	if cmd.Op == sftpwire.Read {
+	if cmd.Op == sftpwire.OpRead {
 		p = newPacket(typeRead, s.next()).text(string(handle)).u64(cmd.Offset).u32(cmd.Length)
 	} else {
 		p = newPacket(typeWrite, s.next()).text(string(handle)).u64(cmd.Offset).text(string(cmd.Data))
@@ -321,7 +321,7 @@
 		return nil, nil, ran, err
 	}
 	if rep, err = reply(typ, f); err == nil && typ == typeData &&
-		(cmd.Op != sftpwire.Read || len(rep.Data) > int(cmd.Length)) {
+		(cmd.Op != sftpwire.OpRead || len(rep.Data) > int(cmd.Length)) {
 		err = errMalformed // data that was not asked for
 	}
 	return rep, handle, ran, err
@@ -340,7 +340,7 @@
 		r.Code = f.u32()
 		if len(f.b) > 0 { // some servers leave the text out
 			text := f.bytes()
-			r.Text = string(text[:min(len(text), maxNameLength)])
+			r.Message = string(text[:min(len(text), maxNameLength)])
 		}
 	case typeData:
 		r.Data = f.bytes()
--- a/internal/upstream/sftpclient/backend_test.go
+++ b/internal/upstream/sftpclient/backend_test.go
@@ -73,7 +73,7 @@
 		case act == status:
 			out = newPacket(typeStatus, id).u32(sftpwire.StatusFailure).text("disk").text("")
 		case act == turnAway:
-			out = newPacket(typeStatus, id).u32(sftpwire.StatusFailure).text(sftpwire.Unprocessed + ": queue full").text("")
+			out = newPacket(typeStatus, id).u32(sftpwire.StatusFailure).text(sftpwire.UnprocessedPrefix + ": queue full").text("")
 		case typ == typeInit:
 			out = newPacket(typeVersion, version)
 		case typ == typeOpen:
@@ -95,7 +95,7 @@
 	f.Fuzz(func(t *testing.T, script []byte) {
 		p, now, ends := newPort(t), clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1)
 		// Sessions come back only once their handle is closed, after the answer: there must be enough of them.
-		b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 100,
+		b := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 100,
 			Address: func(*lifecycle.Server) (string, bool) { return p.addr, true }}, now, metrics.New(),
 			func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 		defer b.Close()
@@ -103,9 +103,9 @@
 		for i, x := range script[:min(len(script), 12)] {
 			onOpen, onCommand, write := x>>4&7%acts, x&15%acts, x >= 128
 			want := [acts]scheduler.Status{scheduler.StatusOK, scheduler.StatusError, scheduler.StatusOverloaded, scheduler.StatusConnectionReset, scheduler.StatusError, scheduler.StatusError, scheduler.StatusError}
-			cmd := &sftpwire.Command{Op: sftpwire.Read, Path: "/a", Length: 10}
+			cmd := &sftpwire.Command{Op: sftpwire.OpRead, Path: "/a", Length: 10}
 			if write {
-				cmd = &sftpwire.Command{Op: sftpwire.Write, Path: "/a", Data: []byte("data"), Key: "k"}
+				cmd = &sftpwire.Command{Op: sftpwire.OpWrite, Path: "/a", Data: []byte("data"), UploadKey: "k"}
 			}
 			p.acts <- onOpen
 			end := want[onOpen]
@@ -131,7 +131,7 @@
 	f.Add(byte(typeAttrs), []byte{0, 0, 0, 15, 0, 0, 0, 0, 0, 0, 0, 9})
 	f.Add(byte(typeData), []byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, typ byte, body []byte) {
-		if r, err := reply(typ, &fields{b: body}); err == nil && len(r.Data)+len(r.Text) > len(body) {
+		if r, err := reply(typ, &fields{b: body}); err == nil && len(r.Data)+len(r.Message) > len(body) {
 			t.Errorf("%+v out of %d bytes", r, len(body))
 		}
 	})
@@ -140,10 +140,10 @@
 // A session that has stood idle too long is not used any more, and over the cap attempts are turned away unrun.
 func TestSessionsAgeAndAreCapped(t *testing.T) {
 	p, now, ends, m := newPort(t), clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1), metrics.New()
-	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
+	b := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 1,
 		Address: func(*lifecycle.Server) (string, bool) { return p.addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 	defer b.Close()
-	a := lifecycle.Attempt{Request: &lifecycle.Request{Payload: &sftpwire.Command{Op: sftpwire.Read, Path: "/a", Length: 4}}, Server: &lifecycle.Server{}, DeadlineMs: 2e12}
+	a := lifecycle.Attempt{Request: &lifecycle.Request{Payload: &sftpwire.Command{Op: sftpwire.OpRead, Path: "/a", Length: 4}}, Server: &lifecycle.Server{}, DeadlineMs: 2e12}
 	idle := func() *session {
 		for {
 			b.mu.Lock()
@@ -188,9 +188,9 @@
 		c.Read(make([]byte, 10))
 	})
 	now, ends, m := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 2), metrics.New()
-	b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
+	b := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 1,
 		Address: func(*lifecycle.Server) (string, bool) { return addr, true }}, now, m, func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
-	cmd := &sftpwire.Command{Op: sftpwire.Write, Path: "/a", Key: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
+	cmd := &sftpwire.Command{Op: sftpwire.OpWrite, Path: "/a", UploadKey: "k", Data: make([]byte, 32<<20)} // more than the sockets take in
 	b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: cmd}, Server: &lifecycle.Server{}, DeadlineMs: 2e12})
 	if r := <-ends; r.Status != scheduler.StatusOverloaded {
 		t.Errorf("status %d", r.Status)
@@ -215,7 +215,7 @@
 		"away":        {func(left, _ *atomic.Bool) { left.Store(true) }, scheduler.StatusCanceled},
 		"window over": {func(_, over *atomic.Bool) { over.Store(true) }, scheduler.StatusOverloaded},
 	} {
-		for _, op := range []sftpwire.Op{sftpwire.Open, sftpwire.Read, sftpwire.Write, sftpwire.Stat} {
+		for _, op := range []sftpwire.Op{sftpwire.OpOpen, sftpwire.OpRead, sftpwire.OpWrite, sftpwire.OpStat} {
 			var left, over atomic.Bool
 			read := make(chan int, 1)
 			addr := testbed.Serve(t, func(nc net.Conn) {
@@ -226,9 +226,9 @@
 				read <- n
 			})
 			now, ends := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 2)
-			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1, Address: func(*lifecycle.Server) (string, bool) { return addr, true }},
+			b := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 1, Address: func(*lifecycle.Server) (string, bool) { return addr, true }},
 				passing{now, &over}, metrics.New(), func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &sftpwire.Command{Op: op, Path: "/a", Key: "k"}, ClientDisconnected: left.Load}, Server: &lifecycle.Server{},
+			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &sftpwire.Command{Op: op, Path: "/a", UploadKey: "k"}, ClientDisconnected: left.Load}, Server: &lifecycle.Server{},
 				DeadlineMs: 2e12, StartDeadlineMs: 1.5e12})
 			if r := <-ends; r.Status != c.want {
 				t.Errorf("%s, %d: ended as %v", name, op, r.Status)
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -39,7 +39,7 @@
 	text := "result: " + statusNames[res.Status] + "\n"
 	if rep, ok := res.Body.(*sftpwire.Reply); ok {
 		text += fmt.Sprintf("reply: code %d, text %q, data %q, size %d, mode %o, mtime %d\n",
-			rep.Code, rep.Text, rep.Data, rep.Attrs.Size, rep.Attrs.Mode, rep.Attrs.Mtime)
+			rep.Code, rep.Message, rep.Data, rep.Attrs.Size, rep.Attrs.Mode, rep.Attrs.Mtime)
 	}
 	return text
 }
@@ -102,9 +102,9 @@
 		codeAlone    = "65 00000002"
 		unknownReply = "63 00000000"
 	)
-	read := sftpwire.Command{Op: sftpwire.Read, Path: "/layers/a", Offset: 1 << 33, Length: 10}
-	write := sftpwire.Command{Op: sftpwire.Write, Path: "/layers/a", Offset: 3, Data: []byte("data\x00\xff"), Key: "k1"}
-	stat := sftpwire.Command{Op: sftpwire.Stat, Path: "/layers/a"}
+	read := sftpwire.Command{Op: sftpwire.OpRead, Path: "/layers/a", Offset: 1 << 33, Length: 10}
+	write := sftpwire.Command{Op: sftpwire.OpWrite, Path: "/layers/a", Offset: 3, Data: []byte("data\x00\xff"), UploadKey: "k1"}
+	stat := sftpwire.Command{Op: sftpwire.OpStat, Path: "/layers/a"}
 	for name, c := range map[string]struct {
 		command   sftpwire.Command
 		responses []string
@@ -112,10 +112,10 @@
 	}{
 		"read":              {read, []string{handle, data}, 4},
 		"write":             {write, []string{handle, statusOK}, 4},
-		"write-without-key": {sftpwire.Command{Op: sftpwire.Write, Path: "/a", Data: []byte("x")}, []string{handle, statusOK}, 4},
-		"open-read":         {sftpwire.Command{Op: sftpwire.Open, Path: "/layers/a", Flags: sftpwire.FlagRead}, []string{handle}, 3},
-		"open-create":       {sftpwire.Command{Op: sftpwire.Open, Path: "/layers/a", Flags: sftpwire.FlagWrite | sftpwire.FlagCreat | sftpwire.FlagTrunc, Key: "k2"}, []string{handle}, 3},
-		"open-exclusive":    {sftpwire.Command{Op: sftpwire.Open, Path: "/a", Flags: sftpwire.FlagRead | sftpwire.FlagWrite | sftpwire.FlagExcl, Key: "k3"}, []string{handle}, 3},
+		"write-without-key": {sftpwire.Command{Op: sftpwire.OpWrite, Path: "/a", Data: []byte("x")}, []string{handle, statusOK}, 4},
+		"open-read":         {sftpwire.Command{Op: sftpwire.OpOpen, Path: "/layers/a", Flags: sftpwire.FlagRead}, []string{handle}, 3},
+		"open-create":       {sftpwire.Command{Op: sftpwire.OpOpen, Path: "/layers/a", Flags: sftpwire.FlagWrite | sftpwire.FlagCreate | sftpwire.FlagTruncate, UploadKey: "k2"}, []string{handle}, 3},
+		"open-exclusive":    {sftpwire.Command{Op: sftpwire.OpOpen, Path: "/a", Flags: sftpwire.FlagRead | sftpwire.FlagWrite | sftpwire.FlagExclusive, UploadKey: "k3"}, []string{handle}, 3},
 		"stat":              {stat, []string{attributes}, 2},
 		"stat-missing":      {stat, []string{noSuchFile}, 2},
 		"stat-code-alone":   {stat, []string{codeAlone}, 2},
@@ -137,7 +137,7 @@
 			}
 			addr, packets := recordPackets(t, responses)
 			now, ends := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1)
-			b := New(Options{ConnectMs: 5000, ConnIdleMs: 30000, MaxSessions: 1,
+			b := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 1,
 				Address: func(*lifecycle.Server) (string, bool) { return addr, true }}, now, metrics.New(),
 				func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
 			defer b.Close()
