--- a/cmd/faultbench/chaos.go
+++ b/cmd/faultbench/chaos.go
@@ -36,22 +36,22 @@
 	if err != nil {
 		return err
 	}
-	options := chaos.Options{Binary: c.Binary, Processes: c.Processes, Siblings: c.Siblings, Shards: c.Shards, Seconds: c.Seconds,
-		Seed: c.Seed, Rate: c.Rate, Push: c.Push, Faults: faults, Shims: c.Shims, Debug: c.Debug}
+	options := chaos.Options{Binary: c.Binary, Gateways: c.Processes, FleetSize: c.Siblings, Shards: c.Shards, Seconds: c.Seconds,
+		Seed: c.Seed, RequestRate: c.Rate, PushDiscovery: c.Push, Faults: faults, FailSystemCalls: c.Shims, DebugLog: c.Debug}
 	if c.Verbose {
-		options.Out = os.Stdout
+		options.LogOutput = os.Stdout
 	}
 	res, err := chaos.Run(options)
 	if err != nil {
 		return err
 	}
-	for _, text := range res.Broken {
+	for _, text := range res.Violations {
 		fmt.Println("broken:", text)
 	}
-	fmt.Printf("served=%d refused=%d failed=%d crossed=%d stalls=%d\n", res.Served, res.Refused, res.Failed, res.Crossed, res.Stalls)
+	fmt.Printf("served=%d refused=%d failed=%d crossed=%d stalls=%d\n", res.Served, res.Rejected, res.Failed, res.NeverAccepted, res.Stalls)
 	fmt.Println(res)
-	if res.Bad() > 0 {
-		return fmt.Errorf("%d of what must never be", res.Bad())
+	if res.ViolationCount() > 0 {
+		return fmt.Errorf("%d of what must never be", res.ViolationCount())
 	}
 	return nil
 }
--- a/cmd/faultbench/fleet.go
+++ b/cmd/faultbench/fleet.go
@@ -31,22 +31,22 @@
 		c.Binary = filepath.Join(filepath.Dir(self), "gaugerelay")
 	}
 	fmt.Printf("seed %d: %d gateways, %d volumes through %d of them each\n", c.Seed, c.Gateways, c.Volumes, c.Hosts)
-	res, err := cluster.Run(cluster.Options{Binary: c.Binary, Gateways: c.Gateways, Hosts: min(c.Hosts, c.Gateways), Volumes: c.Volumes, Shards: 4,
-		Seed: c.Seed, Fleet: !c.Without, LeaseMs: c.Lease}, time.Duration(c.Seconds*float64(time.Second)), c.Only, os.Stdout)
+	res, err := cluster.Run(cluster.Options{Binary: c.Binary, Gateways: c.Gateways, HostsPerVolume: min(c.Hosts, c.Gateways), Volumes: c.Volumes, Shards: 4,
+		Seed: c.Seed, Gossip: !c.Without, LeaseMs: c.Lease}, time.Duration(c.Seconds*float64(time.Second)), c.Only, os.Stdout)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("served %d (%.0f units), refused %d, failed %d; %d pauses, %d datagrams, %d stalls of the machine\n", res.Served, res.ServedUnits, res.Refused, res.Failed,
+	fmt.Printf("served %d (%.0f units), refused %d, failed %d; %d pauses, %d datagrams, %d stalls of the machine\n", res.Served, res.ServedUnits, res.Rejected, res.Failed,
 		res.Pauses, res.Datagrams, res.Stalls)
 	fmt.Printf("a node that fails for all: at most %.1f tries a second from each gateway; one that drains unheard of: %.1f\n",
-		res.Shunned, res.Unheard)
-	for _, b := range res.Broken {
+		res.EjectedSendRate, res.StaleListSendRate)
+	for _, b := range res.Violations {
 		fmt.Println("broken:", b)
 	}
 	fmt.Printf("processes=%d kills=%d partitions=%d over_limit=%d wrong_ejections=%d doubled=%d crashed=%d lost=%d worst_over_units=%.1f bound_units=%.1f recover_ms=%.0f bound_ms=%.0f\n",
-		c.Gateways, res.Kills, res.Partitions, res.OverLimit, res.WrongEjections, res.Doubled, res.Crashed, res.Lost, res.WorstOver, res.BoundOver,
-		res.RecoverMs, cluster.RecoverBoundMs)
-	if n := len(res.Broken); n > 0 {
+		c.Gateways, res.Kills, res.Partitions, res.OverLimit, res.WrongEjections, res.DuplicateArrivals, res.Crashed, res.Lost, res.MaxOverLimit, res.AllowedOverLimit,
+		res.RecoveryMs, cluster.RecoveryBoundMs)
+	if n := len(res.Violations); n > 0 {
 		return fmt.Errorf("%d of what must never be", n)
 	}
 	return nil
--- a/cmd/gaugerelay/machine_chaos.go
+++ b/cmd/gaugerelay/machine_chaos.go
@@ -20,10 +20,10 @@
 	if text == "" {
 		return clock.NewSystem(), gateway.Machine(), nil
 	}
-	o, err := faultnet.Parse(text)
+	o, err := faultnet.ParseOptions(text)
 	if err != nil {
 		return nil, gateway.Network{}, err
 	}
 	n := faultnet.New(o)
-	return clock.NewSystemWithOffset(o.Wall), gateway.Network{Listen: n.Listen, Dial: n.Dial(clock.Duration(cfg.ConnectTimeoutMs))}, nil
+	return clock.NewSystemWithOffset(o.WallClockOffset), gateway.Network{Listen: n.Listen, Dial: n.Dial(clock.Duration(cfg.ConnectTimeoutMs))}, nil
 }
--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -22,25 +22,25 @@
 
 // Options are a run.
 type Options struct {
-	Binary    string // of the gateway
-	Processes int
-	Siblings  int // as many gateways as the settings name; 0: as many as there are
-	Shards    int
-	Seconds   float64
-	Seed      uint64
-	Push      bool    // lists are pushed by an agent; otherwise asked for
-	Rate      float64 // requests a second to each gateway
-	Shims     bool    // the program was built with the chaos tag: its system calls fail now and then
-	Debug     bool    // gateways log each request
-	Faults    []string
-	Out       io.Writer // gets the log of all processes where a rule was broken
+	Binary          string // of the gateway
+	Gateways        int
+	FleetSize       int // as many gateways as the settings name; 0: as many as there are
+	Shards          int
+	Seconds         float64
+	Seed            uint64
+	PushDiscovery   bool    // lists are pushed by an agent; otherwise asked for
+	RequestRate     float64 // requests a second to each gateway
+	FailSystemCalls bool    // the program was built with the chaos tag: its system calls fail now and then
+	DebugLog        bool    // gateways log each request
+	Faults          []string
+	LogOutput       io.Writer // gets the log of all processes where a rule was broken
 }
 
 func (o *Options) siblings() int {
-	if o.Siblings > 0 {
-		return o.Siblings
+	if o.FleetSize > 0 {
+		return o.FleetSize
 	}
-	return o.Processes
+	return o.Gateways
 }
 
 // gateway is one process, with when it was started, killed, told to end, and held up.
@@ -101,7 +101,7 @@
 	if r.dir, err = os.MkdirTemp("", "chaos"); err != nil {
 		return r, err
 	}
-	if r.discovery, err = newDiscovery(o.Processes, o.Push); err != nil {
+	if r.discovery, err = newDiscovery(o.Gateways, o.PushDiscovery); err != nil {
 		return r, err
 	}
 	for shard := range o.Shards {
@@ -112,15 +112,15 @@
 		r.servers, r.current, r.replacing = append(r.servers, s), append(r.current, s), append(r.replacing, false)
 		r.discovery.publish(change{server: s, state: "Ready"})
 	}
-	for n := range o.Processes {
+	for n := range o.Gateways {
 		g, err := r.newGateway(n)
 		if err != nil {
 			return r, err
 		}
 		r.gateways = append(r.gateways, g)
-		r.clients = append(r.clients, &clients{gateway: n, addr: g.Listen, rnd: rand.New(rand.NewPCG(o.Seed, uint64(1000+n)))})
+		r.clients = append(r.clients, &clients{gateway: n, addr: g.ListenAddr, rnd: rand.New(rand.NewPCG(o.Seed, uint64(1000+n)))})
 	}
-	started := make(chan error, o.Processes)
+	started := make(chan error, o.Gateways)
 	for _, g := range r.gateways {
 		go func() { started <- r.startGateway(g) }()
 	}
@@ -147,16 +147,16 @@
 	listen := ln.Addr().String()
 	ln.Close()
 	name := fmt.Sprintf("n%d", n)
-	g := &gateway{Process: &process.Process{Number: n, Name: name, Listen: listen, Binary: r.opt.Binary, Log: r.log}}
+	g := &gateway{Process: &process.Process{Index: n, Name: name, ListenAddr: listen, Binary: r.opt.Binary, Log: r.log}}
 	if err := r.configure(g); err != nil {
 		return nil, err
 	}
-	if r.opt.Shims {
+	if r.opt.FailSystemCalls {
 		// A wall clock may be off by an hour either way, and system calls fail now and then.
 		offsets := []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 		g.Env = append(g.Env, fmt.Sprintf("GAUGERELAY_FAULTS=seed=%d,rate=0.03,wall=%v", r.opt.Seed<<8+uint64(n), offsets[n%len(offsets)]))
 	}
-	if r.opt.Debug {
+	if r.opt.DebugLog {
 		g.Args = append(g.Args, "--log-level=debug")
 	}
 	return g, nil
@@ -164,7 +164,7 @@
 
 // configure writes a gateway's file for the discovery address that it uses now.
 func (r *rig) configure(g *gateway) error {
-	text, err := gatewayConfig(r.opt, g.Number, g.Listen, r.discovery.addrs[g.Number][g.at], r.discovery.known())
+	text, err := gatewayConfig(r.opt, g.Index, g.ListenAddr, r.discovery.addrs[g.Index][g.at], r.discovery.known())
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 	}
 	dir := filepath.Join(r.dir, g.Name)
 	g.config = filepath.Join(dir, "config.json")
-	return g.WriteFiles(dir, text, nil)
+	return g.WriteConfig(dir, text, nil)
 }
 
 func (r *rig) startGateway(g *gateway) error {
@@ -187,7 +187,7 @@
 func (r *rig) play() {
 	go r.watchMachine()
 	for _, c := range r.clients {
-		r.all.Go(func() { c.traffic(r.opt.Rate, r.opt.Shards, r.stop, &r.all) })
+		r.all.Go(func() { c.traffic(r.opt.RequestRate, r.opt.Shards, r.stop, &r.all) })
 	}
 	r.all.Go(r.schedule)
 	time.Sleep(time.Duration(r.opt.Seconds * float64(time.Second)))
@@ -197,9 +197,9 @@
 
 // finish ends the gateways as the platform does and judges the run.
 func (r *rig) finish() *Result {
-	res := &Result{Processes: r.opt.Processes, Seed: r.opt.Seed}
+	res := &Result{Gateways: r.opt.Gateways, Seed: r.opt.Seed}
 	for _, g := range r.gateways {
-		if g.Alive() {
+		if g.Running() {
 			r.readViolations(g)
 		} else {
 			r.crashed = append(r.crashed, g.Name+" has ended by itself")
@@ -210,12 +210,12 @@
 		res.broken(&res.Crashed, "%s", text)
 	}
 	for _, text := range r.violations {
-		res.broken(&res.ClosedOwing, "%s", text)
+		res.broken(&res.GatewayReported, "%s", text)
 	}
 	r.judge(res)
-	if res.Bad() > 0 && r.opt.Out != nil {
-		for _, line := range r.log.Around(0, 0, 1<<30) {
-			fmt.Fprintln(r.opt.Out, line)
+	if res.ViolationCount() > 0 && r.opt.LogOutput != nil {
+		for _, line := range r.log.LinesAround(0, 0, 1<<30) {
+			fmt.Fprintln(r.opt.LogOutput, line)
 		}
 	}
 	return res
@@ -226,7 +226,7 @@
 		c.closeIdle()
 	}
 	for _, g := range r.gateways {
-		if g.Alive() {
+		if g.Running() {
 			g.Kill()
 		}
 	}
@@ -256,7 +256,7 @@
 			r.mu.Lock()
 			r.stalls = append(r.stalls, span{last, now})
 			r.mu.Unlock()
-			r.log.Add("(the machine stalled for %v)", now.Sub(last))
+			r.log.Printf("(the machine stalled for %v)", now.Sub(last))
 		}
 		last = now
 	}
@@ -267,7 +267,7 @@
 
 // readViolations reads the counters that a gateway keeps of broken rules.
 func (r *rig) readViolations(g *gateway) {
-	resp, err := r.http.Get("http://" + g.Listen + "/metrics")
+	resp, err := r.http.Get("http://" + g.ListenAddr + "/metrics")
 	if err != nil {
 		return
 	}
--- a/internal/testbed/chaos/faults.go
+++ b/internal/testbed/chaos/faults.go
@@ -65,7 +65,7 @@
 		r.mu.Lock()
 		r.faults++
 		r.mu.Unlock()
-		r.log.Add("(fault: %s)", f.name)
+		r.log.Printf("(fault: %s)", f.name)
 		r.all.Go(func() { f.play(r, own) })
 		if !r.sleep(time.Duration(rnd.ExpFloat64() * float64(700*time.Millisecond))) {
 			return
@@ -123,7 +123,7 @@
 
 // checkAlive notes a process that has ended by itself, and starts it anew.
 func (r *rig) checkAlive(g *gateway) bool {
-	if g.Alive() {
+	if g.Running() {
 		return true
 	}
 	r.note(&r.crashed, "%s has ended by itself", g.Name)
--- a/internal/testbed/chaos/judge.go
+++ b/internal/testbed/chaos/judge.go
@@ -9,38 +9,38 @@
 
 // Result is what a run has shown. The fields from Drain on count what must never be.
 type Result struct {
-	Processes int
-	Seed      uint64
-	Faults    int
-	Requests  int
-	Served    int
-	Refused   int
-	Failed    int
-	Crossed   int // requests that met the end of a resting connection: never taken
-	Stalls    int // of the whole machine
+	Gateways      int
+	Seed          uint64
+	Faults        int
+	Requests      int
+	Served        int
+	Rejected      int
+	Failed        int
+	NeverAccepted int // requests that met the end of a resting connection: never taken
+	Stalls        int // of the whole machine
 
-	Drain, SlowStart, Lost, Duplicate, LateDeadline, ClosedOwing, Crashed int
+	SentAfterDrain, SlowStartExceeded, Lost, DuplicateExecutions, DeadlineExtended, GatewayReported, Crashed int
 
-	Broken []string // each of those, in words; the first of them
+	Violations []string // each of those, in words; the first of them
 }
 
-// Bad is how many of what must never be there were.
-func (r *Result) Bad() int {
-	return r.Drain + r.SlowStart + r.Lost + r.Duplicate + r.LateDeadline + r.ClosedOwing + r.Crashed
+// ViolationCount is how many of what must never be there were.
+func (r *Result) ViolationCount() int {
+	return r.SentAfterDrain + r.SlowStartExceeded + r.Lost + r.DuplicateExecutions + r.DeadlineExtended + r.GatewayReported + r.Crashed
 }
 
 // String is the run's last line.
 func (r *Result) String() string {
 	return fmt.Sprintf("processes=%d seed=%d faults=%d requests=%d drain=%d slow_start=%d lost=%d duplicate=%d late_deadline=%d closed_owing=%d crashed=%d",
-		r.Processes, r.Seed, r.Faults, r.Requests, r.Drain, r.SlowStart, r.Lost, r.Duplicate, r.LateDeadline, r.ClosedOwing, r.Crashed)
+		r.Gateways, r.Seed, r.Faults, r.Requests, r.SentAfterDrain, r.SlowStartExceeded, r.Lost, r.DuplicateExecutions, r.DeadlineExtended, r.GatewayReported, r.Crashed)
 }
 
 const mostBroken = 60
 
 func (r *Result) broken(count *int, format string, args ...any) {
 	*count++
-	if len(r.Broken) < mostBroken {
-		r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+	if len(r.Violations) < mostBroken {
+		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -113,7 +113,7 @@
 		}
 		late := a.first.Sub(told)
 		if late > drainGrace+socketSlack && !j.stalled(a.first.Add(-200*time.Millisecond), a.first) {
-			j.res.broken(&j.res.Drain, "%s n%d sent %s to %s %v after it was told that it drains (discovery had it at %s, up since %s)", j.at(a.first), a.gateway, a.id,
+			j.res.broken(&j.res.SentAfterDrain, "%s n%d sent %s to %s %v after it was told that it drains (discovery had it at %s, up since %s)", j.at(a.first), a.gateway, a.id,
 				a.server.name, late.Round(time.Millisecond), j.at(c.at), j.at(since))
 		}
 		return // the first change counts
@@ -149,7 +149,7 @@
 		}
 	}
 	if worst > 1 {
-		j.res.broken(&j.res.SlowStart, "%s %s, started at %s, got %.2f of what it bears", j.at(worstAt), s.name, j.at(s.started), worst)
+		j.res.broken(&j.res.SlowStartExceeded, "%s %s, started at %s, got %.2f of what it bears", j.at(worstAt), s.name, j.at(s.started), worst)
 	}
 }
 
@@ -174,10 +174,10 @@
 			j.res.broken(&j.res.Lost, "%s %s was served with %q", j.at(q.ended), q.id, q.text)
 		}
 	case refused:
-		j.res.Refused++
+		j.res.Rejected++
 		for _, a := range arrived {
 			if a.ran && q.class.effect != repeatable {
-				j.res.broken(&j.res.Duplicate, "%s %s (%s) was refused, though it may have run", j.at(q.ended), q.id, q.class.effect)
+				j.res.broken(&j.res.DuplicateExecutions, "%s %s (%s) was refused, though it may have run", j.at(q.ended), q.id, q.class.effect)
 				break
 			}
 		}
@@ -216,7 +216,7 @@
 		return s.covers(q.dialed) && q.dialed.Sub(s.from) > acceptFor
 	})
 	if crossed || late {
-		j.res.Crossed++
+		j.res.NeverAccepted++
 		return
 	}
 	j.res.broken(&j.res.Lost, "%s %s (%s, to n%d, reused %v) was sent at %s and its connection ended: %v; attempts %d", j.at(q.ended), q.id, q.class.name, q.gateway, q.reused,
@@ -243,7 +243,7 @@
 		}
 		left := q.deadline - a.first.Sub(q.sent)
 		if over := a.told - left; over > deadlineSlack && !j.stalled(q.sent, a.first) {
-			j.res.broken(&j.res.LateDeadline, "%s %s told %s %v, %v more than was left", j.at(a.first), q.id, a.server.name, a.told, over.Round(time.Millisecond))
+			j.res.broken(&j.res.DeadlineExtended, "%s %s told %s %v, %v more than was left", j.at(a.first), q.id, a.server.name, a.told, over.Round(time.Millisecond))
 		}
 	}
 }
@@ -260,7 +260,7 @@
 			continue
 		}
 		if q.class.effect == once || a.server.shard != firstRun.server.shard || a.whole.Sub(firstRun.whole) > dedupWindow+socketSlack {
-			j.res.broken(&j.res.Duplicate, "%s %s (%s) ran at %s, then at %s", j.at(a.whole), q.id, q.class.effect, firstRun.server.name, a.server.name)
+			j.res.broken(&j.res.DuplicateExecutions, "%s %s (%s) ran at %s, then at %s", j.at(a.whole), q.id, q.class.effect, firstRun.server.name, a.server.name)
 		}
 	}
 }
--- a/internal/testbed/chaos/outage_test.go
+++ b/internal/testbed/chaos/outage_test.go
@@ -25,14 +25,14 @@
 		outageFor = 9 * time.Second
 		seenFor   = notifyWithin + drainGrace + 2*time.Second
 	)
-	r, err := start(Options{Binary: program(t), Processes: processes, Siblings: 300, Shards: 2, Seed: 1, Rate: 20})
+	r, err := start(Options{Binary: program(t), Gateways: processes, FleetSize: 300, Shards: 2, Seed: 1, RequestRate: 20})
 	defer r.close()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.discovery.setDown(true, refusing) // before most of them have called for the first time
 	for _, c := range r.clients {
-		r.all.Go(func() { c.traffic(r.opt.Rate, r.opt.Shards, r.stop, &r.all) })
+		r.all.Go(func() { c.traffic(r.opt.RequestRate, r.opt.Shards, r.stop, &r.all) })
 	}
 	go r.watchMachine()
 	r.sleep(outageFor)
@@ -43,7 +43,7 @@
 	close(r.stop)
 	r.all.Wait()
 	res := r.finish()
-	for _, text := range res.Broken {
+	for _, text := range res.Violations {
 		t.Error(text)
 	}
 	if res.Served < 100*processes {
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -80,7 +80,7 @@
 		writes = append(writes, c.write)
 	}
 	mode := "ask"
-	if o.Push {
+	if o.PushDiscovery {
 		mode = "push"
 	}
 	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", number), "listen": listen, "discovery": discovery,
--- a/internal/testbed/chaos/soak_test.go
+++ b/internal/testbed/chaos/soak_test.go
@@ -10,12 +10,12 @@
 // ones, on any seed.
 func TestRulesHoldUnderOverlappingFaults(t *testing.T) {
 	for _, push := range []bool{false, true} {
-		res, err := Run(Options{Binary: program(t), Processes: 8, Shards: 4, Seconds: 20, Seed: 1, Rate: 12, Push: push, Out: os.Stderr})
+		res, err := Run(Options{Binary: program(t), Gateways: 8, Shards: 4, Seconds: 20, Seed: 1, RequestRate: 12, PushDiscovery: push, LogOutput: os.Stderr})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("pushed %v: %s", push, res)
-		for _, text := range res.Broken {
+		for _, text := range res.Violations {
 			t.Errorf("pushed %v: %s", push, text)
 		}
 		if res.Served < 500 || res.Faults < 10 {
--- a/internal/testbed/cluster/fleet_test.go
+++ b/internal/testbed/cluster/fleet_test.go
@@ -28,16 +28,16 @@
 		t.Skip("several processes")
 	}
 	var out strings.Builder
-	res, err := Run(Options{Binary: binary(t), Gateways: 3, Hosts: 3, Volumes: 2, Shards: 4, Seed: 1, Fleet: true, LeaseMs: 300, Part: 0.2},
+	res, err := Run(Options{Binary: binary(t), Gateways: 3, HostsPerVolume: 3, Volumes: 2, Shards: 4, Seed: 1, Gossip: true, LeaseMs: 300, TimeScale: 0.2},
 		0, "", &out)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%s%+v", out.String(), res)
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		t.Error(b)
 	}
-	if res.Served < 50 || res.Refused == 0 || res.Kills < 3 || res.Pauses < 2 || res.Datagrams < 50 {
+	if res.Served < 50 || res.Rejected == 0 || res.Kills < 3 || res.Pauses < 2 || res.Datagrams < 50 {
 		t.Error("too little happened to show anything")
 	}
 }
@@ -48,7 +48,7 @@
 	if err := os.WriteFile(at, []byte("#!/bin/sh\nexit 3\n"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Start(Options{Binary: at, Gateways: 1, Hosts: 1, Shards: 1, Seed: 1}); err == nil || !strings.Contains(err.Error(), "ended by itself") {
+	if _, err := StartCluster(Options{Binary: at, Gateways: 1, HostsPerVolume: 1, Shards: 1, Seed: 1}); err == nil || !strings.Contains(err.Error(), "ended by itself") {
 		t.Errorf("a program that ends: %v", err)
 	}
 	p, err := newPlatform(1, 1, 1)
@@ -56,11 +56,11 @@
 		t.Fatal(err)
 	}
 	defer p.close()
-	r := &Rig{platform: p, opt: Options{Hosts: 1}}
+	r := &Cluster{platform: p, opt: Options{HostsPerVolume: 1}}
 	for range int(limitStore(1))/6 + 4 {
 		p.take(7, 6)
 	}
-	if res := r.Result(); res.OverLimit != 1 || res.WorstOver < 10 || len(res.Broken) == 0 {
+	if res := r.Result(); res.OverLimit != 1 || res.MaxOverLimit < 10 || len(res.Violations) == 0 {
 		t.Errorf("units over a limit: %+v", res)
 	}
 }
@@ -85,10 +85,10 @@
 	buf := make([]byte, 100)
 	for _, c := range []struct {
 		name  string
-		link  Link
+		link  DatagramFaults
 		times int
 		same  bool
-	}{{"well", Link{}, 1, true}, {"twice", Link{Twice: 1}, 2, true}, {"flipped", Link{Flip: 1}, 1, false}, {"late", Link{DelayMs: 1, JitterMs: 1}, 1, true}} {
+	}{{"well", DatagramFaults{}, 1, true}, {"twice", DatagramFaults{DuplicateRate: 1}, 2, true}, {"flipped", DatagramFaults{BitFlipRate: 1}, 1, false}, {"late", DatagramFaults{DelayMs: 1, JitterMs: 1}, 1, true}} {
 		p.set(c.link)
 		from.Write([]byte("datagram"))
 		for range c.times {
@@ -99,7 +99,7 @@
 			}
 		}
 	}
-	for _, l := range []Link{{Cut: true}, {Loss: 1}} {
+	for _, l := range []DatagramFaults{{Cut: true}, {LossRate: 1}} {
 		p.set(l)
 		from.Write([]byte("lost"))
 		for passed := false; !passed; { // it has been read, and dropped
@@ -111,7 +111,7 @@
 		p.link.troubled = 2
 		p.mu.Unlock()
 	}
-	p.set(Link{})
+	p.set(DatagramFaults{})
 	from.Write([]byte("again"))
 	if n, _, err := to.ReadFrom(buf); err != nil || string(buf[:n]) != "again" {
 		t.Errorf("behind a cut: %q, %v", buf[:n], err)
@@ -150,22 +150,22 @@
 		return string(b[:n])
 	}
 	client, server := dial()
-	p.set(Way{Drip: 3, DelayMs: 1}, Way{Silent: true})
+	p.set(StreamFaults{ChunkSize: 3, DelayMs: 1}, StreamFaults{Stalled: true})
 	client.Write([]byte("a request"))
 	server.Write([]byte("an answer"))
 	if got := read(server, 9); got != "a request" {
 		t.Errorf("%q has come", got)
 	}
-	p.set(Way{}, Way{})
+	p.set(StreamFaults{}, StreamFaults{})
 	if got := read(client, 9); got != "an answer" {
 		t.Errorf("%q has come behind a silence", got)
 	}
-	p.set(Way{}, Way{Break: 4})
+	p.set(StreamFaults{}, StreamFaults{ResetAfterBytes: 4})
 	server.Write([]byte("another answer"))
 	if got := read(client, 14); len(got) > 4 {
 		t.Errorf("%q has come of an answer that breaks off", got)
 	}
-	p.set(Way{}, Way{})
+	p.set(StreamFaults{}, StreamFaults{})
 	client, server = dial()
 	client.Write([]byte("x"))
 	read(server, 1)
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Link is what happens to datagrams on their way from one gateway to another. The zero value is a good link.
-type Link struct {
-	Cut              bool
-	Loss, Twice      float64 // parts
-	Flip             float64 // part in which a bit is another
-	DelayMs          float64
-	JitterMs         float64 // up to so much more: what is later may come sooner
-	passed, troubled int
+// DatagramFaults is what happens to datagrams on their way from one gateway to another. The zero value is a good link.
+type DatagramFaults struct {
+	Cut                     bool
+	LossRate, DuplicateRate float64 // parts
+	BitFlipRate             float64 // part in which a bit is another
+	DelayMs                 float64
+	JitterMs                float64 // up to so much more: what is later may come sooner
+	passed, troubled        int
 }
 
 // proxy carries datagrams one way.
@@ -23,7 +23,7 @@
 	to   net.Addr
 	mu   sync.Mutex
 	rnd  *rand.Rand
-	link Link
+	link DatagramFaults
 }
 
 func newProxy(to net.Addr, seed uint64) (*proxy, error) {
@@ -36,7 +36,7 @@
 	return p, nil
 }
 
-func (p *proxy) set(l Link) {
+func (p *proxy) set(l DatagramFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.passed, l.troubled = p.link.passed, p.link.troubled
@@ -54,13 +54,13 @@
 		l, times := &p.link, 1
 		draw := p.rnd.Float64()
 		switch {
-		case l.Cut || draw < l.Loss:
+		case l.Cut || draw < l.LossRate:
 			times = 0
-		case draw < l.Loss+l.Twice:
+		case draw < l.LossRate+l.DuplicateRate:
 			times = 2
 		}
 		b := append([]byte(nil), buf[:n]...)
-		if p.rnd.Float64() < l.Flip {
+		if p.rnd.Float64() < l.BitFlipRate {
 			b[p.rnd.IntN(n)] ^= 1 << p.rnd.IntN(8)
 			l.troubled++
 		}
--- a/internal/testbed/cluster/rig.go
+++ b/internal/testbed/cluster/rig.go
@@ -23,43 +23,43 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// RecoverBoundMs bounds Result.RecoverMs: what gateways found fades, the rest between two tries passes, and the count
+// RecoveryBoundMs bounds Result.RecoverMs: what gateways found fades, the rest between two tries passes, and the count
 // takes a step. A datagram that is lost would add the age of words; no scenario that measures it loses any.
-const RecoverBoundMs = 2408.0 + 400 + 400
+const RecoveryBoundMs = 2408.0 + 400 + 400
 
 // Options are a run.
 type Options struct {
-	Binary   string // of the gateway
-	Gateways int
-	Hosts    int // gateways through which each volume's requests come
-	Volumes  int
-	Shards   int
-	Seed     uint64
-	Fleet    bool // whether gateways speak with each other
-	LeaseMs  float64
-	Part     float64 // how long each scenario lasts, as a part of its own time; 0: whole
+	Binary         string // of the gateway
+	Gateways       int
+	HostsPerVolume int // gateways through which each volume's requests come
+	Volumes        int
+	Shards         int
+	Seed           uint64
+	Gossip         bool // whether gateways speak with each other
+	LeaseMs        float64
+	TimeScale      float64 // how long each scenario lasts, as a part of its own time; 0: whole
 }
 
 // Result is what a run has shown.
 type Result struct {
-	Kills, Pauses, Partitions int
-	Stalls                    int // of the whole machine
-	Served, Refused, Failed   int
-	ServedUnits               float64
-	Lost, Doubled, Crashed    int
-	OverLimit                 int     // volumes whose store fell below the rule's slack
-	WorstOver                 float64 // units below an empty store at the worst
-	BoundOver                 float64 // what the rule allows
-	Datagrams                 int
-	WrongEjections            int     // gateways that were kept from a node which served them well
-	RecoverMs                 float64 // until a node that failed for all is used again
-	Unheard                   float64 // tries a second at a draining node of which a gateway's own list is silent
-	Shunned                   float64 // tries a second from each gateway at a node that fails for all, behind a second of it
-	Broken                    []string
+	Kills, Pauses, Partitions        int
+	Stalls                           int // of the whole machine
+	Served, Rejected, Failed         int
+	ServedUnits                      float64
+	Lost, DuplicateArrivals, Crashed int
+	OverLimit                        int     // volumes whose store fell below the rule's slack
+	MaxOverLimit                     float64 // units below an empty store at the worst
+	AllowedOverLimit                 float64 // what the rule allows
+	Datagrams                        int
+	WrongEjections                   int     // gateways that were kept from a node which served them well
+	RecoveryMs                       float64 // until a node that failed for all is used again
+	StaleListSendRate                float64 // tries a second at a draining node of which a gateway's own list is silent
+	EjectedSendRate                  float64 // tries a second from each gateway at a node that fails for all, behind a second of it
+	Violations                       []string
 }
 
-// Rig is a running fleet.
-type Rig struct {
+// Cluster is a running fleet.
+type Cluster struct {
 	opt      Options
 	platform *platform
 	liar     *liar
@@ -79,31 +79,31 @@
 	next   int
 }
 
-// Start starts a fleet.
-func Start(o Options) (r *Rig, err error) {
+// StartCluster starts a fleet.
+func StartCluster(o Options) (r *Cluster, err error) {
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return nil, err
 	}
-	r = &Rig{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 42)), log: process.NewLog(), dir: dir, lead: make([]int, o.Volumes),
+	r = &Cluster{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 42)), log: process.NewLog(), dir: dir, lead: make([]int, o.Volumes),
 		load: 1.4, stop: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			r.Close()
 		}
 	}()
-	if r.platform, err = newPlatform(o.Gateways, o.Shards, o.Hosts); err != nil {
+	if r.platform, err = newPlatform(o.Gateways, o.Shards, o.HostsPerVolume); err != nil {
 		return r, err
 	}
 	for i := range o.Gateways {
-		p := &process.Process{Number: i, Name: fmt.Sprintf("n%d", i), Binary: o.Binary, Log: r.log}
+		p := &process.Process{Index: i, Name: fmt.Sprintf("n%d", i), Binary: o.Binary, Log: r.log}
 		// A gateway that starts anew has the addresses that it had. No connection out is made from this host, so none
 		// can have taken its port meanwhile.
 		host := fmt.Sprintf("127.1.%d.%d:0", 1+os.Getpid()%250, i+1)
-		if p.Listen, err = freePort("tcp", host); err != nil {
+		if p.ListenAddr, err = freePort("tcp", host); err != nil {
 			return r, err
 		}
-		if p.PeerAt, err = freePort("udp", host); err != nil {
+		if p.PeerAddr, err = freePort("udp", host); err != nil {
 			return r, err
 		}
 		r.gates = append(r.gates, p)
@@ -115,25 +115,25 @@
 		return r, err
 	}
 	for i, p := range r.gates {
-		config, err := r.platform.config(p.Name, p.Listen, i, o.Gateways)
+		config, err := r.platform.config(p.Name, p.ListenAddr, i, o.Gateways)
 		if err != nil {
 			return r, err
 		}
 		var edge map[string]any
-		if o.Fleet {
+		if o.Gossip {
 			peers := []string{}
 			for j := range r.gates {
-				at := r.gates[j].PeerAt
+				at := r.gates[j].PeerAddr
 				if j != i {
 					at = r.links[i][j].conn.LocalAddr().String()
 				}
 				peers = append(peers, at)
 			}
 			peers = append(peers, r.liar.conn.LocalAddr().String())
-			edge = map[string]any{"fleet": map[string]any{"listen": p.PeerAt, "self": i, "peers": peers, "key": fleetKey,
+			edge = map[string]any{"fleet": map[string]any{"listen": p.PeerAddr, "self": i, "peers": peers, "key": fleetKey,
 				"period_ms": 200, "lease_ms": o.LeaseMs}}
 		}
-		if err := p.WriteFiles(filepath.Join(dir, p.Name), config, edge); err != nil {
+		if err := p.WriteConfig(filepath.Join(dir, p.Name), config, edge); err != nil {
 			return r, err
 		}
 		if err := p.Start(); err != nil {
@@ -151,7 +151,7 @@
 const stallMs = 200
 
 // watch notes when the machine is too busy to tell anything: the rules on time are then not this program's to judge.
-func (r *Rig) watch() {
+func (r *Cluster) watch() {
 	for last := time.Now(); ; {
 		select {
 		case <-r.stop:
@@ -160,9 +160,9 @@
 		}
 		now := time.Now()
 		if now.Sub(last) > stallMs*time.Millisecond {
-			r.log.Add("(the machine stalled for %v)", now.Sub(last))
+			r.log.Printf("(the machine stalled for %v)", now.Sub(last))
 			for _, p := range r.gates {
-				p.Stalled(last, now)
+				p.RecordStall(last, now)
 			}
 			r.count(func(res *Result) { res.Stalls++ })
 		}
@@ -171,7 +171,7 @@
 }
 
 // connect puts a proxy between each gateway and each other, each way.
-func (r *Rig) connect() error {
+func (r *Cluster) connect() error {
 	for i := range r.gates {
 		var row []*proxy
 		for j, to := range r.gates {
@@ -179,7 +179,7 @@
 				row = append(row, nil)
 				continue
 			}
-			at, err := net.ResolveUDPAddr("udp", to.PeerAt)
+			at, err := net.ResolveUDPAddr("udp", to.PeerAddr)
 			if err != nil {
 				return err
 			}
@@ -195,7 +195,7 @@
 }
 
 // Close ends all that was started.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	select {
 	case <-r.stop:
 	default:
@@ -203,7 +203,7 @@
 	}
 	r.all.Wait()
 	for _, p := range r.gates {
-		if p.Alive() {
+		if p.Running() {
 			p.Kill()
 		}
 	}
@@ -224,25 +224,25 @@
 }
 
 // Result is what has been counted so far.
-func (r *Rig) Result() Result {
+func (r *Cluster) Result() Result {
 	r.platform.mu.Lock()
 	defer r.platform.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := r.res
-	res.Broken = append([]string(nil), r.res.Broken...)
-	slack := max(mostUnits, 0.1*limitStore(r.opt.Hosts))
-	res.BoundOver = slack + limitRate*slackMs/1000
+	res.Violations = append([]string(nil), r.res.Violations...)
+	slack := max(mostUnits, 0.1*limitStore(r.opt.HostsPerVolume))
+	res.AllowedOverLimit = slack + limitRate*slackMs/1000
 	for v, s := range r.platform.stores {
-		res.WorstOver = max(res.WorstOver, -s.worst)
-		if -s.worst > res.BoundOver {
+		res.MaxOverLimit = max(res.MaxOverLimit, -s.worst)
+		if -s.worst > res.AllowedOverLimit {
 			res.OverLimit++
-			res.Broken = append(res.Broken, fmt.Sprintf("volume %x: %.1f units over its limit, %.1f are allowed", v, -s.worst, res.BoundOver))
+			res.Violations = append(res.Violations, fmt.Sprintf("volume %x: %.1f units over its limit, %.1f are allowed", v, -s.worst, res.AllowedOverLimit))
 		}
 	}
-	res.Doubled = r.platform.doubled
-	if res.Doubled > 0 {
-		res.Broken = append(res.Broken, fmt.Sprintf("%d requests of a class that must never run twice came to nodes again", res.Doubled))
+	res.DuplicateArrivals = r.platform.doubled
+	if res.DuplicateArrivals > 0 {
+		res.Violations = append(res.Violations, fmt.Sprintf("%d requests of a class that must never run twice came to nodes again", res.DuplicateArrivals))
 	}
 	for _, row := range r.links {
 		for _, p := range row {
@@ -259,7 +259,7 @@
 // ---- faults ----
 
 // each calls f for each link, with its two ends.
-func (r *Rig) each(f func(from, to int) Link) {
+func (r *Cluster) each(f func(from, to int) DatagramFaults) {
 	for i, row := range r.links {
 		for j, p := range row {
 			if p != nil {
@@ -269,31 +269,31 @@
 	}
 }
 
-func (r *Rig) partition(side func(g int) bool, oneWay bool) {
+func (r *Cluster) partition(side func(g int) bool, oneWay bool) {
 	r.count(func(res *Result) { res.Partitions++ })
-	r.log.Add("(partition, one way %v)", oneWay)
-	r.each(func(from, to int) Link {
-		return Link{Cut: side(from) != side(to) && (!oneWay || side(from))}
+	r.log.Printf("(partition, one way %v)", oneWay)
+	r.each(func(from, to int) DatagramFaults {
+		return DatagramFaults{Cut: side(from) != side(to) && (!oneWay || side(from))}
 	})
 }
 
-func (r *Rig) heal() {
-	r.log.Add("(links are well)")
-	r.each(func(int, int) Link { return Link{} })
+func (r *Cluster) heal() {
+	r.log.Printf("(links are well)")
+	r.each(func(int, int) DatagramFaults { return DatagramFaults{} })
 }
 
-func (r *Rig) kill(g int) {
+func (r *Cluster) kill(g int) {
 	r.count(func(res *Result) { res.Kills++ })
 	r.gates[g].Kill()
 }
 
-func (r *Rig) restart(g int) {
+func (r *Cluster) restart(g int) {
 	if err := r.gates[g].Start(); err != nil {
 		r.broken("%v", err)
 	}
 }
 
-func (r *Rig) pause(g int, d time.Duration) {
+func (r *Cluster) pause(g int, d time.Duration) {
 	r.count(func(res *Result) { res.Pauses++ })
 	r.gates[g].Signal(syscall.SIGSTOP)
 	r.wait(d)
@@ -302,7 +302,7 @@
 
 // ejected counts the gateways, of some, that have nearly stopped sending to a node between two counts, while they sent
 // to the next as before: each request goes to either by chance.
-func (r *Rig) ejected(of func(g int) bool, shard int, before [][]int) {
+func (r *Cluster) ejected(of func(g int) bool, shard int, before [][]int) {
 	now := r.platform.counts()
 	for g := range r.gates {
 		next := (shard + 1) % r.opt.Shards
@@ -316,7 +316,7 @@
 
 // recovers waits until a node that is well again gets half of what the next one gets, from all gateways together, and
 // notes how long that took. It gives up behind twice the bound.
-func (r *Rig) recovers(shard int) {
+func (r *Cluster) recovers(shard int) {
 	began, last := time.Now(), r.platform.counts()
 	for {
 		r.whole(400 * time.Millisecond)
@@ -328,10 +328,10 @@
 		}
 		last = now
 		took := float64(time.Since(began).Milliseconds())
-		if 2*there >= next && there >= len(r.gates) || took > 2*RecoverBoundMs {
-			r.count(func(res *Result) { res.RecoverMs = max(res.RecoverMs, took) })
-			if took > RecoverBoundMs && r.opt.Part == 0 { // short runs are for any machine, and times are this one's
-				r.broken("a node that is well again is used after %.0f ms, bound %.0f", took, RecoverBoundMs)
+		if 2*there >= next && there >= len(r.gates) || took > 2*RecoveryBoundMs {
+			r.count(func(res *Result) { res.RecoveryMs = max(res.RecoveryMs, took) })
+			if took > RecoveryBoundMs && r.opt.TimeScale == 0 { // short runs are for any machine, and times are this one's
+				r.broken("a node that is well again is used after %.0f ms, bound %.0f", took, RecoveryBoundMs)
 			}
 			return
 		}
@@ -339,16 +339,16 @@
 }
 
 // shift gives the lead of each volume to the next of its hosts.
-func (r *Rig) shift() {
+func (r *Cluster) shift() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for v := range r.lead {
-		r.lead[v] = (r.lead[v] + 1) % r.opt.Hosts
+		r.lead[v] = (r.lead[v] + 1) % r.opt.HostsPerVolume
 	}
 }
 
 // whole waits for all of a time, also where the run is short: a bound of the program's has to pass.
-func (r *Rig) whole(d time.Duration) {
+func (r *Cluster) whole(d time.Duration) {
 	select {
 	case <-r.stop:
 	case <-time.After(d):
@@ -356,38 +356,38 @@
 }
 
 // wait waits, for a part of the time where the run is to be short.
-func (r *Rig) wait(d time.Duration) {
-	if r.opt.Part > 0 {
-		d = time.Duration(float64(d) * r.opt.Part)
+func (r *Cluster) wait(d time.Duration) {
+	if r.opt.TimeScale > 0 {
+		d = time.Duration(float64(d) * r.opt.TimeScale)
 	}
 	r.whole(d)
 }
 
-func (r *Rig) count(f func(*Result)) {
+func (r *Cluster) count(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.res)
 }
 
-func (r *Rig) broken(format string, args ...any) {
+func (r *Cluster) broken(format string, args ...any) {
 	text, at := fmt.Sprintf(format, args...), r.log.Position()
-	r.log.Add("BROKEN: %s", text)
+	r.log.Printf("BROKEN: %s", text)
 	r.count(func(res *Result) {
-		if res.Broken = append(res.Broken, text); len(res.Broken) == 1 {
+		if res.Violations = append(res.Violations, text); len(res.Violations) == 1 {
 			r.breach = at
 		}
 	})
 }
 
-// Breach is what all processes wrote around the first breach, or at the end where it was counted there.
-func (r *Rig) Breach() string {
+// FirstViolationLog is what all processes wrote around the first breach, or at the end where it was counted there.
+func (r *Cluster) FirstViolationLog() string {
 	r.mu.Lock()
 	at := r.breach
 	r.mu.Unlock()
 	if at == 0 {
 		at = r.log.Position()
 	}
-	return strings.Join(r.log.Around(at, 50, 20), "\n")
+	return strings.Join(r.log.LinesAround(at, 50, 20), "\n")
 }
 
 // ---- clients ----
@@ -395,15 +395,15 @@
 func volumeID(v int) uint64 { return uint64(0xb000 + v) }
 
 // hosts are the gateways through which a volume's requests come.
-func (r *Rig) hosts(v int) (gates []*process.Process) {
-	for i := range r.opt.Hosts {
+func (r *Cluster) hosts(v int) (gates []*process.Process) {
+	for i := range r.opt.HostsPerVolume {
 		gates = append(gates, r.gates[(v+i)%len(r.gates)])
 	}
 	return gates
 }
 
 // traffic is a volume's: load times its limit, nearly all through the gateway that has the lead.
-func (r *Rig) traffic(v int) {
+func (r *Cluster) traffic(v int) {
 	rnd := rand.New(rand.NewPCG(r.opt.Seed, uint64(100+v)))
 	volume := volumeID(v)
 	hosts := r.hosts(v)
@@ -439,14 +439,14 @@
 	}
 }
 
-func (r *Rig) ask(c *http.Client, g *process.Process, volume uint64, units, shard int, id string) {
-	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, fmt.Sprintf("http://%s/pull/%016x", g.Listen, volume), nil)
+func (r *Cluster) ask(c *http.Client, g *process.Process, volume uint64, units, shard int, id string) {
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, fmt.Sprintf("http://%s/pull/%016x", g.ListenAddr, volume), nil)
 	if err != nil {
 		return
 	}
 	for k, v := range map[string]string{"X-Correlation-Id": id, "X-Service-Class": "pull", "X-Plan": "basic",
 		"X-Time-Left-Ms": strconv.Itoa(deadlineMs),
-		"X-IO":           fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", volume, units, shard, r.opt.Hosts)} {
+		"X-IO":           fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", volume, units, shard, r.opt.HostsPerVolume)} {
 		req.Header.Set(k, v)
 	}
 	began := time.Now()
@@ -458,7 +458,7 @@
 	}
 	ended := time.Now()
 	if err != nil {
-		if !g.Troubled(began.Add(-50*time.Millisecond), ended) && !strings.Contains(err.Error(), "refused") {
+		if !g.InterruptedDuring(began.Add(-50*time.Millisecond), ended) && !strings.Contains(err.Error(), "refused") {
 			r.broken("%s: %s lost after %v: %v", id, g.Name, ended.Sub(began), err)
 			r.count(func(res *Result) { res.Lost++ })
 		}
@@ -470,14 +470,14 @@
 			res.Served++
 			res.ServedUnits += float64(units)
 		case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-			res.Refused++
+			res.Rejected++
 		case resp.StatusCode >= 500:
 			res.Failed++
 		default:
-			res.Broken = append(res.Broken, fmt.Sprintf("%s: answered %d %.40q", id, resp.StatusCode, text))
+			res.Violations = append(res.Violations, fmt.Sprintf("%s: answered %d %.40q", id, resp.StatusCode, text))
 		}
 	})
-	if late := ended.Sub(began) - deadlineMs*time.Millisecond; late > 500*time.Millisecond && !g.Troubled(began.Add(-50*time.Millisecond), ended) {
+	if late := ended.Sub(began) - deadlineMs*time.Millisecond; late > 500*time.Millisecond && !g.InterruptedDuring(began.Add(-50*time.Millisecond), ended) {
 		r.broken("%s: answered %v late", id, late)
 	}
 }
--- a/internal/testbed/cluster/scenarios.go
+++ b/internal/testbed/cluster/scenarios.go
@@ -11,18 +11,18 @@
 // Scenario is something that happens to a fleet. It ends with all gateways up and all links well.
 type Scenario struct {
 	Name string
-	Play func(r *Rig)
+	Play func(r *Cluster)
 }
 
 // Scenarios are played in this order.
 var Scenarios = []Scenario{
-	{"calm: the lead changes", func(r *Rig) {
+	{"calm: the lead changes", func(r *Cluster) {
 		for range 3 {
 			r.wait(4 * time.Second)
 			r.shift()
 		}
 	}},
-	{"halves cut off from each other, both at the limit", func(r *Rig) {
+	{"halves cut off from each other, both at the limit", func(r *Cluster) {
 		r.partition(func(g int) bool { return g%2 == 0 }, false)
 		r.wait(time.Second)
 		r.shift()
@@ -30,7 +30,7 @@
 		r.heal()
 		r.wait(time.Second)
 	}},
-	{"cut one way, then the other", func(r *Rig) {
+	{"cut one way, then the other", func(r *Cluster) {
 		for way := range 2 {
 			r.partition(func(g int) bool { return (g == 0) == (way == 0) }, true)
 			r.wait(1500 * time.Millisecond)
@@ -39,22 +39,24 @@
 		r.heal()
 		r.wait(500 * time.Millisecond)
 	}},
-	{"a fifth is lost, a fifth comes twice, bits flip, order changes", func(r *Rig) {
-		r.each(func(int, int) Link { return Link{Loss: 0.2, Twice: 0.2, Flip: 0.1, DelayMs: 5, JitterMs: 120} })
+	{"a fifth is lost, a fifth comes twice, bits flip, order changes", func(r *Cluster) {
+		r.each(func(int, int) DatagramFaults {
+			return DatagramFaults{LossRate: 0.2, DuplicateRate: 0.2, BitFlipRate: 0.1, DelayMs: 5, JitterMs: 120}
+		})
 		for range 3 {
 			r.wait(1200 * time.Millisecond)
 			r.shift()
 		}
 		r.heal()
 	}},
-	{"acknowledgements are lost: grants do not come", func(r *Rig) {
-		r.each(func(from, to int) Link { return Link{Cut: from > to, DelayMs: 3} })
+	{"acknowledgements are lost: grants do not come", func(r *Cluster) {
+		r.each(func(from, to int) DatagramFaults { return DatagramFaults{Cut: from > to, DelayMs: 3} })
 		r.shift()
 		r.wait(2 * time.Second)
 		r.heal()
 		r.wait(500 * time.Millisecond)
 	}},
-	{"a lender and a borrower killed, started anew", func(r *Rig) {
+	{"a lender and a borrower killed, started anew", func(r *Cluster) {
 		for range 3 {
 			g := r.rnd.IntN(len(r.gates))
 			r.kill(g)
@@ -64,7 +66,7 @@
 			r.wait(700 * time.Millisecond)
 		}
 	}},
-	{"a holder paused beyond its lease, woken with a full inbox", func(r *Rig) {
+	{"a holder paused beyond its lease, woken with a full inbox", func(r *Cluster) {
 		for range 2 {
 			g := r.rnd.IntN(len(r.gates))
 			r.shift()
@@ -73,7 +75,7 @@
 			r.wait(700 * time.Millisecond)
 		}
 	}},
-	{"most of the fleet killed at once", func(r *Rig) {
+	{"most of the fleet killed at once", func(r *Cluster) {
 		n := max(1, len(r.gates)*7/10)
 		for g := range n {
 			r.kill(g)
@@ -84,22 +86,22 @@
 		}
 		r.wait(time.Second)
 	}},
-	{"all peers silent", func(r *Rig) {
+	{"all peers silent", func(r *Cluster) {
 		r.count(func(res *Result) { res.Partitions++ })
-		r.each(func(int, int) Link { return Link{Cut: true} })
+		r.each(func(int, int) DatagramFaults { return DatagramFaults{Cut: true} })
 		r.shift()
 		r.wait(2500 * time.Millisecond)
 		r.heal()
 		r.wait(500 * time.Millisecond)
 	}},
-	{"told to end one after the other, under load", func(r *Rig) {
+	{"told to end one after the other, under load", func(r *Cluster) {
 		for g := range min(2, len(r.gates)) {
 			r.gates[g].Stop()
 			r.restart(g)
 			r.wait(300 * time.Millisecond)
 		}
 	}},
-	{"paused and killed while cut off", func(r *Rig) {
+	{"paused and killed while cut off", func(r *Cluster) {
 		r.partition(func(g int) bool { return g == 1 }, false)
 		r.shift()
 		r.wait(500 * time.Millisecond)
@@ -113,7 +115,7 @@
 		r.heal()
 		r.wait(time.Second)
 	}},
-	{"a node fails for all", func(r *Rig) {
+	{"a node fails for all", func(r *Cluster) {
 		for g := range r.gates {
 			r.platform.fail(g, 0, true)
 		}
@@ -122,7 +124,7 @@
 		r.wait(2 * time.Second)
 		for g, now := range r.platform.counts() {
 			tries := float64(now[0]-before[g][0]) / time.Since(began).Seconds()
-			r.count(func(res *Result) { res.Shunned = max(res.Shunned, tries) })
+			r.count(func(res *Result) { res.EjectedSendRate = max(res.EjectedSendRate, tries) })
 			r.platform.fail(g, 0, false)
 		}
 		r.recovers(0)
@@ -130,7 +132,7 @@
 		r.wait(2 * time.Second)
 		r.ejected(func(int) bool { return true }, 0, before)
 	}},
-	{"a node fails for one gateway alone", func(r *Rig) {
+	{"a node fails for one gateway alone", func(r *Cluster) {
 		r.platform.fail(0, 0, true)
 		r.wait(time.Second)
 		before := r.platform.counts()
@@ -139,11 +141,11 @@
 		r.platform.fail(0, 0, false)
 		r.wait(time.Second)
 	}},
-	{"one of the fleet lies", func(r *Rig) {
+	{"one of the fleet lies", func(r *Cluster) {
 		before := r.platform.counts()
 		for round := range 20 {
 			for _, p := range r.gates {
-				if at, err := net.ResolveUDPAddr("udp", p.PeerAt); err == nil {
+				if at, err := net.ResolveUDPAddr("udp", p.PeerAddr); err == nil {
 					r.liar.lie(at, r.opt.Shards, r.opt.Volumes, uint64(round+1))
 				}
 			}
@@ -152,9 +154,9 @@
 		r.ejected(func(int) bool { return true }, 0, before)
 		r.ejected(func(int) bool { return true }, 1, before)
 	}},
-	{"a node drains, and one gateway's list does not say so", func(r *Rig) {
+	{"a node drains, and one gateway's list does not say so", func(r *Cluster) {
 		r.mu.Lock()
-		unheard := r.hosts(0)[r.lead[0]].Number // one with traffic
+		unheard := r.hosts(0)[r.lead[0]].Index // one with traffic
 		r.mu.Unlock()
 		others := func(f func(g int)) {
 			for g := range r.gates {
@@ -169,7 +171,7 @@
 		r.wait(2 * time.Second)
 		now := r.platform.counts()
 		tries := float64(now[unheard][1]-before[unheard][1]) / time.Since(began).Seconds()
-		r.count(func(res *Result) { res.Unheard = max(res.Unheard, tries) })
+		r.count(func(res *Result) { res.StaleListSendRate = max(res.StaleListSendRate, tries) })
 		others(func(g int) {
 			if n := now[g][1] - before[g][1]; n > 0 {
 				r.broken("n%d sent %d requests to a node that drains", g, n)
@@ -178,49 +180,49 @@
 		})
 		r.wait(time.Second)
 	}},
-	{"the way to a node is silent for one gateway, then breaks", func(r *Rig) {
+	{"the way to a node is silent for one gateway, then breaks", func(r *Cluster) {
 		before := r.platform.counts()
 		way := r.platform.ways[0][2%r.opt.Shards]
-		way.set(Way{}, Way{Silent: true}) // what is sent arrives, and no answer comes back
+		way.set(StreamFaults{}, StreamFaults{Stalled: true}) // what is sent arrives, and no answer comes back
 		r.wait(2 * time.Second)
 		way.reset()
-		way.set(Way{}, Way{})
+		way.set(StreamFaults{}, StreamFaults{})
 		r.ejected(func(g int) bool { return g != 0 }, 2%r.opt.Shards, before)
 		r.wait(time.Second)
 	}},
-	{"answers break off, requests drip, lists are late", func(r *Rig) {
+	{"answers break off, requests drip, lists are late", func(r *Cluster) {
 		for g, ways := range r.platform.ways {
 			for _, way := range ways {
-				way.set(Way{DelayMs: 2, Drip: 120}, Way{Break: 400 + 100*g})
+				way.set(StreamFaults{DelayMs: 2, ChunkSize: 120}, StreamFaults{ResetAfterBytes: 400 + 100*g})
 			}
-			r.platform.listWays[g].set(Way{}, Way{Drip: 40})
+			r.platform.listWays[g].set(StreamFaults{}, StreamFaults{ChunkSize: 40})
 		}
 		r.wait(2 * time.Second)
 		for g, ways := range r.platform.ways {
 			for _, way := range ways {
-				way.set(Way{}, Way{})
+				way.set(StreamFaults{}, StreamFaults{})
 			}
 			r.platform.listWays[g].reset()
-			r.platform.listWays[g].set(Way{}, Way{})
+			r.platform.listWays[g].set(StreamFaults{}, StreamFaults{})
 		}
 		r.wait(time.Second)
 	}},
-	{"one without fleet among the others", func(r *Rig) {
+	{"one without fleet among the others", func(r *Cluster) {
 		p := r.gates[r.rnd.IntN(len(r.gates))]
 		args := p.Args
-		r.kill(p.Number)
+		r.kill(p.Index)
 		p.Args = nil // as the last version is
-		r.restart(p.Number)
+		r.restart(p.Index)
 		for range 2 {
 			r.wait(1500 * time.Millisecond)
 			r.shift()
 		}
-		r.kill(p.Number)
+		r.kill(p.Index)
 		p.Args = args
-		r.restart(p.Number)
+		r.restart(p.Index)
 		r.wait(500 * time.Millisecond)
 	}},
-	{"a partition heals ten times", func(r *Rig) {
+	{"a partition heals ten times", func(r *Cluster) {
 		for i := range 10 {
 			r.partition(func(g int) bool { return g <= i%3 }, i%4 == 3)
 			r.wait(200 * time.Millisecond)
@@ -245,7 +247,7 @@
 	if len(play) == 0 {
 		return Result{}, fmt.Errorf("there is no scenario %q", only)
 	}
-	r, err := Start(o)
+	r, err := StartCluster(o)
 	if err != nil {
 		return Result{}, err
 	}
@@ -254,20 +256,20 @@
 	for turn := 0; long == 0 && turn < len(play) || time.Since(began) < long; turn++ {
 		s := play[turn%len(play)]
 		before := r.Result()
-		r.log.Add("(scenario: %s)", s.Name)
+		r.log.Printf("(scenario: %s)", s.Name)
 		s.Play(r)
 		for _, p := range r.gates {
-			if !p.Alive() {
+			if !p.Running() {
 				r.broken("%s has ended by itself", p.Name)
 				r.count(func(res *Result) { res.Crashed++ })
-				r.restart(p.Number)
+				r.restart(p.Index)
 			}
 		}
 		after := r.Result()
 		fmt.Fprintf(out, "%-66s served %5d units, refused %4d; worst %5.1f units over, bound %.1f\n", s.Name,
-			int(after.ServedUnits-before.ServedUnits), after.Refused-before.Refused, after.WorstOver, after.BoundOver)
-		if len(after.Broken) > 0 {
-			fmt.Fprintf(out, "seed %d, %s; the merged log around the first breach:\n%s\n", o.Seed, s.Name, r.Breach())
+			int(after.ServedUnits-before.ServedUnits), after.Rejected-before.Rejected, after.MaxOverLimit, after.AllowedOverLimit)
+		if len(after.Violations) > 0 {
+			fmt.Fprintf(out, "seed %d, %s; the merged log around the first breach:\n%s\n", o.Seed, s.Name, r.FirstViolationLog())
 			break
 		}
 	}
--- a/internal/testbed/cluster/tcp.go
+++ b/internal/testbed/cluster/tcp.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Way is what happens to the bytes of connections in one direction. The zero value is a good one.
-type Way struct {
-	Silent  bool    // nothing passes, and connections stay open
-	DelayMs float64 // of each piece that is read
-	Drip    int     // so many bytes pass at once, every 10 ms; 0: all
-	Break   int     // each connection is reset behind so many bytes from now on; 0: none is
+// StreamFaults is what happens to the bytes of connections in one direction. The zero value is a good one.
+type StreamFaults struct {
+	Stalled         bool    // nothing passes, and connections stay open
+	DelayMs         float64 // of each piece that is read
+	ChunkSize       int     // so many bytes pass at once, every 10 ms; 0: all
+	ResetAfterBytes int     // each connection is reset behind so many bytes from now on; 0: none is
 }
 
 // tcpProxy carries connections, each way on its own.
@@ -20,8 +20,8 @@
 	to string
 
 	mu     sync.Mutex
-	ways   [2]Way        // to the server, and back
-	change chan struct{} // closed when the ways change
+	ways   [2]StreamFaults // to the server, and back
+	change chan struct{}   // closed when the ways change
 	conns  map[net.Conn]bool
 	closed bool
 }
@@ -50,10 +50,10 @@
 }
 
 // set changes what happens from now on.
-func (p *tcpProxy) set(up, down Way) {
+func (p *tcpProxy) set(up, down StreamFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ways = [2]Way{up, down}
+	p.ways = [2]StreamFaults{up, down}
 	close(p.change)
 	p.change = make(chan struct{})
 }
@@ -79,7 +79,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.set(Way{}, Way{})
+	p.set(StreamFaults{}, StreamFaults{})
 	p.reset()
 }
 
@@ -108,12 +108,12 @@
 }
 
 // way waits until something may pass.
-func (p *tcpProxy) way(dir int) Way {
+func (p *tcpProxy) way(dir int) StreamFaults {
 	for {
 		p.mu.Lock()
 		w, change, closed := p.ways[dir], p.change, p.closed
 		p.mu.Unlock()
-		if !w.Silent || closed {
+		if !w.Stalled || closed {
 			return w
 		}
 		<-change
@@ -137,17 +137,17 @@
 				time.Sleep(time.Duration(w.DelayMs * float64(time.Millisecond)))
 			}
 			size := len(b)
-			if w.Drip > 0 {
-				size = min(size, w.Drip)
+			if w.ChunkSize > 0 {
+				size = min(size, w.ChunkSize)
 				time.Sleep(10 * time.Millisecond)
 			}
-			if w.Break > 0 && passed+size > w.Break {
-				to.Write(b[:max(0, w.Break-passed)])
+			if w.ResetAfterBytes > 0 && passed+size > w.ResetAfterBytes {
+				to.Write(b[:max(0, w.ResetAfterBytes-passed)])
 				abort(from)
 				abort(to)
 				return
 			}
-			if w.Break > 0 {
+			if w.ResetAfterBytes > 0 {
 				passed += size
 			}
 			if _, err := to.Write(b[:size]); err != nil {
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -17,22 +17,22 @@
 
 // Options are what fails, and how often.
 type Options struct {
-	Seed uint64
-	Rate float64       // of accepts and connects; of writes a tenth of it
-	Wall time.Duration // by which this machine's wall clock is off
+	Seed            uint64
+	FailureRate     float64       // of accepts and connects; of writes a tenth of it
+	WallClockOffset time.Duration // by which this machine's wall clock is off
 }
 
-// Parse reads options in the form "seed=1,rate=0.03,wall=1h".
-func Parse(text string) (o Options, err error) {
+// ParseOptions reads options in the form "seed=1,rate=0.03,wall=1h".
+func ParseOptions(text string) (o Options, err error) {
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		switch name {
 		case "seed":
 			o.Seed, err = strconv.ParseUint(value, 10, 64)
 		case "rate":
-			o.Rate, err = strconv.ParseFloat(value, 64)
+			o.FailureRate, err = strconv.ParseFloat(value, 64)
 		case "wall":
-			o.Wall, err = time.ParseDuration(value)
+			o.WallClockOffset, err = time.ParseDuration(value)
 		default:
 			err = fmt.Errorf("no such option")
 		}
@@ -43,8 +43,8 @@
 	return o, nil
 }
 
-// Net draws the failures.
-type Net struct {
+// Network draws the failures.
+type Network struct {
 	opt Options
 	mu  sync.Mutex
 	rnd *rand.Rand
@@ -52,7 +52,7 @@
 }
 
 // New returns a network.
-func New(o Options) *Net { return &Net{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 99))} }
+func New(o Options) *Network { return &Network{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 99))} }
 
 var (
 	acceptErrors  = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EHOSTUNREACH}
@@ -61,14 +61,14 @@
 )
 
 // draw draws whether something fails, and by which error.
-func (n *Net) draw(rate float64, errs []syscall.Errno) (syscall.Errno, bool) {
+func (n *Network) draw(rate float64, errs []syscall.Errno) (syscall.Errno, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return errs[n.rnd.IntN(len(errs))], n.rnd.Float64() < rate
 }
 
 // Listen opens an address.
-func (n *Net) Listen(addr string) (net.Listener, error) {
+func (n *Network) Listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -78,12 +78,12 @@
 
 type listener struct {
 	net.Listener
-	n *Net
+	n *Network
 }
 
 // Accept fails now and then, some times in a row.
 func (l *listener) Accept() (net.Conn, error) {
-	errno, fails := l.n.draw(l.n.opt.Rate, acceptErrors)
+	errno, fails := l.n.draw(l.n.opt.FailureRate, acceptErrors)
 	l.n.mu.Lock()
 	if fails {
 		l.n.row = 1 + l.n.rnd.IntN(8)
@@ -100,10 +100,10 @@
 }
 
 // Dial returns a dial that gives up after a time and fails now and then.
-func (n *Net) Dial(giveUp time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (n *Network) Dial(giveUp time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: giveUp, KeepAlive: -1}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if errno, fails := n.draw(n.opt.Rate, connectErrors); fails {
+		if errno, fails := n.draw(n.opt.FailureRate, connectErrors); fails {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 		}
 		nc, err := dialer.DialContext(ctx, network, addr)
@@ -117,12 +117,12 @@
 // conn is a connection whose writes break off now and then, and whose reads are short.
 type conn struct {
 	*net.TCPConn
-	n *Net
+	n *Network
 }
 
 // Write breaks off in the middle now and then; the connection is broken from then on.
 func (c *conn) Write(p []byte) (int, error) {
-	errno, fails := c.n.draw(c.n.opt.Rate/10, writeErrors)
+	errno, fails := c.n.draw(c.n.opt.FailureRate/10, writeErrors)
 	if !fails {
 		return c.TCPConn.Write(p)
 	}
@@ -137,7 +137,7 @@
 
 // Read reads a few bytes at a time now and then.
 func (c *conn) Read(p []byte) (int, error) {
-	if _, short := c.n.draw(c.n.opt.Rate, writeErrors); short && len(p) > 7 {
+	if _, short := c.n.draw(c.n.opt.FailureRate, writeErrors); short && len(p) > 7 {
 		p = p[:7]
 	}
 	return c.TCPConn.Read(p)
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -17,14 +17,14 @@
 
 // Process is one gateway: the real program.
 type Process struct {
-	Number int
-	Name   string
-	Listen string // for clients
-	PeerAt string // for the others' datagrams
-	Env    []string
-	Args   []string
-	Binary string
-	Log    *Log
+	Index      int
+	Name       string
+	ListenAddr string // for clients
+	PeerAddr   string // for the others' datagrams
+	Env        []string
+	Args       []string
+	Binary     string
+	Log        *Log
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd // nil until the first start
@@ -46,8 +46,8 @@
 // NewLog returns an empty log whose times count from now.
 func NewLog() *Log { return &Log{began: time.Now()} }
 
-// Add adds a line.
-func (l *Log) Add(format string, args ...any) {
+// Printf adds a line.
+func (l *Log) Printf(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.lines) > 20_000 {
@@ -63,8 +63,8 @@
 	return l.gone + len(l.lines)
 }
 
-// Around is so many lines before and behind a line.
-func (l *Log) Around(at, before, behind int) []string {
+// LinesAround is so many lines before and behind a line.
+func (l *Log) LinesAround(at, before, behind int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at -= l.gone
@@ -86,7 +86,7 @@
 	exited := make(chan struct{})
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			p.Log.Add("%s: %s", p.Name, lines.Text())
+			p.Log.Printf("%s: %s", p.Name, lines.Text())
 		}
 		cmd.Wait()
 		close(exited)
@@ -96,7 +96,7 @@
 	p.mu.Unlock()
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 500 {
-		if resp, err := client.Get("http://" + p.Listen + "/ready"); err == nil {
+		if resp, err := client.Get("http://" + p.ListenAddr + "/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
@@ -126,15 +126,15 @@
 	if n := len(p.away); !stays && (n == 0 || !p.away[n-1].to.IsZero()) {
 		p.away = append(p.away, span{from: time.Now()})
 	}
-	p.Log.Add("%s: (%v)", p.Name, s)
+	p.Log.Printf("%s: (%v)", p.Name, s)
 	p.cmd.Process.Signal(s)
 	if s == syscall.SIGCONT {
 		p.back()
 	}
 }
 
-// Stalled notes that the whole machine did nothing for a time: what came of it says nothing of the process.
-func (p *Process) Stalled(from, to time.Time) {
+// RecordStall notes that the whole machine did nothing for a time: what came of it says nothing of the process.
+func (p *Process) RecordStall(from, to time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.away = append([]span{{from, to}}, p.away...) // the last one may be open
@@ -162,15 +162,15 @@
 	case <-p.exited:
 	case <-time.After(10 * time.Second):
 		inTime = false
-		p.Log.Add("%s: still there 10 s after SIGTERM", p.Name)
+		p.Log.Printf("%s: still there 10 s after SIGTERM", p.Name)
 		p.Signal(syscall.SIGKILL)
 	}
 	p.ended()
 	return inTime
 }
 
-// Alive tells whether it runs, and has not ended by itself.
-func (p *Process) Alive() bool {
+// Running tells whether it runs, and has not ended by itself.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
@@ -192,8 +192,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Troubled tells whether the process was away at any time between two moments.
-func (p *Process) Troubled(from, to time.Time) bool {
+// InterruptedDuring tells whether the process was away at any time between two moments.
+func (p *Process) InterruptedDuring(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.away {
@@ -204,8 +204,8 @@
 	return false
 }
 
-// WriteFiles writes what the gateway is told into its directory.
-func (p *Process) WriteFiles(dir string, config []byte, edge map[string]any) error {
+// WriteConfig writes what the gateway is told into its directory.
+func (p *Process) WriteConfig(dir string, config []byte, edge map[string]any) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 	if err := os.WriteFile(at, config, 0o644); err != nil {
 		return err
 	}
-	p.Env = []string{"ROUTER_CONFIG=" + at, "ROUTER_NAME=" + p.Name, "ROUTER_LISTEN=" + p.Listen}
+	p.Env = []string{"ROUTER_CONFIG=" + at, "ROUTER_NAME=" + p.Name, "ROUTER_LISTEN=" + p.ListenAddr}
 	if edge == nil {
 		return nil
 	}
--- a/internal/testbed/process/process_test.go
+++ b/internal/testbed/process/process_test.go
@@ -13,7 +13,7 @@
 		from, to int
 		want     bool
 	}{{1, 9, false}, {1, 11, true}, {12, 13, true}, {19, 25, true}, {21, 29, false}, {25, 31, true}, {99, 100, true}} {
-		if got := p.Troubled(at(c.from), at(c.to)); got != c.want {
+		if got := p.InterruptedDuring(at(c.from), at(c.to)); got != c.want {
 			t.Errorf("%d to %d: %v", c.from, c.to, got)
 		}
 	}
