--- a/cmd/gaugerelay/environment_chaos.go
+++ b/cmd/gaugerelay/environment_chaos.go
@@ -21,11 +21,11 @@
 	if text == "" {
 		return clock.NewSystem(), gateway.SystemNetwork(), nil
 	}
-	options, err := faultnet.Parse(text)
+	options, err := faultnet.ParseOptions(text)
 	if err != nil {
 		return nil, gateway.Network{}, err
 	}
 	network := faultnet.New(options)
 	dial := network.Dial(clock.Duration(cfg.ConnectTimeoutMs))
-	return clock.NewSystemWithOffset(options.Wall), gateway.Network{Listen: network.Listen, Dial: dial}, nil
+	return clock.NewSystemWithOffset(options.WallClockOffset), gateway.Network{Listen: network.Listen, Dial: dial}, nil
 }
