--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -40,12 +40,12 @@
 	}
 	links := map[string][]linkshaper.Profile{"all": {linkshaper.Good, linkshaper.Middling, linkshaper.Bad}, "good": {linkshaper.Good},
 		"middling": {linkshaper.Middling}, "bad": {linkshaper.Bad}}[c.Links]
-	o := soak.Options{For: time.Duration(c.Seconds * float64(time.Second)), Seed: c.Seed, Devices: c.Devices, Links: links,
-		Wires: c.Wires, Ledger: true, Odd: c.Odd, Network: gateway.Machine()}
+	o := soak.Options{Duration: time.Duration(c.Seconds * float64(time.Second)), Seed: c.Seed, Devices: c.Devices, Links: links,
+		Protocols: c.Wires, Deduplication: true, QuirkRate: c.Odd, Network: gateway.Machine()}
 	if !c.Calm {
-		o.Restarts, o.Drains = 45*time.Second, 8*time.Second
-		o.Faults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
-			SlowBy: 700 * time.Millisecond}
+		o.RestartInterval, o.ReplacementInterval = 45*time.Second, 8*time.Second
+		o.Faults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
+			SlowDelay: 700 * time.Millisecond}
 	}
 	// Both at once: they share nothing but the machine.
 	var without *soak.Report
@@ -53,7 +53,7 @@
 	var both sync.WaitGroup
 	if c.Baseline {
 		plain := o
-		plain.Ledger = false
+		plain.Deduplication = false
 		both.Go(func() { without, failed = soak.Run(plain) })
 	}
 	rep, err := soak.Run(o)
@@ -68,12 +68,12 @@
 		show("without", without)
 		base = part(without)
 	}
-	for _, f := range rep.Faults {
+	for _, f := range rep.Violations {
 		fmt.Println("fault:", f)
 	}
 	fmt.Printf("exchanges=%d double_answers=%d unallowed_repeats=%d unanswered=%d served_in_time=%.4f baseline=%.4f\n",
-		rep.Exchanges, rep.DoubleAnswers, rep.UnallowedRepeats, rep.Unanswered, part(rep), base)
-	if n := rep.Bad(); n > 0 {
+		rep.Exchanges, rep.DuplicateResponses, rep.DisallowedRetries, rep.MissingResponses, part(rep), base)
+	if n := rep.ViolationCount(); n > 0 {
 		return fmt.Errorf("%d of what must never be", n)
 	}
 	return nil
@@ -81,12 +81,12 @@
 
 func show(what string, r *soak.Report) {
 	fmt.Printf("%s: %d exchanges, %d of them writes; %d node replacements, %d restarts of the gateway\n", what, r.Exchanges,
-		r.Writes, r.Drains, r.Restarts)
+		r.Writes, r.Replacements, r.Restarts)
 	fmt.Printf("  double answers %d, unallowed repeats %d, unanswered %d, served but never run %d, sends to draining nodes %d, file writes run anew after a restart %d\n",
-		r.DoubleAnswers, r.UnallowedRepeats, r.Unanswered, r.Phantoms, r.LateSends, r.Rewritten)
+		r.DuplicateResponses, r.DisallowedRetries, r.MissingResponses, r.LostWrites, r.SendsToDraining, r.RewritesAfterRestart)
 	fmt.Printf("  served in time %.4f, worth %.4f; runs per write %.3f; bytes sent per byte %.2f; time to a final answer p50 %d ms, p99 %d ms\n",
-		float64(r.ServedInTime)/float64(max(1, r.Exchanges)), r.WorthInTime/max(1, r.Worth), float64(r.WriteRuns)/float64(max(1, r.Writes)),
-		float64(r.BytesSent)/float64(max(1, r.Bytes)), r.Quantile(0.5).Milliseconds(), r.Quantile(0.99).Milliseconds())
+		float64(r.ServedInTime)/float64(max(1, r.Exchanges)), r.WeightInTime/max(1, r.Weight), float64(r.WriteExecutions)/float64(max(1, r.Writes)),
+		float64(r.BytesSent)/float64(max(1, r.PayloadBytes)), r.Quantile(0.5).Milliseconds(), r.Quantile(0.99).Milliseconds())
 	fmt.Println("  not served in time, by the last that their devices heard:")
 	for _, what := range slices.Sorted(maps.Keys(r.Unserved)) {
 		fmt.Printf("    %d %s\n", r.Unserved[what], what)
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -294,8 +294,8 @@
 	if n := r.counts.Get("file_commands_cut_off"); n != 1 {
 		t.Errorf("%d ends", n)
 	}
-	if n := r.counts.Get("requests_accepted"); n != 0 || len(r.files.Log()) != 0 || string(r.files.File("/layers/a")) != "old" {
-		t.Errorf("%d requests taken, the file server saw %v", n, r.files.Log())
+	if n := r.counts.Get("requests_accepted"); n != 0 || len(r.files.Commands()) != 0 || string(r.files.File("/layers/a")) != "old" {
+		t.Errorf("%d requests taken, the file server saw %v", n, r.files.Commands())
 	}
 }
 
@@ -304,7 +304,7 @@
 	r := newRig(t)
 	r.files.Put("/layers/a", []byte("data"))
 	reached, release := make(chan struct{}), make(chan struct{})
-	r.files.Answer = func(c fakefileserver.Command) error {
+	r.files.BeforeEffect = func(c fakefileserver.Command) error {
 		if c.Op == "read" {
 			close(reached)
 			<-release
@@ -337,7 +337,7 @@
 	r := newRig(t)
 	r.files.Put("/layers/a", nil)
 	var failures atomic.Int32
-	r.files.After = func(c fakefileserver.Command) error {
+	r.files.AfterEffect = func(c fakefileserver.Command) error {
 		if c.Op == "write" && failures.Add(-1) >= 0 {
 			return errors.New("no answer made it out")
 		}
@@ -354,9 +354,9 @@
 		return r.while(done) // further attempts come after a pause
 	}
 	keys := func() (keys []string) {
-		for _, c := range r.files.Log() {
+		for _, c := range r.files.Commands() {
 			if c.Op == "write" {
-				keys = append(keys, c.Key)
+				keys = append(keys, c.UploadKey)
 			}
 		}
 		return keys
@@ -393,7 +393,7 @@
 	if code(err) != sftpwire.StatusFailure || !strings.Contains(err.Error(), "retry after ") {
 		t.Errorf("%v", err)
 	}
-	if log := r.files.Log(); len(log) != 0 {
+	if log := r.files.Commands(); len(log) != 0 {
 		t.Errorf("the node saw %v", log)
 	}
 }
@@ -409,7 +409,7 @@
 	reached, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
 	var once sync.Once
-	r.files.Answer = func(c fakefileserver.Command) error {
+	r.files.BeforeEffect = func(c fakefileserver.Command) error {
 		if c.Op == "write" {
 			once.Do(func() { close(reached) })
 			<-release
@@ -435,7 +435,7 @@
 		t.Fatal(err)
 	}
 	reached, release := make(chan struct{}), make(chan struct{})
-	r.files.Answer = func(c fakefileserver.Command) error {
+	r.files.BeforeEffect = func(c fakefileserver.Command) error {
 		if c.Op == "read" {
 			close(reached)
 			<-release
@@ -463,7 +463,7 @@
 	stat := append([]byte{0, 0, 0, 18, 17, 0, 0, 0, 9, 0, 0, 0, 9}, "/layers/a"...)
 	reached, release := make(chan struct{}), make(chan struct{})
 	r.files.Put("/layers/a", []byte("data"))
-	r.files.Answer = func(fakefileserver.Command) error {
+	r.files.BeforeEffect = func(fakefileserver.Command) error {
 		close(reached)
 		<-release
 		return nil
@@ -536,7 +536,7 @@
 	}
 	f.ReadAt(make([]byte, 10), 0)
 	reads := 0
-	for _, cmd := range files.Log() {
+	for _, cmd := range files.Commands() {
 		if cmd.Op == "read" {
 			reads++
 		}
--- a/internal/frontend/sftpserver/mixed_test.go
+++ b/internal/frontend/sftpserver/mixed_test.go
@@ -87,7 +87,7 @@
 		}))
 		defer node.Close()
 		files := fakefileserver.New(t)
-		files.Answer = func(c fakefileserver.Command) error {
+		files.BeforeEffect = func(c fakefileserver.Command) error {
 			volume, _ := strconv.ParseUint(strings.Split(c.Path, "/")[1], 10, 64)
 			switch {
 			case c.Op != "open":
--- a/internal/testbed/fakedevice/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -16,10 +16,10 @@
 
 // CoAP is the CoAP wire of a device.
 type CoAP struct {
-	Device    string
-	Dial      Dialer
-	BlockSize int // of uploads: a power of two up to 1024, or more for BERT; 0: bodies go whole
-	MostRead  int // the Max-Message-Size that it tells
+	Device         string
+	Dial           Dialer
+	BlockSize      int // of uploads: a power of two up to 1024, or more for BERT; 0: bodies go whole
+	MaxMessageSize int // the Max-Message-Size that it tells
 
 	nc    net.Conn
 	buf   []byte
@@ -31,8 +31,8 @@
 	sent  int
 }
 
-// Drop implements Wire.
-func (w *CoAP) Drop() {
+// Close implements Wire.
+func (w *CoAP) Close() {
 	if w.nc != nil {
 		w.nc.Close()
 		w.nc, w.buf = nil, nil
@@ -52,7 +52,7 @@
 	}
 	w.nc, w.link, w.buf = nc, link, nil
 	csm := message.Message{Code: codes.CSM, Options: message.Options{
-		coapwire.Uint(message.TCPMaxMessageSize, uint32(w.MostRead)), {ID: message.TCPBlockWiseTransfer}}}
+		coapwire.Uint(message.TCPMaxMessageSize, uint32(w.MaxMessageSize)), {ID: message.TCPBlockWiseTransfer}}}
 	return w.put(ctx, csm)
 }
 
@@ -121,7 +121,7 @@
 		left = min(left, by)
 	}
 	code := codes.GET
-	opts := message.Options{{ID: message.URIPath, Value: []byte(c.Class)}, {ID: message.URIPath, Value: []byte(c.Piece)}}
+	opts := message.Options{{ID: message.URIPath, Value: []byte(c.Class)}, {ID: message.URIPath, Value: []byte(c.Object)}}
 	if c.Write {
 		code = codes.PUT
 	} else {
@@ -132,7 +132,7 @@
 		coapwire.Uint(coapwire.OptLeft, uint32(max(1, left.Milliseconds()))),
 		message.Option{ID: coapwire.OptKey, Value: []byte(c.Key)},
 		message.Option{ID: coapwire.OptPlan, Value: []byte("basic")},
-		message.Option{ID: coapwire.OptIO, Value: fmt.Appendf(nil, "volume=%s,units=1,shard=%d,hosts=1", c.Piece, c.Shard)}) {
+		message.Option{ID: coapwire.OptIO, Value: fmt.Appendf(nil, "volume=%s,units=1,shard=%d,hosts=1", c.Object, c.Shard)}) {
 		opts = opts.Add(o)
 	}
 	if !c.repeat {
@@ -148,8 +148,8 @@
 	return w.get(ctx, token)
 }
 
-// Try implements Wire.
-func (w *CoAP) Try(ctx context.Context, c *copied) (res result, err error) {
+// send implements Wire.
+func (w *CoAP) send(ctx context.Context, c *copied) (res result, err error) {
 	w.sent, w.heard = 0, false
 	defer func() { res.bytes, res.heard = w.sent, w.heard }()
 	if err := w.connect(ctx); err != nil {
@@ -184,7 +184,7 @@
 	case codes.Content, codes.Changed:
 		res.outcome, res.content = invariants.Served, content(m.Payload)
 	case codes.ServiceUnavailable, codes.TooManyRequests:
-		res.outcome = invariants.Refused
+		res.outcome = invariants.Rejected
 		if s, err := m.Options.GetUint32(message.MaxAge); err == nil {
 			res.after = time.Duration(s) * time.Second
 		}
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -14,9 +14,9 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// Job is one exchange of a device.
-type Job struct {
-	Piece    string // 16 hex digits
+// Exchange is one exchange of a device.
+type Exchange struct {
+	Object   string // 16 hex digits
 	Key      string
 	Write    bool
 	Class    string
@@ -28,7 +28,7 @@
 
 // copied is one copy of a job on its way.
 type copied struct {
-	Job
+	Exchange
 	n      int
 	left   time.Duration
 	repeat bool      // a copy before was sent to its last byte
@@ -55,23 +55,23 @@
 // ErrLost is the end of a connection without an answer.
 var ErrLost = errors.New("no answer")
 
-// Wire sends copies over one protocol.
-type Wire interface {
-	// Try sends a copy over the connection that it has or a new one, and waits for the answer until ctx ends. An
+// Transport sends copies over one protocol.
+type Transport interface {
+	// send sends a copy over the connection that it has or a new one, and waits for the answer until ctx ends. An
 	// error is a connection lost or given up.
-	Try(ctx context.Context, c *copied) (result, error)
-	// Drop closes its connection.
-	Drop()
+	send(ctx context.Context, c *copied) (result, error)
+	// Close closes its connection.
+	Close()
 	// Link is the link under its connection; nil: it has none.
 	Link() Link
 }
 
 // Link is what a device's wire runs over.
 type Link interface {
-	// Faulty tells whether it misbehaved since a time.
-	Faulty(since time.Time) bool
-	// Need is what a message of so many bytes and a short answer take otherwise.
-	Need(bytes int) time.Duration
+	// FaultySince tells whether it misbehaved since a time.
+	FaultySince(since time.Time) bool
+	// TransferTime is what a message of so many bytes and a short answer take otherwise.
+	TransferTime(bytes int) time.Duration
 }
 
 // Dialer connects to the gateway over a link.
@@ -82,23 +82,23 @@
 
 // Device works on jobs, one after the other.
 type Device struct {
-	Name     string
-	Wire     Wire
-	Twin     Wire // for two connections at once; nil: none
-	Check    *invariants.Checker
-	Rnd      *rand.Rand
-	Patience time.Duration // before it gives a silent connection up
-	Odd      float64       // part of its jobs in which it behaves oddly
+	Name            string
+	Transport       Transport
+	SecondTransport Transport // for two connections at once; nil: none
+	Checker         *invariants.Checker
+	Rand            *rand.Rand
+	ResponseTimeout time.Duration // before it gives a silent connection up
+	QuirkRate       float64       // part of its jobs in which it behaves oddly
 }
 
 // Do works on a job until its deadline.
-func (d *Device) Do(j Job) {
+func (d *Device) Do(j Exchange) {
 	began := time.Now()
 	odd := ""
-	if d.Rnd.Float64() < d.Odd {
-		odd = []string{"again", "changed", "twin", "leaves", "again late"}[d.Rnd.IntN(5)]
+	if d.Rand.Float64() < d.QuirkRate {
+		odd = []string{"again", "changed", "twin", "leaves", "again late"}[d.Rand.IntN(5)]
 	}
-	c := &copied{Job: j, began: began}
+	c := &copied{Exchange: j, began: began}
 	final := false
 	for !final {
 		c.left = time.Until(j.Deadline)
@@ -106,17 +106,17 @@
 			break
 		}
 		c.n++
-		if odd == "twin" && d.Twin != nil {
+		if odd == "twin" && d.SecondTransport != nil {
 			odd = ""
 			twin := *c
 			over := make(chan bool)
 			c.n++
-			rnd := rand.New(rand.NewPCG(d.Rnd.Uint64(), 1)) // each goroutine its own
+			rnd := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // each goroutine its own
 			go func() {
-				d.try(d.Twin, &twin, rnd)
+				d.try(d.SecondTransport, &twin, rnd)
 				over <- true
 			}()
-			final = d.try(d.Wire, c, d.Rnd)
+			final = d.try(d.Transport, c, d.Rand)
 			<-over
 			c.repeat = true
 			continue
@@ -125,35 +125,35 @@
 			odd = ""
 			other := *c
 			other.Body = append([]byte("another "), c.Body...)
-			d.try(d.Wire, &other, d.Rnd)
+			d.try(d.Transport, &other, d.Rand)
 			continue
 		}
-		final = d.try(d.Wire, c, d.Rnd)
+		final = d.try(d.Transport, c, d.Rand)
 		if !final && odd == "leaves" {
-			d.Wire.Drop()
+			d.Transport.Close()
 			time.Sleep(time.Until(j.Deadline))
 			break
 		}
 	}
 	if odd == "again" && final || odd == "again late" {
 		if odd == "again late" {
-			d.Wire.Drop()
-			time.Sleep(time.Duration(d.Rnd.Float64() * float64(2*time.Second)))
+			d.Transport.Close()
+			time.Sleep(time.Duration(d.Rand.Float64() * float64(2*time.Second)))
 		}
 		c.n++
 		c.left, c.repeat, c.have = 2*time.Second, true, nil
-		d.try(d.Wire, c, d.Rnd)
+		d.try(d.Transport, c, d.Rand)
 	}
 }
 
 // try sends one copy; it tells whether the device has its answer.
-func (d *Device) try(w Wire, c *copied, rnd *rand.Rand) bool {
-	wait := min(c.left, d.Patience)
+func (d *Device) try(w Transport, c *copied, rnd *rand.Rand) bool {
+	wait := min(c.left, d.ResponseTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	began := time.Now()
-	res, err := w.Try(ctx, c)
-	d.Check.Sent(c.Piece, res.bytes)
+	res, err := w.send(ctx, c)
+	d.Checker.RecordBytesSent(c.Object, res.bytes)
 	c.repeat = c.repeat || res.sent
 	if err != nil {
 		if res.have != nil {
@@ -162,19 +162,19 @@
 		// Whoever waited to the end, and had sent so early that an answer could be back by then, must have one. A
 		// gateway that has not met the link yet learns what it takes by a round trip: that must fit as well.
 		if l := w.Link(); ctx.Err() != nil && wait == c.left && res.sent && !res.heard && l != nil &&
-			began.Add(wait).Sub(res.sentAt) > 2*l.Need(res.bytes)+answerTime && !l.Faulty(began.Add(-time.Second)) {
-			d.Check.Unanswered(c.Piece, fmt.Sprintf("copy %d: %d bytes sent %d ms before the end of %d ms, of which the link needs %d", c.n,
-				res.bytes, began.Add(wait).Sub(res.sentAt).Milliseconds(), wait.Milliseconds(), l.Need(res.bytes).Milliseconds()))
+			began.Add(wait).Sub(res.sentAt) > 2*l.TransferTime(res.bytes)+answerTime && !l.FaultySince(began.Add(-time.Second)) {
+			d.Checker.RecordMissingResponse(c.Object, fmt.Sprintf("copy %d: %d bytes sent %d ms before the end of %d ms, of which the link needs %d", c.n,
+				res.bytes, began.Add(wait).Sub(res.sentAt).Milliseconds(), wait.Milliseconds(), l.TransferTime(res.bytes).Milliseconds()))
 		}
-		w.Drop()
+		w.Close()
 		sleep(min(time.Duration(20+rnd.IntN(200))*time.Millisecond, time.Until(c.Deadline)))
 		return false
 	}
-	d.Check.Answer(c.Piece, c.n, res.outcome, res.content, res.note)
+	d.Checker.RecordResponse(c.Object, c.n, res.outcome, res.content, res.note)
 	switch res.outcome {
 	case invariants.Served, invariants.Failed, invariants.Conflict: // a conflict is no answer to the exchange, but to the copy
 		return true
-	case invariants.Refused:
+	case invariants.Rejected:
 		c.repeat, c.began, c.sentTo = false, time.Now(), "" // nothing of it was done: the next copy is a first one
 		if res.after <= 0 {
 			res.after = 100 * time.Millisecond
@@ -191,4 +191,4 @@
 }
 
 // content names an answer's bytes.
-func content(b []byte) string { return fakestorage.Content(b) }
+func content(b []byte) string { return fakestorage.Digest(b) }
--- a/internal/testbed/fakedevice/file.go
+++ b/internal/testbed/fakedevice/file.go
@@ -14,12 +14,12 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// File is the wire of a client for file commands: each write opens the job's file, writes its body as one WRITE and
+// SFTP is the wire of a client for file commands: each write opens the job's file, writes its body as one WRITE and
 // closes it.
-type File struct {
-	Dial  Dialer
-	Root  string
-	Waits time.Duration // the protocol names no time: the gateway answers within that of the class
+type SFTP struct {
+	Dial         Dialer
+	Root         string
+	ResponseTime time.Duration // the protocol names no time: the gateway answers within that of the class
 
 	client *sftp.Client
 	nc     net.Conn
@@ -27,8 +27,8 @@
 	sent   atomic.Int64
 }
 
-// Drop implements Wire.
-func (f *File) Drop() {
+// Close implements Wire.
+func (f *SFTP) Close() {
 	if f.nc != nil {
 		f.nc.Close()
 		f.client.Close()
@@ -37,13 +37,13 @@
 }
 
 // Link implements Wire.
-func (f *File) Link() Link { return f.link }
+func (f *SFTP) Link() Link { return f.link }
 
 // Path is where a job's file lies.
-func (f *File) Path(piece string) string { return f.Root + "/" + piece }
+func (f *SFTP) Path(piece string) string { return f.Root + "/" + piece }
 
-// Try implements Wire.
-func (f *File) Try(ctx context.Context, c *copied) (res result, err error) {
+// send implements Wire.
+func (f *SFTP) send(ctx context.Context, c *copied) (res result, err error) {
 	f.sent.Store(0)
 	defer func() { res.bytes = int(f.sent.Load()) }()
 	if f.client == nil {
@@ -63,14 +63,14 @@
 	}
 	nc := f.nc
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	file, err := f.client.OpenFile(f.Path(c.Piece), os.O_WRONLY|os.O_CREATE)
+	file, err := f.client.OpenFile(f.Path(c.Object), os.O_WRONLY|os.O_CREATE)
 	if err != nil {
 		return f.judge(res, err, true)
 	}
 	res.sent, res.sentAt = true, time.Now()
 	_, err = file.WriteAt(c.Body, 0)
 	res, err = f.judge(res, err, false)
-	res.heard = time.Since(res.sentAt) < f.Waits
+	res.heard = time.Since(res.sentAt) < f.ResponseTime
 	if err == nil {
 		file.Close()
 	}
@@ -78,13 +78,13 @@
 }
 
 // judge reads a status. What an OPEN was told is about no WRITE: it counts as a refusal of one.
-func (f *File) judge(res result, err error, open bool) (result, error) {
+func (f *SFTP) judge(res result, err error, open bool) (result, error) {
 	var status *sftp.StatusError
 	switch {
 	case err == nil:
 		res.outcome, res.content = invariants.Served, ""
 	case errors.As(err, &status) && (open || strings.Contains(err.Error(), "nothing was done")):
-		res.outcome, res.after = invariants.Refused, 200*time.Millisecond
+		res.outcome, res.after = invariants.Rejected, 200*time.Millisecond
 	case errors.As(err, &status):
 		res.outcome = invariants.Failed
 	default:
--- a/internal/testbed/fakedevice/http.go
+++ b/internal/testbed/fakedevice/http.go
@@ -17,9 +17,9 @@
 
 // HTTP is the HTTP wire of a device.
 type HTTP struct {
-	Device string
-	Dial   Dialer
-	Plain  bool // it speaks as the platform's clients do, without the headers for devices
+	Device               string
+	Dial                 Dialer
+	WithoutDeviceHeaders bool // it speaks as the platform's clients do, without the headers for devices
 
 	client *http.Client
 	link   Link
@@ -29,8 +29,8 @@
 	rtt    time.Duration // of a short answer that came at once
 }
 
-// Drop implements Wire.
-func (h *HTTP) Drop() {
+// Close implements Wire.
+func (h *HTTP) Close() {
 	if h.client != nil {
 		h.client.CloseIdleConnections()
 		h.client = nil
@@ -52,8 +52,8 @@
 	return n, err
 }
 
-// Try implements Wire.
-func (h *HTTP) Try(ctx context.Context, c *copied) (res result, err error) {
+// send implements Wire.
+func (h *HTTP) send(ctx context.Context, c *copied) (res result, err error) {
 	h.sent.Store(0)
 	if h.client == nil {
 		h.client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true,
@@ -67,9 +67,9 @@
 			}}}
 	}
 	defer func() { res.bytes = int(h.sent.Load()) }()
-	method, target := http.MethodGet, fmt.Sprintf("http://gateway/%s/%s?n=%d", c.Class, c.Piece, c.Size)
+	method, target := http.MethodGet, fmt.Sprintf("http://gateway/%s/%s?n=%d", c.Class, c.Object, c.Size)
 	if c.Write {
-		method, target = http.MethodPut, fmt.Sprintf("http://gateway/%s/%s", c.Class, c.Piece)
+		method, target = http.MethodPut, fmt.Sprintf("http://gateway/%s/%s", c.Class, c.Object)
 	}
 	var wrote, heard atomic.Bool
 	var wroteAt atomic.Int64
@@ -93,12 +93,12 @@
 	set("X-Service-Class", c.Class)
 	set("X-Plan", "basic")
 	set("X-Time-Left-Ms", strconv.FormatInt(c.left.Milliseconds(), 10))
-	set("X-IO", fmt.Sprintf("volume=%s,units=1,shard=%d,hosts=1", c.Piece, c.Shard))
+	set("X-IO", fmt.Sprintf("volume=%s,units=1,shard=%d,hosts=1", c.Object, c.Shard))
 	set("X-Correlation-Id", c.Key)
 	if c.Write {
 		set("Idempotency-Key", c.Key)
 	}
-	if h.Plain {
+	if h.WithoutDeviceHeaders {
 		h.fresh++
 		set("X-Correlation-Id", fmt.Sprintf("%s-%d", c.Key, h.fresh))
 	} else {
@@ -112,13 +112,13 @@
 	}
 	if c.repeat {
 		set("X-Repeat", "1")
-		if !h.Plain {
+		if !h.WithoutDeviceHeaders {
 			set("X-Sent-To", c.sentTo)
 			set("X-Age-Ms", strconv.FormatInt(time.Since(c.began).Milliseconds(), 10))
 		}
 	}
 	from := 0
-	if len(c.have) > 0 && !h.Plain {
+	if len(c.have) > 0 && !h.WithoutDeviceHeaders {
 		set("Range", fmt.Sprintf("bytes=%d-", len(c.have)))
 		set("If-Range", c.etag)
 		from = len(c.have)
@@ -154,7 +154,7 @@
 	case http.StatusOK, http.StatusPartialContent:
 		res.outcome, res.content = invariants.Served, content(got)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		res.outcome = invariants.Refused
+		res.outcome = invariants.Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 			res.after = time.Duration(s * float64(time.Second))
 		}
--- a/internal/testbed/fakefileserver/fileserver.go
+++ b/internal/testbed/fakefileserver/fileserver.go
@@ -18,23 +18,23 @@
 
 // Command is what a file server has been asked to do.
 type Command struct {
-	Op    string // open, read, write or stat
-	Path  string
-	Flags uint32 // of an open
-	Key   string // upload key
-	Bytes int
+	Op        string // open, read, write or stat
+	Path      string
+	Flags     uint32 // of an open
+	UploadKey string // upload key
+	Bytes     int
 
-	Data    []byte // of a write
-	Dropped bool   // its key had been seen
+	Data         []byte // of a write
+	Deduplicated bool   // its key had been seen
 }
 
 // Server keeps files in memory. It drops a WRITE whose upload key it has seen.
 type Server struct {
 	Addr string
-	// Answer, if set, is asked before each command takes effect; its error is the answer.
-	Answer func(Command) error
-	// After, if set, is asked once it has taken effect.
-	After func(Command) error
+	// BeforeEffect, if set, is asked before each command takes effect; its error is the answer.
+	BeforeEffect func(Command) error
+	// AfterEffect, if set, is asked once it has taken effect.
+	AfterEffect func(Command) error
 
 	mu    sync.Mutex
 	files map[string][]byte
@@ -45,14 +45,14 @@
 // New starts a file server that ends with the test.
 func New(t testing.TB) *Server {
 	t.Helper()
-	s := Plain()
+	s := NewUnstarted()
 	s.Addr = testbed.Serve(t, s.handle)
 	return s
 }
 
-// Plain is a file server that serves what Serve is given: several ports may share its files, as the nodes of one
+// NewUnstarted is a file server that serves what Serve is given: several ports may share its files, as the nodes of one
 // cell do.
-func Plain() *Server { return &Server{files: map[string][]byte{}, keys: map[string]bool{}} }
+func NewUnstarted() *Server { return &Server{files: map[string][]byte{}, keys: map[string]bool{}} }
 
 func (s *Server) handle(c net.Conn) {
 	sftp.NewRequestServer(c, sftp.Handlers{FileGet: s, FilePut: s, FileCmd: s, FileList: s},
@@ -91,8 +91,8 @@
 	return append([]byte(nil), s.files[path]...)
 }
 
-// Log is all commands so far.
-func (s *Server) Log() []Command {
+// Commands is all commands so far.
+func (s *Server) Commands() []Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Command(nil), s.log...)
@@ -103,16 +103,16 @@
 	s.mu.Lock()
 	s.log = append(s.log, *c)
 	s.mu.Unlock()
-	if s.Answer != nil {
-		if err := s.Answer(*c); err != nil {
+	if s.BeforeEffect != nil {
+		if err := s.BeforeEffect(*c); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
 	err := effect()
 	s.mu.Unlock()
-	if err == nil && s.After != nil {
-		err = s.After(*c)
+	if err == nil && s.AfterEffect != nil {
+		err = s.AfterEffect(*c)
 	}
 	return err
 }
@@ -125,7 +125,7 @@
 
 func (s *Server) open(r *sftp.Request) (*handle, error) {
 	h := &handle{s: s, path: r.Filepath, key: uploadKey(r.Attrs)}
-	err := s.run(&Command{Op: "open", Path: h.path, Flags: r.Flags, Key: h.key}, func() error {
+	err := s.run(&Command{Op: "open", Path: h.path, Flags: r.Flags, UploadKey: h.key}, func() error {
 		_, there := s.files[h.path]
 		if !there && r.Flags&sftpwire.FlagCreat == 0 {
 			return sftp.ErrSSHFxNoSuchFile
@@ -175,10 +175,10 @@
 }
 
 func (h *handle) WriteAt(p []byte, off int64) (int, error) {
-	c := Command{Op: "write", Path: h.path, Key: h.key, Bytes: len(p), Data: append([]byte(nil), p...)}
+	c := Command{Op: "write", Path: h.path, UploadKey: h.key, Bytes: len(p), Data: append([]byte(nil), p...)}
 	err := h.s.run(&c, func() error {
 		if h.s.keys[h.key] {
-			c.Dropped = true
+			c.Deduplicated = true
 			return nil
 		}
 		h.s.keys[h.key] = true
--- a/internal/testbed/fakestorage/storage.go
+++ b/internal/testbed/fakestorage/storage.go
@@ -18,10 +18,10 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// Cell is what the nodes of one shard share.
-type Cell struct {
-	Name   string
-	Window time.Duration
+// Shard is what the nodes of one shard share.
+type Shard struct {
+	Name        string
+	DedupWindow time.Duration
 
 	mu   sync.Mutex
 	seen map[string]first // by key
@@ -33,13 +33,13 @@
 }
 
 // repeat tells whether a key has been seen within the window, and with what, and notes it.
-func (c *Cell) repeat(key, content string, now time.Time) (bool, string) {
+func (c *Shard) repeat(key, content string, now time.Time) (bool, string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.seen == nil {
 		c.seen = map[string]first{}
 	}
-	if f, ok := c.seen[key]; ok && now.Sub(f.at) < c.Window {
+	if f, ok := c.seen[key]; ok && now.Sub(f.at) < c.DedupWindow {
 		return true, f.content
 	}
 	c.seen[key] = first{now, content}
@@ -48,17 +48,17 @@
 
 // Faults are parts of the requests that meet each.
 type Faults struct {
-	TurnAway, ErrorAfter, ResetAfter, ResetBefore, Slow float64
-	SlowBy                                              time.Duration
+	Reject, ErrorAfter, ResetAfter, ResetBefore, Slow float64
+	SlowDelay                                         time.Duration
 }
 
-// Node serves one listener.
-type Node struct {
-	Name   string
-	Cell   *Cell
-	Work   time.Duration
-	Faults Faults
-	Check  *invariants.Checker
+// Server serves one listener.
+type Server struct {
+	Name        string
+	Shard       *Shard
+	ServiceTime time.Duration
+	Faults      Faults
+	Checker     *invariants.Checker
 
 	server *http.Server
 	mu     sync.Mutex
@@ -67,30 +67,30 @@
 }
 
 // Start serves until Stop.
-func (n *Node) Start(ln net.Listener, seed uint64) {
+func (n *Server) Start(ln net.Listener, seed uint64) {
 	n.rnd = rand.New(rand.NewPCG(seed, 77))
 	n.server = &http.Server{Handler: n}
 	go n.server.Serve(ln)
 }
 
 // Stop resets all its connections.
-func (n *Node) Stop() { n.server.Close() }
+func (n *Server) Stop() { n.server.Close() }
 
 // Drain notes that the gateway has been told.
-func (n *Node) Drain() {
+func (n *Server) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.told = time.Now()
 }
 
-// Content names bytes.
-func Content(b []byte) string {
+// Digest names bytes.
+func Digest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:6])
 }
 
-// Answer is what a node says to a read of a piece of so many bytes.
-func Answer(piece string, size int) []byte {
+// ObjectData is what a node says to a read of a piece of so many bytes.
+func ObjectData(piece string, size int) []byte {
 	out := make([]byte, 0, size+40)
 	for i := 0; len(out) < size; i++ {
 		out = fmt.Appendf(out, "%s/%d ", piece, i)
@@ -99,7 +99,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || r.Header.Get("X-Correlation-Id") == "" {
 		panic(http.ErrAbortHandler) // it was never whole
@@ -116,10 +116,10 @@
 		return draw < 0 && draw >= -part
 	}
 	if told {
-		n.Check.Ran(piece, invariants.Run{Node: n.Name, Cell: n.Cell.Name, Key: r.Header.Get("Idempotency-Key"),
-			Content: Content(body), At: now, Told: true})
+		n.Checker.RecordExecution(piece, invariants.Execution{Server: n.Name, Shard: n.Shard.Name, Key: r.Header.Get("Idempotency-Key"),
+			Content: Digest(body), At: now, DrainNotified: true})
 	}
-	if drains || hit(n.Faults.TurnAway) {
+	if drains || hit(n.Faults.Reject) {
 		w.Header().Set("X-Unprocessed", "1")
 		http.Error(w, "turned away", http.StatusServiceUnavailable)
 		return
@@ -127,20 +127,20 @@
 	if hit(n.Faults.ResetBefore) && r.Method == http.MethodGet {
 		panic(http.ErrAbortHandler)
 	}
-	answer := Answer(piece, 40)
+	answer := ObjectData(piece, 40)
 	if r.Method == http.MethodPut {
 		key := r.Header.Get("Idempotency-Key")
-		run := invariants.Run{Node: n.Name, Cell: n.Cell.Name, Key: key, Content: Content(body), At: now}
+		run := invariants.Execution{Server: n.Name, Shard: n.Shard.Name, Key: key, Content: Digest(body), At: now}
 		var done string
-		run.Dropped, done = n.Cell.repeat(key, run.Content, now)
-		n.Check.Ran(piece, run)
+		run.Deduplicated, done = n.Shard.repeat(key, run.Content, now)
+		n.Checker.RecordExecution(piece, run)
 		answer = []byte("done " + done)
 	} else if size, err := strconv.Atoi(r.URL.Query().Get("n")); err == nil {
-		answer = Answer(piece, size)
+		answer = ObjectData(piece, size)
 	}
-	work := n.Work
+	work := n.ServiceTime
 	if hit(n.Faults.Slow) {
-		work += n.Faults.SlowBy
+		work += n.Faults.SlowDelay
 	}
 	time.Sleep(work)
 	if hit(n.Faults.ErrorAfter) {
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -16,19 +16,19 @@
 const (
 	Served Outcome = iota
 	Failed
-	Refused
+	Rejected
 	Conflict
 )
 
 var names = [...]string{"served", "failed", "refused", "conflict"}
 
-// Run is a request that reached a node whole.
-type Run struct {
-	Node, Cell, Key, Content string
-	At                       time.Time
-	Dropped                  bool // by its key
-	Life                     int  // of the gateway, for clients that cannot mark a repeat; else 0
-	Told                     bool // the node had been told to the gateway as draining for over a second
+// Execution is a request that reached a node whole.
+type Execution struct {
+	Server, Shard, Key, Content string
+	At                          time.Time
+	Deduplicated                bool // by its key
+	Incarnation                 int  // of the gateway, for clients that cannot mark a repeat; else 0
+	DrainNotified               bool // the node had been told to the gateway as draining for over a second
 }
 
 type answer struct {
@@ -46,7 +46,7 @@
 	window   time.Duration
 	deadline time.Time
 	answers  []answer
-	runs     []Run
+	runs     []Execution
 	waited   string // how its device waited to the end on a link that worked, and heard nothing; "": it did not
 	bytes    int    // that the device sent
 	size     int    // of what it had to send
@@ -85,37 +85,37 @@
 	x.write, x.window, x.deadline, x.size, x.began, x.life = write, window, deadline, size, time.Now(), c.life
 }
 
-// Answer tells what a copy was told. content names the answer's bytes; note is for whoever reads of a fault.
-func (c *Checker) Answer(id string, copy int, o Outcome, content, note string) {
+// RecordResponse tells what a copy was told. content names the answer's bytes; note is for whoever reads of a fault.
+func (c *Checker) RecordResponse(id string, copy int, o Outcome, content, note string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.get(id)
 	x.answers = append(x.answers, answer{copy, o, content, time.Now(), c.life, note})
 }
 
-// Restarted tells that the gateway has started anew, with nothing known of what it did before.
-func (c *Checker) Restarted() {
+// RecordRestart tells that the gateway has started anew, with nothing known of what it did before.
+func (c *Checker) RecordRestart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.life++
 }
 
-// Sent tells what a device's copies took on its link.
-func (c *Checker) Sent(id string, bytes int) {
+// RecordBytesSent tells what a device's copies took on its link.
+func (c *Checker) RecordBytesSent(id string, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.get(id).bytes += bytes
 }
 
-// Unanswered tells of a device that waited to the end on a link that worked.
-func (c *Checker) Unanswered(id, how string) {
+// MissingResponses tells of a device that waited to the end on a link that worked.
+func (c *Checker) RecordMissingResponse(id, how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.get(id).waited = how
 }
 
-// Ran tells of a run at a node.
-func (c *Checker) Ran(id string, r Run) {
+// RecordExecution tells of a run at a node.
+func (c *Checker) RecordExecution(id string, r Execution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.get(id)
@@ -124,31 +124,31 @@
 
 // Result is the count.
 type Result struct {
-	Exchanges, Writes           int
-	DoubleAnswers               int // a copy that was answered twice, or copies of one exchange told different ends
-	UnallowedRepeats            int // a write that ran where or when no key protects it, or with another content
-	Unanswered                  int
-	Phantoms                    int // served writes that no node ran
-	LateSends                   int // to nodes that had been told to drain for more than a second
-	ServedInTime                int
-	Worth, WorthInTime          float64 // of all exchanges, and of those served in time
-	Forgotten                   int     // told one end, and to a copy that came after a restart another
-	Rewritten                   int     // file writes that came again to a gateway that had started anew
-	WriteRuns, BytesSent, Bytes int
-	Times                       []time.Duration // from the beginning to the first final answer, sorted
-	Unserved                    map[string]int  // exchanges that were not served in time, by the last that their devices heard
-	Faults                      []string        // the first of them in words
-}
-
-// Bad is the number of things that must never be.
-func (r *Result) Bad() int {
-	return r.DoubleAnswers + r.UnallowedRepeats + r.Unanswered + r.Phantoms + r.LateSends
+	Exchanges, Writes                        int
+	DuplicateResponses                       int // a copy that was answered twice, or copies of one exchange told different ends
+	DisallowedRetries                        int // a write that ran where or when no key protects it, or with another content
+	MissingResponses                         int
+	LostWrites                               int // served writes that no node ran
+	SendsToDraining                          int // to nodes that had been told to drain for more than a second
+	ServedInTime                             int
+	Weight, WeightInTime                     float64 // of all exchanges, and of those served in time
+	ChangedByRestart                         int     // told one end, and to a copy that came after a restart another
+	RewritesAfterRestart                     int     // file writes that came again to a gateway that had started anew
+	WriteExecutions, BytesSent, PayloadBytes int
+	ResponseTimes                            []time.Duration // from the beginning to the first final answer, sorted
+	Unserved                                 map[string]int  // exchanges that were not served in time, by the last that their devices heard
+	Violations                               []string        // the first of them in words
+}
+
+// ViolationCount is the number of things that must never be.
+func (r *Result) ViolationCount() int {
+	return r.DuplicateResponses + r.DisallowedRetries + r.MissingResponses + r.LostWrites + r.SendsToDraining
 }
 
 func (r *Result) fault(count *int, format string, args ...any) {
 	*count++
-	if len(r.Faults) < 20 {
-		r.Faults = append(r.Faults, fmt.Sprintf(format, args...))
+	if len(r.Violations) < 20 {
+		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -160,45 +160,45 @@
 	for _, id := range c.key {
 		x := c.all[id]
 		r.Exchanges++
-		r.Worth += x.worth
+		r.Weight += x.worth
 		r.BytesSent += x.bytes
-		r.Bytes += x.size
+		r.PayloadBytes += x.size
 		copies := map[int]int{}
 		var final *answer
 		inTime := false
 		for i := range x.answers {
 			a := &x.answers[i]
 			if copies[a.copy]++; copies[a.copy] == 2 {
-				r.fault(&r.DoubleAnswers, "%s: copy %d was answered twice: %s", id, a.copy, x.story())
+				r.fault(&r.DuplicateResponses, "%s: copy %d was answered twice: %s", id, a.copy, x.story())
 			}
 			if a.outcome > Failed || !x.write && final != nil && a.at.After(x.deadline) {
 				continue // a read that is asked for once more after its time is another one
 			}
 			if final == nil {
 				final = a
-				r.Times = append(r.Times, a.at.Sub(x.began))
+				r.ResponseTimes = append(r.ResponseTimes, a.at.Sub(x.began))
 			} else if a.life != x.life && a.outcome != final.outcome && (a.outcome == Failed || !x.write) {
 				// "It may have been done" is all that a gateway can say that knows nothing; and a read it runs anew.
-				r.Forgotten++
+				r.ChangedByRestart++
 			} else if a.outcome != final.outcome || a.content != final.content {
-				r.fault(&r.DoubleAnswers, "%s: told %s, then %s: %s", id, names[final.outcome], names[a.outcome], x.story())
+				r.fault(&r.DuplicateResponses, "%s: told %s, then %s: %s", id, names[final.outcome], names[a.outcome], x.story())
 			}
 			inTime = inTime || a.outcome == Served && !a.at.After(x.deadline)
 		}
 		if inTime {
 			r.ServedInTime++
-			r.WorthInTime += x.worth
+			r.WeightInTime += x.worth
 		} else if n := len(x.answers); n > 0 {
 			r.Unserved[names[x.answers[n-1].outcome]+" "+x.answers[n-1].note]++
 		} else {
 			r.Unserved["nothing"]++
 		}
 		if x.waited != "" {
-			r.fault(&r.Unanswered, "%s: no answer by the deadline on a link that worked (%s): %s", id, x.waited, x.story())
+			r.fault(&r.MissingResponses, "%s: no answer by the deadline on a link that worked (%s): %s", id, x.waited, x.story())
 		}
 		for _, run := range x.runs {
-			if run.Told {
-				r.fault(&r.LateSends, "%s: sent to %s, which drains: %s", id, run.Node, x.story())
+			if run.DrainNotified {
+				r.fault(&r.SendsToDraining, "%s: sent to %s, which drains: %s", id, run.Server, x.story())
 			}
 		}
 		if !x.write {
@@ -207,30 +207,30 @@
 		r.Writes++
 		sort.SliceStable(x.runs, func(i, j int) bool { return x.runs[i].At.Before(x.runs[j].At) })
 		for i, run := range x.runs {
-			if !run.Dropped {
-				r.WriteRuns++
+			if !run.Deduplicated {
+				r.WriteExecutions++
 			}
-			if first := x.runs[0]; i > 0 && run.Life != first.Life {
-				r.Rewritten++ // as a new WRITE, which to the protocol it is
-			} else if i > 0 && (run.Cell != first.Cell || run.Key != first.Key || run.Content != first.Content && !run.Dropped ||
+			if first := x.runs[0]; i > 0 && run.Incarnation != first.Incarnation {
+				r.RewritesAfterRestart++ // as a new WRITE, which to the protocol it is
+			} else if i > 0 && (run.Shard != first.Shard || run.Key != first.Key || run.Content != first.Content && !run.Deduplicated ||
 				run.At.Sub(first.At) >= x.window) {
-				r.fault(&r.UnallowedRepeats, "%s: ran again where nothing protects it: %s", id, x.story())
+				r.fault(&r.DisallowedRetries, "%s: ran again where nothing protects it: %s", id, x.story())
 			}
 		}
 		if final != nil && final.outcome == Served && len(x.runs) == 0 {
-			r.fault(&r.Phantoms, "%s: served, but never run", id)
+			r.fault(&r.LostWrites, "%s: served, but never run", id)
 		}
 	}
-	sort.Slice(r.Times, func(i, j int) bool { return r.Times[i] < r.Times[j] })
+	sort.Slice(r.ResponseTimes, func(i, j int) bool { return r.ResponseTimes[i] < r.ResponseTimes[j] })
 	return r
 }
 
 // Quantile is a quantile of the times to an answer.
 func (r *Result) Quantile(q float64) time.Duration {
-	if len(r.Times) == 0 {
+	if len(r.ResponseTimes) == 0 {
 		return 0
 	}
-	return r.Times[min(int(q*float64(len(r.Times))), len(r.Times)-1)]
+	return r.ResponseTimes[min(int(q*float64(len(r.ResponseTimes))), len(r.ResponseTimes)-1)]
 }
 
 // story is an exchange in one line.
@@ -242,7 +242,7 @@
 		fmt.Fprintf(&b, "; copy %d %s (%s) by life %d at %d", a.copy, names[a.outcome], a.note, a.life, ms(a.at))
 	}
 	for _, r := range x.runs {
-		fmt.Fprintf(&b, "; run %s/%s key %.6s content %.6s at %d dropped %v", r.Node, r.Cell, r.Key, r.Content, ms(r.At), r.Dropped)
+		fmt.Fprintf(&b, "; run %s/%s key %.6s content %.6s at %d dropped %v", r.Server, r.Shard, r.Key, r.Content, ms(r.At), r.Deduplicated)
 	}
 	return b.String()
 }
--- a/internal/testbed/linkshaper/shaper.go
+++ b/internal/testbed/linkshaper/shaper.go
@@ -12,26 +12,26 @@
 
 // Profile is a kind of link. Zero fields do nothing.
 type Profile struct {
-	Name            string
-	BytesPerMs      float64
-	Delay, Jitter   time.Duration // one way
-	Loss            float64       // part of the segments
-	StallEvery      time.Duration // mean time between stalls
-	StallMin, Stall time.Duration // the shortest and the longest
-	CutEvery        time.Duration // mean time to a reset
-	DarkEvery       time.Duration // mean time to the link's going dark
-	DarkFor         time.Duration // after which the far side is reset
+	Name               string
+	BytesPerMs         float64
+	Delay, Jitter      time.Duration // one way
+	Loss               float64       // part of the segments
+	StallInterval      time.Duration // mean time between stalls
+	StallMin, StallMax time.Duration // the shortest and the longest
+	ResetInterval      time.Duration // mean time to a reset
+	BlackholeInterval  time.Duration // mean time to the link's going dark
+	BlackholeDuration  time.Duration // after which the far side is reset
 }
 
 // The usual kinds.
 var (
 	Good     = Profile{Name: "good", BytesPerMs: 1000, Delay: 10 * time.Millisecond, Jitter: 2 * time.Millisecond}
 	Middling = Profile{Name: "middling", BytesPerMs: 100, Delay: 60 * time.Millisecond, Jitter: 30 * time.Millisecond,
-		Loss: 0.01, StallEvery: 8 * time.Second, StallMin: 200 * time.Millisecond, Stall: time.Second,
-		CutEvery: 12 * time.Second, DarkEvery: time.Minute, DarkFor: 30 * time.Second}
+		Loss: 0.01, StallInterval: 8 * time.Second, StallMin: 200 * time.Millisecond, StallMax: time.Second,
+		ResetInterval: 12 * time.Second, BlackholeInterval: time.Minute, BlackholeDuration: 30 * time.Second}
 	Bad = Profile{Name: "bad", BytesPerMs: 20, Delay: 150 * time.Millisecond, Jitter: 100 * time.Millisecond,
-		Loss: 0.04, StallEvery: 3 * time.Second, StallMin: 300 * time.Millisecond, Stall: 4 * time.Second,
-		CutEvery: 4 * time.Second, DarkEvery: 15 * time.Second, DarkFor: 30 * time.Second}
+		Loss: 0.04, StallInterval: 3 * time.Second, StallMin: 300 * time.Millisecond, StallMax: 4 * time.Second,
+		ResetInterval: 4 * time.Second, BlackholeInterval: 15 * time.Second, BlackholeDuration: 30 * time.Second}
 )
 
 const (
@@ -78,11 +78,11 @@
 	now := time.Now()
 	l := &Link{p: s.Profile, client: client, server: server, rnd: rnd, done: make(chan struct{}),
 		stalls: []stall{{now, now}}}
-	if s.CutEvery > 0 {
-		l.timers = append(l.timers, time.AfterFunc(l.exp(s.CutEvery), func() { l.reset() }))
+	if s.ResetInterval > 0 {
+		l.timers = append(l.timers, time.AfterFunc(l.exp(s.ResetInterval), func() { l.reset() }))
 	}
-	if s.DarkEvery > 0 {
-		l.timers = append(l.timers, time.AfterFunc(l.exp(s.DarkEvery), func() { l.goDark() }))
+	if s.BlackholeInterval > 0 {
+		l.timers = append(l.timers, time.AfterFunc(l.exp(s.BlackholeInterval), func() { l.goDark() }))
 	}
 	go l.pump(0, client, server)
 	go l.pump(1, server, client)
@@ -111,7 +111,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dark = true
-	l.timers = append(l.timers, time.AfterFunc(l.p.DarkFor, func() { l.reset() }))
+	l.timers = append(l.timers, time.AfterFunc(l.p.BlackholeDuration, func() { l.reset() }))
 }
 
 func (l *Link) close() {
@@ -127,8 +127,8 @@
 	})
 }
 
-// Need is how long a message and a short answer to it take at the least, when the link does nothing odd.
-func (l *Link) Need(bytes int) time.Duration {
+// TransferTime is how long a message and a short answer to it take at the least, when the link does nothing odd.
+func (l *Link) TransferTime(bytes int) time.Duration {
 	d := 2 * (l.p.Delay + l.p.Jitter)
 	if l.p.BytesPerMs > 0 {
 		d += time.Duration(float64(bytes+512) / l.p.BytesPerMs * float64(time.Millisecond))
@@ -136,8 +136,8 @@
 	return d
 }
 
-// Faulty tells whether the link has done anything since a time for which no side can be blamed.
-func (l *Link) Faulty(since time.Time) bool {
+// FaultySince tells whether the link has done anything since a time for which no side can be blamed.
+func (l *Link) FaultySince(since time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dark || l.cut {
@@ -227,10 +227,10 @@
 		at = at.Add(max(leastWait, 4*l.p.Delay))
 		l.lossAt = at
 	}
-	if l.p.StallEvery > 0 {
+	if l.p.StallInterval > 0 {
 		for last := l.stalls[len(l.stalls)-1]; !last.to.After(at); last = l.stalls[len(l.stalls)-1] {
-			from := last.to.Add(l.exp(l.p.StallEvery))
-			l.stalls = append(l.stalls, stall{from, from.Add(l.p.StallMin + time.Duration(l.rnd.Float64()*float64(l.p.Stall-l.p.StallMin)))})
+			from := last.to.Add(l.exp(l.p.StallInterval))
+			l.stalls = append(l.stalls, stall{from, from.Add(l.p.StallMin + time.Duration(l.rnd.Float64()*float64(l.p.StallMax-l.p.StallMin)))})
 		}
 		for _, s := range l.stalls {
 			if !at.Before(s.from) && at.Before(s.to) {
--- a/internal/testbed/simulation/deployments_test.go
+++ b/internal/testbed/simulation/deployments_test.go
@@ -31,22 +31,22 @@
 		var res Result
 		d := Draw(seed)
 		synctest.Test(t, func(t *testing.T) {
-			res = Play(d)
+			res = Run(d)
 			time.Sleep(time.Minute) // connections and timers of what has ended come to their own ends
 		})
-		for _, what := range res.Broken {
-			t.Errorf("seed %d (push %v, %d of %d gateways, %d shards): %s", seed, d.Push, d.Gateways, d.Siblings, d.Shards, what)
+		for _, what := range res.Violations {
+			t.Errorf("seed %d (push %v, %d of %d gateways, %d shards): %s", seed, d.Push, d.Gateways, d.FleetSize, d.Shards, what)
 		}
-		all.Broken = append(all.Broken, res.Broken...)
+		all.Violations = append(all.Violations, res.Violations...)
 		all.Crashed, all.Lost = all.Crashed+res.Crashed, all.Lost+res.Lost
-		all.Served, all.Refused, all.Failed = all.Served+res.Served, all.Refused+res.Refused, all.Failed+res.Failed
-		all.Turned, all.Closed = all.Turned+res.Turned, all.Closed+res.Closed
+		all.Served, all.Rejected, all.Failed = all.Served+res.Served, all.Rejected+res.Rejected, all.Failed+res.Failed
+		all.RejectedAttempts, all.DrainedServers = all.RejectedAttempts+res.RejectedAttempts, all.DrainedServers+res.DrainedServers
 	}
-	t.Logf("served %d, refused %d, failed %d; %d attempts turned away, %d nodes closed", all.Served, all.Refused, all.Failed, all.Turned, all.Closed)
-	if all.Served < 100**seeds || all.Closed < *seeds/2 {
+	t.Logf("served %d, refused %d, failed %d; %d attempts turned away, %d nodes closed", all.Served, all.Rejected, all.Failed, all.RejectedAttempts, all.DrainedServers)
+	if all.Served < 100**seeds || all.DrainedServers < *seeds/2 {
 		t.Error("too little happened to show anything")
 	}
-	last := fmt.Sprintf("deployments=%d rules_broken=%d crashed=%d lost=%d\n", *seeds, len(all.Broken), all.Crashed, all.Lost)
+	last := fmt.Sprintf("deployments=%d rules_broken=%d crashed=%d lost=%d\n", *seeds, len(all.Violations), all.Crashed, all.Lost)
 	if *line == "" {
 		t.Log(last)
 	} else if err := os.WriteFile(*line, []byte(last), 0o644); err != nil {
--- a/internal/testbed/simulation/draw.go
+++ b/internal/testbed/simulation/draw.go
@@ -33,28 +33,28 @@
 
 // Deployment is one that was drawn.
 type Deployment struct {
-	Seed       uint64
-	Push       bool
-	AskMs      float64
-	Gateways   int // that are played
-	Siblings   int // that the settings tell of
-	Shards     int
-	Zones      []string
-	Classes    []class
-	Plans      []plan
-	Attempts   int
-	RetryAfter bool
-	GraceMs    float64 // of drains
-	Cancels    bool    // nodes stop work that is given up
+	Seed               uint64
+	Push               bool
+	MaxPollIntervalMs  float64
+	Gateways           int // that are played
+	FleetSize          int // that the settings tell of
+	Shards             int
+	Zones              []string
+	Classes            []class
+	Plans              []plan
+	MaxAttempts        int
+	RetryAfter         bool
+	DrainGraceMs       float64 // of drains
+	ServersHonorCancel bool    // nodes stop work that is given up
 
-	StartCapacity, RampMs, FallMultiple, FallMs, ColdBears float64
-	Capacity                                               float64 // units a second of a warm node
-	WorkMs                                                 float64 // of a unit at a node with nothing else to do
-	Volumes                                                []volume
-	TellsElsewhere                                         bool
-	ReportFields                                           []string
-	LagMs                                                  float64 // of discovery
-	TurnAway                                               bool    // nodes that drain turn away what comes
+	InitialCapacity, SlowStartMs, OverloadMultiple, OverloadWindowMs, SlowStartUnits float64
+	Capacity                                                                         float64 // units a second of a warm node
+	ServiceTimeMs                                                                    float64 // of a unit at a node with nothing else to do
+	Volumes                                                                          []volume
+	ReportsServedElsewhere                                                           bool
+	ReportFields                                                                     []string
+	DiscoveryLagMs                                                                   float64 // of discovery
+	DrainingServersReject                                                            bool    // nodes that drain turn away what comes
 }
 
 // volume is drawn with where its requests come from and go to.
@@ -77,13 +77,13 @@
 	rnd := rand.New(rand.NewPCG(seed, 21))
 	in := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
 	yes := func(part float64) bool { return rnd.Float64() < part }
-	d := &Deployment{Seed: seed, Push: yes(0.5), AskMs: in(5000, 12000), Gateways: 1 + rnd.IntN(4), Shards: 1 + rnd.IntN(5),
-		Attempts: 1 + rnd.IntN(5), RetryAfter: yes(0.7), GraceMs: in(500, 3000), Cancels: yes(0.5),
-		StartCapacity: in(0.1, 0.5), RampMs: in(4000, 20000), FallMultiple: in(1.5, 3.5), FallMs: in(500, 4000),
-		TellsElsewhere: yes(0.7), LagMs: in(100, 4000), WorkMs: in(3, 20)}
-	d.Siblings = d.Gateways
+	d := &Deployment{Seed: seed, Push: yes(0.5), MaxPollIntervalMs: in(5000, 12000), Gateways: 1 + rnd.IntN(4), Shards: 1 + rnd.IntN(5),
+		MaxAttempts: 1 + rnd.IntN(5), RetryAfter: yes(0.7), DrainGraceMs: in(500, 3000), ServersHonorCancel: yes(0.5),
+		InitialCapacity: in(0.1, 0.5), SlowStartMs: in(4000, 20000), OverloadMultiple: in(1.5, 3.5), OverloadWindowMs: in(500, 4000),
+		ReportsServedElsewhere: yes(0.7), DiscoveryLagMs: in(100, 4000), ServiceTimeMs: in(3, 20)}
+	d.FleetSize = d.Gateways
 	if yes(0.2) {
-		d.Siblings = 300
+		d.FleetSize = 300
 	}
 	for i := range 1 + rnd.IntN(5) {
 		d.Zones = append(d.Zones, fmt.Sprintf("room-%c", 'a'+i))
@@ -133,8 +133,8 @@
 	if yes(0.4) { // nodes that can do far more: nothing but limits holds a surge back
 		d.Capacity *= 8
 	}
-	d.TurnAway = yes(0.5)
-	d.ColdBears = d.FallMultiple * d.StartCapacity * d.Capacity * d.FallMs / 1000
+	d.DrainingServersReject = yes(0.5)
+	d.SlowStartUnits = d.OverloadMultiple * d.InitialCapacity * d.Capacity * d.OverloadWindowMs / 1000
 	return d
 }
 
@@ -145,17 +145,17 @@
 	for i, c := range d.Classes {
 		writes[i] = c.write
 	}
-	limits := map[string]any{"AttemptsCap": d.Attempts, "Cancel": rnd.IntN(2) == 0, "Probing": rnd.IntN(2) == 0,
+	limits := map[string]any{"AttemptsCap": d.MaxAttempts, "Cancel": rnd.IntN(2) == 0, "Probing": rnd.IntN(2) == 0,
 		"Peers": rnd.IntN(2) == 0, "MayDuplicate": rnd.IntN(2) == 0, "RetryAfter": d.RetryAfter, "MaxRetryAfterMs": 500,
 		"ConnIdleMs": 30000, "ConnectTimeoutMs": 250, "StreamsPerConn": 100}
-	rules := map[string]any{"GraceToAnswerMs": 8, "DrainGraceMs": d.GraceMs, "StartCapacity": d.StartCapacity,
-		"RampTimeMs": d.RampMs, "FallMultiple": d.FallMultiple, "FallMs": d.FallMs}
+	rules := map[string]any{"GraceToAnswerMs": 8, "DrainGraceMs": d.DrainGraceMs, "StartCapacity": d.InitialCapacity,
+		"RampTimeMs": d.SlowStartMs, "FallMultiple": d.OverloadMultiple, "FallMs": d.OverloadWindowMs}
 	discovery := "push"
 	if !d.Push {
-		discovery, rules["AskWithinMs"] = "ask", d.AskMs
+		discovery, rules["AskWithinMs"] = "ask", d.MaxPollIntervalMs
 	}
-	family := map[string]any{"ClassWrites": writes, "ColdBears": d.ColdBears, "MeanUnits": meanUnits, "MostUnits": mostUnits,
-		"NShards": d.Shards, "FairWorth": 0.3, "IdleWorth": 0.05, "TellsElsewhere": d.TellsElsewhere}
+	family := map[string]any{"ClassWrites": writes, "ColdBears": d.SlowStartUnits, "MeanUnits": meanUnits, "MostUnits": mostUnits,
+		"NShards": d.Shards, "FairWorth": 0.3, "IdleWorth": 0.05, "TellsElsewhere": d.ReportsServedElsewhere}
 	for _, key := range []string{"FairWorth", "IdleWorth"} {
 		if rnd.IntN(4) == 0 {
 			delete(family, key)
@@ -167,7 +167,7 @@
 	out, err := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", gateway), "listen": listenAt(gateway),
 		"discovery": agentAt(gateway), "seed": fmt.Sprintf("%016x", seed), "known": known,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets},
-		"settings": map[string]any{"Siblings": d.Siblings, "SelfIndex": gateway, "Lanes": d.Classes, "Plans": d.Plans,
+		"settings": map[string]any{"Siblings": d.FleetSize, "SelfIndex": gateway, "Lanes": d.Classes, "Plans": d.Plans,
 			"Discovery": discovery, "Limits": limits, "Invariants": rules, "FamilyInfo": family, "TickMs": 2,
 			"Zones": d.Zones, "Report": map[string]any{"Fields": d.ReportFields, "Via": "inline"}}})
 	if err != nil {
--- a/internal/testbed/simulation/node.go
+++ b/internal/testbed/simulation/node.go
@@ -88,12 +88,12 @@
 		a.out = false
 		w.mu.Unlock()
 	})
-	full := inst.waiting >= 30 || inst.drains && w.d.TurnAway || req.shard >= 0 && req.shard != inst.shard
+	full := inst.waiting >= 30 || inst.drains && w.d.DrainingServersReject || req.shard >= 0 && req.shard != inst.shard
 	draw, noise := w.rnd.Float64(), 0.3+1.4*w.rnd.Float64()
 	frozen := inst.frozen
 	if full {
 		a.ran, a.out = false, false
-		w.res.Turned++
+		w.res.RejectedAttempts++
 		w.mu.Unlock()
 		rw.Header().Set("X-Unprocessed", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
@@ -111,10 +111,10 @@
 	if frozen != nil {
 		<-frozen
 	}
-	if w.d.Cancels && r.Context().Err() != nil {
+	if w.d.ServersHonorCancel && r.Context().Err() != nil {
 		return
 	}
-	work := time.Duration(req.units * noise * max(w.d.WorkMs, 4000/w.d.Capacity) * float64(time.Millisecond))
+	work := time.Duration(req.units * noise * max(w.d.ServiceTimeMs, 4000/w.d.Capacity) * float64(time.Millisecond))
 	time.Sleep(time.Duration(float64(work) / w.warmth(inst, time.Now())))
 	switch {
 	case draw < 0.02:
@@ -132,7 +132,7 @@
 			inst.served[req.vol.ID][other] += req.units
 		}
 	}
-	if elsewhere := inst.served[req.vol.ID][g.n]; w.d.TellsElsewhere && elsewhere > 0 {
+	if elsewhere := inst.served[req.vol.ID][g.n]; w.d.ReportsServedElsewhere && elsewhere > 0 {
 		rw.Header().Set("X-Served-Elsewhere", strconv.FormatFloat(elsewhere, 'f', -1, 64))
 		inst.served[req.vol.ID][g.n] = 0
 	}
@@ -152,14 +152,14 @@
 	if inst.started.IsZero() {
 		return 1
 	}
-	age := min(1, float64(now.Sub(inst.started).Milliseconds())/w.d.RampMs)
-	return w.d.StartCapacity + (1-w.d.StartCapacity)*age
+	age := min(1, float64(now.Sub(inst.started).Milliseconds())/w.d.SlowStartMs)
+	return w.d.InitialCapacity + (1-w.d.InitialCapacity)*age
 }
 
 // arrived notes a whole request and checks the rules that its arrival could break. w.mu is held.
 func (w *world) arrived(inst *instance, g *gate, req *request, id string, first time.Time) *arrival {
 	now, slack := time.Now(), slackMs*time.Millisecond
-	grace := time.Duration(w.d.GraceMs)*time.Millisecond + slack
+	grace := time.Duration(w.d.DrainGraceMs)*time.Millisecond + slack
 	told, ok := g.told[inst]
 	if !w.d.Push && !ok && len(g.watches) == 0 { // one that does not ask counts as told in time
 		for _, c := range w.changes {
@@ -170,7 +170,7 @@
 						since = t
 					}
 				}
-				told, ok = since.Add(4*time.Duration(w.d.AskMs)*time.Millisecond), true
+				told, ok = since.Add(4*time.Duration(w.d.MaxPollIntervalMs)*time.Millisecond), true
 				break
 			}
 		}
@@ -181,8 +181,8 @@
 	if !req.answered.IsZero() && first.Sub(req.answered) > slack {
 		w.broken("%s: sent %v after its answer", id, first.Sub(req.answered))
 	}
-	if len(req.arrivals) >= w.d.Attempts {
-		w.broken("%s: attempt %d of %d", id, len(req.arrivals)+1, w.d.Attempts)
+	if len(req.arrivals) >= w.d.MaxAttempts {
+		w.broken("%s: attempt %d of %d", id, len(req.arrivals)+1, w.d.MaxAttempts)
 	}
 	a := &arrival{at: now, inst: inst, ran: true, out: true}
 	for _, p := range req.arrivals {
@@ -216,8 +216,8 @@
 		w.takeLimit(req, id, now)
 	}
 	req.arrivals = append(req.arrivals, a)
-	if age := now.Sub(inst.started); !inst.started.IsZero() && age < time.Duration(w.d.RampMs)*time.Millisecond {
-		window := time.Duration(w.d.FallMs) * time.Millisecond
+	if age := now.Sub(inst.started); !inst.started.IsZero() && age < time.Duration(w.d.SlowStartMs)*time.Millisecond {
+		window := time.Duration(w.d.OverloadWindowMs) * time.Millisecond
 		inst.cold = append(inst.cold, sent{now, req.units})
 		sum := 0.0
 		for len(inst.cold) > 0 && now.Sub(inst.cold[0].at) > window {
@@ -226,7 +226,7 @@
 		for _, s := range inst.cold {
 			sum += s.units
 		}
-		if bears := w.d.FallMultiple * w.warmth(inst, now) * w.d.Capacity * w.d.FallMs / 1000; sum > bears+2*mostUnits {
+		if bears := w.d.OverloadMultiple * w.warmth(inst, now) * w.d.Capacity * w.d.OverloadWindowMs / 1000; sum > bears+2*mostUnits {
 			w.broken("cold: %s got %.0f units in %v, bears %.1f", inst.name, sum, window, bears)
 		}
 	}
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -27,11 +27,11 @@
 
 // Result is what a play shows.
 type Result struct {
-	Broken                  []string // each breach of a rule, in words
-	Crashed, Lost           int
-	Served, Refused, Failed int
-	Turned                  int // attempts that nodes turned away
-	Closed                  int // nodes that were closed under load
+	Violations               []string // each breach of a rule, in words
+	Crashed, Lost            int
+	Served, Rejected, Failed int
+	RejectedAttempts         int // attempts that nodes turned away
+	DrainedServers           int // nodes that were closed under load
 }
 
 type world struct {
@@ -95,8 +95,8 @@
 	out  bool // the node works on it, and its connection is open
 }
 
-// Play plays a deployment; it must run in a bubble.
-func Play(d *Deployment) Result {
+// Run plays a deployment; it must run in a bubble.
+func Run(d *Deployment) Result {
 	w := &world{d: d, rnd: rand.New(rand.NewPCG(d.Seed, 23)), requests: map[string]*request{}, stores: map[uint64]*store{}}
 	w.mu.Lock()
 	for s := range d.Shards {
@@ -134,10 +134,10 @@
 }
 
 func (w *world) broken(format string, args ...any) {
-	if len(w.res.Broken) < 20 {
-		w.res.Broken = append(w.res.Broken, fmt.Sprintf(format, args...))
+	if len(w.res.Violations) < 20 {
+		w.res.Violations = append(w.res.Violations, fmt.Sprintf(format, args...))
 	} else {
-		w.res.Broken[19] = "and more"
+		w.res.Violations[19] = "and more"
 	}
 }
 
@@ -323,7 +323,7 @@
 				w.mu.Unlock()
 				return
 			}
-			w.res.Closed++
+			w.res.DrainedServers++
 			name := fmt.Sprintf("r-%d", n)
 			if same {
 				name, old.dead = old.name, true
@@ -333,14 +333,14 @@
 			young := w.newInstance(name, shard, time.Now())
 			w.mu.Unlock()
 			// One that drains stays for longer than the rule's grace behind its being told: who has not heard of it is seen.
-			stays := max(3000, w.d.LagMs+w.d.GraceMs+2500)
+			stays := max(3000, w.d.DiscoveryLagMs+w.d.DrainGraceMs+2500)
 			if !same {
-				w.publish(old, "Terminating", w.d.LagMs)
-				w.publish(old, "Gone", w.d.LagMs+stays)
+				w.publish(old, "Terminating", w.d.DiscoveryLagMs)
+				w.publish(old, "Gone", w.d.DiscoveryLagMs+stays)
 			} else {
-				w.publish(old, "Gone", w.d.LagMs)
+				w.publish(old, "Gone", w.d.DiscoveryLagMs)
 			}
-			w.publish(young, "Ready", w.d.LagMs+50)
+			w.publish(young, "Ready", w.d.DiscoveryLagMs+50)
 			time.Sleep(clock.Duration(stays))
 			w.mu.Lock()
 			old.dead = true
@@ -510,7 +510,7 @@
 			w.broken("%s: served with what no node made for it: %q", id, text)
 		}
 	case code == 429 || code == 503:
-		w.res.Refused++
+		w.res.Rejected++
 		if c := req.class; ran && (c.Idempotency == "once" || c.Idempotency == "by_key" && c.KeyScope != "all") {
 			w.broken("%s (%s): refused, though it may have run", id, c.Idempotency)
 		}
--- a/internal/testbed/soak/resend_test.go
+++ b/internal/testbed/soak/resend_test.go
@@ -16,14 +16,14 @@
 		ledger   bool
 	}{{"c", 8 * time.Millisecond, true}, {"h", 8 * time.Millisecond, true}, {"f", 8 * time.Millisecond, true},
 		{"h", 8 * time.Millisecond, false}, {"f", 8 * time.Millisecond, false}} {
-		rep := inBubble(t, Options{For: 8 * time.Second, Seed: 3, Devices: 6, Wires: c.wires, Ledger: c.ledger,
-			Links: []linkshaper.Profile{{}}, Patience: c.patience, WritesOnly: true})
-		again := rep.WriteRuns - rep.Writes
-		if c.ledger && (rep.Writes < 60 || again != 0 || rep.Bad() != 0 || rep.ServedInTime != rep.Writes) {
-			t.Errorf("%+v: %d writes, %d runs, %d served in time, %v", c, rep.Writes, rep.WriteRuns, rep.ServedInTime, rep.Faults)
+		rep := inBubble(t, Options{Duration: 8 * time.Second, Seed: 3, Devices: 6, Protocols: c.wires, Deduplication: c.ledger,
+			Links: []linkshaper.Profile{{}}, ResponseTimeout: c.patience, WritesOnly: true})
+		again := rep.WriteExecutions - rep.Writes
+		if c.ledger && (rep.Writes < 60 || again != 0 || rep.ViolationCount() != 0 || rep.ServedInTime != rep.Writes) {
+			t.Errorf("%+v: %d writes, %d runs, %d served in time, %v", c, rep.Writes, rep.WriteExecutions, rep.ServedInTime, rep.Violations)
 		}
 		if !c.ledger && again == 0 {
-			t.Errorf("%+v: %d writes, %d runs: the test does not provoke what it is about", c, rep.Writes, rep.WriteRuns)
+			t.Errorf("%+v: %d writes, %d runs: the test does not provoke what it is about", c, rep.Writes, rep.WriteExecutions)
 		}
 		t.Logf("%+v: %d writes, %d runs again", c, rep.Writes, again)
 	}
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -33,20 +33,20 @@
 
 // Options are a run.
 type Options struct {
-	For      time.Duration
-	Seed     uint64
-	Devices  int
-	Links    []linkshaper.Profile // dealt out in turn
-	Ledger   bool                 // without it the same devices speak as the platform's clients do
-	Wires    string               // of "chf": CoAP, HTTP, file commands, dealt out in turn
-	Restarts time.Duration        // mean time between restarts of the gateway; 0: none
-	Drains   time.Duration        // mean time between a node's replacements; 0: none
-	Faults   fakestorage.Faults
-	Odd      float64 // part of the jobs in which devices behave oddly
-	Network  gateway.Network
+	Duration            time.Duration
+	Seed                uint64
+	Devices             int
+	Links               []linkshaper.Profile // dealt out in turn
+	Deduplication       bool                 // without it the same devices speak as the platform's clients do
+	Protocols           string               // of "chf": CoAP, HTTP, file commands, dealt out in turn
+	RestartInterval     time.Duration        // mean time between restarts of the gateway; 0: none
+	ReplacementInterval time.Duration        // mean time between a node's replacements; 0: none
+	Faults              fakestorage.Faults
+	QuirkRate           float64 // part of the jobs in which devices behave oddly
+	Network             gateway.Network
 
-	Patience   time.Duration // of all devices, before they give up a silent connection; 0: each has its own
-	WritesOnly bool
+	ResponseTimeout time.Duration // of all devices, before they give up a silent connection; 0: each has its own
+	WritesOnly      bool
 }
 
 const (
@@ -62,15 +62,15 @@
 // Report is what came of a run.
 type Report struct {
 	*invariants.Result
-	Restarts, Drains int
-	Counters         map[string]int64
+	Restarts, Replacements int
+	Counters               map[string]int64
 }
 
 // rig is the run.
 type rig struct {
 	Options
 	check *invariants.Checker
-	cells [shards]*fakestorage.Cell
+	cells [shards]*fakestorage.Shard
 	files [shards]*fakefileserver.Server
 
 	mu       sync.Mutex
@@ -89,7 +89,7 @@
 }
 
 type running struct {
-	node  *fakestorage.Node
+	node  *fakestorage.Server
 	entry *lifecycle.Server
 	ln    net.Listener
 	fileL net.Listener
@@ -100,13 +100,13 @@
 	r := &rig{Options: o, check: invariants.New(), rnd: rand.New(rand.NewPCG(o.Seed, 1)), addrs: map[string]string{},
 		counters: map[string]int64{}, lives: map[string]int{}}
 	for i := range shards {
-		r.cells[i] = &fakestorage.Cell{Name: fmt.Sprint("cell", i), Window: window}
-		r.files[i] = fakefileserver.Plain()
-		r.files[i].After = r.fileRan(i)
-		r.files[i].Answer = func(c fakefileserver.Command) error {
+		r.cells[i] = &fakestorage.Shard{Name: fmt.Sprint("cell", i), DedupWindow: window}
+		r.files[i] = fakefileserver.NewUnstarted()
+		r.files[i].AfterEffect = r.fileRan(i)
+		r.files[i].BeforeEffect = func(c fakefileserver.Command) error {
 			if c.Op == "write" {
 				r.mu.Lock()
-				r.lives[c.Key] = len(r.ups) // of the gateway that sent it; it may be another when it is done
+				r.lives[c.UploadKey] = len(r.ups) // of the gateway that sent it; it may be another when it is done
 				r.mu.Unlock()
 				time.Sleep(work)
 			}
@@ -119,7 +119,7 @@
 	if err := r.startGateway(); err != nil {
 		return nil, err
 	}
-	end := time.Now().Add(o.For)
+	end := time.Now().Add(o.Duration)
 	var all sync.WaitGroup
 	for i := range o.Devices {
 		all.Go(func() { r.device(i, end) })
@@ -139,7 +139,7 @@
 	for _, n := range r.nodes {
 		n.stop()
 	}
-	return &Report{Result: r.check.Result(), Restarts: r.restarts, Drains: r.number - shards, Counters: r.counters}, nil
+	return &Report{Result: r.check.Result(), Restarts: r.restarts, Replacements: r.number - shards, Counters: r.counters}, nil
 }
 
 func (n *running) stop() {
@@ -159,8 +159,8 @@
 	if err != nil {
 		return err
 	}
-	n := &running{ln: ln, fileL: fileL, node: &fakestorage.Node{Name: name, Cell: r.cells[cell], Work: work,
-		Faults: r.Faults, Check: r.check},
+	n := &running{ln: ln, fileL: fileL, node: &fakestorage.Server{Name: name, Shard: r.cells[cell], ServiceTime: work,
+		Faults: r.Faults, Checker: r.check},
 		entry: &lifecycle.Server{Name: name, Addr: ln.Addr().String(), Shard: cell, Weight: 1, StartedMs: startedMs}}
 	n.node.Start(ln, r.Seed+uint64(r.number))
 	go r.files[cell].Serve(fileL)
@@ -191,7 +191,7 @@
 
 // drains replaces nodes: one drains, another of its cell starts, and the old one is gone a little later.
 func (r *rig) drains(stop chan struct{}) {
-	for r.Drains > 0 && r.pause(stop, r.Drains) {
+	for r.ReplacementInterval > 0 && r.pause(stop, r.ReplacementInterval) {
 		r.mu.Lock()
 		var old *running
 		for _, n := range r.nodes {
@@ -241,7 +241,7 @@
 
 // restart stops the gateway, by turns outright and in order, and starts it anew.
 func (r *rig) restart(stop chan struct{}) {
-	for n := 0; r.Restarts > 0 && r.pause(stop, r.Restarts); n++ {
+	for n := 0; r.RestartInterval > 0 && r.pause(stop, r.RestartInterval); n++ {
 		r.mu.Lock()
 		old := r.gw
 		r.mu.Unlock()
@@ -253,7 +253,7 @@
 		r.resetOut()
 		time.Sleep(startTime) // what it sent at the last moment comes to its end
 		r.collect(old)
-		r.check.Restarted()
+		r.check.RecordRestart()
 		if err := r.startGateway(); err != nil {
 			panic(err)
 		}
@@ -297,7 +297,7 @@
 	edge := &config.Edge{SFTP: &config.SFTP{Listen: r.addrs["files"], MaxConns: 4 * r.Devices, UnitBytes: 16 << 10,
 		ReadClass: set.Classes[0], WriteClass: push, Roots: []config.SFTPRoot{{Path: root, Plan: "business", Volume: 7, Hosts: 1}},
 		LookupBackend: r.fileAddr}}
-	if r.Ledger {
+	if r.Deduplication {
 		edge.Devices = &config.Devices{CoAP: r.addrs["coap"], HTTP: r.addrs["http"], MaxConns: 4 * r.Devices, MaxOpenRequests: 8,
 			MaxMessageBytes: 33 << 10, FirstMessageTimeout: 10 * time.Second, IdleTimeout: time.Minute, HoldOff: time.Second,
 			Exchanges: exchange.Settings{MaxExchanges: 100 * r.Devices, MaxDevices: 2*r.Devices + 8, MaxActivePerDevice: 16,
@@ -368,11 +368,11 @@
 	return func(c fakefileserver.Command) error {
 		if c.Op == "write" {
 			r.mu.Lock()
-			life := r.lives[c.Key] // a file client can't mark a repeat: to a gateway that has started anew it is new
-			delete(r.lives, c.Key)
+			life := r.lives[c.UploadKey] // a file client can't mark a repeat: to a gateway that has started anew it is new
+			delete(r.lives, c.UploadKey)
 			r.mu.Unlock()
-			r.check.Ran(path.Base(c.Path), invariants.Run{Node: "file", Cell: fmt.Sprint("cell", cell), Key: c.Key,
-				Content: fakestorage.Content(c.Data), At: time.Now(), Dropped: c.Dropped, Life: life})
+			r.check.RecordExecution(path.Base(c.Path), invariants.Execution{Server: "file", Shard: fmt.Sprint("cell", cell), Key: c.UploadKey,
+				Content: fakestorage.Digest(c.Data), At: time.Now(), Deduplicated: c.Deduplicated, Incarnation: life})
 		}
 		return nil
 	}
@@ -406,8 +406,8 @@
 	began time.Time
 }
 
-func (l *restartable) Faulty(since time.Time) bool {
-	return l.Link.Faulty(since) || l.r.restartedSince(l.began)
+func (l *restartable) FaultySince(since time.Time) bool {
+	return l.Link.FaultySince(since) || l.r.restartedSince(l.began)
 }
 
 func (r *rig) restartedSince(t time.Time) bool {
@@ -421,32 +421,32 @@
 	rnd := rand.New(rand.NewPCG(r.Seed, uint64(1000+i)))
 	link := &linkshaper.Shaper{Profile: r.Links[i%len(r.Links)], Seed: r.Seed*1_000_003 + uint64(i)}
 	name := fmt.Sprint("device-", i)
-	d := &fakedevice.Device{Name: name, Check: r.check, Rnd: rnd, Odd: r.Odd,
-		Patience: time.Duration(1500+rnd.IntN(2000)) * time.Millisecond}
-	if r.Patience > 0 {
-		d.Patience = r.Patience
+	d := &fakedevice.Device{Name: name, Checker: r.check, Rand: rnd, QuirkRate: r.QuirkRate,
+		ResponseTimeout: time.Duration(1500+rnd.IntN(2000)) * time.Millisecond}
+	if r.ResponseTimeout > 0 {
+		d.ResponseTimeout = r.ResponseTimeout
 	}
-	kind := r.Wires[(i/len(r.Links))%len(r.Wires)]
+	kind := r.Protocols[(i/len(r.Links))%len(r.Protocols)]
 	block := []int{0, 1024, 4096, 8192}[rnd.IntN(4)]
-	wire := func() fakedevice.Wire {
+	wire := func() fakedevice.Transport {
 		switch {
 		case kind == 'f':
-			return &fakedevice.File{Dial: r.dial("files", link), Root: root, Waits: window}
-		case !r.Ledger:
-			return &fakedevice.HTTP{Device: name, Dial: r.dial("platform", link), Plain: true}
+			return &fakedevice.SFTP{Dial: r.dial("files", link), Root: root, ResponseTime: window}
+		case !r.Deduplication:
+			return &fakedevice.HTTP{Device: name, Dial: r.dial("platform", link), WithoutDeviceHeaders: true}
 		case kind == 'h':
 			return &fakedevice.HTTP{Device: name, Dial: r.dial("http", link)}
 		}
-		return &fakedevice.CoAP{Device: name, Dial: r.dial("coap", link), BlockSize: block, MostRead: 16 << 10}
+		return &fakedevice.CoAP{Device: name, Dial: r.dial("coap", link), BlockSize: block, MaxMessageSize: 16 << 10}
 	}
 	if kind == 'f' { // it can't mark a copy: what it sends on purpose is another WRITE
-		d.Odd = 0
+		d.QuirkRate = 0
 	}
-	d.Wire = wire()
-	defer d.Wire.Drop()
+	d.Transport = wire()
+	defer d.Transport.Close()
 	if kind != 'f' { // a file client's connections share no name
-		d.Twin = wire()
-		defer d.Twin.Drop()
+		d.SecondTransport = wire()
+		defer d.SecondTransport.Close()
 	}
 	time.Sleep(time.Duration(rnd.IntN(1000)) * time.Millisecond)
 	for n := 0; time.Now().Before(end); n++ {
@@ -456,25 +456,25 @@
 		if j.Write {
 			worth = 2
 		}
-		r.check.Begin(j.Piece, j.Write, worth, window, j.Deadline, size)
+		r.check.Begin(j.Object, j.Write, worth, window, j.Deadline, size)
 		d.Do(j)
 		time.Sleep(time.Duration(50+rnd.IntN(500)) * time.Millisecond)
 	}
 }
 
 // job draws an exchange.
-func (r *rig) job(rnd *rand.Rand, dev, n int, kind byte) fakedevice.Job {
+func (r *rig) job(rnd *rand.Rand, dev, n int, kind byte) fakedevice.Exchange {
 	var id [8]byte
 	binary.BigEndian.PutUint32(id[:4], uint32(dev+1))
 	binary.BigEndian.PutUint32(id[4:], uint32(n+1))
-	j := fakedevice.Job{Piece: hex.EncodeToString(id[:]), Key: fmt.Sprintf("key-%d", n), Shard: rnd.IntN(shards+1) - 1}
+	j := fakedevice.Exchange{Object: hex.EncodeToString(id[:]), Key: fmt.Sprintf("key-%d", n), Shard: rnd.IntN(shards+1) - 1}
 	size := 100 + rnd.IntN(1500)
 	if rnd.IntN(4) == 0 {
 		size = 2000 + rnd.IntN(12_000)
 	}
 	if kind == 'f' || r.WritesOnly || rnd.Float64() < 0.6 {
 		j.Write, j.Class, j.Deadline = true, "push", time.Now().Add(pushTime)
-		j.Body = fakestorage.Answer("body-"+j.Piece, size)
+		j.Body = fakestorage.ObjectData("body-"+j.Object, size)
 		return j
 	}
 	if j.Shard < 0 {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-var someFaults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05, SlowBy: 700 * time.Millisecond}
+var someFaults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05, SlowDelay: 700 * time.Millisecond}
 
 // inBubble runs a soak in memory, in a bubble's time.
 func inBubble(t *testing.T, o Options) (rep *Report) {
@@ -57,18 +57,18 @@
 		}
 	}
 	for _, seed := range seeds {
-		rep := inBubble(t, Options{For: 2 * time.Minute, Seed: seed, Devices: 36, Wires: "chf", Ledger: true,
+		rep := inBubble(t, Options{Duration: 2 * time.Minute, Seed: seed, Devices: 36, Protocols: "chf", Deduplication: true,
 			Links:  links,
-			Faults: someFaults, Odd: 0.2, Drains: 15 * time.Second, Restarts: 40 * time.Second})
-		if rep.Bad() > 0 {
-			t.Errorf("seed %d: %+v", seed, rep.Result.Faults)
+			Faults: someFaults, QuirkRate: 0.2, ReplacementInterval: 15 * time.Second, RestartInterval: 40 * time.Second})
+		if rep.ViolationCount() > 0 {
+			t.Errorf("seed %d: %+v", seed, rep.Result.Violations)
 		}
 		t.Logf("seed %d: exchanges=%d double_answers=%d unallowed_repeats=%d unanswered=%d phantoms=%d late_sends=%d served_in_time=%d drains=%d restarts=%d",
-			seed, rep.Exchanges, rep.DoubleAnswers, rep.UnallowedRepeats, rep.Unanswered, rep.Phantoms, rep.LateSends, rep.ServedInTime, rep.Drains, rep.Restarts)
+			seed, rep.Exchanges, rep.DuplicateResponses, rep.DisallowedRetries, rep.MissingResponses, rep.LostWrites, rep.SendsToDraining, rep.ServedInTime, rep.Replacements, rep.Restarts)
 		if rep.Exchanges < 300 || rep.ServedInTime < rep.Exchanges/2 {
 			t.Errorf("seed %d: too little happened to show anything", seed)
 		}
-		counts["drains"] += int64(rep.Drains)
+		counts["drains"] += int64(rep.Replacements)
 		counts["restarts"] += int64(rep.Restarts)
 		for name, n := range rep.Counters {
 			counts[name] += n
