--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -40,7 +40,8 @@
 	endedReads  list.List // the oldest first
 	openUploads list.List // the longest without a block first
 	endedWrites list.List // those whose deduplication window is over, the oldest first
-	stats       Stats
+
+	stats Stats
 }
 
 // New returns an empty store. It returns an error that wraps ErrOutOfRange for invalid settings.
