--- /dev/null
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -0,0 +1,84 @@
+package coapserver
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"testing"
+	"testing/synctest"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/lifecycle"
+)
+
+// download reads the blocks after the first one and returns the body and the number of blocks. Each must give the size
+// of the whole body and the ETag.
+func (d *testDevice) download(first *message.Message, wantSize uint32, wantETag uint64) (body []byte, blocks int) {
+	d.t.Helper()
+	m := first
+	body, blocks = m.Payload, 1
+	for token := byte(2); m.Options.HasOption(message.Block2); token++ {
+		value, _ := m.Options.GetBytes(message.Block2)
+		block, _ := coapwire.DecodeBlock(value)
+		etag, _ := m.Options.GetBytes(message.ETag)
+		if size, _ := m.Options.GetUint32(message.Size2); size != wantSize || binary.BigEndian.Uint64(etag) != wantETag {
+			d.t.Fatalf("size %d, etag %x", size, etag)
+		}
+		if !block.More {
+			break
+		}
+		next := coapwire.Block{Offset: len(body), Size: block.Size, BERT: block.BERT}
+		d.send(newRequest(codes.GET, token, nil, withBlock(message.Block2, next)))
+		m = d.expect(codes.Content)
+		body = append(body, m.Payload...)
+		blocks++
+	}
+	return body, blocks
+}
+
+// A response that is too large for the device, or for its link, is sent in blocks, each of which can be asked for.
+func TestBlockwiseResponse(t *testing.T) {
+	body := make([]byte, 5000)
+	for i := range body {
+		body[i] = byte(i / 7)
+	}
+	for _, c := range []struct {
+		maxMessageSize     uint32
+		preferredBlockSize int
+		firstLength        int
+	}{
+		{1152, 0, 1024},
+		{1152, 256, 256},
+		{4000, 0, 3072},
+		{4000, 2048, 2048},
+		{8000, 0, 5000},
+		{8000, 1024, 1024},
+	} {
+		response := lifecycle.Response{Result: body, ETag: 77, BlockSize: c.preferredBlockSize}
+		t.Run(fmt.Sprintf("max message %d, preferred block %d", c.maxMessageSize, c.preferredBlockSize), func(t *testing.T) {
+			withDevice(t, c.maxMessageSize, respondWith(response), func(_ *Server, loop *fakeLoop, device *testDevice) {
+				device.send(newRequest(codes.GET, 1, nil, nil))
+				first := device.expect(codes.Content)
+				if len(first.Payload) != c.firstLength {
+					t.Errorf("a first block of %d bytes", len(first.Payload))
+				}
+				got, blocks := device.download(first, 5000, 77)
+				synctest.Wait()
+				if _, canceled, written := loop.counts(); !bytes.Equal(got, body) || written != 1 || canceled != blocks-1 {
+					t.Errorf("%d bytes in %d blocks, %d written, %d canceled", len(got), blocks, written, canceled)
+				}
+				behindEnd := coapwire.Block{Offset: 8192, Size: 1024}
+				device.send(newRequest(codes.GET, 100, nil, withBlock(message.Block2, behindEnd)))
+				device.expect(codes.BadOption)
+				etag := message.Option{ID: message.ETag, Value: []byte{0, 0, 0, 0, 0, 0, 0, 77}}
+				device.send(newRequest(codes.GET, 101, nil, addOption(etag)))
+				if m := device.expect(codes.Valid); len(m.Payload) != 0 {
+					t.Errorf("the device has it, and got %d bytes", len(m.Payload))
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/frontend/coapserver/device_test.go
@@ -0,0 +1,254 @@
+package coapserver
+
+import (
+	"bytes"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/testbed/testsettings"
+)
+
+func TestMain(m *testing.M) {
+	logevent.Setup(io.Discard, slog.LevelError)
+	os.Exit(m.Run())
+}
+
+// fakeLoop records requests and lets the test respond to them.
+type fakeLoop struct {
+	onSubmit func(*lifecycle.Request) // called in a goroutine of its own; nil: requests stay pending
+
+	mu                           sync.Mutex
+	full                         bool // Submit returns false
+	submitted, canceled, written []*lifecycle.Request
+}
+
+func (l *fakeLoop) Submit(r *lifecycle.Request) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.full {
+		return false
+	}
+	l.submitted = append(l.submitted, r)
+	if l.onSubmit != nil {
+		go l.onSubmit(r)
+	}
+	return true
+}
+
+func (l *fakeLoop) Cancel(r *lifecycle.Request) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.canceled = append(l.canceled, r)
+}
+
+func (l *fakeLoop) ResponseWritten(r *lifecycle.Request, _ lifecycle.LinkSample) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.written = append(l.written, r)
+}
+
+func (l *fakeLoop) LinkMeasured(string, lifecycle.LinkSample) {}
+
+func (l *fakeLoop) counts() (submitted, canceled, written int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.submitted), len(l.canceled), len(l.written)
+}
+
+// respondWith returns an onSubmit that gives the same response to all requests.
+func respondWith(response lifecycle.Response) func(*lifecycle.Request) {
+	return func(r *lifecycle.Request) { r.Respond(response) }
+}
+
+func newTestServer(loop Loop) *Server {
+	settings := testsettings.Settings(4)
+	return &Server{
+		Loop:     loop,
+		Clock:    clock.NewSystem(),
+		Metrics:  metrics.New(),
+		Settings: &settings,
+		Options: Options{
+			MaxConns:            4,
+			MaxPendingRequests:  2,
+			MaxMessageSize:      4096,
+			FirstMessageTimeout: 5 * time.Second,
+			KeepaliveTime:       time.Minute,
+			MinIdleTimeout:      time.Second,
+			MaxIdleTimeout:      4 * time.Second,
+			HoldOff:             3 * time.Second,
+			ResponseGrace:       25 * time.Millisecond,
+		},
+	}
+}
+
+// testDevice is the device's end of a connection. A goroutine reads until the connection ends.
+type testDevice struct {
+	t        *testing.T
+	netConn  net.Conn
+	received chan *message.Message
+	closed   chan bool // closed at the end of the connection
+}
+
+// connect connects a device to the server.
+func connect(t *testing.T, server *Server) *testDevice {
+	deviceEnd, serverEnd := net.Pipe()
+	device := &testDevice{t: t, netConn: deviceEnd, received: make(chan *message.Message, 256), closed: make(chan bool)}
+	server.StartConn(serverEnd)
+	go device.readLoop()
+	return device
+}
+
+func (d *testDevice) readLoop() {
+	defer close(d.closed)
+	var buf []byte
+	chunk := make([]byte, 4096)
+	for {
+		count, err := d.netConn.Read(chunk)
+		buf = d.decode(append(buf, chunk[:count]...))
+		if err != nil {
+			return
+		}
+	}
+}
+
+// decode passes on the complete messages in buf and returns the rest.
+func (d *testDevice) decode(buf []byte) []byte {
+	for {
+		length, err := coapwire.FrameLength(buf)
+		if err != nil || length == 0 || length > len(buf) {
+			return buf
+		}
+		m, err := coapwire.Decode(bytes.Clone(buf[:length]))
+		if err != nil {
+			d.t.Errorf("the server sent %x: %v", buf[:length], err)
+		}
+		d.received <- m
+		buf = buf[length:]
+	}
+}
+
+func (d *testDevice) send(m message.Message) {
+	d.t.Helper()
+	d.sendBytes(coapwire.Encode(m))
+}
+
+func (d *testDevice) sendBytes(b []byte) {
+	d.t.Helper()
+	mustWrite(d.t, d.netConn, b)
+}
+
+// mustWrite ends the test if the bytes cannot be written.
+func mustWrite(t testing.TB, w io.Writer, b []byte) {
+	t.Helper()
+	if _, err := w.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// deviceCSM returns the CSM of a device that supports block-wise transfer.
+func deviceCSM(maxMessageSize uint32) message.Message {
+	return message.Message{Code: codes.CSM, Options: message.Options{
+		coapwire.UintOption(message.TCPMaxMessageSize, maxMessageSize),
+		{ID: message.TCPBlockWiseTransfer},
+	}}
+}
+
+// handshake exchanges CSMs and answers the first Ping.
+func (d *testDevice) handshake(maxMessageSize uint32) {
+	d.t.Helper()
+	d.send(deviceCSM(maxMessageSize))
+	d.expect(codes.CSM)
+	d.expect(codes.Ping)
+	d.send(message.Message{Code: codes.Pong})
+}
+
+// expect returns the next message and ends the test unless it has the code.
+func (d *testDevice) expect(code codes.Code) *message.Message {
+	d.t.Helper()
+	select {
+	case m := <-d.received:
+		if m.Code != code {
+			d.t.Fatalf("got %v %q, want %v", m.Code, m.Payload, code)
+		}
+		return m
+	case <-d.closed:
+		select {
+		case m := <-d.received:
+			if m.Code == code {
+				return m
+			}
+		default:
+		}
+		d.t.Fatalf("the connection ended, want %v", code)
+	}
+	return nil
+}
+
+// change alters the options of a request.
+type change func(message.Options) message.Options
+
+func addOption(option message.Option) change {
+	return func(o message.Options) message.Options { return o.Add(option) }
+}
+
+func setOption(option message.Option) change {
+	return func(o message.Options) message.Options { return o.Set(option) }
+}
+
+func removeOption(id message.OptionID) change {
+	return func(o message.Options) message.Options { return o.Remove(id) }
+}
+
+// withBlock adds a Block option.
+func withBlock(id message.OptionID, block coapwire.Block) change { return addOption(block.Option(id)) }
+
+// newRequest returns a valid request after a change of its options; nil changes nothing.
+func newRequest(code codes.Code, token byte, payload []byte, apply change) message.Message {
+	class := "push"
+	if code == codes.GET {
+		class = "pull"
+	}
+	options := message.Options{
+		{ID: message.URIPath, Value: []byte(class)},
+		{ID: message.URIPath, Value: []byte("7f3a9c21e0b4d655")},
+		{ID: coapwire.OptDevice, Value: []byte("dev")},
+		coapwire.UintOption(coapwire.OptTimeLeft, 2000),
+		{ID: coapwire.OptIdempotencyKey, Value: []byte("k1")},
+		{ID: coapwire.OptPlan, Value: []byte("basic")},
+		{ID: coapwire.OptIO, Value: []byte("volume=1,units=2,shard=3,hosts=1")},
+	}
+	if apply != nil {
+		options = apply(options)
+	}
+	return message.Message{Code: code, Token: message.Token{token}, Options: options, Payload: payload}
+}
+
+// withDevice runs a test in a synctest bubble with one connected device.
+func withDevice(t *testing.T, maxMessageSize uint32, onSubmit func(*lifecycle.Request), test func(*Server, *fakeLoop, *testDevice)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		loop := &fakeLoop{onSubmit: onSubmit}
+		server := newTestServer(loop)
+		device := connect(t, server)
+		device.handshake(maxMessageSize)
+		synctest.Wait()
+		test(server, loop, device)
+		device.netConn.Close()
+		server.Close()
+		server.Shutdown()
+	})
+}
--- /dev/null
+++ b/internal/frontend/coapserver/read_test.go
@@ -0,0 +1,92 @@
+package coapserver
+
+import (
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/lifecycle"
+)
+
+// A silent device is sent a Ping while it has something pending, and its connection ends only if it does not answer.
+func TestIdleTimeouts(t *testing.T) {
+	t.Run("incomplete frame", func(t *testing.T) {
+		withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
+			frame := coapwire.Encode(newRequest(codes.PUT, 1, []byte("data"), nil))
+			device.sendBytes(frame[:len(frame)-2])
+			<-device.closed
+			synctest.Wait()
+			if submitted, _, _ := loop.counts(); submitted != 0 || server.Metrics.Get("device_connections_dead") != 1 {
+				t.Errorf("%d submitted of an incomplete frame", submitted)
+			}
+		})
+	})
+	t.Run("request pending", func(t *testing.T) {
+		withDevice(t, 4096, nil, func(_ *Server, loop *fakeLoop, device *testDevice) {
+			timeLeft := setOption(coapwire.UintOption(coapwire.OptTimeLeft, 6000))
+			device.send(newRequest(codes.PUT, 1, []byte("data"), timeLeft))
+			for range 2 {
+				device.expect(codes.Ping)
+				device.send(message.Message{Code: codes.Pong})
+			}
+			device.expect(codes.Ping) // this one gets no Pong
+			<-device.closed
+			synctest.Wait()
+			if submitted, canceled, _ := loop.counts(); submitted != 1 || canceled != 1 {
+				t.Errorf("%d submitted, %d canceled", submitted, canceled)
+			}
+		})
+	})
+	t.Run("idle connection", func(t *testing.T) {
+		withDevice(t, 4096, nil, func(server *Server, _ *fakeLoop, device *testDevice) {
+			start := time.Now()
+			device.expect(codes.Ping)
+			if elapsed := time.Since(start); elapsed < time.Minute/2 {
+				t.Errorf("Ping after %v", elapsed)
+			}
+			device.send(message.Message{Code: codes.Pong})
+			synctest.Wait()
+			time.Sleep(30 * time.Second)
+			if server.ConnCount() != 1 {
+				t.Error("the connection of an idle device that answers was closed")
+			}
+		})
+	})
+	t.Run("no CSM", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			server := newTestServer(&fakeLoop{})
+			device := connect(t, server)
+			<-device.closed
+			if server.Metrics.Get("device_connections_silent") != 1 {
+				t.Error("not counted")
+			}
+			server.Shutdown()
+		})
+	})
+}
+
+// A device that does not read its response loses its connection, and the response is not reported as written.
+func TestWriteTimeout(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		loop := &fakeLoop{onSubmit: respondWith(lifecycle.Response{Result: make([]byte, 3000)})}
+		server := newTestServer(loop)
+		deviceEnd, serverEnd := net.Pipe()
+		server.StartConn(serverEnd)
+		csm := message.Message{Code: codes.CSM, Options: message.Options{coapwire.UintOption(message.TCPMaxMessageSize, 4096)}}
+		mustWrite(t, deviceEnd, coapwire.Encode(csm))
+		mustWrite(t, deviceEnd, coapwire.Encode(newRequest(codes.GET, 1, nil, nil)))
+		time.Sleep(10 * time.Second)
+		synctest.Wait()
+		submitted, canceled, written := loop.counts()
+		if submitted != 1 || canceled != 1 || written != 0 || server.ConnCount() != 0 {
+			t.Errorf("%d submitted, %d canceled, %d written, %d connections", submitted, canceled, written, server.ConnCount())
+		}
+		deviceEnd.Close()
+		server.Shutdown()
+	})
+}
--- /dev/null
+++ b/internal/frontend/coapserver/request_test.go
@@ -0,0 +1,70 @@
+package coapserver
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/lifecycle"
+)
+
+// Requests beyond the limits are rejected, or fail if an earlier copy may have been executed; those that the Loop does
+// not respond to get a response when their time is up.
+func TestRejectedRequests(t *testing.T) {
+	retry := addOption(message.Option{ID: coapwire.OptRetry})
+	t.Run("too many pending", func(t *testing.T) {
+		withDevice(t, 4096, nil, func(_ *Server, loop *fakeLoop, device *testDevice) {
+			device.send(newRequest(codes.GET, 1, nil, nil))
+			device.send(newRequest(codes.GET, 2, nil, nil))
+			device.send(newRequest(codes.GET, 3, nil, nil))
+			if m := device.expect(codes.TooManyRequests); m.Token[0] != 3 {
+				t.Errorf("token %d", m.Token[0])
+			}
+			device.send(newRequest(codes.PUT, 4, []byte("x"), retry))
+			device.expect(codes.BadGateway)
+			start := time.Now()
+			device.expect(codes.Ping)
+			device.send(message.Message{Code: codes.Pong})
+			device.expect(codes.GatewayTimeout)
+			device.expect(codes.GatewayTimeout)
+			synctest.Wait()
+			if _, canceled, _ := loop.counts(); canceled != 2 || time.Since(start) > 3*time.Second {
+				t.Errorf("%d canceled after %v", canceled, time.Since(start))
+			}
+		})
+	})
+	t.Run("inbox full", func(t *testing.T) {
+		withDevice(t, 4096, nil, func(_ *Server, loop *fakeLoop, device *testDevice) {
+			loop.full = true
+			device.send(newRequest(codes.PUT, 1, []byte("x"), nil))
+			device.expect(codes.ServiceUnavailable)
+			device.send(newRequest(codes.PUT, 2, []byte("x"), retry))
+			device.expect(codes.BadGateway)
+		})
+	})
+}
+
+// A request whose last byte arrives when its time is up still gets the Loop's response, not the timer's: an earlier copy
+// may have been answered as served.
+func TestResponseTimerWaitsForLoop(t *testing.T) {
+	slow := func(r *lifecycle.Request) {
+		time.Sleep(5 * time.Millisecond)
+		r.Respond(lifecycle.Response{Kind: lifecycle.Served, Result: []byte("kept"), Cached: true})
+	}
+	withDevice(t, 4096, slow, func(_ *Server, loop *fakeLoop, device *testDevice) {
+		timeLeft := setOption(coapwire.UintOption(coapwire.OptTimeLeft, 200))
+		frame := coapwire.Encode(newRequest(codes.PUT, 1, []byte("x"), timeLeft))
+		device.sendBytes(frame[:len(frame)-1])
+		time.Sleep(500 * time.Millisecond)
+		device.sendBytes(frame[len(frame)-1:])
+		device.expect(codes.Changed)
+		synctest.Wait()
+		if _, canceled, _ := loop.counts(); canceled != 0 {
+			t.Errorf("%d requests expired", canceled)
+		}
+	})
+}
--- /dev/null
+++ b/internal/frontend/coapserver/server_test.go
@@ -0,0 +1,95 @@
+package coapserver
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/plgd-dev/go-coap/v3/message"
+	"github.com/plgd-dev/go-coap/v3/message/codes"
+
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed"
+)
+
+// Drain asks devices to leave, also those that connect later; Shutdown waits for pending requests.
+func TestDrain(t *testing.T) {
+	withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
+		device.send(newRequest(codes.GET, 1, nil, nil))
+		synctest.Wait()
+		idle := connect(t, server)
+		idle.handshake(4096)
+		server.Drain()
+		if holdOff, _ := device.expect(codes.Release).Options.GetUint32(message.TCPHoldOff); holdOff != 3 {
+			t.Errorf("hold off %d s", holdOff)
+		}
+		idle.expect(codes.Release)
+		connectedLater := connect(t, server)
+		connectedLater.expect(codes.CSM)
+		connectedLater.expect(codes.Release)
+		shutDown := make(chan bool)
+		go func() { server.Shutdown(); close(shutDown) }()
+		<-idle.closed
+		synctest.Wait()
+		select {
+		case <-shutDown:
+			t.Error("ended with a request pending")
+		default:
+		}
+		loop.submitted[0].Respond(lifecycle.Response{Result: []byte("late")})
+		device.expect(codes.Content)
+		<-shutDown
+	})
+}
+
+// A connection beyond MaxConns replaces the one that has been idle for the longest time.
+func TestConnectionLimitEvictsIdle(t *testing.T) {
+	withDevice(t, 4096, nil, func(server *Server, _ *fakeLoop, device *testDevice) {
+		device.send(newRequest(codes.GET, 1, nil, nil)) // not idle, so it stays
+		var idle []*testDevice
+		for range 3 {
+			time.Sleep(time.Millisecond)
+			connected := connect(t, server)
+			connected.handshake(4096)
+			idle = append(idle, connected)
+		}
+		synctest.Wait()
+		time.Sleep(time.Millisecond)
+		last := connect(t, server)
+		<-idle[0].closed
+		last.handshake(4096)
+		if count := server.ConnCount(); count != 4 {
+			t.Errorf("%d connections", count)
+		}
+	})
+}
+
+// serve runs the server on a listener until that is closed, and reports any other error.
+func serve(t testing.TB, server *Server, listener net.Listener) {
+	if err := server.Serve(listener); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Serve: %v", err)
+	}
+}
+
+// A device gets the last message of a connection, not a reset, though the server has not read all that it sent.
+func TestLastMessageOutlivesBytesNotRead(t *testing.T) {
+	listener := testbed.Listen(t)
+	server := newTestServer(&fakeLoop{})
+	go serve(t, server, listener)
+	var dialer net.Dialer
+	netConn, err := dialer.DialContext(t.Context(), "tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer netConn.Close()
+	// This is no CSM, and more than the server reads at once.
+	mustWrite(t, netConn, append([]byte{0x00, byte(codes.GET)}, make([]byte, 64<<10)...))
+	got, err := io.ReadAll(netConn)
+	if err != nil || !bytes.Contains(got, []byte("the first message must be a CSM")) {
+		t.Errorf("%q, then %v", got, err)
+	}
+}
