--- a/internal/frontend/coapserver/read_test.go
+++ b/internal/frontend/coapserver/read_test.go
@@ -21,7 +21,7 @@
 			device.sendBytes(frame[:len(frame)-2])
 			<-device.closed
 			synctest.Wait()
-			if submitted, _, _ := loop.counts(); submitted != 0 || server.Metrics.Get("device_connections_dead") != 1 {
+			if submitted, _, _ := loop.counts(); submitted != 0 || server.Metrics.Get("device_connections_idle_timeout") != 1 {
 				t.Errorf("%d submitted of an incomplete frame", submitted)
 			}
 		})
@@ -62,7 +62,7 @@
 			server := newTestServer(&fakeLoop{})
 			device := connect(t, server)
 			<-device.closed
-			if server.Metrics.Get("device_connections_silent") != 1 {
+			if server.Metrics.Get("device_connections_csm_timeout") != 1 {
 				t.Error("not counted")
 			}
 			server.Shutdown()
