--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -6,7 +6,6 @@
 	"crypto/sha256"
 	"errors"
 	"fmt"
-	"io"
 	"math"
 	"net"
 	"net/http"
@@ -14,114 +13,95 @@
 	"sync/atomic"
 	"time"
 
-	"gaugerelay/internal/httpmessage"
-	"gaugerelay/internal/scheduler"
-
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/frontend/requestparse"
 	"gaugerelay/internal/lifecycle"
 )
 
-// This file is what the front does otherwise for devices on poor links.
+// This file holds what the frontend does differently for devices on poor links.
 //
 //	X-Device-Id         the device's name, on every request
 //	Idempotency-Key     of a write, or X-Correlation-Id of a read: names the exchange, the same on every copy
-//	X-Repeat: 1         this has been sent before, to its last byte
+//	X-Repeat: 1         the request has been sent before, to its last byte
 //	X-Age-Ms            how long ago it was first sent
-//	X-Gateway           in answers: how the gateway names itself, another at each start
-//	X-Sent-To           the X-Gateway that the device had heard when it first sent this; all copies went there
-//	X-Round-Trip-Ms     what the device has measured of its link: here it can't be, and time counts from its sending
-//	ETag, Range, If-Range, 206  an answer that was cut off continues where it stopped
+//	X-Gateway           in responses: the gateway's id, another one after each start
+//	X-Sent-To           the X-Gateway that the device knew when it first sent the request; all copies went there
+//	X-Round-Trip-Ms     what the device has measured of its link: it can't be measured here
+//	ETag, Range, If-Range, 206  a response that was cut off continues where it stopped
 
-// timed measures how a body comes in.
-type timed struct {
-	r             io.Reader
-	clock         clock.Clock
-	began, last   float64
-	n             int
-	longest, span float64
-}
+// sentAfterKey is the context key of a connection's time, as bits of a float64, after which what arrives now was sent: when it
+// was opened, or when the last response ended.
+type sentAfterKey struct{}
 
-func (t *timed) Read(p []byte) (int, error) {
-	if t.began == 0 {
-		t.began = t.clock.NowMs()
-		t.last = t.began
-	}
-	n, err := t.r.Read(p)
-	now := t.clock.NowMs()
-	if n > 0 {
-		t.longest = max(t.longest, now-t.last)
-		t.last, t.n, t.span = now, t.n+n, now-t.began
-	}
-	return n, err
+// ConnContext prepares a connection of a device. It is for http.Server.ConnContext.
+func (h *Handler) ConnContext(ctx context.Context, _ net.Conn) context.Context {
+	sentAfter := &atomic.Uint64{}
+	sentAfter.Store(math.Float64bits(h.Clock.NowMs()))
+	return context.WithValue(ctx, sentAfterKey{}, sentAfter)
 }
 
-// measured is what that tells of the link. What comes all at once tells of buffers, not of the link.
-func (t *timed) measured() lifecycle.LinkSample {
-	if t.span < 1 {
-		return lifecycle.LinkSample{}
+// sentAfter returns the time of sentAfterKey, or 0 if ConnContext did not prepare the connection.
+func (h *Handler) sentAfter(ctx context.Context) *atomic.Uint64 {
+	if sentAfter, ok := ctx.Value(sentAfterKey{}).(*atomic.Uint64); ok {
+		return sentAfter
 	}
-	return lifecycle.LinkSample{Bytes: t.n, BytesMs: t.span, GapMs: t.longest}
+	return &atomic.Uint64{}
 }
 
-// since holds, in a connection's context, the time after which whatever comes now was sent: its connecting, or the
-// end of the answer before.
-type since struct{}
-
-// ConnContext is an http.Server's, for a front for devices.
-func (f *Handler) ConnContext(ctx context.Context, _ net.Conn) context.Context {
-	at := &atomic.Uint64{}
-	at.Store(math.Float64bits(f.Clock.NowMs()))
-	return context.WithValue(ctx, since{}, at)
-}
-
-// after is that time.
-func (f *Handler) after(ctx context.Context) *atomic.Uint64 {
-	if at, ok := ctx.Value(since{}).(*atomic.Uint64); ok {
-		return at
+// makeDeviceRequest makes a parsed request a copy of an exchange.
+func (h *Handler) makeDeviceRequest(parsed *parsedRequest, r *http.Request) error {
+	device := requestparse.DeviceFields{
+		DeviceID:        r.Header.Get("X-Device-Id"),
+		ReadID:          parsed.fields.CorrelationID,
+		AgeMs:           -1,
+		PreviousGateway: r.Header.Get("X-Sent-To"),
+		Link:            parsed.link,
 	}
-	return &atomic.Uint64{} // long ago
-}
-
-// device makes a request a copy of an exchange.
-func (f *Handler) device(req *lifecycle.Request, class *scheduler.Class, fields requestparse.Fields, r *http.Request, load *httpmessage.Request, link lifecycle.LinkSample) error {
-	h := r.Header
-	c := requestparse.DeviceFields{DeviceID: h.Get("X-Device-Id"), ReadID: fields.CorrelationID, AgeMs: -1, PreviousGateway: h.Get("X-Sent-To"), Link: link}
-	if len(h["X-Device-Id"]) > 1 {
+	if len(r.Header["X-Device-Id"]) > 1 {
 		return errors.New("X-Device-Id is there more than once")
 	}
-	for name, at := range map[string]*float64{"X-Age-Ms": &c.AgeMs, "X-Round-Trip-Ms": &c.Link.RoundTripMs} {
-		text := h.Get(name)
-		if text == "" {
-			continue
+	for name, value := range map[string]*float64{"X-Age-Ms": &device.AgeMs, "X-Round-Trip-Ms": &device.Link.RoundTripMs} {
+		if err := parseMilliseconds(r.Header, name, value); err != nil {
+			return err
 		}
-		n, err := strconv.ParseUint(text, 10, 31)
-		if err != nil || len(h[name]) > 1 {
-			return fmt.Errorf("%s is not one whole number", name)
-		}
-		*at = float64(n)
 	}
-	if c.AgeMs >= 0 { // told when it was sent; how long it was on its way is known only to be less than this
-		c.AgeMs += f.Clock.NowMs() - math.Float64frombits(f.after(r.Context()).Load())
+	if device.AgeMs >= 0 { // its age when it was sent; it was on its way for less than this
+		device.AgeMs += h.Clock.NowMs() - math.Float64frombits(h.sentAfter(r.Context()).Load())
 	}
-	if err := requestparse.MakeDeviceRequest(req, class, fields, c, load); err != nil {
+	if err := requestparse.MakeDeviceRequest(parsed.request, parsed.class, parsed.fields, device, parsed.payload); err != nil {
 		return err
 	}
-	req.Device.Body, req.Device.BodyDigest = load.Body, sha256.Sum256(load.Body)
+	body := parsed.payload.Body
+	parsed.request.Device.Body, parsed.request.Device.BodyDigest = body, sha256.Sum256(body)
 	return nil
 }
 
-// serveDevice writes a device's answer, or the part of it that the device lacks, and tells whether that went out.
-func (f *Handler) serveDevice(w http.ResponseWriter, r *http.Request, req *lifecycle.Request, a lifecycle.Response) {
-	body := a.Result.([]byte)
-	began := f.Clock.NowMs()
+// parseMilliseconds reads a header, if it is present, as a whole number.
+func parseMilliseconds(header http.Header, name string, value *float64) error {
+	text := header.Get(name)
+	if text == "" {
+		return nil
+	}
+	number, err := strconv.ParseUint(text, 10, 31)
+	if err != nil || len(header[name]) > 1 {
+		return fmt.Errorf("%s is not one whole number", name)
+	}
+	*value = float64(number)
+	return nil
+}
+
+// writeDeviceResponse writes the response to a device, or the part of it that the device lacks, and reports to the loop
+// whether it was written.
+func (h *Handler) writeDeviceResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, response lifecycle.Response) {
+	body := response.Result.([]byte)
+	startMs := h.Clock.NowMs()
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("ETag", fmt.Sprintf(`"%016x"`, a.ETag))
-	out := &counted{ResponseWriter: w}
-	// Each write may take as long as a usual stall of the link, not the whole answer.
+	w.Header().Set("ETag", fmt.Sprintf(`"%016x"`, response.ETag))
+	out := &countingWriter{ResponseWriter: w}
+	// Each write may take as long as a usual stall of the link, not the whole response.
 	control := http.NewResponseController(w)
-	if a.IdleTimeoutMs > 0 {
-		control.SetWriteDeadline(time.Now().Add(clock.Duration(a.IdleTimeoutMs) + answerTime(len(body))))
+	if response.IdleTimeoutMs > 0 {
+		control.SetWriteDeadline(time.Now().Add(clock.Duration(response.IdleTimeoutMs) + minTransferTime(len(body))))
 	}
 	if r.Method == http.MethodGet {
 		http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
@@ -130,27 +110,8 @@
 		out.Write(body)
 	}
 	if err := control.Flush(); out.err != nil || err != nil {
-		f.Loop.Cancel(req) // the answer is kept
+		h.Loop.Cancel(request) // the response stays cached
 		return
 	}
-	f.Loop.ResponseWritten(req, lifecycle.LinkSample{Bytes: out.n, BytesMs: f.Clock.NowMs() - began})
-}
-
-// answerTime is the least time that an answer gets on the slowest link that is of use: 1 KiB a second.
-func answerTime(bytes int) time.Duration { return time.Duration(bytes) * time.Second / 1024 }
-
-// counted notes what went out.
-type counted struct {
-	http.ResponseWriter
-	n   int
-	err error
-}
-
-func (c *counted) Write(p []byte) (int, error) {
-	n, err := c.ResponseWriter.Write(p)
-	c.n += n
-	if err != nil {
-		c.err = err
-	}
-	return n, err
+	h.Loop.ResponseWritten(request, lifecycle.LinkSample{Bytes: out.bytes, BytesMs: h.Clock.NowMs() - startMs})
 }
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -11,8 +11,9 @@
 	"gaugerelay/internal/lifecycle"
 )
 
+// deviceRequest returns a valid write of a device that change, if not nil, has changed.
 func deviceRequest(change func(*http.Request)) *http.Request {
-	return request(func(r *http.Request) {
+	return newRequest(func(r *http.Request) {
 		r.Header.Set("X-Device-Id", "dev")
 		if change != nil {
 			change(r)
@@ -20,80 +21,82 @@
 	})
 }
 
-func newDeviceFront(take func(*lifecycle.Request)) (*Handler, *fakeLoop) {
-	f, l, _ := newFront(take)
-	f.ServesDevices = true
-	return f, l
+// makeRead turns a valid write into a valid read.
+func makeRead(r *http.Request) {
+	r.Method, r.URL.Path, r.RequestURI = "GET", "/pull/7f3a9c21e0b4d655", "/pull/7f3a9c21e0b4d655?x=%2F"
+	r.Body, r.ContentLength = http.NoBody, 0
+	r.Header.Set("X-Service-Class", "pull")
 }
 
-// A request from a device is a copy of an exchange; what nodes are sent carries names of the gateway's own.
+func newDeviceHandler(onSubmit func(*lifecycle.Request)) *testHandler {
+	h := newTestHandler(onSubmit)
+	h.ServesDevices = true
+	return h
+}
+
+// A request from a device is a copy of an exchange; the request that servers get carries ids of the gateway's own.
 func TestDeviceRequests(t *testing.T) {
-	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte("done"), ETag: 5}))
-	read := func(r *http.Request) {
-		r.Method, r.URL.Path, r.RequestURI = "GET", "/pull/7f3a9c21e0b4d655", "/pull/7f3a9c21e0b4d655?x=%2F"
-		r.Body, r.ContentLength = http.NoBody, 0
-		r.Header.Set("X-Service-Class", "pull")
-		r.Header.Del("Idempotency-Key")
-	}
-	for _, change := range []func(*http.Request){nil, func(r *http.Request) { r.Header.Set("X-Correlation-Id", "other") },
-		func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("DATA")), 4 }, read,
-		func(r *http.Request) { read(r); r.Header.Set("X-Correlation-Id", "other") }} {
-		w := httptest.NewRecorder()
-		f.ServeHTTP(w, deviceRequest(change))
+	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte("done"), ETag: 5}))
+	otherID := func(r *http.Request) { r.Header.Set("X-Correlation-Id", "other") }
+	otherBody := func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("DATA")), 4 }
+	read := func(r *http.Request) { makeRead(r); r.Header.Del("Idempotency-Key") }
+	readOtherID := func(r *http.Request) { read(r); otherID(r) }
+	for _, change := range []func(*http.Request){nil, otherID, otherBody, read, readOtherID} {
+		w := h.serve(deviceRequest(change))
 		if w.Code != 200 || w.Body.String() != "done" || w.Header().Get("ETag") != `"0000000000000005"` {
 			t.Errorf("%d %q %v", w.Code, w.Body, w.Header())
 		}
 	}
-	d := func(i int) *lifecycle.DeviceRequest { return l.taken[i].Device }
-	if d(0).Key != d(1).Key || d(0).HeadDigest != d(1).HeadDigest || d(0).BodyDigest != d(1).BodyDigest || d(0).Key != d(2).Key || d(0).BodyDigest == d(2).BodyDigest {
-		t.Error("copies of a write are told by its key and its content, whatever their ids")
+	device := func(i int) *lifecycle.DeviceRequest { return h.loop.submitted[i].Device }
+	if device(0).Key != device(1).Key || device(0).HeadDigest != device(1).HeadDigest || device(0).BodyDigest != device(1).BodyDigest ||
+		device(0).Key != device(2).Key || device(0).BodyDigest == device(2).BodyDigest {
+		t.Error("copies of a write are identified by its key and its content, whatever their ids")
 	}
-	if d(3).Key == d(4).Key || d(3).Key == d(0).Key || d(3).HeadDigest == d(0).HeadDigest {
-		t.Error("reads are told by their ids")
+	if device(3).Key == device(4).Key || device(3).Key == device(0).Key || device(3).HeadDigest == device(0).HeadDigest {
+		t.Error("reads are identified by their ids")
 	}
-	load := d(0).BuildPayload("run-1", []byte("body")).(*httpmessage.Request)
-	if load.Header.Get("X-Correlation-Id") != "run-1" || load.Header.Get("Idempotency-Key") == "k1" || string(load.Body) != "body" ||
-		load.Header.Get("X-Device-Id") != "" || load.Path != "/push/7f3a9c21e0b4d655" || load.RawQuery != "x=%2F" {
-		t.Errorf("sent on as %+v", load)
+	payload := device(0).BuildPayload("run-1", []byte("body")).(*httpmessage.Request)
+	if payload.Header.Get("X-Correlation-Id") != "run-1" || payload.Header.Get("Idempotency-Key") == "k1" || string(payload.Body) != "body" ||
+		payload.Header.Get("X-Device-Id") != "" || payload.Path != "/push/7f3a9c21e0b4d655" || payload.RawQuery != "x=%2F" {
+		t.Errorf("forwarded as %+v", payload)
 	}
-	if len(l.written) != 5 || l.gone != 0 {
-		t.Errorf("%d written, %d gone", len(l.written), l.gone)
+	if len(h.loop.written) != 5 || h.loop.canceled != 0 {
+		t.Errorf("%d written, %d canceled", len(h.loop.written), h.loop.canceled)
 	}
 }
 
 func TestMalformedDeviceRequests(t *testing.T) {
-	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte("done")}))
+	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte("done")}))
 	for name, change := range map[string]func(*http.Request){
-		"no device":      func(r *http.Request) { r.Header.Del("X-Device-Id") },
-		"two devices":    func(r *http.Request) { r.Header.Add("X-Device-Id", "dev2") },
-		"a device's CR":  func(r *http.Request) { r.Header.Set("X-Device-Id", "a b") },
-		"no key":         func(r *http.Request) { r.Header.Del("Idempotency-Key") },
-		"an age":         func(r *http.Request) { r.Header.Set("X-Age-Ms", "-1") },
-		"two ages":       func(r *http.Request) { r.Header["X-Age-Ms"] = []string{"1", "2"} },
-		"a round trip":   func(r *http.Request) { r.Header.Set("X-Round-Trip-Ms", "fast") },
-		"a write by GET": func(r *http.Request) { r.Method, r.Body, r.ContentLength = "GET", http.NoBody, 0 },
+		"no device":       func(r *http.Request) { r.Header.Del("X-Device-Id") },
+		"two devices":     func(r *http.Request) { r.Header.Add("X-Device-Id", "dev2") },
+		"blank in device": func(r *http.Request) { r.Header.Set("X-Device-Id", "a b") },
+		"no key":          func(r *http.Request) { r.Header.Del("Idempotency-Key") },
+		"negative age":    func(r *http.Request) { r.Header.Set("X-Age-Ms", "-1") },
+		"two ages":        func(r *http.Request) { r.Header["X-Age-Ms"] = []string{"1", "2"} },
+		"round trip":      func(r *http.Request) { r.Header.Set("X-Round-Trip-Ms", "fast") },
+		"write by GET":    func(r *http.Request) { r.Method, r.Body, r.ContentLength = "GET", http.NoBody, 0 },
 	} {
-		w := httptest.NewRecorder()
-		f.ServeHTTP(w, deviceRequest(change))
-		if w.Code != 400 || len(l.taken) != 0 {
-			t.Errorf("%s: %d, %d taken", name, w.Code, len(l.taken))
-		}
+		t.Run(name, func(t *testing.T) {
+			w := h.serve(deviceRequest(change))
+			if w.Code != 400 || len(h.loop.submitted) != 0 {
+				t.Errorf("%d, %d submitted", w.Code, len(h.loop.submitted))
+			}
+		})
 	}
-	w := httptest.NewRecorder()
-	f.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
-	if w.Code == 200 {
+	if w := h.serve(httptest.NewRequest("GET", "/metrics", nil)); w.Code == 200 {
 		t.Error("devices read the operators' counters")
 	}
 }
 
-// An answer that broke off continues where it stopped, if it is still the same one.
-func TestAnswersContinue(t *testing.T) {
+// A response that was cut off continues where it stopped, if it is still the same one.
+func TestRangeRequests(t *testing.T) {
 	body := strings.Repeat("0123456789", 500)
-	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte(body), ETag: 0xabc}))
-	for _, c := range []struct {
-		span, match string
-		code        int
-		want        string
+	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte(body), ETag: 0xabc}))
+	for _, test := range []struct {
+		byteRange, ifRange string
+		code               int
+		want               string
 	}{
 		{"", "", 200, body},
 		{"bytes=4000-", `"0000000000000abc"`, 206, body[4000:]},
@@ -101,69 +104,62 @@
 		{"bytes=4990-4994", "", 206, body[4990:4995]},
 		{"bytes=9999-", "", 416, ""},
 	} {
-		w := httptest.NewRecorder()
-		f.ServeHTTP(w, deviceRequest(func(r *http.Request) {
-			r.Method, r.URL.Path, r.RequestURI = "GET", "/pull/7f3a9c21e0b4d655", "/pull/7f3a9c21e0b4d655?x=%2F"
-			r.Body, r.ContentLength = http.NoBody, 0
-			r.Header.Set("X-Service-Class", "pull")
-			if c.span != "" {
-				r.Header.Set("Range", c.span)
+		w := h.serve(deviceRequest(func(r *http.Request) {
+			makeRead(r)
+			if test.byteRange != "" {
+				r.Header.Set("Range", test.byteRange)
 			}
-			if c.match != "" {
-				r.Header.Set("If-Range", c.match)
+			if test.ifRange != "" {
+				r.Header.Set("If-Range", test.ifRange)
 			}
 		}))
-		if w.Code != c.code || c.want != "" && w.Body.String() != c.want {
-			t.Errorf("%+v: %d, %d bytes", c, w.Code, w.Body.Len())
+		if w.Code != test.code || test.want != "" && w.Body.String() != test.want {
+			t.Errorf("%+v: %d, %d bytes", test, w.Code, w.Body.Len())
 		}
 	}
-	if len(l.taken) != 5 {
-		t.Errorf("%d taken", len(l.taken))
+	if len(h.loop.submitted) != 5 {
+		t.Errorf("%d submitted", len(h.loop.submitted))
 	}
 }
 
-// The answers that only devices get, and what a full inbox means to a copy that may have run.
-func TestDeviceAnswers(t *testing.T) {
-	f, _ := newDeviceFront(answering(lifecycle.Response{Kind: lifecycle.Conflict}))
-	w := httptest.NewRecorder()
-	f.ServeHTTP(w, deviceRequest(nil))
-	if w.Code != 409 || w.Header().Get("Connection") == "close" {
+// The responses that only devices get, and what a full inbox means to a copy that may have been executed.
+func TestDeviceResponses(t *testing.T) {
+	h := newDeviceHandler(respondWith(lifecycle.Response{Kind: lifecycle.Conflict}))
+	if w := h.serve(deviceRequest(nil)); w.Code != 409 || w.Header().Get("Connection") == "close" {
 		t.Errorf("%d %v", w.Code, w.Header())
 	}
-	f, _ = newDeviceFront(answering(lifecycle.Response{Kind: lifecycle.Superseded}))
+	h = newDeviceHandler(respondWith(lifecycle.Response{Kind: lifecycle.Superseded}))
 	func() {
 		defer func() {
 			if r := recover(); r != http.ErrAbortHandler {
 				t.Errorf("a superseded connection ends by %v", r)
 			}
 		}()
-		f.ServeHTTP(httptest.NewRecorder(), deviceRequest(nil))
+		h.serve(deviceRequest(nil))
 	}()
-	f, l := newDeviceFront(nil)
-	l.full = true
-	for repeat, want := range map[string]int{"": 503, "1": 502} {
-		w = httptest.NewRecorder()
-		f.ServeHTTP(w, deviceRequest(func(r *http.Request) { r.Header.Set("X-Repeat", repeat) }))
+	h = newDeviceHandler(nil)
+	h.loop.full = true
+	for retry, want := range map[string]int{"": 503, "1": 502} {
+		w := h.serve(deviceRequest(func(r *http.Request) { r.Header.Set("X-Repeat", retry) }))
 		if w.Code != want {
-			t.Errorf("a full inbox, repeat %q: %d", repeat, w.Code)
+			t.Errorf("a full inbox, X-Repeat %q: %d", retry, w.Code)
 		}
 	}
 }
 
-// A told age grows by all the time in which the copy may have been on its way: since its connection began, or since
-// the answer before.
-func TestAgesOnTheWay(t *testing.T) {
-	f, l := newDeviceFront(answering(lifecycle.Response{Result: []byte("done")}))
-	clock := f.Clock.(interface{ Advance(float64) })
-	ctx := f.ConnContext(t.Context(), nil)
+// The age that a device gives grows by all the time in which the copy may have been on its way: since its connection was
+// opened, or since the last response.
+func TestAgeIncludesTimeOnTheWay(t *testing.T) {
+	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte("done")}))
+	ctx := h.ConnContext(t.Context(), nil)
 	for _, want := range []float64{100 + 700, 100 + 300} {
-		clock.Advance(want - 100)
-		f.ServeHTTP(httptest.NewRecorder(), deviceRequest(func(r *http.Request) {
+		h.now.Advance(want - 100)
+		h.serve(deviceRequest(func(r *http.Request) {
 			*r = *r.WithContext(ctx)
 			r.Header.Set("X-Repeat", "1")
 			r.Header.Set("X-Age-Ms", "100")
 		}))
-		if got := l.taken[len(l.taken)-1].Device.AgeMs; got != want {
+		if got := h.loop.submitted[len(h.loop.submitted)-1].Device.AgeMs; got != want {
 			t.Errorf("age %v, want %v", got, want)
 		}
 	}
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -50,34 +50,34 @@
 	return out.String()
 }
 
-// exchangeRaw writes a request to a server of the front and returns all bytes of its response.
-func exchangeRaw(t *testing.T, f *Handler, request string) []byte {
+// exchangeRaw writes a request to a server of the handler and returns all bytes of its response.
+func exchangeRaw(t *testing.T, h *Handler, request string) []byte {
 	t.Helper()
 	ln := testbed.Listen(t)
-	conns := &ConnTracker{MaxOpen: 9, Clock: f.Clock, Metrics: f.Metrics}
-	server := &http.Server{Handler: f, ConnState: conns.ConnState, ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-		return conns.ConnContext(f.ConnContext(ctx, nc), nc)
+	tracker := &ConnTracker{MaxOpen: 9, Clock: h.Clock, Metrics: h.Metrics}
+	server := &http.Server{Handler: h, ConnState: tracker.ConnState, ConnContext: func(ctx context.Context, netConn net.Conn) context.Context {
+		return tracker.ConnContext(h.ConnContext(ctx, netConn), netConn)
 	}}
-	go server.Serve(conns.LimitListener(ln, 9))
+	go server.Serve(tracker.LimitListener(ln, 9))
 	t.Cleanup(func() { server.Close() })
-	nc, err := net.Dial("tcp", ln.Addr().String())
+	netConn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	// The second request ends the connection behind the response to the first.
-	io.WriteString(nc, request+"GET /ready HTTP/1.0\r\n\r\n")
-	wire, err := io.ReadAll(nc)
+	defer netConn.Close()
+	// The second request ends the connection after the response to the first.
+	io.WriteString(netConn, request+"GET /ready HTTP/1.0\r\n\r\n")
+	wire, err := io.ReadAll(netConn)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return dateHeader.ReplaceAll(wire, []byte("Date: DATE"))
 }
 
-func TestGoldenAnswers(t *testing.T) {
-	for name, c := range map[string]struct {
-		request string
-		answer  lifecycle.Response
+func TestGoldenResponses(t *testing.T) {
+	for name, test := range map[string]struct {
+		request  string
+		response lifecycle.Response
 	}{
 		"served-write":    {goldenWrite, lifecycle.Response{Result: []byte("\x00raw\r\n\xff")}},
 		"served-read":     {goldenRead, lifecycle.Response{Result: []byte("content")}},
@@ -89,20 +89,20 @@
 		"duplicate-id":    {goldenWrite, lifecycle.Response{Kind: lifecycle.DuplicateID}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _, _ := newFront(answering(c.answer))
-			compareGolden(t, "answer-"+name, quoteLines(exchangeRaw(t, f, c.request)))
+			h := newTestHandler(respondWith(test.response))
+			compareGolden(t, "answer-"+name, quoteLines(exchangeRaw(t, h.Handler, test.request)))
 		})
 	}
 }
 
-func TestGoldenDeviceAnswers(t *testing.T) {
+func TestGoldenDeviceResponses(t *testing.T) {
 	device := func(request, header string) string {
 		return strings.Replace(request, "X-Plan:", "X-Device-Id: dev\r\n"+header+"X-Plan:", 1)
 	}
 	read := strings.Replace(goldenRead, "X-Correlation-Id: id-1", "X-Correlation-Id: id-1\r\nIdempotency-Key: k1", 1)
-	for name, c := range map[string]struct {
-		request string
-		answer  lifecycle.Response
+	for name, test := range map[string]struct {
+		request  string
+		response lifecycle.Response
 	}{
 		"write":         {device(goldenWrite, ""), lifecycle.Response{Result: []byte("done"), ETag: 0xabc}},
 		"read":          {device(read, ""), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
@@ -113,15 +113,15 @@
 		"conflict":      {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Conflict}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _ := newDeviceFront(answering(c.answer))
-			f.GatewayID = "gateway-1"
-			compareGolden(t, "device-"+name, quoteLines(exchangeRaw(t, f, c.request)))
+			h := newDeviceHandler(respondWith(test.response))
+			h.GatewayID = "gateway-1"
+			compareGolden(t, "device-"+name, quoteLines(exchangeRaw(t, h.Handler, test.request)))
 		})
 	}
 }
 
 func TestGoldenMalformed(t *testing.T) {
-	for name, c := range map[string]struct{ old, new string }{
+	for name, test := range map[string]struct{ old, new string }{
 		"method":       {"PUT", "DELETE"},
 		"no-time":      {"X-Time-Left-Ms: 480\r\n", ""},
 		"no-id":        {"X-Correlation-Id: id-1\r\n", ""},
@@ -137,35 +137,35 @@
 		"double-slash": {"/push/", "/push//"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _, _ := newFront(answering(lifecycle.Response{}))
-			request := strings.Replace(goldenWrite, c.old, c.new, 1)
-			compareGolden(t, "malformed-"+name, quoteLines(exchangeRaw(t, f, request)))
+			h := newTestHandler(respondWith(lifecycle.Response{}))
+			request := strings.Replace(goldenWrite, test.old, test.new, 1)
+			compareGolden(t, "malformed-"+name, quoteLines(exchangeRaw(t, h.Handler, request)))
 		})
 	}
 }
 
-func TestGoldenOperators(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestGoldenStatusPaths(t *testing.T) {
+	for name, test := range map[string]struct {
 		path   string
-		change func(*Handler, *fakeLoop)
+		change func(*testHandler)
 	}{
-		"ready":           {"/ready", func(*Handler, *fakeLoop) {}},
-		"not-ready":       {"/ready", func(_ *Handler, l *fakeLoop) { l.unready = true }},
-		"ready-draining":  {"/ready", func(f *Handler, _ *fakeLoop) { f.Drain(1e12 + 100) }},
-		"closing":         {"/ready", func(f *Handler, _ *fakeLoop) { f.DisableKeepAlives() }},
-		"metrics-empty":   {"/metrics", func(*Handler, *fakeLoop) {}},
-		"metrics-several": {"/metrics", func(f *Handler, _ *fakeLoop) { f.Metrics.Add("b_second", 3); f.Metrics.Add("a_first", 12) }},
+		"ready":           {"/ready", func(*testHandler) {}},
+		"not-ready":       {"/ready", func(h *testHandler) { h.loop.unready = true }},
+		"ready-draining":  {"/ready", func(h *testHandler) { h.Drain(1e12 + 100) }},
+		"closing":         {"/ready", func(h *testHandler) { h.DisableKeepAlives() }},
+		"metrics-empty":   {"/metrics", func(*testHandler) {}},
+		"metrics-several": {"/metrics", func(h *testHandler) { h.Metrics.Add("b_second", 3); h.Metrics.Add("a_first", 12) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, l, _ := newFront(nil)
-			c.change(f, l)
-			compareGolden(t, "operator-"+name, quoteLines(exchangeRaw(t, f, "GET "+c.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
+			h := newTestHandler(nil)
+			test.change(h)
+			compareGolden(t, "operator-"+name, quoteLines(exchangeRaw(t, h.Handler, "GET "+test.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
 		})
 	}
 }
 
 func TestGoldenFullInbox(t *testing.T) {
-	f, l, _ := newFront(nil)
-	l.full = true
-	compareGolden(t, "answer-full-inbox", quoteLines(exchangeRaw(t, f, goldenWrite)))
+	h := newTestHandler(nil)
+	h.loop.full = true
+	compareGolden(t, "answer-full-inbox", quoteLines(exchangeRaw(t, h.Handler, goldenWrite)))
 }
--- /dev/null
+++ b/internal/frontend/httpserver/request.go
@@ -0,0 +1,149 @@
+package httpserver
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/textproto"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"gaugerelay/internal/frontend/requestparse"
+	"gaugerelay/internal/httpmessage"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/scheduler"
+)
+
+// uniqueHeaders must not be repeated: a server might read another value than this gateway.
+var uniqueHeaders = [...]string{"X-Correlation-Id", "X-Service-Class", "X-Plan", "X-Time-Left-Ms", "X-IO", "X-Repeat",
+	"Idempotency-Key", "Content-Type"}
+
+// malformedError rejects a request with another status than 400. Its text is sent to the client.
+type malformedError struct {
+	status int
+	text   string
+}
+
+// Error implements error.
+func (e *malformedError) Error() string { return e.text }
+
+var errBodyTooLarge = &malformedError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
+
+// parsedRequest is a request with the parts that only devices need.
+type parsedRequest struct {
+	request *lifecycle.Request
+	class   *scheduler.Class
+	fields  requestparse.Fields
+	payload *httpmessage.Request
+	link    lifecycle.LinkSample // how the body arrived
+}
+
+// parseRequest reads a client's request. The text of its error is sent to the client, with status 400 unless the error is a
+// malformedError. A malformed request never reaches the scheduler.
+func (h *Handler) parseRequest(r *http.Request) (*lifecycle.Request, error) {
+	if err := checkForm(r); err != nil {
+		return nil, err
+	}
+	parsed := &parsedRequest{}
+	var err error
+	if parsed.fields, err = parseFields(r); err != nil {
+		return nil, err
+	}
+	if parsed.request, parsed.class, err = requestparse.Parse(h.Settings, parsed.fields); err != nil {
+		return nil, err
+	}
+	body, link, err := h.readBody(r)
+	if err != nil {
+		return nil, err
+	}
+	parsed.link = link
+	parsed.payload = newPayload(r, parsed.fields, body)
+	parsed.request.Upstream, parsed.request.Payload = h.Upstream, parsed.payload
+	if h.ServesDevices {
+		if err := h.makeDeviceRequest(parsed, r); err != nil {
+			return nil, err
+		}
+	}
+	return parsed.request, nil
+}
+
+// checkForm rejects a request whose framing, method, target or headers servers might read differently.
+func checkForm(r *http.Request) error {
+	// net/http drops a Content-Length that comes with a Transfer-Encoding, as RFC 9112 allows, so both together can't be told
+	// here from the latter alone. What another reader takes for the body may hide a request that this one would serve, so a
+	// length is required.
+	if len(r.TransferEncoding) > 0 || r.ContentLength < 0 {
+		return &malformedError{http.StatusLengthRequired, "a Content-Length is required, and no Transfer-Encoding"}
+	}
+	if r.Method != http.MethodGet && r.Method != http.MethodPut {
+		return &malformedError{http.StatusMethodNotAllowed, "GET or PUT"}
+	}
+	forwarded := url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery}
+	if r.RequestURI != forwarded.RequestURI() || strings.Contains(r.URL.Path, "//") {
+		return errors.New("a target that could not be passed on unchanged")
+	}
+	for _, name := range uniqueHeaders {
+		if len(r.Header[textproto.CanonicalMIMEHeaderKey(name)]) > 1 {
+			return fmt.Errorf("%s is there more than once", name)
+		}
+	}
+	return nil
+}
+
+// parseFields reads the headers of a request.
+func parseFields(r *http.Request) (requestparse.Fields, error) {
+	remainingMs, err := strconv.ParseUint(r.Header.Get("X-Time-Left-Ms"), 10, 31)
+	if err != nil {
+		return requestparse.Fields{}, errors.New("X-Time-Left-Ms is not a whole number")
+	}
+	fields := requestparse.Fields{
+		Method:         r.Method,
+		Path:           r.URL.Path,
+		Class:          r.Header.Get("X-Service-Class"),
+		Plan:           r.Header.Get("X-Plan"),
+		IO:             r.Header.Get("X-IO"),
+		CorrelationID:  r.Header.Get("X-Correlation-Id"),
+		IdempotencyKey: r.Header.Get("Idempotency-Key"),
+		RemainingMs:    remainingMs,
+		IsRetry:        r.Header.Get("X-Repeat") == "1",
+	}
+	if !requestparse.IsIdentifier(fields.CorrelationID) {
+		return requestparse.Fields{}, errors.New("X-Correlation-Id is missing, too long or not plain text")
+	}
+	return fields, nil
+}
+
+// readBody reads the body of a request and measures how it arrives.
+func (h *Handler) readBody(r *http.Request) ([]byte, lifecycle.LinkSample, error) {
+	var link lifecycle.LinkSample
+	if r.Method == http.MethodGet && r.ContentLength > 0 {
+		return nil, link, errors.New("a read has no body")
+	}
+	if r.ContentLength > httpmessage.MaxBodyBytes { // none of it is read
+		return nil, link, errBodyTooLarge
+	}
+	reader := &timedReader{reader: r.Body, clock: h.Clock}
+	body, err := io.ReadAll(http.MaxBytesReader(nil, io.NopCloser(reader), httpmessage.MaxBodyBytes))
+	if err != nil {
+		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
+			return nil, link, errBodyTooLarge
+		}
+		return nil, link, errors.New("the body is not whole")
+	}
+	return body, reader.sample(), nil
+}
+
+// newPayload builds the request that is sent to a server.
+func newPayload(r *http.Request, fields requestparse.Fields, body []byte) *httpmessage.Request {
+	header := http.Header{"X-Correlation-Id": {fields.CorrelationID}}
+	if fields.IdempotencyKey != "" {
+		header.Set("Idempotency-Key", fields.IdempotencyKey)
+	}
+	if contentType := r.Header.Get("Content-Type"); contentType != "" {
+		header.Set("Content-Type", contentType)
+	}
+	return &httpmessage.Request{Method: r.Method, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery,
+		Header: header, Body: body}
+}
--- a/internal/testbed/chaos/chaos.go
+++ b/internal/testbed/chaos/chaos.go
@@ -274,7 +274,7 @@
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
 	for _, m := range violation.FindAllStringSubmatch(string(text), -1) {
-		if m[1] == "rule_violations_closed_owing" || len(g.pauses) == 0 { // a stop between a decision and its byte is nobody's fault
+		if m[1] == "rule_violations_closed_without_response" || len(g.pauses) == 0 { // a stop between a decision and its byte is nobody's fault
 			r.note(&r.violations, "%s counts %s %s", g.Name, m[1], m[2])
 		}
 	}
