--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -1,6 +1,8 @@
-// Package accept keeps listeners accepting. Linux lets accept fail for a moment for many reasons: the connection broke
-// before it was accepted (ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ...), or something has run out (EMFILE, ENFILE,
-// ENOBUFS, ENOMEM). None of them ends a listener; only its closing does.
+// Package accept keeps listeners accepting. On Linux accept fails temporarily for many reasons: the connection broke before it
+// was accepted (ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ...), or a resource is exhausted (EMFILE, ENFILE, ENOBUFS,
+// ENOMEM). None of them ends a listener; only Close does.
+//
+// The package starts no goroutine. A Listener's Accept may wait on the goroutine of its caller.
 package accept
 
 import (
@@ -16,61 +18,76 @@
 )
 
 const (
-	firstPauseMs  = 1
-	longestPause  = 10.0 // milliseconds
-	pauseDeadline = 0.02 // of the shortest deadline: a pause is no longer
+	// minBackoffMs is the wait after the first failure.
+	minBackoffMs = 1.0
+	// maxBackoffMs bounds the waits after further ones.
+	maxBackoffMs = 10.0
+	// maxBackoffFraction bounds them, too, as a part of the shortest deadline.
+	maxBackoffFraction = 0.02
 )
 
+// acceptsFailedPrefix begins the names of counters of failures; the name of the error follows.
+const acceptsFailedPrefix = "accepts_failed_"
+
 // Listener is a listener whose Accept fails only once it is closed.
 type Listener struct {
 	net.Listener
-	clock   clock.Clock
-	metrics *metrics.Set
-	mostMs  float64
-	held    func(fromMs, toMs float64)
+	clock        clock.Clock
+	metrics      *metrics.Set
+	maxBackoffMs float64
+	onDelay      func(fromMs, toMs float64)
 
 	once   sync.Once
 	closed chan struct{}
 }
 
-// Wrap returns a listener round ln. Its pauses behind failures double up to a small part of the shortest deadline. held is
-// told of each span in which accepts failed, once one has succeeded: what has come meanwhile has waited since.
-func Wrap(ln net.Listener, c clock.Clock, m *metrics.Set, shortestDeadlineMs float64, held func(fromMs, toMs float64)) *Listener {
-	most := max(firstPauseMs, min(longestPause, pauseDeadline*shortestDeadlineMs))
-	return &Listener{Listener: ln, clock: c, metrics: m, mostMs: most, held: held, closed: make(chan struct{})}
+// Wrap returns a Listener that accepts from ln. Its waits after failures double up to a small part of the shortest deadline.
+// onDelay is called by Accept with each span of the clock in which accepts failed, once one has succeeded: what arrived
+// meanwhile has waited since.
+func Wrap(ln net.Listener, clk clock.Clock, counters *metrics.Set, shortestDeadlineMs float64, onDelay func(fromMs, toMs float64)) *Listener {
+	return &Listener{
+		Listener:     ln,
+		clock:        clk,
+		metrics:      counters,
+		maxBackoffMs: max(minBackoffMs, min(maxBackoffMs, maxBackoffFraction*shortestDeadlineMs)),
+		onDelay:      onDelay,
+		closed:       make(chan struct{}),
+	}
 }
 
-// Accept returns the next connection, or net.ErrClosed.
+// Accept returns the next connection, or net.ErrClosed once the listener is closed.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause, since := 0.0, 0.0; ; {
-		nc, err := l.Listener.Accept()
+	backoffMs, failedSinceMs := 0.0, 0.0
+	for {
+		conn, err := l.Listener.Accept()
 		if err == nil {
-			if since != 0 {
-				l.held(since, l.clock.NowMs())
+			if failedSinceMs != 0 {
+				l.onDelay(failedSinceMs, l.clock.NowMs())
 			}
-			return nc, nil
+			return conn, nil
 		}
 		if l.isClosed() || errors.Is(err, net.ErrClosed) {
 			return nil, net.ErrClosed
 		}
-		l.metrics.Add("accepts_failed_"+errnoName(err), 1)
-		if broken(err) {
-			continue // the next connection is not concerned
+		l.metrics.Add(acceptsFailedPrefix+errnoName(err), 1)
+		if isConnError(err) {
+			continue // the next connection is not affected
 		}
-		if since == 0 {
-			since = l.clock.NowMs()
+		if failedSinceMs == 0 {
+			failedSinceMs = l.clock.NowMs()
 		}
-		pause = min(max(2*pause, firstPauseMs), l.mostMs)
-		l.wait(pause)
+		backoffMs = min(max(2*backoffMs, minBackoffMs), l.maxBackoffMs)
+		l.wait(backoffMs)
 	}
 }
 
-// Close closes the listener.
+// Close closes the listener and ends a wait of Accept. It may be called from any goroutine.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
+// isClosed reports whether Close was called.
 func (l *Listener) isClosed() bool {
 	select {
 	case <-l.closed:
@@ -80,23 +97,23 @@
 	}
 }
 
-// wait lets a pause pass, unless the listener is closed meanwhile.
+// wait returns after the given time, or when the listener is closed.
 func (l *Listener) wait(ms float64) {
-	over := make(chan struct{})
-	stop := l.clock.AfterFunc(ms, func() { close(over) })
+	elapsed := make(chan struct{})
+	stop := l.clock.AfterFunc(ms, func() { close(elapsed) })
 	defer stop()
 	select {
-	case <-over:
+	case <-elapsed:
 	case <-l.closed:
 	}
 }
 
-// broken tells whether an accept failed since the connection that it would have returned is broken already.
-func broken(err error) bool {
+// isConnError reports whether an accept failed because of the connection that it would have returned, or was interrupted.
+func isConnError(err error) bool {
 	return errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
 
-// errnoName is the name of the system's error, for counters: "other" if it is none of its.
+// errnoName returns the name of a system error, or "other" if it is none.
 func errnoName(err error) string {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
--- a/internal/frontend/accept/accept_test.go
+++ b/internal/frontend/accept/accept_test.go
@@ -13,14 +13,14 @@
 	"gaugerelay/internal/metrics"
 )
 
-// flaky is a listener whose accepts fail by a list of errors before they succeed.
-type flaky struct {
+// failingListener is a listener whose accepts fail with a list of errors before they succeed.
+type failingListener struct {
 	net.Listener
 	errs   []error
 	closed chan struct{}
 }
 
-func (f *flaky) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if len(f.errs) > 0 {
 		err := f.errs[0]
 		f.errs = f.errs[1:]
@@ -31,65 +31,71 @@
 		return nil, net.ErrClosed
 	default:
 	}
-	a, _ := net.Pipe()
-	return a, nil
+	conn, _ := net.Pipe()
+	return conn, nil
 }
 
-func (f *flaky) Close() error { close(f.closed); return nil }
+func (f *failingListener) Close() error { close(f.closed); return nil }
 
-// No error of accept ends a listener, and its pauses stay small beside the shortest deadline.
-func TestAcceptOutlivesErrors(t *testing.T) {
-	for _, c := range []struct {
+// No error of accept ends a listener, and its waits stay small compared with the shortest deadline.
+func TestAcceptSurvivesErrors(t *testing.T) {
+	for _, test := range []struct {
 		name string
 		errs []error
-		most time.Duration
+		max  time.Duration
 	}{
 		{"broken connections", []error{syscall.ECONNABORTED, syscall.EINTR, syscall.ECONNABORTED}, 0},
 		{"once each", []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM}, 25 * time.Millisecond},
-		{"nothing left, eight in a row", []error{syscall.ENFILE, syscall.ENFILE, syscall.ENFILE, syscall.ENFILE, syscall.EMFILE,
+		{"descriptors exhausted, eight in a row", []error{syscall.ENFILE, syscall.ENFILE, syscall.ENFILE, syscall.ENFILE, syscall.EMFILE,
 			syscall.EMFILE, syscall.EMFILE, syscall.EMFILE}, 36 * time.Millisecond},
-		{"no error of the system's", []error{errors.New("odd")}, time.Millisecond},
+		{"not a system error", []error{errors.New("odd")}, time.Millisecond},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			m := metrics.New()
-			failures, held := len(c.errs), 0.0
-			l := Wrap(&flaky{errs: c.errs, closed: make(chan struct{})}, clock.NewSystem(), m, 250, func(from, to float64) { held += to - from })
-			began := time.Now()
-			if _, err := l.Accept(); err != nil {
-				t.Fatalf("%s: %v", c.name, err)
-			}
-			if took := time.Since(began); took > c.most {
-				t.Errorf("%s: accepted after %v, want at most %v", c.name, took, c.most)
-			}
-			if took := time.Since(began); took != clock.Duration(held) {
-				t.Errorf("%s: accepted after %v, told of %v ms", c.name, took, held)
-			}
-			counted := 0
-			for _, n := range m.All() {
-				counted += int(n)
-			}
-			if counted != failures {
-				t.Errorf("%s: %d failures counted of %d: %v", c.name, counted, failures, m.All())
-			}
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { checkSurvives(t, test.errs, test.max) })
 		})
 	}
 }
 
-// A listener that is closed during a pause ends at once.
-func TestCloseDuringAPause(t *testing.T) {
+// checkSurvives checks that a listener accepts after the errors, in the time that it may take, and reports the delay.
+func checkSurvives(t *testing.T, errs []error, maxDelay time.Duration) {
+	t.Helper()
+	counters, delayMs := metrics.New(), 0.0
+	l := Wrap(&failingListener{errs: errs, closed: make(chan struct{})}, clock.NewSystem(), counters, 250,
+		func(fromMs, toMs float64) { delayMs += toMs - fromMs })
+	start := time.Now()
+	if _, err := l.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	if took := time.Since(start); took > maxDelay {
+		t.Errorf("accepted after %v, want at most %v", took, maxDelay)
+	}
+	if took := time.Since(start); took != clock.Duration(delayMs) {
+		t.Errorf("accepted after %v, reported %v ms", took, delayMs)
+	}
+	counted := 0
+	for _, n := range counters.All() {
+		counted += int(n)
+	}
+	if counted != len(errs) {
+		t.Errorf("%d failures counted of %d: %v", counted, len(errs), counters.All())
+	}
+}
+
+// Closing a listener while Accept waits ends Accept at once.
+func TestCloseDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := make([]error, 1<<16)
 		for i := range errs {
 			errs[i] = syscall.ENFILE
 		}
-		l := Wrap(&flaky{errs: errs, closed: make(chan struct{})}, clock.NewSystem(), metrics.New(), 1e6, func(float64, float64) {})
+		l := Wrap(&failingListener{errs: errs, closed: make(chan struct{})}, clock.NewSystem(), metrics.New(), 1e6, func(float64, float64) {})
 		ended := make(chan error)
 		go func() { _, err := l.Accept(); ended <- err }()
 		time.Sleep(120 * time.Millisecond)
 		closed := time.Now()
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(closed) != 0 {
-			t.Errorf("ended %v behind the close: %v", time.Since(closed), err)
+			t.Errorf("ended %v after the close: %v", time.Since(closed), err)
 		}
 	})
 }
