--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -177,7 +177,8 @@
 	if c.clientEnded.Load() {
 		c.finishClose()
 	} else if !c.discarding.Swap(true) {
-		go func() { // ends by finishClose at the latest, which the timer of closeWrite calls too
+		// It ends with the connection, which the timer that closeWrite has set closes at the latest.
+		go func() {
 			c.Conn.SetReadDeadline(time.Time{})
 			io.Copy(io.Discard, c.Conn)
 			c.finishClose()
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -5,7 +5,8 @@
 //
 //   - A request that was accepted gets its response, unless its client disconnects first.
 //   - A connection is shed only while nothing of a request has been read from it.
-//   - A connection that has been closed is reset only if its client keeps sending for gracefulclose.TimeoutMs.
+//   - A connection that has been closed is reset only if its client keeps sending for gracefulclose.TimeoutMs, or if too many
+//     connections wait for their clients' ends.
 //
 // Handlers run on the http.Server's goroutines, one for each connection. The package starts one goroutine of its own for each
 // connection that is closed before its client has ended it; that goroutine ends with the connection.
