--- /dev/null
+++ b/internal/gateway/build.go
@@ -0,0 +1,144 @@
+package gateway
+
+import (
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/config"
+	"gaugerelay/internal/discovery"
+	"gaugerelay/internal/endpointlease"
+	"gaugerelay/internal/eventloop"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/permission"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/upstream/httpclient"
+)
+
+// reuseDelayMs is how long a connection to a server is not used again after a response: the platform's servers may send a
+// duplicate response some milliseconds late. At worst a request waits for it, where latency objectives are a hundred
+// milliseconds and more.
+const reuseDelayMs = 5
+
+// The platform's times of the endpoint list.
+const (
+	// maxNotificationDelayMs after discovery has a change and can be reached, every gateway counts as notified.
+	maxNotificationDelayMs = 6000
+	// sendDelayMarginMs bounds a pause of the process between reading the clock and writing the first byte.
+	sendDelayMarginMs = 150
+)
+
+// New builds a gateway. Only its pause detector runs before Start. The configuration must not be changed afterwards.
+func New(cfg *config.Config, edge *config.Edge, c clock.Clock, network Network) (*Gateway, error) {
+	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, network: network, failures: make(chan error, maxFailures),
+		pauseDetector: clock.StartPauseDetector(c)}
+	var fleet *fleetMember
+	if edge.Fleet != nil {
+		var err error
+		if fleet, err = newFleetMember(g, edge.Fleet); err != nil {
+			return nil, err
+		}
+	}
+	scheduler, err := newScheduler(cfg, fleet)
+	if err != nil {
+		return nil, err
+	}
+	g.setDeadlines()
+	options := g.loopOptions(scheduler, fleet)
+	var gatewayID string
+	if edge.Devices != nil {
+		deduplicator, id, err := newDeduplicator(g, edge.Devices)
+		if err != nil {
+			return nil, err
+		}
+		options.Deduplicator, gatewayID = deduplicator, id
+	}
+	g.loop = eventloop.New(options)
+	g.upstream = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
+		ReuseDelayMs: reuseDelayMs, MaxConns: maxUpstreamConns(cfg), LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
+		c, g.Metrics, g.loop)
+	g.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
+	g.components = newComponents(g, edge, fleet, gatewayID)
+	return g, nil
+}
+
+// newScheduler returns the scheduler. A gateway in a fleet starts with the quota that no other gateway is ever granted.
+func newScheduler(cfg *config.Config, fleet *fleetMember) (*scheduler.Scheduler, error) {
+	settings := cfg.Settings
+	if fleet != nil {
+		settings.QuotaLeases, settings.InitialQuotaShare = true, fleet.service.InitialQuotaShare()
+	}
+	return scheduler.New(settings, cfg.Seed)
+}
+
+// setDeadlines finds the longest and the shortest deadline of the classes; there is at least one.
+func (g *Gateway) setDeadlines() {
+	classes := g.cfg.Settings.Classes
+	g.shortestDeadline = classes[0].Deadline
+	for _, class := range classes {
+		g.longestDeadline = max(g.longestDeadline, class.Deadline)
+		g.shortestDeadline = min(g.shortestDeadline, class.Deadline)
+	}
+}
+
+// loopOptions returns the event loop's options without its deduplicator. Their functions are called once the loop runs, and
+// use what New builds after the loop.
+func (g *Gateway) loopOptions(scheduler *scheduler.Scheduler, fleet *fleetMember) eventloop.Options {
+	options := eventloop.Options{Scheduler: scheduler, Clock: g.Clock, Metrics: g.Metrics,
+		Authorizer: lifecycle.NewAuthorizer(lifecycle.AuthorizerOptions{
+			WaitForUpdates: g.waitForEndpointUpdates, OnDenied: g.countDenied}),
+		WatchEndpoints: func() { g.watcher.Open(g.ctx) },
+		ProbeServer:    func(server *lifecycle.Server) { g.upstream.Probe(server) },
+		OnReady:        g.notifyReady}
+	if g.cfg.Settings.PollEndpoints {
+		// A pushed list needs no lease: what this machine's agent has counts as notified, and it can always be asked.
+		options.EndpointLease = endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: maxNotificationDelayMs,
+			DrainGraceMs: clock.Ms(g.cfg.Settings.DrainGrace), SendDelayMarginMs: sendDelayMarginMs}, g.Clock.NowMs())
+	}
+	if fleet != nil {
+		options.Peers = fleet.service
+	}
+	return options
+}
+
+// newComponents returns the components in the order of their start. The fleet comes first, so that quota is known sooner
+// and is returned later.
+func newComponents(g *Gateway, edge *config.Edge, fleet *fleetMember, gatewayID string) []component {
+	var components []component
+	clients := newClientFrontend(g)
+	if fleet != nil {
+		components = append(components, fleet)
+		clients.handler.FleetStatus = fleet.serveStatus
+	}
+	components = append(components, clients)
+	if edge.SFTP != nil {
+		components = append(components, newSFTPFrontend(g, edge.SFTP, edge.Devices))
+	}
+	if edge.Devices != nil {
+		components = append(components, newDeviceFrontend(g, edge.Devices, gatewayID))
+	}
+	if edge.BGP != nil {
+		components = append(components, newAnnouncer(g, edge.BGP))
+	}
+	return components
+}
+
+// notifyReady is called on the event loop's goroutine once requests can be served.
+func (g *Gateway) notifyReady() {
+	for _, c := range g.components {
+		c.ready()
+	}
+}
+
+// countDenied counts an attempt that was not authorized to start.
+func (g *Gateway) countDenied(_ *lifecycle.Attempt, reason permission.Denial) {
+	g.Metrics.Add("attempts_denied_"+reason.String(), 1)
+}
+
+// waitForEndpointUpdates returns once the updates that have arrived on the watch are applied, or were waited for long
+// enough; it reports whether they are applied.
+func (g *Gateway) waitForEndpointUpdates() (applied bool) {
+	pending, applied := g.watcher.AwaitPendingUpdates()
+	if pending && applied {
+		g.loop.Sync()
+	}
+	return applied
+}
--- /dev/null
+++ b/internal/gateway/clientfrontend_test.go
@@ -0,0 +1,92 @@
+package gateway
+
+import (
+	"io"
+	"net/http"
+	"runtime"
+	"testing"
+	"time"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/testbed"
+)
+
+// readyLoop is an event loop that is ready and is not asked for more.
+type readyLoop struct{}
+
+func (readyLoop) Submit(*lifecycle.Request) bool                           { return false }
+func (readyLoop) Cancel(*lifecycle.Request)                                {}
+func (readyLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+func (readyLoop) Ready() bool                                              { return true }
+
+// get makes a request and discards the response.
+func get(client *http.Client, url string) error {
+	response, err := client.Get(url)
+	if err == nil {
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+	}
+	return err
+}
+
+// waitForIdle waits until one connection is open and idle: the server continues with a connection after the last byte of a
+// response has been sent.
+func waitForIdle(conns *httpserver.ConnTracker) {
+	for {
+		if open, busy := conns.Count(); open == 1 && busy == 0 {
+			return
+		}
+		runtime.Gosched()
+	}
+}
+
+// The steps of a drain, each a wait of the frontend.
+const (
+	accepting = iota + 1
+	reusing
+	closing
+)
+
+// While the frontend drains it accepts new connections at first, and serves the connections that it has nearly to the end;
+// then each response closes its own.
+func TestClientFrontendServesWhileDraining(t *testing.T) {
+	listener := testbed.Listen(t)
+	frontend := &clientFrontend{
+		listener: listener,
+		handler:  &httpserver.Handler{Clock: clock.NewManual(0), Loop: readyLoop{}, Metrics: metrics.New()},
+		conns:    &httpserver.ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()},
+	}
+	server := &http.Server{Handler: frontend.handler, ConnState: frontend.conns.ConnState}
+	go server.Serve(frontend.conns.LimitListener(listener, 9))
+	defer server.Close()
+	url := "http://" + listener.Addr().String() + "/metrics"
+	kept := &http.Client{Transport: &http.Transport{}}
+	if err := get(kept, url); err != nil {
+		t.Fatal(err)
+	}
+	step, elapsed := 0, make(chan time.Time)
+	close(elapsed)
+	frontend.after = func(float64) <-chan time.Time {
+		step++
+		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+		keptErr, freshErr := get(kept, url), get(fresh, url)
+		if step == closing { // the last response has just closed the connection
+			if keptErr == nil {
+				t.Error("a kept connection is open after the end")
+			}
+			return nil
+		}
+		waitForIdle(frontend.conns)
+		if keptErr != nil || (freshErr == nil) != (step == accepting) {
+			t.Errorf("step %d: a kept connection: %v, a new one: %v", step, keptErr, freshErr)
+		}
+		return elapsed
+	}
+	frontend.drain(newShutdownTimes(3000))
+	if step != closing {
+		t.Errorf("%d steps", step)
+	}
+}
--- /dev/null
+++ b/internal/gateway/devicefrontend.go
@@ -0,0 +1,189 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/config"
+	"gaugerelay/internal/dedup"
+	"gaugerelay/internal/frontend/coapserver"
+	"gaugerelay/internal/frontend/httpserver"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/logevent"
+)
+
+// coapResponseGrace after a request's time the CoAP server responds by itself.
+const coapResponseGrace = 25 * time.Millisecond
+
+// deviceFrontend serves devices on poor links, over CoAP or HTTP or both. Their requests share the deduplicator.
+type deviceFrontend struct {
+	noopComponent
+	gateway    *Gateway
+	options    *config.Devices
+	coap       *coapserver.Server      // nil: off
+	http       *httpserver.Handler     // nil: off
+	conns      *httpserver.ConnTracker // of http
+	httpServer *http.Server            // of http, once it is started
+	listeners  []net.Listener
+}
+
+// newDeduplicator returns the deduplicator of the requests of devices, and the id by which devices know this gateway. The
+// deduplicator's functions use g.loop, which is built after it.
+func newDeduplicator(g *Gateway, options *config.Devices) (deduplicator *dedup.Coordinator, gatewayID string, err error) {
+	// Servers know runs of requests by this name, so no other gateway and no earlier start may have the same.
+	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
+	gatewayID = strconv.FormatUint(xxhash.Sum64String(name), 16)
+	deduplicator, err = dedup.New(dedup.Options{Settings: options.Exchanges, Classes: g.cfg.Settings.Classes,
+		RunIDPrefix: name, GatewayName: gatewayID, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
+		AfterFunc: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
+		Submit:    func(nowMs float64, request *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, request) }})
+	return deduplicator, gatewayID, err
+}
+
+func newDeviceFrontend(g *Gateway, options *config.Devices, gatewayID string) *deviceFrontend {
+	f := &deviceFrontend{gateway: g, options: options}
+	if options.CoAP != "" {
+		link := options.Exchanges.Link
+		f.coap = &coapserver.Server{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, Options: coapserver.Options{
+				GatewayName:         gatewayID,
+				MaxConns:            options.MaxConns,
+				MaxPendingRequests:  options.MaxOpenRequests,
+				MaxMessageSize:      options.MaxMessageBytes,
+				FirstMessageTimeout: options.FirstMessageTimeout,
+				KeepaliveTime:       options.IdleTimeout,
+				MinIdleTimeout:      clock.Duration(link.MinIdleTimeoutMs),
+				MaxIdleTimeout:      clock.Duration(link.MaxIdleTimeoutMs),
+				HoldOff:             options.HoldOff,
+				ResponseGrace:       coapResponseGrace,
+			}}
+	}
+	if options.HTTP != "" {
+		f.http = &httpserver.Handler{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
+			Settings: &g.cfg.Settings, ServesDevices: true, GatewayID: gatewayID}
+		f.conns = &httpserver.ConnTracker{MaxOpen: sheddingThreshold(options.MaxConns), Clock: g.Clock, Metrics: g.Metrics}
+	}
+	return f
+}
+
+func (f *deviceFrontend) start(context.Context) error {
+	if f.coap != nil {
+		if err := f.startCoAP(); err != nil {
+			return err
+		}
+	}
+	if f.http != nil {
+		if err := f.startHTTP(); err != nil {
+			f.close()
+			return err
+		}
+	}
+	return nil
+}
+
+// listen opens an address, which close closes.
+func (f *deviceFrontend) listen(addr string) (net.Listener, error) {
+	listener, err := f.gateway.listen(addr)
+	if err != nil {
+		return nil, err
+	}
+	f.listeners = append(f.listeners, listener)
+	return listener, nil
+}
+
+func (f *deviceFrontend) startCoAP() error {
+	listener, err := f.listen(f.options.CoAP)
+	if err != nil {
+		return err
+	}
+	f.gateway.serve("devices", func() error { return f.coap.Serve(listener) })
+	f.gateway.logListening("devices by CoAP", listener.Addr().String())
+	return nil
+}
+
+func (f *deviceFrontend) startHTTP() error {
+	listener, err := f.listen(f.options.HTTP)
+	if err != nil {
+		return err
+	}
+	first, longest := f.options.FirstMessageTimeout, f.gateway.longestDeadline
+	f.httpServer = &http.Server{
+		Handler:           f.http,
+		ReadHeaderTimeout: first,
+		// A body may take as long as the longest deadline; so may its response.
+		ReadTimeout:    2*longest + first,
+		WriteTimeout:   4*longest + first,
+		IdleTimeout:    f.options.IdleTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnState:      f.conns.ConnState,
+		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+			return f.http.ConnContext(f.conns.ConnContext(ctx, conn), conn)
+		},
+		DisableGeneralOptionsHandler: true,
+		ErrorLog:                     logevent.HTTPServerLog(),
+	}
+	limited := f.conns.LimitListener(listener, f.options.MaxConns)
+	f.gateway.serve("devices", func() error { return f.httpServer.Serve(limited) })
+	f.gateway.logListening("devices by HTTP", listener.Addr().String())
+	return nil
+}
+
+func (f *deviceFrontend) beginShutdown(times shutdownTimes) {
+	if f.coap != nil {
+		f.coap.SetResponseDeadline(f.gateway.Clock.NowMs() + times.respondByMs)
+	}
+	if f.http != nil {
+		f.http.Drain(f.gateway.Clock.NowMs() + times.respondByMs)
+	}
+}
+
+// drain accepts new exchanges for as long as clients may not know of the shutdown. After that, devices that have lost their
+// connection may still connect and fetch their responses, as long as the platform leaves time.
+func (f *deviceFrontend) drain(times shutdownTimes) {
+	<-after(times.acceptUntilMs)
+	f.gateway.loop.DrainDeduplicator()
+	if f.coap != nil {
+		f.coap.Drain()
+	}
+	<-after(times.reuseUntilMs - times.acceptUntilMs)
+	f.closeListeners()
+	leftMs := times.exitByMs - times.reuseUntilMs
+	var draining sync.WaitGroup
+	if f.coap != nil {
+		draining.Go(func() { runWithin(leftMs, f.coap.Shutdown) })
+	}
+	if f.http != nil {
+		f.http.DisableKeepAlives()
+		draining.Go(func() {
+			select {
+			case <-f.conns.Drain():
+			case <-after(leftMs):
+			}
+		})
+	}
+	draining.Wait()
+}
+
+func (f *deviceFrontend) closeListeners() {
+	for _, listener := range f.listeners {
+		listener.Close()
+	}
+}
+
+func (f *deviceFrontend) close() {
+	f.closeListeners()
+	if f.coap != nil {
+		f.coap.Close()
+	}
+	if f.httpServer != nil {
+		f.httpServer.Close()
+	}
+}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -12,54 +12,59 @@
 	"gaugerelay/internal/peer"
 )
 
-// peers is what this gateway shares with the others of its fleet.
-type peers struct {
-	base
-	g      *Gateway
-	listen string
-	fleet  *peer.Service
+// fleetMember is this gateway's side of the exchange with the other gateways.
+type fleetMember struct {
+	noopComponent
+	gateway *Gateway
+	listen  string
+	service *peer.Service
 }
 
-func newPeers(g *Gateway, f *config.Fleet) (*peers, error) {
-	p := &peers{g: g}
-	listen, o, err := f.Resolve(g.cfg)
+func newFleetMember(g *Gateway, fleet *config.Fleet) (*fleetMember, error) {
+	listen, options, err := fleet.Resolve(g.cfg)
 	if err != nil {
 		return nil, err
 	}
-	p.listen = listen
-	// Another at each start, also where the seed is the same: what an earlier life has been told or lent is its own.
-	o.Incarnation, o.Seed = uint32(g.cfg.Seed)^uint32(int64(g.Clock.NowMs()))^uint32(os.Getpid())<<16, g.cfg.Seed
-	if p.fleet, err = peer.New(o, g.Metrics, slog.Default()); err != nil {
+	options.Incarnation, options.Seed = newIncarnation(g), g.cfg.Seed
+	service, err := peer.New(options, g.Metrics, slog.Default())
+	if err != nil {
 		return nil, err
 	}
-	return p, nil
+	return &fleetMember{gateway: g, listen: listen, service: service}, nil
+}
+
+// newIncarnation returns a number that differs from start to start, also with the same seed: reports and grants of an
+// earlier incarnation are not this one's.
+func newIncarnation(g *Gateway) uint32 {
+	return uint32(g.cfg.Seed) ^ uint32(int64(g.Clock.NowMs())) ^ uint32(os.Getpid())<<16
 }
 
-func (p *peers) start(context.Context) error {
-	conn, err := net.ListenPacket("udp", p.listen)
+func (f *fleetMember) start(context.Context) error {
+	conn, err := net.ListenPacket("udp", f.listen)
 	if err != nil {
 		return err
 	}
-	p.fleet.Start(conn, p.g.loop)
-	p.g.listening("fleet", p.listen)
+	f.service.Start(conn, f.gateway.loop)
+	f.gateway.logListening("fleet", f.listen)
 	return nil
 }
 
-func (p *peers) stopping(stopTimes) { p.g.loop.Post(p.fleet.Leave) }
-func (p *peers) end()               { p.fleet.Close() }
+func (f *fleetMember) beginShutdown(shutdownTimes) { f.gateway.loop.Post(f.service.Leave) }
+
+func (f *fleetMember) close() { f.service.Close() }
 
-// show answers with what this gateway knows of its fleet.
-func (p *peers) show(w http.ResponseWriter, _ *http.Request) {
-	text := make(chan string, 1)
-	p.g.loop.Post(func(nowMs float64) {
-		var b strings.Builder
-		p.fleet.WriteStatus(&b, nowMs)
-		text <- b.String()
+// serveStatus responds with the fleet's status, which only the event loop's goroutine may read.
+func (f *fleetMember) serveStatus(w http.ResponseWriter, _ *http.Request) {
+	status := make(chan string, 1)
+	f.gateway.loop.Post(func(nowMs float64) {
+		var text strings.Builder
+		f.service.WriteStatus(&text, nowMs)
+		status <- text.String()
 	})
 	select {
-	case t := <-text:
-		w.Write([]byte(t))
-	case <-p.g.ctx.Done():
+	case text := <-status:
+		w.Write([]byte(text))
+	case <-f.gateway.ctx.Done():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	}
 }
--- /dev/null
+++ b/internal/gateway/gateway_test.go
@@ -0,0 +1,100 @@
+package gateway
+
+import (
+	"net"
+	"runtime"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/config"
+	"gaugerelay/internal/dedup/exchange"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed/memnet"
+	"gaugerelay/internal/testbed/testsettings"
+)
+
+// testConfig is a configuration that listens on 127.0.0.1:1.
+func testConfig() *config.Config {
+	return &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", MaxSockets: 64,
+		Settings: testsettings.Settings(2), KnownEndpoints: lifecycle.EndpointUpdate{}}
+}
+
+// A gateway without an operator's file opens its one listener and has no deduplicator: what the file does not name is not
+// there. With the file there are the frontends that it names.
+func TestOnlyConfiguredComponentsAreBuilt(t *testing.T) {
+	exchanges := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxStoredBytes: 1 << 20,
+		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
+		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
+	goroutines := map[string]int{}
+	for name, c := range map[string]struct {
+		edge *config.Edge
+		want []string
+	}{
+		"clients": {&config.Edge{}, []string{"127.0.0.1:1"}},
+		"CoAP":    {&config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Exchanges: exchanges}}, []string{"127.0.0.1:1", "127.0.0.1:2"}},
+		"CoAP and HTTP": {&config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", HTTP: "127.0.0.1:3", MaxConns: 8, Exchanges: exchanges}},
+			[]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			memory := &memnet.Net{}
+			var opened []string
+			network := Network{Dial: memory.Dial, Listen: func(addr string) (net.Listener, error) {
+				opened = append(opened, addr)
+				return memory.Listen(addr)
+			}}
+			before := runtime.NumGoroutine()
+			g, err := New(testConfig(), c.edge, clock.NewSystem(), network)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := g.Start(); err != nil {
+				t.Fatal(err)
+			}
+			synctest.Wait()
+			goroutines[name] = runtime.NumGoroutine() - before
+			if len(opened) != len(c.want) {
+				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
+			}
+			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
+				t.Errorf("%s: a deduplicator: %v", name, got)
+			}
+			g.Shutdown()
+			time.Sleep(time.Minute)
+		})
+	}
+	if goroutines["clients"] >= goroutines["CoAP"] {
+		t.Errorf("goroutines: %v", goroutines)
+	}
+}
+
+// A component that cannot listen fails the start, and the listeners that were opened before it are closed.
+func TestFailedStartClosesListeners(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		network := &memnet.Net{}
+		inUse, err := network.Listen("127.0.0.1:2")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer inUse.Close()
+		exchanges := exchange.Settings{MaxExchanges: 1, MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxStoredBytes: 1 << 20,
+			MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1, UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100,
+			Link: exchange.LinkSettings{MinIdleTimeoutMs: 1, MaxIdleTimeoutMs: 1, MinBlockSize: 16, MaxBlockSize: 16, MaxBlockTransferMs: 1}}
+		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Exchanges: exchanges}}
+		g, err := New(testConfig(), edge, clock.NewSystem(), Network{Listen: network.Listen, Dial: network.Dial})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := g.Start(); err == nil {
+			t.Error("started on an address that is in use")
+		}
+		again, err := network.Listen("127.0.0.1:1")
+		if err != nil {
+			t.Errorf("left open: %v", err)
+		} else {
+			again.Close()
+		}
+		synctest.Wait()
+	})
+}
--- /dev/null
+++ b/internal/gateway/network.go
@@ -0,0 +1,17 @@
+package gateway
+
+import (
+	"context"
+	"net"
+)
+
+// Network opens the listeners and the connections of a gateway.
+type Network struct {
+	Listen func(addr string) (net.Listener, error)
+	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the machine's
+}
+
+// SystemNetwork returns the machine's network.
+func SystemNetwork() Network {
+	return Network{Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }}
+}
--- /dev/null
+++ b/internal/gateway/sftpfrontend.go
@@ -0,0 +1,64 @@
+package gateway
+
+import (
+	"context"
+	"net"
+
+	"gaugerelay/internal/config"
+	"gaugerelay/internal/frontend/sftpserver"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/upstream/sftpclient"
+)
+
+// sftpFrontend serves file commands, with a client of its own for the servers.
+type sftpFrontend struct {
+	noopComponent
+	gateway  *Gateway
+	addr     string
+	listener net.Listener
+	front    *sftpserver.Front
+	upstream *sftpclient.Backend
+}
+
+// newSFTPFrontend returns the frontend. devices is nil if there are none, and then no store of exchanges.
+func newSFTPFrontend(g *Gateway, options *config.SFTP, devices *config.Devices) *sftpFrontend {
+	f := &sftpFrontend{gateway: g, addr: options.Listen}
+	f.upstream = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectTimeoutMs, ConnIdleMs: g.cfg.IdleConnTimeoutMs,
+		MaxSessions: maxSFTPSessions(g.cfg), Dial: g.network.Dial,
+		Address: func(server *lifecycle.Server) (string, bool) { return options.BackendAddress(server.Name, server.Addr) }},
+		g.Clock, g.Metrics, g.loop.Complete)
+	f.front = &sftpserver.Front{Loop: g.loop, Carrier: f.upstream, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
+		MaxConns: options.MaxConns, UnitBytes: options.UnitBytes, Read: options.ReadClass, Write: options.WriteClass,
+		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MaxUnits}}
+	if devices != nil {
+		f.front.KeepMs = devices.Exchanges.RetentionMs
+	}
+	for _, root := range options.Roots {
+		f.front.Roots = append(f.front.Roots, sftpserver.Root(root))
+	}
+	return f
+}
+
+func (f *sftpFrontend) start(context.Context) error {
+	listener, err := f.gateway.listen(f.addr)
+	if err != nil {
+		return err
+	}
+	f.listener = listener
+	f.gateway.serve("file commands", func() error { return f.front.Serve(listener) })
+	f.gateway.logListening("file commands", listener.Addr().String())
+	return nil
+}
+
+// drain is bounded because a client may leave its response unread.
+func (f *sftpFrontend) drain(times shutdownTimes) {
+	<-after(times.acceptUntilMs)
+	f.listener.Close()
+	runWithin(times.exitByMs-times.acceptUntilMs, f.front.Shutdown)
+}
+
+func (f *sftpFrontend) close() {
+	f.listener.Close()
+	f.front.CloseAll()
+	f.upstream.Close()
+}
