--- a/internal/gateway/sftpfrontend.go
+++ b/internal/gateway/sftpfrontend.go
@@ -16,25 +16,25 @@
 	gateway  *Gateway
 	addr     string
 	listener net.Listener
-	front    *sftpserver.Front
-	upstream *sftpclient.Backend
+	server   *sftpserver.Server
+	upstream *sftpclient.Client
 }
 
 // newSFTPFrontend returns the frontend. devices is nil if there are none, and then no store of exchanges.
 func newSFTPFrontend(g *Gateway, options *config.SFTP, devices *config.Devices) *sftpFrontend {
 	f := &sftpFrontend{gateway: g, addr: options.Listen}
-	f.upstream = sftpclient.New(sftpclient.Options{ConnectMs: g.cfg.ConnectTimeoutMs, ConnIdleMs: g.cfg.IdleConnTimeoutMs,
+	f.upstream = sftpclient.New(sftpclient.Options{ConnectTimeoutMs: g.cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: g.cfg.IdleConnTimeoutMs,
 		MaxSessions: maxSFTPSessions(g.cfg), Dial: g.network.Dial,
 		Address: func(server *lifecycle.Server) (string, bool) { return options.BackendAddress(server.Name, server.Addr) }},
 		g.Clock, g.Metrics, g.loop.Complete)
-	f.front = &sftpserver.Front{Loop: g.loop, Carrier: f.upstream, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
-		MaxConns: options.MaxConns, UnitBytes: options.UnitBytes, Read: options.ReadClass, Write: options.WriteClass,
-		Shards: g.cfg.Settings.Shards, MostUnits: g.cfg.Settings.MaxUnits}}
+	f.server = &sftpserver.Server{Loop: g.loop, Upstream: f.upstream, Clock: g.Clock, Metrics: g.Metrics, Options: sftpserver.Options{
+		MaxConns: options.MaxConns, UnitBytes: options.UnitBytes, ReadClass: options.ReadClass, WriteClass: options.WriteClass,
+		Shards: g.cfg.Settings.Shards, MaxUnits: g.cfg.Settings.MaxUnits}}
 	if devices != nil {
-		f.front.KeepMs = devices.Exchanges.RetentionMs
+		f.server.RetentionMs = devices.Exchanges.RetentionMs
 	}
 	for _, root := range options.Roots {
-		f.front.Roots = append(f.front.Roots, sftpserver.Root(root))
+		f.server.Roots = append(f.server.Roots, sftpserver.Root(root))
 	}
 	return f
 }
@@ -45,7 +45,7 @@
 		return err
 	}
 	f.listener = listener
-	f.gateway.serve("file commands", func() error { return f.front.Serve(listener) })
+	f.gateway.serve("file commands", func() error { return f.server.Serve(listener) })
 	f.gateway.logListening("file commands", listener.Addr().String())
 	return nil
 }
@@ -54,11 +54,11 @@
 func (f *sftpFrontend) drain(times shutdownTimes) {
 	<-after(times.acceptUntilMs)
 	f.listener.Close()
-	runWithin(times.exitByMs-times.acceptUntilMs, f.front.Shutdown)
+	runWithin(times.exitByMs-times.acceptUntilMs, f.server.Shutdown)
 }
 
 func (f *sftpFrontend) close() {
 	f.listener.Close()
-	f.front.CloseAll()
+	f.server.CloseAll()
 	f.upstream.Close()
 }
