--- a/internal/frontend/sftpserver/front.go
+++ b/internal/frontend/sftpserver/front.go
@@ -285,7 +285,7 @@
 		return nil, errMayHaveRun
 	}
 	rep := a.Result.(*sftpwire.Reply)
-	codes := map[uint32]error{sftpwire.StatusOK: nil, sftpwire.StatusEOF: io.EOF,
+	codes := map[sftpwire.StatusCode]error{sftpwire.StatusOK: nil, sftpwire.StatusEOF: io.EOF,
 		sftpwire.StatusNoSuchFile: sftp.ErrSSHFxNoSuchFile, sftpwire.StatusUnsupported: sftp.ErrSSHFxOpUnsupported,
 		sftpwire.StatusPermissionDenied: sftp.ErrSSHFxPermissionDenied}
 	err, known := codes[rep.Code]
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/front_test.go
@@ -131,11 +131,11 @@
 	return n
 }
 
-func code(err error) uint32 {
+func code(err error) sftpwire.StatusCode {
 	var s *sftp.StatusError
 	switch {
 	case errors.As(err, &s):
-		return s.Code
+		return sftpwire.StatusCode(s.Code)
 	case errors.Is(err, os.ErrNotExist):
 		return sftpwire.StatusNoSuchFile
 	case errors.Is(err, os.ErrPermission):
@@ -207,7 +207,7 @@
 	cl := r.client()
 	for what, c := range map[string]struct {
 		err  error
-		want uint32
+		want sftpwire.StatusCode
 	}{
 		"no root":      {second(cl.Open("/etc/passwd")), sftpwire.StatusNoSuchFile},
 		"path escape":  {second(cl.Open("/layers/../etc/passwd")), sftpwire.StatusNoSuchFile},
@@ -246,14 +246,14 @@
 	}
 }
 
-func (c raw) status() uint32 {
+func (c raw) status() sftpwire.StatusCode {
 	c.t.Helper()
 	var head [13]byte // length, type, id, code
 	if _, err := io.ReadFull(c, head[:]); err != nil || head[4] != 101 {
 		c.t.Fatalf("type %d: %v", head[4], err)
 	}
 	io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(head[:]))-9)
-	return binary.BigEndian.Uint32(head[9:])
+	return sftpwire.StatusCode(binary.BigEndian.Uint32(head[9:]))
 }
 
 func TestUnknownHandle(t *testing.T) {
@@ -569,7 +569,7 @@
 			if known {
 				h = open[int(s>>4)%len(open)]
 			}
-			off, want := uint64(s>>5), uint32(sftpwire.StatusOK)
+			off, want := uint64(s>>5), sftpwire.StatusOK
 			switch s % 5 {
 			case 0: // OPEN, creating on some
 				flags := uint32(sftpwire.FlagRead | sftpwire.FlagWrite)
@@ -622,7 +622,7 @@
 				}
 				want = sftpwire.StatusNoSuchFile
 			}
-			if got := binary.BigEndian.Uint32(c.answer(101, id)); got != want {
+			if got := sftpwire.StatusCode(binary.BigEndian.Uint32(c.answer(101, id))); got != want {
 				t.Fatalf("step %d (%d): code %d, want %d", id, s, got, want)
 			}
 		}
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -146,7 +146,7 @@
 }
 
 func TestGoldenStatuses(t *testing.T) {
-	reply := func(code uint32) lifecycle.Response {
+	reply := func(code sftpwire.StatusCode) lifecycle.Response {
 		return lifecycle.Response{Result: &sftpwire.Reply{Code: code, Message: "the node's own words"}}
 	}
 	for name, a := range map[string]lifecycle.Response{
--- a/internal/upstream/sftpclient/codec.go
+++ b/internal/upstream/sftpclient/codec.go
@@ -4,17 +4,17 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"gaugerelay/internal/sftpwire"
 	"io"
+
+	"gaugerelay/internal/sftpwire"
 )
 
-// The codec covers the client's side of draft-ietf-secsh-filexfer-02 (version 3) as far as the gateway issues
-// it. github.com/pkg/sftp's client was tried first; it cannot be used here: File.ReadAt answers a short READ
-// by sending a second one (readChunkAt in its client.go), an attempt that the module would not know of; it
-// sends no extended attributes, so no upload key; and it does not tell how much of a WRITE went out.
-// TestLibraryClientSendsASecondRead keeps the first of these in sight.
+// The codec covers the client's side of draft-ietf-secsh-filexfer-02 (version 3) as far as the gateway uses it. The client of
+// github.com/pkg/sftp does not fit: its File.ReadAt answers a short READ by sending a second one, which the scheduler would
+// not know of; it sends no extended attributes and therefore no upload key; and it does not report whether a WRITE was
+// written to its last byte. TestLibraryClientSendsASecondRead checks the first of these.
 
-// The types of packet.
+// Types of packets.
 const (
 	typeInit    = 1
 	typeVersion = 2
@@ -29,97 +29,132 @@
 	typeAttrs   = 105
 )
 
+// Bits that say which attributes are present.
 const (
-	attrSize      = 1
-	attrIDs       = 2
-	attrMode      = 4
-	attrTimes     = 8
-	attrExtended  = 1 << 31
-	version       = 3
-	maxNameLength = 4096
+	attrSize     = 1
+	attrIDs      = 2
+	attrMode     = 4
+	attrTimes    = 8
+	attrExtended = 1 << 31
 )
 
-// packet builds what is sent; the first four bytes are its length.
+const (
+	protocolVersion = 3
+	// lengthSize is the size of the length before each packet, which does not count itself.
+	lengthSize = 4
+	// maxMessageLength bounds what is kept of the message of a STATUS, in bytes.
+	maxMessageLength = 4096
+	// initialPacketCapacity holds most packets without data.
+	initialPacketCapacity = 64
+)
+
+var errMalformed = errors.New("sftpclient: malformed packet")
+
+// packet is a packet that is being built. Its methods append a field and return the extended packet.
 type packet []byte
 
-func newPacket(typ byte, id uint32) packet {
-	return binary.BigEndian.AppendUint32(append(make(packet, 4, 64), typ), id)
+// newPacket returns a packet of a type. The field after the type is the id, or the version in an INIT and a VERSION.
+func newPacket(packetType byte, id uint32) packet {
+	p := append(make(packet, lengthSize, initialPacketCapacity), packetType)
+	return p.uint32(id)
 }
 
-func (p packet) u32(v uint32) packet { return binary.BigEndian.AppendUint32(p, v) }
-func (p packet) u64(v uint64) packet { return binary.BigEndian.AppendUint64(p, v) }
-func (p packet) text(s string) packet {
-	return append(p.u32(uint32(len(s))), s...)
-}
+func (p packet) uint32(v uint32) packet { return binary.BigEndian.AppendUint32(p, v) }
+func (p packet) uint64(v uint64) packet { return binary.BigEndian.AppendUint64(p, v) }
+func (p packet) string(s string) packet { return append(p.uint32(uint32(len(s))), s...) }
 
-func (p packet) done() []byte {
-	binary.BigEndian.PutUint32(p, uint32(len(p)-4))
+// finish sets the length and returns the bytes of the packet.
+func (p packet) finish() []byte {
+	binary.BigEndian.PutUint32(p, uint32(len(p)-lengthSize))
 	return p
 }
 
-var errMalformed = errors.New("malformed packet")
-
-// readPacket reads one packet, its length and type off.
-func readPacket(r io.Reader) (typ byte, body []byte, err error) {
-	var head [5]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return 0, nil, err
+// readPacket reads a packet. The body begins after the type.
+func readPacket(r io.Reader) (packetType byte, body []byte, err error) {
+	var header [lengthSize + 1]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return 0, nil, fmt.Errorf("sftpclient: read packet header: %w", err)
+	}
+	length := binary.BigEndian.Uint32(header[:])
+	if length < 1 || length > sftpwire.MaxPacket {
+		return 0, nil, fmt.Errorf("%w: %d bytes", errMalformed, length)
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < 1 || n > sftpwire.MaxPacket {
-		return 0, nil, fmt.Errorf("%w: %d bytes", errMalformed, n)
+	body = make([]byte, length-1)
+	if _, err := io.ReadFull(r, body); err != nil {
+		return 0, nil, fmt.Errorf("sftpclient: read packet body: %w", err)
 	}
-	body = make([]byte, n-1)
-	_, err = io.ReadFull(r, body)
-	return head[4], body, err
+	return header[lengthSize], body, nil
 }
 
-// fields is a cursor over a body; the first bad value is kept in err.
-type fields struct {
-	b   []byte
-	err error
+// decoder reads the fields of a body in order. After the first field that does not fit, err is set and all further fields
+// are zero.
+type decoder struct {
+	remaining []byte
+	err       error
 }
 
-func (f *fields) take(n int) []byte {
-	if f.err != nil || n < 0 || n > len(f.b) {
-		f.err = errMalformed
+// next returns the next n bytes, or nil if there are fewer.
+func (d *decoder) next(n int) []byte {
+	if d.err != nil || n < 0 || n > len(d.remaining) {
+		d.err = errMalformed
 		return nil
 	}
-	out := f.b[:n]
-	f.b = f.b[n:]
-	return out
+	field := d.remaining[:n]
+	d.remaining = d.remaining[n:]
+	return field
 }
 
-func (f *fields) u32() uint32 {
-	if b := f.take(4); b != nil {
-		return binary.BigEndian.Uint32(b)
+func (d *decoder) uint32() uint32 {
+	if field := d.next(4); field != nil {
+		return binary.BigEndian.Uint32(field)
 	}
 	return 0
 }
 
-func (f *fields) u64() uint64 {
-	if b := f.take(8); b != nil {
-		return binary.BigEndian.Uint64(b)
+func (d *decoder) uint64() uint64 {
+	if field := d.next(8); field != nil {
+		return binary.BigEndian.Uint64(field)
 	}
 	return 0
 }
 
-func (f *fields) bytes() []byte { return f.take(int(f.u32())) }
+// bytes returns a string of the protocol. It is part of the body, not a copy.
+func (d *decoder) bytes() []byte { return d.next(int(d.uint32())) }
 
-func (f *fields) attrs() (a sftpwire.Attrs) {
-	flags := f.u32()
-	if flags&attrSize != 0 {
-		a.Size = f.u64()
+func (d *decoder) attrs() (attrs sftpwire.Attrs) {
+	present := d.uint32()
+	if present&attrSize != 0 {
+		attrs.Size = d.uint64()
 	}
-	if flags&attrIDs != 0 {
-		f.u64()
+	if present&attrIDs != 0 {
+		d.uint64() // the ids of the user and the group
 	}
-	if flags&attrMode != 0 {
-		a.Mode = f.u32()
+	if present&attrMode != 0 {
+		attrs.Mode = d.uint32()
 	}
-	if flags&attrTimes != 0 {
-		f.u32()
-		a.Mtime = f.u32()
+	if present&attrTimes != 0 {
+		d.uint32() // the time of the last access
+		attrs.Mtime = d.uint32()
+	}
+	return attrs
+}
+
+// decodeReply decodes the response to a command.
+func decodeReply(packetType byte, body *decoder) (*sftpwire.Reply, error) {
+	reply := &sftpwire.Reply{}
+	switch packetType {
+	case typeStatus:
+		reply.Code = sftpwire.StatusCode(body.uint32())
+		if len(body.remaining) > 0 { // some servers omit the message
+			message := body.bytes()
+			reply.Message = string(message[:min(len(message), maxMessageLength)])
+		}
+	case typeData:
+		reply.Data = body.bytes()
+	case typeAttrs:
+		reply.Attrs = body.attrs()
+	default:
+		return nil, errMalformed
 	}
-	return a
+	return reply, body.err
 }
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -11,12 +11,10 @@
 	"strings"
 	"testing"
 
-	"gaugerelay/internal/scheduler"
-	"gaugerelay/internal/sftpwire"
-
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/lifecycle"
-	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
 	"gaugerelay/internal/testbed"
 )
 
@@ -32,19 +30,25 @@
 	}
 }
 
-var statusNames = map[scheduler.Status]string{scheduler.StatusOK: "ok", scheduler.StatusError: "error", scheduler.StatusOverloaded: "full", scheduler.StatusConnectionReset: "reset"}
+// statusNames are the names of statuses in the golden files.
+var statusNames = map[scheduler.Status]string{
+	scheduler.StatusOK:              "ok",
+	scheduler.StatusError:           "error",
+	scheduler.StatusOverloaded:      "full",
+	scheduler.StatusConnectionReset: "reset",
+}
 
-// describeResult writes the end of an attempt as values.
-func describeResult(res lifecycle.AttemptResult) string {
-	text := "result: " + statusNames[res.Status] + "\n"
-	if rep, ok := res.Body.(*sftpwire.Reply); ok {
+// describeResult formats the result of an attempt for a golden file.
+func describeResult(result lifecycle.AttemptResult) string {
+	text := "result: " + statusNames[result.Status] + "\n"
+	if reply, ok := result.Body.(*sftpwire.Reply); ok {
 		text += fmt.Sprintf("reply: code %d, text %q, data %q, size %d, mode %o, mtime %d\n",
-			rep.Code, rep.Message, rep.Data, rep.Attrs.Size, rep.Attrs.Mode, rep.Attrs.Mtime)
+			reply.Code, reply.Message, reply.Data, reply.Attrs.Size, reply.Attrs.Mode, reply.Attrs.Mtime)
 	}
 	return text
 }
 
-// hexBytes turns written hex, blanks allowed, into bytes.
+// hexBytes decodes hexadecimal text that may contain blanks.
 func hexBytes(t *testing.T, text string) (out []byte) {
 	t.Helper()
 	if _, err := fmt.Sscanf(strings.ReplaceAll(text, " ", ""), "%x", &out); err != nil {
@@ -53,32 +57,33 @@
 	return out
 }
 
-// recordPackets starts a file port that sends the exact bytes of each packet to the channel. After VERSION it gives
-// the responses in turn: a type in the first byte, then what follows the packet's id. Behind them it answers OK.
-func recordPackets(t *testing.T, responses [][]byte) (addr string, packets <-chan []byte) {
+// recordPackets starts an SFTP port that sends the exact bytes of each packet to the channel. After VERSION it sends the
+// responses in order: the type in the first byte, then what follows the packet's id. After the last one it sends OK.
+func recordPackets(t *testing.T, responses [][]byte) (address string, packets <-chan []byte) {
+	t.Helper()
 	recorded := make(chan []byte, 16)
-	addr = testbed.Serve(t, func(c net.Conn) {
+	address = testbed.Serve(t, func(conn net.Conn) {
 		for n := -1; ; n++ {
 			var wire bytes.Buffer
-			_, body, err := readPacket(io.TeeReader(c, &wire))
+			_, body, err := readPacket(io.TeeReader(conn, &wire))
 			if err != nil {
 				return
 			}
 			recorded <- wire.Bytes()
+			response := []byte{0, 0, 0, 5, 2, 0, 0, 0, 3}
 			switch {
-			case n < 0:
-				c.Write([]byte{0, 0, 0, 5, 2, 0, 0, 0, 3})
-			case n < len(responses):
-				c.Write(frameResponse(responses[n], body[:4]))
-			default:
-				c.Write(frameResponse([]byte{101, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, body[:4]))
+			case n >= len(responses):
+				response = frameResponse([]byte{101, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, body[:4])
+			case n >= 0:
+				response = frameResponse(responses[n], body[:4])
 			}
+			_, _ = conn.Write(response) // the client may have closed the connection
 		}
 	})
-	return addr, recorded
+	return address, recorded
 }
 
-// frameResponse puts the length and the id into a response.
+// frameResponse returns a response with its length and id.
 func frameResponse(response, id []byte) []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(response)+len(id)))
 	out = append(out, response[0])
@@ -86,7 +91,15 @@
 	return append(out, response[1:]...)
 }
 
-func TestGoldenPackets(t *testing.T) {
+// goldenExchange is a command with the responses to its packets. The golden file of its name holds the packets and the result.
+type goldenExchange struct {
+	command   sftpwire.Command
+	responses []string
+	packets   int // INIT included
+}
+
+func goldenExchanges() map[string]goldenExchange {
+	// Responses of the server: the type in the first byte, then what follows the packet's id.
 	const (
 		handle       = "66 00000002 6831"
 		data         = "67 00000004 64617461"
@@ -105,11 +118,7 @@
 	read := sftpwire.Command{Op: sftpwire.OpRead, Path: "/layers/a", Offset: 1 << 33, Length: 10}
 	write := sftpwire.Command{Op: sftpwire.OpWrite, Path: "/layers/a", Offset: 3, Data: []byte("data\x00\xff"), UploadKey: "k1"}
 	stat := sftpwire.Command{Op: sftpwire.OpStat, Path: "/layers/a"}
-	for name, c := range map[string]struct {
-		command   sftpwire.Command
-		responses []string
-		packets   int // INIT included
-	}{
+	return map[string]goldenExchange{
 		"read":              {read, []string{handle, data}, 4},
 		"write":             {write, []string{handle, statusOK}, 4},
 		"write-without-key": {sftpwire.Command{Op: sftpwire.OpWrite, Path: "/a", Data: []byte("x")}, []string{handle, statusOK}, 4},
@@ -129,22 +138,25 @@
 		"write-bad-message": {write, []string{handle, badMessage}, 4},
 		"write-unsupported": {write, []string{handle, unsupported}, 4},
 		"read-unknown":      {read, []string{handle, unknownReply}, 3},
-	} {
+	}
+}
+
+func TestGoldenPackets(t *testing.T) {
+	for name, exchange := range goldenExchanges() {
 		t.Run(name, func(t *testing.T) {
 			var responses [][]byte
-			for _, text := range c.responses {
+			for _, text := range exchange.responses {
 				responses = append(responses, hexBytes(t, text))
 			}
-			addr, packets := recordPackets(t, responses)
-			now, ends := clock.NewManual(1e12), make(chan lifecycle.AttemptResult, 1)
-			b := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: 1,
-				Address: func(*lifecycle.Server) (string, bool) { return addr, true }}, now, metrics.New(),
-				func(_ lifecycle.Attempt, r lifecycle.AttemptResult) { ends <- r })
-			defer b.Close()
-			b.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &c.command}, Server: &lifecycle.Server{}, DeadlineMs: now.NowMs() + 750.9})
-			result := <-ends
+			address, packets := recordPackets(t, responses)
+			now := clock.NewManual(startMs)
+			client, results := newTestClient(now, address, 1)
+			defer client.Close()
+			client.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &exchange.command}, Server: &lifecycle.Server{},
+				DeadlineMs: now.NowMs() + 750.9})
+			result := <-results
 			var text strings.Builder
-			for range c.packets {
+			for range exchange.packets {
 				fmt.Fprintf(&text, "%x\n", <-packets)
 			}
 			compareGolden(t, "packets-"+name, text.String()+describeResult(result))
--- /dev/null
+++ b/internal/upstream/sftpclient/pool.go
@@ -0,0 +1,134 @@
+package sftpclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+
+	"gaugerelay/internal/clock"
+)
+
+// idleTimeoutFraction keeps the time that a session may be idle below the server's own idle timeout: a command that is
+// written to a connection which the server has dropped ends as a reset.
+const idleTimeoutFraction = 0.6
+
+var errTooManySessions = errors.New("sftpclient: session limit reached")
+
+// sessionPool holds the idle sessions and bounds the number of sessions that are open. Its methods may be called from any
+// goroutine.
+type sessionPool struct {
+	options Options
+	clock   clock.Clock
+
+	mu    sync.Mutex
+	idle  map[string][]*session // by address; the session that was used last is at the end
+	count int                   // sessions that are open or being opened
+}
+
+func newSessionPool(options Options, c clock.Clock) *sessionPool {
+	return &sessionPool{options: options, clock: c, idle: map[string][]*session{}}
+}
+
+// acquire returns an idle session to the address, or opens one. The caller passes the session to release or discard.
+func (p *sessionPool) acquire(ctx context.Context, address string) (*session, error) {
+	idle, err := p.takeIdleOrReserve(address)
+	if idle != nil || err != nil {
+		return idle, err
+	}
+	return p.open(ctx, address)
+}
+
+// takeIdleOrReserve returns an idle session to the address. If there is none, it counts a session that the caller opens, and
+// returns nil.
+func (p *sessionPool) takeIdleOrReserve(address string) (*session, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.clock.NowMs()
+	for sessions := p.idle[address]; len(sessions) > 0; sessions = p.idle[address] {
+		last := sessions[len(sessions)-1]
+		p.idle[address] = sessions[:len(sessions)-1]
+		if now-last.idleSinceMs < p.options.ConnIdleTimeoutMs*idleTimeoutFraction {
+			return last, nil
+		}
+		p.count--
+		last.Close()
+	}
+	if p.count >= p.options.MaxSessions {
+		p.evictLocked()
+	}
+	if p.count >= p.options.MaxSessions {
+		return nil, errTooManySessions
+	}
+	p.count++
+	return nil, nil
+}
+
+// open opens a session that is counted already.
+func (p *sessionPool) open(ctx context.Context, address string) (*session, error) {
+	dial := p.options.Dial
+	if dial == nil {
+		dialer := net.Dialer{Timeout: clock.Duration(p.options.ConnectTimeoutMs), KeepAlive: -1}
+		dial = dialer.DialContext
+	}
+	conn, err := dial(ctx, "tcp", address)
+	if err != nil {
+		p.mu.Lock()
+		p.count--
+		p.mu.Unlock()
+		return nil, fmt.Errorf("sftpclient: connect: %w", err)
+	}
+	opened := &session{Conn: conn, clock: p.clock, address: address}
+	stopCloser := context.AfterFunc(ctx, func() { opened.Close() })
+	err = opened.negotiateVersion()
+	if !stopCloser() && err == nil {
+		err = context.Cause(ctx)
+	}
+	if err != nil {
+		p.discard(opened)
+		return nil, err
+	}
+	return opened, nil
+}
+
+// release returns a session to the pool.
+func (p *sessionPool) release(s *session) {
+	s.idleSinceMs = p.clock.NowMs()
+	p.mu.Lock()
+	p.idle[s.address] = append(p.idle[s.address], s)
+	p.mu.Unlock()
+}
+
+// discard closes a session that is not idle.
+func (p *sessionPool) discard(s *session) {
+	s.Close()
+	p.mu.Lock()
+	p.count--
+	p.mu.Unlock()
+}
+
+// evictLocked closes an idle session to any address, if there is one. p.mu is held.
+func (p *sessionPool) evictLocked() {
+	for address, sessions := range p.idle {
+		if len(sessions) > 0 {
+			sessions[0].Close()
+			p.idle[address] = sessions[1:]
+			p.count--
+			return
+		}
+	}
+}
+
+// closeIdle closes the idle sessions.
+func (p *sessionPool) closeIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for address, sessions := range p.idle {
+		for _, s := range sessions {
+			s.Close()
+			p.count--
+		}
+		delete(p.idle, address)
+	}
+}
--- /dev/null
+++ b/internal/upstream/sftpclient/session.go
@@ -0,0 +1,212 @@
+package sftpclient
+
+import (
+	"errors"
+	"fmt"
+	"net"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/permission"
+	"gaugerelay/internal/sftpwire"
+)
+
+// maxHandleLength bounds the handles that servers issue, in bytes. The protocol sets the bound.
+const maxHandleLength = 256
+
+var errNotAuthorized = errors.New("sftpclient: not authorized to send the command after its OPEN")
+
+// incompleteWriteError reports that the last byte of a packet was not written. The server cannot have executed the packet.
+type incompleteWriteError struct{ err error }
+
+func (e *incompleteWriteError) Error() string {
+	return "sftpclient: incomplete write: " + e.err.Error()
+}
+func (e *incompleteWriteError) Unwrap() error { return e.err }
+
+// executionState says whether a server may have executed a command.
+type executionState uint8
+
+const (
+	// notExecuted means that the packet of the command was not written to its last byte.
+	notExecuted executionState = iota
+	// mayHaveExecuted means that the packet was written, whatever became of its response.
+	mayHaveExecuted
+)
+
+// String returns the name of the state.
+func (s executionState) String() string {
+	switch s {
+	case notExecuted:
+		return "not executed"
+	case mayHaveExecuted:
+		return "may have executed"
+	}
+	return fmt.Sprintf("executionState(%d)", uint8(s))
+}
+
+// executionAfter returns the state of a command whose own packet was sent by a round trip that returned err.
+func executionAfter(err error) executionState {
+	var incomplete *incompleteWriteError
+	if errors.As(err, &incomplete) {
+		return notExecuted
+	}
+	return mayHaveExecuted
+}
+
+// commandOutcome is the end of a command on a session.
+type commandOutcome struct {
+	// reply is valid if err is nil.
+	reply *sftpwire.Reply
+	// handle is a handle that is still open, or nil.
+	handle []byte
+	// execution does not count the OPEN before a READ or WRITE: it changes nothing.
+	execution executionState
+	err       error
+}
+
+// session is a connection on which the protocol's version has been negotiated. One goroutine uses it at a time.
+type session struct {
+	net.Conn
+	address     string
+	clock       clock.Clock
+	lastID      uint32  // of the packet that was sent last
+	idleSinceMs float64 // valid while the session is idle
+}
+
+// negotiateVersion exchanges INIT and VERSION.
+func (s *session) negotiateVersion() error {
+	if _, err := s.Write(newPacket(typeInit, protocolVersion).finish()); err != nil {
+		return fmt.Errorf("sftpclient: write INIT: %w", err)
+	}
+	packetType, _, err := readPacket(s)
+	if err == nil && packetType != typeVersion {
+		err = errMalformed
+	}
+	return err
+}
+
+// newRequest returns a packet with the next id.
+func (s *session) newRequest(packetType byte) packet {
+	s.lastID++
+	return newPacket(packetType, s.lastID)
+}
+
+// roundTrip sends a request and reads its response.
+func (s *session) roundTrip(request packet) (packetType byte, body *decoder, err error) {
+	if _, err := s.Write(request.finish()); err != nil {
+		return 0, nil, &incompleteWriteError{err}
+	}
+	packetType, content, err := readPacket(s)
+	if err != nil {
+		return 0, nil, err
+	}
+	body = &decoder{remaining: content}
+	if id := body.uint32(); body.err == nil && id != s.lastID {
+		return 0, nil, fmt.Errorf("%w: response to packet %d", errMalformed, id)
+	}
+	return packetType, body, body.err
+}
+
+// execute sends the command of an attempt. remainingMs is the time until the client's deadline that is announced to the
+// server.
+func (s *session) execute(attempt lifecycle.Attempt, remainingMs float64) commandOutcome {
+	command := attempt.Request.Payload.(*sftpwire.Command)
+	if command.Op == sftpwire.OpStat {
+		return s.stat(command)
+	}
+	opened := s.open(command, remainingMs)
+	if opened.err != nil || opened.handle == nil || command.Op == sftpwire.OpOpen {
+		return opened
+	}
+	// The authorization may have ended during the round trip of the OPEN.
+	if _, denial := attempt.Authorize(s.clock); denial != permission.Allowed {
+		return commandOutcome{err: errNotAuthorized}
+	}
+	return s.transfer(command, opened.handle)
+}
+
+// stat sends a STAT.
+func (s *session) stat(command *sftpwire.Command) commandOutcome {
+	packetType, body, err := s.roundTrip(s.newRequest(typeStat).string(command.Path))
+	outcome := commandOutcome{execution: executionAfter(err), err: err}
+	if err == nil {
+		outcome.reply, outcome.err = decodeReply(packetType, body)
+	}
+	return outcome
+}
+
+// open sends an OPEN. The outcome has a handle if the server has opened the file.
+func (s *session) open(command *sftpwire.Command, remainingMs float64) commandOutcome {
+	packetType, body, err := s.roundTrip(s.openRequest(command, remainingMs))
+	outcome := commandOutcome{err: err}
+	if command.Op == sftpwire.OpOpen {
+		outcome.execution = executionAfter(err)
+	}
+	if err != nil {
+		return outcome
+	}
+	if packetType != typeHandle {
+		outcome.reply, outcome.err = decodeReply(packetType, body)
+		if outcome.err == nil && outcome.reply.Code == sftpwire.StatusOK {
+			outcome.err = errMalformed // the response to an OPEN that succeeds is a HANDLE
+		}
+		return outcome
+	}
+	handle := body.bytes()
+	if body.err != nil || len(handle) > maxHandleLength {
+		outcome.err = errMalformed
+		return outcome
+	}
+	outcome.reply, outcome.handle = &sftpwire.Reply{}, handle
+	return outcome
+}
+
+// openRequest returns the OPEN of a command.
+func (s *session) openRequest(command *sftpwire.Command, remainingMs float64) packet {
+	flags := command.Flags
+	switch command.Op {
+	case sftpwire.OpRead:
+		flags = sftpwire.FlagRead
+	case sftpwire.OpWrite:
+		flags = sftpwire.FlagWrite
+	}
+	request := s.newRequest(typeOpen).string(command.Path).uint32(flags).uint32(attrExtended)
+	if command.UploadKey != "" {
+		request = request.uint32(2).string(sftpwire.AttrUploadKey).string(command.UploadKey)
+	} else {
+		request = request.uint32(1)
+	}
+	return request.string(sftpwire.AttrTimeLeft).string(fmt.Sprint(remainingMs))
+}
+
+// transfer sends a READ or WRITE on an open handle.
+func (s *session) transfer(command *sftpwire.Command, handle []byte) commandOutcome {
+	var request packet
+	if command.Op == sftpwire.OpRead {
+		request = s.newRequest(typeRead).string(string(handle)).uint64(command.Offset).uint32(command.Length)
+	} else {
+		request = s.newRequest(typeWrite).string(string(handle)).uint64(command.Offset).string(string(command.Data))
+	}
+	packetType, body, err := s.roundTrip(request)
+	outcome := commandOutcome{handle: handle, execution: executionAfter(err), err: err}
+	if err != nil {
+		return outcome
+	}
+	outcome.reply, outcome.err = decodeReply(packetType, body)
+	if outcome.err == nil && packetType == typeData && !acceptsData(command, outcome.reply) {
+		outcome.err = errMalformed
+	}
+	return outcome
+}
+
+// acceptsData reports whether the data of the reply was requested by the command.
+func acceptsData(command *sftpwire.Command, reply *sftpwire.Reply) bool {
+	return command.Op == sftpwire.OpRead && len(reply.Data) <= int(command.Length)
+}
+
+// closeHandle sends a CLOSE and waits for the response, whatever its status.
+func (s *session) closeHandle(handle []byte) error {
+	_, _, err := s.roundTrip(s.newRequest(typeClose).string(string(handle)))
+	return err
+}
