--- a/internal/frontend/sftpserver/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -30,12 +30,12 @@
 func TestTimesOfAConnection(t *testing.T) {
 	nc := &timed{in: []string{"\x00\x00", "\x00\x05\x01\x00\x00\x00\x03", "\x00\x00\x00", "\x02\x07\x00"}}
 	c := newConn(nc, func() {})
-	c.opened = c.opened.Add(-time.Second) // it has been open for a while
-	for i, want := range []time.Duration{-1, -1, idleTime, packetTime, idleTime} {
+	c.acceptedAt = c.acceptedAt.Add(-time.Second) // it has been open for a while
+	for i, want := range []time.Duration{-1, -1, idleTimeout, packetTimeout, idleTimeout} {
 		before := time.Now()
 		c.Read(make([]byte, 64))
-		if want < 0 && !nc.given.Equal(c.opened.Add(firstTime)) {
-			t.Errorf("read %d: until %v after the connecting", i, nc.given.Sub(c.opened))
+		if want < 0 && !nc.given.Equal(c.acceptedAt.Add(firstPacketTimeout)) {
+			t.Errorf("read %d: until %v after the connecting", i, nc.given.Sub(c.acceptedAt))
 		}
 		if want >= 0 && (nc.given.Before(before.Add(want)) || nc.given.After(time.Now().Add(want))) {
 			t.Errorf("read %d: %v, want %v", i, nc.given.Sub(before), want)
--- /dev/null
+++ b/internal/frontend/sftpserver/errors.go
@@ -0,0 +1,58 @@
+package sftpserver
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/pkg/sftp"
+
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/sftpwire"
+)
+
+// Errors that clients receive. The library sends the text as the message of a STATUS, and the wrapped error as its code.
+var (
+	errNotSupported    = fmt.Errorf("not served here: %w", sftp.ErrSSHFxOpUnsupported)
+	errAppending       = fmt.Errorf("appending: %w", sftp.ErrSSHFxOpUnsupported)
+	errMayHaveExecuted = fmt.Errorf("failed, it may have taken effect: %w", sftp.ErrSSHFxFailure)
+	errBadPath         = fmt.Errorf("path: %w", sftp.ErrSSHFxBadMessage)
+	errNoRoot          = fmt.Errorf("under no root: %w", sftp.ErrSSHFxNoSuchFile)
+	errBadRange        = fmt.Errorf("over 64 KiB, or a bad offset: %w", sftp.ErrSSHFxBadMessage)
+	errNotReadable     = fmt.Errorf("not open for reading: %w", sftp.ErrSSHFxPermissionDenied)
+	errNotWritable     = fmt.Errorf("not open for writing: %w", sftp.ErrSSHFxPermissionDenied)
+)
+
+// busyError returns the error for a command that was rejected without effect and may be retried after the delay.
+func busyError(retryAfterMs float64) error {
+	return fmt.Errorf("busy, nothing was done, retry after %.0f ms: %w", max(1, retryAfterMs), sftp.ErrSSHFxFailure)
+}
+
+// replyTo returns the storage server's reply in a response, and the error that the client receives or nil.
+func replyTo(response lifecycle.Response) (*sftpwire.Reply, error) {
+	switch response.Kind {
+	case lifecycle.Rejected:
+		return nil, busyError(response.RetryAfterMs)
+	case lifecycle.Served:
+		reply := response.Result.(*sftpwire.Reply)
+		return reply, errorOfStatus(reply.Code)
+	}
+	return nil, errMayHaveExecuted
+}
+
+// errorOfStatus returns the error that the library sends as the code, or nil for StatusOK. Codes that clients do not receive
+// from the gateway become a failure.
+func errorOfStatus(code sftpwire.StatusCode) error {
+	switch code {
+	case sftpwire.StatusOK:
+		return nil
+	case sftpwire.StatusEOF:
+		return io.EOF
+	case sftpwire.StatusNoSuchFile:
+		return sftp.ErrSSHFxNoSuchFile
+	case sftpwire.StatusUnsupported:
+		return sftp.ErrSSHFxOpUnsupported
+	case sftpwire.StatusPermissionDenied:
+		return sftp.ErrSSHFxPermissionDenied
+	}
+	return sftp.ErrSSHFxFailure
+}
--- a/internal/frontend/sftpserver/export_test.go
+++ b/internal/frontend/sftpserver/export_test.go
@@ -1,16 +1,16 @@
 package sftpserver
 
-// Ending tells whether no connection of a front that shuts down is read any more.
-func Ending(f *Server) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+// Draining reports whether a server shuts down and reads none of its connections any more.
+func Draining(s *Server) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
 		c.mu.Lock()
-		ending := c.ending
+		draining := c.draining
 		c.mu.Unlock()
-		if !ending {
+		if !draining {
 			return false
 		}
 	}
-	return f.ending
+	return s.draining
 }
--- /dev/null
+++ b/internal/frontend/sftpserver/handler.go
@@ -0,0 +1,174 @@
+package sftpserver
+
+import (
+	"io"
+	"os"
+	"path"
+	"time"
+
+	"github.com/pkg/sftp"
+
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/sftpwire"
+)
+
+const (
+	// responseGraceMs is how long after the client's deadline a response of the event loop is awaited.
+	responseGraceMs = 25
+	// inboxFullRetryAfterMs is the delay that a client is told when the event loop does not accept a request.
+	inboxFullRetryAfterMs = 250
+)
+
+// methodStat is the name that the library gives to a STAT.
+const methodStat = "Stat"
+
+// handler handles the commands of one connection. The library calls it from several goroutines at once.
+type handler struct {
+	server *Server
+	// clientHost identifies the client across its connections.
+	clientHost string
+	// disconnected is closed when the client has disconnected.
+	disconnected <-chan struct{}
+	// peerClosed reports whether the client has closed the connection, even if the end has not been read yet since commands
+	// precede it.
+	peerClosed func() bool
+}
+
+// isDisconnected reports whether the client has disconnected.
+func (h *handler) isDisconnected() bool {
+	select {
+	case <-h.disconnected:
+		return true
+	default:
+		return false
+	}
+}
+
+// Filecmd implements sftp.FileCmder.
+func (h *handler) Filecmd(*sftp.Request) error { return errNotSupported }
+
+// Filelist implements sftp.FileLister.
+func (h *handler) Filelist(r *sftp.Request) (sftp.ListerAt, error) {
+	if r.Method != methodStat {
+		return nil, errNotSupported
+	}
+	reply, err := h.execute(r.Filepath, &sftpwire.Command{Op: sftpwire.OpStat}, notRetransmitted)
+	if err != nil {
+		return nil, err
+	}
+	return fileInfo{name: path.Base(r.Filepath), attrs: reply.Attrs}, nil
+}
+
+// Lstat implements sftp.LstatFileLister. It is the same as a STAT, since there are no links.
+func (h *handler) Lstat(r *sftp.Request) (sftp.ListerAt, error) {
+	r.Method = methodStat
+	return h.Filelist(r)
+}
+
+// Fileread implements sftp.FileReader.
+func (h *handler) Fileread(r *sftp.Request) (io.ReaderAt, error) { return h.open(r) }
+
+// Filewrite implements sftp.FileWriter.
+func (h *handler) Filewrite(r *sftp.Request) (io.WriterAt, error) { return h.open(r) }
+
+// OpenFile implements sftp.OpenFileWriter.
+func (h *handler) OpenFile(r *sftp.Request) (sftp.WriterAtReaderAt, error) { return h.open(r) }
+
+// open opens a file at its storage server, so that the OPEN of a missing file fails.
+func (h *handler) open(r *sftp.Request) (*openFile, error) {
+	if r.Pflags().Append { // a retry would append twice, and no offset can prevent that
+		return nil, errAppending
+	}
+	command := &sftpwire.Command{Op: sftpwire.OpOpen, Flags: r.Flags}
+	if r.Flags&^sftpwire.FlagRead != 0 {
+		command.UploadKey = newUploadKey()
+	}
+	if _, err := h.execute(r.Filepath, command, notRetransmitted); err != nil {
+		return nil, err
+	}
+	return newOpenFile(h, r.Filepath, r.Flags), nil
+}
+
+// execute submits a command on a file and waits for its response. firstSentAgoMs is the age of the command if it is a
+// retransmission of one that was sent over another connection, or notRetransmitted.
+func (h *handler) execute(name string, command *sftpwire.Command, firstSentAgoMs float64) (*sftpwire.Reply, error) {
+	server := h.server
+	request, err := server.newRequest(name, command)
+	if err != nil {
+		server.Metrics.Add(commandsMalformed, 1)
+		return nil, err
+	}
+	if command.Op == sftpwire.OpWrite && server.RetentionMs > 0 {
+		h.attachExchange(request, command, firstSentAgoMs)
+	} else {
+		request.ClientDisconnected = h.peerClosed
+	}
+	responses := make(chan lifecycle.Response, 1)
+	request.Respond = func(response lifecycle.Response) { responses <- response }
+	if !server.Loop.Submit(request) {
+		server.Metrics.Add(requestsInboxFull, 1)
+		return nil, busyError(inboxFullRetryAfterMs)
+	}
+	return h.waitForResponse(request, responses)
+}
+
+// waitForResponse waits until the request has its response, the client disconnects, or the response is overdue.
+func (h *handler) waitForResponse(request *lifecycle.Request, responses <-chan lifecycle.Response) (*sftpwire.Reply, error) {
+	server := h.server
+	overdue := make(chan struct{})
+	stopTimer := server.Clock.AfterFunc(request.RemainingMs+responseGraceMs, func() { close(overdue) })
+	defer stopTimer()
+	select {
+	case response := <-responses:
+		if request.Device != nil && response.Kind == lifecycle.Served {
+			// The library writes the response next. If that fails, the exchange store still has it.
+			server.Loop.ResponseWritten(request, lifecycle.LinkSample{})
+		}
+		return replyTo(response)
+	case <-h.disconnected:
+		server.Loop.Cancel(request)
+		return nil, errMayHaveExecuted
+	case <-overdue:
+	}
+	select {
+	case response := <-responses: // it arrived at the same time
+		return replyTo(response)
+	default:
+	}
+	server.Metrics.Add(responsesOverdue, 1)
+	server.Loop.Cancel(request)
+	return nil, errMayHaveExecuted
+}
+
+// fileInfo is the result of a STAT: a list of one entry.
+type fileInfo struct {
+	name  string
+	attrs sftpwire.Attrs
+}
+
+// ListAt implements sftp.ListerAt.
+func (i fileInfo) ListAt(out []os.FileInfo, offset int64) (int, error) {
+	if offset > 0 || len(out) == 0 {
+		return 0, io.EOF
+	}
+	out[0] = i
+	return 1, nil
+}
+
+// Name implements os.FileInfo.
+func (i fileInfo) Name() string { return i.name }
+
+// Size implements os.FileInfo.
+func (i fileInfo) Size() int64 { return int64(i.attrs.Size) }
+
+// Mode implements os.FileInfo. It has the permission bits alone.
+func (i fileInfo) Mode() os.FileMode { return os.FileMode(i.attrs.Mode & 0o777) }
+
+// ModTime implements os.FileInfo.
+func (i fileInfo) ModTime() time.Time { return time.Unix(int64(i.attrs.Mtime), 0) }
+
+// IsDir implements os.FileInfo.
+func (i fileInfo) IsDir() bool { return false }
+
+// Sys implements os.FileInfo.
+func (i fileInfo) Sys() any { return nil }
--- a/internal/frontend/sftpserver/front_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -290,8 +290,8 @@
 	c := raw{t, r.dial()}
 	c.Write(append(binary.BigEndian.AppendUint32(nil, 5000), 6, 0, 0, 0, 9, 0, 0, 0, 1, '1'))
 	c.Close()
-	r.until(func() bool { return r.counts.Get("file_commands_cut_off") > 0 })
-	if n := r.counts.Get("file_commands_cut_off"); n != 1 {
+	r.until(func() bool { return r.counts.Get("file_commands_truncated") > 0 })
+	if n := r.counts.Get("file_commands_truncated"); n != 1 {
 		t.Errorf("%d ends", n)
 	}
 	if n := r.counts.Get("requests_accepted"); n != 0 || len(r.files.Log()) != 0 || string(r.files.File("/layers/a")) != "old" {
@@ -475,7 +475,7 @@
 	go func() { r.front.Shutdown(); close(ended) }()
 	for stopping := false; !stopping; { // it has ended reading; what comes now stays unread
 		runtime.Gosched()
-		stopping = sftpserver.Ending(r.front)
+		stopping = sftpserver.Draining(r.front)
 	}
 	c.Write(stat)
 	close(release)
--- /dev/null
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -0,0 +1,194 @@
+package sftpserver
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+	"slices"
+	"testing"
+
+	"gaugerelay/internal/clock"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/sftpwire"
+)
+
+// recordingLoop records the requests and responds to each at once. It has no exchange store.
+type recordingLoop struct {
+	requests []*lifecycle.Request
+	response lifecycle.Response
+}
+
+func (l *recordingLoop) Submit(r *lifecycle.Request) bool {
+	l.requests = append(l.requests, r)
+	r.Respond(l.response)
+	return true
+}
+func (l *recordingLoop) Cancel(*lifecycle.Request)                                {}
+func (l *recordingLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+
+// ownKey stands for the upload key of a WRITE that repeats no other one.
+const ownKey = -1
+
+// stepKind is what happens in a writeStep.
+type stepKind int
+
+const (
+	openHandle stepKind = iota
+	closeHandle
+	loseConnection
+	advanceClock
+	write
+)
+
+// writeStep is a step of a test of retransmissions. A handle is opened by the first step that names it.
+type writeStep struct {
+	kind    stepKind
+	handle  int
+	offset  int64
+	data    string
+	wantKey int     // the WRITE, counted from 0, whose upload key this one has, or ownKey
+	ms      float64 // for advanceClock
+}
+
+func opens(handle int) writeStep  { return writeStep{kind: openHandle, handle: handle} }
+func closes(handle int) writeStep { return writeStep{kind: closeHandle, handle: handle} }
+func loses(handle int) writeStep  { return writeStep{kind: loseConnection, handle: handle} }
+func waits(ms float64) writeStep  { return writeStep{kind: advanceClock, ms: ms} }
+func writes(handle int, offset int64, data string, wantKey int) writeStep {
+	return writeStep{kind: write, handle: handle, offset: offset, data: data, wantKey: wantKey}
+}
+
+// writeClients runs writeSteps on handles that each have a connection of their own.
+type writeClients struct {
+	server      *Server
+	loop        *recordingLoop
+	clock       *clock.Manual
+	twoClients  bool // handles from 2 on are another client's
+	handles     map[int]*openFile
+	connections map[int]chan struct{} // by handle; closed when the connection is lost
+	keys        []string              // of the WRITEs
+}
+
+func newWriteClients(twoClients bool) *writeClients {
+	loop := &recordingLoop{response: lifecycle.Response{Result: &sftpwire.Reply{}}}
+	now := clock.NewManual(1e6)
+	server := &Server{Loop: loop, Clock: now, Metrics: metrics.New(), Options: Options{
+		UnitBytes: 1024, Shards: 1, MaxUnits: 6, RetentionMs: 5000,
+		WriteClass: scheduler.Class{Name: "push", DedupWindow: 3e9, Deadline: 3e9},
+		Roots:      []Root{{Path: "/", Plan: "basic"}}}}
+	return &writeClients{server: server, loop: loop, clock: now, twoClients: twoClients,
+		handles: map[int]*openFile{}, connections: map[int]chan struct{}{}}
+}
+
+// handle returns a handle, which it opens if need be.
+func (c *writeClients) handle(n int) *openFile {
+	if c.handles[n] == nil {
+		host := "a"
+		if c.twoClients && n > 1 {
+			host = "b"
+		}
+		c.connections[n] = make(chan struct{})
+		h := &handler{server: c.server, clientHost: host, disconnected: c.connections[n]}
+		c.handles[n] = newOpenFile(h, "/f", sftpwire.FlagWrite)
+	}
+	return c.handles[n]
+}
+
+func (c *writeClients) run(t *testing.T, step writeStep) {
+	t.Helper()
+	switch step.kind {
+	case openHandle:
+		c.handle(step.handle)
+	case closeHandle:
+		c.close(t, step.handle)
+	case loseConnection:
+		close(c.connections[step.handle])
+		c.close(t, step.handle)
+	case advanceClock:
+		c.clock.Advance(step.ms)
+	case write:
+		c.write(t, step)
+	}
+}
+
+func (c *writeClients) close(t *testing.T, handle int) {
+	t.Helper()
+	if err := c.handle(handle).Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// write sends a WRITE and checks its upload key and its request.
+func (c *writeClients) write(t *testing.T, step writeStep) {
+	t.Helper()
+	if _, err := c.handle(step.handle).WriteAt([]byte(step.data), step.offset); err != nil {
+		t.Fatal(err)
+	}
+	request := c.loop.requests[len(c.loop.requests)-1]
+	device := request.Device
+	got := slices.Index(c.keys, device.Key) // -1, which is ownKey, if there is none
+	wantRetry := step.wantKey != ownKey
+	if got != step.wantKey || request.IsRetry != wantRetry || request.IsRetry != (device.AgeMs >= 0) {
+		t.Errorf("write %d has the key of write %d, want %d; retry %v, age %v", len(c.keys), got, step.wantKey,
+			request.IsRetry, device.AgeMs)
+	}
+	payload := device.BuildPayload("", device.Body).(*sftpwire.Command)
+	if device.BodyDigest != sha256.Sum256([]byte(step.data)) || !bytes.Equal(payload.Data, []byte(step.data)) {
+		t.Errorf("write %d submits other data", len(c.keys))
+	}
+	c.keys = append(c.keys, device.Key)
+}
+
+// TestRetransmittedWritesKeepUploadKey checks which WRITEs count as retransmissions.
+func TestRetransmittedWritesKeepUploadKey(t *testing.T) {
+	for name, c := range map[string]struct {
+		twoClients bool
+		steps      []writeStep
+	}{
+		"after a lost connection":        {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "aa", 0)}},
+		"first connection seems open":    {false, []writeStep{writes(1, 0, "aa", ownKey), writes(2, 0, "aa", 0), writes(3, 0, "aa", 0)}},
+		"first arrives last":             {false, []writeStep{opens(1), writes(2, 0, "aa", ownKey), closes(2), writes(1, 0, "aa", 0)}},
+		"opened after an orderly close":  {false, []writeStep{writes(1, 0, "aa", ownKey), waits(1), closes(1), waits(1), writes(2, 0, "aa", ownKey)}},
+		"other data":                     {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "ab", ownKey)}},
+		"other offset":                   {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 2, "aa", ownKey)}},
+		"overwritten in between":         {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 1, "bb", ownKey), writes(2, 0, "aa", ownKey)}},
+		"adjacent write in between":      {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 2, "bb", ownKey), writes(2, 0, "aa", 0)}},
+		"same handle after success":      {false, []writeStep{writes(1, 0, "aa", ownKey), writes(1, 0, "aa", ownKey)}},
+		"other client":                   {true, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "aa", ownKey)}},
+		"after the retention":            {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), waits(9000), writes(2, 0, "aa", ownKey)}},
+		"after the deduplication window": {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), waits(5000), writes(2, 0, "aa", 0)}},
+		"latest write counts":            {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "bb", ownKey), loses(2), writes(3, 0, "bb", 1), writes(4, 0, "aa", ownKey)}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			clients := newWriteClients(c.twoClients)
+			for _, step := range c.steps {
+				clients.run(t, step)
+			}
+		})
+	}
+}
+
+func TestWriteHistoryIsBounded(t *testing.T) {
+	history := &writeHistory{}
+	fileAt := func(path string) *openFile { return &openFile{handler: &handler{}, path: path} }
+	files := map[int]*openFile{}
+	for i := range 100 {
+		files[i] = fileAt(fmt.Sprint("p", i))
+	}
+	for i := range 3 * maxRememberedWrites {
+		history.add(files[i%100], writeRecord{offset: int64(i), size: 1, firstSentMs: float64(i)})
+	}
+	located := 0
+	for _, elements := range history.byLocation {
+		located += len(elements)
+	}
+	if located != maxRememberedWrites || history.order.Len() != maxRememberedWrites {
+		t.Errorf("%d and %d writes are held", located, history.order.Len())
+	}
+	_, found := history.find(fileAt("p0"), &writeRecord{offset: 1, size: 1, firstSentMs: 1e9}, 1000)
+	if found || history.order.Len() != 0 || len(history.byLocation) != 0 {
+		t.Errorf("%d writes are left when all have expired", history.order.Len())
+	}
+}
