--- /dev/null
+++ b/internal/testbed/simulation/faults.go
@@ -0,0 +1,202 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"gaugerelay/internal/clock"
+)
+
+// faultInjector schedules the faults of a run. All draws are made while it schedules, in a fixed order.
+type faultInjector struct {
+	*simulation
+	random *rand.Rand
+	faults sync.WaitGroup
+}
+
+// injectFaults draws and schedules the faults of a run and waits until they have ended.
+func (s *simulation) injectFaults() {
+	f := &faultInjector{simulation: s, random: rand.New(rand.NewPCG(s.deployment.Seed, faultStream))}
+	s.mu.Lock()
+	nextServer := len(s.servers)
+	s.mu.Unlock()
+	for i := range 1 + f.random.IntN(3) {
+		f.scheduleReplacement(nextServer + i)
+	}
+	for _, g := range s.gateways {
+		f.scheduleDiscoveryOutage(g)
+		f.scheduleGatewayRestart(g)
+	}
+	f.scheduleFreeze()
+	f.faults.Wait()
+}
+
+// after runs a fault after a number of seconds.
+func (f *faultInjector) after(delay float64, fault func()) {
+	f.faults.Go(func() {
+		time.Sleep(seconds(delay))
+		fault()
+	})
+}
+
+// scheduleReplacement has a server replaced by one of another name, or restarted under its own.
+func (f *faultInjector) scheduleReplacement(number int) {
+	shard, restart := f.random.IntN(f.deployment.Shards), f.random.IntN(3) == 0
+	replacement := fmt.Sprintf("r-%d", number)
+	f.after(1+8*f.random.Float64(), func() {
+		if restart {
+			f.restartServer(shard)
+		} else {
+			f.replaceServer(shard, replacement)
+		}
+	})
+}
+
+// restartServer stops a server at once and starts it again under its name.
+func (s *simulation) restartServer(shard int) {
+	s.mu.Lock()
+	old := s.readyServer(shard)
+	if old == nil {
+		s.mu.Unlock()
+		return
+	}
+	s.result.DrainedServers++
+	old.stopped = true
+	old.stop()
+	old.draining = true
+	started := s.startServer(old.name, shard, time.Now())
+	s.mu.Unlock()
+	s.publish(old, stateGone, s.deployment.DiscoveryLagMs)
+	s.finishReplacement(old, started)
+}
+
+// replaceServer drains a server and starts another one in its place.
+func (s *simulation) replaceServer(shard int, name string) {
+	s.mu.Lock()
+	old := s.readyServer(shard)
+	if old == nil {
+		s.mu.Unlock()
+		return
+	}
+	s.result.DrainedServers++
+	old.draining = true
+	started := s.startServer(name, shard, time.Now())
+	s.mu.Unlock()
+	s.publish(old, stateTerminating, s.deployment.DiscoveryLagMs)
+	s.publish(old, stateGone, s.deployment.DiscoveryLagMs+s.drainTimeMs())
+	s.finishReplacement(old, started)
+}
+
+// finishReplacement publishes the new server and stops the old one when its drain time is over.
+func (s *simulation) finishReplacement(old, started *server) {
+	s.publish(started, stateReady, s.deployment.DiscoveryLagMs+50)
+	time.Sleep(clock.Duration(s.drainTimeMs()))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old.stopped = true
+	old.stop()
+}
+
+// drainTimeMs returns how long a draining server runs: longer than the rule's grace after gateways were notified, so that a
+// gateway which still sends to it is seen.
+func (s *simulation) drainTimeMs() float64 {
+	return max(3000, s.deployment.DiscoveryLagMs+s.deployment.DrainGraceMs+2500)
+}
+
+// readyServer returns the latest ready server of a shard, or nil. s.mu is held.
+func (s *simulation) readyServer(shard int) *server {
+	var ready *server
+	for _, srv := range s.servers {
+		if srv.shard == shard && srv.listed && !srv.draining && !srv.stopped {
+			ready = srv
+		}
+	}
+	return ready
+}
+
+// scheduleDiscoveryOutage may have a gateway's discovery go down for up to two seconds, or only its watches reset.
+func (f *faultInjector) scheduleDiscoveryOutage(g *gatewayNode) {
+	if f.random.IntN(2) != 0 {
+		return
+	}
+	delay, duration := 1+9*f.random.Float64(), 2*f.random.Float64()*float64(f.random.IntN(2))
+	f.after(delay, func() {
+		f.mu.Lock()
+		g.discoveryDown = duration > 0
+		for reset := range g.watches {
+			close(reset)
+		}
+		f.mu.Unlock()
+		time.Sleep(seconds(duration))
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		g.discoveryDown = false
+		if f.deployment.Push {
+			f.markNotified(g)
+		}
+	})
+}
+
+// scheduleGatewayRestart may have a gateway killed or shut down gracefully, and started again.
+func (f *faultInjector) scheduleGatewayRestart(g *gatewayNode) {
+	delay, downtime := 2+8*f.random.Float64(), 0.2+2*f.random.Float64()
+	switch f.random.IntN(3) {
+	case 0:
+		f.after(delay, func() { f.killGateway(g, seconds(downtime)) })
+	case 1:
+		f.after(delay, func() { f.shutDownGateway(g) })
+	}
+}
+
+// killGateway kills a gateway and starts it again after a while. One that did not start is left alone.
+func (s *simulation) killGateway(g *gatewayNode, downtime time.Duration) {
+	s.mu.Lock()
+	g.killed = true
+	old := g.gateway
+	s.mu.Unlock()
+	if old == nil {
+		return
+	}
+	s.checkRunning(g.index, old)
+	old.Kill()
+	time.Sleep(downtime)
+	s.startGateway(g)
+}
+
+// shutDownGateway shuts a gateway down gracefully and starts it again. One that did not start is left alone.
+func (s *simulation) shutDownGateway(g *gatewayNode) {
+	s.mu.Lock()
+	g.stoppingSince = time.Now()
+	old := g.gateway
+	s.mu.Unlock()
+	if old == nil {
+		return
+	}
+	s.checkRunning(g.index, old)
+	old.Stop()
+	s.startGateway(g)
+}
+
+// scheduleFreeze may have a server not respond for a while, in some runs for longer than a gateway's shutdown may take.
+func (f *faultInjector) scheduleFreeze() {
+	if f.random.IntN(2) != 0 {
+		return
+	}
+	shard, duration := f.random.IntN(f.deployment.Shards), 1500*time.Millisecond
+	if f.random.IntN(2) == 0 {
+		duration = 6 * time.Second
+	}
+	f.after(2+6*f.random.Float64(), func() {
+		f.mu.Lock()
+		srv := f.servers[shard]
+		srv.frozen = make(chan struct{})
+		f.mu.Unlock()
+		time.Sleep(duration)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		close(srv.frozen)
+		srv.frozen = nil
+	})
+}
--- /dev/null
+++ b/internal/testbed/simulation/simulation_test.go
@@ -0,0 +1,66 @@
+package simulation
+
+import (
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gaugerelay/internal/logevent"
+)
+
+// Flags of the test binary; `make deployments` sets them.
+var (
+	seeds      = flag.Int("seeds", 48, "how many deployments are simulated")
+	from       = flag.Uint64("from", 1, "the first seed")
+	resultFile = flag.String("line", "", "the file that the last line goes to")
+)
+
+func TestMain(m *testing.M) {
+	logevent.Setup(io.Discard, slog.LevelError)
+	os.Exit(m.Run())
+}
+
+// TestDeployments runs drawn deployments and checks that no rule is broken in any of them.
+func TestDeployments(t *testing.T) {
+	var total Result
+	for seed := *from; seed < *from+uint64(*seeds); seed++ {
+		var result Result
+		d := Draw(seed)
+		synctest.Test(t, func(t *testing.T) {
+			result = Run(d)
+			time.Sleep(time.Minute) // Connections and timers that are left come to their own ends.
+		})
+		for _, violation := range result.Violations {
+			t.Errorf("seed %d (push %v, %d of %d gateways, %d shards): %s", seed, d.Push, d.Gateways, d.FleetSize, d.Shards, violation)
+		}
+		total.add(result)
+	}
+	t.Logf("served %d, rejected %d, failed %d; %d attempts rejected by servers, %d servers drained", total.Served, total.Rejected,
+		total.Failed, total.RejectedAttempts, total.DrainedServers)
+	if total.Served < 100**seeds || total.DrainedServers < *seeds/2 {
+		t.Error("too little happened to show anything")
+	}
+	line := fmt.Sprintf("deployments=%d rules_broken=%d crashed=%d lost=%d\n", *seeds, len(total.Violations), total.CrashedGateways, total.LostRequests)
+	if *resultFile == "" {
+		t.Log(line)
+	} else if err := os.WriteFile(*resultFile, []byte(line), 0o644); err != nil {
+		t.Error(err)
+	}
+}
+
+// add adds the result of another run.
+func (r *Result) add(other Result) {
+	r.Violations = append(r.Violations, other.Violations...)
+	r.CrashedGateways += other.CrashedGateways
+	r.LostRequests += other.LostRequests
+	r.Served += other.Served
+	r.Rejected += other.Rejected
+	r.Failed += other.Failed
+	r.RejectedAttempts += other.RejectedAttempts
+	r.DrainedServers += other.DrainedServers
+}
