--- /dev/null
+++ b/internal/bgp/connection.go
@@ -0,0 +1,127 @@
+package bgp
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
+
+	"gaugerelay/internal/logevent"
+)
+
+// received is a message of the peer, or the error that ended its connection.
+type received struct {
+	messageType uint8
+	body        []byte
+	err         error
+}
+
+// runSession runs a session on a connection to its end, and closes the connection. It returns whether the session was
+// established, and why it ended.
+func (s *Speaker) runSession(ctx context.Context, conn net.Conn) (established bool, err error) {
+	options := s.options
+	if local, err := netip.ParseAddrPort(conn.LocalAddr().String()); err == nil && !options.NextHop.IsValid() {
+		options.NextHop = local.Addr()
+	}
+	messages, stopReading := startReading(conn)
+	defer stopReading()
+	session := &session{options: &options, ready: s.ready}
+	session.start(s.clock.NowMs())
+	for {
+		s.writeOutgoing(conn, session)
+		if session.state == stateIdle {
+			return established, session.endReason
+		}
+		timer, stopTimer := s.startTimer(session.nextTimerMs())
+		select {
+		case message := <-messages:
+			s.handleReceived(session, message)
+			if !established && session.state == stateEstablished {
+				established = true
+				s.metrics.Add("bgp_sessions_established", 1)
+				slog.Info(logevent.BGPSession, "peer", options.PeerAddress, "state", "established")
+			}
+		case s.ready = <-s.readiness:
+			session.setReady(s.ready)
+		case <-timer:
+			session.handleTimers(s.clock.NowMs())
+		case <-ctx.Done():
+			session.endWithNotification(ctx.Err(), bgp.BGP_ERROR_CEASE, bgp.BGP_ERROR_SUB_ADMINISTRATIVE_SHUTDOWN, nil)
+		}
+		stopTimer()
+	}
+}
+
+// startReading reads messages in a goroutine until the first error, which is passed on too. stop closes the connection
+// and waits for the goroutine.
+func startReading(conn net.Conn) (messages <-chan received, stop func()) {
+	channel, stopped := make(chan received), make(chan struct{})
+	var reader sync.WaitGroup
+	reader.Go(func() {
+		for {
+			var next received
+			next.messageType, next.body, next.err = readMessage(conn)
+			select {
+			case channel <- next:
+			case <-stopped:
+				return
+			}
+			if next.err != nil {
+				return
+			}
+		}
+	})
+	return channel, func() {
+		conn.Close()
+		close(stopped)
+		reader.Wait()
+	}
+}
+
+// handleReceived passes on to the session what has been read.
+func (s *Speaker) handleReceived(session *session, message received) {
+	s.metrics.Add("bgp_messages_received", 1)
+	if message.err != nil {
+		session.fail(message.err)
+		return
+	}
+	session.handleMessage(s.clock.NowMs(), message.messageType, message.body)
+}
+
+// writeOutgoing writes the session's outgoing messages. A failure ends the session.
+func (s *Speaker) writeOutgoing(conn net.Conn, session *session) {
+	for _, message := range session.outgoing {
+		if err := writeMessage(conn, message); err != nil {
+			session.end(err)
+			break
+		}
+		s.metrics.Add("bgp_messages_sent", 1)
+		if message.Header.Type == bgp.BGP_MSG_UPDATE {
+			slog.Info(logevent.BGPAnnounced, "peer", s.options.PeerAddress, "announced", session.announced)
+		}
+	}
+	session.outgoing = nil
+}
+
+func writeMessage(conn net.Conn, message *bgp.BGPMessage) error {
+	encoded, err := message.Serialize()
+	if err != nil {
+		return err
+	}
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err = conn.Write(encoded)
+	return err
+}
+
+// startTimer returns a channel that is closed at a time of the clock; at 0 it never is. stop must be called.
+func (s *Speaker) startTimer(atMs float64) (fired <-chan struct{}, stop func()) {
+	channel := make(chan struct{})
+	if atMs <= 0 {
+		return channel, func() {}
+	}
+	return channel, s.clock.AfterFunc(atMs-s.clock.NowMs(), func() { close(channel) })
+}
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -35,24 +35,24 @@
 
 // Types of messages by RFC 4271.
 const (
-	typeOpen      = 1
-	typeUpdate    = 2
-	typeNotify    = 3
-	typeKeepAlive = 4
+	typeOpen         = 1
+	typeUpdate       = 2
+	typeNotification = 3
+	typeKeepalive    = 4
 )
 
 const (
-	headerSize = 19
-	readTime   = 10 * time.Second
-	localAS    = 65001
-	wideAS     = 4200000001 // needs four octets
-	routerAS   = 65000
-	holdMs     = 90_000
-	startMs    = 1e12 // of the clock, which stands still unless a test moves it
+	headerSize  = 19
+	readTimeout = 10 * time.Second
+	localAS     = 65001
+	largeAS     = 4200000001 // needs four octets
+	routerAS    = 65000
+	holdTimeMs  = 90_000
+	startMs     = 1e12 // of the clock, which only Advance moves
 )
 
 func options(as uint32) bgp.Options {
-	return bgp.Options{LocalAS: as, PeerAS: routerAS, RouterID: netip.MustParseAddr("192.0.2.1"), HoldTimeMs: holdMs,
+	return bgp.Options{LocalAS: as, PeerAS: routerAS, RouterID: netip.MustParseAddr("192.0.2.1"), HoldTimeMs: holdTimeMs,
 		NextHop:  netip.MustParseAddr("192.0.2.2"),
 		Prefixes: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("198.51.100.0/24")}}
 }
@@ -72,9 +72,9 @@
 	return frame(typeOpen, append(body, parameters...)...)
 }
 
-// wideOpen returns the OPEN of a router that takes four-octet AS numbers.
-func wideOpen(as uint16) []byte {
-	return openFrame(4, as, 90, 9, 2, 6, 65, 4, 0, 0, byte(as>>8), byte(as))
+// fourOctetOpen returns the OPEN of a router that supports four-octet AS numbers.
+func fourOctetOpen() []byte {
+	return openFrame(4, routerAS, 90, 9, 2, 6, 65, 4, 0, 0, routerAS>>8, routerAS&0xff)
 }
 
 // router is the far end of a session with a running speaker; it records what the speaker writes.
@@ -90,7 +90,8 @@
 // connect starts a speaker and accepts its connection.
 func connect(t *testing.T, o bgp.Options) *router {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +107,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.conn.Close() })
-	r.conn.SetReadDeadline(time.Now().Add(readTime))
+	r.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	return r
 }
 
@@ -146,18 +147,18 @@
 		options bgp.Options
 		open    []byte
 	}{
-		{"external.txt", options(localAS), wideOpen(routerAS)},
+		{"external.txt", options(localAS), fourOctetOpen()},
 		{"external-two-octet-router.txt", options(localAS), openFrame(4, routerAS, 90, 9)},
-		{"wide-as.txt", options(wideAS), wideOpen(routerAS)},
-		{"wide-as-two-octet-router.txt", options(wideAS), openFrame(4, routerAS, 90, 9)},
-		{"internal.txt", options(routerAS), wideOpen(routerAS)},
+		{"wide-as.txt", options(largeAS), fourOctetOpen()},
+		{"wide-as-two-octet-router.txt", options(largeAS), openFrame(4, routerAS, 90, 9)},
+		{"internal.txt", options(routerAS), fourOctetOpen()},
 	} {
 		t.Run(c.golden, func(t *testing.T) {
 			r := connect(t, c.options)
 			r.read()
 			r.write(c.open)
 			r.read()
-			r.write(frame(typeKeepAlive))
+			r.write(frame(typeKeepalive))
 			r.speaker.SetReady(true)
 			r.read()
 			r.speaker.SetReady(false)
@@ -174,11 +175,11 @@
 func TestGoldenTimers(t *testing.T) {
 	r := connect(t, options(localAS))
 	r.read()
-	r.write(wideOpen(routerAS))
+	r.write(fourOctetOpen())
 	r.read()
-	r.clock.Advance(holdMs / 3)
+	r.clock.Advance(holdTimeMs / 3)
 	r.read()
-	r.clock.Advance(holdMs)
+	r.clock.Advance(holdTimeMs)
 	r.read()
 	r.readEnd()
 	compareGolden(t, "timers.txt", r.record.String())
@@ -186,9 +187,9 @@
 
 // What the speaker writes to a router that breaks the protocol, after the OPEN or in an established session.
 func TestGoldenNotifications(t *testing.T) {
-	badMarker := frame(typeKeepAlive)
+	badMarker := frame(typeKeepalive)
 	badMarker[0] = 0
-	bodyMissing := frame(typeKeepAlive, 1)[:headerSize]
+	bodyMissing := frame(typeKeepalive, 1)[:headerSize]
 	for _, c := range []struct {
 		name        string
 		options     bgp.Options
@@ -204,19 +205,19 @@
 		{"bad peer AS", options(localAS), false, openFrame(4, routerAS+1, 90, 9)},
 		{"identifier of the speaker inside its AS", options(routerAS), false, openFrame(4, routerAS, 90, 1)},
 		{"unacceptable hold time", options(localAS), false, openFrame(4, routerAS, 1, 9)},
-		{"KEEPALIVE before OPEN", options(localAS), false, frame(typeKeepAlive)},
+		{"KEEPALIVE before OPEN", options(localAS), false, frame(typeKeepalive)},
 		{"UPDATE before OPEN", options(localAS), false, frame(typeUpdate, 0, 0, 0, 0)},
-		{"second OPEN", options(localAS), true, wideOpen(routerAS)},
+		{"second OPEN", options(localAS), true, fourOctetOpen()},
 		{"malformed UPDATE", options(localAS), true, frame(typeUpdate, 0, 9, 0, 0)},
-		{"NOTIFICATION gets no answer", options(localAS), true, frame(typeNotify, 6, 2)},
+		{"NOTIFICATION gets no answer", options(localAS), true, frame(typeNotification, 6, 2)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := connect(t, c.options)
 			r.read()
 			if c.established {
-				r.write(wideOpen(routerAS))
+				r.write(fourOctetOpen())
 				r.read()
-				r.write(frame(typeKeepAlive))
+				r.write(frame(typeKeepalive))
 			}
 			r.write(c.message)
 			rest, err := io.ReadAll(r.conn)
--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -1,254 +1,235 @@
 package bgp
 
 import (
-	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
-	"math/rand/v2"
 	"net"
-	"net/netip"
 
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 )
 
-// State is a state of RFC 4271's machine. Connect and Active are the Speaker's affair, not the session's.
-type State uint8
+// sessionState is a state of RFC 4271's finite state machine. Its numbers are also the subcodes of a NOTIFICATION about
+// an unexpected message (RFC 6608). The states Connect and Active are the Speaker's and not the session's.
+type sessionState uint8
 
 // The states of a session.
 const (
-	Idle State = iota // not begun, or ended
-	OpenSent
-	OpenConfirm
-	Established
+	stateIdle sessionState = iota // not started, or ended
+	stateOpenSent
+	stateOpenConfirm
+	stateEstablished
 )
 
-// Options are what is announced, and to whom.
-type Options struct {
-	PeerAddress string // host:port
-	LocalAS     uint32
-	PeerAS      uint32
-	RouterID    netip.Addr
-	HoldTimeMs  float64 // offered; 0: none
-	NextHop     netip.Addr
-	Prefixes    []netip.Prefix // of the service, IPv4
+// String returns the RFC's name of the state.
+func (s sessionState) String() string {
+	switch s {
+	case stateIdle:
+		return "Idle"
+	case stateOpenSent:
+		return "OpenSent"
+	case stateOpenConfirm:
+		return "OpenConfirm"
+	case stateEstablished:
+		return "Established"
+	}
+	return fmt.Sprintf("sessionState(%d)", uint8(s))
 }
 
 const (
-	largeHoldMs = 240_000 // until the peer's OPEN has come
-	localPref   = 100
+	bgpVersion = 4
+
+	// initialHoldTimeMs is the hold time until the peer's OPEN has arrived (RFC 4271, 8.2.2).
+	initialHoldTimeMs = 240_000
+	// keepalivesPerHoldTime is how often in a hold time the keepalive timer runs out (RFC 4271, 4.4).
+	keepalivesPerHoldTime = 3
+)
+
+// Reasons why a session has ended. They are logged as they are.
+var (
+	errHoldTimerExpired     = errors.New("hold timer expired")
+	errNotificationReceived = errors.New("the peer sent a NOTIFICATION")
 )
 
-// session is one session from its OPEN to its end. It does no I/O: what is to be sent gathers in out.
+// session is one session from its OPEN to its end. It does no I/O and reads no clock: messages to send collect in
+// outgoing, and callers pass the time in milliseconds.
 type session struct {
-	opt       *Options
-	state     State
-	want      bool // the addresses are to be announced
-	announced bool
-	wide      bool // the peer takes four-octet AS numbers
-	holdMs    float64
-	holdAt    float64
-	keepAt    float64
-	out       []*bgp.BGPMessage
-	why       error // with Idle: why it ended
-}
-
-// begin sends the OPEN.
-func (s *session) begin(now float64) {
-	as := uint16(s.opt.LocalAS)
-	if s.opt.LocalAS > 0xffff {
-		as = bgp.AS_TRANS
-	}
-	s.send(bgp.NewBGPOpenMessage(as, uint16(s.opt.HoldTimeMs/1000), s.opt.RouterID.String(),
-		[]bgp.OptionParameterInterface{bgp.NewOptionParameterCapability([]bgp.ParameterCapabilityInterface{
-			bgp.NewCapMultiProtocol(bgp.RF_IPv4_UC), bgp.NewCapFourOctetASNumber(s.opt.LocalAS)})}))
-	s.state, s.holdAt = OpenSent, now+largeHoldMs
-}
-
-func (s *session) send(m *bgp.BGPMessage) { s.out = append(s.out, m) }
-
-// end ends the session; code 0 sends no NOTIFICATION.
-func (s *session) end(why error, code, sub uint8, data []byte) {
-	if s.state == Idle {
+	options          *Options
+	state            sessionState
+	ready            bool // the prefixes are to be announced while the session is established
+	announced        bool // they are announced
+	peerFourOctetAS  bool // the peer supports four-octet AS numbers (RFC 6793)
+	holdTimeMs       float64
+	holdTimerMs      float64 // when the hold timer runs out; 0: it is stopped
+	keepaliveTimerMs float64 // when the keepalive timer runs out; 0: it is stopped
+	outgoing         []*bgp.BGPMessage
+	endReason        error // why the session has ended; nil before
+}
+
+// start sends the OPEN.
+func (s *session) start(nowMs float64) {
+	capabilities := bgp.NewOptionParameterCapability([]bgp.ParameterCapabilityInterface{
+		bgp.NewCapMultiProtocol(bgp.RF_IPv4_UC),
+		bgp.NewCapFourOctetASNumber(s.options.LocalAS),
+	})
+	holdTimeSeconds := uint16(s.options.HoldTimeMs / 1000)
+	s.send(bgp.NewBGPOpenMessage(twoOctetAS(s.options.LocalAS), holdTimeSeconds, s.options.RouterID.String(),
+		[]bgp.OptionParameterInterface{capabilities}))
+	s.state = stateOpenSent
+	s.holdTimerMs = nowMs + initialHoldTimeMs
+}
+
+func (s *session) send(message *bgp.BGPMessage) { s.outgoing = append(s.outgoing, message) }
+
+// end ends the session without a NOTIFICATION: the connection is lost, or the peer has ended it.
+func (s *session) end(reason error) {
+	if s.state == stateIdle {
 		return
 	}
-	if code != 0 {
-		s.send(bgp.NewBGPNotificationMessage(code, sub, data))
+	s.state, s.endReason = stateIdle, reason
+	s.holdTimerMs, s.keepaliveTimerMs = 0, 0
+}
+
+// endWithNotification ends the session with a NOTIFICATION to the peer.
+func (s *session) endWithNotification(reason error, code, subcode uint8, data []byte) {
+	if s.state == stateIdle {
+		return
 	}
-	s.state, s.why, s.holdAt, s.keepAt = Idle, why, 0, 0
+	s.send(bgp.NewBGPNotificationMessage(code, subcode, data))
+	s.end(reason)
 }
 
-// fail ends the session because of what the peer did.
+// fail ends the session because of an error of the peer, with a NOTIFICATION if the error names one.
 func (s *session) fail(err error) {
-	var e *bgp.MessageError
-	if errors.As(err, &e) && e.TypeCode != 0 {
-		s.end(err, e.TypeCode, e.SubTypeCode, e.Data)
+	var messageError *bgp.MessageError
+	if errors.As(err, &messageError) && messageError.TypeCode != 0 {
+		s.endWithNotification(err, messageError.TypeCode, messageError.SubTypeCode, messageError.Data)
 		return
 	}
-	s.end(err, 0, 0, nil) // the connection is gone
+	s.end(err)
 }
 
-// setReady tells whether the addresses are to be announced.
-func (s *session) setReady(ready bool) {
-	s.want = ready
-	if s.state != Established || s.want == s.announced {
+// handleMessage handles a message of the peer, given by the type in its header and its body.
+func (s *session) handleMessage(nowMs float64, messageType uint8, body []byte) {
+	if s.state == stateIdle {
 		return
 	}
-	s.announced = s.want
-	var routes []*bgp.IPAddrPrefix
-	for _, p := range s.opt.Prefixes {
-		routes = append(routes, bgp.NewIPAddrPrefix(uint8(p.Bits()), p.Addr().String()))
+	if messageType == bgp.BGP_MSG_NOTIFICATION {
+		s.end(notificationError(body))
+		return
 	}
-	if !ready {
-		s.send(bgp.NewBGPUpdateMessage(routes, nil, nil))
+	parsed, err := parseMessage(messageType, body)
+	if err != nil && !s.isTolerated(messageType, err) {
+		s.fail(err)
 		return
 	}
-	attrs := []bgp.PathAttributeInterface{bgp.NewPathAttributeOrigin(bgp.BGP_ORIGIN_ATTR_TYPE_IGP)}
-	as4 := []*bgp.As4PathParam{bgp.NewAs4PathParam(bgp.BGP_ASPATH_ATTR_TYPE_SEQ, []uint32{s.opt.LocalAS})}
-	nextHop := bgp.NewPathAttributeNextHop(s.opt.NextHop.String())
-	switch internal := s.opt.LocalAS == s.opt.PeerAS; {
-	case internal:
-		attrs = append(attrs, bgp.NewPathAttributeAsPath(nil), nextHop, bgp.NewPathAttributeLocalPref(localPref))
-	case s.wide:
-		attrs = append(attrs, bgp.NewPathAttributeAsPath([]bgp.AsPathParamInterface{as4[0]}), nextHop)
+	switch {
+	case s.state == stateOpenSent && messageType == bgp.BGP_MSG_OPEN:
+		s.handleOpen(nowMs, parsed.Body.(*bgp.BGPOpen))
+	case s.state == stateOpenConfirm && messageType == bgp.BGP_MSG_KEEPALIVE:
+		s.state = stateEstablished
+		s.restartHoldTimer(nowMs)
+		s.setReady(s.ready)
+	case s.state == stateEstablished && (messageType == bgp.BGP_MSG_KEEPALIVE || messageType == bgp.BGP_MSG_UPDATE):
+		s.restartHoldTimer(nowMs)
 	default:
-		short := uint16(s.opt.LocalAS)
-		if s.opt.LocalAS > 0xffff {
-			short = bgp.AS_TRANS
-		}
-		attrs = append(attrs, bgp.NewPathAttributeAsPath([]bgp.AsPathParamInterface{
-			bgp.NewAsPathParam(bgp.BGP_ASPATH_ATTR_TYPE_SEQ, []uint16{short})}), nextHop)
-		if s.opt.LocalAS > 0xffff { // RFC 6793: an old peer passes the true path on
-			attrs = append(attrs, bgp.NewPathAttributeAs4Path(as4))
-		}
+		reason := fmt.Errorf("message of type %d in state %d", messageType, uint8(s.state))
+		s.endWithNotification(reason, bgp.BGP_ERROR_FSM_ERROR, uint8(s.state), nil)
 	}
-	s.send(bgp.NewBGPUpdateMessage(nil, attrs, routes))
 }
 
-// message takes one message of the peer.
-func (s *session) message(now float64, typ uint8, body []byte) {
-	if s.state == Idle {
-		return
+// isTolerated returns whether an error in an UPDATE leaves the session open (RFC 7606). The routes in it are not kept
+// anyway.
+func (s *session) isTolerated(messageType uint8, err error) bool {
+	var messageError *bgp.MessageError
+	if messageType != bgp.BGP_MSG_UPDATE || s.state != stateEstablished || !errors.As(err, &messageError) {
+		return false
 	}
-	m, err := bgp.ParseBGPBody(&bgp.BGPHeader{Type: typ, Len: uint16(len(body) + headerSize)}, body)
-	var e *bgp.MessageError
-	if typ == bgp.BGP_MSG_UPDATE && s.state == Established && errors.As(err, &e) &&
-		e.ErrorHandling != bgp.ERROR_HANDLING_SESSION_RESET && e.ErrorHandling != bgp.ERROR_HANDLING_NONE {
-		err = nil // RFC 7606; and no route is kept here
+	return messageError.ErrorHandling != bgp.ERROR_HANDLING_SESSION_RESET &&
+		messageError.ErrorHandling != bgp.ERROR_HANDLING_NONE
+}
+
+// notificationError returns the reason for the end of a session that the peer has ended with a NOTIFICATION.
+func notificationError(body []byte) error {
+	if len(body) < 2 {
+		return errNotificationReceived
 	}
-	if err != nil && typ != bgp.BGP_MSG_NOTIFICATION {
+	return fmt.Errorf("the peer sent NOTIFICATION %d/%d", body[0], body[1])
+}
+
+// handleOpen validates the peer's OPEN and confirms it with a KEEPALIVE, or ends the session.
+func (s *session) handleOpen(nowMs float64, open *bgp.BGPOpen) {
+	routerID := net.IP(s.options.RouterID.AsSlice())
+	if _, err := bgp.ValidateOpenMsg(open, s.options.PeerAS, s.options.LocalAS, routerID); err != nil {
+		setOpenErrorData(err, open)
 		s.fail(err)
 		return
 	}
-	switch {
-	case typ == bgp.BGP_MSG_NOTIFICATION:
-		why := errors.New("the peer sent a NOTIFICATION")
-		if n, ok := body, len(body) >= 2; ok {
-			why = fmt.Errorf("the peer sent NOTIFICATION %d/%d", n[0], n[1])
-		}
-		s.end(why, 0, 0, nil)
-	case s.state == OpenSent && typ == bgp.BGP_MSG_OPEN:
-		s.opened(now, m.Body.(*bgp.BGPOpen))
-	case s.state == OpenConfirm && typ == bgp.BGP_MSG_KEEPALIVE:
-		s.state = Established
-		s.heard(now)
-		s.setReady(s.want)
-	case s.state == Established && (typ == bgp.BGP_MSG_KEEPALIVE || typ == bgp.BGP_MSG_UPDATE):
-		s.heard(now)
-	default:
-		s.end(fmt.Errorf("message of type %d in state %d", typ, s.state), bgp.BGP_ERROR_FSM_ERROR, uint8(s.state), nil)
-	}
+	s.peerFourOctetAS = s.peerFourOctetAS || supportsFourOctetAS(open)
+	s.holdTimeMs = min(s.options.HoldTimeMs, float64(open.HoldTime)*1000)
+	s.state = stateOpenConfirm
+	s.send(bgp.NewBGPKeepAliveMessage())
+	s.restartKeepaliveTimer(nowMs)
+	s.restartHoldTimer(nowMs)
 }
 
-// opened judges the peer's OPEN.
-func (s *session) opened(now float64, o *bgp.BGPOpen) {
-	if _, err := bgp.ValidateOpenMsg(o, s.opt.PeerAS, s.opt.LocalAS, net.IP(s.opt.RouterID.AsSlice())); err != nil {
-		var data []byte
-		if o.Version != 4 { // the largest version spoken here
-			data = []byte{0, 4}
-		}
-		var e *bgp.MessageError
-		if errors.As(err, &e) {
-			e.Data = data
-		}
-		s.fail(err)
+// setOpenErrorData sets the data of the NOTIFICATION about an OPEN: the supported version if that is the error, else none.
+func setOpenErrorData(err error, open *bgp.BGPOpen) {
+	var messageError *bgp.MessageError
+	if !errors.As(err, &messageError) {
 		return
 	}
-	for _, p := range o.OptParams {
-		if p, ok := p.(*bgp.OptionParameterCapability); ok {
-			for _, c := range p.Capability {
-				s.wide = s.wide || c.Code() == bgp.BGP_CAP_FOUR_OCTET_AS_NUMBER
+	messageError.Data = nil
+	if open.Version != bgpVersion {
+		messageError.Data = []byte{0, bgpVersion}
+	}
+}
+
+func supportsFourOctetAS(open *bgp.BGPOpen) bool {
+	for _, parameter := range open.OptParams {
+		capabilities, ok := parameter.(*bgp.OptionParameterCapability)
+		if !ok {
+			continue
+		}
+		for _, capability := range capabilities.Capability {
+			if capability.Code() == bgp.BGP_CAP_FOUR_OCTET_AS_NUMBER {
+				return true
 			}
 		}
 	}
-	s.holdMs = min(s.opt.HoldTimeMs, float64(o.HoldTime)*1000)
-	s.state = OpenConfirm
-	s.send(bgp.NewBGPKeepAliveMessage())
-	s.keep(now)
-	s.heard(now)
+	return false
 }
 
-// heard restarts the hold timer, keep the keepalive timer, by the RFC with jitter.
-func (s *session) heard(now float64) {
-	if s.holdAt = 0; s.holdMs > 0 {
-		s.holdAt = now + s.holdMs
+// restartHoldTimer restarts the hold timer after a message of the peer. With a hold time of 0 it is stopped.
+func (s *session) restartHoldTimer(nowMs float64) {
+	s.holdTimerMs = 0
+	if s.holdTimeMs > 0 {
+		s.holdTimerMs = nowMs + s.holdTimeMs
 	}
 }
 
-func (s *session) keep(now float64) {
-	if s.keepAt = 0; s.holdMs > 0 {
-		s.keepAt = now + s.holdMs/3*(0.75+0.25*rand.Float64())
+// restartKeepaliveTimer restarts the keepalive timer. With a hold time of 0 it is stopped.
+func (s *session) restartKeepaliveTimer(nowMs float64) {
+	s.keepaliveTimerMs = 0
+	if s.holdTimeMs > 0 {
+		s.keepaliveTimerMs = nowMs + withJitter(s.holdTimeMs/keepalivesPerHoldTime)
 	}
 }
 
-// tick runs the timers that are due.
-func (s *session) tick(now float64) {
-	if s.holdAt > 0 && now >= s.holdAt {
-		s.end(errors.New("hold timer expired"), bgp.BGP_ERROR_HOLD_TIMER_EXPIRED, 0, nil)
+// handleTimers acts on the timers that have run out.
+func (s *session) handleTimers(nowMs float64) {
+	if s.holdTimerMs > 0 && nowMs >= s.holdTimerMs {
+		s.endWithNotification(errHoldTimerExpired, bgp.BGP_ERROR_HOLD_TIMER_EXPIRED, 0, nil)
 	}
-	if s.keepAt > 0 && now >= s.keepAt {
+	if s.keepaliveTimerMs > 0 && nowMs >= s.keepaliveTimerMs {
 		s.send(bgp.NewBGPKeepAliveMessage())
-		s.keep(now)
-	}
-}
-
-// next is when tick is due; 0: never.
-func (s *session) next() float64 {
-	if s.keepAt > 0 && s.keepAt < s.holdAt {
-		return s.keepAt
+		s.restartKeepaliveTimer(nowMs)
 	}
-	return s.holdAt
 }
 
-const headerSize = 19
-
-// least are the least lengths of messages, by type.
-var least = map[uint8]int{bgp.BGP_MSG_OPEN: 29, bgp.BGP_MSG_UPDATE: 23, bgp.BGP_MSG_NOTIFICATION: 21, bgp.BGP_MSG_KEEPALIVE: headerSize}
-
-// readMessage reads one message and checks its header.
-func readMessage(r io.Reader) (typ uint8, body []byte, err error) {
-	head := make([]byte, headerSize)
-	if _, err := io.ReadFull(r, head); err != nil {
-		return 0, nil, err
+// nextTimerMs returns when handleTimers is to be called next; 0: never.
+func (s *session) nextTimerMs() float64 {
+	if s.keepaliveTimerMs > 0 && s.keepaliveTimerMs < s.holdTimerMs {
+		return s.keepaliveTimerMs
 	}
-	bad := func(sub uint8, data []byte) (uint8, []byte, error) {
-		return 0, nil, bgp.NewMessageError(bgp.BGP_ERROR_MESSAGE_HEADER_ERROR, sub, data, fmt.Sprintf("bad header %x", head))
-	}
-	n := int(binary.BigEndian.Uint16(head[16:]))
-	typ = head[18]
-	min, known := least[typ]
-	switch {
-	case !bytes.Equal(head[:16], bytes.Repeat([]byte{0xff}, 16)):
-		return bad(bgp.BGP_ERROR_SUB_CONNECTION_NOT_SYNCHRONIZED, nil)
-	case n < headerSize || n > bgp.BGP_MAX_MESSAGE_LENGTH:
-		return bad(bgp.BGP_ERROR_SUB_BAD_MESSAGE_LENGTH, head[16:18])
-	case !known: // ROUTE-REFRESH too: it was not offered
-		return bad(bgp.BGP_ERROR_SUB_BAD_MESSAGE_TYPE, head[18:])
-	case n < min || typ == bgp.BGP_MSG_KEEPALIVE && n != min:
-		return bad(bgp.BGP_ERROR_SUB_BAD_MESSAGE_LENGTH, head[16:18])
-	}
-	body = make([]byte, n-headerSize)
-	_, err = io.ReadFull(r, body)
-	return typ, body, err
+	return s.holdTimerMs
 }
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -1,9 +1,3 @@
-// Package bgp announces the service's addresses to one router by BGP (RFC 4271) while the gateway is ready, and
-// withdraws them when it drains.
-//
-// It is a small speaker: it opens the connection and takes none, so that no two can collide; it announces IPv4
-// addresses and keeps no routes of the peer. Messages are coded by gobgp's packet package, which adds 0.6 MB to
-// the program; gobgp's server would bring gRPC with it.
 package bgp
 
 import (
@@ -11,160 +5,113 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"net/netip"
 	"time"
 
-	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
-
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/metrics"
 )
 
 const (
-	dialTime   = 5 * time.Second
-	writeTime  = 5 * time.Second
-	retryMs    = 5_000 // before the next connection, doubled up to retryMaxMs while none gets established
-	retryMaxMs = 60_000
+	dialTimeout  = 5 * time.Second
+	writeTimeout = 5 * time.Second
+
+	// The delay before the next connection is doubled after each one on which no session was established.
+	minRetryDelayMs = 5_000
+	maxRetryDelayMs = 60_000
+
+	// Timers run for this part of their time to all of it, at random (RFC 4271, 10).
+	minJitter = 0.75
+
+	readinessQueue = 16 // calls of SetReady that do not wait for Run
 )
 
-// Speaker holds the session with the peer, and sets it up anew when it ends.
+// Speaker keeps a session with the peer, and opens a new one when it ends.
 type Speaker struct {
-	opt     Options
-	clock   clock.Clock
-	metrics *metrics.Registry
-	ready   chan bool
-	done    chan struct{}
-	dial    func(ctx context.Context) (net.Conn, error)
+	options   Options
+	clock     clock.Clock
+	metrics   *metrics.Registry
+	readiness chan bool
+	done      chan struct{} // closed when Run has returned
+	dial      func(ctx context.Context) (net.Conn, error)
+
+	ready bool // the last value from readiness; only Run's goroutine uses it
 }
 
-// New returns a speaker; Run starts it.
-func New(opt Options, c clock.Clock, m *metrics.Registry) *Speaker {
-	d := net.Dialer{Timeout: dialTime}
-	return &Speaker{opt: opt, clock: c, metrics: m, ready: make(chan bool, 16), done: make(chan struct{}),
-		dial: func(ctx context.Context) (net.Conn, error) { return d.DialContext(ctx, "tcp", opt.PeerAddress) }}
+// New returns a speaker that announces nothing until SetReady. Run must be called once.
+func New(options Options, c clock.Clock, m *metrics.Registry) *Speaker {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	return &Speaker{
+		options:   options,
+		clock:     c,
+		metrics:   m,
+		readiness: make(chan bool, readinessQueue),
+		done:      make(chan struct{}),
+		dial: func(ctx context.Context) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", options.PeerAddress)
+		},
+	}
 }
 
-// SetReady announces the addresses, or withdraws them.
+// SetReady announces the prefixes if ready is set, and withdraws them otherwise. It may be called from any goroutine, and
+// does nothing after Run has returned.
 func (s *Speaker) SetReady(ready bool) {
 	select {
-	case s.ready <- ready:
+	case s.readiness <- ready:
 	case <-s.done:
 	}
 }
 
-// Run speaks until ctx ends; then it ends the session with a Cease.
+// Run keeps a session with the peer until ctx ends; then it ends the session with a Cease and returns.
 func (s *Speaker) Run(ctx context.Context) {
 	defer close(s.done)
-	wait, want := float64(retryMs), false
+	retryDelayMs := float64(minRetryDelayMs)
 	for ctx.Err() == nil {
-		c, err := s.dial(ctx)
-		if err == nil {
-			var up bool
-			if up, err = s.session(ctx, c, &want); up {
-				wait = retryMs
-			}
+		established, err := s.connect(ctx)
+		if established {
+			retryDelayMs = minRetryDelayMs
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		s.metrics.Add("bgp_sessions_ended", 1)
-		slog.Warn(logevent.BGPSession, "peer", s.opt.PeerAddress, "state", "ended", logevent.Error, err, "retry_within_ms", wait)
-		due := make(chan struct{})
-		stop := s.clock.AfterFunc(wait*(0.75+0.25*rand.Float64()), func() { close(due) })
-		wait = min(2*wait, retryMaxMs)
-		for waiting := true; waiting; {
-			select {
-			case <-due:
-				waiting = false
-			case want = <-s.ready:
-			case <-ctx.Done():
-				waiting = false
-			}
-		}
-		stop()
+		slog.Warn(logevent.BGPSession, "peer", s.options.PeerAddress, "state", "ended",
+			logevent.Error, err, "retry_within_ms", retryDelayMs)
+		s.waitForRetry(ctx, retryDelayMs)
+		retryDelayMs = min(2*retryDelayMs, maxRetryDelayMs)
 	}
 }
 
-// message is one message of the peer, or the end of its connection.
-type message struct {
-	typ  uint8
-	body []byte
-	err  error
-}
+// Wait returns after Run has returned.
+func (s *Speaker) Wait() { <-s.done }
 
-// session runs one session to its end. up tells whether it got established.
-func (s *Speaker) session(ctx context.Context, c net.Conn, want *bool) (up bool, err error) {
-	opt := s.opt
-	if local, e := netip.ParseAddrPort(c.LocalAddr().String()); e == nil && !opt.NextHop.IsValid() {
-		opt.NextHop = local.Addr()
+// connect opens a connection and runs a session on it to its end. It returns whether the session was established, and
+// why it ended.
+func (s *Speaker) connect(ctx context.Context) (established bool, err error) {
+	conn, err := s.dial(ctx)
+	if err != nil {
+		return false, err
 	}
-	in, over := make(chan message), make(chan struct{})
-	defer close(over)
-	defer c.Close()
-	go func() {
-		for {
-			var m message
-			m.typ, m.body, m.err = readMessage(c)
-			select {
-			case in <- m:
-			case <-over:
-				return
-			}
-			if m.err != nil {
-				return
-			}
-		}
-	}()
-	ses := &session{opt: &opt, want: *want}
-	ses.begin(s.clock.NowMs())
+	return s.runSession(ctx, conn)
+}
+
+// waitForRetry waits for the delay with jitter, or until ctx ends.
+func (s *Speaker) waitForRetry(ctx context.Context, delayMs float64) {
+	due := make(chan struct{})
+	stop := s.clock.AfterFunc(withJitter(delayMs), func() { close(due) })
+	defer stop()
 	for {
-		for _, m := range ses.out {
-			b, e := m.Serialize()
-			if e == nil {
-				c.SetWriteDeadline(time.Now().Add(writeTime))
-				_, e = c.Write(b)
-			}
-			if e != nil {
-				ses.end(e, 0, 0, nil)
-				break
-			}
-			s.metrics.Add("bgp_messages_sent", 1)
-			if m.Header.Type == bgp.BGP_MSG_UPDATE {
-				slog.Info(logevent.BGPAnnounced, "peer", opt.PeerAddress, "announced", ses.announced)
-			}
-		}
-		ses.out = nil
-		if ses.state == Idle {
-			return up, ses.why
-		}
-		tick, stop := make(chan struct{}), func() {}
-		if at := ses.next(); at > 0 {
-			stop = s.clock.AfterFunc(at-s.clock.NowMs(), func() { close(tick) })
-		}
 		select {
-		case m := <-in:
-			s.metrics.Add("bgp_messages_received", 1)
-			if m.err != nil {
-				ses.fail(m.err)
-			} else {
-				ses.message(s.clock.NowMs(), m.typ, m.body)
-			}
-			if !up && ses.state == Established {
-				up = true
-				s.metrics.Add("bgp_sessions_established", 1)
-				slog.Info(logevent.BGPSession, "peer", opt.PeerAddress, "state", "established")
-			}
-		case *want = <-s.ready:
-			ses.setReady(*want)
-		case <-tick:
-			ses.tick(s.clock.NowMs())
+		case <-due:
+			return
+		case s.ready = <-s.readiness:
 		case <-ctx.Done():
-			ses.end(ctx.Err(), bgp.BGP_ERROR_CEASE, bgp.BGP_ERROR_SUB_ADMINISTRATIVE_SHUTDOWN, nil)
+			return
 		}
-		stop()
 	}
 }
 
-// Wait returns once Run has ended.
-func (s *Speaker) Wait() { <-s.done }
+// withJitter returns a random time from minJitter of ms to all of it.
+func withJitter(ms float64) float64 {
+	return ms * (minJitter + (1-minJitter)*rand.Float64())
+}
