--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -119,8 +119,8 @@
 	canceled := c.pending
 	c.pending = map[string]*pendingRequest{}
 	for _, item := range c.queue {
-		if item.answers != nil {
-			canceled[string(item.answers.token)] = item.answers
+		if item.pending != nil {
+			canceled[string(item.pending.token)] = item.pending
 		}
 	}
 	c.queue = nil
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -177,7 +177,7 @@
 		return // the Loop knows by Cancel
 	}
 	p.stopTimer()
-	c.enqueue(outgoing{answers: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
+	c.enqueue(outgoing{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
 }
 
 // expire responds to a request that the Loop has not responded to in time, which is a fault of the program.
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -21,7 +21,7 @@
 // its turn comes since that depends on what the device can receive then.
 type outgoing struct {
 	encoded    []byte
-	answers    *pendingRequest // the request that response belongs to; nil: encoded is set
+	pending    *pendingRequest // the request that response belongs to; nil: encoded is set
 	response   lifecycle.Response
 	closeAfter bool // the connection ends after this message
 }
@@ -99,18 +99,18 @@
 
 // write writes one message and reports to the Loop what became of a served response.
 func (c *conn) write(item outgoing, idleTimeout time.Duration) error {
-	if item.answers == nil {
+	if item.pending == nil {
 		return c.writeBytes(item.encoded, idleTimeout)
 	}
-	composed, complete := c.composeResponse(item.answers, item.response)
+	composed, complete := c.composeResponse(item.pending, item.response)
 	err := c.writeBytes(coapwire.Encode(composed), idleTimeout)
 	if item.response.Kind != lifecycle.Served {
 		return err
 	}
 	if err == nil && complete {
-		c.server.Loop.ResponseWritten(item.answers.request, lifecycle.LinkSample{})
+		c.server.Loop.ResponseWritten(item.pending.request, lifecycle.LinkSample{})
 	} else {
-		c.server.Loop.Cancel(item.answers.request) // the response stays cached: the device may ask for the rest of it
+		c.server.Loop.Cancel(item.pending.request) // the response stays cached: the device may ask for the rest of it
 	}
 	return err
 }
