--- a/cmd/gaugerelay/edge_test.go
+++ b/cmd/gaugerelay/edge_test.go
@@ -60,16 +60,18 @@
 		t.Fatalf("OPEN of %d bytes: %v", n, err)
 	}
 	open[identifierEnd]++ // the router's OPEN is the program's with another identifier
-	session.Write(open[:n])
 	keepalive := append(bytes.Repeat([]byte{0xff}, 16), 0, 19, 4)
-	session.Write(keepalive)
+	if _, err := session.Write(append(open[:n], keepalive...)); err != nil {
+		t.Fatal(err)
+	}
 	return session
 }
 
 // changeFirstByte reads the file /layers/a and writes its first byte.
 func changeFirstByte(t *testing.T, addr string) {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gaugerelay/main_test.go
+++ b/cmd/gaugerelay/main_test.go
@@ -3,6 +3,8 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -48,9 +50,9 @@
 	return path
 }
 
-// newCommand returns a command that runs the program with a configuration file.
-func newCommand(configFile string, args ...string) *exec.Cmd {
-	cmd := exec.Command(os.Args[0], args...)
+// newCommand returns a command that runs the program with a configuration file, until ctx is done.
+func newCommand(ctx context.Context, configFile string, args ...string) *exec.Cmd {
+	cmd := exec.CommandContext(ctx, os.Args[0], args...)
 	cmd.Env = append(os.Environ(), mainVariable+"=1", "ROUTER_CONFIG="+configFile)
 	return cmd
 }
@@ -63,11 +65,11 @@
 	log        *bufio.Scanner // of its standard error
 }
 
-// startProgram starts the program with a configuration of the given text, and kills it when the test ends.
+// startProgram starts the program with a configuration of the given text. The end of the test kills it.
 func startProgram(t *testing.T, config string, args ...string) *program {
 	t.Helper()
 	configFile := writeFile(t, "config.json", config)
-	cmd := newCommand(configFile, args...)
+	cmd := newCommand(t.Context(), configFile, args...)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +79,7 @@
 		t.Fatal(err)
 	}
 	w.Close()
-	t.Cleanup(func() { cmd.Process.Kill(); r.Close() })
+	t.Cleanup(func() { r.Close() })
 	return &program{t, cmd, configFile, bufio.NewScanner(r)}
 }
 
@@ -100,7 +102,13 @@
 	return line[strings.LastIndex(line, "=")+1:]
 }
 
-func (p *program) signal(signal syscall.Signal) { p.cmd.Process.Signal(signal) }
+// signal sends a signal; one to a program that has exited is no error.
+func (p *program) signal(signal syscall.Signal) {
+	p.t.Helper()
+	if err := p.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		p.t.Error(err)
+	}
+}
 
 // wantExit waits for the program to exit without an error.
 func (p *program) wantExit() {
@@ -113,9 +121,18 @@
 // wantReady checks the status of GET /ready.
 func wantReady(t *testing.T, addr string, status int) {
 	t.Helper()
-	response, err := http.Get("http://" + addr + "/ready")
-	if err != nil || response.StatusCode != status {
-		t.Errorf("ready: %v %v", response, err)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/ready", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Errorf("ready: %v", err)
+		return
+	}
+	defer response.Body.Close()
+	if response.StatusCode != status {
+		t.Errorf("ready: status %d, want %d", response.StatusCode, status)
 	}
 }
 
@@ -132,10 +149,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var log bytes.Buffer
-			cmd := newCommand(writeFile(t, "config.json", c.config), c.args...)
+			cmd := newCommand(t.Context(), writeFile(t, "config.json", c.config), c.args...)
 			cmd.Stderr = &log
 			err := cmd.Run()
-			if _, ok := err.(*exec.ExitError); !ok || strings.Count(log.String(), "\n") != 1 || !strings.HasPrefix(log.String(), "gaugerelay: ") {
+			var exitError *exec.ExitError
+			if !errors.As(err, &exitError) || strings.Count(log.String(), "\n") != 1 || !strings.HasPrefix(log.String(), "gaugerelay: ") {
 				t.Errorf("%v, %q", err, log.String())
 			}
 		})
--- a/cmd/gaugerelay/reload_test.go
+++ b/cmd/gaugerelay/reload_test.go
@@ -15,7 +15,7 @@
 func startDiscovery(t *testing.T, name string, watches chan<- string) (addr string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, `{"version":9,"full":true,"servers":[]}`+"\n")
+		_, _ = io.WriteString(w, `{"version":9,"full":true,"servers":[]}`+"\n")
 		w.(http.Flusher).Flush()
 		watches <- fmt.Sprint(name, " ", r.URL.RawQuery)
 		<-r.Context().Done()
--- a/cmd/gaugerelay/show.go
+++ b/cmd/gaugerelay/show.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -19,7 +20,11 @@
 // Run prints the status to standard output.
 func (c *showCommand) Run() error {
 	client := &http.Client{Timeout: showTimeout}
-	response, err := client.Get("http://" + c.Addr + "/fleet")
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+c.Addr+"/fleet", nil)
+	if err != nil {
+		return err
+	}
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
--- a/cmd/gaugerelay/show_test.go
+++ b/cmd/gaugerelay/show_test.go
@@ -8,7 +8,7 @@
 // A gateway in a fleet shows its status; one in none reports an error, and does not listen for others.
 func TestFleetShow(t *testing.T) {
 	show := func(addr string) (string, error) {
-		out, err := newCommand(writeFile(t, "config.json", ""), "fleet", "show", addr).Output()
+		out, err := newCommand(t.Context(), writeFile(t, "config.json", ""), "fleet", "show", addr).Output()
 		return string(out), err
 	}
 	edge := writeFile(t, "edge.jsonc", `{"fleet":{"listen":"127.0.0.1:0","self":0,"peers":["127.0.0.1:9","127.0.0.1:10"]}}`)
--- a/cmd/gaugerelay/shutdown_test.go
+++ b/cmd/gaugerelay/shutdown_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -18,13 +19,13 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		reached <- struct{}{}
 		<-release
-		io.WriteString(w, "layer")
+		_, _ = io.WriteString(w, "layer")
 	}))
 	defer server.Close()
 	p := startProgram(t, settingsFor(server.Listener.Addr().String()))
 	addr := p.waitForAddr("for=clients")
 	response := make(chan string, 1)
-	go func() { response <- pull(addr) }()
+	go func() { response <- pull(t.Context(), addr) }()
 	<-reached
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("msg=shutdown_started")
@@ -37,8 +38,8 @@
 }
 
 // pull sends a request of the class pull and returns the status and the body of its response, or the error.
-func pull(addr string) string {
-	request, err := http.NewRequest("GET", "http://"+addr+"/pull/00000000000000aa", nil)
+func pull(ctx context.Context, addr string) string {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/pull/00000000000000aa", nil)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/gateway/clientfrontend_test.go
+++ b/internal/gateway/clientfrontend_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"io"
 	"net/http"
 	"runtime"
 	"testing"
@@ -23,12 +22,13 @@
 func (readyLoop) Ready() bool                                              { return true }
 
 // get makes a request and discards the response.
-func get(client *http.Client, url string) error {
-	response, err := client.Get(url)
-	if err == nil {
-		io.Copy(io.Discard, response.Body)
-		response.Body.Close()
+func get(t *testing.T, client *http.Client, url string) error {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
 	}
+	_, err = send(client, request)
 	return err
 }
 
@@ -60,11 +60,11 @@
 		conns:    &httpserver.ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()},
 	}
 	server := &http.Server{Handler: frontend.handler, ConnState: frontend.conns.ConnState}
-	go server.Serve(frontend.conns.LimitListener(listener, 9))
+	go func() { _ = server.Serve(frontend.conns.LimitListener(listener, 9)) }() // until it is closed
 	defer server.Close()
 	url := "http://" + listener.Addr().String() + "/metrics"
 	kept := &http.Client{Transport: &http.Transport{}}
-	if err := get(kept, url); err != nil {
+	if err := get(t, kept, url); err != nil {
 		t.Fatal(err)
 	}
 	step, elapsed := 0, make(chan time.Time)
@@ -72,7 +72,7 @@
 	frontend.after = func(float64) <-chan time.Time {
 		step++
 		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		keptErr, freshErr := get(kept, url), get(fresh, url)
+		keptErr, freshErr := get(t, kept, url), get(t, fresh, url)
 		if step == closing { // the last response has just closed the connection
 			if keptErr == nil {
 				t.Error("a kept connection is open after the end")
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -39,8 +40,9 @@
 	return uint32(g.cfg.Seed) ^ uint32(int64(g.Clock.NowMs())) ^ uint32(os.Getpid())<<16
 }
 
-func (f *fleetMember) start(context.Context) error {
-	conn, err := net.ListenPacket("udp", f.listen)
+func (f *fleetMember) start(ctx context.Context) error {
+	var listenConfig net.ListenConfig
+	conn, err := listenConfig.ListenPacket(ctx, "udp", f.listen)
 	if err != nil {
 		return err
 	}
@@ -63,7 +65,7 @@
 	})
 	select {
 	case text := <-status:
-		w.Write([]byte(text))
+		_, _ = io.WriteString(w, text) // the client may have gone away
 	case <-f.gateway.ctx.Done():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	}
--- a/internal/gateway/network.go
+++ b/internal/gateway/network.go
@@ -13,5 +13,8 @@
 
 // SystemNetwork returns the machine's network.
 func SystemNetwork() Network {
-	return Network{Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }}
+	var listenConfig net.ListenConfig
+	return Network{Listen: func(addr string) (net.Listener, error) {
+		return listenConfig.Listen(context.Background(), "tcp", addr)
+	}}
 }
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	d := &drainingDiscovery{drain: make(chan bool), drained: make(chan bool, 64)}
 	writeEntry := func(w http.ResponseWriter, version int, state string) {
-		fmt.Fprintf(w, `{"version":%d,"servers":[{"id":"a","addr":"%s","cell":0,"state":"%s"}]}`+"\n", version, serverAddr, state)
+		_, _ = fmt.Fprintf(w, `{"version":%d,"servers":[{"id":"a","addr":"%s","cell":0,"state":"%s"}]}`+"\n", version, serverAddr, state)
 		w.(http.Flusher).Flush()
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -75,7 +75,7 @@
 	serverRequests := make(chan bool, 4)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		serverRequests <- true
-		io.WriteString(w, "x")
+		_, _ = io.WriteString(w, "x")
 	}))
 	defer server.Close()
 	discovery := startDrainingDiscovery(t, server.Listener.Addr())
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -11,7 +11,7 @@
 // newRequest returns a request of a class to a gateway.
 func newRequest(t *testing.T, method, addr, class string, timeLeft time.Duration) *http.Request {
 	t.Helper()
-	request, err := http.NewRequest(method, "http://"+addr+"/"+class+"/00000000000000aa", nil)
+	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/"+class+"/00000000000000aa", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,6 +30,6 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, response.Body)
+	_, _ = io.Copy(io.Discard, response.Body) // the status counts, whatever becomes of the body
 	return response.StatusCode, nil
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"testing"
 	"testing/synctest"
@@ -57,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer incomplete.Close()
-	go io.WriteString(incomplete, "GET /bulk")
+	go func() { _, _ = io.WriteString(incomplete, "GET /bulk") }()
 	time.Sleep(deadline / 25)
 	if started := g.Metrics.Get("attempts_started"); started != 2 {
 		t.Fatalf("%d attempts are open, want 2", started)
@@ -94,7 +93,7 @@
 			if err != nil {
 				return
 			}
-			go func(conn net.Conn) { io.Copy(io.Discard, conn) }(conn)
+			go func() { _, _ = io.Copy(io.Discard, conn) }()
 		}
 	}()
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -45,7 +45,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range r.names {
-		fmt.Fprintf(w, "%s %d\n", name, r.counters[name].Load())
+		_, _ = fmt.Fprintf(w, "%s %d\n", name, r.counters[name].Load())
 	}
 }
 
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -185,7 +185,9 @@
 	simwire.WriteActions(w, 4, nil)
 	simwire.WriteFailure(w, 5, "index out of range\nsecond line")
 	simwire.WriteEnd(w, &simwire.Batch{Seq: "12"})
-	w.Flush()
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
 	compareGolden(t, "replies.txt", out.String())
 }
 
@@ -273,7 +275,9 @@
 	for reader := simwire.NewReader(strings.NewReader(input)); ; {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			w.Flush()
+			if err := w.Flush(); err != nil {
+				t.Fatal(err)
+			}
 			return out.String()
 		}
 		if err != nil {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -10,6 +10,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -106,7 +107,7 @@
 	for {
 		line, err := r.readLine()
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return r.atLine(fmt.Errorf("%s is missing", lineBatchEnd))
 		case err != nil:
 			return err
@@ -147,7 +148,7 @@
 // readLine returns a parser of the next line's values.
 func (r *Reader) readLine() (*fieldParser, error) {
 	text, err := r.in.ReadString('\n')
-	if err == io.EOF && text != "" {
+	if errors.Is(err, io.EOF) && text != "" {
 		return nil, fmt.Errorf("line %d: cut off at the end of input", r.line+1)
 	}
 	if err != nil {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -79,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(text)).Next()
-			if err == nil || err == io.EOF || strings.Contains(err.Error(), "\n") {
+			if err == nil || errors.Is(err, io.EOF) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("error %v", err)
 			}
 		})
--- a/internal/simwire/replies.go
+++ b/internal/simwire/replies.go
@@ -23,31 +23,36 @@
 func writeAction(w *bufio.Writer, action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Send:
-		fmt.Fprintf(w, "FORWARD %d %s %d\n", a.ID, toMs(a.Timeout), a.Server)
+		writeLine(w, "FORWARD %d %s %d", a.ID, toMs(a.Timeout), a.Server)
 	case scheduler.Reject:
-		fmt.Fprintf(w, "NOT_NOW %d %s\n", a.ID, toMs(a.RetryAfter))
+		writeLine(w, "NOT_NOW %d %s", a.ID, toMs(a.RetryAfter))
 	case scheduler.Fail:
-		fmt.Fprintf(w, "END_FAILED %d\n", a.ID)
+		writeLine(w, "END_FAILED %d", a.ID)
 	case scheduler.CancelAttempt:
-		fmt.Fprintf(w, "CANCEL %d %d\n", a.ID, a.Attempt)
+		writeLine(w, "CANCEL %d %d", a.ID, a.Attempt)
 	case scheduler.WatchEndpoints:
-		fmt.Fprintf(w, "LISTEN 1\n")
+		writeLine(w, "LISTEN 1")
 	case scheduler.ProbeServer:
-		fmt.Fprintf(w, "PROBE %d\n", a.Server)
+		writeLine(w, "PROBE %d", a.Server)
 	case scheduler.SetTimer:
-		fmt.Fprintf(w, "SET_TIMER 1 %s\n", toMs(a.At))
+		writeLine(w, "SET_TIMER 1 %s", toMs(a.At))
 	case scheduler.Log:
-		fmt.Fprintf(w, "DEBUG %s\n", a.Text)
+		writeLine(w, "DEBUG %s", a.Text)
 	}
 }
 
 // WriteFailure writes that the scheduler of an instance has failed, for instance by a panic.
 func WriteFailure(w *bufio.Writer, instance int, reason string) {
 	writeInstance(w, instance)
-	fmt.Fprintf(w, "GIVE_IN %s\n", strings.ReplaceAll(reason, "\n", " "))
+	writeLine(w, "GIVE_IN %s", strings.ReplaceAll(reason, "\n", " "))
 }
 
-func writeInstance(w *bufio.Writer, instance int) { fmt.Fprintf(w, "FOR %d\n", instance) }
+func writeInstance(w *bufio.Writer, instance int) { writeLine(w, "FOR %d", instance) }
 
 // WriteEnd ends the reply to a batch.
-func WriteEnd(w *bufio.Writer, batch *Batch) { fmt.Fprintf(w, "FINISHED %s\n", batch.Seq) }
+func WriteEnd(w *bufio.Writer, batch *Batch) { writeLine(w, "FINISHED %s", batch.Seq) }
+
+// writeLine writes one line. The writer keeps the first error for its Flush.
+func writeLine(w *bufio.Writer, format string, values ...any) {
+	_, _ = fmt.Fprintf(w, format+"\n", values...)
+}
--- a/internal/simwire/replies_test.go
+++ b/internal/simwire/replies_test.go
@@ -18,7 +18,9 @@
 		scheduler.SetTimer{At: 8912250 * time.Microsecond}, scheduler.Log{Text: "hello"}})
 	WriteActions(w, 4, nil)
 	WriteEnd(w, &Batch{Seq: "12"})
-	w.Flush()
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
 	want := "FOR 3\nFORWARD 7 80 51\nFORWARD 8 - 51\nNOT_NOW 9 250\nEND_FAILED 10\nCANCEL 7 1\nLISTEN 1\nPROBE 51\n" +
 		"SET_TIMER 1 8912.25\nDEBUG hello\nFINISHED 12\n"
 	if out.String() != want {
--- a/internal/socketstate/socketstate_test.go
+++ b/internal/socketstate/socketstate_test.go
@@ -1,6 +1,7 @@
 package socketstate
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -11,20 +12,22 @@
 // The state of a connection is known whether or not anything has been read from it.
 func TestStateFollowsPeer(t *testing.T) {
 	for name, c := range map[string]struct {
-		act           func(peer *net.TCPConn)
+		act           func(peer *net.TCPConn) error
 		unread, ended bool
 		peerClosed    bool
 	}{
-		"idle":            {func(*net.TCPConn) {}, false, false, false},
-		"data":            {func(peer *net.TCPConn) { io.WriteString(peer, "x") }, true, false, false},
-		"half-close":      {func(peer *net.TCPConn) { peer.CloseWrite() }, false, true, true},
-		"data then close": {func(peer *net.TCPConn) { io.WriteString(peer, "x"); peer.Close() }, true, false, true},
-		"reset":           {func(peer *net.TCPConn) { peer.SetLinger(0); peer.Close() }, false, true, true},
-		"data then reset": {func(peer *net.TCPConn) { io.WriteString(peer, "x"); peer.SetLinger(0); peer.Close() }, true, false, true},
+		"idle":            {func(*net.TCPConn) error { return nil }, false, false, false},
+		"data":            {writeByte, true, false, false},
+		"half-close":      {(*net.TCPConn).CloseWrite, false, true, true},
+		"data then close": {func(peer *net.TCPConn) error { return errors.Join(writeByte(peer), peer.Close()) }, true, false, true},
+		"reset":           {reset, false, true, true},
+		"data then reset": {func(peer *net.TCPConn) error { return errors.Join(writeByte(peer), reset(peer)) }, true, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, peer := connect(t)
-			c.act(peer)
+			if err := c.act(peer); err != nil {
+				t.Fatal(err)
+			}
 			unread, err := HasUnreadData(conn)
 			if closed := PeerClosed(conn); unread != c.unread || (err != nil) != c.ended || closed != c.peerClosed {
 				t.Errorf("unread data %v, ended by %v, peer closed %v", unread, err, closed)
@@ -37,11 +40,22 @@
 	}
 }
 
+func writeByte(conn *net.TCPConn) error {
+	_, err := io.WriteString(conn, "x")
+	return err
+}
+
+// reset closes a connection with a reset in place of an orderly end.
+func reset(conn *net.TCPConn) error {
+	return errors.Join(conn.SetLinger(0), conn.Close())
+}
+
 // connect returns both ends of a TCP connection.
 func connect(t *testing.T) (conn net.Conn, peer *net.TCPConn) {
 	t.Helper()
 	ln := testbed.Listen(t)
-	dialed, err := net.Dial("tcp", ln.Addr().String())
+	var dialer net.Dialer
+	dialed, err := dialer.DialContext(t.Context(), "tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
