--- /dev/null
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -0,0 +1,134 @@
+package sftpserver_test
+
+import (
+	"bytes"
+	"encoding/binary"
+	"io"
+	"runtime"
+	"testing"
+
+	"gaugerelay/internal/frontend/sftpserver"
+	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/sftpwire"
+)
+
+// TestOversizedPacketEndsConnection checks that a packet over the limit ends its connection, and no other one.
+func TestOversizedPacketEndsConnection(t *testing.T) {
+	g := newTestGateway(t)
+	conn := g.dial()
+	mustWrite(t, conn, append(binary.BigEndian.AppendUint32(nil, sftpwire.MaxPacket+1), packetWrite))
+	if n, err := conn.Read(make([]byte, 1)); err == nil {
+		t.Errorf("%d bytes came back", n)
+	}
+	if _, err := g.client().Stat("/layers/none"); statusOf(err) != sftpwire.StatusNoSuchFile {
+		t.Errorf("another connection: %v", err)
+	}
+}
+
+// TestTruncatedWriteIsNotSubmitted checks that a WRITE of which only a part arrives is counted once and is not submitted.
+func TestTruncatedWriteIsNotSubmitted(t *testing.T) {
+	g := newTestGateway(t)
+	g.files.Put("/layers/a", []byte("old"))
+	conn := g.dial()
+	mustWrite(t, conn, append(binary.BigEndian.AppendUint32(nil, 5000), packetWrite, 0, 0, 0, 9, 0, 0, 0, 1, '1'))
+	conn.Close()
+	g.waitUntil(func() bool { return g.counters.Get("file_commands_truncated") > 0 })
+	if n := g.counters.Get("file_commands_truncated"); n != 1 {
+		t.Errorf("counted %d times", n)
+	}
+	if n := g.counters.Get("requests_accepted"); n != 0 || len(g.files.Log()) != 0 || string(g.files.File("/layers/a")) != "old" {
+		t.Errorf("%d requests submitted, the file server received %v", n, g.files.Log())
+	}
+}
+
+// TestDisconnectCancelsRequest checks that a READ whose client disconnects is canceled, once, and gets no response.
+func TestDisconnectCancelsRequest(t *testing.T) {
+	g := newTestGateway(t)
+	g.files.Put("/layers/a", []byte("data"))
+	reached, release := g.blockCommand("read")
+	conn := g.dial()
+	file, err := newClient(t, conn).Open("/layers/a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() { _, _ = file.ReadAt(make([]byte, 4), 0) }() // fails when the connection is closed
+	<-reached
+	conn.Close()
+	g.waitCountedOnce("requests_canceled")
+	g.waitCountedOnce("attempts_canceled")
+	close(release)
+	if served := g.counters.Get("answers_served"); served != 1 || g.loop.OpenRequests() != 0 {
+		t.Errorf("%d served, want the OPEN only; %d open", served, g.loop.OpenRequests())
+	}
+}
+
+// TestDisconnectBehindManyCommands checks that a client counts as disconnected even if its connection is not read to the end,
+// since many commands wait: attempts that wait for a connection to their server do not start.
+func TestDisconnectBehindManyCommands(t *testing.T) {
+	g := newTestGateway(t)
+	requests := make(chan *lifecycle.Request, 64)
+	g.server.Loop = silentLoop{requests}
+	conn := g.dial()
+	mustWrite(t, conn, initPacket)
+	for range 200 {
+		mustWrite(t, conn, statPacket)
+	}
+	request := <-requests
+	if request.Canceled() {
+		t.Fatal("canceled while the client is connected")
+	}
+	conn.Close()
+	for !request.Canceled() { // on loopback, the system reports the end at once
+		runtime.Gosched()
+	}
+	g.server.CloseAll()
+}
+
+// silentLoop accepts requests and does not respond.
+type silentLoop struct{ requests chan<- *lifecycle.Request }
+
+func (l silentLoop) Submit(r *lifecycle.Request) bool                       { l.requests <- r; return true }
+func (silentLoop) Cancel(*lifecycle.Request)                                {}
+func (silentLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+
+func TestShutdownFinishesReceivedCommands(t *testing.T) {
+	g := newTestGateway(t)
+	g.files.Put("/layers/a", []byte("data"))
+	file, err := g.client().Open("/layers/a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	reached, release := g.blockCommand("read")
+	read := make(chan error, 1)
+	go func() { read <- errorOf(file.ReadAt(make([]byte, 4), 0)) }()
+	<-reached
+	ended := g.startShutdown()
+	close(release)
+	if err := <-read; err != nil {
+		t.Errorf("the READ that was in flight: %v", err)
+	}
+	<-ended
+}
+
+// TestLastResponseSurvivesUnreadBytes checks that commands that arrive during a shutdown get no response, and that the
+// connection is not reset over them before the client has the last response.
+func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
+	g := newTestGateway(t)
+	g.files.Put("/layers/a", []byte("data"))
+	reached, release := g.blockCommand("stat")
+	conn := g.dial()
+	mustWrite(t, conn, append(bytes.Clone(initPacket), statPacket...))
+	<-reached
+	ended := g.startShutdown()
+	for !sftpserver.Draining(g.server) { // what arrives after that is not read
+		runtime.Gosched()
+	}
+	mustWrite(t, conn, statPacket)
+	close(release)
+	received, err := io.ReadAll(conn)
+	if n := bytes.Count(received, []byte{packetAttrs, 0, 0, 0, 9}); n != 1 || err != nil {
+		t.Errorf("%d responses, then %v", n, err)
+	}
+	conn.Close()
+	<-ended
+}
--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -30,7 +30,7 @@
 // Names of counters.
 const (
 	connectsFailed     = "file_connects_failed"
-	responsesMalformed = "file_answers_malformed"
+	responsesMalformed = "file_responses_malformed"
 )
 
 // Options are the limits of a Client. Times are in milliseconds.
