--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -456,7 +456,7 @@
 		if j.Write {
 			worth = 2
 		}
-		r.check.Begin(j.Object, j.Write, worth, window, j.Deadline, size)
+		r.check.Begin(invariants.Exchange{ID: j.Object, Write: j.Write, Weight: worth, DedupWindow: window, Deadline: j.Deadline, Size: size})
 		d.Do(j)
 		time.Sleep(time.Duration(50+rnd.IntN(500)) * time.Millisecond)
 	}
