--- a/internal/testbed/fakefileserver/fileserver.go
+++ b/internal/testbed/fakefileserver/fileserver.go
@@ -16,16 +16,26 @@
 	"gaugerelay/internal/testbed"
 )
 
-// Command is what a file server has been asked to do.
-type Command struct {
-	Op        string // open, read, write or stat
-	Path      string
-	Flags     uint32 // of an open
-	UploadKey string // upload key
-	Bytes     int
+// Op is the kind of a command.
+type Op string
+
+// The commands that the server executes.
+const (
+	OpOpen  Op = "open"
+	OpRead  Op = "read"
+	OpWrite Op = "write"
+	OpStat  Op = "stat"
+)
 
+// Command is a command that the server has received.
+type Command struct {
+	Op           Op
+	Path         string
+	Flags        uint32 // of an open
+	UploadKey    string // of an open or a write; empty if the client gave none
+	Bytes        int    // of a read or a write
 	Data         []byte // of a write
-	Deduplicated bool   // its key had been seen
+	Deduplicated bool   // of a write: it was dropped because its upload key had been seen
 }
 
 // Server keeps files in memory. It drops a WRITE whose upload key it has seen.
@@ -125,7 +135,7 @@
 
 func (s *Server) open(r *sftp.Request) (*handle, error) {
 	h := &handle{s: s, path: r.Filepath, key: uploadKey(r.Attrs)}
-	err := s.run(&Command{Op: "open", Path: h.path, Flags: r.Flags, UploadKey: h.key}, func() error {
+	err := s.run(&Command{Op: OpOpen, Path: h.path, Flags: r.Flags, UploadKey: h.key}, func() error {
 		_, there := s.files[h.path]
 		if !there && r.Flags&sftpwire.FlagCreat == 0 {
 			return sftp.ErrSSHFxNoSuchFile
@@ -161,7 +171,7 @@
 }
 
 func (h *handle) ReadAt(p []byte, off int64) (n int, err error) {
-	err = h.s.run(&Command{Op: "read", Path: h.path, Bytes: len(p)}, func() error {
+	err = h.s.run(&Command{Op: OpRead, Path: h.path, Bytes: len(p)}, func() error {
 		data := h.s.files[h.path]
 		if off >= int64(len(data)) {
 			return io.EOF
@@ -175,7 +185,7 @@
 }
 
 func (h *handle) WriteAt(p []byte, off int64) (int, error) {
-	c := Command{Op: "write", Path: h.path, UploadKey: h.key, Bytes: len(p), Data: append([]byte(nil), p...)}
+	c := Command{Op: OpWrite, Path: h.path, UploadKey: h.key, Bytes: len(p), Data: append([]byte(nil), p...)}
 	err := h.s.run(&c, func() error {
 		if h.s.keys[h.key] {
 			c.Deduplicated = true
@@ -208,7 +218,7 @@
 // Filelist implements sftp.FileLister for STAT.
 func (s *Server) Filelist(r *sftp.Request) (sftp.ListerAt, error) {
 	st := stat{name: r.Filepath}
-	err := s.run(&Command{Op: "stat", Path: r.Filepath}, func() error {
+	err := s.run(&Command{Op: OpStat, Path: r.Filepath}, func() error {
 		data, there := s.files[r.Filepath]
 		if !there {
 			return sftp.ErrSSHFxNoSuchFile
