--- a/internal/frontend/sftpserver/helper_test.go
+++ b/internal/frontend/sftpserver/helper_test.go
@@ -185,7 +185,7 @@
 
 // blockCommand makes the file server block the first command of the kind until release is closed. reached is closed when the
 // command has arrived.
-func (g *testGateway) blockCommand(op string) (reached <-chan struct{}, release chan struct{}) {
+func (g *testGateway) blockCommand(op fakefileserver.Op) (reached <-chan struct{}, release chan struct{}) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	g.files.BeforeEffect = func(command fakefileserver.Command) error {
 		if command.Op == op {
