--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"regexp"
 	"runtime"
 	"testing"
 	"testing/synctest"
@@ -21,6 +22,30 @@
 		Settings: testsettings.Settings(2), KnownEndpoints: lifecycle.EndpointUpdate{}}
 }
 
+// bubbleGoroutines returns how many goroutines the test's bubble has. Those of the rest of the process, among them such of
+// earlier bubbles that are still ending, do not count.
+func bubbleGoroutines(t *testing.T) (count int) {
+	t.Helper()
+	stacks := make([]byte, 1<<20)
+	size := runtime.Stack(stacks, true)
+	if size == len(stacks) {
+		t.Fatal("the stacks of all goroutines do not fit")
+	}
+	bubble := bubbleName.FindSubmatch(stacks[:size]) // the calling goroutine comes first
+	if bubble == nil {
+		t.Fatal("not called in a bubble")
+	}
+	for _, other := range bubbleName.FindAllSubmatch(stacks[:size], -1) {
+		if string(other[1]) == string(bubble[1]) {
+			count++
+		}
+	}
+	return count
+}
+
+// bubbleName matches the first line of a goroutine of a bubble in a stack trace.
+var bubbleName = regexp.MustCompile(`(?m)^goroutine \d+ \[[^\]]*synctest bubble (\d+)[^\]]*\]:`)
+
 // A gateway without an operator's file opens its one listener and has no deduplicator: what the file does not name is not
 // there. With the file there are the frontends that it names.
 func TestOnlyConfiguredComponentsAreBuilt(t *testing.T) {
@@ -44,7 +69,7 @@
 				opened = append(opened, addr)
 				return memory.Listen(addr)
 			}}
-			before := runtime.NumGoroutine()
+			before := bubbleGoroutines(t)
 			g, err := New(testConfig(), c.edge, clock.NewSystem(), network)
 			if err != nil {
 				t.Fatal(err)
@@ -53,7 +78,7 @@
 				t.Fatal(err)
 			}
 			synctest.Wait()
-			goroutines[name] = runtime.NumGoroutine() - before
+			goroutines[name] = bubbleGoroutines(t) - before
 			if len(opened) != len(c.want) {
 				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
 			}
