--- a/internal/frontend/sftpserver/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -1,11 +1,14 @@
 package sftpserver
 
 import (
+	"encoding/binary"
 	"errors"
 	"io"
 	"net"
 	"testing"
 	"time"
+
+	"gaugerelay/internal/sftpwire"
 )
 
 // deadlineRecorder is a connection that records the deadline of each read.
@@ -52,3 +55,23 @@
 		}
 	}
 }
+
+func TestPacketTrackerLimitsLength(t *testing.T) {
+	for name, c := range map[string]struct {
+		length uint32
+		want   error
+	}{
+		"empty":      {0, errOversizedPacket},
+		"type alone": {1, nil},
+		"limit":      {sftpwire.MaxPacket, nil},
+		"over limit": {sftpwire.MaxPacket + 1, errOversizedPacket},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var tracker packetTracker
+			header := append(binary.BigEndian.AppendUint32(nil, c.length), 6)
+			if err := tracker.advance(header); !errors.Is(err, c.want) {
+				t.Errorf("length %d: %v, want %v", c.length, err, c.want)
+			}
+		})
+	}
+}
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -192,3 +192,36 @@
 		t.Errorf("%d writes are left when all have expired", history.order.Len())
 	}
 }
+
+// TestFailedWriteOnSameHandle checks that a failed WRITE that is sent again on its handle keeps its upload key, unless its range
+// has been overwritten in between.
+func TestFailedWriteOnSameHandle(t *testing.T) {
+	for name, c := range map[string]struct {
+		offsetBetween int64
+		wantSameKey   bool
+	}{
+		"adjacent write in between": {2, true},
+		"overwritten in between":    {1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			clients := newWriteClients(false)
+			served := clients.loop.response
+			file := clients.handle(1)
+			clients.loop.response = lifecycle.Response{Kind: lifecycle.Failed}
+			if _, err := file.WriteAt([]byte("aa"), 0); err == nil {
+				t.Fatal("the first write did not fail")
+			}
+			clients.loop.response = served
+			if _, err := file.WriteAt([]byte("bb"), c.offsetBetween); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := file.WriteAt([]byte("aa"), 0); err != nil {
+				t.Fatal(err)
+			}
+			first, last := clients.loop.requests[0].Device.Key, clients.loop.requests[2].Device.Key
+			if (first == last) != c.wantSameKey {
+				t.Errorf("keys %q and %q, want the same: %v", first, last, c.wantSameKey)
+			}
+		})
+	}
+}
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -164,6 +164,58 @@
 	}
 }
 
+// TestAuthorizationIsCheckedAfterOpen checks that no READ or WRITE is sent if the start deadline passes during the OPEN.
+func TestAuthorizationIsCheckedAfterOpen(t *testing.T) {
+	for _, op := range []sftpwire.Op{sftpwire.OpRead, sftpwire.OpWrite} {
+		t.Run(op.String(), func(t *testing.T) {
+			var expired atomic.Bool
+			received := make(chan int, 1)
+			address := testbed.Serve(t, func(conn net.Conn) {
+				readPacketOf(t, conn, typeInit)
+				writePacket(t, conn, newPacket(typeVersion, protocolVersion))
+				body := readPacketOf(t, conn, typeOpen)
+				expired.Store(true)
+				writePacket(t, conn, newPacket(typeHandle, binary.BigEndian.Uint32(body)).string("h"))
+				n, _ := conn.Read(make([]byte, 1)) // the connection ends without a byte
+				received <- n
+			})
+			client, results := newTestClient(expiringClock{clock.NewManual(startMs), &expired}, address, 1)
+			defer client.Close()
+			client.Start(lifecycle.Attempt{
+				Request:         &lifecycle.Request{Payload: &sftpwire.Command{Op: op, Path: "/a", UploadKey: "k"}},
+				Server:          &lifecycle.Server{},
+				DeadlineMs:      deadlineMs,
+				StartDeadlineMs: startDeadlineMs,
+			})
+			if result := <-results; result.Status != scheduler.StatusOverloaded {
+				t.Errorf("status %v", result.Status)
+			}
+			if n := <-received; n != 0 {
+				t.Error("the server received a packet after the OPEN")
+			}
+		})
+	}
+}
+
+// TestUnrequestedDataIsMalformed checks that data which a command did not request is not passed on.
+func TestUnrequestedDataIsMalformed(t *testing.T) {
+	for name, command := range map[string]*sftpwire.Command{
+		"read of fewer bytes": {Op: sftpwire.OpRead, Path: "/a", Length: 3},
+		"write":               {Op: sftpwire.OpWrite, Path: "/a", Data: []byte("data")},
+	} {
+		t.Run(name, func(t *testing.T) {
+			address, _ := recordPackets(t, [][]byte{hexBytes(t, "66 00000002 6831"), hexBytes(t, "67 00000004 64617461")})
+			client, results := newTestClient(clock.NewManual(startMs), address, 1)
+			defer client.Close()
+			client.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: command}, Server: &lifecycle.Server{},
+				DeadlineMs: deadlineMs})
+			if result := <-results; result.Status != scheduler.StatusError || result.Body != nil {
+				t.Errorf("status %v, body %v", result.Status, result.Body)
+			}
+		})
+	}
+}
+
 // expiringClock is a clock that jumps to the start deadline once expired is set.
 type expiringClock struct {
 	*clock.Manual
