--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -67,7 +67,7 @@
 func TestDisconnectBehindManyCommands(t *testing.T) {
 	g := newTestGateway(t)
 	requests := make(chan *lifecycle.Request, 64)
-	g.server.Loop = silentLoop{requests}
+	g.server.Loop = discardingLoop{requests}
 	conn := g.dial()
 	mustWrite(t, conn, initPacket)
 	for range 200 {
@@ -84,12 +84,12 @@
 	g.server.CloseAll()
 }
 
-// silentLoop accepts requests and does not respond.
-type silentLoop struct{ requests chan<- *lifecycle.Request }
+// discardingLoop accepts requests and never responds.
+type discardingLoop struct{ requests chan<- *lifecycle.Request }
 
-func (l silentLoop) Submit(r *lifecycle.Request) bool                       { l.requests <- r; return true }
-func (silentLoop) Cancel(*lifecycle.Request)                                {}
-func (silentLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
+func (l discardingLoop) Submit(r *lifecycle.Request) bool                       { l.requests <- r; return true }
+func (discardingLoop) Cancel(*lifecycle.Request)                                {}
+func (discardingLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 
 func TestShutdownFinishesReceivedCommands(t *testing.T) {
 	g := newTestGateway(t)
