--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -1,9 +1,12 @@
-// Package faultnet is the machine's network with system calls that fail now and then, drawn by a seed: accepts, connects,
-// reads and writes. It is built into the test program alone.
+// Package faultnet is a TCP network whose system calls fail at random: accepts, connects, reads and writes. It is built
+// only into the gateway program with the build tag chaos.
+//
+// The failures are drawn from a seed. A Network may be used from any goroutine; it starts none.
 package faultnet
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -13,63 +16,95 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"gaugerelay/internal/testbed/loopback"
+)
+
+const (
+	// randomStream is the stream of random numbers of a seed.
+	randomStream = 99
+	// writeFailureFraction is how much less often writes fail than accepts and connects.
+	writeFailureFraction = 10
+	// maxAcceptFailures is how many accepts fail in a row at most.
+	maxAcceptFailures = 8
+	// shortReadSize is how many bytes a short read returns at most.
+	shortReadSize = 7
 )
 
-// Options are what fails, and how often.
+// Options say which system calls fail, and how often.
 type Options struct {
 	Seed            uint64
-	FailureRate     float64       // of accepts and connects; of writes a tenth of it
-	WallClockOffset time.Duration // by which this machine's wall clock is off
+	FailureRate     float64       // fraction of accepts, connects and reads; of writes a tenth of it
+	WallClockOffset time.Duration // error of the wall clock, which the caller has to apply
 }
 
 // ParseOptions reads options in the form "seed=1,rate=0.03,wall=1h".
-func ParseOptions(text string) (o Options, err error) {
-	for _, part := range strings.Split(text, ",") {
-		name, value, _ := strings.Cut(part, "=")
+func ParseOptions(text string) (options Options, err error) {
+	for _, field := range strings.Split(text, ",") {
+		name, value, _ := strings.Cut(field, "=")
 		switch name {
 		case "seed":
-			o.Seed, err = strconv.ParseUint(value, 10, 64)
+			options.Seed, err = strconv.ParseUint(value, 10, 64)
 		case "rate":
-			o.FailureRate, err = strconv.ParseFloat(value, 64)
+			options.FailureRate, err = strconv.ParseFloat(value, 64)
 		case "wall":
-			o.WallClockOffset, err = time.ParseDuration(value)
+			options.WallClockOffset, err = time.ParseDuration(value)
 		default:
-			err = fmt.Errorf("no such option")
+			err = errors.New("no such option")
 		}
 		if err != nil {
-			return o, fmt.Errorf("faults: %q: %w", part, err)
+			return options, fmt.Errorf("faults: %q: %w", field, err)
 		}
 	}
-	return o, nil
+	return options, nil
 }
 
-// Network draws the failures.
+// Network opens listeners and connections whose system calls fail.
 type Network struct {
-	opt Options
-	mu  sync.Mutex
-	rnd *rand.Rand
-	row int // accepts that are still to fail in a row
+	options Options
+
+	mu             sync.Mutex
+	rnd            *rand.Rand
+	acceptFailures int // accepts that are still to fail in a row
 }
 
 // New returns a network.
-func New(o Options) *Network { return &Network{opt: o, rnd: rand.New(rand.NewPCG(o.Seed, 99))} }
+func New(options Options) *Network {
+	return &Network{options: options, rnd: rand.New(rand.NewPCG(options.Seed, randomStream))}
+}
 
+// Errors with which system calls fail. The order decides which one a seed draws.
 var (
 	acceptErrors  = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EHOSTUNREACH}
 	connectErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
 	writeErrors   = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}
 )
 
-// draw draws whether something fails, and by which error.
-func (n *Network) draw(rate float64, errs []syscall.Errno) (syscall.Errno, bool) {
+// draw draws whether a system call fails, and with which error.
+func (n *Network) draw(rate float64, errnos []syscall.Errno) (errno syscall.Errno, fails bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return errs[n.rnd.IntN(len(errs))], n.rnd.Float64() < rate
+	return errnos[n.rnd.IntN(len(errnos))], n.rnd.Float64() < rate
 }
 
-// Listen opens an address.
+// drawAccept draws whether an accept fails. Failures come in rows.
+func (n *Network) drawAccept() (errno syscall.Errno, fails bool) {
+	errno, fails = n.draw(n.options.FailureRate, acceptErrors)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if fails {
+		n.acceptFailures = 1 + n.rnd.IntN(maxAcceptFailures)
+	}
+	if n.acceptFailures == 0 {
+		return 0, false
+	}
+	n.acceptFailures--
+	return errno, true
+}
+
+// Listen opens a TCP listener whose accepts fail at random. Its connections work.
 func (n *Network) Listen(addr string) (net.Listener, error) {
-	ln, err := net.Listen("tcp", addr)
+	ln, err := loopback.ListenOn(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -78,51 +113,41 @@
 
 type listener struct {
 	net.Listener
-	n *Network
+	network *Network
 }
 
-// Accept fails now and then, some times in a row.
+// Accept fails at random, sometimes several times in a row.
 func (l *listener) Accept() (net.Conn, error) {
-	errno, fails := l.n.draw(l.n.opt.FailureRate, acceptErrors)
-	l.n.mu.Lock()
-	if fails {
-		l.n.row = 1 + l.n.rnd.IntN(8)
-	}
-	fails = l.n.row > 0
-	if fails {
-		l.n.row--
-	}
-	l.n.mu.Unlock()
-	if fails {
+	if errno, fails := l.network.drawAccept(); fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 	}
 	return l.Listener.Accept()
 }
 
-// Dial returns a dial that gives up after a time and fails now and then.
-func (n *Network) Dial(giveUp time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
-	dialer := &net.Dialer{Timeout: giveUp, KeepAlive: -1}
+// Dial returns a dial function that fails at random, and after a timeout.
+func (n *Network) Dial(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialer := &net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if errno, fails := n.draw(n.opt.FailureRate, connectErrors); fails {
+		if errno, fails := n.draw(n.options.FailureRate, connectErrors); fails {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 		}
-		nc, err := dialer.DialContext(ctx, network, addr)
+		c, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &conn{nc.(*net.TCPConn), n}, nil
+		return &conn{c.(*net.TCPConn), n}, nil
 	}
 }
 
-// conn is a connection whose writes break off now and then, and whose reads are short.
+// conn is a connection whose writes fail and whose reads are short at random.
 type conn struct {
 	*net.TCPConn
-	n *Network
+	network *Network
 }
 
-// Write breaks off in the middle now and then; the connection is broken from then on.
+// Write fails at random after half of the bytes; the connection is reset then.
 func (c *conn) Write(p []byte) (int, error) {
-	errno, fails := c.n.draw(c.n.opt.FailureRate/10, writeErrors)
+	errno, fails := c.network.draw(c.network.options.FailureRate/writeFailureFraction, writeErrors)
 	if !fails {
 		return c.TCPConn.Write(p)
 	}
@@ -130,15 +155,14 @@
 	if err == nil {
 		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", errno)}
 	}
-	c.TCPConn.SetLinger(0)
-	c.TCPConn.Close()
+	loopback.Reset(c.TCPConn)
 	return n, err
 }
 
-// Read reads a few bytes at a time now and then.
+// Read returns only a few bytes at random.
 func (c *conn) Read(p []byte) (int, error) {
-	if _, short := c.n.draw(c.n.opt.FailureRate, writeErrors); short && len(p) > 7 {
-		p = p[:7]
+	if _, short := c.network.draw(c.network.options.FailureRate, writeErrors); short && len(p) > shortReadSize {
+		p = p[:shortReadSize]
 	}
 	return c.TCPConn.Read(p)
 }
--- /dev/null
+++ b/internal/testbed/faultnet/faultnet_test.go
@@ -0,0 +1,39 @@
+package faultnet
+
+import (
+	"fmt"
+	"hash/fnv"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestParseOptions(t *testing.T) {
+	want := Options{Seed: 7, FailureRate: 0.03, WallClockOffset: -time.Hour}
+	if got, err := ParseOptions("seed=7,rate=0.03,wall=-1h0m0s"); err != nil || got != want {
+		t.Errorf("ParseOptions = %+v, %v, want %+v", got, err, want)
+	}
+	for _, invalid := range []string{"", "seed=x", "rate=", "wall=1", "speed=1"} {
+		if _, err := ParseOptions(invalid); err == nil {
+			t.Errorf("ParseOptions accepts %q", invalid)
+		}
+	}
+}
+
+// A seed gives the same failures on every machine and in every version, so that a run can be repeated.
+func TestSeedDrawsSameFailures(t *testing.T) {
+	network := New(Options{Seed: 7, FailureRate: 0.03})
+	hash, failures := fnv.New64a(), 0
+	for range 1000 {
+		errno, fails := network.drawAccept()
+		if !fails {
+			_, _ = fmt.Fprintln(hash, "ok") // a hash never fails
+			continue
+		}
+		failures++
+		_, _ = fmt.Fprintln(hash, slices.Index(acceptErrors, errno))
+	}
+	if got := hash.Sum64(); failures != 88 || got != 0x6285aa782b0a3e14 {
+		t.Errorf("%d accepts fail, with hash %#x", failures, got)
+	}
+}
