--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -1,109 +1,53 @@
-// Command faultbench tries the gateway out: long soaks of its fronts for devices against stand-ins, on loopback.
+// Command faultbench tests the gateway under faults, against fakes of the outside systems on loopback. Each subcommand
+// prints a summary line and exits with status 1 if an invariant was violated.
 package main
 
 import (
-	"errors"
 	"fmt"
-	"io"
-	"log/slog"
-	"maps"
 	"os"
-	"slices"
-	"sync"
-	"time"
+	"path/filepath"
 
 	"github.com/alecthomas/kong"
-
-	"gaugerelay/internal/gateway"
-	"gaugerelay/internal/logevent"
-	"gaugerelay/internal/testbed/fakestorage"
-	"gaugerelay/internal/testbed/linkshaper"
-	"gaugerelay/internal/testbed/soak"
 )
 
-type soakCmd struct {
-	Seconds  float64 `default:"60" help:"How long devices go on."`
-	Seed     uint64  `default:"1" help:"What is drawn; the same seed draws the same devices, links and faults."`
-	Devices  int     `default:"36" help:"How many devices."`
-	Wires    string  `default:"chf" help:"Protocols dealt out among them: c CoAP, h HTTP, f file commands."`
-	Links    string  `default:"all" enum:"all,good,middling,bad" help:"Kinds of links: all, good, middling or bad."`
-	Odd      float64 `default:"0.15" help:"Part of the exchanges in which a device behaves oddly."`
-	Calm     bool    `help:"No faults at nodes, no drains, no restarts."`
-	Baseline bool    `default:"true" negatable:"" help:"Run the same once more without the ledger."`
-	Log      bool    `help:"Show the gateway's log."`
-}
-
-// Run runs the soak; what must never be makes it fail.
-func (c *soakCmd) Run() error {
-	if !c.Log {
-		logevent.Setup(io.Discard, slog.LevelError)
-	}
-	links := map[string][]linkshaper.Profile{"all": {linkshaper.Good, linkshaper.Middling, linkshaper.Bad}, "good": {linkshaper.Good},
-		"middling": {linkshaper.Middling}, "bad": {linkshaper.Bad}}[c.Links]
-	o := soak.Options{For: time.Duration(c.Seconds * float64(time.Second)), Seed: c.Seed, Devices: c.Devices, Links: links,
-		Wires: c.Wires, Ledger: true, Odd: c.Odd, Network: gateway.Machine()}
-	if !c.Calm {
-		o.Restarts, o.Drains = 45*time.Second, 8*time.Second
-		o.Faults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
-			SlowBy: 700 * time.Millisecond}
-	}
-	// Both at once: they share nothing but the machine.
-	var without *soak.Report
-	var failed error
-	var both sync.WaitGroup
-	if c.Baseline {
-		plain := o
-		plain.Ledger = false
-		both.Go(func() { without, failed = soak.Run(plain) })
-	}
-	rep, err := soak.Run(o)
-	both.Wait()
-	if err = errors.Join(err, failed); err != nil {
-		return err
+func main() {
+	var cli struct {
+		Fleet   fleetCmd   `cmd:"" help:"Run scenarios of faults in a fleet of gateway processes and between them."`
+		Chaos   chaosCmd   `cmd:"" help:"Inject random overlapping faults into gateway processes and check the invariants."`
+		Members membersCmd `cmd:"" help:"Simulate membership in fleets of 3 to 1,000 gateways, with lost datagrams and failing gateways."`
+		Soak    soakCmd    `cmd:"" help:"Run devices on poor links against a gateway whose servers fail, drain and restart."`
 	}
-	show("with the ledger", rep)
-	part := func(r *soak.Report) float64 { return float64(r.ServedInTime) / float64(max(1, r.Exchanges)) }
-	base := 0.0
-	if without != nil {
-		show("without", without)
-		base = part(without)
+	ctx := kong.Parse(&cli, kong.Name("faultbench"), kong.Description("Tests the gateway under faults, against fakes on loopback."),
+		kong.UsageOnError())
+	if err := ctx.Run(); err != nil {
+		fmt.Fprintln(os.Stderr, "faultbench:", err)
+		os.Exit(1)
 	}
-	for _, f := range rep.Faults {
-		fmt.Println("fault:", f)
+}
+
+// gatewayBinary returns the path of the gateway program: the given one, or gaugerelay beside this program if it is empty.
+func gatewayBinary(path string) (string, error) {
+	if path != "" {
+		return path, nil
 	}
-	fmt.Printf("exchanges=%d double_answers=%d unallowed_repeats=%d unanswered=%d served_in_time=%.4f baseline=%.4f\n",
-		rep.Exchanges, rep.DoubleAnswers, rep.UnallowedRepeats, rep.Unanswered, part(rep), base)
-	if n := rep.Bad(); n > 0 {
-		return fmt.Errorf("%d of what must never be", n)
+	self, err := os.Executable()
+	if err != nil {
+		return "", fmt.Errorf("no path of this program: %w", err)
 	}
-	return nil
+	return filepath.Join(filepath.Dir(self), "gaugerelay"), nil
 }
 
-func show(what string, r *soak.Report) {
-	fmt.Printf("%s: %d exchanges, %d of them writes; %d node replacements, %d restarts of the gateway\n", what, r.Exchanges,
-		r.Writes, r.Drains, r.Restarts)
-	fmt.Printf("  double answers %d, unallowed repeats %d, unanswered %d, served but never run %d, sends to draining nodes %d, file writes run anew after a restart %d\n",
-		r.DoubleAnswers, r.UnallowedRepeats, r.Unanswered, r.Phantoms, r.LateSends, r.Rewritten)
-	fmt.Printf("  served in time %.4f, worth %.4f; runs per write %.3f; bytes sent per byte %.2f; time to a final answer p50 %d ms, p99 %d ms\n",
-		float64(r.ServedInTime)/float64(max(1, r.Exchanges)), r.WorthInTime/max(1, r.Worth), float64(r.WriteRuns)/float64(max(1, r.Writes)),
-		float64(r.BytesSent)/float64(max(1, r.Bytes)), r.Quantile(0.5).Milliseconds(), r.Quantile(0.99).Milliseconds())
-	fmt.Println("  not served in time, by the last that their devices heard:")
-	for _, what := range slices.Sorted(maps.Keys(r.Unserved)) {
-		fmt.Printf("    %d %s\n", r.Unserved[what], what)
+// printViolations prints a line for each violation.
+func printViolations(violations []string) {
+	for _, text := range violations {
+		fmt.Println("violation:", text)
 	}
 }
 
-func main() {
-	var cli struct {
-		Fleet   fleetCmd   `cmd:"" help:"Several gateways, the real program, with faults between them and into them."`
-		Chaos   chaosCmd   `cmd:"" help:"Several gateways, the real program, with random faults that overlap, judged by the rules."`
-		Members membersCmd `cmd:"" help:"Membership of fleets of 3 to 1,000 gateways, with losses and deaths."`
-		Soak    soakCmd    `cmd:"" help:"Devices on poor links against a gateway whose nodes fail, drain and restart."`
-	}
-	ctx := kong.Parse(&cli, kong.Name("faultbench"), kong.Description("Tries the gateway out against stand-ins, on loopback."),
-		kong.UsageOnError())
-	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "faultbench:", err)
-		os.Exit(1)
+// violationError returns an error if there were violations.
+func violationError(count int) error {
+	if count == 0 {
+		return nil
 	}
+	return fmt.Errorf("%d violations of invariants", count)
 }
--- a/cmd/faultbench/members.go
+++ b/cmd/faultbench/members.go
@@ -6,29 +6,46 @@
 	"gaugerelay/internal/testbed/membershipsim"
 )
 
+// Figures of the simulated fleets.
+const (
+	minDelayMs = 1
+	jitterMs   = 12
+	deathCount = 5 // gateways that fail in each run
+	// fullTimeSize is the largest fleet that is simulated for the whole time; the time of larger ones shrinks with their
+	// size, since 1,000 gateways take a minute of the machine's time for each 10 s.
+	fullTimeSize = 200
+)
+
+var (
+	fleetSizes = []int{3, 10, 100, 1000}
+	lossRates  = []float64{0, 0.05, 0.2}
+)
+
+// membersCmd is the subcommand members.
 type membersCmd struct {
-	Seed    uint64  `default:"1" help:"What is drawn."`
-	Seconds float64 `default:"60" help:"How long each fleet is played, on its own clock."`
-	Most    int     `default:"1000" help:"The largest fleet."`
+	Seed    uint64  `default:"1" help:"Seed of losses, delays and failures."`
+	Seconds float64 `default:"60" help:"Simulated time of each fleet."`
+	Most    int     `default:"1000" help:"Size of the largest fleet."`
 }
 
-// Run plays the fleets; a death that is not known within the bound makes it fail.
+// Run simulates the fleets. It returns an error if the failure of a gateway was not detected within the bound.
 func (c *membersCmd) Run() error {
-	wrong, unknown := 0, 0
-	for _, n := range []int{3, 10, 100, 1000} {
-		if n > c.Most {
+	falseDeaths, undetected := 0, 0
+	for _, size := range fleetSizes {
+		if size > c.Most {
 			continue
 		}
-		for _, loss := range []float64{0, 0.05, 0.2} {
-			ms := c.Seconds * 1000 * min(1, 200/float64(n)) // a thousand take a minute of the machine's time for each 10 s
-			rep := membershipsim.Measure(membershipsim.Options{MemberCount: n, LossRate: loss, MinDelayMs: 1, JitterMs: 12, Seed: c.Seed}, ms, 5)
-			fmt.Printf("%4d gateways, %2.0f %% lost: %v\n", n, 100*loss, rep)
-			wrong, unknown = wrong+rep.FalseDeaths, unknown+rep.Undetected
+		for _, lossRate := range lossRates {
+			durationMs := c.Seconds * 1000 * min(1, fullTimeSize/float64(size))
+			report := membershipsim.Measure(membershipsim.Options{MemberCount: size, LossRate: lossRate, MinDelayMs: minDelayMs,
+				JitterMs: jitterMs, Seed: c.Seed}, durationMs, deathCount)
+			fmt.Printf("%4d gateways, %2.0f %% lost: %v\n", size, 100*lossRate, report)
+			falseDeaths, undetected = falseDeaths+report.FalseDeaths, undetected+report.Undetected
 		}
 	}
-	fmt.Printf("unknown=%d false=%d\n", unknown, wrong)
-	if unknown > 0 {
-		return fmt.Errorf("%d deaths were not known within the bound", unknown)
+	fmt.Printf("unknown=%d false=%d\n", undetected, falseDeaths)
+	if undetected > 0 {
+		return fmt.Errorf("%d failures were not detected within the bound", undetected)
 	}
 	return nil
 }
--- /dev/null
+++ b/cmd/faultbench/soak.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"gaugerelay/internal/gateway"
+	"gaugerelay/internal/logevent"
+	"gaugerelay/internal/testbed/fakestorage"
+	"gaugerelay/internal/testbed/linkshaper"
+	"gaugerelay/internal/testbed/soak"
+)
+
+// Mean times between the faults of a soak.
+const (
+	restartInterval     = 45 * time.Second // of the gateway
+	replacementInterval = 8 * time.Second  // of a server
+)
+
+// serverFaults are the faults of the storage servers in a soak.
+var serverFaults = fakestorage.Faults{TurnAway: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
+	SlowBy: 700 * time.Millisecond}
+
+// linkProfiles are the kinds of links that the flag --links names.
+var linkProfiles = map[string][]linkshaper.Profile{
+	"all":      {linkshaper.Good, linkshaper.Middling, linkshaper.Bad},
+	"good":     {linkshaper.Good},
+	"middling": {linkshaper.Middling},
+	"bad":      {linkshaper.Bad},
+}
+
+// soakCmd is the subcommand soak.
+type soakCmd struct {
+	Seconds  float64 `default:"60" help:"Duration of the run."`
+	Seed     uint64  `default:"1" help:"Seed of devices, links and faults; the same seed draws the same ones."`
+	Devices  int     `default:"36" help:"Number of devices."`
+	Wires    string  `default:"chf" help:"Protocols that the devices use in turn: c CoAP, h HTTP, f file commands."`
+	Links    string  `default:"all" enum:"all,good,middling,bad" help:"Kinds of links: all, good, middling or bad."`
+	Odd      float64 `default:"0.15" help:"Fraction of the exchanges in which a device misbehaves."`
+	Calm     bool    `help:"No faults of servers, no drains, no restarts."`
+	Baseline bool    `default:"true" negatable:"" help:"Run the same once more without deduplication."`
+	Log      bool    `help:"Show the gateway's log."`
+}
+
+// Run runs the soak, and beside it the baseline. It returns an error if an invariant was violated.
+func (c *soakCmd) Run() error {
+	if !c.Log {
+		logevent.Setup(io.Discard, slog.LevelError)
+	}
+	report, baseline, err := c.runWithBaseline()
+	if err != nil {
+		return err
+	}
+	printReport("with deduplication", report)
+	baselineFraction := 0.0
+	if baseline != nil {
+		printReport("without deduplication", baseline)
+		baselineFraction = servedInTimeFraction(baseline)
+	}
+	printViolations(report.Faults)
+	fmt.Printf("exchanges=%d double_answers=%d unallowed_repeats=%d unanswered=%d served_in_time=%.4f baseline=%.4f\n",
+		report.Exchanges, report.DoubleAnswers, report.UnallowedRepeats, report.Unanswered, servedInTimeFraction(report), baselineFraction)
+	return violationError(report.Bad())
+}
+
+// runWithBaseline runs the soak and the baseline at once, since they share nothing but the machine. The baseline is nil
+// if the flags leave it out.
+func (c *soakCmd) runWithBaseline() (report, baseline *soak.Report, err error) {
+	options := c.options()
+	var baselineErr error
+	var baselineRun sync.WaitGroup
+	if c.Baseline {
+		baselineOptions := options
+		baselineOptions.Ledger = false
+		baselineRun.Go(func() { baseline, baselineErr = soak.Run(baselineOptions) })
+	}
+	report, err = soak.Run(options)
+	baselineRun.Wait()
+	return report, baseline, errors.Join(err, baselineErr)
+}
+
+func (c *soakCmd) options() soak.Options {
+	options := soak.Options{For: time.Duration(c.Seconds * float64(time.Second)), Seed: c.Seed, Devices: c.Devices,
+		Links: linkProfiles[c.Links], Wires: c.Wires, Ledger: true, Odd: c.Odd, Network: gateway.Machine()}
+	if !c.Calm {
+		options.Restarts, options.Drains, options.Faults = restartInterval, replacementInterval, serverFaults
+	}
+	return options
+}
+
+func servedInTimeFraction(r *soak.Report) float64 {
+	return float64(r.ServedInTime) / float64(max(1, r.Exchanges))
+}
+
+// printReport prints a report under a title.
+func printReport(title string, r *soak.Report) {
+	fmt.Printf("%s: %d exchanges, %d of them writes; %d servers replaced, %d restarts of the gateway\n", title, r.Exchanges,
+		r.Writes, r.Drains, r.Restarts)
+	fmt.Printf("  duplicate responses %d, disallowed retries %d, without response %d, served but not executed %d, sends to draining servers %d, file writes executed again after a restart %d\n",
+		r.DoubleAnswers, r.UnallowedRepeats, r.Unanswered, r.Phantoms, r.LateSends, r.Rewritten)
+	fmt.Printf("  served in time %.4f, by weight %.4f; executions per write %.3f; bytes sent per byte %.2f; time to the final response p50 %d ms, p99 %d ms\n",
+		servedInTimeFraction(r), r.WorthInTime/max(1, r.Worth), float64(r.WriteRuns)/float64(max(1, r.Writes)),
+		float64(r.BytesSent)/float64(max(1, r.Bytes)), r.Quantile(0.5).Milliseconds(), r.Quantile(0.99).Milliseconds())
+	fmt.Println("  not served in time, by the last response that their devices received:")
+	for _, response := range slices.Sorted(maps.Keys(r.Unserved)) {
+		fmt.Printf("    %d %s\n", r.Unserved[response], response)
+	}
+}
--- a/internal/testbed/chaos/client.go
+++ b/internal/testbed/chaos/client.go
@@ -2,223 +2,236 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
-	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"time"
 )
 
-// ending is how a request ended at its client.
-type ending uint8
+const (
+	// maxIdleConns is how many idle connections the clients of a gateway keep.
+	maxIdleConns = 8
+	dialTimeout  = time.Second
+	// responseTimeoutSlack is how much longer than its deadline and responseSlack a client waits for a response.
+	responseTimeoutSlack = 500 * time.Millisecond
+	// incompleteTimeout is how long a client waits that has sent only half of its request.
+	incompleteTimeout = 10 * time.Second
+)
 
+// How clients draw their requests.
 const (
-	pending ending = iota
-	served
-	refused
-	failed
-	malformed    // the gateway found fault with it
-	disconnected // the client left
-	cutOff       // the connection ended without a whole answer
-	unanswered   // nothing came in time
-	unconnected  // no connection came up: it was never sent
+	largeRequestOneIn = 25
+	anyShardOneIn     = 4 // of the writes with a key
+
+	// Bounds of one draw that decides how the client behaves.
+	cancelBelow        = 0.05
+	shortDeadlineBelow = 0.08
+	incompleteBelow    = 0.09
+
+	meanCancelDelay    = 30 * time.Millisecond
+	maxShortDeadlineMs = 40
+	maxTypicalUnits    = 3
 )
 
-// request is what a client asked for and what became of it.
-type request struct {
-	id       string
-	gateway  int
-	class    *class
-	shard    int
-	units    int
-	deadline time.Duration // what the client told
-	leaves   time.Duration // it closes its connection so long after sending; 0: it does not
-	halted   bool          // it stops in the middle of its request and stays
-
-	reused bool      // its connection had carried another before
-	dialed time.Time // when its connection was asked for
-	sent   time.Time // its last byte
-	closed time.Time // when the client closed the connection, of its own will
-	ended  time.Time
-	ending ending
-	status int
-	err    error
-	text   string
-}
+// anyShard stands in a request for a shard that the gateway chooses.
+const anyShard = -1
 
-// clients are all clients of one gateway.
-type clients struct {
+// clientGroup is all clients of one gateway. They share connections.
+type clientGroup struct {
 	gateway int
 	addr    string
-	rnd     *rand.Rand
+	rnd     *rand.Rand // used by sendRequests alone
+
+	mu       sync.Mutex
+	idle     []net.Conn
+	requests []*request
+	count    int // of requests
+}
+
+func newClientGroup(gateway int, addr string, seed uint64) *clientGroup {
+	return &clientGroup{gateway: gateway, addr: addr, rnd: rand.New(rand.NewPCG(seed, uint64(clientStream+gateway)))}
+}
 
-	mu   sync.Mutex
-	idle []net.Conn
-	all  []*request
-	next int
+// sendRequests sends requests at a mean rate per second until stop is closed. Each request runs in a goroutine of the
+// wait group.
+func (c *clientGroup) sendRequests(rate float64, shards int, stop <-chan struct{}, goroutines *sync.WaitGroup) {
+	for {
+		gap := c.drawGap(rate)
+		select {
+		case <-stop:
+			return
+		case <-time.After(gap):
+		}
+		r := c.drawRequest(shards)
+		goroutines.Go(func() { c.send(r) })
+	}
 }
 
-// mostIdle is how many idle connections the clients of a gateway keep.
-const mostIdle = 8
+// drawGap draws the time between two requests.
+func (c *clientGroup) drawGap(rate float64) time.Duration {
+	return time.Duration(c.rnd.ExpFloat64() / rate * float64(time.Second))
+}
 
-// draw makes the next request.
-func (c *clients) draw(shards int) *request {
-	r := &request{gateway: c.gateway, class: &classes[c.rnd.IntN(len(classes))], shard: c.rnd.IntN(shards), units: 1 + c.rnd.IntN(3)}
-	if c.rnd.IntN(25) == 0 {
-		r.units = mostUnits
+// drawRequest draws the next request and records it.
+func (c *clientGroup) drawRequest(shards int) *request {
+	r := &request{gateway: c.gateway, class: &classes[c.rnd.IntN(len(classes))], shard: c.rnd.IntN(shards), units: 1 + c.rnd.IntN(maxTypicalUnits)}
+	if c.rnd.IntN(largeRequestOneIn) == 0 {
+		r.units = maxUnits
 	}
 	r.deadline = r.class.deadline
-	switch chance := c.rnd.Float64(); {
-	case chance < 0.05: // it leaves soon
-		r.leaves = time.Duration(c.rnd.ExpFloat64() * float64(30*time.Millisecond))
-	case chance < 0.08: // there is hardly any time left
-		r.deadline = time.Duration(1+c.rnd.IntN(40)) * time.Millisecond
-	case chance < 0.09:
-		r.halted = true
+	switch draw := c.rnd.Float64(); {
+	case draw < cancelBelow:
+		r.cancelAfter = time.Duration(c.rnd.ExpFloat64() * float64(meanCancelDelay))
+	case draw < shortDeadlineBelow:
+		r.deadline = time.Duration(1+c.rnd.IntN(maxShortDeadlineMs)) * time.Millisecond
+	case draw < incompleteBelow:
+		r.incomplete = true
 	}
-	if r.class.write && r.class.effect == byKey && c.rnd.IntN(4) == 0 {
-		r.shard = -1
+	if r.class.write && r.class.idempotency == idempotentWithKey && c.rnd.IntN(anyShardOneIn) == 0 {
+		r.shard = anyShard
 	}
 	c.mu.Lock()
-	c.next++
-	r.id = requestID(c.gateway, r.units, c.next)
-	c.all = append(c.all, r)
+	c.count++
+	r.id = requestID{c.gateway, r.units, c.count}.String()
+	c.requests = append(c.requests, r)
 	c.mu.Unlock()
 	return r
 }
 
-// text is the request as it is sent.
-func (r *request) message() string {
-	method, body := http.MethodGet, ""
-	if r.class.write {
-		method, body = http.MethodPut, "content of "+r.id
-	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s /%s/%016x HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\nX-Plan: basic\r\n", method,
-		r.class.name, uint64(r.shard+2), r.id, r.class.name)
-	fmt.Fprintf(&b, "X-Time-Left-Ms: %d\r\nX-IO: volume=%016x,units=%d,shard=%d,hosts=1\r\nContent-Length: %d\r\n", r.deadline.Milliseconds(),
-		0xb000+r.gateway, r.units, r.shard, len(body))
-	if r.class.effect == byKey {
-		fmt.Fprintf(&b, "Idempotency-Key: k-%s\r\n", r.id)
-	}
-	return b.String() + "\r\n" + body
+// connect returns an idle connection or dials a new one.
+func (c *clientGroup) connect(r *request) (net.Conn, error) {
+	if conn := c.takeIdle(); conn != nil {
+		r.connReused = true
+		return conn, nil
+	}
+	r.dialedAt = time.Now()
+	dialer := net.Dialer{Timeout: dialTimeout}
+	return dialer.DialContext(context.Background(), "tcp", c.addr)
 }
 
-// connection takes an idle connection or dials.
-func (c *clients) connection(r *request) (net.Conn, error) {
+// takeIdle returns the connection that became idle last, or nil if there is none.
+func (c *clientGroup) takeIdle() net.Conn {
 	c.mu.Lock()
-	if n := len(c.idle); n > 0 {
-		nc := c.idle[n-1]
-		c.idle = c.idle[:n-1]
-		c.mu.Unlock()
-		r.reused = true
-		return nc, nil
+	defer c.mu.Unlock()
+	n := len(c.idle)
+	if n == 0 {
+		return nil
 	}
-	c.mu.Unlock()
-	r.dialed = time.Now()
-	return net.DialTimeout("tcp", c.addr, time.Second)
+	conn := c.idle[n-1]
+	c.idle = c.idle[:n-1]
+	return conn
 }
 
-// keep gives a connection back.
-func (c *clients) keep(nc net.Conn) {
-	nc.SetDeadline(time.Time{})
+// release keeps a connection for later requests, or closes it if there are enough.
+func (c *clientGroup) release(conn net.Conn) {
+	conn.SetDeadline(time.Time{})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) < mostIdle {
-		c.idle = append(c.idle, nc)
+	if len(c.idle) < maxIdleConns {
+		c.idle = append(c.idle, conn)
 		return
 	}
-	nc.Close()
+	conn.Close()
 }
 
-// ask sends a request and notes what becomes of it.
-func (c *clients) ask(r *request) {
-	defer func() { r.ended = time.Now() }()
-	nc, err := c.connection(r)
+// send sends a request, waits for the response and records the outcome.
+func (c *clientGroup) send(r *request) {
+	defer func() { r.endedAt = time.Now() }()
+	conn, err := c.connect(r)
 	if err != nil {
-		r.ending, r.err = unconnected, err
+		r.outcome, r.err = outcomeNotConnected, err
 		return
 	}
-	message := r.message()
-	if r.halted {
-		message = message[:len(message)/2]
+	if err := r.write(conn); err != nil {
+		r.outcome, r.err = outcomeDisconnected, err
+		conn.Close()
+		return
 	}
-	nc.SetDeadline(time.Now().Add(r.deadline + answerSlack + 500*time.Millisecond))
-	if r.halted {
-		nc.SetDeadline(time.Now().Add(10 * time.Second))
+	r.sentAt = time.Now()
+	if r.cancelAfter > 0 {
+		// A read deadline in the past ends the wait for the response.
+		timer := time.AfterFunc(r.cancelAfter, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
+		defer timer.Stop()
 	}
-	if _, err := io.WriteString(nc, message); err != nil {
-		r.ending, r.err = cutOff, err
-		nc.Close()
+	closing, err := r.readResponse(conn)
+	if err != nil {
+		r.outcome, r.err = r.outcomeOfError(err), err
+		conn.Close()
+		r.closedAt = time.Now()
 		return
 	}
-	r.sent = time.Now()
-	if r.leaves > 0 {
-		timer := time.AfterFunc(r.leaves, func() { nc.SetReadDeadline(time.Unix(1, 0)) })
-		defer timer.Stop()
+	r.outcome = outcomeOfStatus(r.status)
+	if closing || r.incomplete {
+		conn.Close()
+		return
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	var body []byte
-	if err == nil {
-		body, err = io.ReadAll(resp.Body)
+	c.release(conn)
+}
+
+// write writes the request, or its first half, and sets the deadline of the connection.
+func (r *request) write(conn net.Conn) error {
+	message, timeout := r.message(), r.deadline+responseSlack+responseTimeoutSlack
+	if r.incomplete {
+		message, timeout = message[:len(message)/2], incompleteTimeout
+	}
+	conn.SetDeadline(time.Now().Add(timeout))
+	_, err := io.WriteString(conn, message)
+	return err
+}
+
+// readResponse reads the response, and reports whether the gateway closes the connection behind it.
+func (r *request) readResponse(conn net.Conn) (closing bool, err error) {
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false, err
 	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		r.err = err
-		var timeout net.Error
-		switch {
-		case errors.As(err, &timeout) && timeout.Timeout() && r.leaves > 0:
-			r.ending = disconnected
-		case errors.As(err, &timeout) && timeout.Timeout():
-			r.ending = unanswered
-		default:
-			r.ending = cutOff
-		}
-		nc.Close()
-		r.closed = time.Now()
-		return
+		return false, err
 	}
-	r.status, r.text = resp.StatusCode, string(body)
+	r.status, r.responseBody = resp.StatusCode, string(body)
+	return resp.Close, nil
+}
+
+// outcomeOfError returns the outcome of a request whose response could not be read.
+func (r *request) outcomeOfError(err error) outcome {
+	var netErr net.Error
+	isTimeout := errors.As(err, &netErr) && netErr.Timeout()
 	switch {
-	case resp.StatusCode == http.StatusOK:
-		r.ending = served
-	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-		r.ending = refused
-	case resp.StatusCode >= 500:
-		r.ending = failed
+	case isTimeout && r.cancelAfter > 0:
+		return outcomeCanceled
+	case isTimeout:
+		return outcomeTimedOut
 	default:
-		r.ending = malformed
+		return outcomeDisconnected
 	}
-	if resp.Close || r.halted {
-		nc.Close()
-		return
+}
+
+// outcomeOfStatus returns the outcome of a request that has a complete response.
+func outcomeOfStatus(status int) outcome {
+	switch {
+	case status == http.StatusOK:
+		return outcomeServed
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		return outcomeRejected
+	case status >= http.StatusInternalServerError:
+		return outcomeFailed
+	default:
+		return outcomeInvalid
 	}
-	c.keep(nc)
 }
 
 // closeIdle closes the idle connections.
-func (c *clients) closeIdle() {
+func (c *clientGroup) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, nc := range c.idle {
-		nc.Close()
+	for _, conn := range c.idle {
+		conn.Close()
 	}
 	c.idle = nil
 }
-
-// traffic asks at a rate until told to stop.
-func (c *clients) traffic(rate float64, shards int, stop <-chan struct{}, all *sync.WaitGroup) {
-	for {
-		gap := time.Duration(c.rnd.ExpFloat64() / rate * float64(time.Second))
-		select {
-		case <-stop:
-			return
-		case <-time.After(gap):
-		}
-		r := c.draw(shards)
-		all.Go(func() { c.ask(r) })
-	}
-}
--- /dev/null
+++ b/internal/testbed/chaos/gateway.go
@@ -0,0 +1,122 @@
+package chaos
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"path/filepath"
+	"regexp"
+	"sync"
+	"time"
+
+	"gaugerelay/internal/testbed/loopback"
+	"gaugerelay/internal/testbed/process"
+)
+
+// loopbackBlock is the block of loopback addresses that the gateways of this package use.
+const loopbackBlock = 2
+
+// systemCallFailureRate is how often system calls of a gateway with the build tag chaos fail.
+const systemCallFailureRate = 0.03
+
+// wallClockOffsets are the errors of the wall clocks of gateways with the build tag chaos.
+var wallClockOffsets = []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
+
+// gateway is one gateway process with the record of what was done to it. The records are guarded by harness.mu while the
+// run goes on.
+type gateway struct {
+	*process.Process
+	dir           string // of its files
+	discoveryAddr int    // which of its two discovery addresses it uses
+
+	faultMu sync.Mutex // held by the fault that handles the process
+
+	starts       []time.Time
+	kills        []process.Interval // from SIGKILL until it is ready again
+	terminations []process.Interval // from SIGTERM until it is ready again
+	pauses       []process.Interval // from SIGSTOP to SIGCONT
+}
+
+// newGateway writes the files of a gateway; it does not start the process.
+func (h *harness) newGateway(index int) (*gateway, error) {
+	listenAddr, err := loopback.FreeTCPAddr(loopback.Host(loopbackBlock, index))
+	if err != nil {
+		return nil, err
+	}
+	name := fmt.Sprintf("n%d", index)
+	g := &gateway{dir: filepath.Join(h.dir, name),
+		Process: &process.Process{Index: index, Name: name, ListenAddr: listenAddr, Binary: h.options.Binary, Log: h.log}}
+	if err := g.WriteConfig(g.dir, h.gatewayConfig(g), nil); err != nil {
+		return nil, err
+	}
+	if h.options.FailSystemCalls {
+		g.Env = append(g.Env, fmt.Sprintf("GAUGERELAY_FAULTS=seed=%d,rate=%v,wall=%v", h.options.Seed<<8+uint64(index),
+			systemCallFailureRate, wallClockOffsets[index%len(wallClockOffsets)]))
+	}
+	if h.options.DebugLog {
+		g.Args = append(g.Args, "--log-level=debug")
+	}
+	return g, nil
+}
+
+// writeConfig writes the configuration file of a gateway again, with the current endpoint list and discovery address.
+func (h *harness) writeConfig(g *gateway) error {
+	return process.RewriteConfig(g.dir, h.gatewayConfig(g))
+}
+
+func (h *harness) startGateway(g *gateway) error {
+	h.mu.Lock()
+	g.starts = append(g.starts, time.Now())
+	h.mu.Unlock()
+	return g.Start()
+}
+
+// restartGateway starts a gateway whose process has ended.
+func (h *harness) restartGateway(g *gateway) {
+	if err := h.writeConfig(g); err != nil {
+		h.recordCrash("%s: %v", g.Name, err)
+		return
+	}
+	if err := h.startGateway(g); err != nil {
+		h.recordCrash("%v", err)
+	}
+}
+
+// ensureRunning reports whether the gateway's process is running. One that is not has crashed, and is started again.
+func (h *harness) ensureRunning(g *gateway) bool {
+	if g.Running() {
+		return true
+	}
+	h.recordCrash("%s exited unexpectedly", g.Name)
+	h.restartGateway(g)
+	return false
+}
+
+// violationCounter matches the nonzero counters of violations that a gateway has detected itself.
+var violationCounter = regexp.MustCompile(`(?m)^(rule_violations_\w+) ([1-9]\d*)$`)
+
+// unansweredCounter is the only one of these counters that also counts for a gateway that was paused: a pause between a
+// decision and its first byte makes the gateway violate the others without a fault of its own.
+const unansweredCounter = "rule_violations_closed_owing"
+
+// recordMetricViolations reads the violation counters of a gateway. One that does not answer has none.
+func (h *harness) recordMetricViolations(g *gateway) {
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+g.ListenAddr+"/metrics", nil)
+	if err != nil {
+		return
+	}
+	resp, err := h.http.Do(req)
+	if err != nil {
+		return
+	}
+	defer resp.Body.Close()
+	text, _ := io.ReadAll(resp.Body) // what was read before an error counts
+	for _, match := range violationCounter.FindAllStringSubmatch(string(text), -1) {
+		if counter, value := match[1], match[2]; counter == unansweredCounter || len(g.pauses) == 0 {
+			h.mu.Lock()
+			h.metricViolations = append(h.metricViolations, fmt.Sprintf("%s counts %s %s", g.Name, counter, value))
+			h.mu.Unlock()
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/chaos/gatewayfaults.go
@@ -0,0 +1,78 @@
+package chaos
+
+import (
+	"math/rand/v2"
+	"syscall"
+	"time"
+)
+
+// gatewaysPerFault is how many gateways there are for each one that a fault affects at most.
+const gatewaysPerFault = 6
+
+// reloadTime is for how long no other fault affects a gateway that reads its configuration again.
+const reloadTime = 100 * time.Millisecond
+
+// onRandomGateways runs a function on a few random gateways at once. Those that another fault affects are left out.
+func (h *harness) onRandomGateways(rnd *rand.Rand, inject func(g *gateway)) {
+	for range 1 + rnd.IntN(max(1, len(h.gateways)/gatewaysPerFault)) {
+		g := h.gateways[rnd.IntN(len(h.gateways))]
+		h.goroutines.Go(func() {
+			if !g.faultMu.TryLock() {
+				return
+			}
+			defer g.faultMu.Unlock()
+			if h.ensureRunning(g) {
+				inject(g)
+			}
+		})
+	}
+}
+
+// killGateways kills gateways and starts them again later.
+func killGateways(h *harness, rnd *rand.Rand) {
+	downTime := randomDuration(rnd, 50*time.Millisecond, 1500*time.Millisecond)
+	h.onRandomGateways(rnd, func(g *gateway) {
+		h.recordMetricViolations(g)
+		end := h.beginInterval(&g.kills)
+		g.Kill()
+		h.sleep(downTime)
+		h.restartGateway(g)
+		end()
+	})
+}
+
+// stopGateways lets gateways shut down gracefully and starts them again.
+func stopGateways(h *harness, rnd *rand.Rand) {
+	h.onRandomGateways(rnd, func(g *gateway) {
+		h.recordMetricViolations(g)
+		end := h.beginInterval(&g.terminations)
+		if !g.Stop() {
+			h.recordCrash("%s did not exit in time after SIGTERM", g.Name)
+		}
+		h.restartGateway(g)
+		end()
+	})
+}
+
+// pauseGateways stops the execution of gateways for a while.
+func pauseGateways(h *harness, rnd *rand.Rand) {
+	pause := randomDuration(rnd, 50*time.Millisecond, 3*time.Second)
+	h.onRandomGateways(rnd, func(g *gateway) {
+		end := h.beginInterval(&g.pauses)
+		g.Signal(syscall.SIGSTOP)
+		time.Sleep(pause)
+		g.Signal(syscall.SIGCONT)
+		end()
+	})
+}
+
+// reloadGateways makes gateways read a configuration that names their other discovery address.
+func reloadGateways(h *harness, rnd *rand.Rand) {
+	h.onRandomGateways(rnd, func(g *gateway) {
+		g.discoveryAddr = 1 - g.discoveryAddr
+		if err := h.writeConfig(g); err == nil {
+			g.Signal(syscall.SIGHUP)
+			h.sleep(reloadTime)
+		}
+	})
+}
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -8,195 +8,194 @@
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
+
+	"gaugerelay/internal/testbed/loopback"
 )
 
-// arrival is an attempt as a server saw it.
+// arrival is an attempt as a fake server received it.
 type arrival struct {
-	id      string
-	gateway int
-	server  *server
-	first   time.Time     // its first byte
-	whole   time.Time     // its last byte; zero: it was never whole
-	told    time.Duration // the time that the client has left, as the gateway tells it
-	units   float64
-	ran     bool // the server has worked on it, or may have
+	id          string // of the client's request
+	gateway     int    // -1: unknown
+	server      *server
+	firstByteAt time.Time
+	lastByteAt  time.Time     // zero: the request was never complete
+	timeLeft    time.Duration // until the client's deadline, as the gateway states it
+	units       float64
+	executed    bool // the server has executed the request, or may have
 }
 
-// manner is how a server treats its connections for a while.
-type manner uint8
-
-const (
-	well      manner = iota
-	hanging          // requests are read and not answered
-	failing          // answers 500
-	breaking         // resets connections under requests
-	spoiling         // answers that cannot be read, or never end
-	repeating        // sends each answer a second time, some milliseconds late
-	away             // resets new connections and closes the idle ones
-	mannersNumber
-)
-
-// server fakes one run of a storage server.
+// server fakes one incarnation of a storage server. It records all arrivals.
 type server struct {
-	name    string
-	shard   int
-	addr    string
-	started time.Time // zero: long ago
-	ln      net.Listener
+	name      string
+	shard     int
+	addr      string
+	startedAt time.Time // zero: long ago
+	listener  net.Listener
 
-	mu       sync.Mutex
-	rnd      *rand.Rand
-	manner   manner
-	until    time.Time // the manner's end
-	draining bool
-	refuses  bool // while draining, requests are turned away
-	conns    map[net.Conn]bool
-	idle     map[net.Conn]bool
-	arrivals []*arrival
-	closed   bool
+	mu             sync.Mutex
+	rnd            *rand.Rand
+	behavior       behavior
+	behaviorEnd    time.Time
+	draining       bool
+	rejectRequests bool // while draining
+	conns          map[net.Conn]bool
+	idle           map[net.Conn]bool
+	arrivals       []*arrival
+	closed         bool
 }
 
-// newServer starts a server. addr "" is a free port.
-func newServer(name string, shard int, addr string, started time.Time, seed uint64) (*server, error) {
-	if addr == "" {
-		addr = "127.0.0.1:0"
-	}
-	ln, err := net.Listen("tcp", addr)
+// serverOptions describe a fake server.
+type serverOptions struct {
+	name      string
+	shard     int
+	addr      string    // empty: a free port
+	startedAt time.Time // zero: long ago
+	seed      uint64
+}
+
+// newServer starts a server.
+func newServer(options serverOptions) (*server, error) {
+	ln, err := listen(options.addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &server{name: name, shard: shard, addr: ln.Addr().String(), started: started, ln: ln,
-		rnd: rand.New(rand.NewPCG(seed, uint64(shard))), conns: map[net.Conn]bool{}, idle: map[net.Conn]bool{}}
-	go s.accept()
+	s := &server{name: options.name, shard: options.shard, addr: ln.Addr().String(), startedAt: options.startedAt, listener: ln,
+		rnd: rand.New(rand.NewPCG(options.seed, uint64(options.shard))), conns: map[net.Conn]bool{}, idle: map[net.Conn]bool{}}
+	go s.acceptConns()
 	return s, nil
 }
 
-func (s *server) accept() {
+func listen(addr string) (net.Listener, error) {
+	if addr == "" {
+		return loopback.Listen()
+	}
+	return loopback.ListenOn(addr)
+}
+
+func (s *server) acceptConns() {
 	for {
-		nc, err := s.ln.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		if s.now() == away {
-			reset(nc)
+		if s.currentBehavior() == refuseConnections {
+			loopback.Reset(conn)
 			continue
 		}
 		s.mu.Lock()
 		if s.closed {
 			s.mu.Unlock()
-			nc.Close()
+			conn.Close()
 			return
 		}
-		s.conns[nc] = true
+		s.conns[conn] = true
 		s.mu.Unlock()
-		go s.handle(nc)
+		go s.serveConn(conn)
 	}
 }
 
-// now is the manner of this moment.
-func (s *server) now() manner {
+func (s *server) currentBehavior() behavior {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().After(s.until) {
-		s.manner = well
+	if time.Now().After(s.behaviorEnd) {
+		s.behavior = behaveNormally
 	}
-	return s.manner
+	return s.behavior
 }
 
-// behave sets a manner for a while. One that goes away closes its idle connections.
-func (s *server) behave(m manner, long time.Duration) {
+// setBehavior sets the behavior for a while.
+func (s *server) setBehavior(b behavior, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.manner, s.until = m, time.Now().Add(long)
-	if m == away {
-		for nc := range s.idle {
-			nc.Close()
+	s.behavior, s.behaviorEnd = b, time.Now().Add(duration)
+	if b == refuseConnections {
+		for conn := range s.idle {
+			conn.Close()
 		}
 	}
 }
 
-// drain makes the server one that drains.
-func (s *server) drain(refuses bool) {
+// drain makes the server drain. It goes on serving requests unless it is to reject them.
+func (s *server) drain(rejectRequests bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining, s.refuses = true, refuses
+	s.draining, s.rejectRequests = true, rejectRequests
 }
 
-// stop ends the server: its connections are reset.
-func (s *server) stop() {
+// inService reports whether the server is neither draining nor closed.
+func (s *server) inService() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closed = true
-	s.ln.Close()
-	for nc := range s.conns {
-		reset(nc)
-	}
+	return !s.draining && !s.closed
 }
 
-// reset closes a connection by a reset.
-func reset(nc net.Conn) {
-	if tcp, ok := nc.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
+// close ends the server and resets its connections.
+func (s *server) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	s.listener.Close()
+	for conn := range s.conns {
+		loopback.Reset(conn)
 	}
-	nc.Close()
 }
 
-// handle serves one connection, request by request.
-func (s *server) handle(nc net.Conn) {
+// serveConn serves the requests of one connection, one after the other.
+func (s *server) serveConn(conn net.Conn) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.conns, nc)
-		delete(s.idle, nc)
+		delete(s.conns, conn)
+		delete(s.idle, conn)
 		s.mu.Unlock()
-		nc.Close()
+		conn.Close()
 	}()
-	in := bufio.NewReader(nc)
+	in := bufio.NewReader(conn)
 	for {
-		s.rest(nc, true)
-		nc.SetReadDeadline(time.Now().Add(connIdle))
+		s.setIdle(conn, true)
+		conn.SetReadDeadline(time.Now().Add(connIdleTimeout))
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		first := time.Now()
-		s.rest(nc, false)
-		nc.SetReadDeadline(time.Time{})
-		a, err := s.read(in, first)
+		firstByteAt := time.Now()
+		s.setIdle(conn, false)
+		conn.SetReadDeadline(time.Time{})
+		a, err := s.readRequest(in, firstByteAt)
 		if err != nil {
 			return
 		}
-		if !s.answer(nc, a) {
+		if !s.respond(conn, a) {
 			return
 		}
 	}
 }
 
-func (s *server) rest(nc net.Conn, idle bool) {
+func (s *server) setIdle(conn net.Conn, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if idle {
-		s.idle[nc] = true
+		s.idle[conn] = true
 	} else {
-		delete(s.idle, nc)
+		delete(s.idle, conn)
 	}
 }
 
-// read reads a request whole and books its arrival.
-func (s *server) read(in *bufio.Reader, first time.Time) (*arrival, error) {
-	a := &arrival{server: s, first: first, gateway: -1}
-	r, err := http.ReadRequest(in)
+// readRequest reads one request and records its arrival, also if the request is not complete.
+func (s *server) readRequest(in *bufio.Reader, firstByteAt time.Time) (*arrival, error) {
+	a := &arrival{server: s, firstByteAt: firstByteAt, gateway: -1}
+	req, err := http.ReadRequest(in)
 	if err == nil {
-		a.id = r.Header.Get("X-Correlation-Id")
-		fmt.Sscanf(a.id, "g%d-", &a.gateway)
-		left, _ := strconv.ParseFloat(r.Header.Get("X-Time-Left-Ms"), 64)
-		a.told = time.Duration(left * float64(time.Millisecond))
-		a.units = unitsOf(a.id)
-		_, err = io.Copy(io.Discard, r.Body)
+		a.id = req.Header.Get("X-Correlation-Id")
+		if id, ok := parseRequestID(a.id); ok {
+			a.gateway, a.units = id.gateway, float64(id.units)
+		}
+		left, _ := strconv.ParseFloat(req.Header.Get("X-Time-Left-Ms"), 64) // 0 if it is missing
+		a.timeLeft = time.Duration(left * float64(time.Millisecond))
+		_, err = io.Copy(io.Discard, req.Body)
 	}
 	if err == nil {
-		a.whole = time.Now()
+		a.lastByteAt = time.Now()
 	}
 	s.mu.Lock()
 	s.arrivals = append(s.arrivals, a)
@@ -204,71 +203,80 @@
 	return a, err
 }
 
-// answer treats a request in the manner of this moment. False: the connection is over.
-func (s *server) answer(nc net.Conn, a *arrival) bool {
-	m := s.now()
+// execution is what a server does with one request.
+type execution struct {
+	behavior behavior
+	duration time.Duration
+	chance   float64 // in [0, 1), compared with the probabilities of a behavior
+	rejected bool
+}
+
+// execute draws how the server treats a request, and records whether it executes it.
+func (s *server) execute(a *arrival) execution {
+	e := execution{behavior: s.currentBehavior()}
 	s.mu.Lock()
-	work := time.Duration(s.rnd.ExpFloat64() * 4 * a.units / meanUnits * float64(time.Millisecond))
-	chance := s.rnd.Float64()
-	turnsAway := s.draining && s.refuses
-	if !turnsAway {
-		a.ran = true
+	defer s.mu.Unlock()
+	e.duration = time.Duration(s.rnd.ExpFloat64() * meanServiceMs * a.units / meanUnits * float64(time.Millisecond))
+	e.chance = s.rnd.Float64()
+	e.rejected = s.draining && s.rejectRequests
+	if !e.rejected {
+		a.executed = true
 	}
-	s.mu.Unlock()
-	if turnsAway {
-		_, err := io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
-		return err == nil
+	return e
+}
+
+// respond responds to a request according to the current behavior. It reports whether the connection can be used further.
+func (s *server) respond(conn net.Conn, a *arrival) (open bool) {
+	e := s.execute(a)
+	if e.rejected {
+		return writeText(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	time.Sleep(work)
-	body := a.id + " from " + s.name
-	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	time.Sleep(e.duration)
+	body := responsePrefix(a.id) + s.name
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch {
-	case m == hanging:
-		s.mu.Lock()
-		left := time.Until(s.until)
-		s.mu.Unlock()
-		time.Sleep(left)
-	case m == failing && chance < 0.7:
-		text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	case m == breaking && chance < 0.5:
-		io.WriteString(nc, text[:int(chance*2*float64(len(text)))])
-		reset(nc)
+	case e.behavior == hang:
+		time.Sleep(s.untilBehaviorEnd())
+	case e.behavior == failRequests && e.chance < failProbability:
+		response = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	case e.behavior == breakConnections && e.chance < breakProbability:
+		writeText(conn, response[:int(e.chance/breakProbability*float64(len(response)))])
+		loopback.Reset(conn)
 		return false
-	case m == spoiling && chance < 0.3:
-		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\nnever whole")
-		time.Sleep(time.Second)
+	case e.behavior == corruptResponses && e.chance < truncateProbability:
+		writeText(conn, "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\nnever whole")
+		time.Sleep(truncatedResponseTime)
 		return false
-	case m == spoiling && chance < 0.6:
-		io.WriteString(nc, "noise")
+	case e.behavior == corruptResponses && e.chance < garbageProbability:
+		writeText(conn, "noise")
 		return false
 	}
-	if _, err := io.WriteString(nc, text); err != nil {
+	if !writeText(conn, response) {
 		return false
 	}
-	if m == repeating && chance < 0.3 {
-		time.Sleep(time.Duration(chance*10) * time.Millisecond)
-		io.WriteString(nc, text)
+	if e.behavior == repeatResponses && e.chance < repeatProbability {
+		time.Sleep(time.Duration(e.chance*repeatDelayFactor) * time.Millisecond)
+		writeText(conn, response)
 	}
 	return true
 }
 
-// all is what has arrived so far.
-func (s *server) all() []*arrival {
+// untilBehaviorEnd returns the time until the server behaves normally again.
+func (s *server) untilBehaviorEnd() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*arrival(nil), s.arrivals...)
+	return time.Until(s.behaviorEnd)
 }
 
-// requestID names a request: the gateway that it is sent to, its units, its number.
-func requestID(gateway, units, number int) string {
-	return fmt.Sprintf("g%d-%d-%d", gateway, units, number)
+// writeText writes to a connection and reports whether that succeeded.
+func writeText(conn net.Conn, text string) bool {
+	_, err := io.WriteString(conn, text)
+	return err == nil
 }
 
-func unitsOf(id string) float64 {
-	parts := strings.Split(id, "-")
-	if len(parts) != 3 {
-		return 0
-	}
-	units, _ := strconv.Atoi(parts[1])
-	return float64(units)
+// recordedArrivals returns what has arrived so far.
+func (s *server) recordedArrivals() []*arrival {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]*arrival(nil), s.arrivals...)
 }
--- /dev/null
+++ b/internal/testbed/chaos/serverfaults.go
@@ -0,0 +1,125 @@
+package chaos
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"gaugerelay/internal/testbed/process"
+)
+
+// Times of the replacement of a server. A draining server stays for longer than the drain grace, so that a gateway that
+// goes on using it is detected.
+const (
+	drainTime      = 14 * time.Second // from the ready replacement until the server is removed from the list
+	removedRunTime = 4 * time.Second  // from there until the server is closed
+)
+
+// shardsPerFault is how many shards there are for each one whose server is replaced at most.
+const shardsPerFault = 3
+
+// replaceServers drains the servers of some shards and puts others in their places.
+func replaceServers(h *harness, rnd *rand.Rand) {
+	for range 1 + rnd.IntN(max(1, h.options.Shards/shardsPerFault)) {
+		shard := rnd.IntN(h.options.Shards)
+		rejectWhileDraining := rnd.IntN(2) == 0
+		gap := randomDuration(rnd, 0, time.Second)
+		drained, replacement, err := h.beginReplacement(shard)
+		if errors.Is(err, errReplacing) {
+			continue
+		}
+		if err != nil {
+			return
+		}
+		drained.drain(rejectWhileDraining)
+		h.discovery.publish(drained, process.EndpointDraining)
+		h.goroutines.Go(func() { h.finishReplacement(drained, replacement, gap) })
+	}
+}
+
+// errReplacing reports that the server of a shard is already being replaced or restarted.
+var errReplacing = errors.New("chaos: shard already has a replacement")
+
+// beginReplacement starts a server that is to replace the one of a shard. It is not listed yet.
+func (h *harness) beginReplacement(shard int) (drained, replacement *server, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.replacing[shard] {
+		return nil, nil, errReplacing
+	}
+	h.replacing[shard] = true
+	count := len(h.servers)
+	replacement, err = newServer(serverOptions{name: fmt.Sprintf("s-%d-%d", shard, count), shard: shard, startedAt: time.Now(),
+		seed: h.options.Seed + uint64(count)})
+	if err != nil {
+		return nil, nil, err
+	}
+	h.servers = append(h.servers, replacement)
+	return h.current[shard], replacement, nil
+}
+
+// finishReplacement lists a replacement after a gap, and later removes the drained server from the list and closes it.
+func (h *harness) finishReplacement(drained, replacement *server, gap time.Duration) {
+	h.sleep(gap)
+	h.discovery.publish(replacement, process.EndpointReady)
+	h.mu.Lock()
+	h.current[replacement.shard], h.replacing[replacement.shard] = replacement, false
+	h.mu.Unlock()
+	h.sleep(drainTime)
+	h.discovery.publish(drained, process.EndpointRemoved)
+	h.sleep(removedRunTime)
+	drained.close()
+}
+
+// restartServer ends a server and starts it again under its name and address: a new incarnation in slow start.
+func restartServer(h *harness, rnd *rand.Rand) {
+	shard := rnd.IntN(h.options.Shards)
+	downTime := randomDuration(rnd, 0, time.Second)
+	old, ok := h.claimForRestart(shard)
+	if !ok {
+		return
+	}
+	defer func() {
+		h.mu.Lock()
+		h.replacing[shard] = false
+		h.mu.Unlock()
+	}()
+	old.close()
+	if !h.sleep(downTime) {
+		return
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	restarted, err := newServer(serverOptions{name: old.name, shard: shard, addr: old.addr, startedAt: time.Now(),
+		seed: h.options.Seed + uint64(len(h.servers))})
+	if err != nil {
+		return
+	}
+	h.servers = append(h.servers, restarted)
+	h.current[shard] = restarted
+	h.discovery.publish(restarted, process.EndpointReady)
+}
+
+// claimForRestart marks the server of a shard as being replaced. It reports false if the server is draining, closed or
+// being replaced already.
+func (h *harness) claimForRestart(shard int) (current *server, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	current = h.current[shard]
+	if h.replacing[shard] || !current.inService() {
+		return nil, false
+	}
+	h.replacing[shard] = true
+	return current, true
+}
+
+// changeServerBehavior makes a server misbehave for a while.
+func changeServerBehavior(h *harness, rnd *rand.Rand) {
+	misbehavior := behavior(1 + rnd.IntN(int(behaviorCount)-1))
+	duration := randomDuration(rnd, 200*time.Millisecond, 4*time.Second)
+	h.mu.Lock()
+	s := h.current[rnd.IntN(h.options.Shards)]
+	h.mu.Unlock()
+	s.setBehavior(misbehavior, duration)
+}
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -1,98 +1,116 @@
 package chaos
 
 import (
-	"encoding/json"
 	"fmt"
 	"math"
 	"time"
+
+	"gaugerelay/internal/testbed/process"
 )
 
-// The settings that the gateways are given. All bounds that the rules use follow from these.
+// Settings that the gateways are given. All bounds that the checker uses follow from these.
 const (
-	meanUnits     = 2.0
-	mostUnits     = 6.0
-	drainGrace    = time.Second
-	askWithin     = 10 * time.Second
-	fallWindow    = 3 * time.Second
-	rampTime      = 8 * time.Second
-	startCapacity = 0.28
-	coldBears     = 51.0 // units that a server bears in the first fallWindow after its start
-	dedupWindow   = 3 * time.Second
-	connectLimit  = 250 * time.Millisecond
-	connIdle      = 4 * time.Second
-	attemptsLimit = 3
+	meanUnits         = 2.0
+	maxUnits          = 6.0
+	drainGrace        = time.Second
+	maxPollInterval   = 10 * time.Second
+	overloadWindow    = 3 * time.Second
+	slowStartDuration = 8 * time.Second
+	initialCapacity   = 0.28
+	slowStartUnits    = 51.0 // that a server can serve in the first overloadWindow after its start
+	dedupWindow       = 3 * time.Second
+	connectTimeout    = 250 * time.Millisecond
+	connIdleTimeout   = 4 * time.Second
+	maxAttempts       = 3
 )
 
-// The rules' own figures.
+// Tolerances of the checker.
 const (
-	socketSlack   = 50 * time.Millisecond  // by which each limit of time is longer on sockets
-	notifyWithin  = 6 * time.Second        // a change counts as told at the latest so long after discovery had it and could be reached
-	cancelSlack   = 100 * time.Millisecond // an attempt may begin so long after its client has closed
-	deadlineSlack = 150 * time.Millisecond // by which the time told to a server may exceed what the client has left
-	answerSlack   = 500 * time.Millisecond // an answer may be late by this and is none of those lost
-	acceptFor     = 400 * time.Millisecond // new connections come so long after SIGTERM
+	socketSlack   = 50 * time.Millisecond  // by which limits of time are longer on sockets
+	notifyWithin  = 6 * time.Second        // after which a change counts as notified, if discovery could be reached meanwhile
+	cancelSlack   = 100 * time.Millisecond // an attempt may begin so long after its client has closed the connection
+	deadlineSlack = 150 * time.Millisecond // by which the time stated to a server may exceed what the client has left
+	responseSlack = 500 * time.Millisecond // by which a response may be late without counting as lost
+	acceptTime    = 400 * time.Millisecond // after SIGTERM, during which new connections are accepted
 )
 
-// effect is what a repeat of a request does.
-type effect string
+// firstVolume is the volume of the requests to the first gateway; the others follow.
+const firstVolume = 0xb000
+
+// idempotency says what the repetition of a request does, in the words of the settings.
+type idempotency string
 
 const (
-	repeatable effect = "repeatable"
-	byKey      effect = "by_key"
-	once       effect = "once"
+	idempotent        idempotency = "repeatable"
+	idempotentWithKey idempotency = "by_key"
+	notIdempotent     idempotency = "once"
 )
 
-// class is a kind of request.
+// class is a service class.
 type class struct {
-	name     string
-	effect   effect
-	aim      time.Duration
-	deadline time.Duration
-	write    bool
-	worth    float64
+	name             string
+	idempotency      idempotency
+	latencyObjective time.Duration
+	deadline         time.Duration
+	write            bool
+	priorityWeight   float64
 }
 
 var classes = []class{
-	{"pull", repeatable, 300 * time.Millisecond, 1500 * time.Millisecond, false, 2},
-	{"push", byKey, 400 * time.Millisecond, 2 * time.Second, true, 2},
-	{"move", once, 150 * time.Millisecond, 400 * time.Millisecond, true, 1},
-	{"scan", repeatable, time.Second, 3 * time.Second, false, 1},
+	{"pull", idempotent, 300 * time.Millisecond, 1500 * time.Millisecond, false, 2},
+	{"push", idempotentWithKey, 400 * time.Millisecond, 2 * time.Second, true, 2},
+	{"move", notIdempotent, 150 * time.Millisecond, 400 * time.Millisecond, true, 1},
+	{"scan", idempotent, time.Second, 3 * time.Second, false, 1},
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// milliseconds converts a duration to the unit of the settings.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// slowStartBound is how many calls of mean work a server may get in fallWindow when that ends at an age.
+// slowStartBound returns how many requests of meanUnits a server may get within an overloadWindow that ends at an age of
+// the server. It allows for the spread of random arrivals.
 func slowStartBound(age time.Duration) float64 {
-	capacity := startCapacity + (1-startCapacity)*min(1, age.Seconds()/rampTime.Seconds())
-	n := coldBears / meanUnits * capacity / startCapacity
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+	capacity := initialCapacity + (1-initialCapacity)*min(1, age.Seconds()/slowStartDuration.Seconds())
+	requests := slowStartUnits / meanUnits * capacity / initialCapacity
+	if requests < 30 {
+		return requests + 3*math.Sqrt(requests) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return requests + 2*math.Sqrt(requests) + 2
 }
 
-// gatewayConfig is the configuration file of one gateway.
-func gatewayConfig(o Options, number int, listen, discovery string, known map[string]any) ([]byte, error) {
-	lanes, writes := []any{}, []bool{}
-	for _, c := range classes {
-		lanes = append(lanes, map[string]any{"Name": c.name, "PromiseMs": ms(c.aim), "DeadlineMs": ms(c.deadline),
-			"Idempotency": string(c.effect), "KeyScope": "cell", "DedupWindowMs": ms(dedupWindow), "Worth": c.worth, "LateValue": 0.2})
-		writes = append(writes, c.write)
+// gatewayConfig returns the configuration of a gateway with the current endpoint list.
+func (h *harness) gatewayConfig(g *gateway) process.Config {
+	return process.Config{
+		Name:      g.Name,
+		Listen:    g.ListenAddr,
+		Discovery: h.discovery.addrs[g.Index][g.discoveryAddr],
+		Seed:      fmt.Sprintf("%016x", h.options.Seed<<16+uint64(g.Index+1)),
+		Known:     h.discovery.currentList(),
+		Limits:    process.Limits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Settings:  gatewaySettings(&h.options, g.Index),
 	}
+}
+
+// gatewaySettings returns the settings of a gateway, with the protocol's names.
+func gatewaySettings(options *Options, index int) map[string]any {
 	mode := "ask"
-	if o.PushDiscovery {
+	if options.PushDiscovery {
 		mode = "push"
 	}
-	return json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", number), "listen": listen, "discovery": discovery,
-		"seed": fmt.Sprintf("%016x", o.Seed<<16+uint64(number+1)), "known": known,
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 256},
-		"settings": map[string]any{"Siblings": o.siblings(), "SelfIndex": number, "TickMs": 2, "Discovery": mode, "Zones": []string{"a"},
-			"Lanes": lanes,
-			"Plans": []any{map[string]any{"Name": "basic", "UsualRate": 40.0, "Reservation": 20.0, "Shares": 1, "Pays": 1}},
-			"Limits": map[string]any{"AttemptsCap": attemptsLimit, "MayDuplicate": true, "Cancel": true, "RetryAfter": true,
-				"MaxRetryAfterMs": 500, "ConnIdleMs": ms(connIdle), "ConnectTimeoutMs": ms(connectLimit)},
-			"Invariants": map[string]any{"GraceToAnswerMs": 8, "DrainGraceMs": ms(drainGrace), "AskWithinMs": ms(askWithin),
-				"FallMs": ms(fallWindow), "FallMultiple": 2.5, "RampTimeMs": ms(rampTime), "StartCapacity": startCapacity},
-			"FamilyInfo": map[string]any{"ClassWrites": writes, "MeanUnits": meanUnits, "MostUnits": mostUnits, "NShards": o.Shards,
-				"FairWorth": 0.3, "IdleWorth": 0.05, "ColdBears": coldBears}}})
+	classSettings, writes := []any{}, []bool{}
+	for _, c := range classes {
+		classSettings = append(classSettings, map[string]any{"Name": c.name, "PromiseMs": milliseconds(c.latencyObjective),
+			"DeadlineMs": milliseconds(c.deadline), "Idempotency": string(c.idempotency), "KeyScope": "cell",
+			"DedupWindowMs": milliseconds(dedupWindow), "Worth": c.priorityWeight, "LateValue": 0.2})
+		writes = append(writes, c.write)
+	}
+	return map[string]any{"Siblings": options.fleetSize(), "SelfIndex": index, "TickMs": 2, "Discovery": mode, "Zones": []string{"a"},
+		"Lanes": classSettings,
+		"Plans": []any{map[string]any{"Name": "basic", "UsualRate": 40.0, "Reservation": 20.0, "Shares": 1, "Pays": 1}},
+		"Limits": map[string]any{"AttemptsCap": maxAttempts, "MayDuplicate": true, "Cancel": true, "RetryAfter": true,
+			"MaxRetryAfterMs": 500, "ConnIdleMs": milliseconds(connIdleTimeout), "ConnectTimeoutMs": milliseconds(connectTimeout)},
+		"Invariants": map[string]any{"GraceToAnswerMs": 8, "DrainGraceMs": milliseconds(drainGrace), "AskWithinMs": milliseconds(maxPollInterval),
+			"FallMs": milliseconds(overloadWindow), "FallMultiple": 2.5, "RampTimeMs": milliseconds(slowStartDuration),
+			"StartCapacity": initialCapacity},
+		"FamilyInfo": map[string]any{"ClassWrites": writes, "MeanUnits": meanUnits, "MostUnits": maxUnits, "NShards": options.Shards,
+			"FairWorth": 0.3, "IdleWorth": 0.05, "ColdBears": slowStartUnits}}
 }
--- /dev/null
+++ b/internal/testbed/chaos/watch.go
@@ -0,0 +1,157 @@
+package chaos
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"gaugerelay/internal/testbed/process"
+)
+
+const (
+	// heartbeatInterval is the time between two messages of a watch on which nothing changes.
+	heartbeatInterval = 2 * time.Second
+	// callSlotTimeout is how long a call waits until discovery rejects it.
+	callSlotTimeout = 2 * time.Second
+)
+
+// watch is an open watch.
+type watch struct {
+	end         chan struct{} // closed to reset the watch
+	silentSince time.Time     // zero while it sends messages
+}
+
+// serveWatch handles one call of a gateway: a watch of the endpoint list.
+func (d *discovery) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
+	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if the gateway has no list
+	if d.failInOutage(w) {
+		return
+	}
+	if !d.push && !d.waitForCallSlot(r) {
+		http.Error(w, "too many calls", http.StatusServiceUnavailable)
+		return
+	}
+	id, own := d.openWatch(gateway)
+	if own == nil {
+		d.failInOutage(w)
+		return
+	}
+	defer func() {
+		d.mu.Lock()
+		delete(d.open[gateway], id)
+		d.mu.Unlock()
+	}()
+	for first := true; ; first = false {
+		message, ok := d.nextMessage(gateway, own, version, first)
+		if !ok {
+			d.waitSilently(gateway, own, r)
+		}
+		version = message.version
+		if _, err := w.Write(message.line); err != nil {
+			return
+		}
+		_ = http.NewResponseController(w).Flush() // the request's context ends when the connection is broken
+		select {
+		case <-message.changed:
+		case <-time.After(heartbeatInterval):
+		case <-own.end:
+			panic(http.ErrAbortHandler)
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// failInOutage answers a call as the current outage does, and reports whether there is one.
+func (d *discovery) failInOutage(w http.ResponseWriter) bool {
+	d.mu.Lock()
+	down, kind := d.down, d.outage
+	d.mu.Unlock()
+	if !down {
+		return false
+	}
+	if kind == outageReset {
+		panic(http.ErrAbortHandler)
+	}
+	http.Error(w, "down", http.StatusServiceUnavailable)
+	return true
+}
+
+// waitForCallSlot waits until the calls before this one are handled, and for the time of this one. It reports false if
+// the call has waited for too long or was canceled.
+func (d *discovery) waitForCallSlot(r *http.Request) bool {
+	select {
+	case d.callSlot <- struct{}{}:
+	case <-time.After(callSlotTimeout):
+		return false
+	case <-r.Context().Done():
+		return false
+	}
+	d.mu.Lock()
+	callTime := d.callTime
+	d.mu.Unlock()
+	time.Sleep(callTime)
+	<-d.callSlot
+	return true
+}
+
+// openWatch registers a watch. During an outage it returns nil.
+func (d *discovery) openWatch(gateway int) (id int, own *watch) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.down {
+		return 0, nil
+	}
+	d.nextWatch++
+	own = &watch{end: make(chan struct{})}
+	d.open[gateway][d.nextWatch] = own
+	return d.nextWatch, own
+}
+
+// watchMessage is one line of a watch.
+type watchMessage struct {
+	line    []byte // a snapshot, a delta, or an empty line as a heartbeat
+	version int
+	changed <-chan struct{} // closed by the first change that it does not contain
+}
+
+// nextMessage returns the next message of a watch to a gateway that has a version of the list, and records its
+// delivery. It reports false if the watch is silent.
+func (d *discovery) nextMessage(gateway int, own *watch, version int, first bool) (watchMessage, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !own.silentSince.IsZero() {
+		return watchMessage{}, false
+	}
+	var line []byte
+	switch {
+	case first && (version == 0 || version > len(d.changes)):
+		line = encodeList(d.snapshot())
+	case version < len(d.changes):
+		line = encodeList(d.delta(version))
+	}
+	d.deliveries[gateway] = append(d.deliveries[gateway], delivery{time.Now(), len(d.changes)})
+	return watchMessage{line: append(line, '\n'), version: len(d.changes), changed: d.changed}, true
+}
+
+func encodeList(list process.EndpointList) []byte {
+	line, err := json.Marshal(list)
+	if err != nil {
+		panic(err) // its types have no values that JSON cannot express
+	}
+	return line
+}
+
+// waitSilently keeps a silent watch open until either side ends it, and records for how long it was silent. It does not
+// return: it aborts the response.
+func (d *discovery) waitSilently(gateway int, own *watch, r *http.Request) {
+	select {
+	case <-own.end:
+	case <-r.Context().Done():
+	}
+	d.mu.Lock()
+	d.silences[gateway] = append(d.silences[gateway], process.Interval{From: own.silentSince, To: time.Now()})
+	d.mu.Unlock()
+	panic(http.ErrAbortHandler)
+}
--- /dev/null
+++ b/internal/testbed/cluster/cluster_test.go
@@ -0,0 +1,65 @@
+package cluster
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"gaugerelay/internal/testbed"
+	"gaugerelay/internal/testbed/process"
+)
+
+// All scenarios run in a fifth of their time; `make fleet-soak` runs them in full.
+func TestInvariantsHoldInAllScenarios(t *testing.T) {
+	if testing.Short() {
+		t.Skip("several processes")
+	}
+	var out strings.Builder
+	result, err := Run(Options{Binary: testbed.BuildGateway(t), Gateways: 3, HostsPerVolume: 3, Volumes: 2, Shards: 4, Seed: 1, Gossip: true,
+		LeaseMs: 300, TimeScale: 0.2}, 0, "", &out)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%s%+v", out.String(), result)
+	for _, text := range result.Violations {
+		t.Error(text)
+	}
+	if result.Served < 50 || result.Rejected == 0 || result.Kills < 3 || result.Pauses < 2 || result.Datagrams < 50 {
+		t.Error("too little happened to show anything")
+	}
+}
+
+func TestStartReportsExitedGateway(t *testing.T) {
+	binary := filepath.Join(t.TempDir(), "ends")
+	if err := os.WriteFile(binary, []byte("#!/bin/sh\nexit 3\n"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	_, err := StartCluster(Options{Binary: binary, Gateways: 1, HostsPerVolume: 1, Shards: 1, Seed: 1})
+	if !errors.Is(err, process.ErrExited) {
+		t.Errorf("StartCluster with a program that exits returns %v", err)
+	}
+}
+
+func TestResultCountsUnitsOverLimit(t *testing.T) {
+	p, err := newPlatform(1, 1, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer p.close()
+	c := &Cluster{platform: p, options: Options{HostsPerVolume: 1}}
+	for range int(limitBurst(1))/6 + 4 {
+		p.takeUnits(7, 6)
+	}
+	if result := c.Result(); result.OverLimit != 1 || result.MaxOverLimit < 10 || len(result.Violations) == 0 {
+		t.Errorf("units over a limit: %+v", result)
+	}
+}
+
+func TestRunRejectsUnknownScenario(t *testing.T) {
+	if _, err := Run(Options{}, time.Second, "nothing", &strings.Builder{}); err == nil {
+		t.Error("Run accepts an unknown scenario")
+	}
+}
--- /dev/null
+++ b/internal/testbed/cluster/datagramproxy.go
@@ -0,0 +1,118 @@
+package cluster
+
+import (
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"gaugerelay/internal/testbed/loopback"
+)
+
+// maxDatagramSize is above the size of any datagram of a gateway.
+const maxDatagramSize = 2048
+
+// DatagramFaults are the faults of datagrams from one gateway to another. The zero value is a good link.
+type DatagramFaults struct {
+	Cut           bool    // all datagrams are lost
+	LossRate      float64 // fraction of datagrams that are lost
+	DuplicateRate float64 // fraction of datagrams that arrive twice
+	BitFlipRate   float64 // fraction of datagrams in which one bit is inverted
+	DelayMs       float64
+	JitterMs      float64 // maximum of a random additional delay, which can change the order
+}
+
+// datagramProxy forwards datagrams in one direction.
+type datagramProxy struct {
+	conn net.PacketConn
+	to   net.Addr
+
+	mu        sync.Mutex
+	rnd       *rand.Rand
+	faults    DatagramFaults
+	forwarded int // datagrams sent, a duplicate counts twice
+	impaired  int // datagrams lost, duplicated or changed
+}
+
+// newDatagramProxy starts a proxy that forwards to a UDP address.
+func newDatagramProxy(to string, seed uint64) (*datagramProxy, error) {
+	toAddr, err := net.ResolveUDPAddr("udp", to)
+	if err != nil {
+		return nil, err
+	}
+	conn, err := loopback.ListenPacket()
+	if err != nil {
+		return nil, err
+	}
+	p := &datagramProxy{conn: conn, to: toAddr, rnd: rand.New(rand.NewPCG(seed, datagramStream))}
+	go p.run()
+	return p, nil
+}
+
+func (p *datagramProxy) addr() string { return p.conn.LocalAddr().String() }
+
+func (p *datagramProxy) close() { p.conn.Close() }
+
+// setFaults sets the faults of datagrams that arrive from now on.
+func (p *datagramProxy) setFaults(faults DatagramFaults) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.faults = faults
+}
+
+func (p *datagramProxy) forwardedCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.forwarded
+}
+
+func (p *datagramProxy) run() {
+	buffer := make([]byte, maxDatagramSize)
+	for {
+		n, _, err := p.conn.ReadFrom(buffer)
+		if err != nil {
+			return
+		}
+		p.forward(append([]byte(nil), buffer[:n]...))
+	}
+}
+
+// forward sends a datagram on, with the current faults. It may change the datagram.
+func (p *datagramProxy) forward(datagram []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	copies := p.drawCopies()
+	if p.rnd.Float64() < p.faults.BitFlipRate {
+		datagram[p.rnd.IntN(len(datagram))] ^= 1 << p.rnd.IntN(8)
+		p.impaired++
+	}
+	if copies != 1 {
+		p.impaired++
+	}
+	p.forwarded += copies
+	for range copies {
+		delayMs := p.faults.DelayMs + p.faults.JitterMs*p.rnd.Float64()
+		if delayMs == 0 {
+			p.send(datagram)
+			continue
+		}
+		time.AfterFunc(time.Duration(delayMs*float64(time.Millisecond)), func() { p.send(datagram) })
+	}
+}
+
+// drawCopies draws how often a datagram arrives. p.mu must be held.
+func (p *datagramProxy) drawCopies() int {
+	draw := p.rnd.Float64()
+	switch {
+	case p.faults.Cut || draw < p.faults.LossRate:
+		return 0
+	case draw < p.faults.LossRate+p.faults.DuplicateRate:
+		return 2
+	default:
+		return 1
+	}
+}
+
+func (p *datagramProxy) send(datagram []byte) {
+	_, _ = p.conn.WriteTo(datagram, p.to) // datagrams may be lost
+}
--- /dev/null
+++ b/internal/testbed/cluster/faults.go
@@ -0,0 +1,80 @@
+package cluster
+
+import (
+	"syscall"
+	"time"
+)
+
+// setLinks sets the faults of each link between two gateways.
+func (c *Cluster) setLinks(faults func(from, to int) DatagramFaults) {
+	c.eachLink(func(from, to int, link *datagramProxy) { link.setFaults(faults(from, to)) })
+}
+
+// healLinks makes all links good.
+func (c *Cluster) healLinks() {
+	c.log.Printf("(links are healed)")
+	c.setLinks(func(int, int) DatagramFaults { return DatagramFaults{} })
+}
+
+// partition cuts the links between gateways of a side and the others, in both directions.
+func (c *Cluster) partition(side func(gateway int) bool) {
+	c.log.Printf("(partition)")
+	c.cutLinks(func(from, to int) bool { return side(from) != side(to) })
+}
+
+// partitionOneWay cuts the links from gateways of a side to the others.
+func (c *Cluster) partitionOneWay(side func(gateway int) bool) {
+	c.log.Printf("(partition in one direction)")
+	c.cutLinks(func(from, to int) bool { return side(from) && !side(to) })
+}
+
+// cutLinks cuts links, heals the others, and counts a partition.
+func (c *Cluster) cutLinks(isCut func(from, to int) bool) {
+	c.updateResult(func(result *Result) { result.Partitions++ })
+	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Cut: isCut(from, to)} })
+}
+
+func (c *Cluster) kill(gateway int) {
+	c.updateResult(func(result *Result) { result.Kills++ })
+	c.gateways[gateway].Kill()
+}
+
+// restart starts a gateway whose process has ended.
+func (c *Cluster) restart(gateway int) {
+	if err := c.gateways[gateway].Start(); err != nil {
+		c.addViolation("%v", err)
+	}
+}
+
+// pause stops the execution of a gateway for a while.
+func (c *Cluster) pause(gateway int, duration time.Duration) {
+	c.updateResult(func(result *Result) { result.Pauses++ })
+	c.gateways[gateway].Signal(syscall.SIGSTOP)
+	c.wait(duration)
+	c.gateways[gateway].Signal(syscall.SIGCONT)
+}
+
+// rotatePrimaryHosts makes the next host of each volume the one that receives most of its requests.
+func (c *Cluster) rotatePrimaryHosts() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for volume := range c.primaryHosts {
+		c.primaryHosts[volume] = (c.primaryHosts[volume] + 1) % c.options.HostsPerVolume
+	}
+}
+
+// wait waits for a time that the options may scale.
+func (c *Cluster) wait(duration time.Duration) {
+	if c.options.TimeScale > 0 {
+		duration = time.Duration(float64(duration) * c.options.TimeScale)
+	}
+	c.waitUnscaled(duration)
+}
+
+// waitUnscaled waits for a time that follows from the gateway's own deadlines, which short runs do not scale.
+func (c *Cluster) waitUnscaled(duration time.Duration) {
+	select {
+	case <-c.stop:
+	case <-time.After(duration):
+	}
+}
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -4,238 +4,227 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
+
+	"gaugerelay/internal/testbed/loopback"
+	"gaugerelay/internal/testbed/process"
 )
 
-// The settings that gateways are given. A limit's store holds two of the largest requests for each host, as the
-// platform's do.
 const (
-	limitRate  = 60.0
-	mostUnits  = 6.0
-	meanUnits  = 2.0
-	deadlineMs = 1500
-	aimMs      = 400
-	slackMs    = 150 // by which the slack of a limit is longer on sockets
+	// serviceTime is how long a server works on a request.
+	serviceTime = 5 * time.Millisecond
+	// heartbeatInterval is the time between two messages of a watch on which nothing changes.
+	heartbeatInterval = 2 * time.Second
 )
 
-func limitStore(hosts int) float64 { return max(limitRate, 2*mostUnits*float64(hosts)) }
-
-// store is a volume's limit as the rule counts it, where the nodes are.
-type store struct {
-	level, most float64
-	at          time.Time
-	units       float64
-	worst       float64 // lowest level
+// platform fakes the storage servers and discovery, and counts what arrives. Each gateway has addresses of its own, so
+// that servers and discovery can treat gateways differently.
+type platform struct {
+	hosts   int // of each volume
+	shards  int
+	views   []*gatewayView // by gateway
+	servers []*http.Server
+	proxies []*streamProxy
+
+	mu          sync.Mutex
+	limits      map[uint64]*tokenBucket // by volume
+	arrivals    map[string]int          // by request ID
+	duplicates  int                     // arrivals of requests that a server has received before
+	listVersion int
+	listChanged chan struct{} // closed when an endpoint list changes
 }
 
-// platform is the storage nodes and the service that lists them. It counts what arrives.
-type platform struct {
-	mu       sync.Mutex
-	stores   map[uint64]*store
-	arrivals map[string]int // by request
-	doubled  int            // requests that a node got again, though it may have run
-	hosts    int
-	servers  []*http.Server
-	all      []*tcpProxy
-	addrs    [][]string    // of nodes, as each gateway reaches them
-	lists    []string      // where each gateway finds the list
-	ways     [][]*tcpProxy // from each gateway to each node
-	listWays []*tcpProxy   // and to its list
-	drains   [][]bool      // by gateway and node: the list says so
-	version  int
-	kick     chan struct{} // closed when a list changes
-	fails    [][]bool      // by gateway and node: answers it with an error
-	got      [][]int       // by gateway and node: requests that have arrived
+// gatewayView is the platform as one gateway sees it. The slices are indexed by shard; draining, failing and received are
+// guarded by platform.mu.
+type gatewayView struct {
+	serverProxies []*streamProxy
+	listProxy     *streamProxy
+	listAddr      string
+	draining      []bool // the endpoint list says that the server drains
+	failing       []bool // the server responds with errors
+	received      []int  // requests that have arrived at the server
 }
 
+// newPlatform starts the servers and discovery. It returns the platform also with an error, so that it can be closed.
 func newPlatform(gateways, shards, hosts int) (*platform, error) {
-	p := &platform{stores: map[uint64]*store{}, arrivals: map[string]int{}, hosts: hosts, version: 1, kick: make(chan struct{})}
-	for g := range gateways {
-		var addrs []string
-		var ways []*tcpProxy
-		for shard := range shards {
-			way, err := p.listen(func(w http.ResponseWriter, r *http.Request) { p.serve(g, shard, w, r) })
-			if err != nil {
-				return p, err
-			}
-			addrs, ways = append(addrs, way.ln.Addr().String()), append(ways, way)
-		}
-		list, err := p.listen(func(w http.ResponseWriter, r *http.Request) { p.watch(g, w, r) })
+	p := &platform{limits: map[uint64]*tokenBucket{}, arrivals: map[string]int{}, hosts: hosts, shards: shards, listVersion: 1,
+		listChanged: make(chan struct{})}
+	for gateway := range gateways {
+		view, err := p.newView(gateway)
 		if err != nil {
 			return p, err
 		}
-		p.addrs, p.lists = append(p.addrs, addrs), append(p.lists, list.ln.Addr().String())
-		p.ways, p.listWays = append(p.ways, ways), append(p.listWays, list)
-		p.fails, p.got = append(p.fails, make([]bool, shards)), append(p.got, make([]int, shards))
-		p.drains = append(p.drains, make([]bool, shards))
+		p.views = append(p.views, view)
 	}
 	return p, nil
 }
 
-// listen starts a server behind a proxy.
-func (p *platform) listen(f http.HandlerFunc) (*tcpProxy, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func (p *platform) newView(gateway int) (*gatewayView, error) {
+	view := &gatewayView{draining: make([]bool, p.shards), failing: make([]bool, p.shards), received: make([]int, p.shards)}
+	for shard := range p.shards {
+		proxy, err := p.listen(func(w http.ResponseWriter, r *http.Request) { p.serveRequest(view, shard, w, r) })
+		if err != nil {
+			return nil, err
+		}
+		view.serverProxies = append(view.serverProxies, proxy)
+	}
+	listProxy, err := p.listen(func(w http.ResponseWriter, r *http.Request) { p.serveWatch(gateway, w, r) })
+	if err != nil {
+		return nil, err
+	}
+	view.listProxy, view.listAddr = listProxy, listProxy.addr()
+	return view, nil
+}
+
+// listen starts an HTTP server behind a proxy.
+func (p *platform) listen(handler http.HandlerFunc) (*streamProxy, error) {
+	ln, err := loopback.Listen()
 	if err != nil {
 		return nil, err
 	}
-	s := &http.Server{Handler: f}
+	s := &http.Server{Handler: handler}
 	p.servers = append(p.servers, s)
-	go s.Serve(ln)
-	way, err := newTCPProxy(ln.Addr().String())
-	if err == nil {
-		p.all = append(p.all, way)
+	go func() { _ = s.Serve(ln) }() // returns when the server is closed
+	proxy, err := newStreamProxy(ln.Addr().String())
+	if err != nil {
+		return nil, err
 	}
-	return way, err
+	p.proxies = append(p.proxies, proxy)
+	return proxy, nil
 }
 
 func (p *platform) close() {
-	for _, way := range p.all {
-		way.close()
+	for _, proxy := range p.proxies {
+		proxy.close()
 	}
 	for _, s := range p.servers {
 		s.Close()
 	}
 }
 
-// fail makes a node answer a gateway with errors, or well again.
-func (p *platform) fail(g, shard int, yes bool) {
+// setFailing makes the server of failingShard respond to a gateway with errors, or normally again.
+func (p *platform) setFailing(gateway int, failing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fails[g][shard] = yes
+	p.views[gateway].failing[failingShard] = failing
 }
 
-// drain makes a gateway's list say that a node drains, or no more.
-func (p *platform) drain(g, shard int, yes bool) {
+// setDraining makes the endpoint list of a gateway say that the server of drainingShard drains, or that it is ready
+// again.
+func (p *platform) setDraining(gateway int, draining bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drains[g][shard] = yes
-	p.version++
-	close(p.kick)
-	p.kick = make(chan struct{})
+	p.views[gateway].draining[drainingShard] = draining
+	p.listVersion++
+	close(p.listChanged)
+	p.listChanged = make(chan struct{})
 }
 
-// counts is what has arrived from each gateway at each node.
-func (p *platform) counts() (all [][]int) {
+// receivedCounts returns how many requests have arrived, by gateway and shard.
+func (p *platform) receivedCounts() (counts [][]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, row := range p.got {
-		all = append(all, append([]int(nil), row...))
+	for _, view := range p.views {
+		counts = append(counts, append([]int(nil), view.received...))
 	}
-	return all
+	return counts
 }
 
-// serve is a node's work: 5 ms, and what the rule on limits counts.
-func (p *platform) serve(g, shard int, w http.ResponseWriter, r *http.Request) {
+// serveRequest handles a request of a gateway to the server of a shard.
+func (p *platform) serveRequest(view *gatewayView, shard int, w http.ResponseWriter, r *http.Request) {
 	if _, err := io.ReadAll(r.Body); err != nil {
-		panic(http.ErrAbortHandler) // it was never whole
+		panic(http.ErrAbortHandler) // an incomplete request does not count
 	}
-	id := r.Header.Get("X-Correlation-Id")
-	volume, units, ok := parts(id)
+	text := r.Header.Get("X-Correlation-Id")
+	id, ok := parseRequestID(text)
 	if !ok {
 		http.Error(w, "a request that no client sent", http.StatusBadRequest)
 		return
 	}
-	p.mu.Lock()
-	if p.arrivals[id]++; p.arrivals[id] > 1 {
-		p.doubled++
-	} else {
-		p.take(volume, units)
-	}
-	p.got[g][shard]++
-	fails := p.fails[g][shard]
-	p.mu.Unlock()
-	if fails {
+	if failing := p.recordArrival(view, shard, text, id); failing {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	time.Sleep(5 * time.Millisecond)
-	fmt.Fprintf(w, "%s from %d", id, shard)
+	time.Sleep(serviceTime)
+	_, _ = fmt.Fprintf(w, "%s from %d", text, shard) // a gateway that has left needs no response
 }
 
-// take draws a request's units from its volume's limit.
-func (p *platform) take(volume uint64, units float64) {
-	now := time.Now()
-	s := p.stores[volume]
-	if s == nil {
-		most := limitStore(p.hosts)
-		s = &store{level: most, most: most, at: now, worst: most}
-		p.stores[volume] = s
-	}
-	s.level = min(s.most, s.level+limitRate*now.Sub(s.at).Seconds()) - units
-	s.at, s.units, s.worst = now, s.units+units, min(s.worst, s.level)
+// recordArrival counts a request, takes its units from the limit of its volume, and reports whether the server fails it.
+func (p *platform) recordArrival(view *gatewayView, shard int, text string, id requestID) (failing bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.arrivals[text]++
+	if p.arrivals[text] > 1 {
+		p.duplicates++
+	} else {
+		p.takeUnits(id.volume, float64(id.units))
+	}
+	view.received[shard]++
+	return view.failing[shard]
 }
 
-// requestID names a request so that nodes know what it counts for.
-func requestID(volume uint64, units, n int) string { return fmt.Sprintf("%x-%d-%d", volume, units, n) }
-
-func parts(id string) (volume uint64, units float64, ok bool) {
-	f := strings.Split(id, "-")
-	if len(f) != 3 {
-		return 0, 0, false
+// takeUnits takes the units of a request from the limit of its volume. p.mu must be held.
+func (p *platform) takeUnits(volume uint64, units float64) {
+	now := time.Now()
+	limit := p.limits[volume]
+	if limit == nil {
+		limit = newTokenBucket(limitBurst(p.hosts), now)
+		p.limits[volume] = limit
 	}
-	volume, err := strconv.ParseUint(f[0], 16, 64)
-	n, err2 := strconv.Atoi(f[1])
-	return volume, float64(n), err == nil && err2 == nil
+	limit.take(units, now)
 }
 
-func nodeID(shard int) string { return fmt.Sprintf("s-%d", shard) }
+// serverID returns the ID of the server of a shard.
+func serverID(shard int) string { return fmt.Sprintf("s-%d", shard) }
 
-func (p *platform) list(g int) map[string]any {
+// endpointList returns the endpoint list as a gateway is shown it.
+func (p *platform) endpointList(gateway int) process.EndpointList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	servers := []any{}
-	for i, addr := range p.addrs[g] {
-		state := "Ready"
-		if p.drains[g][i] {
-			state = "Terminating"
+	view := p.views[gateway]
+	list := process.EndpointList{Version: p.listVersion, Snapshot: true, Servers: []process.Endpoint{}}
+	for shard, proxy := range view.serverProxies {
+		state := process.EndpointReady
+		if view.draining[shard] {
+			state = process.EndpointDraining
 		}
-		servers = append(servers, map[string]any{"id": nodeID(i), "addr": addr, "zone": "a", "kind": "k", "cell": i,
-			"state": state, "weight": 1.0, "started_ms": 0})
+		list.Servers = append(list.Servers, process.Endpoint{ID: serverID(shard), Addr: proxy.addr(), Zone: "a", Kind: "k", Shard: shard,
+			State: state, Weight: 1})
 	}
-	return map[string]any{"version": p.version, "full": true, "servers": servers}
+	return list
 }
 
-// watch is the agent on each gateway's machine: the list, again whenever it changes, and an empty line every 2 s.
-func (p *platform) watch(g int, w http.ResponseWriter, r *http.Request) {
+// serveWatch handles a watch of a gateway: it sends the endpoint list, again whenever it changes, and heartbeats.
+func (p *platform) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
 	for changed := true; ; {
 		p.mu.Lock()
-		kick := p.kick
+		listChanged := p.listChanged
 		p.mu.Unlock()
 		var line []byte
 		if changed {
-			line, _ = json.Marshal(p.list(g))
+			line = encodeList(p.endpointList(gateway))
 		}
 		if _, err := w.Write(append(line, '\n')); err != nil {
 			return
 		}
-		w.(http.Flusher).Flush()
+		_ = http.NewResponseController(w).Flush() // the request's context ends when the connection is broken
 		select {
 		case <-r.Context().Done():
 			return
-		case <-kick:
+		case <-listChanged:
 			changed = true
-		case <-time.After(2 * time.Second):
+		case <-time.After(heartbeatInterval):
 			changed = false
 		}
 	}
 }
 
-// config is what a gateway is told.
-func (p *platform) config(name, listen string, self, gateways int) ([]byte, error) {
-	return json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": p.lists[self], "seed": fmt.Sprintf("%016x", self+1),
-		"known": p.list(self), "limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 512},
-		"settings": map[string]any{"Siblings": gateways, "SelfIndex": self, "TickMs": 2, "Discovery": "push", "Zones": []string{"a"},
-			"Lanes": []any{map[string]any{"Name": "pull", "PromiseMs": aimMs, "DeadlineMs": deadlineMs, "Idempotency": "once", "Worth": 1}},
-			"Plans": []any{map[string]any{"Name": "basic", "UsualRate": limitRate / 4, "Reservation": limitRate / 8, "Shares": 1, "Pays": 1,
-				"CeilingRate": limitRate, "CapDepth": limitStore(p.hosts), "CapSlack": max(mostUnits, 0.1*limitStore(p.hosts))}},
-			"Limits": map[string]any{"AttemptsCap": 2, "Cancel": true, "RetryAfter": true, "MaxRetryAfterMs": 500, "ConnIdleMs": 30000,
-				"ConnectTimeoutMs": 250},
-			"Invariants": map[string]any{"GraceToAnswerMs": 8, "DrainGraceMs": 1000},
-			"FamilyInfo": map[string]any{"ClassWrites": []bool{false}, "MeanUnits": meanUnits, "MostUnits": mostUnits, "NShards": len(p.addrs[self]),
-				"FairWorth": 0.3, "IdleWorth": 0.05}}})
+func encodeList(list process.EndpointList) []byte {
+	line, err := json.Marshal(list)
+	if err != nil {
+		panic(err) // its types have no values that JSON cannot express
+	}
+	return line
 }
--- /dev/null
+++ b/internal/testbed/cluster/settings.go
@@ -0,0 +1,53 @@
+package cluster
+
+import (
+	"fmt"
+
+	"gaugerelay/internal/testbed/process"
+)
+
+// Settings that the gateways are given.
+const (
+	limitRate          = 60.0 // units per second of each volume
+	maxUnits           = 6.0
+	meanUnits          = 2.0
+	deadlineMs         = 1500
+	latencyObjectiveMs = 400
+	drainGraceMs       = 1000
+)
+
+// limitTimeSlackMs is for how long a volume's limit may be exceeded more on sockets than the invariant says.
+const limitTimeSlackMs = 150
+
+// limitBurst returns the size of the token bucket of a volume: two of the largest requests for each host.
+func limitBurst(hosts int) float64 { return max(limitRate, 2*maxUnits*float64(hosts)) }
+
+// limitOverdraft returns the units by which a volume may exceed its limit.
+func limitOverdraft(hosts int) float64 { return max(maxUnits, 0.1*limitBurst(hosts)) }
+
+// gatewayConfig returns the configuration of a gateway with the endpoint list that it is shown.
+func (p *platform) gatewayConfig(gateway *process.Process, gateways int) process.Config {
+	return process.Config{
+		Name:      gateway.Name,
+		Listen:    gateway.ListenAddr,
+		Discovery: p.views[gateway.Index].listAddr,
+		Seed:      fmt.Sprintf("%016x", gateway.Index+1),
+		Known:     p.endpointList(gateway.Index),
+		Limits:    process.Limits{Cores: 1, MemoryMB: 64, Sockets: 512},
+		Settings:  gatewaySettings(gateway.Index, gateways, p.hosts, p.shards),
+	}
+}
+
+// gatewaySettings returns the settings of a gateway, with the protocol's names.
+func gatewaySettings(index, gateways, hosts, shards int) map[string]any {
+	return map[string]any{"Siblings": gateways, "SelfIndex": index, "TickMs": 2, "Discovery": "push", "Zones": []string{"a"},
+		"Lanes": []any{map[string]any{"Name": "pull", "PromiseMs": latencyObjectiveMs, "DeadlineMs": deadlineMs, "Idempotency": "once",
+			"Worth": 1}},
+		"Plans": []any{map[string]any{"Name": "basic", "UsualRate": limitRate / 4, "Reservation": limitRate / 8, "Shares": 1, "Pays": 1,
+			"CeilingRate": limitRate, "CapDepth": limitBurst(hosts), "CapSlack": limitOverdraft(hosts)}},
+		"Limits": map[string]any{"AttemptsCap": 2, "Cancel": true, "RetryAfter": true, "MaxRetryAfterMs": 500, "ConnIdleMs": 30000,
+			"ConnectTimeoutMs": 250},
+		"Invariants": map[string]any{"GraceToAnswerMs": 8, "DrainGraceMs": drainGraceMs},
+		"FamilyInfo": map[string]any{"ClassWrites": []bool{false}, "MeanUnits": meanUnits, "MostUnits": maxUnits, "NShards": shards,
+			"FairWorth": 0.3, "IdleWorth": 0.05}}
+}
--- /dev/null
+++ b/internal/testbed/cluster/streamproxy.go
@@ -0,0 +1,190 @@
+package cluster
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"gaugerelay/internal/testbed/loopback"
+)
+
+const (
+	copyBufferSize = 16 << 10
+	// chunkInterval is the time between two chunks while StreamFaults.ChunkSize is set.
+	chunkInterval = 10 * time.Millisecond
+)
+
+// StreamFaults are the faults of TCP connections in one direction. The zero value is a good link.
+type StreamFaults struct {
+	Stalled         bool    // no bytes pass, and connections stay open
+	DelayMs         float64 // of each chunk
+	ChunkSize       int     // bytes that pass at once, every chunkInterval; 0: all
+	ResetAfterBytes int     // of each connection, counted from now on; 0: never
+}
+
+// direction is the direction of bytes through a streamProxy.
+type direction uint8
+
+const (
+	toServer direction = iota
+	fromServer
+	directionCount
+)
+
+// String returns the direction's name.
+func (d direction) String() string {
+	if d == toServer {
+		return "to server"
+	}
+	return "from server"
+}
+
+// streamProxy forwards TCP connections to a server, with faults in each direction.
+type streamProxy struct {
+	listener net.Listener
+	server   string // address
+
+	mu      sync.Mutex
+	faults  [directionCount]StreamFaults
+	changed chan struct{} // closed when the faults change
+	conns   map[net.Conn]bool
+	closed  bool
+}
+
+// newStreamProxy starts a proxy that forwards to a TCP address.
+func newStreamProxy(server string) (*streamProxy, error) {
+	ln, err := loopback.Listen()
+	if err != nil {
+		return nil, err
+	}
+	p := &streamProxy{listener: ln, server: server, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	go p.acceptConns()
+	return p, nil
+}
+
+func (p *streamProxy) addr() string { return p.listener.Addr().String() }
+
+func (p *streamProxy) acceptConns() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		go p.forward(conn)
+	}
+}
+
+// setFaults sets the faults of both directions from now on.
+func (p *streamProxy) setFaults(toServer, fromServer StreamFaults) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.faults = [directionCount]StreamFaults{toServer, fromServer}
+	close(p.changed)
+	p.changed = make(chan struct{})
+}
+
+// heal removes the faults of both directions.
+func (p *streamProxy) heal() { p.setFaults(StreamFaults{}, StreamFaults{}) }
+
+// resetConns resets all connections.
+func (p *streamProxy) resetConns() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for conn := range p.conns {
+		loopback.Reset(conn)
+	}
+}
+
+func (p *streamProxy) close() {
+	p.listener.Close()
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.heal()
+	p.resetConns()
+}
+
+// forward forwards one connection until both directions have ended.
+func (p *streamProxy) forward(client net.Conn) {
+	var dialer net.Dialer
+	server, err := dialer.DialContext(context.Background(), "tcp", p.server)
+	if err != nil {
+		loopback.Reset(client)
+		return
+	}
+	p.mu.Lock()
+	p.conns[client], p.conns[server] = true, true
+	closed := p.closed
+	p.mu.Unlock()
+	var directions sync.WaitGroup
+	if !closed {
+		directions.Go(func() { p.copyBytes(toServer, server, client) })
+		directions.Go(func() { p.copyBytes(fromServer, client, server) })
+	}
+	directions.Wait()
+	loopback.Reset(client)
+	loopback.Reset(server)
+	p.mu.Lock()
+	delete(p.conns, client)
+	delete(p.conns, server)
+	p.mu.Unlock()
+}
+
+// waitUnstalled waits while a direction is stalled and returns its other faults.
+func (p *streamProxy) waitUnstalled(d direction) StreamFaults {
+	for {
+		p.mu.Lock()
+		faults, changed, closed := p.faults[d], p.changed, p.closed
+		p.mu.Unlock()
+		if !faults.Stalled || closed {
+			return faults
+		}
+		<-changed
+	}
+}
+
+// copyBytes copies the bytes of one direction until the source ends or the connection is reset.
+func (p *streamProxy) copyBytes(d direction, dst, src net.Conn) {
+	buffer := make([]byte, copyBufferSize)
+	countedBytes := 0 // passed while ResetAfterBytes was set
+	for {
+		n, err := src.Read(buffer)
+		if err != nil {
+			if tcp, ok := dst.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite() // fails only on a connection that is broken already
+			}
+			return
+		}
+		for rest := buffer[:n]; len(rest) > 0; {
+			faults := p.waitUnstalled(d)
+			chunk := rest[:faults.delayChunk(len(rest))]
+			if faults.ResetAfterBytes > 0 && countedBytes+len(chunk) > faults.ResetAfterBytes {
+				_, _ = dst.Write(chunk[:max(0, faults.ResetAfterBytes-countedBytes)]) // the connection is reset anyway
+				loopback.Reset(src)
+				loopback.Reset(dst)
+				return
+			}
+			if faults.ResetAfterBytes > 0 {
+				countedBytes += len(chunk)
+			}
+			if _, err := dst.Write(chunk); err != nil {
+				loopback.Reset(src)
+				return
+			}
+			rest = rest[len(chunk):]
+		}
+	}
+}
+
+// delayChunk waits for the delay of the next chunk and returns its size, of a number of bytes that are there.
+func (f StreamFaults) delayChunk(available int) (size int) {
+	if f.DelayMs > 0 {
+		time.Sleep(time.Duration(f.DelayMs * float64(time.Millisecond)))
+	}
+	if f.ChunkSize == 0 {
+		return available
+	}
+	time.Sleep(chunkInterval)
+	return min(available, f.ChunkSize)
+}
--- /dev/null
+++ b/internal/testbed/cluster/traffic.go
@@ -0,0 +1,192 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"gaugerelay/internal/testbed/process"
+)
+
+// How clients draw their requests.
+const (
+	otherHostOneIn    = 20 // to a random host instead of the primary one
+	largeRequestOneIn = 25
+	maxTypicalUnits   = 3
+)
+
+const (
+	// clientTimeoutSlack is how much longer than the deadline a client waits.
+	clientTimeoutSlack = time.Second
+	// maxIdleConnsPerHost is how many idle connections the clients of a volume keep to each gateway.
+	maxIdleConnsPerHost = 64
+	// interruptionSlack is how long before a request an interruption of its gateway excuses a missing response.
+	interruptionSlack = 50 * time.Millisecond
+	// responseSlack is how long after the deadline a response may come.
+	responseSlack = 500 * time.Millisecond
+)
+
+// firstVolume is the ID of the first volume; the others follow.
+const firstVolume = 0xb000
+
+func volumeID(volume int) uint64 { return uint64(firstVolume + volume) }
+
+// requestID names a request so that servers know what it costs.
+type requestID struct {
+	volume uint64
+	units  int
+	number int
+}
+
+func (id requestID) String() string { return fmt.Sprintf("%x-%d-%d", id.volume, id.units, id.number) }
+
+// parseRequestID reads the text of a request ID.
+func parseRequestID(text string) (id requestID, ok bool) {
+	fields := strings.Split(text, "-")
+	if len(fields) != 3 {
+		return requestID{}, false
+	}
+	volume, volumeErr := strconv.ParseUint(fields[0], 16, 64)
+	units, unitsErr := strconv.Atoi(fields[1])
+	return requestID{volume: volume, units: units}, volumeErr == nil && unitsErr == nil
+}
+
+// requestSource draws the requests of one volume.
+type requestSource struct {
+	rnd    *rand.Rand
+	hosts  int
+	shards int
+}
+
+func newRequestSource(options *Options, volume int) *requestSource {
+	return &requestSource{rnd: rand.New(rand.NewPCG(options.Seed, uint64(trafficStream+volume))), hosts: options.HostsPerVolume,
+		shards: options.Shards}
+}
+
+// drawGap draws the time between two requests, for a load that is a multiple of the volume's limit.
+func (s *requestSource) drawGap(load float64) time.Duration {
+	return time.Duration(s.rnd.ExpFloat64() / (load * limitRate / meanUnits) * float64(time.Second))
+}
+
+// drawnRequest is a request of a volume.
+type drawnRequest struct {
+	host  int // among the volume's hosts
+	units int
+	shard int
+}
+
+// drawRequest draws the next request. Nearly all go to the primary host.
+func (s *requestSource) drawRequest(primaryHost int) drawnRequest {
+	drawn := drawnRequest{host: primaryHost}
+	if s.rnd.IntN(otherHostOneIn) == 0 {
+		drawn.host = s.rnd.IntN(s.hosts)
+	}
+	drawn.units = 1 + s.rnd.IntN(maxTypicalUnits)
+	if s.rnd.IntN(largeRequestOneIn) == 0 {
+		drawn.units = int(maxUnits)
+	}
+	drawn.shard = s.rnd.IntN(s.shards)
+	return drawn
+}
+
+// hosts returns the gateways that receive the requests of a volume.
+func (c *Cluster) hosts(volume int) (hosts []*process.Process) {
+	for i := range c.options.HostsPerVolume {
+		hosts = append(hosts, c.gateways[(volume+i)%len(c.gateways)])
+	}
+	return hosts
+}
+
+// sendRequests sends the requests of a volume until the cluster is closed.
+func (c *Cluster) sendRequests(volume int) {
+	source := newRequestSource(&c.options, volume)
+	hosts := c.hosts(volume)
+	var clients []*http.Client
+	for range hosts {
+		clients = append(clients, &http.Client{Timeout: deadlineMs*time.Millisecond + clientTimeoutSlack,
+			Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost}})
+	}
+	for {
+		c.mu.Lock()
+		primaryHost := c.primaryHosts[volume]
+		c.mu.Unlock()
+		gap := source.drawGap(defaultLoad)
+		select {
+		case <-c.stop:
+			return
+		case <-time.After(gap):
+		}
+		drawn := source.drawRequest(primaryHost)
+		id := requestID{volume: volumeID(volume), units: drawn.units, number: c.nextRequestNumber()}
+		c.goroutines.Go(func() { c.send(clients[drawn.host], hosts[drawn.host], id, drawn.shard) })
+	}
+}
+
+func (c *Cluster) nextRequestNumber() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requestCount++
+	return c.requestCount
+}
+
+// send sends a request to a gateway, waits for the response and counts the outcome.
+func (c *Cluster) send(client *http.Client, gateway *process.Process, id requestID, shard int) {
+	req, err := c.newRequest(gateway, id, shard)
+	if err != nil {
+		return
+	}
+	start := time.Now()
+	resp, err := client.Do(req)
+	var body []byte
+	if err == nil {
+		body, err = io.ReadAll(resp.Body)
+		resp.Body.Close()
+	}
+	end := time.Now()
+	interrupted := gateway.InterruptedDuring(start.Add(-interruptionSlack), end)
+	if err != nil {
+		if !interrupted && !strings.Contains(err.Error(), "refused") {
+			c.addViolation("%s: %s lost after %v: %v", id, gateway.Name, end.Sub(start), err)
+			c.updateResult(func(result *Result) { result.Lost++ })
+		}
+		return
+	}
+	c.updateResult(func(result *Result) { result.addResponse(id, resp.StatusCode, string(body)) })
+	if late := end.Sub(start) - deadlineMs*time.Millisecond; late > responseSlack && !interrupted {
+		c.addViolation("%s: responded %v late", id, late)
+	}
+}
+
+func (c *Cluster) newRequest(gateway *process.Process, id requestID, shard int) (*http.Request, error) {
+	url := fmt.Sprintf("http://%s/pull/%016x", gateway.ListenAddr, id.volume)
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	req.Header.Set("X-Correlation-Id", id.String())
+	req.Header.Set("X-Service-Class", "pull")
+	req.Header.Set("X-Plan", "basic")
+	req.Header.Set("X-Time-Left-Ms", strconv.Itoa(deadlineMs))
+	req.Header.Set("X-IO", fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", id.volume, id.units, shard, c.options.HostsPerVolume))
+	return req, nil
+}
+
+// addResponse counts the response to a request.
+func (r *Result) addResponse(id requestID, status int, body string) {
+	switch {
+	case status == http.StatusOK && strings.HasPrefix(body, id.String()+" "):
+		r.Served++
+		r.ServedUnits += float64(id.units)
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		r.Rejected++
+	case status >= http.StatusInternalServerError:
+		r.Failed++
+	default:
+		r.Violations = append(r.Violations, fmt.Sprintf("%s: got status %d: %.40q", id, status, body))
+	}
+}
--- /dev/null
+++ b/internal/testbed/cluster/traffic_test.go
@@ -0,0 +1,26 @@
+package cluster
+
+import (
+	"fmt"
+	"hash/fnv"
+	"testing"
+)
+
+// A seed gives the same requests on every machine and in every version, so that a run can be repeated.
+func TestSeedDrawsSameRequests(t *testing.T) {
+	for _, test := range []struct {
+		volume int
+		want   uint64
+	}{{0, 0xd6dabd9d67e11234}, {3, 0x63fde55f3ba5c97}} {
+		source := newRequestSource(&Options{Seed: 1, HostsPerVolume: 3, Shards: 4}, test.volume)
+		hash := fnv.New64a()
+		for range 2000 {
+			gap := source.rnd.ExpFloat64()
+			drawn := source.drawRequest(1)
+			_, _ = fmt.Fprintf(hash, "%v %d %d %d\n", gap, drawn.host, drawn.units, drawn.shard) // a hash never fails
+		}
+		if got := hash.Sum64(); got != test.want {
+			t.Errorf("requests of volume %d have hash %#x, want %#x", test.volume, got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/process/config.go
@@ -0,0 +1,108 @@
+package process
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// Names of a gateway's files in its directory.
+const (
+	configFile = "config.json"
+	edgeFile   = "edge.json"
+)
+
+// Config is the configuration file of a gateway. The JSON names are the protocol's.
+type Config struct {
+	Name      string         `json:"name"`
+	Listen    string         `json:"listen"`
+	Discovery string         `json:"discovery"`
+	Seed      string         `json:"seed"` // 16 hexadecimal digits
+	Known     EndpointList   `json:"known"`
+	Limits    Limits         `json:"limits"`
+	Settings  map[string]any `json:"settings"`
+}
+
+// Limits are the resources that a gateway may use.
+type Limits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// EndpointList is a snapshot or a delta of the endpoint list, as discovery sends it.
+type EndpointList struct {
+	Version  int        `json:"version"`
+	Snapshot bool       `json:"full"`
+	Servers  []Endpoint `json:"servers"`
+}
+
+// Endpoint is one server of an endpoint list.
+type Endpoint struct {
+	ID        string  `json:"id"`
+	Addr      string  `json:"addr"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Shard     int     `json:"cell"`
+	State     string  `json:"state"`
+	Weight    float64 `json:"weight"`
+	StartedMs float64 `json:"started_ms"` // Unix time; 0: long ago
+}
+
+// States of an endpoint, as discovery names them.
+const (
+	EndpointReady    = "Ready"
+	EndpointDraining = "Terminating"
+	EndpointRemoved  = "Gone"
+)
+
+// EdgeConfig is the operator's file of a gateway.
+type EdgeConfig struct {
+	Fleet FleetConfig `json:"fleet"`
+}
+
+// FleetConfig names the peers of a gateway in the operator's file.
+type FleetConfig struct {
+	Listen   string   `json:"listen"`
+	Self     int      `json:"self"`
+	Peers    []string `json:"peers"`
+	Key      string   `json:"key"`
+	PeriodMs int      `json:"period_ms"`
+	LeaseMs  float64  `json:"lease_ms"`
+}
+
+// WriteConfig writes the files that the process reads into a directory, which it creates, and sets Env and Args to name
+// them. A nil edge leaves the operator's file out. A process that runs reads the configuration file again on SIGHUP.
+func (p *Process) WriteConfig(dir string, config Config, edge *EdgeConfig) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return fmt.Errorf("process: %s: %w", p.Name, err)
+	}
+	configPath := filepath.Join(dir, configFile)
+	if err := writeJSON(configPath, config); err != nil {
+		return err
+	}
+	p.Env = []string{"ROUTER_CONFIG=" + configPath, "ROUTER_NAME=" + p.Name, "ROUTER_LISTEN=" + p.ListenAddr}
+	if edge == nil {
+		return nil
+	}
+	edgePath := filepath.Join(dir, edgeFile)
+	p.Args = []string{"-edge", edgePath}
+	return writeJSON(edgePath, edge)
+}
+
+// RewriteConfig writes the configuration file in a directory again and leaves everything else as WriteConfig left it.
+func RewriteConfig(dir string, config Config) error {
+	return writeJSON(filepath.Join(dir, configFile), config)
+}
+
+func writeJSON(path string, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return fmt.Errorf("process: %s: %w", path, err)
+	}
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		return fmt.Errorf("process: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/process/interval_test.go
@@ -0,0 +1,19 @@
+package process
+
+import (
+	"testing"
+	"time"
+)
+
+func TestInterruptedDuring(t *testing.T) {
+	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
+	p := &Process{interruptions: []Interval{{at(10), at(20)}, {at(30), time.Time{}}}}
+	for _, test := range []struct {
+		from, to int
+		want     bool
+	}{{1, 9, false}, {1, 11, true}, {12, 13, true}, {19, 25, true}, {21, 29, false}, {25, 31, true}, {99, 100, true}} {
+		if got := p.InterruptedDuring(at(test.from), at(test.to)); got != test.want {
+			t.Errorf("InterruptedDuring(%d s, %d s) = %v", test.from, test.to, got)
+		}
+	}
+}
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -1,175 +1,196 @@
-// Package process runs the real program as a child process, signals it, and knows when it was away.
+// Package process runs the gateway program as a child process on loopback, signals it, and records when it was
+// interrupted. It also holds what tests of several gateways share: the files that a gateway reads, the merged log of all
+// processes, and the detection of stalls of the test machine.
+//
+// A Process may be used from any goroutine, but Start, Stop and Kill of one process must not run at the same time. Each
+// start has one goroutine that copies the process's standard error to the log; it ends with the process.
 package process
 
 import (
 	"bufio"
-	"encoding/json"
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// Process is one gateway: the real program.
+// Errors of Process.Start.
+var (
+	// ErrExited reports that the process exited before it was ready.
+	ErrExited = errors.New("process: exited unexpectedly")
+	// ErrNotReady reports that the process runs and has not become ready in time.
+	ErrNotReady = errors.New("process: not ready in time")
+)
+
+const (
+	readyPollInterval = 20 * time.Millisecond
+	readyPolls        = 500
+	readyPollTimeout  = time.Second
+
+	// stopTimeout is how long a process may take to exit after SIGTERM.
+	stopTimeout = 10 * time.Second
+)
+
+// Process is one gateway process, which may be started again after it has exited. The exported fields must not change
+// while the process runs.
 type Process struct {
-	Index      int
-	Name       string
-	ListenAddr string // for clients
-	PeerAddr   string // for the others' datagrams
+	Index      int    // of the gateway in its fleet
+	Name       string // for the log
+	ListenAddr string // for clients, and for GET /ready
+	PeerAddr   string // for the datagrams of other gateways; empty without a fleet
 	Env        []string
 	Args       []string
 	Binary     string
 	Log        *Log
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd // nil until the first start
-	exited chan struct{}
-	away   []span // when requests may have ended without an answer: paused, told to end, killed
-}
-
-// span is a time; a zero end is still to come.
-type span struct{ from, to time.Time }
-
-// Log is what all processes have written, in the order in which it was read.
-type Log struct {
-	mu    sync.Mutex
-	lines []string
-	gone  int // lines dropped from the front
-	began time.Time
-}
-
-// NewLog returns an empty log whose times count from now.
-func NewLog() *Log { return &Log{began: time.Now()} }
-
-// Printf adds a line.
-func (l *Log) Printf(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.lines) > 20_000 {
-		l.lines, l.gone = l.lines[10_000:], l.gone+10_000
-	}
-	l.lines = append(l.lines, fmt.Sprintf("[%7.3f] ", time.Since(l.began).Seconds())+fmt.Sprintf(format, args...))
-}
-
-// Position is the number of the next line.
-func (l *Log) Position() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.gone + len(l.lines)
-}
-
-// LinesAround is so many lines before and behind a line.
-func (l *Log) LinesAround(at, before, behind int) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	at -= l.gone
-	from, to := max(0, at-before), min(len(l.lines), at+behind)
-	return append([]string(nil), l.lines[min(from, to):to]...)
+	mu            sync.Mutex
+	cmd           *exec.Cmd     // nil until the first start
+	exited        chan struct{} // closed when cmd has exited
+	interruptions []Interval    // in which requests may have ended without a response: stopped, terminated or killed
 }
 
-// Start starts the program and waits until it is ready.
+// Start starts the program and waits until it is ready. It returns ErrExited or ErrNotReady if that fails; in the latter
+// case the process is still running.
 func (p *Process) Start() error {
-	cmd := exec.Command(p.Binary, p.Args...)
+	cmd := exec.CommandContext(context.Background(), p.Binary, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
-	out, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
-		return err
+		return fmt.Errorf("process: %s: %w", p.Name, err)
 	}
 	if err := cmd.Start(); err != nil {
-		return err
+		return fmt.Errorf("process: %s: %w", p.Name, err)
 	}
 	exited := make(chan struct{})
 	go func() {
-		for lines := bufio.NewScanner(out); lines.Scan(); {
-			p.Log.Printf("%s: %s", p.Name, lines.Text())
-		}
-		cmd.Wait()
+		p.copyToLog(stderr)
+		_ = cmd.Wait() // every exit code counts as an exit
 		close(exited)
 	}()
 	p.mu.Lock()
 	p.cmd, p.exited = cmd, exited
 	p.mu.Unlock()
-	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for range 500 {
-		if resp, err := client.Get("http://" + p.ListenAddr + "/ready"); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				return nil
-			}
+	return p.waitReady(exited)
+}
+
+func (p *Process) copyToLog(stderr io.Reader) {
+	for lines := bufio.NewScanner(stderr); lines.Scan(); {
+		p.Log.Printf("%s: %s", p.Name, lines.Text())
+	}
+}
+
+// waitReady polls GET /ready until it answers 200.
+func (p *Process) waitReady(exited <-chan struct{}) error {
+	client := &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for range readyPolls {
+		if p.isReady(client) {
+			return nil
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("%s has ended by itself", p.Name)
-		case <-time.After(20 * time.Millisecond):
+			return fmt.Errorf("%s: %w", p.Name, ErrExited)
+		case <-time.After(readyPollInterval):
 		}
 	}
-	return errors.New(p.Name + " is not ready after 10 s")
+	return fmt.Errorf("%s: %w", p.Name, ErrNotReady)
 }
 
-// back notes that the process is there again, or that its end is over.
-func (p *Process) back() {
-	if n := len(p.away); n > 0 && p.away[n-1].to.IsZero() {
-		p.away[n-1].to = time.Now()
+func (p *Process) isReady(client *http.Client) bool {
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+p.ListenAddr+"/ready", nil)
+	if err != nil {
+		return false
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return false
 	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
 
-// Signal sends a signal to the process that runs now.
-func (p *Process) Signal(s syscall.Signal) {
+// Signal sends a signal to the running process. A signal that stops or ends the process begins an interruption; SIGCONT
+// ends it.
+func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	stays := s == syscall.SIGCONT || s == syscall.SIGHUP || s == syscall.SIGUSR1
-	if n := len(p.away); !stays && (n == 0 || !p.away[n-1].to.IsZero()) {
-		p.away = append(p.away, span{from: time.Now()})
+	if !keepsRunning(signal) && !p.interrupted() {
+		p.interruptions = append(p.interruptions, Interval{From: time.Now()})
 	}
-	p.Log.Printf("%s: (%v)", p.Name, s)
-	p.cmd.Process.Signal(s)
-	if s == syscall.SIGCONT {
-		p.back()
+	p.Log.Printf("%s: (%v)", p.Name, signal)
+	_ = p.cmd.Process.Signal(signal) // fails only if the process has exited, which Running reports
+	if signal == syscall.SIGCONT {
+		p.endInterruption()
 	}
 }
 
-// RecordStall notes that the whole machine did nothing for a time: what came of it says nothing of the process.
-func (p *Process) RecordStall(from, to time.Time) {
+func keepsRunning(signal syscall.Signal) bool {
+	return signal == syscall.SIGCONT || signal == syscall.SIGHUP || signal == syscall.SIGUSR1
+}
+
+// interrupted reports whether an interruption is open. p.mu must be held.
+func (p *Process) interrupted() bool {
+	n := len(p.interruptions)
+	return n > 0 && p.interruptions[n-1].To.IsZero()
+}
+
+// endInterruption closes the open interruption, if there is one. p.mu must be held.
+func (p *Process) endInterruption() {
+	if p.interrupted() {
+		p.interruptions[len(p.interruptions)-1].To = time.Now()
+	}
+}
+
+// RecordStall records a stall of the whole machine as an interruption, since it says nothing about the process.
+func (p *Process) RecordStall(stall Interval) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away = append([]span{{from, to}}, p.away...) // the last one may be open
+	// It goes to the front because the last interruption may be open.
+	p.interruptions = append([]Interval{stall}, p.interruptions...)
 }
 
-// ended waits for the process's end.
-func (p *Process) ended() {
-	<-p.exited
+// InterruptedDuring reports whether the process was interrupted at any time between two moments.
+func (p *Process) InterruptedDuring(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.back()
+	return AnyOverlaps(p.interruptions, from, to)
 }
 
-// Kill ends it at once.
+// Kill ends the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	p.ended()
+	p.waitExit()
 }
 
-// Stop ends it as the platform does. False: it was still there 10 s after SIGTERM, and was killed.
-func (p *Process) Stop() bool {
+// Stop ends the process with SIGTERM and waits until it has exited. It reports whether the process exited within
+// stopTimeout; one that did not is killed.
+func (p *Process) Stop() (inTime bool) {
 	p.Signal(syscall.SIGTERM)
-	inTime := true
+	inTime = true
 	select {
 	case <-p.exited:
-	case <-time.After(10 * time.Second):
+	case <-time.After(stopTimeout):
 		inTime = false
-		p.Log.Printf("%s: still there 10 s after SIGTERM", p.Name)
+		p.Log.Printf("%s: still running %v after SIGTERM", p.Name, stopTimeout)
 		p.Signal(syscall.SIGKILL)
 	}
-	p.ended()
+	p.waitExit()
 	return inTime
 }
 
-// Running tells whether it runs, and has not ended by itself.
+func (p *Process) waitExit() {
+	<-p.exited
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.endInterruption()
+}
+
+// Running reports whether the process was started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	exited := p.exited
@@ -184,43 +205,3 @@
 		return true
 	}
 }
-
-// Pid is the number of the process that runs now.
-func (p *Process) Pid() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.cmd.Process.Pid
-}
-
-// InterruptedDuring tells whether the process was away at any time between two moments.
-func (p *Process) InterruptedDuring(from, to time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, a := range p.away {
-		if a.from.Before(to) && (a.to.IsZero() || a.to.After(from)) {
-			return true
-		}
-	}
-	return false
-}
-
-// WriteConfig writes what the gateway is told into its directory.
-func (p *Process) WriteConfig(dir string, config []byte, edge map[string]any) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	at := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(at, config, 0o644); err != nil {
-		return err
-	}
-	p.Env = []string{"ROUTER_CONFIG=" + at, "ROUTER_NAME=" + p.Name, "ROUTER_LISTEN=" + p.ListenAddr}
-	if edge == nil {
-		return nil
-	}
-	text, err := json.Marshal(edge)
-	if err != nil {
-		return err
-	}
-	p.Args = []string{"-edge", filepath.Join(dir, "edge.json")}
-	return os.WriteFile(p.Args[1], text, 0o644)
-}
