--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -120,7 +120,7 @@
 	c.tracker.setProcessing(c, false)
 	for {
 		startedMs := c.tracker.clock.NowMs()
-		c.Conn.SetReadDeadline(time.Now().Add(clock.Duration(readTimeoutMs)))
+		c.SetReadDeadline(time.Now().Add(clock.Duration(readTimeoutMs)))
 		n, err := c.Conn.Read(buffer)
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
--- a/internal/frontend/gracefulclose/gracefulclose.go
+++ b/internal/frontend/gracefulclose/gracefulclose.go
@@ -25,7 +25,7 @@
 func Close(conn net.Conn) {
 	if CloseWrite(conn) {
 		conn.SetReadDeadline(time.Now().Add(TimeoutMs * time.Millisecond))
-		io.Copy(io.Discard, conn)
+		_, _ = io.Copy(io.Discard, conn) // any error ends the wait, as the client's end does
 	}
 	conn.Close()
 }
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -179,8 +179,8 @@
 	} else if !c.discarding.Swap(true) {
 		// It ends with the connection, which the timer that closeWrite has set closes at the latest.
 		go func() {
-			c.Conn.SetReadDeadline(time.Time{})
-			io.Copy(io.Discard, c.Conn)
+			c.SetReadDeadline(time.Time{})
+			_, _ = io.Copy(io.Discard, c.Conn) // any error ends the wait, as the client's end does
 			c.finishClose()
 		}()
 	}
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -101,13 +101,14 @@
 	// Each write may take as long as a usual stall of the link, not the whole response.
 	control := http.NewResponseController(w)
 	if response.IdleTimeoutMs > 0 {
-		control.SetWriteDeadline(time.Now().Add(clock.Duration(response.IdleTimeoutMs) + minTransferTime(len(body))))
+		deadline := time.Now().Add(clock.Duration(response.IdleTimeoutMs) + minTransferTime(len(body)))
+		_ = control.SetWriteDeadline(deadline) // without a deadline the response may only take longer
 	}
 	if r.Method == http.MethodGet {
 		http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
 	} else {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		out.Write(body)
+		_, _ = out.Write(body) // out keeps the error
 	}
 	if err := control.Flush(); out.err != nil || err != nil {
 		h.Loop.Cancel(request) // the response stays cached
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -119,7 +119,7 @@
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return true
 		}
-		io.WriteString(w, "ready\n")
+		_, _ = io.WriteString(w, "ready\n") // a client that has disconnected needs no response
 		return true
 	case "/fleet":
 		if h.FleetStatus != nil {
@@ -143,8 +143,9 @@
 		return
 	}
 	// The server's time to read the request ends here. Its deadline would also end the server's watch for a disconnect, and
-	// with that cancel a request that only waits for its response.
-	http.NewResponseController(w).SetReadDeadline(time.Time{})
+	// with that cancel a request that only waits for its response. The error is ignored: on a connection that is closed the
+	// request is canceled anyway, and a ResponseWriter without deadlines has none to clear.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	responses := make(chan lifecycle.Response, 1) // buffers the only response, so that the loop never waits
 	request.Respond = func(response lifecycle.Response) { responses <- response }
 	request.ClientDelayMs = h.Clock.NowMs() - arrivedMs
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -40,7 +40,7 @@
 func writeBody(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	w.Write(body)
+	_, _ = w.Write(body) // a client that has disconnected needs no response
 }
 
 // writeFailure writes the response to a request that may have been executed.
--- a/internal/frontend/requestparse/device.go
+++ b/internal/frontend/requestparse/device.go
@@ -80,13 +80,13 @@
 
 // headDigest returns the digest of a request without its body. Copies of one exchange have the same.
 func headDigest(request *lifecycle.Request, fields Fields, payload *httpmessage.Request) [sha256.Size]byte {
-	digest := sha256.New()
+	var head []byte
 	for _, part := range []string{payload.Method, payload.Path, payload.RawPath, payload.RawQuery, fields.Class, fields.Plan,
 		payload.Header.Get("Content-Type")} {
-		fmt.Fprintf(digest, "%d:%s", len(part), part)
+		head = fmt.Appendf(head, "%d:%s", len(part), part)
 	}
-	fmt.Fprintf(digest, "%x %v %d", request.Volume, request.Units, request.Shard)
-	return [sha256.Size]byte(digest.Sum(nil))
+	head = fmt.Appendf(head, "%x %v %d", request.Volume, request.Units, request.Shard)
+	return sha256.Sum256(head)
 }
 
 // serverIdempotencyKey returns the idempotency key of an exchange at servers. They recognize repeats by this key alone, and
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -40,12 +40,12 @@
 // Get returns the value of the counter with a name and, like Counter, creates it if there is none.
 func (r *Registry) Get(name string) int64 { return r.Counter(name).Load() }
 
-// WriteText writes one line "name value" for each counter. Errors of w are ignored: its readers may have gone away.
+// WriteText writes one line "name value" for each counter. Errors of w are ignored: its reader may have disconnected.
 func (r *Registry) WriteText(w io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range r.names {
-		fmt.Fprintf(w, "%s %d\n", name, r.counters[name].Load())
+		_, _ = fmt.Fprintf(w, "%s %d\n", name, r.counters[name].Load())
 	}
 }
 
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -2,33 +2,34 @@
 
 import (
 	"fmt"
-	"io"
+	"strings"
 
 	"gaugerelay/internal/outlier"
 )
 
-// WriteStatus writes the state of the service as text for operators. The format is documented in docs/operators/fleet.md.
-func (s *Service) WriteStatus(w io.Writer, nowMs float64) {
-	s.writeBounds(w)
+// WriteStatus appends the state of the service to text, in a form for operators that docs/operators/fleet.md documents.
+// It is called on the event loop's goroutine.
+func (s *Service) WriteStatus(text *strings.Builder, nowMs float64) {
+	s.writeBounds(text)
 	for i, addr := range s.options.Peers {
-		fmt.Fprintf(w, "member %d %s %s\n", i, addr, s.members.State(uint16(i)))
+		fmt.Fprintf(text, "member %d %s %s\n", i, addr, s.members.State(uint16(i)))
 	}
 	for _, ejection := range s.outliers.Ejections() {
 		if server := s.servers.listed[ejection.Server]; server != nil {
-			fmt.Fprintf(w, "verdict %s %s by %d age_ms %.0f\n",
+			fmt.Fprintf(text, "verdict %s %s by %d age_ms %.0f\n",
 				server.Name, conditionLabel(ejection.Condition), ejection.Reporters, ejection.AgeMs)
 		}
 	}
 	for _, pool := range s.quotas.Pools() {
 		lent, borrowed := s.quotas.LentAndBorrowed(pool)
-		fmt.Fprintf(w, "volume %016x held %.4f lent %.4f borrowed %.4f\n",
+		fmt.Fprintf(text, "volume %016x held %.4f lent %.4f borrowed %.4f\n",
 			pool, s.quotas.AvailableFraction(nowMs, pool), lent, borrowed)
 	}
 }
 
-func (s *Service) writeBounds(w io.Writer) {
+func (s *Service) writeBounds(text *strings.Builder) {
 	bounds := s.options.Bounds()
-	fmt.Fprintf(w, "self %d life %08x\n", s.options.Self, s.options.Incarnation)
+	fmt.Fprintf(text, "self %d life %08x\n", s.options.Self, s.options.Incarnation)
 	for _, bound := range []struct {
 		name string
 		ms   float64
@@ -39,7 +40,7 @@
 		{"word_age_ms", bounds.ReportAgeMs},
 		{"shun_ms", bounds.EjectionMs},
 	} {
-		fmt.Fprintf(w, "bound %s %.0f\n", bound.name, bound.ms)
+		fmt.Fprintf(text, "bound %s %.0f\n", bound.name, bound.ms)
 	}
 }
 
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -214,7 +214,7 @@
 		if n, err = readRetryingEINTR(int(fd), p); n > 0 {
 			c.rejectUnsolicited()
 		}
-		return err != syscall.EAGAIN
+		return !errors.Is(err, syscall.EAGAIN)
 	})
 	switch {
 	case rawErr != nil:
@@ -251,7 +251,7 @@
 	c.unusable = c.unusable || incomplete
 	c.mu.Unlock()
 	if incomplete {
-		c.Close()
+		_ = c.Close() // the attempt ends by its read, whether or not closing succeeds
 	}
 }
 
