--- a/internal/testbed/listener.go
+++ b/internal/testbed/listener.go
@@ -1,5 +1,5 @@
-// Package testbed holds helpers that tests of several packages share: loopback listeners, settings of a scheduler and
-// the gateway program. The doubles of outside systems and the fault injection are in its subdirectories.
+// Package testbed holds helpers that tests of several packages share: loopback listeners and connections, HTTP servers,
+// settings of a scheduler and the gateway program. The doubles of outside systems and the fault injection are in its subdirectories.
 //
 // Everything that a helper starts ends with the test that called it.
 package testbed
