--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -15,7 +15,7 @@
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
 // qualifiedName is package.Name or package.Type.Member as the page writes them.
-var qualifiedName = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*)(?:\.(\w+))?$`)
+var qualifiedName = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]\w*)(?:\.(\w+))?$`)
 
 // TestArchitecturePageNamesWhatExists checks that each directory, file and declaration that the page names is there.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
