--- a/internal/scheduler/polling_fleet_test.go
+++ b/internal/scheduler/polling_fleet_test.go
@@ -99,6 +99,7 @@
 // failingDiscovery answers polls one by one while it is up. Polls time out while they wait.
 type failingDiscovery struct {
 	fleet     *simulatedFleet
+	up        bool
 	cost      time.Duration // of one poll
 	idleAt    time.Duration
 	waiting   []simulatedPoll
@@ -122,7 +123,7 @@
 
 // answerPolls answers polls as far as there is time.
 func (d *failingDiscovery) answerPolls() {
-	for len(d.waiting) > 0 && d.idleAt <= d.fleet.now {
+	for d.up && len(d.waiting) > 0 && d.idleAt <= d.fleet.now {
 		d.idleAt = max(d.idleAt, d.fleet.now-outageStep) + d.cost
 		gateway := d.waiting[0].gateway
 		d.waiting, d.polling[gateway], d.watching[gateway] = d.waiting[1:], false, true
@@ -141,13 +142,11 @@
 }
 
 // run simulates a period; while discovery is up it ends early once each gateway has got a list.
-func (d *failingDiscovery) run(period time.Duration, up bool) {
+func (d *failingDiscovery) run(period time.Duration) {
 	gateways := len(d.fleet.schedulers)
-	for end := d.fleet.now + period; d.fleet.now < end && (!up || d.snapshots < gateways); d.fleet.now += outageStep {
+	for end := d.fleet.now + period; d.fleet.now < end && (!d.up || d.snapshots < gateways); d.fleet.now += outageStep {
 		d.timeOutPolls()
-		if up {
-			d.answerPolls()
-		}
+		d.answerPolls()
 		for gateway := range gateways {
 			for range actionsOf[WatchEndpoints](d.fleet.step(gateway)) {
 				d.poll(gateway)
@@ -180,18 +179,19 @@
 	} {
 		t.Run(fmt.Sprint(test.gateways, "x", test.cost, ",", test.outage), func(t *testing.T) {
 			fleet := newPollingFleet(t, test.gateways, Server{ID: 1})
-			discovery := &failingDiscovery{fleet: fleet, cost: test.cost, idleAt: fleet.now,
+			discovery := &failingDiscovery{fleet: fleet, up: true, cost: test.cost, idleAt: fleet.now,
 				polling: make([]bool, test.gateways), watching: make([]bool, test.gateways)}
-			discovery.run(15*time.Second, true)
+			discovery.run(15 * time.Second)
 			if discovery.snapshots != test.gateways {
 				t.Fatalf("%d of %d gateways got a first snapshot", discovery.snapshots, test.gateways)
 			}
 			fleet.now += time.Minute
+			discovery.up = false
 			discovery.closeWatches()
-			discovery.run(test.outage, false)
-			discovery.snapshots, discovery.idleAt = 0, fleet.now
+			discovery.run(test.outage)
+			discovery.up, discovery.snapshots, discovery.idleAt = true, 0, fleet.now
 			back := fleet.now
-			discovery.run(snapshotsWithin, true)
+			discovery.run(snapshotsWithin)
 			if discovery.snapshots != test.gateways {
 				t.Errorf("%d of %d gateways got a snapshot within %v of discovery's return", discovery.snapshots, test.gateways, snapshotsWithin)
 			}
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -5,6 +5,44 @@
 	"time"
 )
 
+func TestResponsiveness(t *testing.T) {
+	const now, threshold = time.Hour, 60 * ms
+	const overdue = unresponsiveFactor * threshold // at a latency of the threshold
+	newServer := func(sentAt time.Duration) *serverEntry {
+		server := &serverEntry{}
+		server.congestion.reset(threshold, 1)
+		server.recordSend(sentAt, &attempt{server: server, sentAt: sentAt})
+		return server
+	}
+	idle, slow, stuck, tried := &serverEntry{}, newServer(now-overdue), newServer(now-overdue-1), newServer(now-overdue-1)
+	tried.lastSendAt = now
+	answering := newServer(now - time.Minute)
+	answering.recordResponse(now - overdue)
+	for name, test := range map[string]struct {
+		server *serverEntry
+		want   responsiveness
+	}{
+		"nothing outstanding":     {idle, responsive},
+		"not overdue":             {slow, responsive},
+		"overdue":                 {stuck, trialDue},
+		"overdue after a trial":   {tried, unresponsive},
+		"has answered others":     {answering, responsive},
+		"attempt ended meanwhile": {endedAttempt(newServer(now - time.Minute)), responsive},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := test.server.responsiveness(now, threshold); got != test.want {
+				t.Errorf("%v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// endedAttempt ends the oldest attempt of a server.
+func endedAttempt(server *serverEntry) *serverEntry {
+	server.outstanding[0].ended = true
+	return server
+}
+
 func TestUnresponsiveServerGetsTrials(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK)
