--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -64,8 +64,9 @@
 	Plans    []Plan  // none: one plan with weight 1 for every request
 	Shards   int     // shards that exist; an endpoint update may name more
 
-	MeanUnits, MaxUnits            float64 // mean and largest size of a request in units; a mean of 0 counts as 1
-	FairShareWeight, SurplusWeight float64 // fraction of the priority beyond the reserve, and beyond the fair share
+	MeanUnits, MaxUnits float64 // mean and largest size of a request in units; a mean of 0 counts as 1
+	FairShareWeight     float64 // fraction of the priority that a request beyond its reserve has; not negative
+	SurplusWeight       float64 // fraction of the priority beyond the fair share; not negative, not consulted otherwise
 
 	PollEndpoints   bool          // the endpoint list is only sent in answer to WatchEndpoints
 	MaxPollInterval time.Duration // a gateway that has not polled for this long counts as notified; 0: unbounded
