--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -11,19 +11,19 @@
 
 // handleHeartbeat records that the list is complete as of a time, and reports so where the list is polled. A pushed list
 // needs no lease.
-func (w *Watcher) handleHeartbeat(s *session, receivedMs float64) {
-	if !s.confirmed(receivedMs) {
+func (w *Watcher) handleHeartbeat(session *watchSession, receivedMs float64) {
+	if !session.confirmed(receivedMs) {
 		return
 	}
 	w.markComplete(receivedMs)
-	if s.mode == modeOnDemand {
+	if session.mode == modeOnDemand {
 		w.notify(lifecycle.EndpointUpdate{Kind: scheduler.Heartbeat, CompleteAsOfMs: receivedMs})
 	}
 }
 
 // handleObject decodes an object and reports what of it applies.
-func (w *Watcher) handleObject(s *session, object []byte, receivedMs float64) error {
-	message, err := decodeMessage(&s.parser, object)
+func (w *Watcher) handleObject(session *watchSession, object []byte, receivedMs float64) error {
+	message, err := decodeMessage(&session.parser, object)
 	if err != nil {
 		w.metrics.Add(counterInvalidMessages, 1)
 		return err
@@ -40,12 +40,12 @@
 	}
 	update := acceptedUpdate(message.update, decision)
 	if decision.Snapshot || len(decision.Accepted) > 0 {
-		update.CallDurationMs = s.callDuration(w.clock.NowMs())
+		update.CallDurationMs = session.callDuration(w.clock.NowMs())
 	}
 	slog.Debug(logevent.DiscoveryUpdate, logevent.Version, update.Version,
 		"entries", len(update.Servers), "snapshot", decision.Snapshot)
 	w.NormalizeStartTimes(update)
-	if s.confirmed(receivedMs) {
+	if session.confirmed(receivedMs) {
 		update.CompleteAsOfMs = receivedMs
 		w.markComplete(receivedMs)
 	}
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -15,7 +15,7 @@
 		func(update lifecycle.EndpointUpdate) { t.Errorf("notified of %+v", update) }, nil)
 	watcher.state = stateSwitching
 	object := []byte(`{"version":43,"servers":[` + entry("Ready") + `]}`)
-	if err := watcher.handleObject(&session{}, object, 1e12); !errors.Is(err, errAddressChanged) {
+	if err := watcher.handleObject(&watchSession{}, object, 1e12); !errors.Is(err, errAddressChanged) {
 		t.Errorf("got %v, want %v", err, errAddressChanged)
 	}
 	if watcher.version != 41 {
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -55,7 +55,7 @@
 	var delay backoff
 	for ctx.Err() == nil {
 		startedMs := w.clock.NowMs()
-		err := w.watch(ctx, &session{mode: modeContinuous, onMessage: agent.recordMessage})
+		err := w.watch(ctx, &watchSession{mode: modeContinuous, onMessage: agent.recordMessage})
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -34,8 +34,8 @@
 	confirmationDelayMs = 1.25 * heartbeatIntervalMs
 )
 
-// session is one watch, from its request to its end. It belongs to the goroutine of the watch.
-type session struct {
+// watchSession is one watch, from its request to its end. It belongs to the goroutine of the watch.
+type watchSession struct {
 	mode      watchMode
 	onMessage func() // called for each object and heartbeat
 
@@ -46,13 +46,13 @@
 }
 
 // confirmed reports whether a message that is received at a time shows that no change from before it is missing.
-func (s *session) confirmed(atMs float64) bool {
+func (s *watchSession) confirmed(atMs float64) bool {
 	return s.updated || atMs-s.startedMs >= confirmationDelayMs
 }
 
 // callDuration notes that an update has applied. It returns how long the call took if this is the first one, and 0
 // otherwise.
-func (s *session) callDuration(nowMs float64) float64 {
+func (s *watchSession) callDuration(nowMs float64) float64 {
 	if s.updated {
 		return 0
 	}
@@ -61,7 +61,7 @@
 }
 
 // endUpdate returns the update that reports the end of the session by an error.
-func (s *session) endUpdate(nowMs float64, err error) lifecycle.EndpointUpdate {
+func (s *watchSession) endUpdate(nowMs float64, err error) lifecycle.EndpointUpdate {
 	switch {
 	case s.responded && errors.Is(err, errWatchIdle):
 		return lifecycle.EndpointUpdate{Kind: scheduler.WatchIdle}
@@ -72,12 +72,12 @@
 }
 
 // logEnd logs why a call failed, or why the watch that it opened has ended.
-func (w *Watcher) logEnd(s *session, err error) {
+func (w *Watcher) logEnd(session *watchSession, err error) {
 	w.mu.Lock()
 	version := w.version
 	w.mu.Unlock()
-	slog.Warn(logevent.DiscoveryCallFailed, logevent.Error, err, logevent.TookMs, w.clock.NowMs()-s.startedMs,
-		"answered", s.responded, logevent.Version, version)
+	slog.Warn(logevent.DiscoveryCallFailed, logevent.Error, err, logevent.TookMs, w.clock.NowMs()-session.startedMs,
+		"answered", session.responded, logevent.Version, version)
 }
 
 // idleTimer cancels a watch that is idle for too long. Its zero value needs a clock and a cancel function.
@@ -102,11 +102,11 @@
 
 // watch runs one session until it fails, which every session does in the end. The error is errWatchIdle if the session was
 // idle for too long.
-func (w *Watcher) watch(ctx context.Context, s *session) error {
+func (w *Watcher) watch(ctx context.Context, session *watchSession) error {
 	w.mu.Lock()
 	addr, version := w.addr, w.version
 	w.mu.Unlock()
-	s.startedMs = w.clock.NowMs()
+	session.startedMs = w.clock.NowMs()
 	slog.Debug(logevent.DiscoveryCall, logevent.Address, addr, logevent.Version, version)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -125,9 +125,9 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%w: %d", errUnexpectedStatus, response.StatusCode)
 	}
-	s.responded = true
-	slog.Info(logevent.DiscoveryAnswered, logevent.Address, addr, logevent.TookMs, w.clock.NowMs()-s.startedMs)
-	return w.receive(ctx, s, response.Body, idle)
+	session.responded = true
+	slog.Info(logevent.DiscoveryAnswered, logevent.Address, addr, logevent.TookMs, w.clock.NowMs()-session.startedMs)
+	return w.receive(ctx, session, response.Body, idle)
 }
 
 // watchRequest returns the request for all changes after a version, or for a snapshot first if the version is 0.
@@ -137,7 +137,7 @@
 }
 
 // receive handles the messages of a session until it fails.
-func (w *Watcher) receive(ctx context.Context, s *session, body io.Reader, idle *idleTimer) error {
+func (w *Watcher) receive(ctx context.Context, session *watchSession, body io.Reader, idle *idleTimer) error {
 	idle.reset(idleTimeoutMs)
 	reader := newObjectReader(body)
 	for {
@@ -146,13 +146,13 @@
 			return w.readError(ctx, err)
 		}
 		idle.reset(idleTimeoutMs)
-		s.onMessage()
+		session.onMessage()
 		receivedMs := w.received.lastEmptyMs()
 		if object == nil {
-			w.handleHeartbeat(s, receivedMs)
+			w.handleHeartbeat(session, receivedMs)
 			continue
 		}
-		if err := w.handleObject(s, object, receivedMs); err != nil {
+		if err := w.handleObject(session, object, receivedMs); err != nil {
 			return err
 		}
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -103,16 +103,16 @@
 // ends other than by SwitchAddress or its context: with WatchFailed if it never provided a list, with WatchIdle if it
 // responded and then sent nothing, with WatchClosed otherwise. When to open the next one is not decided here. notify is
 // called from the goroutine of the watch, one call at a time; it must not call SwitchAddress or AwaitPendingUpdates.
-func New(addr string, known lifecycle.EndpointUpdate, c clock.Clock, m *metrics.Registry, notify func(lifecycle.EndpointUpdate),
+func New(addr string, known lifecycle.EndpointUpdate, clk clock.Clock, counters *metrics.Registry, notify func(lifecycle.EndpointUpdate),
 	dial DialFunc) *Watcher {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: connectTimeout}).DialContext
 	}
 	w := &Watcher{
-		clock:    c,
-		metrics:  m,
+		clock:    clk,
+		metrics:  counters,
 		notify:   notify,
-		received: receiveTracker{clock: c},
+		received: receiveTracker{clock: clk},
 		addr:     addr,
 		version:  known.Version,
 		tracker:  endpoints.NewTracker(trackerUpdate(known)),
@@ -198,14 +198,14 @@
 
 // runOnce runs one watch to its end and reports how it ended, unless it was ended on purpose.
 func (w *Watcher) runOnce(ctx context.Context) {
-	s := session{mode: modeOnDemand, onMessage: func() {}}
-	err := w.watch(ctx, &s)
+	session := watchSession{mode: modeOnDemand, onMessage: func() {}}
+	err := w.watch(ctx, &session)
 	if w.setClosed(ctx) {
 		return
 	}
 	w.metrics.Add(counterWatchesFailed, 1)
-	w.logEnd(&s, err)
-	w.notify(s.endUpdate(w.clock.NowMs(), err))
+	w.logEnd(&session, err)
+	w.notify(session.endUpdate(w.clock.NowMs(), err))
 }
 
 // setClosed records that the watch of ctx has ended, and reports whether that was on purpose. While the address is switched,
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -145,17 +145,17 @@
 // reserveBuffer adds n to the bytes that are buffered, as far as the limit allows, and returns how many it added. A negative
 // n releases bytes.
 func (c *clientConn) reserveBuffer(n int) int {
-	t := c.tracker
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	tracker := c.tracker
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
 	if c.closed { // all bytes have been released
 		return 0
 	}
-	if t.MaxPipelinedBytes > 0 {
-		n = min(n, max(0, t.MaxPipelinedBytes-t.pipelinedBytes))
+	if tracker.MaxPipelinedBytes > 0 {
+		n = min(n, max(0, tracker.MaxPipelinedBytes-tracker.pipelinedBytes))
 	}
 	c.bufferedBytes += n
-	t.pipelinedBytes += n
+	tracker.pipelinedBytes += n
 	return n
 }
 
@@ -193,14 +193,14 @@
 	if c.closingElement != nil {
 		return
 	}
-	t := c.tracker
-	c.closingElement = t.closingConns.PushBack(c)
-	c.stopCloseTimer = t.Clock.AfterFunc(gracefulclose.TimeoutMs, c.finishClose)
+	tracker := c.tracker
+	c.closingElement = tracker.closingConns.PushBack(c)
+	c.stopCloseTimer = tracker.Clock.AfterFunc(gracefulclose.TimeoutMs, c.finishClose)
 	if !gracefulclose.CloseWrite(c.Conn) {
 		c.closeLocked()
 	}
-	if t.drained == nil && t.closingConns.Len() > max(1, t.MaxOpen/maxClosingDivisor) {
-		oldest(&t.closingConns).closeLocked()
+	if tracker.drained == nil && tracker.closingConns.Len() > max(1, tracker.MaxOpen/maxClosingDivisor) {
+		oldest(&tracker.closingConns).closeLocked()
 	}
 }
 
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -64,7 +64,7 @@
 
 // ConnState follows the states of connections. It is for http.Server.ConnState.
 func (t *ConnTracker) ConnState(netConn net.Conn, state http.ConnState) {
-	c, ok := netConn.(*clientConn)
+	conn, ok := netConn.(*clientConn)
 	if !ok {
 		return
 	}
@@ -73,19 +73,19 @@
 	switch state {
 	case http.StateNew:
 		t.open++
-		c.enlist(&t.newConns)
+		conn.enlist(&t.newConns)
 	case http.StateIdle:
-		c.requestActive = false
+		conn.requestActive = false
 		// A connection from which part of a further request has been read must not be shed.
-		if !c.isShed && len(c.pipelined) == 0 {
-			c.enlist(&t.idleConns)
+		if !conn.isShed && len(conn.pipelined) == 0 {
+			conn.enlist(&t.idleConns)
 		}
 	case http.StateActive:
-		c.requestActive = true
-		c.unlist()
+		conn.requestActive = true
+		conn.unlist()
 	case http.StateClosed, http.StateHijacked:
-		c.unlist()
-		if !c.isShed { // else it has been counted already
+		conn.unlist()
+		if !conn.isShed { // else it has been counted already
 			t.open--
 		}
 	}
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -43,7 +43,7 @@
 // parseRequest reads a client's request. The text of its error is sent to the client, with status 400 unless the error is a
 // malformedError. A malformed request never reaches the scheduler.
 func (h *Handler) parseRequest(r *http.Request) (*lifecycle.Request, error) {
-	if err := checkForm(r); err != nil {
+	if err := rejectAmbiguous(r); err != nil {
 		return nil, err
 	}
 	parsed := &parsedRequest{}
@@ -69,8 +69,8 @@
 	return parsed.request, nil
 }
 
-// checkForm rejects a request whose framing, method, target or headers servers might read differently.
-func checkForm(r *http.Request) error {
+// rejectAmbiguous rejects a request whose framing, method, target or headers servers might read differently.
+func rejectAmbiguous(r *http.Request) error {
 	// net/http drops a Content-Length that comes with a Transfer-Encoding, as RFC 9112 allows, so both together can't be told
 	// here from the latter alone. What another reader takes for the body may hide a request that this one would serve, so a
 	// length is required.
--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -26,8 +26,8 @@
 
 var timeLeftPlaceholder = []byte("\r\n" + timeLeftHeader + ": " + unknownTimeLeft + "\r\n")
 
-// attempt follows one attempt through the transport. The transport's goroutines and the attempt's own share it.
-type attempt struct {
+// attemptState follows one attempt through the transport. The transport's goroutines and the attempt's own share it.
+type attemptState struct {
 	lifecycle.Attempt
 	isCanceled func() bool // reports whether the attempt's context has ended
 
@@ -49,14 +49,14 @@
 // run runs one attempt to its end.
 func (c *Client) run(ctx context.Context, a lifecycle.Attempt) lifecycle.AttemptResult {
 	for {
-		t := &attempt{
+		attempt := &attemptState{
 			Attempt:    a,
 			isCanceled: func() bool { return ctx.Err() != nil },
 			bodyLeft:   len(a.Request.Payload.(*httpmessage.Request).Body),
 		}
-		result := c.roundTrip(ctx, t)
+		result := c.roundTrip(ctx, attempt)
 		// Nothing was written to a stale connection, so taking another one is not a retry.
-		if !t.connStale.Load() || result.Status == scheduler.StatusOK || t.isCanceled() {
+		if !attempt.connStale.Load() || result.Status == scheduler.StatusOK || attempt.isCanceled() {
 			return result
 		}
 		c.metrics.Add(connectionsStale, 1)
@@ -64,28 +64,28 @@
 }
 
 // roundTrip sends the request on one connection and reads its response.
-func (c *Client) roundTrip(ctx context.Context, t *attempt) lifecycle.AttemptResult {
-	response, err := c.transport.RoundTrip(newRequest(ctx, t))
+func (c *Client) roundTrip(ctx context.Context, attempt *attemptState) lifecycle.AttemptResult {
+	response, err := c.transport.RoundTrip(newRequest(ctx, attempt))
 	if err != nil {
-		if t.markStaleBeforeStart() {
-			t.connStale.Store(true)
+		if attempt.markStaleBeforeStart() {
+			attempt.connStale.Store(true)
 		}
-		return lifecycle.AttemptResult{Status: c.statusWithoutResponse(ctx, t)}
+		return lifecycle.AttemptResult{Status: c.statusWithoutResponse(ctx, attempt)}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, httpmessage.MaxBodyBytes+1))
 	if err != nil {
-		return lifecycle.AttemptResult{Status: c.statusWithoutResponse(ctx, t)}
+		return lifecycle.AttemptResult{Status: c.statusWithoutResponse(ctx, attempt)}
 	}
 	return c.readResult(response, body)
 }
 
 // newRequest builds the request of an attempt. It records the connection that the transport chooses for it.
-func newRequest(ctx context.Context, t *attempt) *http.Request {
-	payload := t.Request.Payload.(*httpmessage.Request)
+func newRequest(ctx context.Context, attempt *attemptState) *http.Request {
+	payload := attempt.Request.Payload.(*httpmessage.Request)
 	request := (&http.Request{
 		Method: payload.Method, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL: &url.URL{Scheme: "http", Host: t.Server.Addr, Path: payload.Path, RawPath: payload.RawPath,
+		URL: &url.URL{Scheme: "http", Host: attempt.Server.Addr, Path: payload.Path, RawPath: payload.RawPath,
 			RawQuery: payload.RawQuery},
 		Header: payload.Header.Clone(), Host: "api.internal",
 		// The transport resends on another connection what has no body or can rewind it (GetBody) and is a GET or
@@ -94,8 +94,8 @@
 		Body: io.NopCloser(bytes.NewReader(payload.Body)), ContentLength: int64(len(payload.Body)),
 	}).WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			t.conn = info.Conn.(*conn)
-			t.conn.attempt.Store(t)
+			attempt.conn = info.Conn.(*conn)
+			attempt.conn.attempt.Store(attempt)
 		},
 	}))
 	request.Header.Set(timeLeftHeader, unknownTimeLeft)
@@ -103,12 +103,12 @@
 }
 
 // statusWithoutResponse returns the status of an attempt that got no response it could use.
-func (c *Client) statusWithoutResponse(ctx context.Context, t *attempt) scheduler.Status {
-	written := t.requestWritten.Load()
+func (c *Client) statusWithoutResponse(ctx context.Context, attempt *attemptState) scheduler.Status {
+	written := attempt.requestWritten.Load()
 	switch cause := context.Cause(ctx); {
-	case !written && t.Request.Canceled(): // the server is not at fault
+	case !written && attempt.Request.Canceled(): // the server is not at fault
 		return scheduler.StatusCanceled
-	case !written && t.denial.IsIndependentOfServer(): // not executed, and no sign of the server's condition
+	case !written && attempt.denial.IsIndependentOfServer(): // not executed, and no sign of the server's condition
 		return scheduler.StatusNotSent
 	case !written && (cause == nil || !errors.Is(cause, context.Canceled)):
 		return scheduler.StatusConnectFailed
@@ -116,7 +116,7 @@
 		return scheduler.StatusTimedOut
 	case cause != nil:
 		return scheduler.StatusCanceled
-	case t.connBroken.Load():
+	case attempt.connBroken.Load():
 		return scheduler.StatusConnectionReset
 	}
 	// The server responds, if badly, and its other connections are as good as before: it must not be treated as one that
@@ -127,28 +127,28 @@
 
 // authorizeStart reports whether the attempt's first byte may be written now, and how many milliseconds its client still
 // waits. The transport may write a request that was canceled while it waited for its connection.
-func (t *attempt) authorizeStart() (leftMs float64, ok bool) {
-	leftMs, t.denial = t.Authorize(t.conn.client.clock)
-	return leftMs, t.denial == permission.Allowed && !t.isCanceled()
+func (a *attemptState) authorizeStart() (leftMs float64, ok bool) {
+	leftMs, a.denial = a.Authorize(a.conn.client.clock)
+	return leftMs, a.denial == permission.Allowed && !a.isCanceled()
 }
 
 // isOver reports whether the attempt must not start any more.
-func (t *attempt) isOver() bool {
-	return t.isCanceled() || t.Expired(t.conn.client.clock.NowMs())
+func (a *attemptState) isOver() bool {
+	return a.isCanceled() || a.Expired(a.conn.client.clock.NowMs())
 }
 
 // markStaleBeforeStart reports whether a reused connection failed before any byte of the attempt was handed to it, and makes
 // sure that none is from now on. The transport drops a connection whose end it reads before it writes a waiting request.
-func (t *attempt) markStaleBeforeStart() bool {
-	if t.conn == nil || t.isOver() {
+func (a *attemptState) markStaleBeforeStart() bool {
+	if a.conn == nil || a.isOver() {
 		return false
 	}
-	t.conn.mu.Lock()
-	defer t.conn.mu.Unlock()
-	if t.started || !t.conn.used {
+	a.conn.mu.Lock()
+	defer a.conn.mu.Unlock()
+	if a.started || !a.conn.used {
 		return false
 	}
-	t.conn.unusable = true
+	a.conn.unusable = true
 	return true
 }
 
@@ -156,9 +156,9 @@
 // respond or close the connection before the write returns. httptrace's WroteRequest comes too late for this: the transport
 // copies a body that follows its head to the connection directly, so the server may have executed the request before that
 // hook is called.
-func (t *attempt) countBodyBytes(bytes int) {
-	if t.bodyLeft -= bytes; t.bodyLeft <= 0 {
-		t.requestWritten.Store(true)
+func (a *attemptState) countBodyBytes(bytes int) {
+	if a.bodyLeft -= bytes; a.bodyLeft <= 0 {
+		a.requestWritten.Store(true)
 	}
 }
 
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -31,7 +31,7 @@
 type conn struct {
 	net.Conn
 	client  *Client
-	attempt atomic.Pointer[attempt] // nil for a probe
+	attempt atomic.Pointer[attemptState] // nil for a probe
 	closed  atomic.Bool
 
 	mu             sync.Mutex
@@ -46,19 +46,19 @@
 // its first byte. It holds three rules: an attempt that waited for its connection starts only if it is still authorized, an
 // attempt whose last byte was not written has not executed, and no request is written where unsolicited data has arrived.
 func (c *conn) Write(p []byte) (int, error) {
-	t := c.attempt.Load()
-	if t == nil {
+	attempt := c.attempt.Load()
+	if attempt == nil {
 		return c.writeProbe(p)
 	}
-	if t.headWritten {
-		return c.writeRequest(t, p, len(p))
+	if attempt.headWritten {
+		return c.writeRequest(attempt, p, len(p))
 	}
-	t.head = append(t.head, p...)
-	end := bytes.Index(t.head, headEnd)
+	attempt.head = append(attempt.head, p...)
+	end := bytes.Index(attempt.head, headEnd)
 	if end < 0 {
 		return len(p), nil
 	}
-	if err := c.writeHead(t, end+len(headEnd)); err != nil {
+	if err := c.writeHead(attempt, end+len(headEnd)); err != nil {
 		return 0, err
 	}
 	return len(p), nil
@@ -74,55 +74,55 @@
 }
 
 // writeHead starts an attempt: it writes the head, of headLen bytes, and what is buffered of the body.
-func (c *conn) writeHead(t *attempt, headLen int) error {
+func (c *conn) writeHead(attempt *attemptState, headLen int) error {
 	c.waitReuseDelay()
-	leftMs, ok := t.authorizeStart()
+	leftMs, ok := attempt.authorizeStart()
 	if !ok {
 		return errAttemptOver
 	}
-	t.headWritten = true
-	out := append(insertTimeLeft(t.head[:headLen], leftMs), t.head[headLen:]...)
-	if _, err := c.writeRequest(t, out, len(t.head)-headLen); err != nil {
+	attempt.headWritten = true
+	out := append(insertTimeLeft(attempt.head[:headLen], leftMs), attempt.head[headLen:]...)
+	if _, err := c.writeRequest(attempt, out, len(attempt.head)-headLen); err != nil {
 		return err
 	}
-	if rule := t.CheckSent(c.client.clock.NowMs(), leftMs); rule != "" {
+	if rule := attempt.CheckSent(c.client.clock.NowMs(), leftMs); rule != "" {
 		c.client.metrics.Add(ruleViolationsPrefix+rule, 1)
 	}
 	return nil
 }
 
 // writeRequest writes bytes of an attempt, of which the last bodyBytes belong to its body.
-func (c *conn) writeRequest(t *attempt, p []byte, bodyBytes int) (int, error) {
-	if err := c.startRequest(t); err != nil {
+func (c *conn) writeRequest(attempt *attemptState, p []byte, bodyBytes int) (int, error) {
+	if err := c.startRequest(attempt); err != nil {
 		return 0, err
 	}
-	t.countBodyBytes(bodyBytes)
+	attempt.countBodyBytes(bodyBytes)
 	n, err := c.Conn.Write(p)
 	if n < len(p) {
-		t.requestWritten.Store(false)
+		attempt.requestWritten.Store(false)
 	}
 	return n, err
 }
 
 // startRequest records that bytes of a request are about to be written, or returns errConnStale if the connection can't be
 // used for it any more. t is nil for a probe.
-func (c *conn) startRequest(t *attempt) error {
+func (c *conn) startRequest(attempt *attemptState) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// A server may respond before it has all of the request. The rest of the request starts nothing new.
-	continues := t != nil && t.started && !t.requestWritten.Load()
+	continues := attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	if c.response == nil && !continues {
 		if c.unusable || c.used && c.hasUnreadInput() {
 			c.unusable = true
-			if t != nil {
-				t.connStale.Store(true)
+			if attempt != nil {
+				attempt.connStale.Store(true)
 			}
 			return errConnStale
 		}
 		c.used, c.response = true, &responseFraming{}
 	}
-	if t != nil {
-		t.started = true
+	if attempt != nil {
+		attempt.started = true
 	}
 	return nil
 }
@@ -154,9 +154,9 @@
 	n, err := c.readAndCheck(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.attempt.Load()
-	if err != nil && t != nil && !c.unusable {
-		t.connBroken.Store(true)
+	attempt := c.attempt.Load()
+	if err != nil && attempt != nil && !c.unusable {
+		attempt.connBroken.Store(true)
 	}
 	if n > 0 {
 		c.rejectUnsolicited()
@@ -167,7 +167,7 @@
 	if n == 0 {
 		return 0, err
 	}
-	n, invalid := c.consumeResponse(t, p[:n])
+	n, invalid := c.consumeResponse(attempt, p[:n])
 	if invalid != nil {
 		return 0, invalid
 	}
@@ -175,7 +175,7 @@
 }
 
 // consumeResponse returns how many of the bytes read belong to the response that is awaited. c.mu is held.
-func (c *conn) consumeResponse(t *attempt, p []byte) (int, error) {
+func (c *conn) consumeResponse(attempt *attemptState, p []byte) (int, error) {
 	n, complete, err := c.response.feed(p)
 	switch {
 	case err != nil:
@@ -189,7 +189,7 @@
 			c.unusable = true
 		}
 		// A request that was answered before it was written whole may be answered once more, so nothing may follow it.
-		c.unusable = c.unusable || t != nil && t.started && !t.requestWritten.Load()
+		c.unusable = c.unusable || attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	case c.stopTimeout == nil:
 		awaited := c.response
 		c.stopTimeout = c.client.clock.AfterFunc(responseTimeoutMs, func() { c.timeOutResponse(awaited) })
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -136,8 +136,8 @@
 		t.Fatal(err)
 	}
 	c := netConn.(*conn)
-	startAttempt := func(body int) *attempt {
-		a := &attempt{Attempt: lifecycle.Attempt{Request: putRequest(), Server: &lifecycle.Server{}, DeadlineMs: 1e14},
+	startAttempt := func(body int) *attemptState {
+		a := &attemptState{Attempt: lifecycle.Attempt{Request: putRequest(), Server: &lifecycle.Server{}, DeadlineMs: 1e14},
 			isCanceled: func() bool { return t.Context().Err() != nil }, bodyLeft: body, conn: c}
 		c.attempt.Store(a)
 		return a
