--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -1,194 +1,217 @@
-// Package device is a stand-in for devices on poor links, as real ones behave: they give up on a silent connection,
-// reconnect and send again, unchanged or changed, over two connections at once, or come back after their answer.
+// Package fakedevice is a fake of devices on poor links. Like real ones they give up a silent connection, reconnect and send
+// a copy of the request again, unchanged or changed, over two connections at once, or after its response.
+//
+// The package owns the devices' side of an exchange over CoAP, HTTP and SFTP. A [Device] works on one exchange after the other
+// on its caller's goroutine; a second goroutine runs only while a copy is sent over two connections, and is waited for. What
+// it receives goes to an invariants.Checker. Behavior depends on Rand and on what is received.
 package fakedevice
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"time"
 
 	"gaugerelay/internal/testbed/fakestorage"
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// Exchange is one exchange of a device.
+const (
+	// gatewayResponseTime is the time that a gateway may take for a response which it gives at the last moment.
+	gatewayResponseTime = 150 * time.Millisecond
+	// minTimeLeft is the time before the deadline below which a device sends no further copy.
+	minTimeLeft = 5 * time.Millisecond
+	// defaultRetryDelay is the delay after a rejection that names none.
+	defaultRetryDelay = 100 * time.Millisecond
+	// maxLateResendDelay is the longest delay of a copy that is sent after the exchange has ended.
+	maxLateResendDelay = 2 * time.Second
+)
+
+// Exchange is a request of a device.
 type Exchange struct {
-	Object   string // 16 hex digits
-	Key      string
+	Object   string // 16 hexadecimal digits
+	Key      string // idempotency key
 	Write    bool
 	Class    string
-	Body     []byte
-	Size     int // of a read's answer
-	Shard    int // -1: any
+	Body     []byte // of a write
+	Size     int    // of a read's response, in bytes
+	Shard    int    // -1: any
 	Deadline time.Time
 }
 
-// copied is one copy of a job on its way.
-type copied struct {
+// requestCopy is one copy of a request.
+type requestCopy struct {
 	Exchange
-	n      int
-	left   time.Duration
-	repeat bool      // a copy before was sent to its last byte
-	began  time.Time // of the first
-	sentTo string    // the gateway when the first was sent, as far as heard
-	have   []byte    // of the answer, from an earlier copy
-	etag   string
+	number       int // from 1
+	timeLeft     time.Duration
+	isRetry      bool      // an earlier copy was sent completely
+	firstSentAt  time.Time // when the first copy was sent
+	firstGateway string    // the gateway that the first copy was sent to, as far as it has named itself
+	partial      []byte    // of the response, from an earlier copy
+	etag         string    // of partial
 }
 
-// result is what a copy came to.
-type result struct {
-	outcome invariants.Outcome
-	content string
-	after   time.Duration // of a refusal: when to come back
-	sent    bool          // to its last byte
-	sentAt  time.Time     // when that was
-	heard   bool          // something came back
-	note    string        // the answer's code
-	have    []byte        // of an answer that broke off
-	etag    string
-	bytes   int // sent
-}
-
-// ErrLost is the end of a connection without an answer.
-var ErrLost = errors.New("no answer")
-
-// Transport sends copies over one protocol.
-type Transport interface {
-	// send sends a copy over the connection that it has or a new one, and waits for the answer until ctx ends. An
-	// error is a connection lost or given up.
-	send(ctx context.Context, c *copied) (result, error)
-	// Close closes its connection.
-	Close()
-	// Link is the link under its connection; nil: it has none.
-	Link() Link
-}
-
-// Link is what a device's wire runs over.
-type Link interface {
-	// FaultySince tells whether it misbehaved since a time.
-	FaultySince(since time.Time) bool
-	// TransferTime is what a message of so many bytes and a short answer take otherwise.
-	TransferTime(bytes int) time.Duration
-}
-
-// Dialer connects to the gateway over a link.
-type Dialer func(ctx context.Context) (net.Conn, Link, error)
-
-// answerTime is what a gateway may take at its end for an answer that it gives at the last moment.
-const answerTime = 150 * time.Millisecond
-
-// Device works on jobs, one after the other.
+// Device works on exchanges, one after the other.
 type Device struct {
 	Name            string
 	Transport       Transport
 	SecondTransport Transport // for two connections at once; nil: none
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
-	ResponseTimeout time.Duration // before it gives a silent connection up
-	QuirkRate       float64       // part of its jobs in which it behaves oddly
+	ResponseTimeout time.Duration // after which the device gives up a silent connection
+	QuirkRate       float64       // share of its exchanges in which it behaves unusually
 }
 
-// Do works on a job until its deadline.
-func (d *Device) Do(j Exchange) {
-	began := time.Now()
-	odd := ""
-	if d.Rand.Float64() < d.QuirkRate {
-		odd = []string{"again", "changed", "twin", "leaves", "again late"}[d.Rand.IntN(5)]
+// quirk is an unusual behavior of a device in one exchange.
+type quirk uint8
+
+const (
+	noQuirk    quirk = iota
+	resend           // sends another copy after the response
+	changeBody       // sends another body under the same key, once
+	sendTwice        // sends a copy over each of two connections at once
+	leave            // disconnects after the first copy and does not return
+	resendLate       // disconnects after the exchange and sends another copy later
+)
+
+// quirkCount is the number of quirks.
+const quirkCount = int(resendLate)
+
+var quirkNames = [...]string{noQuirk: "none", resend: "resend", changeBody: "change body", sendTwice: "send twice", leave: "leave",
+	resendLate: "resend late"}
+
+// String returns the quirk in lower case.
+func (q quirk) String() string { return quirkNames[q] }
+
+// drawQuirk draws the behavior in the next exchange.
+func (d *Device) drawQuirk() quirk {
+	if d.Rand.Float64() >= d.QuirkRate {
+		return noQuirk
 	}
-	c := &copied{Exchange: j, began: began}
-	final := false
-	for !final {
-		c.left = time.Until(j.Deadline)
-		if c.left < 5*time.Millisecond {
+	return quirk(1 + d.Rand.IntN(quirkCount))
+}
+
+// Do works on an exchange until its deadline.
+func (d *Device) Do(e Exchange) {
+	c := &requestCopy{Exchange: e, firstSentAt: time.Now()}
+	behavior := d.drawQuirk()
+	responded := false
+	for !responded {
+		c.timeLeft = time.Until(e.Deadline)
+		if c.timeLeft < minTimeLeft {
 			break
 		}
-		c.n++
-		if odd == "twin" && d.SecondTransport != nil {
-			odd = ""
-			twin := *c
-			over := make(chan bool)
-			c.n++
-			rnd := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // each goroutine its own
-			go func() {
-				d.try(d.SecondTransport, &twin, rnd)
-				over <- true
-			}()
-			final = d.try(d.Transport, c, d.Rand)
-			<-over
-			c.repeat = true
+		c.number++
+		if behavior == sendTwice && d.SecondTransport != nil {
+			behavior = noQuirk
+			responded = d.sendOverBoth(c)
 			continue
 		}
-		if odd == "changed" && c.n > 1 && j.Write { // its program made another body under the same key
-			odd = ""
-			other := *c
-			other.Body = append([]byte("another "), c.Body...)
-			d.try(d.Transport, &other, d.Rand)
+		if behavior == changeBody && c.number > 1 && e.Write {
+			behavior = noQuirk
+			d.sendChanged(*c)
 			continue
 		}
-		final = d.try(d.Transport, c, d.Rand)
-		if !final && odd == "leaves" {
+		responded = d.send(d.Transport, c, d.Rand)
+		if !responded && behavior == leave {
 			d.Transport.Close()
-			time.Sleep(time.Until(j.Deadline))
+			time.Sleep(time.Until(e.Deadline))
 			break
 		}
 	}
-	if odd == "again" && final || odd == "again late" {
-		if odd == "again late" {
-			d.Transport.Close()
-			time.Sleep(time.Duration(d.Rand.Float64() * float64(2*time.Second)))
-		}
-		c.n++
-		c.left, c.repeat, c.have = 2*time.Second, true, nil
-		d.try(d.Transport, c, d.Rand)
+	if behavior == resend && responded || behavior == resendLate {
+		d.sendAfterEnd(c, behavior)
+	}
+}
+
+// sendOverBoth sends a copy over each of two connections at once. It reports whether the first has brought a response.
+func (d *Device) sendOverBoth(c *requestCopy) (responded bool) {
+	second := *c
+	c.number++
+	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // A rand.Rand must not be shared by goroutines.
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		d.send(d.SecondTransport, &second, random)
+	}()
+	responded = d.send(d.Transport, c, d.Rand)
+	<-done
+	c.isRetry = true
+	return responded
+}
+
+// sendChanged sends another body under the key of the exchange.
+func (d *Device) sendChanged(c requestCopy) {
+	c.Body = append([]byte("another "), c.Body...)
+	d.send(d.Transport, &c, d.Rand)
+}
+
+// sendAfterEnd sends another copy after the exchange has ended.
+func (d *Device) sendAfterEnd(c *requestCopy, behavior quirk) {
+	if behavior == resendLate {
+		d.Transport.Close()
+		time.Sleep(time.Duration(d.Rand.Float64() * float64(maxLateResendDelay)))
 	}
+	c.number++
+	c.timeLeft, c.isRetry, c.partial = 2*time.Second, true, nil
+	d.send(d.Transport, c, d.Rand)
 }
 
-// try sends one copy; it tells whether the device has its answer.
-func (d *Device) try(w Transport, c *copied, rnd *rand.Rand) bool {
-	wait := min(c.left, d.ResponseTimeout)
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+// send sends one copy and records what it receives. It reports whether the device need not send another copy: a conflict is
+// not a response to the exchange, but it is one to the copy.
+func (d *Device) send(t Transport, c *requestCopy, random *rand.Rand) (responded bool) {
+	timeout := min(c.timeLeft, d.ResponseTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	began := time.Now()
-	res, err := w.send(ctx, c)
-	d.Checker.RecordBytesSent(c.Object, res.bytes)
-	c.repeat = c.repeat || res.sent
+	startedAt := time.Now()
+	res, err := t.send(ctx, c)
+	d.Checker.RecordBytesSent(c.Object, res.bytesSent)
+	c.isRetry = c.isRetry || res.sentCompletely
 	if err != nil {
-		if res.have != nil {
-			c.have, c.etag = res.have, res.etag
+		if res.partial != nil {
+			c.partial, c.etag = res.partial, res.etag
 		}
-		// Whoever waited to the end, and had sent so early that an answer could be back by then, must have one. A
-		// gateway that has not met the link yet learns what it takes by a round trip: that must fit as well.
-		if l := w.Link(); ctx.Err() != nil && wait == c.left && res.sent && !res.heard && l != nil &&
-			began.Add(wait).Sub(res.sentAt) > 2*l.TransferTime(res.bytes)+answerTime && !l.FaultySince(began.Add(-time.Second)) {
-			d.Checker.RecordMissingResponse(c.Object, fmt.Sprintf("copy %d: %d bytes sent %d ms before the end of %d ms, of which the link needs %d", c.n,
-				res.bytes, began.Add(wait).Sub(res.sentAt).Milliseconds(), wait.Milliseconds(), l.TransferTime(res.bytes).Milliseconds()))
+		if ctx.Err() != nil && timeout == c.timeLeft {
+			d.checkMissingResponse(t.Link(), c, res, startedAt)
 		}
-		w.Close()
-		sleep(min(time.Duration(20+rnd.IntN(200))*time.Millisecond, time.Until(c.Deadline)))
+		t.Close()
+		sleep(min(time.Duration(20+random.IntN(200))*time.Millisecond, time.Until(c.Deadline)))
 		return false
 	}
-	d.Checker.RecordResponse(c.Object, c.n, res.outcome, res.content, res.note)
-	switch res.outcome {
-	case invariants.Served, invariants.Failed, invariants.Conflict: // a conflict is no answer to the exchange, but to the copy
+	d.Checker.RecordResponse(c.Object, c.number, res.outcome, res.content, res.note)
+	if res.outcome != invariants.Rejected {
 		return true
-	case invariants.Rejected:
-		c.repeat, c.began, c.sentTo = false, time.Now(), "" // nothing of it was done: the next copy is a first one
-		if res.after <= 0 {
-			res.after = 100 * time.Millisecond
-		}
-		sleep(min(res.after, time.Until(c.Deadline)))
 	}
+	c.isRetry, c.firstSentAt, c.firstGateway = false, time.Now(), "" // Nothing was done: the next copy is a first one.
+	if res.retryAfter <= 0 {
+		res.retryAfter = defaultRetryDelay
+	}
+	sleep(min(res.retryAfter, time.Until(c.Deadline)))
 	return false
 }
 
+// checkMissingResponse records a missing response if a device that waited until the deadline has sent the copy so early, over
+// a link without faults, that the response could have arrived. A gateway that does not know the link yet measures it by a
+// round trip, which must have been possible as well.
+func (d *Device) checkMissingResponse(link Link, c *requestCopy, res result, startedAt time.Time) {
+	if !res.sentCompletely || res.responseStarted || link == nil {
+		return
+	}
+	transferTime := link.TransferTime(res.bytesSent)
+	remaining := startedAt.Add(c.timeLeft).Sub(res.sentAt)
+	if remaining <= 2*transferTime+gatewayResponseTime || link.FaultySince(startedAt.Add(-time.Second)) {
+		return
+	}
+	d.Checker.RecordMissingResponse(c.Object, fmt.Sprintf("copy %d: %d bytes sent %d ms before the end of %d ms, of which the link needs %d",
+		c.number, res.bytesSent, remaining.Milliseconds(), c.timeLeft.Milliseconds(), transferTime.Milliseconds()))
+}
+
+// sleep sleeps for d if it is positive.
 func sleep(d time.Duration) {
 	if d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// content names an answer's bytes.
-func content(b []byte) string { return fakestorage.Digest(b) }
+// digest returns a short name of a response's body.
+func digest(body []byte) string { return fakestorage.Digest(body) }
