--- /dev/null
+++ b/internal/testbed/fakefileserver/server.go
@@ -0,0 +1,133 @@
+// Package fakefileserver is a fake of the file port of storage servers, which speaks SFTP over any listener.
+//
+// The package owns the files, which live in memory, and a log of all commands. A [Server] handles each connection on a
+// goroutine of its own, which ends with the connection.
+package fakefileserver
+
+import (
+	"net"
+	"sync"
+	"testing"
+
+	"github.com/pkg/sftp"
+
+	"gaugerelay/internal/sftpwire"
+	"gaugerelay/internal/testbed"
+)
+
+// Op is the kind of a command.
+type Op string
+
+// The commands that the server executes.
+const (
+	OpOpen  Op = "open"
+	OpRead  Op = "read"
+	OpWrite Op = "write"
+	OpStat  Op = "stat"
+)
+
+// Command is a command that the server has received.
+type Command struct {
+	Op           Op
+	Path         string
+	Flags        uint32 // of an open
+	UploadKey    string // of an open or a write; empty if the client gave none
+	Bytes        int    // of a read or a write
+	Data         []byte // of a write
+	Deduplicated bool   // of a write: it was dropped because its upload key had been seen; set for AfterEffect only
+}
+
+// Server keeps files in memory. It drops a WRITE whose upload key it has seen. Its methods are safe for concurrent use; its
+// exported fields must not change while it has connections.
+type Server struct {
+	// Addr is the address of a server that New has started.
+	Addr string
+	// BeforeEffect, if set, is called before each command takes effect; an error becomes the response.
+	BeforeEffect func(Command) error
+	// AfterEffect, if set, is called after a command has taken effect; an error becomes the response.
+	AfterEffect func(Command) error
+
+	mu         sync.Mutex // guards the fields below
+	files      map[string][]byte
+	uploadKeys map[string]bool
+	commands   []Command
+}
+
+// New starts a file server on a loopback port that closes with the test.
+func New(t testing.TB) *Server {
+	t.Helper()
+	s := NewUnstarted()
+	s.Addr = testbed.Serve(t, s.handle)
+	return s
+}
+
+// NewUnstarted returns a file server for the listeners that Serve is given. Several listeners share its files, like the
+// servers of one shard.
+func NewUnstarted() *Server {
+	return &Server{files: map[string][]byte{}, uploadKeys: map[string]bool{}}
+}
+
+// handle serves a connection until it ends.
+func (s *Server) handle(conn net.Conn) {
+	server := sftp.NewRequestServer(conn, sftp.Handlers{FileGet: s, FilePut: s, FileCmd: s, FileList: s},
+		sftp.WithRSMaxTxPacket(sftpwire.MaxData))
+	_ = server.Serve() // Tests break connections on purpose.
+}
+
+// Serve serves a listener until it is closed, and then closes its connections.
+func (s *Server) Serve(listener net.Listener) {
+	var conns []net.Conn
+	defer func() {
+		for _, conn := range conns {
+			conn.Close()
+		}
+	}()
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		conns = append(conns, conn)
+		go s.handle(conn)
+	}
+}
+
+// Put sets the content of a file.
+func (s *Server) Put(path string, data []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.files[path] = append([]byte(nil), data...)
+}
+
+// File returns the content of a file, nil if there is none.
+func (s *Server) File(path string) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]byte(nil), s.files[path]...)
+}
+
+// Commands returns all commands that were received so far.
+func (s *Server) Commands() []Command {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]Command(nil), s.commands...)
+}
+
+// execute logs a command and lets it take effect. effect is called with s.mu held and may change the command.
+func (s *Server) execute(c *Command, effect func() error) error {
+	s.mu.Lock()
+	s.commands = append(s.commands, *c)
+	s.mu.Unlock()
+	if s.BeforeEffect != nil {
+		if err := s.BeforeEffect(*c); err != nil {
+			return err
+		}
+	}
+	s.mu.Lock()
+	err := effect()
+	s.mu.Unlock()
+	if err == nil && s.AfterEffect != nil {
+		err = s.AfterEffect(*c)
+	}
+	return err
+}
