--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -29,7 +29,7 @@
 	counterInvalidEntries  = "discovery_bad_entries"
 	counterInvalidMessages = "discovery_bad_messages"
 	counterStaleEntries    = "discovery_stale_entries"
-	counterAttemptsDelayed = "attempts_held_for_news"
+	counterAttemptsDelayed = "attempts_delayed_by_endpoint_update"
 )
 
 // DialFunc connects to an address, like net.Dialer.DialContext.
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -111,7 +111,7 @@
 	discovery.drain <- true
 	<-discovery.drained
 	connected <- true
-	for g.Metrics.Get("attempts_held_for_news") == 0 && len(serverRequests) == 0 && len(response) == 0 {
+	for g.Metrics.Get("attempts_delayed_by_endpoint_update") == 0 && len(serverRequests) == 0 && len(response) == 0 {
 		g.loop.Sync() // an attempt that does not wait for the update reaches the server
 	}
 	watchGate.Unlock()
--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -29,8 +29,8 @@
 // ReasonCount is the number of reasons.
 const ReasonCount = int(ReasonEndpointsExpired) + 1
 
-// reasonNames are the reasons' names in logs and counters, which operators' dashboards rely on.
-var reasonNames = [ReasonCount]string{"unusable", "no_server", "aim_missed", "time_up", "no_further_try", "list_expired"}
+// reasonNames are the reasons' names in logs and counters.
+var reasonNames = [ReasonCount]string{"invalid_request", "no_server", "objective_missed", "deadline_exceeded", "retry_not_allowed", "endpoint_lease_expired"}
 
 // String returns the reason's name in logs and counters, or "unknown".
 func (r Reason) String() string {
