--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -5,8 +5,6 @@
 	"context"
 	"fmt"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -19,29 +17,6 @@
 	"gaugerelay/internal/testbed"
 )
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-// quoteLines writes each line of wire bytes as one quoted string, its line end included.
-func quoteLines(wire []byte) string {
-	var out strings.Builder
-	for _, line := range bytes.SplitAfter(wire, []byte("\n")) {
-		if len(line) > 0 {
-			fmt.Fprintf(&out, "%q\n", line)
-		}
-	}
-	return out.String()
-}
-
 // readHeader reads the bytes of a request without a body.
 func readHeader(conn net.Conn) []byte {
 	var header []byte
@@ -90,7 +65,7 @@
 				}
 			}
 			wire = bytes.ReplaceAll(wire, []byte(addr), []byte("ADDRESS"))
-			compareGolden(t, "calls-"+name, quoteLines(wire))
+			testbed.CompareGolden(t, "calls-"+name, testbed.QuoteLines(wire))
 		})
 	}
 }
@@ -105,7 +80,7 @@
 	watcher.SwitchAddress(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 	<-updates
-	compareGolden(t, "calls-after-move", quoteLines(wire))
+	testbed.CompareGolden(t, "calls-after-move", testbed.QuoteLines(wire))
 }
 
 // describeUpdate returns the values of an update as text, one server a line.
@@ -136,7 +111,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			update, invalidEntries := Decode(fastjson.MustParse(text))
-			compareGolden(t, "decode-"+name, describeUpdate(update, invalidEntries))
+			testbed.CompareGolden(t, "decode-"+name, describeUpdate(update, invalidEntries))
 		})
 	}
 }
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -1,14 +1,10 @@
 package httpserver
 
 import (
-	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -27,29 +23,6 @@
 
 var dateHeader = regexp.MustCompile(`(?m)^Date: .*GMT`)
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-// quoteLines writes each line of wire bytes as one quoted string, its line end included.
-func quoteLines(wire []byte) string {
-	var out strings.Builder
-	for _, line := range bytes.SplitAfter(wire, []byte("\n")) {
-		if len(line) > 0 {
-			fmt.Fprintf(&out, "%q\n", line)
-		}
-	}
-	return out.String()
-}
-
 // exchangeRaw writes a request to a server of the handler and returns all bytes of its response.
 func exchangeRaw(t *testing.T, h *Handler, request string) []byte {
 	t.Helper()
@@ -89,7 +62,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(respondWith(test.response))
-			compareGolden(t, "answer-"+name, quoteLines(exchangeRaw(t, h.Handler, test.request)))
+			testbed.CompareGolden(t, "answer-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, test.request)))
 		})
 	}
 }
@@ -114,7 +87,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newDeviceHandler(respondWith(test.response))
 			h.GatewayID = "gateway-1"
-			compareGolden(t, "device-"+name, quoteLines(exchangeRaw(t, h.Handler, test.request)))
+			testbed.CompareGolden(t, "device-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, test.request)))
 		})
 	}
 }
@@ -138,7 +111,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(respondWith(lifecycle.Response{}))
 			request := strings.Replace(goldenWrite, test.old, test.new, 1)
-			compareGolden(t, "malformed-"+name, quoteLines(exchangeRaw(t, h.Handler, request)))
+			testbed.CompareGolden(t, "malformed-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, request)))
 		})
 	}
 }
@@ -158,7 +131,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(nil)
 			test.change(h)
-			compareGolden(t, "operator-"+name, quoteLines(exchangeRaw(t, h.Handler, "GET "+test.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
+			testbed.CompareGolden(t, "operator-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, "GET "+test.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
 		})
 	}
 }
@@ -166,5 +139,5 @@
 func TestGoldenFullInbox(t *testing.T) {
 	h := newTestHandler(nil)
 	h.loop.full = true
-	compareGolden(t, "answer-full-inbox", quoteLines(exchangeRaw(t, h.Handler, goldenWrite)))
+	testbed.CompareGolden(t, "answer-full-inbox", testbed.QuoteLines(exchangeRaw(t, h.Handler, goldenWrite)))
 }
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -4,8 +4,6 @@
 import (
 	"encoding/hex"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strconv"
 	"strings"
@@ -16,21 +14,9 @@
 	"gaugerelay/internal/peer/datagram"
 	"gaugerelay/internal/peerlatency"
 	"gaugerelay/internal/quota"
+	"gaugerelay/internal/testbed"
 )
 
-// compareGolden fails the test unless got equals testdata/golden/name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // formatPlain formats a value like the verb %v, but without String methods: golden files hold enum values as numbers.
 func formatPlain(v reflect.Value) string {
 	var elements []string
@@ -142,7 +128,7 @@
 }
 
 func TestGoldenDatagrams(t *testing.T) {
-	for _, file := range []struct{ name, key string }{{"without-key.txt", ""}, {"with-key.txt", testKey}} {
+	for _, file := range []struct{ name, key string }{{"without-key", ""}, {"with-key", testKey}} {
 		t.Run(file.name, func(t *testing.T) {
 			codec := datagram.NewCodec([]byte(file.key))
 			var out strings.Builder
@@ -158,7 +144,7 @@
 					requireSame(t, c.name, codec, c.packet, encoded)
 				}
 			}
-			compareGolden(t, file.name, out.String())
+			testbed.CompareGolden(t, file.name, out.String())
 		})
 	}
 }
@@ -213,5 +199,5 @@
 		decoded, err := c.codec.Decode(c.datagram)
 		fmt.Fprintf(&out, "%s: %s %v\n", c.name, formatPlain(reflect.ValueOf(decoded)), err)
 	}
-	compareGolden(t, "refused.txt", out.String())
+	testbed.CompareGolden(t, "refused", out.String())
 }
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -3,13 +3,9 @@
 import (
 	"bufio"
 	"bytes"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 
 	"gaugerelay/internal/httpmessage"
@@ -17,29 +13,6 @@
 	"gaugerelay/internal/testbed"
 )
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
-// quoteLines writes each line of wire bytes as one quoted string, its line end included.
-func quoteLines(wire []byte) string {
-	var out strings.Builder
-	for _, line := range bytes.SplitAfter(wire, []byte("\n")) {
-		if len(line) > 0 {
-			fmt.Fprintf(&out, "%q\n", line)
-		}
-	}
-	return out.String()
-}
-
 // recordRequests starts a server that answers each request with 200 and sends its exact bytes to the channel.
 func recordRequests(t *testing.T) (addr string, requests <-chan []byte) {
 	t.Helper()
@@ -87,7 +60,7 @@
 			defer c.Close()
 			c.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &test.payload}, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + test.leftMs})
 			<-c.results.attempts
-			compareGolden(t, "attempt-"+name, quoteLines(<-requests))
+			testbed.CompareGolden(t, "attempt-"+name, testbed.QuoteLines(<-requests))
 		})
 	}
 }
@@ -104,7 +77,7 @@
 		wire = append(wire, <-requests...)
 		c.now.Advance(20)
 	}
-	compareGolden(t, "attempt-second", quoteLines(wire))
+	testbed.CompareGolden(t, "attempt-second", testbed.QuoteLines(wire))
 }
 
 func TestGoldenProbes(t *testing.T) {
@@ -117,7 +90,7 @@
 			c.Probe(&lifecycle.Server{Addr: addr})
 			<-c.results.probes
 			wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
-			compareGolden(t, "probe-"+name, quoteLines(wire))
+			testbed.CompareGolden(t, "probe-"+name, testbed.QuoteLines(wire))
 		})
 	}
 }
