--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -2,7 +2,7 @@
 // messages on it, decides which of them apply, and reports when the connection is lost or idle.
 //
 // Discovery is used in one of two modes. Where the list is polled, one service answers all gateways, and calls that fail
-// together and return together would fail again; the scheduler therefore decides when a watch is opened, and calls
+// together and are retried together would fail again; the scheduler therefore decides when a watch is opened, and calls
 // Watcher.Open. Where the list is pushed, an agent on the same machine serves it at no cost, and whatever the agent has
 // counts as notified; the watch is then kept open from start to end by Watcher.KeepOpen.
 //
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -10,7 +10,7 @@
 
 // The reasons for which this package ends a watch itself.
 var (
-	// errWatchIdle reports that discovery did not respond within responseTimeoutMs, or sent neither a whole object nor a
+	// errWatchIdle reports that discovery did not respond within responseTimeoutMs, or sent neither a complete object nor a
 	// heartbeat within idleTimeoutMs.
 	errWatchIdle = errors.New("discovery: watch idle past its timeout")
 	// errUnexpectedStatus reports a response with another status than 200.
@@ -19,12 +19,12 @@
 	errNotAnObject = errors.New("discovery: not a JSON object")
 	// errObjectTooLarge reports an object, or blanks between objects, of more than maxObjectBytes.
 	errObjectTooLarge = errors.New("discovery: object too large")
-	// errInvalidMessage reports an object that is no message of discovery. What it said is unknown, and only the response to
-	// a new request can make up for it.
+	// errInvalidMessage reports an object that is no message of discovery. Its content is lost, so the list is out of date
+	// until the response to a new request.
 	errInvalidMessage = errors.New("discovery: invalid message")
-	// errVersionReset reports that the source numbers its versions anew.
+	// errVersionReset reports that the version numbers of the source have restarted.
 	errVersionReset = errors.New("discovery: versions numbered anew")
-	// errAddressChanged reports that SwitchAddress gave up the watch.
+	// errAddressChanged reports that SwitchAddress is ending the watch.
 	errAddressChanged = errors.New("discovery: address changed")
 )
 
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -29,7 +29,7 @@
 		{"error status", fmt.Errorf("%w: %d", errUnexpectedStatus, 503), lifecycle.CallRejected},
 		{"end of the response", fmt.Errorf("discovery: watch ended: %w", io.EOF), lifecycle.CallRejected},
 		{"idle", fmt.Errorf("call: %w", errWatchIdle), lifecycle.CallInconclusive},
-		{"versions numbered anew", errVersionReset, lifecycle.CallInconclusive},
+		{"version reset", errVersionReset, lifecycle.CallInconclusive},
 		{"unknown", errors.New("unknown"), lifecycle.CallRejected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/discovery/objectreader.go
+++ b/internal/discovery/objectreader.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// maxObjectBytes bounds one object of a watch. The whole list of the largest deployment takes some ten KiB.
+// maxObjectBytes bounds one object of a watch. The full list of the largest deployment takes some ten KiB.
 const maxObjectBytes = 1 << 20
 
 // objectReader splits the body of a watch into JSON objects, whose layout is free, and the empty lines between them, which
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -16,8 +16,8 @@
 	// maxPendingWaitMs bounds AwaitPendingUpdates: half of the 50 ms that the platform's rules tolerate.
 	maxPendingWaitMs = 25
 
-	// readTimeoutMs is how often a blocked read is started anew. What it reads has arrived no earlier than the start of the
-	// last read, however long the process was stopped meanwhile.
+	// readTimeoutMs is the interval at which a blocked read is restarted. Bytes that it returns have arrived since its last
+	// start, however long the process was paused meanwhile.
 	readTimeoutMs = 250
 )
 
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -7,8 +7,8 @@
 	"gaugerelay/internal/logevent"
 )
 
-// A continuous watch that has ended is opened again at once, then after a delay that doubles between these bounds until a
-// watch has held for the longest of them. That one is short beside the grace of drains, which starts when the agent is
+// A continuous watch that has ended is opened again after a delay that doubles between these bounds, or at once if it lasted
+// for maxReconnectDelayMs. That bound is short compared with the grace period of drains, which starts when the agent is
 // notified.
 const (
 	minReconnectDelayMs = 10
@@ -47,8 +47,8 @@
 	}
 }
 
-// runContinuously keeps a watch open until ctx is done. One that held is opened again at once; an agent that is not there,
-// or ends each watch as soon as it is open, costs no more than a call every maxReconnectDelayMs.
+// runContinuously keeps a watch open until ctx is done. The delays keep the calls few while the agent is unavailable or ends
+// each watch as soon as it is open.
 func (w *Watcher) runContinuously(ctx context.Context) {
 	defer w.setClosed(ctx)
 	var agent availability
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// responseTimeoutMs is when a call without a response has failed.
+	// responseTimeoutMs is the time after which a call without a response has failed.
 	responseTimeoutMs = 3000
 
 	// heartbeatIntervalMs is the longest time between two messages of a sound watch, which sends an empty line if there is
 	// nothing else.
 	heartbeatIntervalMs = 2000
 
-	// idleTimeoutMs is when a watch without a message is dead: when a heartbeat is late by half of its interval. What such a
-	// watch misses counts as notified 6 s after its last message, and by then another watch has to be open and to have sent a
-	// list. The remaining 3 s are for calls that are spread, over 2 s at most, and for their responses.
+	// idleTimeoutMs is the time after which a watch without a message has failed: one and a half heartbeat intervals. The
+	// platform regards changes that such a watch misses as notified 6 s after its last message. By then another watch must be
+	// open and have sent a list. The remaining 3 s are for the delays of calls, which are spread over 2 s at most, and for
+	// their responses.
 	idleTimeoutMs = 1.5 * heartbeatIntervalMs
 
 	// confirmationDelayMs after its request an open watch counts as one that discovery serves, even without an update. Before
@@ -87,7 +88,7 @@
 	stop   func() // of the running timer; nil: none
 }
 
-// reset starts the time anew.
+// reset restarts the timer with the given timeout.
 func (t *idleTimer) reset(timeoutMs float64) {
 	t.close()
 	t.stop = t.clock.AfterFunc(timeoutMs, func() { t.cancel(errWatchIdle) })
@@ -158,8 +159,8 @@
 	}
 }
 
-// readError returns the reason for which the body of a watch could not be read on: the cause of a cancelled context comes
-// before the error that it leads to.
+// readError returns why reading the body of a watch has failed. The cause of a canceled context takes precedence over the read
+// error that it leads to.
 func (w *Watcher) readError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/frontend/gracefulclose/gracefulclose.go
+++ b/internal/frontend/gracefulclose/gracefulclose.go
@@ -10,7 +10,7 @@
 )
 
 // TimeoutMs is the time, in milliseconds, for which a connection is read after its sending side was closed, so that its client
-// can receive the last response and close its own side. According to the platform a response may be late by as much.
+// can receive the last response and close its own side. The platform allows a response to be late by as much.
 const TimeoutMs = 500
 
 // CloseWrite closes the sending side of a connection. It returns false if that can't be closed on its own, or has been.
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -16,8 +16,8 @@
 const (
 	// maxHeaderBytes is the largest head of a request that the gateway's servers read.
 	maxHeaderBytes = 16 << 10
-	// maxPipelinedBytes is how much is buffered of what a client sends while its request is open: one more request of the
-	// largest size. What exceeds it is discarded, and the connection ends after the response.
+	// maxPipelinedBytes bounds what is buffered of the bytes that a client sends while its request is open: one more request
+	// of the largest size. What exceeds it is discarded, and the connection ends after the response.
 	maxPipelinedBytes = maxHeaderBytes + httpmessage.MaxBodyBytes
 	// maxDiscardBytes is how much of that excess is read.
 	maxDiscardBytes = 1 << 20
@@ -50,7 +50,7 @@
 
 	// Owned by the server's goroutines of this connection, of which one reads at a time.
 
-	requestActive  bool   // a whole head has been read, and its request is not answered yet
+	requestActive  bool   // a complete head has been read, and its request is not answered yet
 	pipelined      []byte // read while a request was open, and not passed to the server yet
 	discardedBytes int    // read in excess of maxPipelinedBytes
 
@@ -83,7 +83,7 @@
 }
 
 // Read returns net.ErrClosed for a request that is read while its connection is shed: net/http calls a connection active only
-// once a whole head has arrived, so one that is being read looks idle. The client sees its connection closed and sends the
+// once a complete head has arrived, so one that is being read looks idle. The client sees its connection closed and sends the
 // request again, so it must not be accepted here.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.discardedBytes > 0 && !c.requestActive {
@@ -121,10 +121,10 @@
 	return n, nil
 }
 
-// watchForDisconnect waits for the client's end while its request is open. net/http reads one byte for that, and takes a byte
-// of a further request as proof for good that the client is there. So a client that sends on and disconnects would not be
-// noticed, and its request would be sent to a server for nobody. What arrives is buffered for later reads. The wait ends with
-// the client, or at the deadline that net/http sets when the request has been answered.
+// watchForDisconnect waits for the client to disconnect while its request is open. net/http reads one byte for that and stops
+// watching once it gets one. It would not notice a client that pipelines another request and then disconnects, and the open
+// request would be forwarded in vain. So what arrives is buffered for later reads, and the watch goes on until the client
+// disconnects, or until the deadline that net/http sets when the request has been answered.
 func (c *clientConn) watchForDisconnect(p []byte) (int, error) {
 	for c.discardedBytes < maxDiscardBytes {
 		n, err := c.Conn.Read(p)
@@ -159,7 +159,8 @@
 	return n
 }
 
-// noteReadEnd records the end of what the client sends. A passed deadline is none.
+// noteReadEnd records that the client has closed its side or reset the connection. A read that ends by its deadline does not
+// show that.
 func (c *clientConn) noteReadEnd(err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.clientEnded.Store(true)
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// closeWrite closes the sending side and makes sure that the connection is closed later. Of the connections that wait for
-// their clients' ends only few may take up room, unless all connections are being drained. tracker.mu is held.
+// closeWrite closes the sending side and schedules the close of the connection. If too many connections wait for their clients
+// to close, it closes the oldest of them, unless all connections are being drained. The caller holds tracker.mu.
 func (c *clientConn) closeWrite() {
 	if c.closingElement != nil {
 		return
@@ -204,7 +205,7 @@
 	}
 }
 
-// finishClose closes the connection and sheds what there is no room for.
+// finishClose closes the connection, after which others may have to be shed.
 func (c *clientConn) finishClose() {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -212,7 +213,7 @@
 	c.tracker.shedExcess()
 }
 
-// closeLocked closes the connection, once. Its sending side is closed, and tracker.mu is held.
+// closeLocked closes the connection, once. Its sending side is closed already. The caller holds tracker.mu.
 func (c *clientConn) closeLocked() {
 	if c.closed {
 		return
@@ -230,7 +231,7 @@
 	}
 }
 
-// unlist removes the connection from the tracker's list that it is in, if any. tracker.mu is held.
+// unlist removes the connection from the tracker's list that it is in, if any. The caller holds tracker.mu.
 func (c *clientConn) unlist() {
 	if c.list != nil {
 		c.list.Remove(c.element)
@@ -238,7 +239,7 @@
 	}
 }
 
-// enlist moves the connection to the end of one of the tracker's lists. tracker.mu is held.
+// enlist moves the connection to the end of one of the tracker's lists. The caller holds tracker.mu.
 func (c *clientConn) enlist(conns *list.List) {
 	c.unlist()
 	c.list, c.element, c.listedMs = conns, conns.PushBack(c), c.tracker.Clock.NowMs()
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// idleTimeoutMs is the time after its last response after which the platform lets a client's connection be closed. Some
-	// clients keep connections for good; these go once half of MaxOpen is open.
+	// idleTimeoutMs is the time after the last response on a connection after which the platform allows the gateway to close
+	// it. Some clients never close theirs, so idle connections are shed while more than half of MaxOpen are open.
 	idleTimeoutMs = 2000
 	// firstByteTimeoutMs is the time a new connection has to send something before it is closed in preference to idle ones.
 	firstByteTimeoutMs = 500
-	// maxClosingDivisor is the part of MaxOpen, as one in so many, that connections may take which wait for their clients' ends.
+	// maxClosingDivisor bounds the closed connections whose clients have not closed their side yet to MaxOpen divided by it.
 	maxClosingDivisor = 16
 )
 
-// connectionsShed counts silent and idle connections that were closed to make room.
+// connectionsShed counts silent and idle connections that were closed because of the limits or of a shutdown.
 const connectionsShed = "client_connections_shed"
 
 // ConnTracker tracks the client connections of an http.Server and bounds their number. Over MaxOpen it sheds silent and idle
@@ -110,7 +110,7 @@
 	return t.drained
 }
 
-// shedExcess sheds the connections that there is no room for. t.mu is held.
+// shedExcess sheds connections until the limits are met, or all of them while draining. The caller holds t.mu.
 func (t *ConnTracker) shedExcess() {
 	if t.drained != nil {
 		t.shedForDrain()
@@ -122,7 +122,7 @@
 	}
 }
 
-// shedForDrain sheds all connections without a request and reports when none is left. t.mu is held.
+// shedForDrain sheds all connections without a request and reports when none is left. The caller holds t.mu.
 func (t *ConnTracker) shedForDrain() {
 	for _, conns := range []*list.List{&t.newConns, &t.idleConns} {
 		for conns.Len() > 0 {
@@ -140,7 +140,7 @@
 
 // shedOverLimit sheds connections down to MaxOpen: silent ones that had time to send something, then idle ones, then the
 // other silent ones. It returns false if the rest all have requests; then the listener's limit keeps further ones waiting.
-// t.mu is held.
+// The caller holds t.mu.
 func (t *ConnTracker) shedOverLimit(nowMs float64) bool {
 	for t.open > t.MaxOpen {
 		silent, idle := oldest(&t.newConns), oldest(&t.idleConns)
@@ -157,7 +157,7 @@
 }
 
 // shedIdle sheds connections whose idle timeout has passed while more than half of MaxOpen are open. It schedules itself for
-// the next one. t.mu is held.
+// the next one. The caller holds t.mu.
 func (t *ConnTracker) shedIdle(nowMs float64) {
 	for c := oldest(&t.idleConns); c != nil && t.open > t.MaxOpen/2; c = oldest(&t.idleConns) {
 		if leftMs := idleTimeoutMs - (nowMs - c.listedMs); leftMs > 0 {
@@ -179,7 +179,8 @@
 	t.shedExcess()
 }
 
-// shed closes the sending side of a connection that has no request. The server reads on, and closes it. t.mu is held.
+// shed closes the sending side of a connection that has no request. The server closes it when its client sends or closes, and
+// after gracefulclose.TimeoutMs at the latest. The caller holds t.mu.
 func (t *ConnTracker) shed(c *clientConn) {
 	c.unlist()
 	c.isShed = true
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -171,8 +171,8 @@
 	return n, err
 }
 
-// Idle connections are shed after the platform's two seconds once half of the room is taken, and not before; a silent one is
-// shed before them only if it has had time to send something.
+// Idle connections are shed after the platform's two seconds while more than half of MaxOpen are open; a silent one is shed
+// before them only if it has had time to send something.
 func TestIdleAndSilentConnections(t *testing.T) {
 	now := clock.NewManual(0)
 	tracker := &ConnTracker{MaxOpen: 4, Clock: now, Metrics: metrics.New()}
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -29,8 +29,8 @@
 //	X-Round-Trip-Ms     what the device has measured of its link: it can't be measured here
 //	ETag, Range, If-Range, 206  a response that was cut off continues where it stopped
 
-// sentAfterKey is the context key of a connection's time, as bits of a float64, after which what arrives now was sent: when it
-// was opened, or when the last response ended.
+// sentAfterKey is the context key of the earliest time at which the current request of a connection can have been sent, as bits
+// of a float64: when the connection was opened, or when the last response was written.
 type sentAfterKey struct{}
 
 // ConnContext prepares a connection of a device. It is for http.Server.ConnContext.
@@ -65,7 +65,7 @@
 			return err
 		}
 	}
-	if device.AgeMs >= 0 { // its age when it was sent; it was on its way for less than this
+	if device.AgeMs >= 0 { // the device gives the age at sending; this adds the longest time for which it was on its way
 		device.AgeMs += h.Clock.NowMs() - math.Float64frombits(h.sentAfter(r.Context()).Load())
 	}
 	if err := requestparse.MakeDeviceRequest(parsed.request, parsed.class, parsed.fields, device, parsed.payload); err != nil {
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -71,11 +71,12 @@
 	ServesDevices bool
 	// FleetStatus serves what this gateway knows of its fleet; nil if it is in none.
 	FleetStatus http.HandlerFunc
-	// GatewayID names this gateway to devices. It is another one after each start.
+	// GatewayID names this gateway to devices. It changes with each start.
 	GatewayID string
 	// Conns, if not nil, makes the handler keep clients' connections free during a shutdown, once no new ones are expected.
 	Conns *ConnTracker
-	// HoldUps knows since when what is read now may have waited for this process; nil if it never does.
+	// HoldUps returns the earliest time at which a request that is read now may have arrived, however long this process was
+	// paused. nil stands for a process that is never paused.
 	HoldUps *clock.PauseDetector
 
 	pacerMu sync.Mutex
@@ -91,7 +92,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedMs := h.HoldUps.EarliestArrival(h.Clock.NowMs())
 	if conn := clientConnOf(r.Context()); conn != nil {
-		if conn.wasShed() { // the client has been told that its request was not accepted
+		if conn.wasShed() { // the client sees its connection closed and sends the request again
 			panic(http.ErrAbortHandler)
 		}
 		clientWaits := func() bool { return r.Context().Err() == nil && !socketstate.PeerClosed(conn.Conn) }
@@ -154,7 +155,7 @@
 		request.RemainingMs -= networkMarginMs
 		h.watchDisconnect(r, request)
 	}
-	if shutdownMs != 0 { // the program ends then, and drops what is open
+	if shutdownMs != 0 { // requests that are still open at that time are lost
 		request.RemainingMs = min(request.RemainingMs, shutdownMs-h.Clock.NowMs())
 	}
 	if h.rejectsForShutdown(arrivedMs, shutdownMs) {
@@ -170,8 +171,8 @@
 	h.awaitResponse(w, r, request, responses)
 }
 
-// watchDisconnect makes the client's disconnect known to the request. It ends the handler if the client has already gone:
-// then the request waited, unread, for longer than its client did. Requests of devices go on without their clients.
+// watchDisconnect makes the client's disconnect known to the request. It aborts the handler if the client has already
+// disconnected: then the request was unread for longer than its client waited. Requests of devices go on without their clients.
 func (h *Handler) watchDisconnect(r *http.Request, request *lifecycle.Request) {
 	conn := clientConnOf(r.Context())
 	if conn == nil {
@@ -203,7 +204,7 @@
 			return
 		default:
 		}
-		// The loop is held up. What it did is not known here, so this is a failure, not a rejection.
+		// The loop is stalled. It may have forwarded the request, so this is a failure, not a rejection.
 		h.Metrics.Add(answersByGuard, 1)
 		h.Loop.Cancel(request)
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -18,14 +18,14 @@
 
 // This file forces orders of events that are rare on their own.
 
-// A client that sends more while its request is open and then disconnects is noticed: with part of a request, with whole ones,
+// A client that sends more while its request is open and then disconnects is noticed: with part of a request, with complete ones,
 // with more than is buffered.
 func TestDisconnectAfterPipelining(t *testing.T) {
 	for name, more := range map[string]string{
 		"nothing":        "",
 		"a byte":         "G",
 		"half a request": rawGet(2)[:40],
-		"whole ones":     strings.Repeat(rawGet(2), 40),
+		"more requests":  strings.Repeat(rawGet(2), 40),
 		"a flood":        strings.Repeat("x", 2*maxPipelinedBytes),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 	if request.Canceled() {
 		t.Fatal("canceled while the client is there")
 	}
-	// What exceeds these bounds must fit into socket buffers, or the client's end waits for room.
+	// What exceeds these bounds must fit into socket buffers, or the end of the connection does not get through.
 	testbed.Write(t, client, strings.Repeat("x", maxDiscardBytes+maxPipelinedBytes+8<<10))
 	testbed.Close(t, client)
 	for end := time.Now().Add(20 * time.Second); !request.Canceled(); runtime.Gosched() {
@@ -80,7 +80,7 @@
 }
 
 // What is buffered of pipelined requests is bounded over all clients: beyond the bound a connection ends after the response
-// that is open, and a connection that is closed releases what it held.
+// that is open, and a connection that is closed releases its buffered bytes.
 func TestPipelinedBytesAreBounded(t *testing.T) {
 	const clients = 3
 	gate := &gatedListener{allRead: make(chan struct{}), bytesLeft: clients * (len(rawGet(1)) + maxPipelinedBytes)}
@@ -190,8 +190,8 @@
 	}
 }
 
-// Clients that don't close their side of a connection that has been closed take up little room: the oldest are cut off.
-func TestFewClosingConnections(t *testing.T) {
+// The number of closed connections whose clients do not close their side is bounded: the oldest are cut off.
+func TestClosingConnectionsAreBounded(t *testing.T) {
 	s := startServer(t, nil) // one sixteenth of nine connections, and at least one
 	var conns []*net.TCPConn
 	for range 3 {
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -71,9 +71,9 @@
 
 // rejectAmbiguous rejects a request whose framing, method, target or headers servers might read differently.
 func rejectAmbiguous(r *http.Request) error {
-	// net/http drops a Content-Length that comes with a Transfer-Encoding, as RFC 9112 allows, so both together can't be told
-	// here from the latter alone. What another reader takes for the body may hide a request that this one would serve, so a
-	// length is required.
+	// net/http drops a Content-Length that comes with a Transfer-Encoding, as RFC 9112 allows, so both together cannot be
+	// distinguished here from the latter alone. Readers that disagree on the end of the body would allow request smuggling, so
+	// a length is required.
 	if len(r.TransferEncoding) > 0 || r.ContentLength < 0 {
 		return &malformedError{http.StatusLengthRequired, "a Content-Length is required, and no Transfer-Encoding"}
 	}
--- a/internal/frontend/httpserver/request_test.go
+++ b/internal/frontend/httpserver/request_test.go
@@ -37,7 +37,7 @@
 		"id beyond text": {header("X-Correlation-Id", "a\x80"), 400},
 		"long key":       {header("Idempotency-Key", strings.Repeat("x", 129)), 400},
 		"fragment":       {func(r *http.Request) { r.RequestURI = "/push/7f3a9c21e0b4d655#x" }, 400},
-		"whole URL":      {func(r *http.Request) { r.RequestURI = "http://h/push/7f3a9c21e0b4d655?x=%2F" }, 400},
+		"absolute URL":   {func(r *http.Request) { r.RequestURI = "http://h/push/7f3a9c21e0b4d655?x=%2F" }, 400},
 		"two slashes": {func(r *http.Request) {
 			r.URL.Path, r.RequestURI = "/push//7f3a9c21e0b4d655", "/push//7f3a9c21e0b4d655?x=%2F"
 		}, 400},
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -12,7 +12,7 @@
 // writeResponse writes the final response to a request. It panics with http.ErrAbortHandler for a request that a newer
 // connection of its device has superseded.
 func (h *Handler) writeResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, response lifecycle.Response) {
-	if h.keepAlivesDisabled.Load() { // it may have been while the request was open; a client that knows sends no other one
+	if h.keepAlivesDisabled.Load() { // also if that happened while the request was open
 		w.Header().Set("Connection", "close")
 	}
 	switch response.Kind {
--- a/internal/peer/datagram/packet.go
+++ b/internal/peer/datagram/packet.go
@@ -31,7 +31,7 @@
 	ErrFormat = errors.New("datagram: too short or too long, or no datagram of a gateway")
 	// ErrVersion reports a datagram of another version of the format. Its checksum has not been verified.
 	ErrVersion = errors.New("datagram: of another version")
-	// ErrChecksum reports a damaged datagram or one that was sealed with another key.
+	// ErrChecksum reports a damaged datagram or one that was authenticated with another key.
 	ErrChecksum = errors.New("datagram: spoilt, or not with this fleet's key")
 	// ErrItem reports an item that is truncated or holds an impossible value.
 	ErrItem = errors.New("datagram: an item is cut off or cannot be")
--- a/internal/peer/datagram/replay.go
+++ b/internal/peer/datagram/replay.go
@@ -1,6 +1,6 @@
 package datagram
 
-// replayWindowSize is the number of datagrams before the latest one that a ReplayWindow tells apart.
+// replayWindowSize is the number of datagrams before the latest one that a ReplayWindow distinguishes.
 const replayWindowSize = 64
 
 // ReplayWindow detects duplicates among the datagrams of one sender. Each message tolerates duplicates; detecting them
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -9,7 +9,7 @@
 // maxReportRecipients bounds the gateways to which one round of reports is sent.
 const maxReportRecipients = 16
 
-// send sends membership and quota messages to the gateways that they name, and reports to the gateways whose turn it is.
+// send sends membership and quota messages to the gateways that they name, and reports to reportRecipients.
 func (s *Service) send(outbox messages) {
 	if s.socket == nil {
 		return
--- a/internal/peer/servers.go
+++ b/internal/peer/servers.go
@@ -68,7 +68,7 @@
 	s.stepBy(nowMs, nowMs+batchDelayMs)
 }
 
-// AttemptEnded implements lifecycle.Peers. Statuses that do not tell whether the server works are ignored.
+// AttemptEnded implements lifecycle.Peers. Statuses that do not show whether the server works are ignored.
 func (s *Service) AttemptEnded(nowMs float64, server *lifecycle.Server, status scheduler.Status, latencyMs float64) {
 	key := serverKey(server)
 	switch status {
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -84,8 +84,8 @@
 	return s, nil
 }
 
-// InitialQuotaShare returns the fraction of its even share of a quota that the gateway may use until it has heard from
-// other gateways.
+// InitialQuotaShare returns the fraction of its even share of a quota that the gateway may use until it has received
+// messages of other gateways.
 func (s *Service) InitialQuotaShare() float64 { return 1 - s.options.MaxGrantedFraction }
 
 // Start begins to exchange datagrams over a connection, which the service owns from then on. It must be called once,
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -38,9 +38,8 @@
 	}
 }
 
-// What has become of an attempt while it waited for its connection counts when the connection is up, whether or not the
-// scheduler cancels it: for a client that has disconnected nothing is written, and the server is not to blame; nor if the
-// attempt is canceled in that moment; nor if servers may have forgotten the request that it repeats.
+// An attempt writes nothing if its client disconnected, if it was canceled, or if its start deadline passed while it waited for
+// its connection, even if the scheduler has not canceled it. A disconnect does not count as a failure of the server.
 func TestAttemptIsNotStartedWhenOver(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -48,9 +47,9 @@
 		whileConnecting func(w *connectingAttempt)
 		want            scheduler.Status
 	}{
-		{"client gone", func(w *connectingAttempt) { w.request.Cancel() }, scheduler.StatusCanceled},
-		{"client gone and canceled", func(w *connectingAttempt) { w.request.Cancel(); w.cancel() }, scheduler.StatusCanceled},
-		{"canceled", func(w *connectingAttempt) { w.cancel() }, scheduler.StatusCanceled},
+		{"request canceled", func(w *connectingAttempt) { w.request.Cancel() }, scheduler.StatusCanceled},
+		{"request and attempt canceled", func(w *connectingAttempt) { w.request.Cancel(); w.cancel() }, scheduler.StatusCanceled},
+		{"attempt canceled", func(w *connectingAttempt) { w.cancel() }, scheduler.StatusCanceled},
 		{"disconnected, unnoticed", func(w *connectingAttempt) { w.disconnected.Store(true) }, scheduler.StatusCanceled},
 		{"start deadline passed", func(w *connectingAttempt) { w.now.Advance(500) }, scheduler.StatusConnectFailed},
 	} {
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -43,7 +43,7 @@
 }
 
 // Write buffers the head of an attempt's request and writes it in one piece, so that the time left that it names is right for
-// its first byte. It holds three rules: an attempt that waited for its connection starts only if it is still authorized, an
+// its first byte. It enforces three rules: an attempt that waited for its connection starts only if it is still authorized, an
 // attempt whose last byte was not written has not executed, and no request is written where unsolicited data has arrived.
 func (c *conn) Write(p []byte) (int, error) {
 	attempt := c.attempt.Load()
@@ -128,7 +128,7 @@
 }
 
 // waitReuseDelay waits until a second copy of the last response would have arrived: a server may send one some milliseconds
-// late, and after the next request it could not be told from the response to that one.
+// late, and after the next request it could not be distinguished from the response to that one.
 func (c *conn) waitReuseDelay() {
 	c.mu.Lock()
 	waitMs := 0.0
@@ -174,7 +174,7 @@
 	return n, err
 }
 
-// consumeResponse returns how many of the bytes read belong to the response that is awaited. c.mu is held.
+// consumeResponse returns how many of the bytes read belong to the response that is awaited. The caller holds c.mu.
 func (c *conn) consumeResponse(attempt *attemptState, p []byte) (int, error) {
 	n, complete, err := c.response.feed(p)
 	switch {
@@ -188,7 +188,7 @@
 			c.client.metrics.Add(serverDataUnsolicited, 1)
 			c.unusable = true
 		}
-		// A request that was answered before it was written whole may be answered once more, so nothing may follow it.
+		// A request that was answered before it was written completely may be answered once more, so nothing may follow it.
 		c.unusable = c.unusable || attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	case c.stopTimeout == nil:
 		awaited := c.response
@@ -236,7 +236,7 @@
 	}
 }
 
-// rejectUnsolicited makes a connection unusable if no request awaits what has arrived. c.mu is held.
+// rejectUnsolicited makes a connection unusable if no request awaits what has arrived. The caller holds c.mu.
 func (c *conn) rejectUnsolicited() {
 	if c.response == nil && !c.unusable {
 		c.client.metrics.Add(serverDataUnsolicited, 1)
@@ -255,7 +255,7 @@
 	}
 }
 
-// stopResponseTimeout stops the timer of a response, if there is one. c.mu is held.
+// stopResponseTimeout stops the timer of a response, if there is one. The caller holds c.mu.
 func (c *conn) stopResponseTimeout() {
 	if c.stopTimeout != nil {
 		c.stopTimeout()
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// A long request that is answered before it was written whole is the last one on its connection: a second response, to all
+// A long request that is answered before it was written completely is the last one on its connection: a second response, to all
 // of it, would be taken for the next one's.
 func TestEarlyResponseEndsConnectionReuse(t *testing.T) {
 	received := make(chan string, 1)
