--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -1,5 +1,7 @@
-// Package memnet is a network in memory for tests whose time is a bubble's: listeners and connections by address,
-// without sockets.
+// Package memnet is a network in memory, without sockets, for tests that run in a bubble of testing/synctest.
+//
+// The package owns the listeners of a [Net] by address; connections are those of net.Pipe with addresses. It starts no
+// goroutine.
 package memnet
 
 import (
@@ -10,97 +12,118 @@
 	"sync"
 )
 
-// Net is a network. Its zero value is empty and ready.
-type Net struct {
-	mu    sync.Mutex
-	at    map[string]*listener
-	ports int
-}
+// ErrConnectionRefused reports a connection to an address that nobody listens at.
+var ErrConnectionRefused = errors.New("memnet: connection refused")
 
-type addr string
-
-func (addr) Network() string  { return "mem" }
-func (a addr) String() string { return string(a) }
+// firstPort is the port before the first one that is assigned.
+const firstPort = 40000
 
-type listener struct {
-	n    *Net
-	addr addr
-	in   chan net.Conn
-	once sync.Once
-	done chan struct{}
+// Net is a network. Its zero value is empty and ready for use. It is safe for concurrent use.
+type Net struct {
+	mu            sync.Mutex // guards the fields below
+	listeners     map[string]*listener
+	assignedPorts int
 }
 
-// Listen opens an address; port 0 is a free one.
-func (n *Net) Listen(at string) (net.Listener, error) {
-	host, port, err := net.SplitHostPort(at)
+// Listen listens at an address of the form "host:port". Port 0 stands for a free one.
+func (n *Net) Listen(address string) (net.Listener, error) {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.at == nil {
-		n.at = map[string]*listener{}
+	if n.listeners == nil {
+		n.listeners = map[string]*listener{}
 	}
 	if port == "0" {
-		n.ports++
-		at = net.JoinHostPort(host, fmt.Sprint(40000+n.ports))
+		address = net.JoinHostPort(host, n.assignPort())
 	}
-	if n.at[at] != nil {
-		return nil, fmt.Errorf("memnet: %s is in use", at)
+	if n.listeners[address] != nil {
+		return nil, fmt.Errorf("memnet: %s is in use", address)
 	}
-	l := &listener{n: n, addr: addr(at), in: make(chan net.Conn), done: make(chan struct{})}
-	n.at[at] = l
+	l := &listener{network: n, address: addr(address), incoming: make(chan net.Conn), closed: make(chan struct{})}
+	n.listeners[address] = l
 	return l, nil
 }
 
-var errRefused = errors.New("memnet: connection refused")
+// assignPort returns a port that was not assigned before. n.mu is held.
+func (n *Net) assignPort() string {
+	n.assignedPorts++
+	return fmt.Sprint(firstPort + n.assignedPorts)
+}
 
-// Dial connects to an address.
-func (n *Net) Dial(ctx context.Context, _, at string) (net.Conn, error) {
+// Dial connects to an address and waits until the connection is accepted or ctx is done. It fails with
+// ErrConnectionRefused if nobody listens there. The network's name is ignored.
+func (n *Net) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
-	l := n.at[at]
-	n.ports++
-	from := addr(fmt.Sprintf("127.0.0.1:%d", 40000+n.ports))
+	l := n.listeners[address]
+	local := addr(net.JoinHostPort("127.0.0.1", n.assignPort()))
 	n.mu.Unlock()
 	if l == nil {
-		return nil, errRefused
+		return nil, ErrConnectionRefused
 	}
-	a, b := net.Pipe()
+	dialed, accepted := net.Pipe()
 	select {
-	case l.in <- &conn{b, l.addr, from}:
-		return &conn{a, from, l.addr}, nil
-	case <-l.done:
-		return nil, errRefused
+	case l.incoming <- &conn{Conn: accepted, local: l.address, remote: local}:
+		return &conn{Conn: dialed, local: local, remote: l.address}, nil
+	case <-l.closed:
+		return nil, ErrConnectionRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
+// listener implements net.Listener.
+type listener struct {
+	network   *Net
+	address   addr
+	incoming  chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
+}
+
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.in:
+	case c := <-l.incoming:
 		return c, nil
-	case <-l.done:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
+// Close implements net.Listener. The address is free afterwards.
 func (l *listener) Close() error {
-	l.once.Do(func() {
-		close(l.done)
-		l.n.mu.Lock()
-		delete(l.n.at, string(l.addr))
-		l.n.mu.Unlock()
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		delete(l.network.listeners, string(l.address))
 	})
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return l.addr }
+// Addr implements net.Listener.
+func (l *listener) Addr() net.Addr { return l.address }
 
+// conn is one end of a connection.
 type conn struct {
 	net.Conn
 	local, remote addr
 }
 
-func (c *conn) LocalAddr() net.Addr  { return c.local }
+// LocalAddr implements net.Conn.
+func (c *conn) LocalAddr() net.Addr { return c.local }
+
+// RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
+
+// addr is an address of the form "host:port".
+type addr string
+
+// Network implements net.Addr.
+func (addr) Network() string { return "mem" }
+
+// String implements net.Addr.
+func (a addr) String() string { return string(a) }
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -12,6 +13,7 @@
 	"time"
 
 	"gaugerelay/internal/gateway"
+	"gaugerelay/internal/testbed/memnet"
 )
 
 const (
@@ -162,7 +164,7 @@
 func (s *simulation) checkLostRequest(ex exchange) {
 	g := ex.gateway
 	stopping := !g.stoppingSince.IsZero()
-	refused := strings.Contains(ex.err.Error(), "connection refused")
+	refused := errors.Is(ex.err, memnet.ErrConnectionRefused)
 	ended := ex.incarnation != g.gateway || g.killed || stopping && ex.sentAt.Sub(g.stoppingSince) > shutdownAnnounce
 	if refused || ended {
 		return
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,7 +1,9 @@
-// Package standin holds what tests put in the place of the platform: loopback servers, and settings like its own.
+// Package testbed helps tests with loopback servers and settings. Its subpackages are fakes of the systems around a gateway,
+// fault injection and checks of what must always hold.
 package testbed
 
 import (
+	"context"
 	"net"
 	"testing"
 
@@ -10,35 +12,37 @@
 	"gaugerelay/internal/testbed/testsettings"
 )
 
-// Settings are like the platform's, for one gateway.
+// Settings returns settings like those of the platform for one gateway, as testsettings.Settings does.
 func Settings(shards int) scheduler.Settings { return testsettings.Settings(shards) }
 
-// Listen opens a loopback port that closes with the test.
+// Listen listens at a loopback port until the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
+	t.Cleanup(func() { listener.Close() })
+	return listener
 }
 
-// Serve opens a loopback port that closes with the test, and has each connection to it handled, then closed.
+// Serve listens at a loopback port until the test ends, and returns its address. Each connection is given to handle on a
+// goroutine of its own and closed afterwards; these goroutines end with their connections, and nobody waits for them.
 func Serve(t testing.TB, handle func(net.Conn)) (addr string) {
 	t.Helper()
-	ln := Listen(t)
+	listener := Listen(t)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				handle(c)
+				defer conn.Close()
+				handle(conn)
 			}()
 		}
 	}()
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
--- a/internal/testbed/testsettings/settings.go
+++ b/internal/testbed/testsettings/settings.go
@@ -1,4 +1,5 @@
-// Package testsettings holds settings like the platform's own.
+// Package testsettings provides settings like those of the platform, for tests and for programs of the testbed, which must
+// not import package testing.
 package testsettings
 
 import (
@@ -7,7 +8,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Settings are like the platform's, for one gateway.
+// Settings returns settings like those of the platform for one gateway: three classes ("pull", "push" and "bulk-read") and
+// two plans ("basic", which has a limit, and "business"). Each call returns settings of its own, which the caller may change.
 func Settings(shards int) scheduler.Settings {
 	const ms = time.Millisecond
 	return scheduler.Settings{Gateways: 1, Shards: shards, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.3, SurplusWeight: 0.05,
