--- a/internal/testbed/soak/retry_test.go
+++ b/internal/testbed/soak/retry_test.go
@@ -1,30 +1,33 @@
 package soak
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
 	"gaugerelay/internal/testbed/linkshaper"
 )
 
-// Devices whose patience is shorter than a node's answer send each push at least twice. With the ledger none of them
-// runs twice, over any of the protocols, and all are served; without it they do, which is what the ledger is for.
-func TestResentPushesRunOnce(t *testing.T) {
+// TestRetriedWritesExecuteOnce checks devices that give up before a server has responded, and so send each write at least
+// twice. With deduplication none is executed twice, over any protocol, and all are served. Without it some are, which shows
+// that the test provokes what it is about.
+func TestRetriedWritesExecuteOnce(t *testing.T) {
 	for _, c := range []struct {
-		wires    string
-		patience time.Duration
-		ledger   bool
-	}{{"c", 8 * time.Millisecond, true}, {"h", 8 * time.Millisecond, true}, {"f", 8 * time.Millisecond, true},
-		{"h", 8 * time.Millisecond, false}, {"f", 8 * time.Millisecond, false}} {
-		rep := inBubble(t, Options{Duration: 8 * time.Second, Seed: 3, Devices: 6, Protocols: c.wires, Deduplication: c.ledger,
-			Links: []linkshaper.Profile{{}}, ResponseTimeout: c.patience, WritesOnly: true})
-		again := rep.WriteExecutions - rep.Writes
-		if c.ledger && (rep.Writes < 60 || again != 0 || rep.ViolationCount() != 0 || rep.ServedInTime != rep.Writes) {
-			t.Errorf("%+v: %d writes, %d runs, %d served in time, %v", c, rep.Writes, rep.WriteExecutions, rep.ServedInTime, rep.Violations)
-		}
-		if !c.ledger && again == 0 {
-			t.Errorf("%+v: %d writes, %d runs: the test does not provoke what it is about", c, rep.Writes, rep.WriteExecutions)
-		}
-		t.Logf("%+v: %d writes, %d runs again", c, rep.Writes, again)
+		protocol      string
+		deduplication bool
+	}{{"c", true}, {"h", true}, {"f", true}, {"h", false}, {"f", false}} {
+		t.Run(fmt.Sprintf("protocol %s deduplication %v", c.protocol, c.deduplication), func(t *testing.T) {
+			report := runInBubble(t, Options{Duration: 8 * time.Second, Seed: 3, Devices: 6, Protocols: c.protocol,
+				Deduplication: c.deduplication, Links: []linkshaper.Profile{{}}, ResponseTimeout: 8 * time.Millisecond, WritesOnly: true})
+			repeated := report.WriteExecutions - report.Writes
+			if c.deduplication && (report.Writes < 60 || repeated != 0 || report.ViolationCount() != 0 || report.ServedInTime != report.Writes) {
+				t.Errorf("%d writes, %d executions, %d served in time, %v", report.Writes, report.WriteExecutions, report.ServedInTime,
+					report.Violations)
+			}
+			if !c.deduplication && repeated == 0 {
+				t.Errorf("%d writes, %d executions: the test does not provoke what it is about", report.Writes, report.WriteExecutions)
+			}
+			t.Logf("%d writes, %d executed again", report.Writes, repeated)
+		})
 	}
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -1,10 +1,8 @@
 package soak
 
 import (
-	"context"
 	"io"
 	"log/slog"
-	"net"
 	"os"
 	"strconv"
 	"testing"
@@ -23,54 +21,64 @@
 	os.Exit(m.Run())
 }
 
+// someFaults are faults of servers, each for some of the requests.
 var someFaults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05, SlowDelay: 700 * time.Millisecond}
 
-// inBubble runs a soak in memory, in a bubble's time.
-func inBubble(t *testing.T, o Options) (rep *Report) {
+// runInBubble runs a soak in memory, in the time of a bubble.
+func runInBubble(t *testing.T, options Options) (report *Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		n := &memnet.Net{}
-		o.Network = gateway.Network{Listen: n.Listen, Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return n.Dial(ctx, network, addr)
-		}}
+		network := &memnet.Net{}
+		options.Network = gateway.Network{Listen: network.Listen, Dial: network.Dial}
 		var err error
-		if rep, err = Run(o); err != nil {
+		if report, err = Run(options); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // links and timers of what has ended come to their own ends
+		time.Sleep(time.Minute) // Links and timers that are left come to their own ends.
 	})
-	return rep
+	return report
 }
 
-// All protocols over all kinds of links, with everything that may go wrong, must show none of what must never be.
-func TestSoak(t *testing.T) {
-	counts := map[string]int64{}
-	links := []linkshaper.Profile{linkshaper.Good, linkshaper.Middling, linkshaper.Bad}
+// soakLinks returns the kinds of links: all, or those that the environment variable SOAK_LINKS asks for.
+func soakLinks() []linkshaper.Profile {
 	if os.Getenv("SOAK_LINKS") == "bad" {
-		links = links[2:]
+		return []linkshaper.Profile{linkshaper.Bad}
 	}
-	seeds := []uint64{1, 2}
-	if n, err := strconv.Atoi(os.Getenv("SOAK_SEEDS")); err == nil {
-		seeds = nil
-		for i := range n {
-			seeds = append(seeds, uint64(100+i))
-		}
+	return []linkshaper.Profile{linkshaper.Good, linkshaper.Middling, linkshaper.Bad}
+}
+
+// soakSeeds returns two seeds, or as many as the environment variable SOAK_SEEDS asks for.
+func soakSeeds() []uint64 {
+	count, err := strconv.Atoi(os.Getenv("SOAK_SEEDS"))
+	if err != nil {
+		return []uint64{1, 2}
 	}
-	for _, seed := range seeds {
-		rep := inBubble(t, Options{Duration: 2 * time.Minute, Seed: seed, Devices: 36, Protocols: "chf", Deduplication: true,
-			Links:  links,
-			Faults: someFaults, QuirkRate: 0.2, ReplacementInterval: 15 * time.Second, RestartInterval: 40 * time.Second})
-		if rep.ViolationCount() > 0 {
-			t.Errorf("seed %d: %+v", seed, rep.Result.Violations)
+	var seeds []uint64
+	for i := range count {
+		seeds = append(seeds, uint64(100+i))
+	}
+	return seeds
+}
+
+// TestSoak runs devices of all protocols over all kinds of links, with all faults, and checks that no rule is broken and that
+// the rarer paths were taken.
+func TestSoak(t *testing.T) {
+	counts := map[string]int64{}
+	for _, seed := range soakSeeds() {
+		report := runInBubble(t, Options{Duration: 2 * time.Minute, Seed: seed, Devices: 36, Protocols: "chf", Deduplication: true,
+			Links: soakLinks(), Faults: someFaults, QuirkRate: 0.2, ReplacementInterval: 15 * time.Second, RestartInterval: 40 * time.Second})
+		if report.ViolationCount() > 0 {
+			t.Errorf("seed %d: %+v", seed, report.Violations)
 		}
 		t.Logf("seed %d: exchanges=%d double_answers=%d unallowed_repeats=%d unanswered=%d phantoms=%d late_sends=%d served_in_time=%d drains=%d restarts=%d",
-			seed, rep.Exchanges, rep.DuplicateResponses, rep.DisallowedRetries, rep.MissingResponses, rep.LostWrites, rep.SendsToDraining, rep.ServedInTime, rep.Replacements, rep.Restarts)
-		if rep.Exchanges < 300 || rep.ServedInTime < rep.Exchanges/2 {
+			seed, report.Exchanges, report.DuplicateResponses, report.DisallowedRetries, report.MissingResponses, report.LostWrites,
+			report.SendsToDraining, report.ServedInTime, report.Replacements, report.Restarts)
+		if report.Exchanges < 300 || report.ServedInTime < report.Exchanges/2 {
 			t.Errorf("seed %d: too little happened to show anything", seed)
 		}
-		counts["drains"] += int64(rep.Replacements)
-		counts["restarts"] += int64(rep.Restarts)
-		for name, n := range rep.Counters {
+		counts["drains"] += int64(report.Replacements)
+		counts["restarts"] += int64(report.Restarts)
+		for name, n := range report.Counters {
 			counts[name] += n
 		}
 	}
