--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -18,7 +18,7 @@
 	}
 	sftp := edge.SFTP
 	if sftp == nil || sftp.ReadClass.Name != "pull" || sftp.WriteClass.Name != "push" || len(sftp.Roots) != 2 ||
-		sftp.Roots[0].Volume != 0x3b4d60021 || sftp.Roots[1].Hosts != 1 {
+		sftp.Roots[0].Volume != 0x3b4d60021 || sftp.Roots[1].Gateways != 1 {
 		t.Errorf("%+v", sftp)
 	}
 	if b := edge.BGP; b == nil || b.LocalAS != 65001 || b.HoldTimeMs != 90000 || len(b.Prefixes) != 1 || b.NextHop.IsValid() {
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -37,7 +37,7 @@
 type SFTPRoot struct {
 	Path, Plan string
 	Volume     uint64
-	Hosts      int // gateways through which the volume's requests come
+	Gateways   int // gateways through which the volume's requests come
 }
 
 // BackendAddress returns the address at which a server takes file commands. serverAddr is the server's address for
@@ -109,14 +109,14 @@
 		plans[plan.Name] = true
 	}
 	for _, value := range object.GetArray("roots") {
-		root := SFTPRoot{Path: r.text(value, "path"), Plan: r.text(value, "plan"), Hosts: int(r.number(value, "hosts"))}
+		root := SFTPRoot{Path: r.text(value, "path"), Plan: r.text(value, "plan"), Gateways: int(r.number(value, "hosts"))}
 		volume, err := strconv.ParseUint(r.text(value, "volume"), 16, 64)
 		root.Volume = volume
 		if err != nil || !plans[root.Plan] || root.Path != path.Clean(root.Path) || !path.IsAbs(root.Path) {
 			errs = append(errs, fmt.Errorf("root %q: wants a clean absolute path, a volume in hex and a known plan", root.Path))
 		}
-		if root.Hosts == 0 {
-			root.Hosts = max(1, settings.Gateways) // the careful choice: the volume's limit is divided over all gateways
+		if root.Gateways == 0 {
+			root.Gateways = max(1, settings.Gateways) // the careful choice: the volume's limit is divided over all gateways
 		}
 		s.Roots = append(s.Roots, root)
 	}
--- a/internal/frontend/coapserver/server.go
+++ b/internal/frontend/coapserver/server.go
@@ -129,13 +129,13 @@
 	return true
 }
 
-// SetResponseDeadline makes the server respond to all requests that arrive from now on before endMs, in milliseconds of
+// BeginShutdown makes the server respond to all requests that arrive from now on before endMs, in milliseconds of
 // Clock: the program ends then.
-func (s *Server) SetResponseDeadline(endMs float64) {
+func (s *Server) BeginShutdown(endMs float64) {
 	s.responseDeadlineMs.Store(math.Float64bits(endMs))
 }
 
-// responseDeadline returns what SetResponseDeadline has set, if it has been called.
+// responseDeadline returns the time that BeginShutdown has set, if it has been called.
 func (s *Server) responseDeadline() (endMs float64, ok bool) {
 	endMs = math.Float64frombits(s.responseDeadlineMs.Load())
 	return endMs, endMs != 0
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newDeviceHandler(respondWith(test.response))
-			h.GatewayID = "gateway-1"
+			h.GatewayName = "gateway-1"
 			testbed.CompareGolden(t, "device-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, test.request)))
 		})
 	}
@@ -123,7 +123,7 @@
 	}{
 		"ready":           {"/ready", func(*testHandler) {}},
 		"not-ready":       {"/ready", func(h *testHandler) { h.loop.unready = true }},
-		"ready-draining":  {"/ready", func(h *testHandler) { h.Drain(1e12 + 100) }},
+		"ready-draining":  {"/ready", func(h *testHandler) { h.BeginShutdown(1e12 + 100) }},
 		"closing":         {"/ready", func(h *testHandler) { h.DisableKeepAlives() }},
 		"metrics-empty":   {"/metrics", func(*testHandler) {}},
 		"metrics-several": {"/metrics", func(h *testHandler) { h.Metrics.Add("b_second", 3); h.Metrics.Add("a_first", 12) }},
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -71,13 +71,13 @@
 	ServesDevices bool
 	// FleetStatus serves what this gateway knows of its fleet; nil if it is in none.
 	FleetStatus http.HandlerFunc
-	// GatewayID names this gateway to devices. It changes with each start.
-	GatewayID string
+	// GatewayName names this gateway to devices. It changes with each start.
+	GatewayName string
 	// Conns, if not nil, makes the handler keep clients' connections free during a shutdown, once no new ones are expected.
 	Conns *ConnTracker
-	// HoldUps returns the earliest time at which a request that is read now may have arrived, however long this process was
+	// PauseDetector returns the earliest time at which a request that is read now may have arrived, however long this process was
 	// paused. nil stands for a process that is never paused.
-	HoldUps *clock.PauseDetector
+	PauseDetector *clock.PauseDetector
 
 	pacerMu sync.Mutex
 	pacer   shutdown.AdmissionPacer
@@ -90,7 +90,7 @@
 // ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler, which closes the connection without a response, if
 // the client no longer waits for one.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrivedMs := h.HoldUps.EarliestArrival(h.Clock.NowMs())
+	arrivedMs := h.PauseDetector.EarliestArrival(h.Clock.NowMs())
 	if conn := clientConnOf(r.Context()); conn != nil {
 		if conn.wasShed() { // the client sees its connection closed and sends the request again
 			panic(http.ErrAbortHandler)
@@ -106,7 +106,7 @@
 		return
 	}
 	if h.ServesDevices {
-		w.Header().Set("X-Gateway", h.GatewayID)
+		w.Header().Set("X-Gateway", h.GatewayName)
 		defer func() { h.sentAfter(r.Context()).Store(math.Float64bits(h.Clock.NowMs())) }()
 	}
 	h.serveRequest(w, r, arrivedMs, shutdownMs)
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -176,7 +176,7 @@
 		t.Error("ready without a list")
 	}
 	h.loop.unready = false
-	h.Drain(1e12 + 100)
+	h.BeginShutdown(1e12 + 100)
 	if get("/ready").Code != 503 {
 		t.Error("ready during a shutdown")
 	}
--- a/internal/frontend/httpserver/shutdown.go
+++ b/internal/frontend/httpserver/shutdown.go
@@ -6,9 +6,9 @@
 // the platform.
 const newConnsExpectedMs = 200
 
-// Drain starts the shutdown of the handler: it reports that it is not ready, and answers every request that it accepts from
+// BeginShutdown starts the shutdown of the handler: it reports that it is not ready, and answers every request that it accepts from
 // now on before shutdownMs on its clock.
-func (h *Handler) Drain(shutdownMs float64) {
+func (h *Handler) BeginShutdown(shutdownMs float64) {
 	h.keepFreeFromMs.Store(math.Float64bits(h.Clock.NowMs() + newConnsExpectedMs))
 	h.shutdownMs.Store(math.Float64bits(shutdownMs))
 }
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -49,7 +49,7 @@
 			t.Fatal("rejected before the shutdown")
 		}
 	}
-	h.Drain(h.now.NowMs() + 3500)
+	h.BeginShutdown(h.now.NowMs() + 3500)
 	if rejected(4) != 0 {
 		t.Error("rejected while new connections may arrive")
 	}
@@ -65,7 +65,7 @@
 // During a shutdown a request is answered before the program ends, and in the end its connection is closed.
 func TestDrain(t *testing.T) {
 	h := newTestHandler(respondWith(lifecycle.Response{Result: []byte("x")}))
-	h.Drain(h.now.NowMs() + 100)
+	h.BeginShutdown(h.now.NowMs() + 100)
 	for _, connection := range []string{"", "close"} {
 		w := h.serve(newRequest(nil))
 		r := h.loop.submitted[len(h.loop.submitted)-1]
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -81,7 +81,7 @@
 	for !request.Canceled() { // on loopback, the system reports the end at once
 		runtime.Gosched()
 	}
-	g.server.CloseAll()
+	g.server.Close()
 }
 
 // discardingLoop accepts requests and never responds.
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -135,7 +135,7 @@
 		return replyTo(response)
 	default:
 	}
-	server.Metrics.Add(responsesOverdue, 1)
+	server.Metrics.Add(answersByGuard, 1)
 	server.Loop.Cancel(request)
 	return nil, errMayHaveExecuted
 }
--- a/internal/frontend/sftpserver/helper_test.go
+++ b/internal/frontend/sftpserver/helper_test.go
@@ -132,7 +132,7 @@
 func serverOptions(settings scheduler.Settings) sftpserver.Options {
 	return sftpserver.Options{MaxConns: 32, UnitBytes: 1024, ReadClass: settings.Classes[0], WriteClass: settings.Classes[1],
 		Shards: 1, MaxUnits: settings.MaxUnits,
-		Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Hosts: 1}}}
+		Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Gateways: 1}}}
 }
 
 // setServerState applies an endpoint list with one server in the state.
--- a/internal/frontend/sftpserver/request.go
+++ b/internal/frontend/sftpserver/request.go
@@ -45,7 +45,7 @@
 		RemainingMs:    clock.Ms(class.Deadline),
 		Units:          s.units(command),
 		Shard:          int(key % uint64(max(1, s.Shards))),
-		Gateways:       root.Hosts,
+		Gateways:       root.Gateways,
 		IsFirstAttempt: true,
 		Upstream:       s.Upstream,
 		Payload:        command,
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -2,7 +2,7 @@
 // to the event loop as a request of its own, and writes one response to each.
 //
 // A Server owns its connections: one goroutine serves each of them, and github.com/pkg/sftp's RequestServer, which parses the
-// packets, starts its workers below that. Shutdown and CloseAll wait for all of them. A client that disconnects cancels its
+// packets, starts its workers below that. Shutdown and Close wait for all of them. A client that disconnects cancels its
 // requests; when the server shuts down, the commands that were received to their last byte are still answered.
 //
 // Responses are mapped to status codes as follows:
@@ -44,7 +44,7 @@
 	commandsMalformed   = "file_commands_malformed"
 	writesRejoined      = "file_writes_rejoined"
 	requestsInboxFull   = "requests_inbox_full"
-	responsesOverdue    = "answers_by_guard"
+	answersByGuard      = "answers_by_guard"
 )
 
 // Root maps a directory, with all that is below it, to the volume that its requests draw on.
@@ -54,8 +54,8 @@
 	// Plan is the name of a plan from the scheduler's settings.
 	Plan   string
 	Volume uint64
-	// Hosts is the number of gateways through which the volume's requests come, by any protocol.
-	Hosts int
+	// Gateways is the number of gateways through which the volume's requests come, by any protocol.
+	Gateways int
 }
 
 // Options configure a Server.
@@ -135,9 +135,9 @@
 	s.serving.Wait()
 }
 
-// CloseAll closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
+// Close closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
 // accepted later is not read.
-func (s *Server) CloseAll() {
+func (s *Server) Close() {
 	s.mu.Lock()
 	s.draining = true
 	for c := range s.conns {
@@ -169,7 +169,7 @@
 	s.reportEnd(c, err)
 }
 
-// register adds a connection to those that Shutdown and CloseAll end.
+// register adds a connection to those that Shutdown and Close end.
 func (s *Server) register(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/sftpserver/traffic_test.go
+++ b/internal/frontend/sftpserver/traffic_test.go
@@ -163,7 +163,7 @@
 	serve(test.t, &sftpserver.Server{Loop: test.loop, Clock: test.clock, Metrics: test.counters, Upstream: upstream,
 		Options: sftpserver.Options{MaxConns: 32, UnitBytes: trafficUnitBytes, ReadClass: test.settings.Classes[0],
 			WriteClass: test.settings.Classes[1], Shards: trafficShards, MaxUnits: 6,
-			Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Hosts: 1}, {Path: "/2", Plan: "basic", Volume: 2, Hosts: 1}}}},
+			Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Gateways: 1}, {Path: "/2", Plan: "basic", Volume: 2, Gateways: 1}}}},
 		test.listener)
 }
 
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -43,20 +43,20 @@
 	}
 	g.setDeadlines()
 	options := g.loopOptions(scheduler, fleet)
-	var gatewayID string
+	var gatewayName string
 	if edge.Devices != nil {
 		deduplicator, id, err := newDeduplicator(g, edge.Devices)
 		if err != nil {
 			return nil, err
 		}
-		options.Deduplicator, gatewayID = deduplicator, id
+		options.Deduplicator, gatewayName = deduplicator, id
 	}
 	g.loop = eventloop.New(options)
 	g.upstream = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
 		ReuseDelayMs: reuseDelayMs, MaxConns: maxUpstreamConns(cfg), LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
 	g.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
-	g.components = newComponents(g, edge, fleet, gatewayID)
+	g.components = newComponents(g, edge, fleet, gatewayName)
 	return g, nil
 }
 
@@ -101,7 +101,7 @@
 
 // newComponents returns the components in the order of their start. The fleet comes first, so that quota is known sooner
 // and is returned later.
-func newComponents(g *Gateway, edge *config.Edge, fleet *fleetMember, gatewayID string) []component {
+func newComponents(g *Gateway, edge *config.Edge, fleet *fleetMember, gatewayName string) []component {
 	var components []component
 	clients := newClientFrontend(g)
 	if fleet != nil {
@@ -113,7 +113,7 @@
 		components = append(components, newSFTPFrontend(g, edge.SFTP, edge.Devices))
 	}
 	if edge.Devices != nil {
-		components = append(components, newDeviceFrontend(g, edge.Devices, gatewayID))
+		components = append(components, newDeviceFrontend(g, edge.Devices, gatewayName))
 	}
 	if edge.BGP != nil {
 		components = append(components, newAnnouncer(g, edge.BGP))
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -38,7 +38,7 @@
 	conns := &httpserver.ConnTracker{MaxOpen: sheddingThreshold(maxClientConns(g.cfg)), Clock: g.Clock, Metrics: g.Metrics,
 		MaxPipelinedBytes: int(g.cfg.MemoryMB * pipelinedFraction * (1 << 20))}
 	handler := &httpserver.Handler{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
-		Settings: &g.cfg.Settings, Conns: conns, HoldUps: g.pauseDetector}
+		Settings: &g.cfg.Settings, Conns: conns, PauseDetector: g.pauseDetector}
 	return &clientFrontend{gateway: g, conns: conns, handler: handler, after: after}
 }
 
@@ -68,7 +68,7 @@
 }
 
 func (f *clientFrontend) beginShutdown(times shutdownTimes) {
-	f.handler.Drain(f.gateway.Clock.NowMs() + times.respondByMs)
+	f.handler.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 }
 
 // drain closes connections late: clients that are not told of the shutdown go on using the connections that they have, and
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -37,24 +37,24 @@
 
 // newDeduplicator returns the deduplicator of the requests of devices, and the id by which devices know this gateway. The
 // deduplicator's functions use g.loop, which is built after it.
-func newDeduplicator(g *Gateway, options *config.Devices) (deduplicator *dedup.Coordinator, gatewayID string, err error) {
+func newDeduplicator(g *Gateway, options *config.Devices) (deduplicator *dedup.Coordinator, gatewayName string, err error) {
 	// Servers know runs of requests by this name, so no other gateway and no earlier start may have the same.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
-	gatewayID = strconv.FormatUint(xxhash.Sum64String(name), 16)
+	gatewayName = strconv.FormatUint(xxhash.Sum64String(name), 16)
 	deduplicator, err = dedup.New(dedup.Options{Settings: options.Exchanges, Classes: g.cfg.Settings.Classes,
-		RunIDPrefix: name, GatewayName: gatewayID, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
+		RunIDPrefix: name, GatewayName: gatewayName, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
 		AfterFunc: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
 		Submit:    func(nowMs float64, request *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, request) }})
-	return deduplicator, gatewayID, err
+	return deduplicator, gatewayName, err
 }
 
-func newDeviceFrontend(g *Gateway, options *config.Devices, gatewayID string) *deviceFrontend {
+func newDeviceFrontend(g *Gateway, options *config.Devices, gatewayName string) *deviceFrontend {
 	f := &deviceFrontend{gateway: g, options: options}
 	if options.CoAP != "" {
 		link := options.Exchanges.Link
 		f.coap = &coapserver.Server{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
 			Settings: &g.cfg.Settings, Options: coapserver.Options{
-				GatewayName:         gatewayID,
+				GatewayName:         gatewayName,
 				MaxConns:            options.MaxConns,
 				MaxPendingRequests:  options.MaxOpenRequests,
 				MaxMessageSize:      options.MaxMessageBytes,
@@ -68,7 +68,7 @@
 	}
 	if options.HTTP != "" {
 		f.http = &httpserver.Handler{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
-			Settings: &g.cfg.Settings, ServesDevices: true, GatewayID: gatewayID}
+			Settings: &g.cfg.Settings, ServesDevices: true, GatewayName: gatewayName}
 		f.conns = &httpserver.ConnTracker{MaxOpen: sheddingThreshold(options.MaxConns), Clock: g.Clock, Metrics: g.Metrics}
 	}
 	return f
@@ -138,10 +138,10 @@
 
 func (f *deviceFrontend) beginShutdown(times shutdownTimes) {
 	if f.coap != nil {
-		f.coap.SetResponseDeadline(f.gateway.Clock.NowMs() + times.respondByMs)
+		f.coap.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 	}
 	if f.http != nil {
-		f.http.Drain(f.gateway.Clock.NowMs() + times.respondByMs)
+		f.http.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 	}
 }
 
--- a/internal/gateway/sftpfrontend.go
+++ b/internal/gateway/sftpfrontend.go
@@ -59,6 +59,6 @@
 
 func (f *sftpFrontend) close() {
 	f.listener.Close()
-	f.server.CloseAll()
+	f.server.Close()
 	f.upstream.Close()
 }
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -74,7 +74,7 @@
 		IdleConnTimeoutMs: 30_000, ConnectTimeoutMs: 1000, KnownEndpoints: known, Settings: settings, Seed: r.options.Seed}
 	edge := &config.Edge{SFTP: &config.SFTP{Listen: r.frontendAddr(sftpFrontend), MaxConns: 4 * r.options.Devices, UnitBytes: 16 << 10,
 		ReadClass: settings.Classes[0], WriteClass: classNamed(settings, writeClass),
-		Roots:         []config.SFTPRoot{{Path: fileRoot, Plan: "business", Volume: 7, Hosts: 1}},
+		Roots:         []config.SFTPRoot{{Path: fileRoot, Plan: "business", Volume: 7, Gateways: 1}},
 		LookupBackend: r.fileAddr}}
 	if r.options.Deduplication {
 		edge.Devices = r.deviceConfig()
