--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -39,12 +39,12 @@
 }
 
 // New returns a speaker that announces nothing until SetReady. Run must be called once.
-func New(options Options, c clock.Clock, m *metrics.Registry) *Speaker {
+func New(options Options, clk clock.Clock, registry *metrics.Registry) *Speaker {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return &Speaker{
 		options:   options,
-		clock:     c,
-		metrics:   m,
+		clock:     clk,
+		metrics:   registry,
 		readiness: make(chan bool, readinessQueue),
 		done:      make(chan struct{}),
 		dial: func(ctx context.Context) (net.Conn, error) {
--- a/internal/frontend/accept/accept_test.go
+++ b/internal/frontend/accept/accept_test.go
@@ -60,8 +60,8 @@
 // checkSurvives checks that a listener accepts after the errors, in the time that it may take, and reports the delay.
 func checkSurvives(t *testing.T, errs []error, maxDelay time.Duration) {
 	t.Helper()
-	counters, delayMs := metrics.New(), 0.0
-	l := Wrap(&failingListener{errs: errs, closed: make(chan struct{})}, clock.NewSystem(), counters, 250,
+	registry, delayMs := metrics.New(), 0.0
+	l := Wrap(&failingListener{errs: errs, closed: make(chan struct{})}, clock.NewSystem(), registry, 250,
 		func(fromMs, toMs float64) { delayMs += toMs - fromMs })
 	start := time.Now()
 	if _, err := l.Accept(); err != nil {
@@ -74,11 +74,11 @@
 		t.Errorf("accepted after %v, reported %v ms", took, delayMs)
 	}
 	counted := 0
-	for _, n := range counters.Snapshot() {
+	for _, n := range registry.Snapshot() {
 		counted += int(n)
 	}
 	if counted != len(errs) {
-		t.Errorf("%d failures counted of %d: %v", counted, len(errs), counters.Snapshot())
+		t.Errorf("%d failures counted of %d: %v", counted, len(errs), registry.Snapshot())
 	}
 }
 
--- a/internal/frontend/coapserver/device_test.go
+++ b/internal/frontend/coapserver/device_test.go
@@ -90,7 +90,6 @@
 			MinIdleTimeout:      time.Second,
 			MaxIdleTimeout:      4 * time.Second,
 			HoldOff:             3 * time.Second,
-			ResponseGrace:       25 * time.Millisecond,
 		},
 	}
 }
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -12,15 +12,15 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/coapwire"
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/frontend/requestparse"
 	"gaugerelay/internal/httpmessage"
 	"gaugerelay/internal/lifecycle"
 )
 
 const (
-	maxDeviceNameLength = 64  // bytes
-	inboxFullRetryMs    = 250 // when to retry a request that the Loop's inbox had no room for
-	overLimitRetry      = 1   // seconds until a request beyond MaxPendingRequests may be retried
+	maxDeviceNameLength = 64 // bytes
+	overLimitRetry      = 1  // seconds until a request beyond MaxPendingRequests may be retried
 )
 
 // pendingRequest is a request of a connection that has no response yet.
@@ -118,8 +118,8 @@
 func (c *conn) setTimes(request *lifecycle.Request, now time.Time) {
 	request.ClientDelayMs = clock.Ms(now.Sub(c.frameStart))
 	request.RemainingMs -= request.ClientDelayMs
-	if endMs, ok := c.server.responseDeadline(); ok {
-		request.RemainingMs = min(request.RemainingMs, endMs-c.server.Clock.NowMs())
+	if respondByMs, ok := c.server.responseDeadline(); ok {
+		request.RemainingMs = min(request.RemainingMs, respondByMs-c.server.Clock.NowMs())
 	}
 }
 
@@ -132,8 +132,8 @@
 	}
 	c.pending[string(p.token)] = p
 	// A copy whose time was up on arrival gets its response from the exchange store at once. The timer must not fire
-	// before that: a device whose write an earlier copy has confirmed would be told now that it failed.
-	timeoutMs := max(0, p.request.RemainingMs) + clock.Ms(c.server.ResponseGrace)
+	// before that: a device whose write an earlier copy has confirmed would get the response that it failed.
+	timeoutMs := max(0, p.request.RemainingMs) + frontend.ResponseGraceMs
 	p.stopTimer = c.server.Clock.AfterFunc(timeoutMs, func() { c.expire(p) })
 	return true
 }
@@ -153,8 +153,8 @@
 	if c.server.Loop.Submit(p.request) {
 		return
 	}
-	c.server.Metrics.Add("requests_inbox_full", 1)
-	response := lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: inboxFullRetryMs}
+	c.server.Metrics.Add(frontend.RequestsInboxFull, 1)
+	response := lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: frontend.InboxFullRetryAfterMs}
 	if p.request.IsRetry && p.parsed.fields.Method == http.MethodPut {
 		response.Kind = lifecycle.Failed // an earlier copy may have been executed
 	}
@@ -188,7 +188,7 @@
 	if !expired {
 		return
 	}
-	c.server.Metrics.Add("answers_by_guard", 1)
+	c.server.Metrics.Add(frontend.AnswersByGuard, 1)
 	c.server.Loop.Cancel(p.request)
 	c.sendText(p.token, codes.GatewayTimeout, "no answer in time")
 }
@@ -206,7 +206,7 @@
 
 // rejectMalformed responds to a malformed request, with the code of a requestError or 4.00.
 func (c *conn) rejectMalformed(token message.Token, err error) {
-	c.server.Metrics.Add("requests_malformed", 1)
+	c.server.Metrics.Add(frontend.RequestsMalformed, 1)
 	code := codes.BadRequest
 	var malformed *requestError
 	if errors.As(err, &malformed) {
--- a/internal/frontend/coapserver/server.go
+++ b/internal/frontend/coapserver/server.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 	"gaugerelay/internal/scheduler"
@@ -32,18 +33,11 @@
 	MaxIdleTimeout time.Duration
 	// HoldOff is how long a device must wait before it connects again, as sent with Release (RFC 8323, 5.5).
 	HoldOff time.Duration
-	// ResponseGrace is how long after a request's time is up the server waits for the Loop before it responds itself.
-	ResponseGrace time.Duration
 }
 
-// Loop is the event loop as the server uses it. Its methods may be called from any goroutine.
+// Loop is the event loop as a Server uses it. Its methods do not block and may be called from any goroutine.
 type Loop interface {
-	// Submit hands over a request and reports whether the inbox had room for it.
-	Submit(*lifecycle.Request) bool
-	// Cancel reports that nobody waits for the response to a request any more.
-	Cancel(*lifecycle.Request)
-	// ResponseWritten reports that a served response has been written completely.
-	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
+	frontend.Loop
 	// LinkMeasured reports a measurement of a device's link that did not come with a request.
 	LinkMeasured(device string, sample lifecycle.LinkSample)
 }
@@ -58,9 +52,9 @@
 	Metrics  *metrics.Registry
 	Settings *scheduler.Settings
 
-	// responseDeadlineMs holds the bits of a float64: milliseconds of Clock, 0 before the program is stopping.
-	responseDeadlineMs atomic.Uint64
-	readers            sync.WaitGroup
+	// respondByMs holds the bits of the float64 that BeginShutdown has set; 0 before a shutdown.
+	respondByMs atomic.Uint64
+	readers     sync.WaitGroup
 
 	mu           sync.Mutex
 	conns        map[*conn]bool
@@ -129,16 +123,16 @@
 	return true
 }
 
-// BeginShutdown makes the server respond to all requests that arrive from now on before endMs, in milliseconds of
-// Clock: the program ends then.
-func (s *Server) BeginShutdown(endMs float64) {
-	s.responseDeadlineMs.Store(math.Float64bits(endMs))
+// BeginShutdown makes the server respond to every request that arrives from now on before respondByMs, in milliseconds of
+// Clock.
+func (s *Server) BeginShutdown(respondByMs float64) {
+	s.respondByMs.Store(math.Float64bits(respondByMs))
 }
 
 // responseDeadline returns the time that BeginShutdown has set, if it has been called.
-func (s *Server) responseDeadline() (endMs float64, ok bool) {
-	endMs = math.Float64frombits(s.responseDeadlineMs.Load())
-	return endMs, endMs != 0
+func (s *Server) responseDeadline() (respondByMs float64, ok bool) {
+	respondByMs = math.Float64frombits(s.respondByMs.Load())
+	return respondByMs, respondByMs != 0
 }
 
 // Drain asks devices to use another gateway. Connections are still accepted, for devices that come back for a response.
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -143,10 +143,10 @@
 // The caller holds t.mu.
 func (t *ConnTracker) shedOverLimit(nowMs float64) bool {
 	for t.open > t.MaxOpen {
-		silent, idle := oldest(&t.newConns), oldest(&t.idleConns)
+		oldestNew, idle := oldest(&t.newConns), oldest(&t.idleConns)
 		switch {
-		case silent != nil && (nowMs-silent.listedMs >= firstByteTimeoutMs || idle == nil):
-			t.shed(silent)
+		case oldestNew != nil && (nowMs-oldestNew.listedMs >= firstByteTimeoutMs || idle == nil):
+			t.shed(oldestNew)
 		case idle != nil:
 			t.shed(idle)
 		default:
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -30,12 +30,12 @@
 // When draining, idle connections are closed at once, busy ones after their responses.
 func TestConnTrackerDrain(t *testing.T) {
 	tracker := &ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
-	silent, _ := addConn(tracker, http.StateNew)
+	oldestNew, _ := addConn(tracker, http.StateNew)
 	idle, _ := addConn(tracker, http.StateIdle)
 	busy, _ := addConn(tracker, http.StateActive)
 	drained := tracker.Drain()
-	if !silent.isShed || !idle.isShed || busy.isShed {
-		t.Errorf("shed %v %v %v", silent.isShed, idle.isShed, busy.isShed)
+	if !oldestNew.isShed || !idle.isShed || busy.isShed {
+		t.Errorf("shed %v %v %v", oldestNew.isShed, idle.isShed, busy.isShed)
 	}
 	select {
 	case <-drained:
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -21,6 +21,7 @@
 	"time"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 	"gaugerelay/internal/scheduler"
@@ -28,33 +29,19 @@
 	"gaugerelay/internal/socketstate"
 )
 
-const (
-	// networkMarginMs is subtracted from the client's time, which counts from the client's sending: the response has to get
-	// there.
-	networkMarginMs = 10
-	// responseGuardMs after a request's deadline the handler fails it by itself. The protocol allows 50 ms.
-	responseGuardMs = 25
-	// maxInboxRetryAfterMs bounds the Retry-After of a request that was not submitted.
-	maxInboxRetryAfterMs = 250
-)
+// networkMarginMs is subtracted from the time that is left for a request, because the client counts that time from sending
+// the request to receiving the response.
+const networkMarginMs = 10
 
 // Names of counters.
 const (
-	requestsMalformed        = "requests_malformed"
 	requestsAbandoned        = "requests_abandoned"
 	requestsRejectedShutdown = "requests_rejected_shutdown"
-	requestsInboxFull        = "requests_inbox_full"
-	answersByGuard           = "answers_by_guard"
 )
 
-// Loop is the event loop that owns requests. Its methods do not block.
+// Loop is the event loop as a Handler uses it. Its methods do not block.
 type Loop interface {
-	// Submit hands a request over. It returns false, having done nothing, if the inbox is too full or closed.
-	Submit(*lifecycle.Request) bool
-	// Cancel reports that a request's client no longer waits.
-	Cancel(*lifecycle.Request)
-	// ResponseWritten reports that the response to a device was written completely.
-	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
+	frontend.Loop
 	// Ready reports whether requests can be served.
 	Ready() bool
 }
@@ -73,17 +60,17 @@
 	FleetStatus http.HandlerFunc
 	// GatewayName names this gateway to devices. It changes with each start.
 	GatewayName string
-	// Conns, if not nil, makes the handler keep clients' connections free during a shutdown, once no new ones are expected.
+	// Conns, if not nil, makes the handler keep client connections free during a shutdown once no new ones are expected.
 	Conns *ConnTracker
-	// PauseDetector returns the earliest time at which a request that is read now may have arrived, however long this process was
-	// paused. nil stands for a process that is never paused.
+	// PauseDetector gives the earliest time at which a request that is read after a pause of this process may have arrived. A
+	// nil one reports no pause.
 	PauseDetector *clock.PauseDetector
 
 	pacerMu sync.Mutex
 	pacer   shutdown.AdmissionPacer
 
 	keepFreeFromMs     atomic.Uint64 // bits of the float64 from when on connections are kept free; 0 before a shutdown
-	shutdownMs         atomic.Uint64 // bits of the float64 by when the last response must be written; 0 before a shutdown
+	respondByMs        atomic.Uint64 // bits of the float64 by when the last response must be written; 0 before a shutdown
 	keepAlivesDisabled atomic.Bool
 }
 
@@ -101,22 +88,22 @@
 	if h.keepAlivesDisabled.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	shutdownMs := math.Float64frombits(h.shutdownMs.Load())
-	if h.serveStatus(w, r, shutdownMs) {
+	respondByMs := math.Float64frombits(h.respondByMs.Load())
+	if h.serveStatus(w, r, respondByMs) {
 		return
 	}
 	if h.ServesDevices {
 		w.Header().Set("X-Gateway", h.GatewayName)
 		defer func() { h.sentAfter(r.Context()).Store(math.Float64bits(h.Clock.NowMs())) }()
 	}
-	h.serveRequest(w, r, arrivedMs, shutdownMs)
+	h.serveRequest(w, r, arrivedMs, respondByMs)
 }
 
 // serveStatus serves the paths that report the gateway's state. It returns false for other paths.
-func (h *Handler) serveStatus(w http.ResponseWriter, r *http.Request, shutdownMs float64) bool {
+func (h *Handler) serveStatus(w http.ResponseWriter, r *http.Request, respondByMs float64) bool {
 	switch r.URL.Path {
 	case "/ready":
-		if shutdownMs != 0 || !h.Loop.Ready() {
+		if respondByMs != 0 || !h.Loop.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return true
 		}
@@ -137,7 +124,7 @@
 }
 
 // serveRequest parses a request, submits it, and writes its response.
-func (h *Handler) serveRequest(w http.ResponseWriter, r *http.Request, arrivedMs, shutdownMs float64) {
+func (h *Handler) serveRequest(w http.ResponseWriter, r *http.Request, arrivedMs, respondByMs float64) {
 	request, err := h.parseRequest(r)
 	if err != nil {
 		h.rejectMalformed(w, err)
@@ -155,10 +142,10 @@
 		request.RemainingMs -= networkMarginMs
 		h.watchDisconnect(r, request)
 	}
-	if shutdownMs != 0 { // requests that are still open at that time are lost
-		request.RemainingMs = min(request.RemainingMs, shutdownMs-h.Clock.NowMs())
+	if respondByMs != 0 { // requests that are still open at that time are lost
+		request.RemainingMs = min(request.RemainingMs, respondByMs-h.Clock.NowMs())
 	}
-	if h.rejectsForShutdown(arrivedMs, shutdownMs) {
+	if h.rejectsForShutdown(arrivedMs, respondByMs) {
 		h.Metrics.Add(requestsRejectedShutdown, 1)
 		writeRejection(w, h.inboxRetryAfterMs())
 		return
@@ -189,7 +176,7 @@
 func (h *Handler) awaitResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, responses <-chan lifecycle.Response) {
 	overdue := make(chan struct{})
 	// A request that took all its time to get here is answered at once, and the guard must not race that.
-	stop := h.Clock.AfterFunc(max(0, request.RemainingMs)+responseGuardMs, func() { close(overdue) })
+	stop := h.Clock.AfterFunc(max(0, request.RemainingMs)+frontend.ResponseGraceMs, func() { close(overdue) })
 	defer stop()
 	select {
 	case response := <-responses:
@@ -205,7 +192,7 @@
 		default:
 		}
 		// The loop is stalled. It may have forwarded the request, so this is a failure, not a rejection.
-		h.Metrics.Add(answersByGuard, 1)
+		h.Metrics.Add(frontend.AnswersByGuard, 1)
 		h.Loop.Cancel(request)
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 	}
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/lifecycle"
 )
 
@@ -59,7 +60,7 @@
 // rejectInboxFull answers a request that the loop did not accept. Nothing of it was executed, so a rejection is right for any
 // class, but an earlier copy of a device's write may have been.
 func (h *Handler) rejectInboxFull(w http.ResponseWriter, r *http.Request, request *lifecycle.Request) {
-	h.Metrics.Add(requestsInboxFull, 1)
+	h.Metrics.Add(frontend.RequestsInboxFull, 1)
 	if request.Device != nil && request.IsRetry && r.Method != http.MethodGet {
 		writeFailure(w)
 		return
@@ -69,13 +70,13 @@
 
 // inboxRetryAfterMs returns when to retry a request that was not submitted.
 func (h *Handler) inboxRetryAfterMs() float64 {
-	return min(maxInboxRetryAfterMs, clock.Ms(h.Settings.MaxRetryAfter))
+	return min(frontend.InboxFullRetryAfterMs, clock.Ms(h.Settings.MaxRetryAfter))
 }
 
 // rejectMalformed answers a request that parseRequest has rejected. The connection ends, since it is not known where the body
 // ends or what follows it.
 func (h *Handler) rejectMalformed(w http.ResponseWriter, err error) {
-	h.Metrics.Add(requestsMalformed, 1)
+	h.Metrics.Add(frontend.RequestsMalformed, 1)
 	w.Header().Set("Connection", "close")
 	status := http.StatusBadRequest
 	if malformed := (*malformedError)(nil); errors.As(err, &malformed) {
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -8,17 +8,11 @@
 
 	"github.com/pkg/sftp"
 
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/sftpwire"
 )
 
-const (
-	// responseGraceMs is how long after the client's deadline a response of the event loop is awaited.
-	responseGraceMs = 25
-	// inboxFullRetryAfterMs is the delay that a client is told when the event loop does not accept a request.
-	inboxFullRetryAfterMs = 250
-)
-
 // methodStat is the name that the library gives to a STAT.
 const methodStat = "Stat"
 
@@ -106,8 +100,8 @@
 	responses := make(chan lifecycle.Response, 1)
 	request.Respond = func(response lifecycle.Response) { responses <- response }
 	if !server.Loop.Submit(request) {
-		server.Metrics.Add(requestsInboxFull, 1)
-		return nil, busyError(inboxFullRetryAfterMs)
+		server.Metrics.Add(frontend.RequestsInboxFull, 1)
+		return nil, busyError(frontend.InboxFullRetryAfterMs)
 	}
 	return h.waitForResponse(request, responses)
 }
@@ -116,7 +110,7 @@
 func (h *handler) waitForResponse(request *lifecycle.Request, responses <-chan lifecycle.Response) (*sftpwire.Reply, error) {
 	server := h.server
 	overdue := make(chan struct{})
-	stopTimer := server.Clock.AfterFunc(request.RemainingMs+responseGraceMs, func() { close(overdue) })
+	stopTimer := server.Clock.AfterFunc(request.RemainingMs+frontend.ResponseGraceMs, func() { close(overdue) })
 	defer stopTimer()
 	select {
 	case response := <-responses:
@@ -135,7 +129,7 @@
 		return replyTo(response)
 	default:
 	}
-	server.Metrics.Add(answersByGuard, 1)
+	server.Metrics.Add(frontend.AnswersByGuard, 1)
 	server.Loop.Cancel(request)
 	return nil, errMayHaveExecuted
 }
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -28,6 +28,7 @@
 	"github.com/pkg/sftp"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/frontend/gracefulclose"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/logevent"
@@ -43,8 +44,6 @@
 	commandsTruncated   = "file_commands_truncated"
 	commandsMalformed   = "file_commands_malformed"
 	writesRejoined      = "file_writes_rejoined"
-	requestsInboxFull   = "requests_inbox_full"
-	answersByGuard      = "answers_by_guard"
 )
 
 // Root maps a directory, with all that is below it, to the volume that its requests draw on.
@@ -77,21 +76,11 @@
 	RetentionMs float64
 }
 
-// Loop is the part of eventloop.Loop that a Server uses.
-type Loop interface {
-	// Submit submits a request. It returns false if the loop does not accept it; Respond is not called then.
-	Submit(*lifecycle.Request) bool
-	// Cancel reports that the client no longer waits for the response.
-	Cancel(*lifecycle.Request)
-	// ResponseWritten reports that the response of a request with an exchange was passed on.
-	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
-}
-
 // Server serves SFTP connections. Its exported fields are set before the first call of Serve. Its methods may be called from
 // any goroutine.
 type Server struct {
 	Options
-	Loop     Loop
+	Loop     frontend.Loop
 	Upstream lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Registry
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -20,9 +19,6 @@
 	"gaugerelay/internal/logevent"
 )
 
-// coapResponseGrace after a request's time the CoAP server responds by itself.
-const coapResponseGrace = 25 * time.Millisecond
-
 // deviceFrontend serves devices on poor links, over CoAP or HTTP or both. Their requests share the deduplicator.
 type deviceFrontend struct {
 	noopComponent
@@ -63,7 +59,6 @@
 				MinIdleTimeout:      clock.Duration(link.MinIdleTimeoutMs),
 				MaxIdleTimeout:      clock.Duration(link.MaxIdleTimeoutMs),
 				HoldOff:             options.HoldOff,
-				ResponseGrace:       coapResponseGrace,
 			}}
 	}
 	if options.HTTP != "" {
--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -84,8 +84,8 @@
 }
 
 // New returns a Client that reports to results.
-func New(options Options, clk clock.Clock, counters *metrics.Registry, results ResultHandler) *Client {
-	c := &Client{options: options, clock: clk, metrics: counters, results: results}
+func New(options Options, clk clock.Clock, registry *metrics.Registry, results ResultHandler) *Client {
+	c := &Client{options: options, clock: clk, metrics: registry, results: results}
 	c.transport = &http.Transport{
 		DialContext:            c.dial,
 		DisableCompression:     true, // the body must pass unchanged
--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -57,14 +57,14 @@
 }
 
 // New returns a Client without sessions. It calls complete once for each attempt, on the goroutine of that attempt.
-func New(options Options, c clock.Clock, registry *metrics.Registry,
+func New(options Options, clk clock.Clock, registry *metrics.Registry,
 	complete func(lifecycle.Attempt, lifecycle.AttemptResult)) *Client {
 	return &Client{
 		options:  options,
-		clock:    c,
+		clock:    clk,
 		metrics:  registry,
 		complete: complete,
-		sessions: newSessionPool(options, c),
+		sessions: newSessionPool(options, clk),
 	}
 }
 
