--- a/internal/testbed/soak/servers.go
+++ b/internal/testbed/soak/servers.go
@@ -73,8 +73,8 @@
 // one that has run for long. It is not called concurrently.
 func (r *run) startServer(shardIndex int, startedMs float64) error {
 	r.mu.Lock()
-	r.serversBegun++
-	number := r.serversBegun
+	r.startedServers++
+	number := r.startedServers
 	r.mu.Unlock()
 	name := fmt.Sprint("s-", number)
 	listener, err := r.options.Network.Listen("127.0.0.1:0")
