--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -19,12 +19,12 @@
 		t.Errorf("%+v", c)
 	}
 	push := scheduler.Class{Name: "push", LatencyObjective: 400 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: scheduler.IdempotentWithKey,
-		DedupScope: scheduler.DedupCell, DedupWindow: 3 * time.Second, Write: true, PriorityWeight: 2}
+		DedupScope: scheduler.DedupShard, DedupWindow: 3 * time.Second, Write: true, PriorityWeight: 2}
 	basic := scheduler.Plan{Name: "basic", Rate: 4.1, Reserve: 2, Weight: 1, PriorityFactor: 0.96, Limit: 33, LimitBurst: 53, LimitOverdraft: 6}
 	if len(settings.Classes) != 3 || settings.Classes[1] != push || settings.Classes[0].Idempotency != scheduler.Idempotent || settings.Plans[0] != basic {
 		t.Errorf("%+v", settings)
 	}
-	if odd := settings.Classes[2]; odd.Idempotency != scheduler.NotIdempotent || odd.DedupScope != scheduler.DedupCell {
+	if odd := settings.Classes[2]; odd.Idempotency != scheduler.NotIdempotent || odd.DedupScope != scheduler.DedupShard {
 		t.Errorf("unknown tokens are not read as the strictest: %+v", odd)
 	}
 	if settings.Gateways != 3 || !settings.PollEndpoints || settings.Shards != 10 || !settings.ReportsForeignUnits || settings.MaxAttempts != 3 ||
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,7 +13,7 @@
 
 // dedupScopes translates the platform's groups of servers that share deduplication.
 var dedupScopes = map[string]scheduler.DedupScope{
-	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
+	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupShard,
 }
 
 // settings reads the scheduler's settings. Unknown keys are skipped. The order of reading decides which of several invalid
@@ -56,7 +56,7 @@
 		class.Idempotency = scheduler.NotIdempotent // an unknown one is read as the strictest
 	}
 	if class.DedupScope, ok = dedupScopes[r.text(lane, "KeyScope")]; !ok {
-		class.DedupScope = scheduler.DedupCell // an unknown one is read as the narrowest
+		class.DedupScope = scheduler.DedupShard // an unknown one is read as the narrowest
 	}
 	return class
 }
--- a/internal/dedup/convert.go
+++ b/internal/dedup/convert.go
@@ -9,23 +9,23 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// responseKinds are the kinds of response by outcome.
+// responseKinds are the kinds of response by those of the exchange store.
 var responseKinds = [...]lifecycle.ResponseKind{
-	exchange.OutcomeServed:     lifecycle.Served,
-	exchange.OutcomeRejected:   lifecycle.Rejected,
-	exchange.OutcomeBusy:       lifecycle.Rejected,
-	exchange.OutcomeTooLate:    lifecycle.Rejected,
-	exchange.OutcomeFailed:     lifecycle.Failed,
-	exchange.OutcomeConflict:   lifecycle.Conflict,
-	exchange.OutcomeContinue:   lifecycle.Continue,
-	exchange.OutcomeIncomplete: lifecycle.Incomplete,
-	exchange.OutcomeTooLarge:   lifecycle.TooLarge,
-	exchange.OutcomeSuperseded: lifecycle.Superseded,
+	exchange.ResponseServed:     lifecycle.Served,
+	exchange.ResponseRejected:   lifecycle.Rejected,
+	exchange.ResponseBusy:       lifecycle.Rejected,
+	exchange.ResponseTooLate:    lifecycle.Rejected,
+	exchange.ResponseFailed:     lifecycle.Failed,
+	exchange.ResponseConflict:   lifecycle.Conflict,
+	exchange.ResponseContinue:   lifecycle.Continue,
+	exchange.ResponseIncomplete: lifecycle.Incomplete,
+	exchange.ResponseTooLarge:   lifecycle.TooLarge,
+	exchange.ResponseSuperseded: lifecycle.Superseded,
 }
 
 // copyID returns the store's id of a copy.
 func copyID(request *lifecycle.Request) exchange.CopyID {
-	return exchange.CopyID(request.Device.Ticket)
+	return exchange.CopyID(request.Device.CopyID)
 }
 
 // copyReceived returns the event of a copy with its entire body, given the body's digest and size.
@@ -79,6 +79,6 @@
 
 // linkSample converts the measurement of a link to the store's form.
 func linkSample(sample lifecycle.LinkSample) exchange.LinkSample {
-	return exchange.LinkSample{RoundTripMs: sample.RoundTripMs, Bytes: sample.Bytes, TransferMs: sample.BytesMs,
-		MaxGapMs: sample.GapMs}
+	return exchange.LinkSample{RoundTripMs: sample.RoundTripMs, Bytes: sample.Bytes, TransferMs: sample.TransferMs,
+		MaxGapMs: sample.MaxGapMs}
 }
--- a/internal/dedup/coordinator.go
+++ b/internal/dedup/coordinator.go
@@ -77,7 +77,7 @@
 // Submit handles a copy of a device's request, or a block of its upload.
 func (c *Coordinator) Submit(nowMs float64, request *lifecycle.Request) {
 	c.lastCopy++
-	request.Device.Ticket = uint64(c.lastCopy)
+	request.Device.CopyID = uint64(c.lastCopy)
 	c.copies[c.lastCopy] = request
 	if request.Device.Block != nil {
 		c.step(nowMs, c.blockReceived(request))
@@ -88,7 +88,7 @@
 
 // Cancel forgets a copy whose response nobody waits for. It has no effect if the copy was not submitted.
 func (c *Coordinator) Cancel(nowMs float64, request *lifecycle.Request) {
-	if request.Device.Ticket != 0 {
+	if request.Device.CopyID != 0 {
 		id := copyID(request)
 		delete(c.copies, id)
 		c.step(nowMs, exchange.CopyCanceled{Copy: id})
@@ -161,16 +161,16 @@
 		return
 	}
 	response := lifecycle.Response{
-		Kind:          responseKinds[action.Outcome],
+		Kind:          responseKinds[action.Kind],
 		RetryAfterMs:  action.RetryAfterMs,
 		BufferedBytes: action.BufferedBytes,
 		Cached:        action.Cached,
 		IdleTimeoutMs: action.Advice.IdleTimeoutMs,
 		BlockSize:     action.Advice.BlockSize,
 	}
-	if action.Outcome == exchange.OutcomeServed {
+	if action.Kind == exchange.ResponseServed {
 		served := c.contents[action.ID]
-		response.Result, response.ETag = served.response, served.etag
+		response.Body, response.ETag = served.response, served.etag
 	}
 	request.Respond(response)
 }
--- a/internal/dedup/coordinator_test.go
+++ b/internal/dedup/coordinator_test.go
@@ -117,7 +117,7 @@
 
 // serve ends a run with testResult, after an attempt that was sent some time ago.
 func (c *testCoordinator) serve(run *lifecycle.Request, attemptAgeMs float64) {
-	run.Respond(lifecycle.Response{Result: []byte(testResult), MayHaveExecuted: true, FirstAttemptMs: c.nowMs - attemptAgeMs,
+	run.Respond(lifecycle.Response{Body: []byte(testResult), MayHaveExecuted: true, FirstAttemptMs: c.nowMs - attemptAgeMs,
 		Shard: testShard})
 }
 
--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -17,25 +17,25 @@
 	Shard         int     // where it must run; -1: anywhere
 }
 
-// Outcome is the kind of response to a copy.
-type Outcome uint8
+// Kind is the kind of response to a copy.
+type ResponseKind uint8
 
-// The outcomes.
+// The kinds of response.
 const (
-	OutcomeServed     Outcome = iota // the exchange's response
-	OutcomeRejected                  // nothing of it executed; the device may retry
-	OutcomeBusy                      // as OutcomeRejected, because of the store's own limits
-	OutcomeTooLate                   // as OutcomeRejected, because the response could not arrive in time
-	OutcomeFailed                    // it may have executed
-	OutcomeConflict                  // its content differs from that of the exchange it names
-	OutcomeContinue                  // a block was received
-	OutcomeIncomplete                // a block does not continue the upload
-	OutcomeTooLarge                  // an upload exceeds its limits
-	OutcomeSuperseded                // newer copies wait for the response; this connection should be closed
+	ResponseServed     ResponseKind = iota // the exchange's response
+	ResponseRejected                       // nothing of it executed; the device may retry
+	ResponseBusy                           // as ResponseRejected, because of the store's own limits
+	ResponseTooLate                        // as ResponseRejected, because the response could not arrive in time
+	ResponseFailed                         // it may have executed
+	ResponseConflict                       // its content differs from that of the exchange it names
+	ResponseContinue                       // a block was received
+	ResponseIncomplete                     // a block does not continue the upload
+	ResponseTooLarge                       // an upload exceeds its limits
+	ResponseSuperseded                     // newer copies wait for the response; this connection should be closed
 )
 
-// String returns the outcome in lower case.
-func (o Outcome) String() string {
+// String returns the kind in lower case.
+func (o ResponseKind) String() string {
 	return nameOf(int(o), "served", "rejected", "busy", "too late", "failed", "conflict", "continue", "incomplete",
 		"too large", "superseded")
 }
@@ -43,10 +43,10 @@
 // Respond sends the response to a copy. Each copy gets exactly one, unless it was canceled before.
 type Respond struct {
 	Copy          CopyID
-	Outcome       Outcome
-	ID            ID      // with OutcomeServed: the exchange whose response it is
-	RetryAfterMs  float64 // with OutcomeRejected and OutcomeBusy; 0: no advice
-	BufferedBytes int     // with OutcomeContinue and OutcomeIncomplete: the size of the body so far
+	Kind          ResponseKind
+	ID            ID      // with ResponseServed: the exchange whose response it is
+	RetryAfterMs  float64 // with ResponseRejected and ResponseBusy; 0: no advice
+	BufferedBytes int     // with ResponseContinue and ResponseIncomplete: the size of the body so far
 	Cached        bool    // the response was there before the copy came
 	Advice        LinkAdvice
 }
--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -9,7 +9,7 @@
 func (s *Store) onCopy(received *CopyReceived) {
 	device := s.admitDevice(received.Device)
 	if device == nil {
-		s.reject(received.Copy, nil, OutcomeBusy, s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory))
+		s.reject(received.Copy, nil, ResponseBusy, s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory))
 		return
 	}
 	device.link.Observe(received.Link)
@@ -22,7 +22,7 @@
 	case exchange == nil:
 		s.begin(device, received)
 	case !exchange.matches(received):
-		s.respond(received.Copy, Respond{Outcome: OutcomeConflict, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
 	default:
 		s.join(exchange, received)
 	}
@@ -36,7 +36,7 @@
 		exchange = device.exchanges[received.Key]
 	}
 	if exchange == nil || exchange.upload == nil || !exchange.upload.complete {
-		s.respond(received.Copy, Respond{Outcome: OutcomeIncomplete, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseIncomplete, Advice: s.advice(device)})
 		return
 	}
 	device.link.Observe(received.Link)
@@ -44,7 +44,7 @@
 	case exchange.state == stateReceiving:
 		s.beginUploaded(exchange, received)
 	case !exchange.matches(received):
-		s.respond(received.Copy, Respond{Outcome: OutcomeConflict, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
 		s.dropUpload(exchange) // its bytes must not be taken for the exchange's
 	default:
 		s.join(exchange, received)
@@ -85,7 +85,7 @@
 func (s *Store) begin(device *trackedDevice, received *CopyReceived) {
 	mayHaveExecuted := s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory)
 	if s.shuttingDown {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return
 	}
 	budgetMs := device.runBudgetMs(received.RemainingMs)
@@ -93,7 +93,7 @@
 		budgetMs = min(budgetMs, safeRepeatMs(received))
 	}
 	if s.tooLate(budgetMs) {
-		s.reject(received.Copy, device, OutcomeTooLate, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
 		if mayHaveExecuted {
 			s.rememberNewFailure(device, received)
 		}
@@ -102,7 +102,7 @@
 	reserved := s.reservedResponseBytes(received.Class)
 	added := s.add(device, received.Key, received.BodyBytes+reserved)
 	if added == nil {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return
 	}
 	added.deadlineMs = s.nowMs + device.link.remainingHereMs(received.RemainingMs)
@@ -120,7 +120,7 @@
 		budgetMs = min(budgetMs, safeRepeatMs(received))
 	}
 	if s.tooLate(budgetMs) {
-		s.reject(received.Copy, device, OutcomeTooLate, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
 		if mayHaveExecuted {
 			s.rememberFailure(exchange, received)
 		} else {
@@ -130,7 +130,7 @@
 	}
 	s.protectFromEviction(exchange)
 	if !s.ensureCapacity(0, s.reservedResponseBytes(received.Class)) {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		s.updateEvictable(exchange) // the blocks remain, because the last one may be sent again
 		return
 	}
@@ -174,7 +174,7 @@
 	case stateResponded, stateDelivered:
 		s.stats.ServedFromCache++
 		s.copies[received.Copy] = exchange.id
-		s.respond(received.Copy, Respond{Outcome: OutcomeServed, ID: exchange.id, Cached: true, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseServed, ID: exchange.id, Cached: true, Advice: s.advice(device)})
 	case stateFailed:
 		s.joinFailed(exchange, received)
 	}
@@ -201,5 +201,5 @@
 		exchange.failureReported = true
 		s.releaseBody(exchange)
 	}
-	s.respond(received.Copy, Respond{Outcome: OutcomeFailed, Advice: s.advice(device)})
+	s.respond(received.Copy, Respond{Kind: ResponseFailed, Advice: s.advice(device)})
 }
--- a/internal/dedup/exchange/admission_test.go
+++ b/internal/dedup/exchange/admission_test.go
@@ -31,11 +31,11 @@
 func TestRejectsCopyThatIsTooLate(t *testing.T) {
 	send := newCopySender(t)
 	send(1, 2000, 400)
-	if response, ok := send(2, 300, 0).(Respond); !ok || response.Outcome != OutcomeTooLate {
+	if response, ok := send(2, 300, 0).(Respond); !ok || response.Kind != ResponseTooLate {
 		t.Errorf("%+v", response)
 	}
 	for i, remainingMs := range []float64{0, -100, math.NaN()} {
-		if response, ok := send(CopyID(10+i), remainingMs, 0).(Respond); !ok || response.Outcome != OutcomeTooLate {
+		if response, ok := send(CopyID(10+i), remainingMs, 0).(Respond); !ok || response.Kind != ResponseTooLate {
 			t.Errorf("%v ms remaining: %+v", remainingMs, response)
 		}
 	}
--- a/internal/dedup/exchange/bench_test.go
+++ b/internal/dedup/exchange/bench_test.go
@@ -21,7 +21,7 @@
 
 // push takes a write from its first copy to the delivery of its response.
 func (c *pushClient) push(device, key string) {
-	class := Class{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupCell, DedupWindowMs: 1}
+	class := Class{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupShard, DedupWindowMs: 1}
 	c.copy++
 	for _, action := range c.store.Step(c.nowMs, CopyReceived{Copy: c.copy, Device: device, Key: key, Class: class,
 		RemainingMs: 1000, Shard: 1, ResendHistory: ResendHistory{AgeMs: -1}}) {
--- a/internal/dedup/exchange/expiry.go
+++ b/internal/dedup/exchange/expiry.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		// The device stops waiting now. The failure is final for all later copies as well.
-		s.respond(waiter.id, Respond{Outcome: OutcomeFailed, Advice: s.advice(exchange.device)})
+		s.respond(waiter.id, Respond{Kind: ResponseFailed, Advice: s.advice(exchange.device)})
 		exchange.failureReported = true
 	}
 	exchange.waiting = stillWaiting
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -37,7 +37,7 @@
 // modelClasses are the classes of the keys of the model.
 var modelClasses = []Class{
 	{Idempotency: scheduler.Idempotent},
-	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupCell, DedupWindowMs: testDedupWindowMs},
+	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupShard, DedupWindowMs: testDedupWindowMs},
 	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupZone, DedupWindowMs: testDedupWindowMs},
 	{Idempotency: scheduler.NotIdempotent},
 	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupAll, DedupWindowMs: testDedupWindowMs},
@@ -92,7 +92,7 @@
 	running       bool
 	body          []byte // of its upload
 	responseBytes int    // -1: it was released
-	final         Outcome
+	final         ResponseKind
 	hasFinal      bool
 }
 
@@ -246,7 +246,7 @@
 		m.fail("executed once, and again")
 	case m.nowMs+action.RemainingMs > execution.windowEndMs():
 		m.fail("a repeat may be sent at %v, the window ends at %v", m.nowMs+action.RemainingMs, execution.windowEndMs())
-	case c.class.DedupScope == scheduler.DedupCell && action.Shard != execution.shard:
+	case c.class.DedupScope == scheduler.DedupShard && action.Shard != execution.shard:
 		m.fail("a repeat in cell %d of what executed in %d", action.Shard, execution.shard)
 	case c.class.DedupScope == scheduler.DedupZone:
 		m.fail("a repeat in an unknown zone")
@@ -258,23 +258,23 @@
 	c := m.copies[action.Copy]
 	m.checkResponse(action, c)
 	exchange := m.lastRunOf(c)
-	switch action.Outcome {
-	case OutcomeServed:
+	switch action.Kind {
+	case ResponseServed:
 		if m.exchanges[action.ID] != exchange || exchange == nil || exchange.responseBytes < 0 || exchange.digest != c.digest {
 			m.fail("copy %d is served what is not its own", action.Copy)
 		}
 		c.servedBy = action.ID
 		m.checkFinal(action, c, exchange)
-	case OutcomeFailed:
+	case ResponseFailed:
 		m.checkFinal(action, c, exchange)
-	case OutcomeRejected:
+	case ResponseRejected:
 		m.checkRejection(action, c, exchange)
-	case OutcomeBusy, OutcomeTooLate:
+	case ResponseBusy, ResponseTooLate:
 		if c.block != nil && c.block.IsRetry && !c.block.SameGateway && c.class.Idempotency != scheduler.Idempotent {
 			m.fail("what may have executed elsewhere is rejected")
 		}
 		inRange := action.RetryAfterMs >= minRetryAfterMs && action.RetryAfterMs <= testMaxRetryMs
-		if action.Outcome == OutcomeBusy && !inRange {
+		if action.Kind == ResponseBusy && !inRange {
 			m.fail("retry after %v", action.RetryAfterMs)
 		}
 	}
@@ -292,7 +292,7 @@
 	if c.canceled {
 		m.fail("copy %d gets a response after it was canceled", action.Copy)
 	}
-	if m.nowMs > c.untilMs+responseGraceMs+2*tickMs && action.Outcome != OutcomeSuperseded {
+	if m.nowMs > c.untilMs+responseGraceMs+2*tickMs && action.Kind != ResponseSuperseded {
 		m.fail("copy %d gets its response %v ms late", action.Copy, m.nowMs-c.untilMs)
 	}
 	advice, limits := action.Advice, testLinkSettings
@@ -316,13 +316,13 @@
 // checkFinal checks that the final response of an exchange never changes.
 func (m *gatewayModel) checkFinal(action Respond, c *modelCopy, exchange *modelExchange) {
 	m.t.Helper()
-	if exchange == nil || exchange.running && action.Outcome != OutcomeFailed || exchange.digest != c.digest {
+	if exchange == nil || exchange.running && action.Kind != ResponseFailed || exchange.digest != c.digest {
 		return
 	}
-	if exchange.hasFinal && exchange.final != action.Outcome {
-		m.fail("the response of exchange %s/%s was %v, now %v", c.device, c.key, exchange.final, action.Outcome)
+	if exchange.hasFinal && exchange.final != action.Kind {
+		m.fail("the response of exchange %s/%s was %v, now %v", c.device, c.key, exchange.final, action.Kind)
 	}
-	exchange.hasFinal, exchange.final = true, action.Outcome
+	exchange.hasFinal, exchange.final = true, action.Kind
 }
 
 // checkRejection checks that nothing of a rejected exchange executed.
--- a/internal/dedup/exchange/run.go
+++ b/internal/dedup/exchange/run.go
@@ -64,7 +64,7 @@
 	switch e.class.DedupScope {
 	case scheduler.DedupZone:
 		return false
-	case scheduler.DedupCell:
+	case scheduler.DedupShard:
 		return e.firstAttemptShard >= 0
 	default:
 		return true
@@ -87,7 +87,7 @@
 	}
 	shard := exchange.shard
 	class := &exchange.class
-	if exchange.mayHaveExecuted && class.Idempotency == scheduler.IdempotentWithKey && class.DedupScope == scheduler.DedupCell {
+	if exchange.mayHaveExecuted && class.Idempotency == scheduler.IdempotentWithKey && class.DedupScope == scheduler.DedupShard {
 		shard = exchange.firstAttemptShard
 	}
 	s.startRun(exchange, received, budgetMs, shard)
@@ -107,7 +107,7 @@
 	case ended.Result == RunServed && !exchange.failureReported:
 		s.onServed(exchange, ended, waiting)
 	case ended.Result == RunRejected && !exchange.mayHaveExecuted && !exchange.failureReported:
-		s.respondAll(waiting, Respond{Outcome: OutcomeRejected, RetryAfterMs: ended.RetryAfterMs,
+		s.respondAll(waiting, Respond{Kind: ResponseRejected, RetryAfterMs: ended.RetryAfterMs,
 			Advice: s.advice(exchange.device)})
 		s.forget(exchange)
 	default:
@@ -137,7 +137,7 @@
 	retained := exchange.class.Idempotency != scheduler.Idempotent || s.ensureCapacity(0, ended.ResponseBytes)
 	s.setStoredBytes(exchange, 0, exchange.uploadBytes, ended.ResponseBytes)
 	s.setState(exchange, stateResponded)
-	s.respondAll(waiting, Respond{Outcome: OutcomeServed, ID: exchange.id, Advice: advice})
+	s.respondAll(waiting, Respond{Kind: ResponseServed, ID: exchange.id, Advice: advice})
 	if !retained {
 		s.stats.Evicted++
 		s.forget(exchange)
@@ -152,7 +152,7 @@
 	if ended.Result == RunServed {
 		s.emit(Release{ID: exchange.id, Response: true})
 	}
-	s.respondAll(waiting, Respond{Outcome: OutcomeFailed, Advice: s.advice(exchange.device)})
+	s.respondAll(waiting, Respond{Kind: ResponseFailed, Advice: s.advice(exchange.device)})
 	exchange.failureReported = exchange.failureReported || len(waiting) > 0
 	s.setState(exchange, stateFailed)
 	if exchange.failureReported {
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -156,7 +156,7 @@
 // forget removes an exchange. Copies that still wait for it fail.
 func (s *Store) forget(exchange *storedExchange) {
 	for _, waiter := range exchange.waiting {
-		s.respond(waiter.id, Respond{Outcome: OutcomeFailed})
+		s.respond(waiter.id, Respond{Kind: ResponseFailed})
 	}
 	exchange.waiting = nil
 	if exchange.state == stateReceiving {
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -121,15 +121,15 @@
 // connection is closed.
 func (s *Store) respond(id CopyID, response Respond) {
 	response.Copy = id
-	if response.Outcome != OutcomeServed {
+	if response.Kind != ResponseServed {
 		delete(s.copies, id)
 	}
-	switch response.Outcome {
-	case OutcomeConflict:
+	switch response.Kind {
+	case ResponseConflict:
 		s.stats.Conflicts++
-	case OutcomeBusy:
+	case ResponseBusy:
 		s.stats.Busy++
-	case OutcomeTooLate:
+	case ResponseTooLate:
 		s.stats.TooLate++
 	}
 	s.emit(response)
@@ -137,20 +137,20 @@
 
 // respondBusy rejects a copy because of the store's limits. Nothing of its exchange has executed.
 func (s *Store) respondBusy(id CopyID, device *trackedDevice) {
-	s.respond(id, Respond{Outcome: OutcomeBusy, RetryAfterMs: s.retryAfterMs(), Advice: s.advice(device)})
+	s.respond(id, Respond{Kind: ResponseBusy, RetryAfterMs: s.retryAfterMs(), Advice: s.advice(device)})
 }
 
 // reject responds to a copy that is not run with an outcome that promises that nothing executed. Where an earlier copy
 // may have executed, nobody can promise that, and the copy fails.
-func (s *Store) reject(id CopyID, device *trackedDevice, outcome Outcome, mayHaveExecuted bool) {
+func (s *Store) reject(id CopyID, device *trackedDevice, kind ResponseKind, mayHaveExecuted bool) {
 	switch {
 	case mayHaveExecuted:
 		s.stats.UnknownOutcomeFailed++
-		s.respond(id, Respond{Outcome: OutcomeFailed, Advice: s.advice(device)})
-	case outcome == OutcomeBusy:
+		s.respond(id, Respond{Kind: ResponseFailed, Advice: s.advice(device)})
+	case kind == ResponseBusy:
 		s.respondBusy(id, device)
 	default:
-		s.respond(id, Respond{Outcome: outcome, Advice: s.advice(device)})
+		s.respond(id, Respond{Kind: kind, Advice: s.advice(device)})
 	}
 }
 
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -57,7 +57,7 @@
 	mayHaveExecuted := s.earlierMayHaveExecuted(received.Idempotency, &received.ResendHistory)
 	device := s.admitDevice(received.Device)
 	if device == nil {
-		s.reject(received.Copy, nil, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, nil, ResponseBusy, mayHaveExecuted)
 		return
 	}
 	device.link.Observe(received.Link)
@@ -79,7 +79,7 @@
 		s.emit(AssembleBody{ID: exchange.id, Copy: received.Copy})
 		return
 	}
-	s.respond(received.Copy, Respond{Outcome: OutcomeContinue, BufferedBytes: exchange.upload.received,
+	s.respond(received.Copy, Respond{Kind: ResponseContinue, BufferedBytes: exchange.upload.received,
 		Advice: s.advice(device)})
 }
 
@@ -105,16 +105,16 @@
 // beginUpload begins an exchange with the first block of its upload, or rejects the copy and returns nil.
 func (s *Store) beginUpload(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
 	if s.shuttingDown {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return nil
 	}
 	if s.tooLate(received.RemainingMs) {
-		s.reject(received.Copy, device, OutcomeTooLate, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
 		return nil
 	}
 	added := s.add(device, received.Key, received.Length)
 	if added == nil {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return nil
 	}
 	added.deadlineMs = s.nowMs + device.link.remainingHereMs(received.RemainingMs)
@@ -141,7 +141,7 @@
 		s.respondIncomplete(received.Copy, exchange.device, 0)
 		return false
 	case match == blockDifferent, current.otherTotal(received.TotalBytes):
-		s.abortUpload(exchange, received.Copy, OutcomeConflict)
+		s.abortUpload(exchange, received.Copy, ResponseConflict)
 		return false
 	case match == blockNew && current.complete:
 		// Nothing can be appended. The device begins a new body, which is compared once it is complete.
@@ -165,7 +165,7 @@
 		current.total = received.TotalBytes
 	}
 	if s.exceedsLimits(current, received) {
-		s.abortUpload(exchange, received.Copy, OutcomeTooLarge)
+		s.abortUpload(exchange, received.Copy, ResponseTooLarge)
 		return false
 	}
 	exchange.touchedMs = s.nowMs
@@ -174,7 +174,7 @@
 	s.updateEvictable(exchange)
 	if !fits {
 		s.armTimer(exchange)
-		s.reject(received.Copy, exchange.device, OutcomeBusy, mayHaveExecuted || exchange.mayHaveExecuted)
+		s.reject(received.Copy, exchange.device, ResponseBusy, mayHaveExecuted || exchange.mayHaveExecuted)
 		return false
 	}
 	current.blocks = append(current.blocks, block{received.Offset, received.Length, received.Digest})
@@ -205,8 +205,8 @@
 }
 
 // abortUpload ends an upload whose blocks contradict each other or the limits. An exchange that has run is remembered.
-func (s *Store) abortUpload(exchange *storedExchange, id CopyID, outcome Outcome) {
-	s.respond(id, Respond{Outcome: outcome, Advice: s.advice(exchange.device)})
+func (s *Store) abortUpload(exchange *storedExchange, id CopyID, kind ResponseKind) {
+	s.respond(id, Respond{Kind: kind, Advice: s.advice(exchange.device)})
 	if exchange.state == stateReceiving {
 		s.forget(exchange)
 		return
@@ -216,5 +216,5 @@
 
 // respondIncomplete tells a device how many bytes of its upload are stored, from where it must continue.
 func (s *Store) respondIncomplete(id CopyID, device *trackedDevice, bufferedBytes int) {
-	s.respond(id, Respond{Outcome: OutcomeIncomplete, BufferedBytes: bufferedBytes, Advice: s.advice(device)})
+	s.respond(id, Respond{Kind: ResponseIncomplete, BufferedBytes: bufferedBytes, Advice: s.advice(device)})
 }
--- a/internal/dedup/exchange/waiting.go
+++ b/internal/dedup/exchange/waiting.go
@@ -8,7 +8,7 @@
 // wait adds a copy to those that wait for an exchange's response.
 func (s *Store) wait(exchange *storedExchange, received *CopyReceived) {
 	if len(exchange.waiting) >= s.settings.MaxWaitingCopies { // the oldest connection is the likeliest to be half-open
-		s.respond(exchange.waiting[0].id, Respond{Outcome: OutcomeSuperseded})
+		s.respond(exchange.waiting[0].id, Respond{Kind: ResponseSuperseded})
 		exchange.waiting = exchange.waiting[1:]
 	}
 	exchange.waiting = append(exchange.waiting, waitingCopy{received.Copy, s.nowMs + max(0, received.RemainingMs)})
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -22,7 +22,7 @@
 	c.advance(100)
 	c.serve(c.runs[0], 90)
 	late := c.send("push", "k", "body", resent(100))
-	if response := late.response(t); string(response.Result.([]byte)) != testResult || !response.Cached || response.ETag == 0 ||
+	if response := late.response(t); string(response.Body.([]byte)) != testResult || !response.Cached || response.ETag == 0 ||
 		second.response(t).ETag != response.ETag {
 		t.Errorf("a late copy got %+v", response)
 	}
--- a/internal/dedup/run.go
+++ b/internal/dedup/run.go
@@ -52,8 +52,8 @@
 	}
 	if response.Kind == lifecycle.Served {
 		served := c.contentOf(run.ID)
-		served.response = response.Result
-		switch result := response.Result.(type) {
+		served.response = response.Body
+		switch result := response.Body.(type) {
 		case []byte:
 			ended.ResponseBytes, served.etag = len(result), xxhash.Sum64(result)
 		case sizedResult:
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -51,7 +51,7 @@
 		Zone:      string(entry.GetStringBytes("zone")),
 		Kind:      string(entry.GetStringBytes("kind")),
 		Shard:     entry.GetInt("cell"),
-		Weight:    entry.GetFloat64("weight"),
+		Size:      entry.GetFloat64("weight"),
 		StartedMs: entry.GetFloat64("started_ms"),
 		State:     state,
 	}
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -50,7 +50,7 @@
 				t.Errorf("%d invalid entries, %+v", invalid, update)
 			}
 			server := update.Servers[0]
-			if server.State != want || server.Shard != 3 || server.Addr != "127.0.0.1:7070" || server.Weight != 1.5 ||
+			if server.State != want || server.Shard != 3 || server.Addr != "127.0.0.1:7070" || server.Size != 1.5 ||
 				server.StartedMs != 12 || server.Kind != "m2" || server.Zone != "a" {
 				t.Errorf("%+v", server)
 			}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -91,7 +91,7 @@
 	states := map[scheduler.ServerState]string{scheduler.Ready: "live", scheduler.Draining: "draining", scheduler.Removed: "gone"}
 	for _, server := range update.Servers {
 		fmt.Fprintf(&out, "name %q, address %q, zone %q, kind %q, shard %d, weight %v, started %v ms, state %s\n",
-			server.Name, server.Addr, server.Zone, server.Kind, server.Shard, server.Weight, server.StartedMs, states[server.State])
+			server.Name, server.Addr, server.Zone, server.Kind, server.Shard, server.Size, server.StartedMs, states[server.State])
 	}
 	return out.String()
 }
--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -26,7 +26,7 @@
 type immediateLoop struct{ body []byte }
 
 func (l *immediateLoop) Submit(r *lifecycle.Request) bool {
-	r.Respond(lifecycle.Response{Result: l.body, ETag: 1})
+	r.Respond(lifecycle.Response{Body: l.body, ETag: 1})
 	return true
 }
 func (l *immediateLoop) Cancel(*lifecycle.Request)                                {}
--- a/internal/frontend/coapserver/blockwise_test.go
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -57,7 +57,7 @@
 		{8000, 0, 5000},
 		{8000, 1024, 1024},
 	} {
-		response := lifecycle.Response{Result: body, ETag: 77, BlockSize: c.preferredBlockSize}
+		response := lifecycle.Response{Body: body, ETag: 77, BlockSize: c.preferredBlockSize}
 		t.Run(fmt.Sprintf("max message %d, preferred block %d", c.maxMessageSize, c.preferredBlockSize), func(t *testing.T) {
 			withDevice(t, c.maxMessageSize, respondWith(response), func(_ *Server, loop *fakeLoop, device *testDevice) {
 				device.send(newRequest(codes.GET, 1, nil, nil))
--- a/internal/frontend/coapserver/fuzz_test.go
+++ b/internal/frontend/coapserver/fuzz_test.go
@@ -67,7 +67,7 @@
 // varyResponses returns an onSubmit that gives each kind of response in turn, beginning with the one at index first.
 func varyResponses(first int) func(*lifecycle.Request) {
 	responses := []lifecycle.Response{
-		{Result: make([]byte, 3000), ETag: 5},
+		{Body: make([]byte, 3000), ETag: 5},
 		{Kind: lifecycle.Rejected},
 		{Kind: lifecycle.Failed},
 		{Kind: lifecycle.Incomplete, BufferedBytes: 7},
--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -118,7 +118,7 @@
 		r.exchange("first block held", newRequest(codes.PUT, 1, make([]byte, 1024), withBlock(message.Block1, first)),
 			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024})
 		r.exchange("last block, served", newRequest(codes.PUT, 2, []byte("rest"), withBlock(message.Block1, last)),
-			lifecycle.Response{Result: []byte("done"), ETag: 0x0102})
+			lifecycle.Response{Body: []byte("done"), ETag: 0x0102})
 		r.exchange("smaller blocks advised", newRequest(codes.PUT, 3, make([]byte, 1024), withBlock(message.Block1, first)),
 			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024, BlockSize: 256})
 	})
@@ -127,7 +127,7 @@
 func TestGoldenResponses(t *testing.T) {
 	block := withBlock(message.Block1, coapwire.Block{Offset: 2048, Size: 1024, More: true})
 	for name, response := range map[string]lifecycle.Response{
-		"served":         {Result: []byte("done"), ETag: 0x0102},
+		"served":         {Body: []byte("done"), ETag: 0x0102},
 		"refused":        {Kind: lifecycle.Rejected, RetryAfterMs: 1200},
 		"refused-now":    {Kind: lifecycle.Rejected},
 		"failed":         {Kind: lifecycle.Failed},
@@ -146,7 +146,7 @@
 }
 
 func TestGoldenBlockwiseResponse(t *testing.T) {
-	response := lifecycle.Response{Result: bytes.Repeat([]byte("0123456789"), 130), ETag: 77}
+	response := lifecycle.Response{Body: bytes.Repeat([]byte("0123456789"), 130), ETag: 77}
 	for name, c := range map[string]struct {
 		maxMessageSize uint32
 		next           coapwire.Block
--- a/internal/frontend/coapserver/parse_test.go
+++ b/internal/frontend/coapserver/parse_test.go
@@ -56,7 +56,7 @@
 		"malformed block option": {codes.PUT, "x", add(message.Block1, "1234"), codes.BadOption},
 	} {
 		t.Run(name, func(t *testing.T) {
-			response := lifecycle.Response{Result: []byte("fine")}
+			response := lifecycle.Response{Body: []byte("fine")}
 			withDevice(t, 4096, respondWith(response), func(_ *Server, loop *fakeLoop, device *testDevice) {
 				device.send(newRequest(c.code, 1, []byte(c.payload), c.change))
 				device.expect(c.want)
--- a/internal/frontend/coapserver/read.go
+++ b/internal/frontend/coapserver/read.go
@@ -115,7 +115,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.buffered > 0 {
-		c.linkSample.GapMs = max(c.linkSample.GapMs, clock.Ms(now.Sub(c.lastReadAt)))
+		c.linkSample.MaxGapMs = max(c.linkSample.MaxGapMs, clock.Ms(now.Sub(c.lastReadAt)))
 	} else if c.csmReceived {
 		c.frameStart = now
 	}
@@ -185,7 +185,7 @@
 		return err
 	}
 	if len(frame) >= idleBufferSize {
-		c.linkSample.Bytes, c.linkSample.BytesMs = len(frame), clock.Ms(now.Sub(c.frameStart))
+		c.linkSample.Bytes, c.linkSample.TransferMs = len(frame), clock.Ms(now.Sub(c.frameStart))
 	}
 	return c.handleMessage(m, now)
 }
--- a/internal/frontend/coapserver/read_test.go
+++ b/internal/frontend/coapserver/read_test.go
@@ -73,7 +73,7 @@
 // A device that does not read its response loses its connection, and the response is not reported as written.
 func TestWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := &fakeLoop{onSubmit: respondWith(lifecycle.Response{Result: make([]byte, 3000)})}
+		loop := &fakeLoop{onSubmit: respondWith(lifecycle.Response{Body: make([]byte, 3000)})}
 		server := newTestServer(loop)
 		deviceEnd, serverEnd := net.Pipe()
 		server.StartConn(serverEnd)
--- a/internal/frontend/coapserver/request_test.go
+++ b/internal/frontend/coapserver/request_test.go
@@ -53,7 +53,7 @@
 func TestResponseTimerWaitsForLoop(t *testing.T) {
 	slow := func(r *lifecycle.Request) {
 		time.Sleep(5 * time.Millisecond)
-		r.Respond(lifecycle.Response{Kind: lifecycle.Served, Result: []byte("kept"), Cached: true})
+		r.Respond(lifecycle.Response{Kind: lifecycle.Served, Body: []byte("kept"), Cached: true})
 	}
 	withDevice(t, 4096, slow, func(_ *Server, loop *fakeLoop, device *testDevice) {
 		timeLeft := setOption(coapwire.UintOption(coapwire.OptTimeLeft, 200))
--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -65,7 +65,7 @@
 // composeServed makes the message of a served response: all of it, the block that the request asks for, or that the
 // device has it already.
 func (c *conn) composeServed(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
-	body := response.Result.([]byte)
+	body := response.Body.([]byte)
 	limits := c.peerLimits()
 	etag := message.Option{ID: message.ETag, Value: binary.BigEndian.AppendUint64(nil, response.ETag)}
 	m = message.Message{Token: p.token, Code: codes.Content}
--- a/internal/frontend/coapserver/response_test.go
+++ b/internal/frontend/coapserver/response_test.go
@@ -33,7 +33,7 @@
 		code     codes.Code
 		check    func(*message.Message) bool
 	}{
-		"served": {lifecycle.Response{Result: []byte("done"), ETag: 0x0102}, codes.Changed,
+		"served": {lifecycle.Response{Body: []byte("done"), ETag: 0x0102}, codes.Changed,
 			func(m *message.Message) bool { return string(m.Payload) == "done" }},
 		"rejected": {lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 1200}, codes.ServiceUnavailable,
 			hasUint(message.MaxAge, 2)},
--- a/internal/frontend/coapserver/server_test.go
+++ b/internal/frontend/coapserver/server_test.go
@@ -40,7 +40,7 @@
 			t.Error("ended with a request pending")
 		default:
 		}
-		loop.submitted[0].Respond(lifecycle.Response{Result: []byte("late")})
+		loop.submitted[0].Respond(lifecycle.Response{Body: []byte("late")})
 		device.expect(codes.Content)
 		<-shutDown
 	})
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -93,7 +93,7 @@
 // writeDeviceResponse writes the response to a device, or the part of it that the device lacks, and reports to the loop
 // whether it was written.
 func (h *Handler) writeDeviceResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, response lifecycle.Response) {
-	body := response.Result.([]byte)
+	body := response.Body.([]byte)
 	startMs := h.Clock.NowMs()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("ETag", fmt.Sprintf(`"%016x"`, response.ETag))
@@ -114,5 +114,5 @@
 		h.Loop.Cancel(request) // the response stays cached
 		return
 	}
-	h.Loop.ResponseWritten(request, lifecycle.LinkSample{Bytes: out.bytes, BytesMs: h.Clock.NowMs() - startMs})
+	h.Loop.ResponseWritten(request, lifecycle.LinkSample{Bytes: out.bytes, TransferMs: h.Clock.NowMs() - startMs})
 }
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -35,7 +35,7 @@
 
 // A request from a device is a copy of an exchange; the request that servers get carries ids of the gateway's own.
 func TestDeviceRequests(t *testing.T) {
-	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte("done"), ETag: 5}))
+	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done"), ETag: 5}))
 	otherID := func(r *http.Request) { r.Header.Set("X-Correlation-Id", "other") }
 	otherBody := func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("DATA")), 4 }
 	read := func(r *http.Request) { makeRead(r); r.Header.Del("Idempotency-Key") }
@@ -65,7 +65,7 @@
 }
 
 func TestMalformedDeviceRequests(t *testing.T) {
-	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte("done")}))
+	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done")}))
 	for name, change := range map[string]func(*http.Request){
 		"no device":       func(r *http.Request) { r.Header.Del("X-Device-Id") },
 		"two devices":     func(r *http.Request) { r.Header.Add("X-Device-Id", "dev2") },
@@ -91,7 +91,7 @@
 // A response that was cut off continues where it stopped, if it is still the same one.
 func TestRangeRequests(t *testing.T) {
 	body := strings.Repeat("0123456789", 500)
-	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte(body), ETag: 0xabc}))
+	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte(body), ETag: 0xabc}))
 	for _, test := range []struct {
 		byteRange, ifRange string
 		code               int
@@ -142,7 +142,7 @@
 // The age that a device gives grows by all the time in which the copy may have been on its way: since its connection was
 // opened, or since the last response.
 func TestAgeIncludesTimeOnTheWay(t *testing.T) {
-	h := newDeviceHandler(respondWith(lifecycle.Response{Result: []byte("done")}))
+	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done")}))
 	ctx := h.ConnContext(t.Context(), nil)
 	for _, want := range []float64{100 + 700, 100 + 300} {
 		h.now.Advance(want - 100)
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -51,9 +51,9 @@
 		request  string
 		response lifecycle.Response
 	}{
-		"served-write":    {goldenWrite, lifecycle.Response{Result: []byte("\x00raw\r\n\xff")}},
-		"served-read":     {goldenRead, lifecycle.Response{Result: []byte("content")}},
-		"served-empty":    {goldenRead, lifecycle.Response{Result: []byte{}}},
+		"served-write":    {goldenWrite, lifecycle.Response{Body: []byte("\x00raw\r\n\xff")}},
+		"served-read":     {goldenRead, lifecycle.Response{Body: []byte("content")}},
+		"served-empty":    {goldenRead, lifecycle.Response{Body: []byte{}}},
 		"refused":         {goldenWrite, lifecycle.Response{Kind: lifecycle.Rejected}},
 		"refused-retry":   {goldenWrite, lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 90}},
 		"refused-seconds": {goldenWrite, lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 12345}},
@@ -76,10 +76,10 @@
 		request  string
 		response lifecycle.Response
 	}{
-		"write":         {device(goldenWrite, ""), lifecycle.Response{Result: []byte("done"), ETag: 0xabc}},
-		"read":          {device(read, ""), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
-		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
-		"range-outside": {device(read, "Range: bytes=99-\r\n"), lifecycle.Response{Result: []byte("0123456789"), ETag: 0xabc}},
+		"write":         {device(goldenWrite, ""), lifecycle.Response{Body: []byte("done"), ETag: 0xabc}},
+		"read":          {device(read, ""), lifecycle.Response{Body: []byte("0123456789"), ETag: 0xabc}},
+		"range":         {device(read, "Range: bytes=4-\r\nIf-Range: \"0000000000000abc\"\r\n"), lifecycle.Response{Body: []byte("0123456789"), ETag: 0xabc}},
+		"range-outside": {device(read, "Range: bytes=99-\r\n"), lifecycle.Response{Body: []byte("0123456789"), ETag: 0xabc}},
 		"refused":       {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 1500}},
 		"failed":        {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Failed}},
 		"conflict":      {device(goldenWrite, ""), lifecycle.Response{Kind: lifecycle.Conflict}},
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -105,7 +105,7 @@
 		code             int
 		body, retryAfter string
 	}{
-		"served":         {lifecycle.Response{Result: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
+		"served":         {lifecycle.Response{Body: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
 		"rejected":       {lifecycle.Response{Kind: lifecycle.Rejected}, 503, "busy\n", ""},
 		"rejected, when": {lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 90}, 503, "busy\n", "0.090"},
 		"failed":         {lifecycle.Response{Kind: lifecycle.Failed}, 502, "failed\n", ""},
--- a/internal/frontend/httpserver/link.go
+++ b/internal/frontend/httpserver/link.go
@@ -47,7 +47,7 @@
 	if t.spanMs < minSampleMs {
 		return lifecycle.LinkSample{}
 	}
-	return lifecycle.LinkSample{Bytes: t.bytes, BytesMs: t.spanMs, GapMs: t.maxGapMs}
+	return lifecycle.LinkSample{Bytes: t.bytes, TransferMs: t.spanMs, MaxGapMs: t.maxGapMs}
 }
 
 // minTransferTime returns the time that a body takes on the slowest link that is of use.
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -121,7 +121,7 @@
 	reader := bufio.NewReader(client)
 	answer := func(what string) {
 		t.Helper()
-		receive(t, what, s.submitted).Respond(lifecycle.Response{Result: []byte(what)})
+		receive(t, what, s.submitted).Respond(lifecycle.Response{Body: []byte(what)})
 		if body := readResponse(t, what, reader); body != what {
 			t.Errorf("answered %q, want %q", body, what)
 		}
@@ -178,7 +178,7 @@
 				sent <- errors.Join(err, client.CloseWrite())
 			}()
 			if name == "shutdown" {
-				receive(t, "the request", s.submitted).Respond(lifecycle.Response{Result: []byte("x")})
+				receive(t, "the request", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
 			}
 			if err := receive(t, "the end of sending", sent); err != nil {
 				t.Errorf("cut off while sending: %v", err)
@@ -223,7 +223,7 @@
 	client := s.dial(t)
 	reader := bufio.NewReader(client)
 	testbed.Write(t, client, rawGet(1))
-	receive(t, "the first", s.submitted).Respond(lifecycle.Response{Result: []byte("x")})
+	receive(t, "the first", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
 	readResponse(t, "the first", reader)
 	receive(t, "idle", idle) // the server finishes the response a little later than its client
 	gate.mu.Lock()
@@ -258,7 +258,7 @@
 	})
 	client := s.dial(t)
 	testbed.Write(t, client, rawGet(1)+rawGet(2))
-	receive(t, "the first", s.submitted).Respond(lifecycle.Response{Result: []byte("x")})
+	receive(t, "the first", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
 	drained := receive(t, "shed", drains)
 	b, err := io.ReadAll(client)
 	if err != nil || strings.Count(string(b), "HTTP/1.1 ") != 1 {
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -21,7 +21,7 @@
 			h.writeDeviceResponse(w, r, request, response)
 			return
 		}
-		writeBody(w, response.Result.([]byte))
+		writeBody(w, response.Body.([]byte))
 	case lifecycle.Rejected:
 		writeRejection(w, response.RetryAfterMs)
 	case lifecycle.DuplicateID:
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -25,7 +25,7 @@
 	}
 	h.loop.onSubmit = func(r *lifecycle.Request) { // 30 ms for each, a hundred requests a second
 		h.now.Advance(30)
-		r.Respond(lifecycle.Response{Result: []byte("data")})
+		r.Respond(lifecycle.Response{Body: []byte("data")})
 	}
 	rejected := func(busy int) int64 {
 		t.Helper()
@@ -64,7 +64,7 @@
 
 // During a shutdown a request is answered before the program ends, and in the end its connection is closed.
 func TestDrain(t *testing.T) {
-	h := newTestHandler(respondWith(lifecycle.Response{Result: []byte("x")}))
+	h := newTestHandler(respondWith(lifecycle.Response{Body: []byte("x")}))
 	h.Drain(h.now.NowMs() + 100)
 	for _, connection := range []string{"", "close"} {
 		w := h.serve(newRequest(nil))
--- a/internal/frontend/sftpserver/errors.go
+++ b/internal/frontend/sftpserver/errors.go
@@ -33,7 +33,7 @@
 	case lifecycle.Rejected:
 		return nil, busyError(response.RetryAfterMs)
 	case lifecycle.Served:
-		reply := response.Result.(*sftpwire.Reply)
+		reply := response.Body.(*sftpwire.Reply)
 		return reply, errorOfStatus(reply.Code)
 	}
 	return nil, errMayHaveExecuted
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -101,17 +101,17 @@
 // open opens a file for reading and writing.
 func (s *rawSession) open() {
 	s.t.Helper()
-	s.loop.response = lifecycle.Response{Result: &sftpwire.Reply{}}
+	s.loop.response = lifecycle.Response{Body: &sftpwire.Reply{}}
 	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead|sftpwire.FlagWrite|sftpwire.FlagCreate), uint32(0))
 }
 
 func TestGoldenSession(t *testing.T) {
 	s := newRawSession(t)
 	s.open()
-	s.loop.response = lifecycle.Response{Result: &sftpwire.Reply{Data: []byte("0123456789")}}
+	s.loop.response = lifecycle.Response{Body: &sftpwire.Reply{Data: []byte("0123456789")}}
 	s.send("read", packetRead, "1", uint64(3), uint32(10))
 	s.send("short read", packetRead, "1", uint64(3), uint32(20))
-	s.loop.response = lifecycle.Response{Result: &sftpwire.Reply{Attrs: sftpwire.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
+	s.loop.response = lifecycle.Response{Body: &sftpwire.Reply{Attrs: sftpwire.Attrs{Size: 5003, Mode: 0o100644, Mtime: 1700000000}}}
 	s.send("write", packetWrite, "1", uint64(3), "data\x00\xff")
 	s.send("stat", packetStat, "/layers/a")
 	s.send("lstat", packetLstat, "/layers/a")
@@ -122,7 +122,7 @@
 
 func TestGoldenStatuses(t *testing.T) {
 	reply := func(code sftpwire.StatusCode) lifecycle.Response {
-		return lifecycle.Response{Result: &sftpwire.Reply{Code: code, Message: "the node's own words"}}
+		return lifecycle.Response{Body: &sftpwire.Reply{Code: code, Message: "the node's own words"}}
 	}
 	for name, response := range map[string]lifecycle.Response{
 		"end-of-file":   reply(sftpwire.StatusEOF),
@@ -162,7 +162,7 @@
 func TestGoldenRejectedCommands(t *testing.T) {
 	const appendFlag = 4
 	s := newRawSession(t)
-	s.loop.response = lifecycle.Response{Result: &sftpwire.Reply{}}
+	s.loop.response = lifecycle.Response{Body: &sftpwire.Reply{}}
 	s.send("open under no root", packetOpen, "/other/a", uint32(sftpwire.FlagRead), uint32(0))
 	s.send("open to append", packetOpen, "/layers/a", uint32(sftpwire.FlagWrite|appendFlag), uint32(0))
 	s.send("stat with a NUL", packetStat, "/layers/a\x00b")
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -72,7 +72,7 @@
 }
 
 func newWriteClients(twoClients bool) *writeClients {
-	loop := &recordingLoop{response: lifecycle.Response{Result: &sftpwire.Reply{}}}
+	loop := &recordingLoop{response: lifecycle.Response{Body: &sftpwire.Reply{}}}
 	now := clock.NewManual(1e6)
 	server := &Server{Loop: loop, Clock: now, Metrics: metrics.New(), Options: Options{
 		UnitBytes: 1024, Shards: 1, MaxUnits: 6, RetentionMs: 5000,
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -133,7 +133,7 @@
 		m.peers.AttemptEnded(nowMs, attempt.server, result.Status, latencyMs)
 	}
 	if result.Status == scheduler.StatusOK && !state.done {
-		m.respond(state, Response{Kind: Served, Result: result.Body})
+		m.respond(state, Response{Kind: Served, Body: result.Body})
 	}
 	m.pendingEvents = append(m.pendingEvents, scheduler.AttemptEnded{
 		ID:             request.id,
--- a/internal/lifecycle/deduplicator.go
+++ b/internal/lifecycle/deduplicator.go
@@ -36,8 +36,8 @@
 	// BuildPayload returns the Request.Payload for a run of the exchange. Servers know each run by an id of its own.
 	BuildPayload func(id string, body []byte) any
 
-	// Ticket is the Deduplicator's number of the copy. 0 means that it was not submitted.
-	Ticket uint64
+	// CopyID is the Deduplicator's number of the copy. 0 means that it was not submitted.
+	CopyID uint64
 }
 
 // Block is the position of a part in its upload.
@@ -56,8 +56,8 @@
 type LinkSample struct {
 	RoundTripMs float64
 	// Bytes were delivered within BytesMs.
-	Bytes   int
-	BytesMs float64
-	// GapMs is the longest time without a byte within a message.
-	GapMs float64
+	Bytes      int
+	TransferMs float64
+	// MaxGapMs is the longest time without a byte within a message.
+	MaxGapMs float64
 }
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -130,7 +130,7 @@
 		Plan:           request.Plan,
 		Volume:         scheduler.VolumeID(request.Volume),
 		Key:            request.Key,
-		TTL:            clock.Duration(request.RemainingMs),
+		Remaining:      clock.Duration(request.RemainingMs),
 		ClientDelay:    clock.Duration(request.ClientDelayMs),
 		Units:          request.Units,
 		Shard:          request.Shard,
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -59,8 +59,8 @@
 	RetryAfterMs float64
 	// Reason is the reason for a rejection or failure.
 	Reason scheduler.Reason
-	// Result is the AttemptResult.Body of a served request.
-	Result any
+	// Body is the AttemptResult.Body of a served request.
+	Body any
 
 	// The following fields are for the Deduplicator.
 
@@ -76,7 +76,7 @@
 	BufferedBytes int
 	// Cached reports that the response existed before this copy of the request arrived.
 	Cached bool
-	// ETag identifies the content of Result.
+	// ETag identifies the content of Body.
 	ETag uint64
 	// IdleTimeoutMs is how long a connection may be silent before it counts as dead. 0 means that it is not known.
 	IdleTimeoutMs float64
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -12,8 +12,8 @@
 type Server struct {
 	Name, Addr, Zone, Kind string
 	Shard                  int
-	// Weight is the relative size of the server.
-	Weight float64
+	// Size is the relative size of the server.
+	Size float64
 	// StartedMs is when the server's process last started. 0 means long ago.
 	StartedMs float64
 	State     scheduler.ServerState
@@ -32,5 +32,5 @@
 // schedulerServer returns the entry as the scheduler knows it.
 func (s *Server) schedulerServer() scheduler.Server {
 	return scheduler.Server{ID: s.id, State: s.State, Shard: s.Shard, Kind: s.Kind, Zone: s.Zone,
-		StartedAt: clock.Duration(s.StartedMs), Size: s.Weight}
+		StartedAt: clock.Duration(s.StartedMs), Size: s.Size}
 }
--- a/internal/lifecycle/upstream.go
+++ b/internal/lifecycle/upstream.go
@@ -32,6 +32,6 @@
 	// ForeignUnits and LoadReport are those of scheduler.AttemptEnded.
 	ForeignUnits float64
 	LoadReport   []float64
-	// Body becomes Response.Result if Status is scheduler.StatusOK.
+	// Body becomes Response.Body if Status is scheduler.StatusOK.
 	Body any
 }
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -36,7 +36,7 @@
 
 // isValid reports whether the values of a request are in range.
 func (s *Scheduler) isValid(arrival *RequestArrived) bool {
-	return arrival.Shard >= -1 && arrival.Shard < len(s.shards) && arrival.TTL > 0 && arrival.ClientDelay >= 0 &&
+	return arrival.Shard >= -1 && arrival.Shard < len(s.shards) && arrival.Remaining > 0 && arrival.ClientDelay >= 0 &&
 		validUnits(arrival.Units)
 }
 
@@ -44,12 +44,12 @@
 // it lacks of the longest time seen in its class, less its time on the way, is its age. If less than half of the longest time is
 // left, the client is taken for an impatient one: a retry so old has nothing to lose.
 func (s *Scheduler) setDeadlines(request *request) {
-	request.expiresAt = s.now + request.TTL
+	request.expiresAt = s.now + request.Remaining
 	request.objectiveAt = s.now + request.class.LatencyObjective
 	if !request.IsFirstAttempt {
-		total := request.TTL + request.ClientDelay
-		longest := max(s.longestTTL[request.class], total)
-		s.longestTTL[request.class] = longest
+		total := request.Remaining + request.ClientDelay
+		longest := max(s.longestRemaining[request.class], total)
+		s.longestRemaining[request.class] = longest
 		if age := longest - total; age < total {
 			request.objectiveAt -= age
 		}
--- a/internal/scheduler/admission_test.go
+++ b/internal/scheduler/admission_test.go
@@ -10,7 +10,7 @@
 	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) // shows the usual TTL
 	gateway.server(1).congestion.window = 1                   // the next one must wait
 	short, retry := gateway.newArrival("read", "gold", 1, 2, 6), gateway.newArrival("read", "gold", 1, 2, 7)
-	short.TTL, retry.TTL = 150*ms, 2*time.Second
+	short.Remaining, retry.Remaining = 150*ms, 2*time.Second
 	if rejected := rejectedIDs(gateway.step(short, retry)); len(rejected) != 1 || rejected[0] != retry.ID {
 		t.Errorf("rejected %v, want only the retry that has missed its objective (%d)", rejected, retry.ID)
 	}
@@ -23,7 +23,7 @@
 	checkRejected := func(when string) {
 		t.Helper()
 		late := gateway.newArrival("read", "gold", 1, 2, 9)
-		late.TTL -= time.Second // its objective was 400 ms
+		late.Remaining -= time.Second // its objective was 400 ms
 		if rejected := rejectedIDs(gateway.step(late)); len(rejected) != 1 {
 			t.Errorf("%s: rejected %v, want %d at once", when, rejected, late.ID)
 		}
@@ -39,10 +39,10 @@
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(500*ms, 50*ms, 20*ms, StatusOK)
 	long := gateway.newArrival("read", "gold", 1, 2, 9)
-	long.TTL, long.IsFirstAttempt = 3*long.TTL, true
+	long.Remaining, long.IsFirstAttempt = 3*long.Remaining, true
 	ordinary := gateway.newArrival("read", "gold", 1, 2, 10)
 	short := gateway.newArrival("read", "gold", 1, 2, 11)
-	short.TTL, short.IsFirstAttempt = short.TTL/2, true
+	short.Remaining, short.IsFirstAttempt = short.Remaining/2, true
 	if sent := sentIDs(gateway.step(long, ordinary, short)); len(sent) != 3 {
 		t.Errorf("sent %v, want all three", sent)
 	}
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -44,7 +44,7 @@
 			for b.Loop() {
 				id++
 				arrival := RequestArrived{ID: id, Class: "read", Plan: "gold", Volume: VolumeID(id % 20), Key: uint64(id),
-					TTL: time.Second, Units: 2, Shard: shard, Gateways: 2}
+					Remaining: time.Second, Units: 2, Shard: shard, Gateways: 2}
 				if arrival.Shard == 0 {
 					arrival.Shard = int(id) % benchmarkServers
 				}
--- a/internal/scheduler/congestion_test.go
+++ b/internal/scheduler/congestion_test.go
@@ -140,7 +140,7 @@
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 100 })
 	setSubunitWindow(gateway.server(1), 0.05, time.Second, gateway.now)
 	arrival := gateway.newArrival("bulk", "gold", 1, 2, 5)
-	arrival.TTL = 8 * time.Second
+	arrival.Remaining = 8 * time.Second
 	if sent := sentIDs(append(gateway.step(arrival), gateway.advance(1900*ms)...)); len(sent) != 1 {
 		t.Errorf("sent %v within two seconds, want it: a twentieth of a window would wait 19", sent)
 	}
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -63,7 +63,7 @@
 			gateway := newTestGateway(t, nil)
 			gateway.serveReads(500*ms, 50*ms, test.latency, StatusOK)
 			arrival := gateway.newArrival("read", "gold", 1, 2, 9)
-			arrival.TTL -= max(test.clientDelay, time.Second)
+			arrival.Remaining -= max(test.clientDelay, time.Second)
 			arrival.ClientDelay = test.clientDelay
 			actions := gateway.step(arrival)
 			if sent, rejected := len(sentIDs(actions)), len(rejectedIDs(actions)); sent != test.sent || sent+rejected != 1 {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -64,7 +64,7 @@
 	Plan           string // Plan.Name; ignored where the settings have a single plan
 	Volume         VolumeID
 	Key            uint64        // key of the data, for Class.OrderedByKey; NoKey for none
-	TTL            time.Duration // time left until the client's deadline; positive
+	Remaining      time.Duration // time left until the client's deadline; positive
 	ClientDelay    time.Duration // how long the request was on its way to the gateway; 0: unknown
 	Units          float64       // size of the request
 	Shard          int           // shard that holds the data; -1: a new object that any shard may take
--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -25,7 +25,7 @@
 	s.Step(clock(), []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.Snapshot,
 		Servers: []scheduler.Server{{ID: 51, Shard: 0}}}})
 	actions := s.Step(clock(), []scheduler.Event{scheduler.RequestArrived{ID: 7, Class: "read", Plan: "standard",
-		Volume: 1, Key: 99, TTL: 3 * time.Second, Units: 2, Shard: 0, Gateways: 1}})
+		Volume: 1, Key: 99, Remaining: 3 * time.Second, Units: 2, Shard: 0, Gateways: 1}})
 	for _, action := range actions {
 		switch action := action.(type) {
 		case scheduler.Send:
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -215,7 +215,7 @@
 		class := settings.Classes[w.random.IntN(len(settings.Classes))]
 		arrival := RequestArrived{
 			ID: w.nextID, Class: class.Name, Plan: settings.Plans[w.random.IntN(len(settings.Plans))].Name,
-			Volume: VolumeID(w.random.IntN(9)), Key: uint64(w.random.IntN(30)), TTL: class.Deadline,
+			Volume: VolumeID(w.random.IntN(9)), Key: uint64(w.random.IntN(30)), Remaining: class.Deadline,
 			Units: 0.5 + 4*w.random.Float64(), Shard: w.random.IntN(settings.Shards), Gateways: 1 + w.random.IntN(settings.Gateways),
 		}
 		w.vary(&arrival)
@@ -230,10 +230,10 @@
 	case 0:
 		arrival.Shard = -1
 	case 1:
-		arrival.TTL /= 3
+		arrival.Remaining /= 3
 		arrival.IsRetry = true
 	case 2:
-		arrival.ClientDelay, arrival.IsFirstAttempt = arrival.TTL/4, true
+		arrival.ClientDelay, arrival.IsFirstAttempt = arrival.Remaining/4, true
 	case 3:
 		arrival.Key = NoKey
 	case 4:
--- a/internal/scheduler/goldenscenarios_test.go
+++ b/internal/scheduler/goldenscenarios_test.go
@@ -35,7 +35,7 @@
 		Classes: []Class{
 			{Name: "read", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, LateFraction: 0.2},
 			{Name: "write", LatencyObjective: 900 * ms, Deadline: 4 * time.Second, PriorityWeight: 3,
-				Idempotency: IdempotentWithKey, DedupScope: DedupCell,
+				Idempotency: IdempotentWithKey, DedupScope: DedupShard,
 				DedupWindow: 2500 * ms, Write: true},
 			{Name: "once", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, PriorityWeight: 1,
 				Idempotency: NotIdempotent, Write: true},
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -28,7 +28,7 @@
 	for range count {
 		g.now += 20 * ms
 		g.lastID++
-		arrival := RequestArrived{ID: g.lastID, Class: "read", Plan: "gold", TTL: 3 * time.Second, Units: 1, Shard: -1, Gateways: 1}
+		arrival := RequestArrived{ID: g.lastID, Class: "read", Plan: "gold", Remaining: 3 * time.Second, Units: 1, Shard: -1, Gateways: 1}
 		actions := g.scheduler.Step(g.now, []Event{arrival})
 		g.now += 5 * ms
 		if probes := actionsOf[ProbeServer](actions); len(probes) > 0 {
@@ -60,7 +60,7 @@
 		endpoints.Servers[0].StartedAt = time.Hour
 		scheduler.Step(time.Hour, []Event{endpoints})
 		now := time.Hour + 5*time.Second
-		arrival := RequestArrived{ID: 1, Class: "read", Plan: "gold", TTL: time.Second, Units: 1, Shard: 1, Gateways: 1}
+		arrival := RequestArrived{ID: 1, Class: "read", Plan: "gold", Remaining: time.Second, Units: 1, Shard: 1, Gateways: 1}
 		scheduler.Step(now, []Event{arrival}) // server 2 owes its answer for long
 		now += 900 * ms
 		scheduler.servers[3].connectFailures = 1
--- a/internal/scheduler/retry_test.go
+++ b/internal/scheduler/retry_test.go
@@ -45,7 +45,7 @@
 		"idempotent":             {Idempotent, StatusError, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gateway := dedupGateway(t, test.idempotency, DedupCell)
+			gateway := dedupGateway(t, test.idempotency, DedupShard)
 			arrival := gateway.newArrival("bulk", "gold", 1, 2, 5)
 			firstAt, actions := gateway.now, gateway.step(arrival)
 			gateway.now += 100 * ms
@@ -72,7 +72,7 @@
 	limited, late := gateway.newArrival("read", "capped", 1, 6, 1), gateway.newArrival("read", "gold", 2, 6, 2)
 	volume := gateway.scheduler.volumeFor(&limited, gateway.scheduler.plans["capped"])
 	volume.limit.tokens = -2 // 8 units are missing at 20 per second
-	late.TTL = ms            // too late for its server
+	late.Remaining = ms      // too late for its server
 	retryAfter := map[RequestID]time.Duration{}
 	for _, reject := range actionsOf[Reject](append(gateway.step(limited, late), gateway.advance(time.Second)...)) {
 		retryAfter[reject.ID] = reject.RetryAfter
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -136,7 +136,7 @@
 
 // recordArrival takes in a request that the gateway gets.
 func (c *ruleChecker) recordArrival(arrival RequestArrived) {
-	request := &checkedRequest{arrival: arrival, class: c.classes[arrival.Class], expiresAt: c.now + arrival.TTL}
+	request := &checkedRequest{arrival: arrival, class: c.classes[arrival.Class], expiresAt: c.now + arrival.Remaining}
 	c.requests[arrival.ID] = request
 	c.order = append(c.order, request)
 	c.admitted = append(c.admitted, c.now)
@@ -201,7 +201,7 @@
 		case IdempotentWithKey:
 			sameScope := class.DedupScope == DedupAll ||
 				class.DedupScope == DedupZone && attempt.server.Zone == server.Zone ||
-				class.DedupScope == DedupCell && attempt.server.Shard == server.Shard
+				class.DedupScope == DedupShard && attempt.server.Shard == server.Shard
 			if !sameScope || c.now-attempt.sentAt > class.DedupWindow {
 				c.fatalf("rule 2: retry of %d outside its scope or window", id)
 			}
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -21,7 +21,7 @@
 			{Name: "once", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 2,
 				Idempotency: NotIdempotent, OrderedByKey: true},
 			{Name: "cell", LatencyObjective: 600 * ms, Deadline: 3 * time.Second, PriorityWeight: 2,
-				Idempotency: IdempotentWithKey, DedupScope: DedupCell,
+				Idempotency: IdempotentWithKey, DedupScope: DedupShard,
 				DedupWindow: 700 * ms, OrderedByKey: scenario%3 == 0},
 			{Name: "zone", LatencyObjective: 600 * ms, Deadline: 3 * time.Second, PriorityWeight: 1,
 				Idempotency: IdempotentWithKey, DedupScope: DedupZone,
@@ -157,11 +157,11 @@
 	volume := s.random.IntN(8)
 	arrival := RequestArrived{
 		ID: s.nextRequest, Class: class.Name, Plan: s.settings.Plans[volume%2].Name, Volume: VolumeID(volume),
-		Key: uint64(s.random.IntN(12)), TTL: class.Deadline, Units: float64(1 + s.random.IntN(6)),
+		Key: uint64(s.random.IntN(12)), Remaining: class.Deadline, Units: float64(1 + s.random.IntN(6)),
 		Shard: s.random.IntN(s.settings.Shards+1) - 1, Gateways: 1 + volume%3, IsRetry: s.random.IntN(6) == 0,
 	}
 	if arrival.IsRetry {
-		arrival.TTL = time.Duration(s.random.IntN(int(class.Deadline-ms))) + ms
+		arrival.Remaining = time.Duration(s.random.IntN(int(class.Deadline-ms))) + ms
 	}
 	s.nextRequest++
 	s.checker.recordArrival(arrival)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -50,12 +50,12 @@
 	now       time.Duration
 	actions   []Action // of the current Step
 
-	requests     map[RequestID]*request // unfinished or with outstanding attempts
-	longestTTL   map[*Class]time.Duration
-	volumes      map[VolumeID]*volumeEntry
-	servers      map[ServerID]*serverEntry
-	shards       []*shard
-	activeShards []*shard // those with flows, in the order they became active
+	requests         map[RequestID]*request // unfinished or with outstanding attempts
+	longestRemaining map[*Class]time.Duration
+	volumes          map[VolumeID]*volumeEntry
+	servers          map[ServerID]*serverEntry
+	shards           []*shard
+	activeShards     []*shard // those with flows, in the order they became active
 
 	deadlines   deadlineHeap
 	keyOrder    keyOrder
@@ -79,14 +79,14 @@
 		return nil, err
 	}
 	s := &Scheduler{
-		settings:   settings,
-		classes:    map[string]*Class{},
-		plans:      map[string]*Plan{},
-		random:     rand.New(rand.NewPCG(seed, 1)),
-		requests:   map[RequestID]*request{},
-		longestTTL: map[*Class]time.Duration{},
-		volumes:    map[VolumeID]*volumeEntry{},
-		servers:    map[ServerID]*serverEntry{},
+		settings:         settings,
+		classes:          map[string]*Class{},
+		plans:            map[string]*Plan{},
+		random:           rand.New(rand.NewPCG(seed, 1)),
+		requests:         map[RequestID]*request{},
+		longestRemaining: map[*Class]time.Duration{},
+		volumes:          map[VolumeID]*volumeEntry{},
+		servers:          map[ServerID]*serverEntry{},
 	}
 	s.keyOrder = keyOrder{queues: map[uint64]*keyQueue{}, cooldown: settings.KeyCooldown + settings.MinStepInterval}
 	s.retryBudget = retryBudget{
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -21,7 +21,7 @@
 		"plan":          func(a *RequestArrived) { a.Plan = "none" },
 		"shard above":   func(a *RequestArrived) { a.Shard = 7 },
 		"shard below":   func(a *RequestArrived) { a.Shard = -2 },
-		"no time left":  func(a *RequestArrived) { a.TTL = 0 },
+		"no time left":  func(a *RequestArrived) { a.Remaining = 0 },
 		"link in past":  func(a *RequestArrived) { a.ClientDelay = -1 },
 		"units too big": func(a *RequestArrived) { a.Units = unitsBound },
 	} {
@@ -162,7 +162,7 @@
 func newKeyArrival(settings Settings, k int) RequestArrived {
 	class := []string{"read", "bulk", "once"}[k%3]
 	return RequestArrived{ID: RequestID(k + 1), Class: class, Plan: settings.Plans[k%4].Name, Volume: VolumeID(k), Key: uint64(k),
-		TTL: time.Second, Units: 2, Shard: k % 2, Gateways: 1}
+		Remaining: time.Second, Units: 2, Shard: k % 2, Gateways: 1}
 }
 
 // checkStateSize checks that the state is small in a run with a new volume every 100 ms.
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -24,9 +24,9 @@
 
 // The scopes, from widest to narrowest.
 const (
-	DedupAll  DedupScope = iota // all servers
-	DedupZone                   // the servers of one zone
-	DedupCell                   // the servers of one shard
+	DedupAll   DedupScope = iota // all servers
+	DedupZone                    // the servers of one zone
+	DedupShard                   // the servers of one shard
 )
 
 // Class is a kind of request.
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -162,7 +162,7 @@
 	gateway := s.random.IntN(s.gateways)
 	s.deliver(gateway, RequestArrived{
 		ID: s.nextID, Class: "bulk", Plan: "gold", Volume: VolumeID(s.random.IntN(20)), Key: uint64(s.nextID),
-		TTL: 4 * time.Second, Units: slowStartRequestUnits, Gateways: s.gateways,
+		Remaining: 4 * time.Second, Units: slowStartRequestUnits, Gateways: s.gateways,
 	})
 }
 
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -127,7 +127,7 @@
 		volume, volumeGateways := s.random.IntN(overloadVolumes), max(gateways/overloadVolumes, min(gateways, 14))
 		gateway := (volume*volumeGateways + s.random.IntN(volumeGateways)) % gateways
 		arrival := RequestArrived{ID: s.nextID, Class: "all", Plan: "large", Volume: VolumeID(volume), Key: uint64(s.nextID),
-			TTL: 4 * time.Second, Units: float64(1 + s.random.IntN(6)), Gateways: volumeGateways}
+			Remaining: 4 * time.Second, Units: float64(1 + s.random.IntN(6)), Gateways: volumeGateways}
 		s.units[s.nextID] = arrival.Units
 		s.nextID++
 		s.deliver(gateway, arrival)
--- a/internal/scheduler/testgateway_test.go
+++ b/internal/scheduler/testgateway_test.go
@@ -77,7 +77,7 @@
 	g.lastID++
 	ttl := g.scheduler.classes[class].Deadline
 	return RequestArrived{
-		ID: g.lastID, Class: class, Plan: plan, Volume: VolumeID(volume), Key: key, TTL: ttl, Units: units, Gateways: 1,
+		ID: g.lastID, Class: class, Plan: plan, Volume: VolumeID(volume), Key: key, Remaining: ttl, Units: units, Gateways: 1,
 	}
 }
 
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -140,7 +140,7 @@
 	s.units[s.lastID] = units
 	gateways := len(s.schedulers)
 	s.deliver(s.random.IntN(gateways), RequestArrived{ID: s.lastID, Class: "read", Plan: s.plan.Name, Volume: 7, Key: uint64(s.lastID),
-		TTL: time.Second, Units: units, Shard: s.random.IntN(s.shards), Gateways: gateways})
+		Remaining: time.Second, Units: units, Shard: s.random.IntN(s.shards), Gateways: gateways})
 }
 
 // requestQuota sends a request of volume 7 and returns the demands that follow.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -76,7 +76,7 @@
 		line.err = nil // the wire's behaviour is fixed: a key hides errors of the values before it
 		request.Key = line.parseInteger("Region", key, wordBits)
 	}
-	request.TTL = line.ms("TtlMs")
+	request.Remaining = line.ms("TtlMs")
 	request.Volume = scheduler.VolumeID(line.optionalInteger("StoreUser", wordBits))
 	request.Units = line.optionalNumber("QuotaUnits")
 	request.Shard = parseShard(line)
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -28,9 +28,9 @@
 		want        scheduler.Event
 	}{
 		{"request", "NEW_REQUEST 7 read gold 42 240.5 9 2 3 2 6", scheduler.RequestArrived{ID: 7, Class: "read",
-			Plan: "gold", Key: 42, TTL: 240500 * time.Microsecond, Volume: 9, Units: 2, Shard: 3, Gateways: 2, IsRetry: true}},
+			Plan: "gold", Key: 42, Remaining: 240500 * time.Microsecond, Volume: 9, Units: 2, Shard: 3, Gateways: 2, IsRetry: true}},
 		{"request without key, new object", "NEW_REQUEST 7 read gold - 240 9 1 -1 2 0", scheduler.RequestArrived{ID: 7,
-			Class: "read", Plan: "gold", Key: scheduler.NoKey, TTL: 240 * ms, Volume: 9, Units: 1, Shard: -1, Gateways: 2}},
+			Class: "read", Plan: "gold", Key: scheduler.NoKey, Remaining: 240 * ms, Volume: 9, Units: 1, Shard: -1, Gateways: 2}},
 		{"outcome", "CLOSED_ATTEMPT 7 18.5 86 1 10 3 51 0 7,3", scheduler.AttemptEnded{ID: 7, Latency: 18500 * time.Microsecond,
 			VolumeUsage: 0.85, HasVolumeUsage: true, RequestDone: true, Status: scheduler.StatusOK, ForeignUnits: 3, Server: 51,
 			LoadReport: []float64{7, 3}}},
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -16,7 +16,7 @@
 
 // dedupScopes translates the wire's groups of servers that share deduplication.
 var dedupScopes = map[string]scheduler.DedupScope{
-	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
+	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupShard,
 }
 
 // settingsParser looks up settings by their path. Absent ones are zero values, and the first error, in the order of reading, is kept in err.
@@ -97,7 +97,7 @@
 		class.Idempotency = scheduler.NotIdempotent // an unknown one is read as the strictest
 	}
 	if class.DedupScope, ok = dedupScopes[p.values[prefix+"KeyScope"]]; !ok {
-		class.DedupScope = scheduler.DedupCell // an unknown one is read as the narrowest
+		class.DedupScope = scheduler.DedupShard // an unknown one is read as the narrowest
 	}
 	return class
 }
--- a/internal/testbed/soak/servers.go
+++ b/internal/testbed/soak/servers.go
@@ -89,7 +89,7 @@
 		http: &fakestorage.Server{Name: name, Shard: r.shards[shardIndex].objects, ServiceTime: serviceTime,
 			Faults: r.options.Faults, Checker: r.checker},
 		fileListener: fileListener,
-		endpoint: &lifecycle.Server{Name: name, Addr: listener.Addr().String(), Shard: shardIndex, Weight: 1,
+		endpoint: &lifecycle.Server{Name: name, Addr: listener.Addr().String(), Shard: shardIndex, Size: 1,
 			StartedMs: startedMs}}
 	s.http.Start(listener, r.options.Seed+uint64(number))
 	go r.shards[shardIndex].files.Serve(fileListener)
--- a/internal/testbed/testsettings/settings.go
+++ b/internal/testbed/testsettings/settings.go
@@ -19,7 +19,7 @@
 		Classes: []scheduler.Class{
 			{Name: "pull", LatencyObjective: 300 * ms, Deadline: 1500 * ms, PriorityWeight: 2},
 			{Name: "push", LatencyObjective: 400 * ms, Deadline: 3 * time.Second, PriorityWeight: 2, Write: true, Idempotency: scheduler.IdempotentWithKey,
-				DedupScope: scheduler.DedupCell, DedupWindow: 3 * time.Second},
+				DedupScope: scheduler.DedupShard, DedupWindow: 3 * time.Second},
 			{Name: "bulk-read", LatencyObjective: 1500 * ms, Deadline: 5 * time.Second, PriorityWeight: 1},
 		},
 		Plans: []scheduler.Plan{
