--- a/internal/dedup/coordinator.go
+++ b/internal/dedup/coordinator.go
@@ -46,8 +46,8 @@
 	lastCopy exchange.CopyID
 	contents map[exchange.ID]*content
 	// stopTimer cancels the timer of the store's latest SetTimer.
-	stopTimer func()
-	counted   exchange.Stats // the statistics that the counters include
+	stopTimer    func()
+	countedStats exchange.Stats // the statistics that the counters include
 }
 
 var _ lifecycle.Deduplicator = (*Coordinator)(nil)
--- a/internal/dedup/counters.go
+++ b/internal/dedup/counters.go
@@ -28,11 +28,11 @@
 // updateCounters adds what the store has counted since the previous call.
 func (c *Coordinator) updateCounters() {
 	stats := c.store.Stats()
-	counted := c.counted
+	counted := c.countedStats
 	if stats == counted {
 		return
 	}
-	c.counted = stats
+	c.countedStats = stats
 	for _, counter := range &counters {
 		if change := counter.value(&stats) - counter.value(&counted); change != 0 {
 			c.options.Metrics.Add(counter.name, int64(change))
--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -20,7 +20,7 @@
 	}
 	switch {
 	case exchange == nil:
-		s.begin(device, received)
+		s.beginExchange(device, received)
 	case !exchange.matches(received):
 		s.respond(received.Copy, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
 	default:
@@ -64,7 +64,7 @@
 	}
 	firstSentMs := s.nowMs - history.AgeMs
 	wouldBeKnown := history.SameGateway && history.AgeMs >= 0 && history.AgeMs < s.settings.RetentionMs &&
-		firstSentMs > s.startMs && firstSentMs > s.evictedUntilMs
+		firstSentMs > s.startedMs && firstSentMs > s.evictedUntilMs
 	return !wouldBeKnown
 }
 
@@ -81,8 +81,8 @@
 	return class.DedupWindowMs - received.AgeMs - windowMarginMs
 }
 
-// begin runs a request that the store does not know, or rejects it.
-func (s *Store) begin(device *trackedDevice, received *CopyReceived) {
+// beginExchange runs a request that the store does not know, or rejects it.
+func (s *Store) beginExchange(device *trackedDevice, received *CopyReceived) {
 	mayHaveExecuted := s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory)
 	if s.shuttingDown {
 		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
@@ -100,7 +100,7 @@
 		return
 	}
 	reserved := s.reservedResponseBytes(received.Class)
-	added := s.add(device, received.Key, received.BodyBytes+reserved)
+	added := s.addExchange(device, received.Key, received.BodyBytes+reserved)
 	if added == nil {
 		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return
@@ -134,7 +134,7 @@
 		s.updateEvictable(exchange) // the blocks remain, because the last one may be sent again
 		return
 	}
-	exchange.clientDelayMs = received.ClientDelayMs + (s.nowMs - exchange.firstMs)
+	exchange.clientDelayMs = received.ClientDelayMs + (s.nowMs - exchange.createdMs)
 	s.startFirstRun(exchange, received, budgetMs, mayHaveExecuted)
 }
 
@@ -143,7 +143,7 @@
 
 // rememberNewFailure adds an exchange that has failed, if there is capacity for it.
 func (s *Store) rememberNewFailure(device *trackedDevice, received *CopyReceived) {
-	added := s.add(device, received.Key, 0)
+	added := s.addExchange(device, received.Key, 0)
 	if added == nil {
 		return
 	}
@@ -163,14 +163,14 @@
 // join handles a copy of an exchange that has run.
 func (s *Store) join(exchange *storedExchange, received *CopyReceived) {
 	device := exchange.device
-	exchange.touchedMs = s.nowMs
+	exchange.lastActivityMs = s.nowMs
 	if exchange.deadlineMs > s.nowMs { // the copy that its link delayed least gives the deadline best
 		exchange.deadlineMs = min(exchange.deadlineMs, s.nowMs+device.link.remainingHereMs(received.RemainingMs))
 	}
 	switch exchange.state {
 	case stateRunning:
 		s.stats.Joined++
-		s.wait(exchange, received)
+		s.addWaiting(exchange, received)
 	case stateResponded, stateDelivered:
 		s.stats.ServedFromCache++
 		s.copies[received.Copy] = exchange.id
--- a/internal/dedup/exchange/eviction.go
+++ b/internal/dedup/exchange/eviction.go
@@ -19,7 +19,7 @@
 		}
 		s.stats.Evicted++
 		if victim.class.Idempotency != scheduler.Idempotent && (victim.mayHaveExecuted || victim.failureReported) {
-			s.evictedUntilMs = max(s.evictedUntilMs, victim.firstMs, victim.latestAttemptMs)
+			s.evictedUntilMs = max(s.evictedUntilMs, victim.createdMs, victim.latestAttemptMs)
 		}
 		s.forget(victim)
 	}
@@ -34,7 +34,7 @@
 	}
 	if element := s.openUploads.Front(); element != nil {
 		upload := element.Value.(*storedExchange)
-		if s.nowMs-upload.touchedMs >= uploadEvictionAgeMs {
+		if s.nowMs-upload.lastActivityMs >= uploadEvictionAgeMs {
 			return upload
 		}
 	}
--- a/internal/dedup/exchange/expiry.go
+++ b/internal/dedup/exchange/expiry.go
@@ -18,7 +18,7 @@
 	switch exchange.state {
 	case stateRunning:
 	case stateReceiving:
-		nextMs = min(nextMs, exchange.touchedMs+s.settings.UploadIdleTimeoutMs)
+		nextMs = min(nextMs, exchange.lastActivityMs+s.settings.UploadIdleTimeoutMs)
 	default:
 		nextMs = min(nextMs, s.forgetAtMs(exchange))
 		if exchange.retainUntilMs() > s.nowMs {
@@ -35,7 +35,7 @@
 // forgetAtMs returns when an exchange that has ended is forgotten.
 func (s *Store) forgetAtMs(exchange *storedExchange) float64 {
 	if exchange.class.Idempotency == scheduler.Idempotent {
-		return max(exchange.deadlineMs, exchange.touchedMs+minReadRetentionMs) // a later copy is run again
+		return max(exchange.deadlineMs, exchange.lastActivityMs+minReadRetentionMs) // a later copy is run again
 	}
 	return max(exchange.deadlineMs, exchange.retainUntilMs()) + s.settings.RetentionMs
 }
@@ -67,7 +67,7 @@
 	case stateRunning:
 		return false
 	case stateReceiving:
-		return s.nowMs >= exchange.touchedMs+s.settings.UploadIdleTimeoutMs
+		return s.nowMs >= exchange.lastActivityMs+s.settings.UploadIdleTimeoutMs
 	default:
 		return s.nowMs >= s.forgetAtMs(exchange)
 	}
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -53,19 +53,19 @@
 
 // Observe adds a sample. Samples come from devices, so that values which cannot be measurements are ignored.
 func (l *LinkEstimator) Observe(sample LinkSample) {
-	if plausible(sample.RoundTripMs) {
+	if isPlausibleMs(sample.RoundTripMs) {
 		l.observeRoundTrip(sample.RoundTripMs)
 	}
-	if sample.Bytes >= minRateSampleBytes && plausible(sample.TransferMs) {
+	if sample.Bytes >= minRateSampleBytes && isPlausibleMs(sample.TransferMs) {
 		l.observeRate(float64(sample.Bytes) / sample.TransferMs)
 	}
-	if plausible(sample.MaxGapMs) {
+	if isPlausibleMs(sample.MaxGapMs) {
 		l.gaps.Add(sample.MaxGapMs)
 	}
 }
 
-// plausible reports whether a duration can be a measurement. NaN is not.
-func plausible(ms float64) bool { return ms > 0 && ms <= maxMeasurementMs }
+// isPlausibleMs reports whether a duration can be a measurement. NaN is not.
+func isPlausibleMs(ms float64) bool { return ms > 0 && ms <= maxMeasurementMs }
 
 func (l *LinkEstimator) observeRoundTrip(ms float64) {
 	if l.roundTripMs == 0 {
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -419,8 +419,8 @@
 	for id, exchange := range m.store.exchanges {
 		m.checkExchange(id, exchange)
 		storedBytes += exchange.bodyBytes + exchange.uploadBytes + exchange.responseBytes
-		running += one(exchange.state == stateRunning)
-		undelivered += one(exchange.state == stateResponded)
+		running += boolToInt(exchange.state == stateRunning)
+		undelivered += boolToInt(exchange.state == stateResponded)
 	}
 	if storedBytes != stats.StoredBytes || running != stats.Running || undelivered != stats.Undelivered {
 		m.fail("stats: %+v, recount: %d bytes, %d running, %d undelivered", stats, storedBytes, running, undelivered)
@@ -431,7 +431,7 @@
 	for name, device := range m.store.devices {
 		active := 0
 		for _, exchange := range device.exchanges {
-			active += one(exchange.state == stateReceiving || exchange.state == stateRunning)
+			active += boolToInt(exchange.state == stateReceiving || exchange.state == stateRunning)
 		}
 		if active != device.active || active > testMaxActive || (len(device.exchanges) == 0) != (device.idleElement != nil) {
 			m.fail("device %s: %d active, recount %d", name, device.active, active)
--- a/internal/dedup/exchange/run.go
+++ b/internal/dedup/exchange/run.go
@@ -20,9 +20,9 @@
 // startRun runs an exchange for a copy that waits for its response.
 func (s *Store) startRun(exchange *storedExchange, received *CopyReceived, budgetMs float64, shard int) {
 	s.stats.Runs++
-	exchange.run++
-	s.wait(exchange, received)
-	s.emit(StartRun{ID: exchange.id, Run: exchange.run, Copy: received.Copy, RemainingMs: budgetMs,
+	exchange.runNumber++
+	s.addWaiting(exchange, received)
+	s.emit(StartRun{ID: exchange.id, Run: exchange.runNumber, Copy: received.Copy, RemainingMs: budgetMs,
 		ClientDelayMs: exchange.clientDelayMs, Shard: shard})
 }
 
@@ -96,11 +96,11 @@
 // onRunEnded handles the end of an exchange's run. The end of an earlier run is ignored.
 func (s *Store) onRunEnded(ended *RunEnded) {
 	exchange := s.exchanges[ended.ID]
-	if exchange == nil || exchange.state != stateRunning || exchange.run != ended.Run {
+	if exchange == nil || exchange.state != stateRunning || exchange.runNumber != ended.Run {
 		return
 	}
 	exchange.recordAttempts(ended)
-	exchange.touchedMs = s.nowMs
+	exchange.lastActivityMs = s.nowMs
 	waiting := exchange.waiting
 	exchange.waiting = nil
 	switch {
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -28,8 +28,8 @@
 	return nameOf(int(s), "receiving", "running", "responded", "delivered", "failed", "forgotten")
 }
 
-// active reports whether an exchange in this state counts towards Settings.MaxActivePerDevice.
-func (s state) active() bool { return s == stateReceiving || s == stateRunning }
+// isActive reports whether an exchange in this state counts towards Settings.MaxActivePerDevice.
+func (s state) isActive() bool { return s == stateReceiving || s == stateRunning }
 
 // waitingCopy is a copy that waits for its exchange's response.
 type waitingCopy struct {
@@ -44,15 +44,15 @@
 	device *trackedDevice
 	state  state
 
-	class         Class
-	digest        Digest
-	shard         int     // the shard that the request names
-	firstMs       float64 // when its first copy or block arrived
-	touchedMs     float64 // when a copy, a block or the end of a run last arrived
-	deadlineMs    float64 // when the device stops waiting, by its first copy
-	clientDelayMs float64
+	class          Class
+	digest         Digest
+	shard          int     // the shard that the request names
+	createdMs      float64 // when its first copy or block arrived
+	lastActivityMs float64 // when a copy, a block or the end of a run last arrived
+	deadlineMs     float64 // when the device stops waiting, by its first copy
+	clientDelayMs  float64
 
-	run               int // number of its latest run
+	runNumber         int // number of its latest run
 	mayHaveExecuted   bool
 	firstAttemptMs    float64 // when the first attempt that may have executed was sent
 	firstAttemptShard int     // where to; -1: unknown
@@ -101,17 +101,17 @@
 // request did.
 func (e *storedExchange) respondByMs(waiter waitingCopy) float64 {
 	link := &e.device.link
-	return waiter.untilMs - link.expectedRoundTripMs(waiter.untilMs-e.touchedMs) - link.safetyMarginMs() + responseGraceMs
+	return waiter.untilMs - link.expectedRoundTripMs(waiter.untilMs-e.lastActivityMs) - link.safetyMarginMs() + responseGraceMs
 }
 
-// add begins an exchange that stores so many bytes. It returns nil if that exceeds the limits.
-func (s *Store) add(device *trackedDevice, key string, bytes int) *storedExchange {
+// addExchange begins an exchange that stores so many bytes. It returns nil if that exceeds the limits.
+func (s *Store) addExchange(device *trackedDevice, key string, bytes int) *storedExchange {
 	if device.active >= s.settings.MaxActivePerDevice || !s.ensureCapacity(1, bytes) {
 		return nil
 	}
 	s.lastID++
 	added := &storedExchange{id: s.lastID, key: key, device: device, shard: -1, firstAttemptShard: -1,
-		firstMs: s.nowMs, touchedMs: s.nowMs}
+		createdMs: s.nowMs, lastActivityMs: s.nowMs}
 	added.timer.Value = added
 	s.exchanges[added.id] = added
 	device.exchanges[key] = added
@@ -123,15 +123,15 @@
 // setState changes the state of an exchange, and the counts and the eviction list that follow from it.
 func (s *Store) setState(exchange *storedExchange, to state) {
 	from := exchange.state
-	exchange.device.active += one(to.active()) - one(from.active())
-	s.stats.Running += one(to == stateRunning) - one(from == stateRunning)
-	s.stats.Undelivered += one(to == stateResponded) - one(from == stateResponded)
+	exchange.device.active += boolToInt(to.isActive()) - boolToInt(from.isActive())
+	s.stats.Running += boolToInt(to == stateRunning) - boolToInt(from == stateRunning)
+	s.stats.Undelivered += boolToInt(to == stateResponded) - boolToInt(from == stateResponded)
 	exchange.state = to
 	s.updateEvictable(exchange)
 }
 
-// one returns 1 for true and 0 for false.
-func one(condition bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -17,7 +17,7 @@
 	settings Settings
 
 	started      bool
-	startMs      float64 // time of the first step
+	startedMs    float64 // time of the first step
 	nowMs        float64 // time of the present step; it never goes back
 	shuttingDown bool
 	// evictedUntilMs is the latest time at which an evicted exchange that may have executed was active. An exchange that
@@ -33,8 +33,8 @@
 	devices     map[string]*trackedDevice
 	idleDevices list.List // devices without exchanges, the least recently seen first
 
-	wheel   *timerwheel.Wheel[*storedExchange]
-	timerMs float64 // when the owner's timer fires; 0: none is set
+	wheel     *timerwheel.Wheel[*storedExchange]
+	timerAtMs float64 // when the owner's timer fires; 0: none is set
 
 	// Exchanges that may be evicted; each is in at most one of these lists.
 	endedReads  list.List // the oldest first
@@ -76,8 +76,8 @@
 	for _, event := range events {
 		s.handle(event)
 	}
-	if expiryMs, ok := s.wheel.NextExpiry(); ok && (s.timerMs == 0 || expiryMs < s.timerMs) {
-		s.timerMs = expiryMs
+	if expiryMs, ok := s.wheel.NextExpiry(); ok && (s.timerAtMs == 0 || expiryMs < s.timerAtMs) {
+		s.timerAtMs = expiryMs
 		s.emit(SetTimer{expiryMs})
 	}
 	return s.actions
@@ -86,7 +86,7 @@
 // start sets the clock at the first step.
 func (s *Store) start(nowMs float64) {
 	s.started = true
-	s.startMs, s.nowMs, s.evictedUntilMs = nowMs, nowMs, math.Inf(-1)
+	s.startedMs, s.nowMs, s.evictedUntilMs = nowMs, nowMs, math.Inf(-1)
 	s.wheel = timerwheel.New[*storedExchange](nowMs, tickMs)
 }
 
@@ -111,7 +111,7 @@
 	case ShutdownStarted:
 		s.shuttingDown = true
 	case TimerFired:
-		s.timerMs = 0
+		s.timerAtMs = 0
 	}
 }
 
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -72,7 +72,7 @@
 	if match != blockDuplicate && !s.appendBlock(exchange, received, mayHaveExecuted) {
 		return
 	}
-	exchange.touchedMs = s.nowMs
+	exchange.lastActivityMs = s.nowMs
 	s.updateEvictable(exchange)
 	s.armTimer(exchange)
 	if !received.More {
@@ -112,7 +112,7 @@
 		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
 		return nil
 	}
-	added := s.add(device, received.Key, received.Length)
+	added := s.addExchange(device, received.Key, received.Length)
 	if added == nil {
 		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return nil
@@ -168,7 +168,7 @@
 		s.abortUpload(exchange, received.Copy, ResponseTooLarge)
 		return false
 	}
-	exchange.touchedMs = s.nowMs
+	exchange.lastActivityMs = s.nowMs
 	s.protectFromEviction(exchange)
 	fits := s.ensureCapacity(0, received.Length)
 	s.updateEvictable(exchange)
--- a/internal/dedup/exchange/waiting.go
+++ b/internal/dedup/exchange/waiting.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// wait adds a copy to those that wait for an exchange's response.
-func (s *Store) wait(exchange *storedExchange, received *CopyReceived) {
+// addWaiting adds a copy to those that wait for an exchange's response.
+func (s *Store) addWaiting(exchange *storedExchange, received *CopyReceived) {
 	if len(exchange.waiting) >= s.settings.MaxWaitingCopies { // the oldest connection is the likeliest to be half-open
 		s.respond(exchange.waiting[0].id, Respond{Kind: ResponseSuperseded})
 		exchange.waiting = exchange.waiting[1:]
 	}
 	exchange.waiting = append(exchange.waiting, waitingCopy{received.Copy, s.nowMs + max(0, received.RemainingMs)})
-	exchange.touchedMs = s.nowMs
+	exchange.lastActivityMs = s.nowMs
 	s.copies[received.Copy] = exchange.id
 	s.armTimer(exchange)
 }
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -10,7 +10,7 @@
 // that never runs backwards.
 package endpointlease
 
-// congestedLatencyMs is the latency from which on an answered call of discovery must have waited for those of others.
+// congestedLatencyMs is the latency from which on a call that discovery responded to must have waited for those of others.
 const congestedLatencyMs = 1000
 
 // Settings determine the length of a lease. All are in milliseconds.
@@ -28,7 +28,7 @@
 type Lease struct {
 	settings     Settings
 	completeAtMs float64 // no change made before this time is missing
-	congested    bool    // the last answered call waited for those of others
+	congested    bool    // the last call that got a response waited for those of others
 }
 
 // New returns a lease for a list that is complete at nowMs.
@@ -40,7 +40,7 @@
 // Renewals for earlier times have no effect.
 func (l *Lease) Renew(atMs float64) { l.completeAtMs = max(l.completeAtMs, atMs) }
 
-// RecordCallLatency records how long discovery took to answer a call.
+// RecordCallLatency records how long discovery took to respond to a call.
 func (l *Lease) RecordCallLatency(latencyMs float64) {
 	l.congested = latencyMs >= congestedLatencyMs
 }
@@ -50,7 +50,7 @@
 
 // RecordRejection records that discovery rejected or broke off a call that started at startedMs. Discovery does so while it
 // is down, which renews the lease, but also under too many calls, which proves nothing. Calls are paced so that the latter
-// is rare; while the last answered call indicated congestion, a rejection does not renew the lease.
+// is rare; while the last call that got a response indicated congestion, a rejection does not renew the lease.
 func (l *Lease) RecordRejection(startedMs float64) {
 	if !l.congested {
 		l.Renew(startedMs)
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -18,7 +18,7 @@
 	Servers []*Server
 	// CompleteAsOfMs is the time before which no change is missing. If Kind is scheduler.WatchFailed, it is the start of the call.
 	CompleteAsOfMs float64
-	// CallDurationMs is how long discovery took to answer a call. It is set in the first update of a call and 0 in others.
+	// CallDurationMs is how long discovery took to respond to a call. It is set in the first update of a call and 0 in others.
 	CallDurationMs float64
 	// Failure is set if Kind is scheduler.WatchFailed.
 	Failure CallFailure
--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -5,7 +5,7 @@
 // Action is an instruction to the gateway, which carries out the actions of one Step in order.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request at a server. The gateway answers every Send with exactly one AttemptEnded.
+// Send starts the next attempt of a request at a server. The gateway reports exactly one AttemptEnded for every Send.
 type Send struct {
 	ID            RequestID
 	Server        ServerID
@@ -13,14 +13,14 @@
 	StartDeadline time.Duration // clock time by which the first byte must be sent, else nothing is; 0: no such time
 }
 
-// Reason is why a request ended without a server's answer.
+// Reason is why a request ended without a server's response.
 type Reason uint8
 
 // The reasons.
 const (
 	ReasonInvalidRequest   Reason = iota // the settings do not cover the request, or its values are out of range
 	ReasonNoServer                       // no shard has a server that may take it
-	ReasonObjectiveMissed                // no answer could come within the class's latency objective
+	ReasonObjectiveMissed                // no response could come within the class's latency objective
 	ReasonDeadlineExceeded               // the client's deadline, or that of the gateway's shutdown, has passed
 	ReasonRetryNotAllowed                // an attempt failed and a retry is forbidden or would come too late
 	ReasonEndpointsExpired               // the endpoint list is too old to send by
--- a/internal/scheduler/admission_test.go
+++ b/internal/scheduler/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestShortTTLIsNotAnOldRetry(t *testing.T) {
+func TestShortRemainingTimeIsNotAnOldRetry(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) // shows the usual TTL
 	gateway.server(1).congestion.window = 1                   // the next one must wait
@@ -35,7 +35,7 @@
 
 // Frontends may give requests of a class different TTLs: a shorter one is no sign of a retry where the gateway knows better, and a
 // longer one says nothing of the others.
-func TestFirstAttemptWithOtherTTL(t *testing.T) {
+func TestFirstAttemptWithOtherRemainingTime(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(500*ms, 50*ms, 20*ms, StatusOK)
 	long := gateway.newArrival("read", "gold", 1, 2, 9)
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -51,7 +51,7 @@
 				now += 30 * ms
 				for _, action := range scheduler.Step(now, []Event{arrival}) {
 					if send, ok := action.(Send); ok {
-						scheduler.Step(now+5*ms, []Event{answerTo(send, 5*ms)})
+						scheduler.Step(now+5*ms, []Event{sendServed(send, 5*ms)})
 					}
 				}
 			}
--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -49,7 +49,7 @@
 	c.window, c.surplusWindow, c.latency = initialWindow, surplusWindow, threshold
 }
 
-// addSample adds the latency of an answer to the current period.
+// addSample adds the latency of a response to the current period.
 func (c *congestionControl) addSample(latency time.Duration) {
 	c.latencySum += max(0, latency)
 	c.latencySamples++
@@ -64,7 +64,7 @@
 }
 
 // updateLatency moves the smoothed latency by the samples of the period, if there are any. Samples weigh by the age of what they
-// replace, so that a gateway with one answer per second follows the server as quickly; one answer weighs at most half.
+// replace, so that a gateway with one response per second follows the server as quickly; one response weighs at most half.
 func (c *congestionControl) updateLatency(now time.Duration) {
 	elapsed := float64(now-c.latencyUpdatedAt) / float64(latencyHalfLife)
 	history := math.Exp2(-min(elapsed, c.latencySamples))
@@ -85,7 +85,7 @@
 	c.surplusWindow = min(max(surplus, smallest), maxWindow)
 }
 
-// growIdle lets windows below one request grow back over a period in which nothing was in flight, since no answer would ever
+// growIdle lets windows below one request grow back over a period in which nothing was in flight, since no response would ever
 // move them.
 func (c *congestionControl) growIdle(period time.Duration) {
 	growth := math.Exp2(idleGrowth * float64(period) / float64(latencyHalfLife))
@@ -94,7 +94,7 @@
 }
 
 // idleLatency returns the expected latency with nothing in flight: what the smoothed latency exceeds the threshold by fades, else
-// a gateway with few answers would reject for seconds after a flood. A server that stays slow costs a trial now and then.
+// a gateway with few responses would reject for seconds after a flood. A server that stays slow costs a trial now and then.
 func (c *congestionControl) idleLatency(now, threshold time.Duration) time.Duration {
 	age := float64(now-c.latencyUpdatedAt) / float64(latencyHalfLife)
 	excess := float64(max(0, c.latency-threshold))
@@ -128,7 +128,7 @@
 	return beta
 }
 
-// updateServerWindows moves a server's latency and windows. A period without answers leaves them alone, unless some are owed.
+// updateServerWindows moves a server's latency and windows. A period without responses leaves them alone, unless some are owed.
 func (s *Scheduler) updateServerWindows(server *serverEntry, beta float64) {
 	congestion := &server.congestion
 	if congestion.latencySamples > 0 {
--- a/internal/scheduler/congestion_test.go
+++ b/internal/scheduler/congestion_test.go
@@ -128,7 +128,7 @@
 		t.Errorf("sent %v, want the reserved %d", sent, reserved.ID)
 	}
 	gateway.now += 20 * ms
-	gateway.step(answered(reserved.ID, 20*ms))
+	gateway.step(attemptServed(reserved.ID, 20*ms))
 	server.congestion.window, server.congestion.surplusWindow = 0.25, 0.25
 	if sent := sentIDs(gateway.advance(150 * ms)); len(sent) != 1 || sent[0] != ordinary.ID {
 		t.Errorf("sent %v, want %d after three times the last duration", sent, ordinary.ID)
@@ -147,14 +147,14 @@
 }
 
 // A gateway that sees one answer in two seconds must follow a server that has become slow.
-func TestFewAnswersMoveLatency(t *testing.T) {
+func TestFewResponsesMoveLatency(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	for range 3 {
 		gateway.advance(2 * time.Second)
 		arrival := gateway.newArrival("bulk", "gold", 1, 2, 5)
 		gateway.step(arrival)
 		gateway.advance(600 * ms)
-		gateway.step(answered(arrival.ID, 600*ms))
+		gateway.step(attemptServed(arrival.ID, 600*ms))
 	}
 	gateway.advance(100 * ms)
 	if latency := gateway.server(1).congestion.latency; latency < 450*ms {
@@ -184,7 +184,7 @@
 	arrival := gateway.newArrival("bulk", "gold", 1, 2, 5)
 	gateway.step(arrival)
 	gateway.now += 1800 * ms
-	gateway.step(answered(arrival.ID, 1800*ms), TimerFired{})
+	gateway.step(attemptServed(arrival.ID, 1800*ms), TimerFired{})
 	gateway.advance(200 * ms)
 	if congestion.latency > 2*before {
 		t.Errorf("latency went from %v to %v over a stall", before, congestion.latency)
@@ -249,7 +249,7 @@
 			events = append(events, arrival)
 		}
 		for _, send := range actionsOf[Send](g.step(events...)) {
-			g.step(answerTo(send, latency))
+			g.step(sendServed(send, latency))
 		}
 	}
 }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -8,7 +8,7 @@
 // dispatch sends queued requests of a shard while the windows of its servers have room, and ends those that can no longer meet
 // their objective.
 func (s *Scheduler) dispatch(shard *shard) {
-	latency := s.answerLatency(shard)
+	latency := s.responseLatency(shard)
 	for _, server := range shard.servers { // the longest running first; the next gets what that has no room for
 		server.detectLostAttempts(s.now, s.latencyThreshold, max(1, s.settings.MeanUnits))
 		for {
@@ -26,8 +26,8 @@
 	}
 }
 
-// answerLatency returns how long an answer of the fastest server of a shard takes.
-func (s *Scheduler) answerLatency(shard *shard) time.Duration {
+// responseLatency returns how long a response of the fastest server of a shard takes.
+func (s *Scheduler) responseLatency(shard *shard) time.Duration {
 	fastest := s.latencyThreshold
 	for i, server := range shard.servers {
 		latency := server.expectedLatency(s.now, s.latencyThreshold)
@@ -41,7 +41,7 @@
 	return fastest
 }
 
-// canMeetObjective reports whether a queued request is still worth sending where an answer takes latency.
+// canMeetObjective reports whether a queued request is still worth sending where a response takes latency.
 func (s *Scheduler) canMeetObjective(request *request, latency time.Duration) bool {
 	factor := queueTimeoutFactor
 	if request.volume.withinReserve(s.now, request.Units) {
--- a/internal/scheduler/endpoints_test.go
+++ b/internal/scheduler/endpoints_test.go
@@ -33,7 +33,7 @@
 	if len(sent) != 1 {
 		t.Fatalf("sent %v in the last moment of a valid list", sent)
 	}
-	gateway.step(answered(sent[0], ms))
+	gateway.step(attemptServed(sent[0], ms))
 	gateway.now = validUntil
 	if sent := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 1))); len(sent) != 0 {
 		t.Errorf("sent %v by an expired list", sent)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -98,7 +98,7 @@
 	RequestDone    bool          // the client has its response; the request needs nothing more
 	VolumeUsage    float64       // units that all servers served the volume in a finished period, as a fraction of Plan.Rate
 	HasVolumeUsage bool          // VolumeUsage is present
-	ForeignUnits   float64       // units that the server served the volume through other gateways since its last answer here
+	ForeignUnits   float64       // units that the server served the volume through other gateways since its last response here
 	LoadReport     []float64     // values in the order of Settings.LoadReportFields
 }
 
@@ -137,13 +137,13 @@
 	MinInterval time.Duration
 }
 
-// PeerLatency is a recent latency of a server as measured by other gateways. It counts as one answer.
+// PeerLatency is a recent latency of a server as measured by other gateways. It counts as one response.
 type PeerLatency struct {
 	Server  ServerID
 	Latency time.Duration
 }
 
-// TimerFired is the answer to a SetTimer.
+// TimerFired reports that the time of a SetTimer has come.
 type TimerFired struct{}
 
 func (EndpointUpdate) event()  {}
--- a/internal/scheduler/fairqueue.go
+++ b/internal/scheduler/fairqueue.go
@@ -109,7 +109,7 @@
 }
 
 // selectNext returns the request that leaves next for a server and its flow, or nil: requests within their reserve come first,
-// then the flow with the lowest start tag. latency is how long an answer takes.
+// then the flow with the lowest start tag. latency is how long a response takes.
 func (s *Scheduler) selectNext(shard *shard, server *serverEntry, latency time.Duration) (best *flow, next *request) {
 	bestReserved := false
 	for _, flow := range shard.flows {
--- a/internal/scheduler/fairqueue_test.go
+++ b/internal/scheduler/fairqueue_test.go
@@ -21,7 +21,7 @@
 		counts[plans[id]]++
 		gateway.now += 5 * ms
 		gateway.server(1).congestion.window = 1
-		sent = append(sent[1:], sentIDs(gateway.step(answered(id, 5*ms)))...)
+		sent = append(sent[1:], sentIDs(gateway.step(attemptServed(id, 5*ms)))...)
 	}
 	if counts["twice"] < 14 || counts["twice"] > 18 || counts["gold"] < 6 {
 		t.Errorf("sent %v, want about 1 to 2", counts)
@@ -37,7 +37,7 @@
 	gateway.step(gateway.newArrival("read", "twice", 2, 2, 2), gateway.newArrival("read", "twice", 2, 2, 3), reserved)
 	gateway.now += 5 * ms
 	gateway.server(1).congestion.window = 1
-	if sent := sentIDs(gateway.step(answered(first.ID, 5*ms))); len(sent) == 0 || sent[0] != reserved.ID {
+	if sent := sentIDs(gateway.step(attemptServed(first.ID, 5*ms))); len(sent) == 0 || sent[0] != reserved.ID {
 		t.Errorf("sent %v, want the reserved %d first", sent, reserved.ID)
 	}
 }
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -98,7 +98,7 @@
 		w.record("cancel", action.ID, action.Attempt)
 	case WatchEndpoints:
 		w.record("poll")
-		w.answerPoll()
+		w.respondToPoll()
 	case ProbeServer:
 		w.record("probe", action.Server)
 	case QuotaDemand:
@@ -168,8 +168,8 @@
 	return statuses[draw%len(statuses)]
 }
 
-// answerPoll answers a poll of the endpoint list: with the list, late, or not at all.
-func (w *goldenWorld) answerPoll() {
+// respondToPoll answers a poll of the endpoint list: with the list, late, or not at all.
+func (w *goldenWorld) respondToPoll() {
 	latency := time.Duration(w.random.IntN(60)+1) * ms
 	if w.scenario.outage && (w.lifetimes%2 == 1 || w.random.IntN(4) != 0) {
 		w.later(latency, EndpointUpdate{Kind: WatchFailed, ValidUntil: w.now + time.Second})
--- a/internal/scheduler/outcomes.go
+++ b/internal/scheduler/outcomes.go
@@ -1,16 +1,16 @@
 package scheduler
 
-// recordOutcome takes in the end of an attempt and decides what becomes of its request.
-func (s *Scheduler) recordOutcome(outcome *AttemptEnded) {
-	request, attempt := s.outstandingAttempt(outcome)
+// recordAttemptEnd takes in the end of an attempt and decides what becomes of its request.
+func (s *Scheduler) recordAttemptEnd(ended *AttemptEnded) {
+	request, attempt := s.outstandingAttempt(ended)
 	if attempt == nil {
 		return
 	}
-	s.endAttempt(attempt, outcome)
-	switch outcome.Status {
+	s.endAttempt(attempt, ended)
+	switch ended.Status {
 	case StatusOK:
 		if s.settings.ReportsForeignUnits {
-			request.volume.recordUsage(s.now, request.Units, outcome.ForeignUnits)
+			request.volume.recordUsage(s.now, request.Units, ended.ForeignUnits)
 		}
 	case StatusError:
 		request.recordPossibleExecution(attempt)
@@ -18,22 +18,22 @@
 		request.recordPossibleExecution(attempt)
 		s.keyOrder.startCooldown(s.now, request)
 	}
-	request.finished = request.finished || outcome.RequestDone
+	request.finished = request.finished || ended.RequestDone
 	switch {
 	case request.finished:
 		s.releaseIfDone(request)
 	case request.outstanding == 0 && !request.queued:
-		s.retryOrEnd(request, attempt.server, outcome.Status)
+		s.retryOrEnd(request, attempt.server, ended.Status)
 	}
 }
 
 // outstandingAttempt returns the request and the attempt that an outcome names, or nil if there is no such attempt or it has ended.
-func (s *Scheduler) outstandingAttempt(outcome *AttemptEnded) (*request, *attempt) {
-	request := s.requests[outcome.ID]
-	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) {
+func (s *Scheduler) outstandingAttempt(ended *AttemptEnded) (*request, *attempt) {
+	request := s.requests[ended.ID]
+	if request == nil || ended.Attempt < 0 || ended.Attempt >= len(request.attempts) {
 		return nil, nil
 	}
-	attempt := request.attempts[outcome.Attempt]
+	attempt := request.attempts[ended.Attempt]
 	if attempt.ended {
 		return nil, nil
 	}
@@ -41,21 +41,21 @@
 }
 
 // endAttempt updates the state of an attempt and of its server. Errors give no latency sample, since fast errors must not open the
-// window, nor does an answer in a step that came late.
-func (s *Scheduler) endAttempt(attempt *attempt, outcome *AttemptEnded) {
+// window, nor does a response in a step that came late.
+func (s *Scheduler) endAttempt(attempt *attempt, ended *AttemptEnded) {
 	attempt.ended = true
 	attempt.request.outstanding--
 	if !attempt.lost {
 		attempt.releaseSlot()
 	}
 	server := attempt.server
-	if outcome.Status == StatusOK && s.stalledAt != s.now {
-		server.congestion.addSample(outcome.Latency)
+	if ended.Status == StatusOK && s.stalledAt != s.now {
+		server.congestion.addSample(ended.Latency)
 	}
-	server.recordOutcome(s.now, s.latencyThreshold, attempt, outcome.Status)
+	server.recordAttemptEnd(s.now, s.latencyThreshold, attempt, ended.Status)
 }
 
-// rejectOrFail ends a request without an answer: with a Reject where a retry by the client is harmless, else with a Fail.
+// rejectOrFail ends a request without a response: with a Reject where a retry by the client is harmless, else with a Fail.
 func (s *Scheduler) rejectOrFail(request *request, reason Reason) {
 	if s.endpointsExpired() {
 		reason = ReasonEndpointsExpired
--- a/internal/scheduler/outcomes_test.go
+++ b/internal/scheduler/outcomes_test.go
@@ -12,7 +12,7 @@
 			gateway := newTestGateway(t, func(s *Settings) { s.AllowCancel = allowed })
 			open, ended := gateway.newArrival("read", "gold", 1, 2, 1), gateway.newArrival("once", "gold", 1, 2, 2)
 			gateway.step(open, ended)
-			gateway.step(answered(ended.ID, 5*ms))
+			gateway.step(attemptServed(ended.ID, 5*ms))
 			actions := gateway.step(RequestCanceled{ID: open.ID}, RequestCanceled{ID: ended.ID}, RequestCanceled{ID: open.ID})
 			canceled := actionsOf[CancelAttempt](append(actions, gateway.advance(50*ms)...))
 			var want []CancelAttempt
@@ -31,7 +31,7 @@
 }
 
 // A request ends at the client's deadline whatever becomes of its attempt.
-func TestRequestExpiresWithoutOutcome(t *testing.T) {
+func TestRequestExpiresWhileAttemptInFlight(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	unsafe, idempotent := gateway.newArrival("once", "gold", 1, 2, 5), gateway.newArrival("read", "gold", 1, 2, 6)
 	if len(sentIDs(gateway.step(unsafe, idempotent))) != 2 {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// errorCooldown is how long a server that answered with an error gets no new objects.
+	// errorCooldown is how long a server that responded with an error gets no new objects.
 	errorCooldown = 4 * time.Second
 	// minKnownServers is how many servers a gateway gets to know by placing new objects on servers it has not used yet.
 	minKnownServers = 8
@@ -41,7 +41,7 @@
 	return best
 }
 
-// knownServers returns the number of shards whose first server has answered this gateway.
+// knownServers returns the number of shards whose first server has responded to this gateway.
 func (s *Scheduler) knownServers() (count int) {
 	for _, shard := range s.shards {
 		if len(shard.servers) > 0 && shard.servers[0].lastResponseAt > 0 {
@@ -51,7 +51,7 @@
 	return count
 }
 
-// isPreferred reports whether a server should get new objects: it accepts requests, answers, has not failed lately, is not in
+// isPreferred reports whether a server should get new objects: it accepts requests, responds, has not failed lately, is not in
 // slow start and, once enough servers are known, is one of them, since a new one costs a handshake from every gateway.
 func (s *Scheduler) isPreferred(server *serverEntry, enoughKnown bool) bool {
 	accepting := server.consecutiveRejects == 0 && server.connectFailures == 0 && s.now >= server.backoffUntil
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -36,7 +36,7 @@
 		}
 		for _, send := range actionsOf[Send](actions) {
 			placed[send.Server]++
-			end := answerTo(send, 5*ms)
+			end := sendServed(send, 5*ms)
 			end.Status = answer(send.Server)
 			g.scheduler.Step(g.now, []Event{end})
 		}
--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -43,7 +43,7 @@
 
 // endpointPoller decides when a gateway polls discovery for the endpoint list.
 //
-// Discovery answers the polls of all gateways one after the other and abandons those that have waited too long, while a
+// Discovery responds to the polls of all gateways one after the other and abandons those that have waited too long, while a
 // gateway that learns of a change late is bound by it all the same. So the polls of a fleet are spread over about the time
 // that all of them take together, and over no more.
 type endpointPoller struct {
@@ -122,7 +122,7 @@
 	p.nextPollAt = max(p.lastPollAt+jittered, now+max(pause, p.minDelay))
 }
 
-// fleetPollTime returns how long discovery takes to answer one poll of each gateway.
+// fleetPollTime returns how long discovery takes to respond to one poll of each gateway.
 func (p *endpointPoller) fleetPollTime() time.Duration {
 	latency := p.pollLatency
 	if latency == 0 {
--- a/internal/scheduler/polling_fleet_test.go
+++ b/internal/scheduler/polling_fleet_test.go
@@ -47,8 +47,8 @@
 	d.polls = append(d.polls, &simulatedPoll{gateway: gateway, startedAt: d.fleet.now, answeredAt: d.idleAt})
 }
 
-// answerPolls delivers the answers and the timeouts that are due.
-func (d *wastefulDiscovery) answerPolls() {
+// respondToPolls delivers the answers and the timeouts that are due.
+func (d *wastefulDiscovery) respondToPolls() {
 	for _, poll := range d.polls {
 		timesOutAt := poll.startedAt + pollTimeout
 		switch {
@@ -81,7 +81,7 @@
 			fleet := newPollingFleet(t, test.gateways, Server{ID: 1}, Server{ID: 2, Shard: 1})
 			discovery := &wastefulDiscovery{fleet: fleet, cost: test.cost, idleAt: fleet.now}
 			for end := fleet.now + test.within; fleet.now < end; fleet.now += 10 * ms {
-				discovery.answerPolls()
+				discovery.respondToPolls()
 				for gateway := range fleet.schedulers {
 					for range actionsOf[WatchEndpoints](fleet.step(gateway)) {
 						discovery.poll(gateway)
@@ -121,8 +121,8 @@
 	}
 }
 
-// answerPolls answers polls as far as there is time.
-func (d *failingDiscovery) answerPolls() {
+// respondToPolls answers polls as far as there is time.
+func (d *failingDiscovery) respondToPolls() {
 	for d.up && len(d.waiting) > 0 && d.idleAt <= d.fleet.now {
 		d.idleAt = max(d.idleAt, d.fleet.now-outageStep) + d.cost
 		gateway := d.waiting[0].gateway
@@ -146,7 +146,7 @@
 	gateways := len(d.fleet.schedulers)
 	for end := d.fleet.now + period; d.fleet.now < end && (!d.up || d.snapshots < gateways); d.fleet.now += outageStep {
 		d.timeOutPolls()
-		d.answerPolls()
+		d.respondToPolls()
 		for gateway := range gateways {
 			for range actionsOf[WatchEndpoints](d.fleet.step(gateway)) {
 				d.poll(gateway)
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -11,7 +11,7 @@
 	server  *serverEntry
 	sentAt  time.Duration
 	ended   bool
-	lost    bool // its answer is no longer expected, so it does not count as in flight
+	lost    bool // its response is no longer expected, so it does not count as in flight
 }
 
 // releaseSlot stops counting the attempt as in flight at its server and in its flow.
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -142,8 +142,8 @@
 	c.admitted = append(c.admitted, c.now)
 }
 
-// recordOutcome takes in the end of an attempt.
-func (c *ruleChecker) recordOutcome(outcome AttemptEnded) {
+// recordAttemptEnd takes in the end of an attempt.
+func (c *ruleChecker) recordAttemptEnd(outcome AttemptEnded) {
 	request := c.requests[outcome.ID]
 	attempt := request.attempts[outcome.Attempt]
 	attempt.ended, attempt.status = true, outcome.Status
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -181,7 +181,7 @@
 			request.finished = true
 			s.answers++
 		}
-		s.checker.recordOutcome(outcome)
+		s.checker.recordAttemptEnd(outcome)
 		events = append(events, outcome)
 		if s.random.IntN(50) == 0 && request.finished {
 			events = append(events, RequestCanceled{ID: outcome.ID})
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,13 +1,13 @@
 // Package scheduler decides when a gateway sends which request to a shared pool of storage servers.
 //
-// Each server has a window of requests in flight that latency moves, as in PARDA: it shrinks while answers take longer than a
+// Each server has a window of requests in flight that latency moves, as in PARDA: it shrinks while responses take longer than a
 // threshold, so that gateways that know nothing of each other share a server and keep its queue short. Queued requests leave by
 // start-time fair queueing, a flow per volume and shard. Around that stand the rules on what may be sent at all: retries, their
 // budget, order by key, volume limits and the slow start of servers.
 //
 // The package is pure: no clock, no I/O, no goroutine. Scheduler.Step takes the events of one moment and returns the actions to
 // carry out, and the same settings, seed and events always give the same actions. Step guarantees that
-//   - an admitted request ends exactly once, by an answer that the gateway reports, a Reject, a Fail or a RequestCanceled, and
+//   - an admitted request ends exactly once, by a response that the gateway reports, a Reject, a Fail or a RequestCanceled, and
 //     gets no Send after its end;
 //   - a request that the settings do not cover is rejected at once, and events that name unknown requests, attempts or servers
 //     are ignored;
@@ -129,7 +129,7 @@
 }
 
 // reservedQueueTimeoutFactor returns the queue timeout factor of requests within their reserve. Such a request is worth sending
-// while that is worth more than a certain answer beyond the reserve: where answers take L in the mean, one comes within t with
+// while that is worth more than a certain response beyond the reserve: where responses take L in the mean, one comes within t with
 // a probability of 1-exp(-t/L), which equals fairShareWeight here.
 func reservedQueueTimeoutFactor(fairShareWeight float64) float64 {
 	factor := -math.Log1p(-min(fairShareWeight, maxReservedLoss))
@@ -170,7 +170,7 @@
 	case RequestArrived:
 		s.admit(&event)
 	case AttemptEnded:
-		s.recordOutcome(&event)
+		s.recordAttemptEnd(&event)
 	case RequestCanceled:
 		s.cancel(event.ID)
 	case ResponseStarted:
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// unresponsiveFactor is how many times the threshold or the latency an answer may take before it counts as missing.
+	// unresponsiveFactor is how many times the threshold or the latency a response may take before it counts as missing.
 	unresponsiveFactor = 4
 	// maxConsecutiveRejects and maxConnectFailures bound the exponents of the backoff.
 	maxConsecutiveRejects = 5
 	maxConnectFailures    = 4
 )
 
-// responsiveness is whether a server answers.
+// responsiveness is whether a server responds.
 type responsiveness uint8
 
 const (
 	responsive   responsiveness = iota
-	unresponsive                // it owes answers and sends none
-	trialDue                    // unresponsive, and one more request may test whether it answers again
+	unresponsive                // it owes responses and sends none
+	trialDue                    // unresponsive, and one more request may test whether it responds again
 )
 
 // String returns the name of the state.
@@ -35,9 +35,9 @@
 	lastSendAt         time.Duration
 	lastEndedAt        time.Duration // when an attempt last ended
 	lastDuration       time.Duration // of that attempt
-	lastResponseAt     time.Duration // when it last answered, also with an error; 0: never
-	lastErrorAt        time.Duration // when it last answered with an error; 0: never
-	latestAnsweredSend time.Duration // send time of the latest attempt that it has answered with success
+	lastResponseAt     time.Duration // when it last responded, also with an error; 0: never
+	lastErrorAt        time.Duration // when it last responded with an error; 0: never
+	latestServedSentAt time.Duration // send time of the latest attempt that succeeded
 
 	connectFailures    int // consecutive
 	consecutiveRejects int
@@ -47,72 +47,72 @@
 }
 
 // forgetProcess clears what belonged to the process that ran before the server's restart.
-func (n *serverEntry) forgetProcess() {
-	n.connectFailures, n.consecutiveRejects, n.backoffUntil = 0, 0, 0
-	n.lastResponseAt, n.lastErrorAt = 0, 0
+func (e *serverEntry) forgetProcess() {
+	e.connectFailures, e.consecutiveRejects, e.backoffUntil = 0, 0, 0
+	e.lastResponseAt, e.lastErrorAt = 0, 0
 }
 
 // eject limits the server to one request per interval.
-func (n *serverEntry) eject(now, interval time.Duration) {
-	n.ejectionInterval, n.ejectedUntil = interval, now+interval
-	n.backOff(n.lastSendAt + interval)
+func (e *serverEntry) eject(now, interval time.Duration) {
+	e.ejectionInterval, e.ejectedUntil = interval, now+interval
+	e.backOff(e.lastSendAt + interval)
 }
 
 // backOff sends nothing to the server before a time.
-func (n *serverEntry) backOff(until time.Duration) { n.backoffUntil = max(n.backoffUntil, until) }
+func (e *serverEntry) backOff(until time.Duration) { e.backoffUntil = max(e.backoffUntil, until) }
 
 // recordSend counts an attempt that goes out now.
-func (n *serverEntry) recordSend(now time.Duration, attempt *attempt) {
-	n.outstanding = append(n.outstanding, attempt)
-	n.inFlight++
-	n.lastSendAt = now
-	if now < n.ejectedUntil {
-		n.backoffUntil = now + n.ejectionInterval
+func (e *serverEntry) recordSend(now time.Duration, attempt *attempt) {
+	e.outstanding = append(e.outstanding, attempt)
+	e.inFlight++
+	e.lastSendAt = now
+	if now < e.ejectedUntil {
+		e.backoffUntil = now + e.ejectionInterval
 	}
 }
 
 // oldestAttempt returns the oldest attempt in flight, or nil.
-func (n *serverEntry) oldestAttempt() *attempt {
-	for len(n.outstanding) > 0 && (n.outstanding[0].ended || n.outstanding[0].lost) {
-		n.outstanding = n.outstanding[1:]
+func (e *serverEntry) oldestAttempt() *attempt {
+	for len(e.outstanding) > 0 && (e.outstanding[0].ended || e.outstanding[0].lost) {
+		e.outstanding = e.outstanding[1:]
 	}
-	if len(n.outstanding) == 0 {
+	if len(e.outstanding) == 0 {
 		return nil
 	}
-	return n.outstanding[0]
+	return e.outstanding[0]
 }
 
-// responsiveness reports whether the server owes answers and has given none for longer than a pause or a large request explains,
-// and whether a trial is due, which thins out with time. It covers hangs, broken links and lost answers alike; in a long stall
+// responsiveness reports whether the server owes responses and has given none for longer than a pause or a large request explains,
+// and whether a trial is due, which thins out with time. It covers hangs, broken links and lost responses alike; in a long stall
 // the trials add to the server's queue.
-func (n *serverEntry) responsiveness(now, threshold time.Duration) responsiveness {
-	oldest := n.oldestAttempt()
+func (e *serverEntry) responsiveness(now, threshold time.Duration) responsiveness {
+	oldest := e.oldestAttempt()
 	if oldest == nil {
 		return responsive
 	}
-	unanswered := now - max(oldest.sentAt, n.lastResponseAt)
-	if unanswered <= unresponsiveFactor*max(threshold, n.congestion.latency) {
+	silentFor := now - max(oldest.sentAt, e.lastResponseAt)
+	if silentFor <= unresponsiveFactor*max(threshold, e.congestion.latency) {
 		return responsive
 	}
-	interval := float64(min(max(2*threshold, unanswered/4), 16*threshold)) / min(1, n.congestion.window)
-	if float64(now-n.lastSendAt) > interval {
+	interval := float64(min(max(2*threshold, silentFor/4), 16*threshold)) / min(1, e.congestion.window)
+	if float64(now-e.lastSendAt) > interval {
 		return trialDue
 	}
 	return unresponsive
 }
 
-// detectLostAttempts finds attempts that the server has passed over, since it has answered one sent clearly later, and releases
-// their slots. It covers lost answers, broken links and stuck requests; it is wrong where a server works out of order for long.
+// detectLostAttempts finds attempts that the server has passed over, since it has responded to one sent clearly later, and releases
+// their slots. It covers lost responses, broken links and stuck requests; it is wrong where a server works out of order for long.
 // meanUnits is the size of a request.
-func (n *serverEntry) detectLostAttempts(now, threshold time.Duration, meanUnits float64) {
-	for _, attempt := range n.outstanding {
+func (e *serverEntry) detectLostAttempts(now, threshold time.Duration, meanUnits float64) {
+	for _, attempt := range e.outstanding {
 		age := now - attempt.sentAt
 		if age < unresponsiveFactor*threshold {
 			return
 		}
-		allowance := float64(unresponsiveFactor*max(threshold, n.congestion.latency)) * max(1, attempt.request.Units/meanUnits)
+		allowance := float64(unresponsiveFactor*max(threshold, e.congestion.latency)) * max(1, attempt.request.Units/meanUnits)
 		overdue := age >= time.Duration(allowance)
-		passedOver := n.latestAnsweredSend >= attempt.sentAt+n.congestion.latency
+		passedOver := e.latestServedSentAt >= attempt.sentAt+e.congestion.latency
 		if !attempt.ended && !attempt.lost && overdue && passedOver {
 			attempt.lost = true
 			attempt.releaseSlot()
@@ -120,53 +120,53 @@
 	}
 }
 
-// recordOutcome updates the server's health by the end of an attempt.
-func (n *serverEntry) recordOutcome(now, threshold time.Duration, attempt *attempt, status Status) {
-	n.lastEndedAt, n.lastDuration = now, now-attempt.sentAt
+// recordAttemptEnd updates the server's health by the end of an attempt.
+func (e *serverEntry) recordAttemptEnd(now, threshold time.Duration, attempt *attempt, status Status) {
+	e.lastEndedAt, e.lastDuration = now, now-attempt.sentAt
 	switch status {
 	case StatusOK:
-		n.recordResponse(now)
-		n.latestAnsweredSend = max(n.latestAnsweredSend, attempt.sentAt)
+		e.recordResponse(now)
+		e.latestServedSentAt = max(e.latestServedSentAt, attempt.sentAt)
 	case StatusError:
-		n.recordResponse(now)
-		n.lastErrorAt = now
+		e.recordResponse(now)
+		e.lastErrorAt = now
 	case StatusOverloaded:
-		n.recordReject(now, threshold)
+		e.recordReject(now, threshold)
 	case StatusConnectFailed:
-		n.recordConnectFailure(now, threshold)
+		e.recordConnectFailure(now, threshold)
 	case StatusConnectionReset:
-		if now-n.lastResponseAt >= unresponsiveFactor*threshold { // else only that connection broke
-			n.recordConnectFailure(now, threshold)
+		if now-e.lastResponseAt >= unresponsiveFactor*threshold { // else only that connection broke
+			e.recordConnectFailure(now, threshold)
 		}
 	}
 }
 
-// recordResponse notes that the server has answered.
-func (n *serverEntry) recordResponse(now time.Duration) {
-	n.lastResponseAt, n.connectFailures, n.consecutiveRejects = now, 0, 0
+// recordResponse notes that the server has responded.
+func (e *serverEntry) recordResponse(now time.Duration) {
+	e.lastResponseAt, e.connectFailures, e.consecutiveRejects = now, 0, 0
 }
 
 // recordReject backs off from a server that rejects one request after the other: it drains, and the endpoint list is late to
 // say so. A single reject shows no more than a queue that is full for a moment.
-func (n *serverEntry) recordReject(now, threshold time.Duration) {
-	n.consecutiveRejects = min(n.consecutiveRejects+1, maxConsecutiveRejects)
-	if n.consecutiveRejects > 1 {
-		n.backOff(now + threshold<<(n.consecutiveRejects-2))
+func (e *serverEntry) recordReject(now, threshold time.Duration) {
+	e.consecutiveRejects = min(e.consecutiveRejects+1, maxConsecutiveRejects)
+	if e.consecutiveRejects > 1 {
+		e.backOff(now + threshold<<(e.consecutiveRejects-2))
 	}
 }
 
 // recordConnectFailure backs off from a server that does not accept connections.
-func (n *serverEntry) recordConnectFailure(now, threshold time.Duration) {
-	n.connectFailures = min(n.connectFailures+1, maxConnectFailures)
-	n.backOff(now + threshold<<(n.connectFailures-1))
+func (e *serverEntry) recordConnectFailure(now, threshold time.Duration) {
+	e.connectFailures = min(e.connectFailures+1, maxConnectFailures)
+	e.backOff(now + threshold<<(e.connectFailures-1))
 }
 
-// expectedLatency returns how long an answer takes that is asked for now: the smoothed latency, or the age of the oldest attempt
-// in flight where that is longer. That age covers hangs, stalls and floods, which late answers would show too late; it does not
-// enter the smoothed latency, so that one answer ends it.
-func (n *serverEntry) expectedLatency(now, threshold time.Duration) time.Duration {
-	if oldest := n.oldestAttempt(); oldest != nil {
-		return max(n.congestion.latency, now-oldest.sentAt)
+// expectedLatency returns how long a response to a request that is sent now takes: the smoothed latency, or the age of the oldest attempt
+// in flight where that is longer. That age covers hangs, stalls and floods, which late responses would show too late; it does not
+// enter the smoothed latency, so that one response ends it.
+func (e *serverEntry) expectedLatency(now, threshold time.Duration) time.Duration {
+	if oldest := e.oldestAttempt(); oldest != nil {
+		return max(e.congestion.latency, now-oldest.sentAt)
 	}
-	return n.congestion.idleLatency(now, threshold)
+	return e.congestion.idleLatency(now, threshold)
 }
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestLostAnswerDoesNotBlockServer(t *testing.T) {
+func TestLostResponseDoesNotBlockServer(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.server(1).congestion.window = 1
 	if len(sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)))) != 1 {
@@ -77,7 +77,7 @@
 			}
 			if otherAnswered {
 				gateway.now += 5 * ms
-				gateway.step(answered(other.ID, 5*ms))
+				gateway.step(attemptServed(other.ID, 5*ms))
 			}
 			gateway.now += 5 * ms
 			gateway.step(AttemptEnded{ID: reset.ID, Server: 1, Status: StatusConnectionReset, RequestDone: true})
@@ -191,7 +191,7 @@
 		events := append([]Event{TimerFired{}}, others...)
 		for _, send := range actionsOf[Send](g.step(append(events, arrival)...)) {
 			sends[send.Server]++
-			g.step(answerTo(send, 5*ms))
+			g.step(sendServed(send, 5*ms))
 		}
 	}
 	return sends
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -32,7 +32,7 @@
 // Class is a kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within this time earns the full PriorityWeight; positive
+	LatencyObjective time.Duration // a response within this time earns the full PriorityWeight; positive
 	ObjectiveStretch float64       // growth of the objective by the request's own work; not consulted by the scheduler
 	Deadline         time.Duration // how long a client waits over all its own attempts; positive
 	Idempotency      Idempotency
@@ -41,8 +41,8 @@
 	OrderedByKey     bool          // requests with the same key run one at a time, in order of arrival
 	Stream           bool          // responses begin with ResponseStarted; not consulted by the scheduler
 	Write            bool          // not consulted by the scheduler
-	PriorityWeight   float64       // relative value of an answer within the objective; not negative
-	LateFraction     float64       // fraction of PriorityWeight that a later answer earns; not consulted by the scheduler
+	PriorityWeight   float64       // relative value of a response within the objective; not negative
+	LateFraction     float64       // fraction of PriorityWeight that a later response earns; not consulted by the scheduler
 }
 
 // Plan is the service that a volume has bought. Rates and bursts hold per volume, over all gateways and servers.
@@ -68,7 +68,7 @@
 	FairShareWeight     float64 // fraction of the priority that a request beyond its reserve has; not negative
 	SurplusWeight       float64 // fraction of the priority beyond the fair share; not negative, not consulted otherwise
 
-	PollEndpoints   bool          // the endpoint list is only sent in answer to WatchEndpoints
+	PollEndpoints   bool          // the endpoint list is only sent in response to WatchEndpoints
 	MaxPollInterval time.Duration // a gateway that has not polled for this long counts as notified; 0: unbounded
 
 	MaxAttempts   int           // attempts per request, including the first; at least 1
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -169,7 +169,7 @@
 // serve answers an attempt after the latency and compares what was sent with the bound. A gateway that does not know of the restart
 // is not bound.
 func (s *slowStartSimulation) serve(gateway int, send Send) {
-	s.pending = append(s.pending, gatewayEnd{gateway, pendingEnd{s.now + s.latency, answered(send.ID, s.latency)}})
+	s.pending = append(s.pending, gatewayEnd{gateway, pendingEnd{s.now + s.latency, attemptServed(send.ID, s.latency)}})
 	age := s.now - s.restartAt
 	if s.informedAt[gateway] != 0 || age >= s.settings.SlowStartDuration {
 		return
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -150,7 +150,7 @@
 func (s *overloadSimulation) serve(gateway int, send Send, capacity float64) {
 	units := s.units[send.ID]
 	s.serverIdle = max(s.serverIdle, s.now) + time.Duration(units/capacity*float64(time.Second))
-	s.pending[gateway] = append(s.pending[gateway], pendingEnd{s.serverIdle, answered(send.ID, s.serverIdle-s.now)})
+	s.pending[gateway] = append(s.pending[gateway], pendingEnd{s.serverIdle, attemptServed(send.ID, s.serverIdle-s.now)})
 	if !s.starting() {
 		s.runningUnits += units
 		return
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -76,7 +76,7 @@
 			gateway.now += 10 * ms
 			for _, id := range sentIDs(gateway.step(gateway.newArrival("bulk", "gold", 1, 2, uint64(k)))) {
 				sends, units = sends+1, units+2
-				gateway.step(answered(id, 5*ms))
+				gateway.step(attemptServed(id, 5*ms))
 			}
 		}
 		// Half of 12 units per second at the start, twice that after 4 s, and a burst.
@@ -126,7 +126,7 @@
 		}
 		for _, id := range sentIDs(gateway.step(events...)) {
 			sends++
-			pending = append(pending, pendingEnd{gateway.now + latency, answered(id, latency)})
+			pending = append(pending, pendingEnd{gateway.now + latency, attemptServed(id, latency)})
 		}
 	}
 	return sends
--- a/internal/scheduler/testgateway_test.go
+++ b/internal/scheduler/testgateway_test.go
@@ -121,13 +121,13 @@
 	return sends
 }
 
-// answered returns the successful end of a request's first attempt at server 1.
-func answered(id RequestID, latency time.Duration) AttemptEnded {
+// attemptServed returns the successful end of a request's first attempt at server 1.
+func attemptServed(id RequestID, latency time.Duration) AttemptEnded {
 	return AttemptEnded{ID: id, Server: 1, Status: StatusOK, Latency: latency, RequestDone: true}
 }
 
-// answerTo returns the successful end of a request's first attempt.
-func answerTo(send Send, latency time.Duration) AttemptEnded {
+// sendServed returns the successful end of a request's first attempt.
+func sendServed(send Send, latency time.Duration) AttemptEnded {
 	return AttemptEnded{ID: send.ID, Server: send.Server, Status: StatusOK, Latency: latency, RequestDone: true}
 }
 
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -79,7 +79,7 @@
 // validUnits reports whether an amount of units is a believable number.
 func validUnits(units float64) bool { return units >= 0 && units < unitsBound }
 
-// recordUsage takes in an answer that says how much the volume was served through other gateways.
+// recordUsage takes in a response that says how much the volume was served through other gateways.
 func (v *volumeEntry) recordUsage(now time.Duration, units, foreignUnits float64) {
 	if !validUnits(foreignUnits) {
 		return
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -43,7 +43,7 @@
 					t.Fatal("not sent")
 				}
 				gateway.now += 20 * ms
-				end := answered(arrival.ID, 20*ms)
+				end := attemptServed(arrival.ID, 20*ms)
 				end.ForeignUnits = test.foreignUnits
 				gateway.step(end)
 			}
@@ -121,7 +121,7 @@
 			for _, send := range actionsOf[Send](s.step(gateway)) {
 				s.bucket.consume(s.now, s.units[send.ID])
 				s.sentUnits += s.units[send.ID]
-				scheduler.Step(s.now, []Event{answerTo(send, 5*ms)})
+				scheduler.Step(s.now, []Event{sendServed(send, 5*ms)})
 			}
 		}
 		if s.bucket.tokens < -s.plan.LimitOverdraft {
