--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -51,8 +51,13 @@
 				testbed.TryWrite(conn, <-next)
 			})
 			updates := make(chan lifecycle.EndpointUpdate, 16)
-			watcher := New(addr, lifecycle.EndpointUpdate{Version: known}, clock.NewManual(1e12), metrics.New(),
-				func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+			watcher := New(Options{
+				Addr:    addr,
+				Known:   lifecycle.EndpointUpdate{Version: known},
+				Clock:   clock.NewManual(1e12),
+				Metrics: metrics.New(),
+				Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+			})
 			var wire []byte
 			for _, response := range responses {
 				next <- response
@@ -75,8 +80,13 @@
 	requests := make(chan []byte, 1)
 	addr := testbed.Serve(t, func(conn net.Conn) { requests <- readHeader(conn) })
 	updates := make(chan lifecycle.EndpointUpdate, 16)
-	watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), metrics.New(),
-		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	watcher := New(Options{
+		Addr:    "127.0.0.1:1",
+		Known:   lifecycle.EndpointUpdate{Version: 41},
+		Clock:   clock.NewManual(1e12),
+		Metrics: metrics.New(),
+		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+	})
 	watcher.SwitchAddress(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 	<-updates
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -96,8 +96,12 @@
 	})
 	counters, startedAt := metrics.New(), time.Now()
 	updates, ended := 0, make(chan float64, 2)
-	watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewSystem(), counters,
-		func(update lifecycle.EndpointUpdate) {
+	watcher := New(Options{
+		Addr:    "127.0.0.1:1",
+		Known:   lifecycle.EndpointUpdate{Version: 41},
+		Clock:   clock.NewSystem(),
+		Metrics: counters,
+		Notify: func(update lifecycle.EndpointUpdate) {
 			switch {
 			case update.Kind == scheduler.Heartbeat:
 				if updates == 0 || update.CompleteAsOfMs == 0 {
@@ -114,7 +118,9 @@
 					t.Error("the list is emptied")
 				}
 			}
-		}, network.Dial)
+		},
+		Dial: network.Dial,
+	})
 	watcher.Open(context.Background())
 	if afterMs := <-ended; afterMs != test.endsAfterMs {
 		t.Errorf("ended after %v ms, want %v", afterMs, test.endsAfterMs)
@@ -180,14 +186,20 @@
 			serveOnce(listener, sendEndlessObject)
 		}()
 		ended, heartbeats := make(chan scheduler.UpdateKind, 1), 0
-		watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewSystem(), metrics.New(),
-			func(update lifecycle.EndpointUpdate) {
+		watcher := New(Options{
+			Addr:    "127.0.0.1:1",
+			Known:   lifecycle.EndpointUpdate{Version: 41},
+			Clock:   clock.NewSystem(),
+			Metrics: metrics.New(),
+			Notify: func(update lifecycle.EndpointUpdate) {
 				if update.Kind == scheduler.Heartbeat {
 					heartbeats++
 					return
 				}
 				ended <- update.Kind
-			}, network.Dial)
+			},
+			Dial: network.Dial,
+		})
 		startedAt := time.Now()
 		watcher.Open(context.Background())
 		kind, afterMs := <-ended, clock.Ms(time.Since(startedAt))
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -137,16 +137,39 @@
 	return c.Conn.Close()
 }
 
+// PendingUpdates is what AwaitPendingUpdates found of updates that have arrived on the watch.
+type PendingUpdates uint8
+
+const (
+	// NoneArrived means that there was nothing to wait for.
+	NoneArrived PendingUpdates = iota
+	// Delivered means that all were passed to the notify function during the wait.
+	Delivered
+	// StillPending means that some had not been passed to the notify function when the wait ended.
+	StillPending
+)
+
+// String returns the result in lower case.
+func (p PendingUpdates) String() string {
+	switch p {
+	case NoneArrived:
+		return "none arrived"
+	case Delivered:
+		return "delivered"
+	}
+	return "still pending"
+}
+
 // AwaitPendingUpdates waits until the updates that have arrived on the watch were passed to the notify function, for
-// maxPendingWaitMs at most. pending reports that there was something to wait for, and applied that nothing is left of it.
+// maxPendingWaitMs at most.
 //
-// It guards against a process that was stopped, or had no processor, for longer than the grace of drains: what was decided
-// before would otherwise be sent in the same moment in which the update can be read. It may be called from any goroutine
-// but that of the notify function.
-func (w *Watcher) AwaitPendingUpdates() (pending, applied bool) {
+// It guards against a process that was stopped, or had no processor, for longer than the grace of drains: without it, an
+// attempt that was decided before could be sent in the moment in which the update that forbids it can be read. It may be
+// called from any goroutine but that of the notify function.
+func (w *Watcher) AwaitPendingUpdates() PendingUpdates {
 	processed := w.received.pending()
 	if processed == nil {
-		return false, true
+		return NoneArrived
 	}
 	w.metrics.Add(counterAttemptsDelayed, 1)
 	timeout := make(chan struct{})
@@ -155,9 +178,9 @@
 		select {
 		case <-processed:
 		case <-timeout:
-			return true, false
+			return StillPending
 		}
 		processed = w.received.pending()
 	}
-	return true, true
+	return Delivered
 }
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -112,12 +112,19 @@
 		var recorder updateRecorder
 		known := lifecycle.EndpointUpdate{Version: 41, Kind: scheduler.CachedSnapshot,
 			Servers: []*lifecycle.Server{{Name: "s-1"}, {Name: "s-2"}}}
-		watcher := New("127.0.0.1:1", known, clock.NewSystem(), counters, func(update lifecycle.EndpointUpdate) {
-			if update.Kind == scheduler.WatchFailed {
-				t.Error("a failed watch is reported")
-			}
-			recorder.record(update)
-		}, network.Dial)
+		watcher := New(Options{
+			Addr:    "127.0.0.1:1",
+			Known:   known,
+			Clock:   clock.NewSystem(),
+			Metrics: counters,
+			Notify: func(update lifecycle.EndpointUpdate) {
+				if update.Kind == scheduler.WatchFailed {
+					t.Error("a failed watch is reported")
+				}
+				recorder.record(update)
+			},
+			Dial: network.Dial,
+		})
 		watcher.KeepOpen(ctx)
 		time.Sleep(80 * time.Millisecond)
 		agent := newFakeAgent(t, network, "127.0.0.1:1")
@@ -177,8 +184,13 @@
 			}
 			return nil, errors.New("refused")
 		}
-		watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{}, clock.NewSystem(), metrics.New(),
-			func(lifecycle.EndpointUpdate) { t.Error("an update is reported") }, dial)
+		watcher := New(Options{
+			Addr:    "127.0.0.1:1",
+			Clock:   clock.NewSystem(),
+			Metrics: metrics.New(),
+			Notify:  func(lifecycle.EndpointUpdate) { t.Error("an update is reported") },
+			Dial:    dial,
+		})
 		watcher.KeepOpen(ctx)
 		time.Sleep(700 * time.Millisecond)
 		cancel()
--- a/internal/discovery/switchaddress_test.go
+++ b/internal/discovery/switchaddress_test.go
@@ -50,8 +50,13 @@
 	previous, next := newWatchServer(t), newWatchServer(t)
 	updates := make(chan lifecycle.EndpointUpdate, 10)
 	counters := metrics.New()
-	watcher := New(previous.addr, lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), counters,
-		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	watcher := New(Options{
+		Addr:    previous.addr,
+		Known:   lifecycle.EndpointUpdate{Version: 41},
+		Clock:   clock.NewManual(1e12),
+		Metrics: counters,
+		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watcher.Open(ctx)
@@ -83,14 +88,18 @@
 func TestSwitchAddressWaitsForNotify(t *testing.T) {
 	previous, next := newWatchServer(t), newWatchServer(t)
 	notifying, release, versions := make(chan bool), make(chan bool), make(chan uint64, 4)
-	watcher := New(previous.addr, lifecycle.EndpointUpdate{}, clock.NewManual(1e12), metrics.New(),
-		func(update lifecycle.EndpointUpdate) {
+	watcher := New(Options{
+		Addr:    previous.addr,
+		Clock:   clock.NewManual(1e12),
+		Metrics: metrics.New(),
+		Notify: func(update lifecycle.EndpointUpdate) {
 			if update.Version == 43 {
 				notifying <- true
 				<-release
 			}
 			versions <- update.Version
-		}, nil)
+		},
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watcher.Open(ctx)
@@ -116,8 +125,13 @@
 // TestSwitchAddressWithoutWatch checks that SwitchAddress opens a watch where none was open.
 func TestSwitchAddressWithoutWatch(t *testing.T) {
 	server := newWatchServer(t)
-	watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 5}, clock.NewManual(1e12), metrics.New(),
-		func(lifecycle.EndpointUpdate) {}, nil)
+	watcher := New(Options{
+		Addr:    "127.0.0.1:1",
+		Known:   lifecycle.EndpointUpdate{Version: 5},
+		Clock:   clock.NewManual(1e12),
+		Metrics: metrics.New(),
+		Notify:  func(lifecycle.EndpointUpdate) {},
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watcher.SwitchAddress(ctx, server.addr)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -96,26 +96,40 @@
 	done         chan struct{}      // closed when the latest watch has ended and called notify for the last time
 }
 
-// New returns a Watcher without an open watch. Its first watch resumes after the version of the known list. dial is used
-// for connections; nil stands for a net.Dialer.
-//
-// notify is called for each update that applies, with Heartbeat for a heartbeat of a polled list, and when a polled watch
-// ends other than by SwitchAddress or its context: with WatchFailed if it never provided a list, with WatchIdle if it
-// responded and then sent nothing, with WatchClosed otherwise. When to open the next one is not decided here. notify is
-// called from the goroutine of the watch, one call at a time; it must not call SwitchAddress or AwaitPendingUpdates.
-func New(addr string, known lifecycle.EndpointUpdate, clk clock.Clock, counters *metrics.Registry, notify func(lifecycle.EndpointUpdate),
-	dial DialFunc) *Watcher {
+// Options are the settings and collaborators of a Watcher. All but Known and Dial are required.
+type Options struct {
+	// Addr is the host and port of the discovery service, or of this machine's agent.
+	Addr string
+	// Known is the list that was known before the start. The first watch resumes after its version. The zero value stands
+	// for no known list.
+	Known   lifecycle.EndpointUpdate
+	Clock   clock.Clock
+	Metrics *metrics.Registry
+	// Notify is called for each update that applies, with Heartbeat for a heartbeat of a polled list, and when a polled
+	// watch ends other than by SwitchAddress or its context: with WatchFailed if it never provided a list, with WatchIdle if
+	// it responded and then sent nothing, with WatchClosed otherwise. When to open the next one is not decided here.
+	//
+	// It is called from the goroutine of the watch, one call at a time. It must not call SwitchAddress or
+	// AwaitPendingUpdates.
+	Notify func(lifecycle.EndpointUpdate)
+	// Dial is used for connections. nil stands for a net.Dialer.
+	Dial DialFunc
+}
+
+// New returns a Watcher without an open watch.
+func New(options Options) *Watcher {
+	dial := options.Dial
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: connectTimeout}).DialContext
 	}
 	w := &Watcher{
-		clock:    clk,
-		metrics:  counters,
-		notify:   notify,
-		received: receiveTracker{clock: clk},
-		addr:     addr,
-		version:  known.Version,
-		tracker:  endpoints.NewTracker(trackerUpdate(known)),
+		clock:    options.Clock,
+		metrics:  options.Metrics,
+		notify:   options.Notify,
+		received: receiveTracker{clock: options.Clock},
+		addr:     options.Addr,
+		version:  options.Known.Version,
+		tracker:  endpoints.NewTracker(trackerUpdate(options.Known)),
 	}
 	w.client = &http.Client{
 		CheckRedirect: refuseRedirect,
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -48,8 +48,13 @@
 	addr, feed, queries := newLineServer(t)
 	updates := make(chan lifecycle.EndpointUpdate, 10)
 	counters, now := metrics.New(), clock.NewManual(1e12)
-	watcher := New(addr, lifecycle.EndpointUpdate{Version: 41}, now, counters,
-		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	watcher := New(Options{
+		Addr:    addr,
+		Known:   lifecycle.EndpointUpdate{Version: 41},
+		Clock:   now,
+		Metrics: counters,
+		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	expectUpdate := func(event string, kind scheduler.UpdateKind, version uint64) {
@@ -100,8 +105,12 @@
 func TestFailedCalls(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	updates := make(chan lifecycle.EndpointUpdate, 1)
-	watcher := New(strings.TrimPrefix(server.URL, "http://"), lifecycle.EndpointUpdate{}, clock.NewManual(0), metrics.New(),
-		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	watcher := New(Options{
+		Addr:    strings.TrimPrefix(server.URL, "http://"),
+		Clock:   clock.NewManual(0),
+		Metrics: metrics.New(),
+		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+	})
 	for _, call := range []string{"error status", "connection refused"} {
 		watcher.Open(context.Background())
 		if update := <-updates; update.Kind != scheduler.WatchFailed {
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -55,7 +55,8 @@
 	g.upstream = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
 		ReuseDelayMs: reuseDelayMs, MaxConns: maxUpstreamConns(cfg), LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
-	g.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, c, g.Metrics, g.loop.UpdateEndpoints, network.Dial)
+	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.KnownEndpoints, Clock: c, Metrics: g.Metrics,
+		Notify: g.loop.UpdateEndpoints, Dial: network.Dial})
 	g.components = newComponents(g, edge, fleet, gatewayID)
 	return g, nil
 }
@@ -136,9 +137,9 @@
 // waitForEndpointUpdates returns once the updates that have arrived on the watch are applied, or were waited for long
 // enough; it reports whether they are applied.
 func (g *Gateway) waitForEndpointUpdates() (applied bool) {
-	pending, applied := g.watcher.AwaitPendingUpdates()
-	if pending && applied {
+	result := g.watcher.AwaitPendingUpdates()
+	if result == discovery.Delivered {
 		g.loop.Sync()
 	}
-	return applied
+	return result != discovery.StillPending
 }
