--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -17,7 +17,7 @@
 	Shard         int     // where it must run; -1: anywhere
 }
 
-// Kind is the kind of response to a copy.
+// ResponseKind is the kind of response to a copy.
 type ResponseKind uint8
 
 // The kinds of response.
--- a/internal/scheduler/polling_test.go
+++ b/internal/scheduler/polling_test.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-func newTestPoller(gateways int) *endpointPoller {
-	return &endpointPoller{gateways: gateways, maxInterval: 10 * time.Second, minDelay: 2 * ms, random: rand.New(rand.NewPCG(1, 1))}
+// newTestPoller returns the poller of a gateway in a fleet of ten.
+func newTestPoller() *endpointPoller {
+	return &endpointPoller{gateways: 10, maxInterval: 10 * time.Second, minDelay: 2 * ms, random: rand.New(rand.NewPCG(1, 1))}
 }
 
 func TestEndpointPoller(t *testing.T) {
 	const now = time.Hour
 	snapshot := &EndpointUpdate{Kind: Snapshot}
 	t.Run("first poll within the fleet's poll time", func(t *testing.T) {
-		poller := newTestPoller(10)
+		poller := newTestPoller()
 		poller.scheduleFirst(now)
 		if wait := poller.nextPollAt - now; wait < 0 || wait > 10*defaultPollLatency {
 			t.Errorf("first poll after %v", wait)
 		}
 	})
 	t.Run("fastest successful poll counts", func(t *testing.T) {
-		poller := newTestPoller(10)
+		poller := newTestPoller()
 		for _, latency := range []time.Duration{20 * ms, 5 * ms, 50 * ms} {
 			poller.pollStarted(now)
 			poller.entriesReceived(now+latency, snapshot)
@@ -32,7 +33,7 @@
 		}
 	})
 	t.Run("a list without a poll gives no latency", func(t *testing.T) {
-		poller := newTestPoller(10)
+		poller := newTestPoller()
 		poller.entriesReceived(now, snapshot)
 		if poller.pollLatency != 0 {
 			t.Errorf("poll latency %v", poller.pollLatency)
@@ -43,7 +44,7 @@
 func TestEndpointPollerSchedule(t *testing.T) {
 	const now = time.Hour
 	t.Run("no poll while a watch is open", func(t *testing.T) {
-		poller := newTestPoller(10)
+		poller := newTestPoller()
 		poller.pollStarted(now)
 		poller.watchOpened(now + 5*ms)
 		if poller.due(now+10*time.Minute) || poller.pollInFlight {
@@ -51,14 +52,14 @@
 		}
 	})
 	t.Run("poll in flight is repeated within the interval", func(t *testing.T) {
-		poller := newTestPoller(10)
+		poller := newTestPoller()
 		poller.pollStarted(now)
 		if poller.due(now+5*time.Second-1) || !poller.due(now+5*time.Second) {
 			t.Errorf("next poll at %v", poller.nextPollAt)
 		}
 	})
 	t.Run("cycle grows with failures up to its bound", func(t *testing.T) {
-		poller := newTestPoller(10)
+		poller := newTestPoller()
 		last := time.Duration(0)
 		for range 10 {
 			cycle := poller.cycle(poller.fleetPollTime())
