--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -123,11 +123,11 @@
 	attempt.ended = true
 	attempt.neverExecuted = provesNotExecuted(result.Status)
 	state.inFlight--
-	m.environment.Count(counterAttemptsPrefix + attemptStatusNames[result.Status])
+	m.environment.Count(counterAttemptsPrefix + result.Status.String())
 	if m.traceRequests {
 		m.environment.Trace(logevent.AttemptEnded, logevent.Request, request.ClientID, "id", request.id,
 			logevent.Attempt, number, logevent.Server, attempt.server.Name,
-			logevent.Status, attemptStatusNames[result.Status], logevent.TookMs, latencyMs)
+			logevent.Status, result.Status.String(), logevent.TookMs, latencyMs)
 	}
 	if m.peers != nil {
 		m.peers.AttemptEnded(nowMs, attempt.server, result.Status, latencyMs)
--- a/internal/lifecycle/counters.go
+++ b/internal/lifecycle/counters.go
@@ -28,15 +28,3 @@
 	}
 	return names
 }()
-
-// attemptStatusNames are the names of the ends of attempts in counters and traces.
-var attemptStatusNames = [...]string{
-	scheduler.StatusOK:              "ok",
-	scheduler.StatusError:           "error",
-	scheduler.StatusOverloaded:      "overloaded",
-	scheduler.StatusTimedOut:        "timed_out",
-	scheduler.StatusConnectFailed:   "connect_failed",
-	scheduler.StatusConnectionReset: "connection_reset",
-	scheduler.StatusCanceled:        "canceled",
-	scheduler.StatusNotSent:         "not_sent",
-}
--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -29,13 +29,16 @@
 // ReasonCount is the number of reasons.
 const ReasonCount = int(ReasonEndpointsExpired) + 1
 
-// reasonNames are the reasons' names in logs and counters.
-var reasonNames = [ReasonCount]string{"invalid_request", "no_server", "objective_missed", "deadline_exceeded", "retry_not_allowed", "endpoint_lease_expired"}
-
-// String returns the reason's name in logs and counters, or "unknown".
+// String returns the reason as logs and counters name it, or "unknown".
 func (r Reason) String() string {
-	if int(r) < len(reasonNames) {
-		return reasonNames[r]
+	return nameOf(r, "invalid_request", "no_server", "objective_missed", "deadline_exceeded", "retry_not_allowed",
+		"endpoint_lease_expired")
+}
+
+// nameOf returns the name of an enumeration's value, or "unknown" if it has none.
+func nameOf[E ~uint8](value E, names ...string) string {
+	if int(value) < len(names) {
+		return names[value]
 	}
 	return "unknown"
 }
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -16,11 +16,14 @@
 
 // The states of a server.
 const (
-	Ready ServerState = iota
-	Draining
-	Removed
+	Ready    ServerState = iota // requests may be sent to it
+	Draining                    // it ends what it has accepted and gets nothing more
+	Removed                     // it has left the list
 )
 
+// String returns the state in lower case, or "unknown".
+func (s ServerState) String() string { return nameOf(s, "ready", "draining", "removed") }
+
 // Server is an entry of the endpoint list.
 type Server struct {
 	ID        ServerID
@@ -46,6 +49,11 @@
 	Heartbeat                        // the watch reports that nothing has changed; no entries
 )
 
+// String returns the kind in lower case, or "unknown".
+func (k UpdateKind) String() string {
+	return nameOf(k, "delta", "snapshot", "cached snapshot", "watch failed", "watch idle", "watch closed", "heartbeat")
+}
+
 // Event is something that happened at the gateway.
 type Event interface{ event() }
 
@@ -76,18 +84,23 @@
 // Status is how an attempt ended.
 type Status uint8
 
-// The outcomes of an attempt. StatusOverloaded, StatusConnectFailed and StatusNotSent prove that it was not executed.
+// The ways in which an attempt ends. StatusOverloaded, StatusConnectFailed and StatusNotSent prove that it was not executed.
 const (
-	StatusOK Status = iota
-	StatusError
-	StatusOverloaded
-	StatusTimedOut
-	StatusConnectFailed
-	StatusConnectionReset
-	StatusCanceled
-	StatusNotSent
+	StatusOK              Status = iota // the server responded with success
+	StatusError                         // the server responded with an error
+	StatusOverloaded                    // the server rejected the attempt without executing it
+	StatusTimedOut                      // no response came in time
+	StatusConnectFailed                 // no connection was established
+	StatusConnectionReset               // the connection broke before the response was complete
+	StatusCanceled                      // the gateway abandoned the attempt
+	StatusNotSent                       // the gateway did not send its first byte
 )
 
+// String returns the status as counters and traces name it, or "unknown".
+func (s Status) String() string {
+	return nameOf(s, "ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent")
+}
+
 // AttemptEnded is the end of an attempt. Each Send has exactly one.
 type AttemptEnded struct {
 	ID             RequestID
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -19,10 +19,8 @@
 	trialDue                    // unresponsive, and one more request may test whether it responds again
 )
 
-// String returns the name of the state.
-func (r responsiveness) String() string {
-	return [...]string{"responsive", "unresponsive", "trial due"}[r]
-}
+// String returns the state in lower case, or "unknown".
+func (r responsiveness) String() string { return nameOf(r, "responsive", "unresponsive", "trial due") }
 
 // serverEntry is the state of a server process. Attempts keep it after the server has left the endpoint list.
 type serverEntry struct {
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -19,6 +19,11 @@
 	NotIdempotent                        // must never execute twice
 )
 
+// String returns the kind in lower case, or "unknown".
+func (i Idempotency) String() string {
+	return nameOf(i, "idempotent", "idempotent with key", "not idempotent")
+}
+
 // DedupScope is the group of servers that drops duplicates of an IdempotentWithKey request.
 type DedupScope uint8
 
@@ -29,6 +34,9 @@
 	DedupShard                   // the servers of one shard
 )
 
+// String returns the scope in lower case, or "unknown".
+func (d DedupScope) String() string { return nameOf(d, "all", "zone", "shard") }
+
 // Class is a kind of request.
 type Class struct {
 	Name             string
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -9,6 +9,8 @@
 	"io"
 	"os"
 	"path/filepath"
+	"reflect"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -93,15 +95,39 @@
 END
 `
 
+// formatValue formats a value like %v, except that enumerations are printed by their numbers and not by their names.
+func formatValue(value reflect.Value) string {
+	var parts []string
+	switch value.Kind() {
+	case reflect.Invalid:
+		return "<nil>"
+	case reflect.Uint8:
+		return strconv.FormatUint(value.Uint(), 10)
+	case reflect.Struct:
+		for i := range value.NumField() {
+			parts = append(parts, formatValue(value.Field(i)))
+		}
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.Slice:
+		for i := range value.Len() {
+			parts = append(parts, formatValue(value.Index(i)))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	default:
+		return fmt.Sprint(value)
+	}
+}
+
 // dump prints the values of a batch in the order of their declaration, without names.
 func dump(b *simwire.Batch) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "batch %q at %d\n", b.Seq, b.Now)
 	for _, item := range b.Items {
 		if item.Kind == simwire.InstanceOpened {
-			fmt.Fprintf(&out, "%d %d seed %d %v\n", item.Kind, item.Instance, item.Seed, item.Settings)
+			fmt.Fprintf(&out, "%d %d seed %d %s\n", item.Kind, item.Instance, item.Seed,
+				formatValue(reflect.ValueOf(item.Settings)))
 		} else {
-			fmt.Fprintf(&out, "%d %d %v\n", item.Kind, item.Instance, item.Event)
+			fmt.Fprintf(&out, "%d %d %s\n", item.Kind, item.Instance, formatValue(reflect.ValueOf(item.Event)))
 		}
 	}
 	return out.String()
