--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -4,7 +4,6 @@
 	"fmt"
 
 	"gaugerelay/internal/clock"
-	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/scheduler"
 )
 
@@ -71,10 +70,7 @@
 	state.attempts = append(state.attempts, attempt)
 	state.inFlight++
 	m.environment.Count(counterAttemptsStarted)
-	if m.traceRequests {
-		m.environment.Trace(logevent.AttemptStarted, logevent.Request, state.request.ClientID, "id", send.ID,
-			logevent.Attempt, number, logevent.Server, server.Name)
-	}
+	m.traceAttemptStarted(state.request, number, server)
 	attempt.cancel = state.request.Upstream.Start(Attempt{
 		Request:         state.request,
 		Number:          number,
@@ -124,11 +120,7 @@
 	attempt.neverExecuted = provesNotExecuted(result.Status)
 	state.inFlight--
 	m.environment.Count(counterAttemptsPrefix + result.Status.String())
-	if m.traceRequests {
-		m.environment.Trace(logevent.AttemptEnded, logevent.Request, request.ClientID, "id", request.id,
-			logevent.Attempt, number, logevent.Server, attempt.server.Name,
-			logevent.Status, result.Status.String(), logevent.TookMs, latencyMs)
-	}
+	m.traceAttemptEnded(request, number, attempt.server, result.Status, latencyMs)
 	if m.peers != nil {
 		m.peers.AttemptEnded(nowMs, attempt.server, result.Status, latencyMs)
 	}
@@ -174,10 +166,7 @@
 	if response.Kind == Rejected || response.Kind == Failed {
 		m.environment.Count(reasonCounters[response.Kind][response.Reason])
 	}
-	if m.traceRequests {
-		m.environment.Trace(logevent.RequestCompleted, logevent.Request, state.request.ClientID, "id", state.request.id,
-			"verdict", responseCounters[response.Kind], logevent.Reason, response.Reason.String())
-	}
+	m.traceCompleted(state.request, &response)
 	response.Shard = -1
 	if attempt := state.firstPossibleExecution(); attempt != nil {
 		response.MayHaveExecuted, response.FirstAttemptMs, response.Shard = true, attempt.sentMs, attempt.server.Shard
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -6,7 +6,6 @@
 
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/endpointlease"
-	"gaugerelay/internal/logevent"
 	"gaugerelay/internal/scheduler"
 )
 
@@ -120,10 +119,7 @@
 		m.requestsByClientID[request.ClientID] = state
 	}
 	m.environment.Count(counterRequestsAccepted)
-	if m.traceRequests {
-		m.environment.Trace(logevent.RequestAccepted, logevent.Request, request.ClientID, "id", request.id,
-			"class", request.Class, "shard", request.Shard, "left_ms", request.RemainingMs)
-	}
+	m.traceAccepted(request)
 	m.pendingEvents = append(m.pendingEvents, scheduler.RequestArrived{
 		ID:             request.id,
 		Class:          request.Class,
@@ -162,9 +158,7 @@
 	}
 	state.done = true
 	m.environment.Count(counterRequestsCanceled)
-	if m.traceRequests {
-		m.environment.Trace(logevent.RequestCanceled, logevent.Request, request.ClientID, "id", request.id)
-	}
+	m.traceCanceled(request)
 	m.pendingEvents = append(m.pendingEvents, scheduler.RequestCanceled{ID: request.id})
 	m.releaseIfDone(state)
 }
