--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -9,7 +9,7 @@
 func (s *Store) onCopy(received *CopyReceived) {
 	device := s.admitDevice(received.Device)
 	if device == nil {
-		s.reject(received.Copy, nil, OutcomeBusy, s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory))
+		s.reject(received.Copy, nil, ResponseBusy, s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory))
 		return
 	}
 	device.link.Observe(received.Link)
@@ -20,9 +20,9 @@
 	}
 	switch {
 	case exchange == nil:
-		s.begin(device, received)
+		s.beginExchange(device, received)
 	case !exchange.matches(received):
-		s.respond(received.Copy, Respond{Outcome: OutcomeConflict, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
 	default:
 		s.join(exchange, received)
 	}
@@ -36,7 +36,7 @@
 		exchange = device.exchanges[received.Key]
 	}
 	if exchange == nil || exchange.upload == nil || !exchange.upload.complete {
-		s.respond(received.Copy, Respond{Outcome: OutcomeIncomplete, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseIncomplete, Advice: s.advice(device)})
 		return
 	}
 	device.link.Observe(received.Link)
@@ -44,7 +44,7 @@
 	case exchange.state == stateReceiving:
 		s.beginUploaded(exchange, received)
 	case !exchange.matches(received):
-		s.respond(received.Copy, Respond{Outcome: OutcomeConflict, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
 		s.dropUpload(exchange) // its bytes must not be taken for the exchange's
 	default:
 		s.join(exchange, received)
@@ -64,7 +64,7 @@
 	}
 	firstSentMs := s.nowMs - history.AgeMs
 	wouldBeKnown := history.SameGateway && history.AgeMs >= 0 && history.AgeMs < s.settings.RetentionMs &&
-		firstSentMs > s.startMs && firstSentMs > s.evictedUntilMs
+		firstSentMs > s.startedMs && firstSentMs > s.evictedUntilMs
 	return !wouldBeKnown
 }
 
@@ -81,11 +81,11 @@
 	return class.DedupWindowMs - received.AgeMs - windowMarginMs
 }
 
-// begin runs a request that the store does not know, or rejects it.
-func (s *Store) begin(device *trackedDevice, received *CopyReceived) {
+// beginExchange runs a request that the store does not know, or rejects it.
+func (s *Store) beginExchange(device *trackedDevice, received *CopyReceived) {
 	mayHaveExecuted := s.earlierMayHaveExecuted(received.Class.Idempotency, &received.ResendHistory)
 	if s.shuttingDown {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return
 	}
 	budgetMs := device.runBudgetMs(received.RemainingMs)
@@ -93,16 +93,16 @@
 		budgetMs = min(budgetMs, safeRepeatMs(received))
 	}
 	if s.tooLate(budgetMs) {
-		s.reject(received.Copy, device, OutcomeTooLate, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
 		if mayHaveExecuted {
 			s.rememberNewFailure(device, received)
 		}
 		return
 	}
 	reserved := s.reservedResponseBytes(received.Class)
-	added := s.add(device, received.Key, received.BodyBytes+reserved)
+	added := s.addExchange(device, received.Key, received.BodyBytes+reserved)
 	if added == nil {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		return
 	}
 	added.deadlineMs = s.nowMs + device.link.remainingHereMs(received.RemainingMs)
@@ -120,7 +120,7 @@
 		budgetMs = min(budgetMs, safeRepeatMs(received))
 	}
 	if s.tooLate(budgetMs) {
-		s.reject(received.Copy, device, OutcomeTooLate, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
 		if mayHaveExecuted {
 			s.rememberFailure(exchange, received)
 		} else {
@@ -130,11 +130,11 @@
 	}
 	s.protectFromEviction(exchange)
 	if !s.ensureCapacity(0, s.reservedResponseBytes(received.Class)) {
-		s.reject(received.Copy, device, OutcomeBusy, mayHaveExecuted)
+		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
 		s.updateEvictable(exchange) // the blocks remain, because the last one may be sent again
 		return
 	}
-	exchange.clientDelayMs = received.ClientDelayMs + (s.nowMs - exchange.firstMs)
+	exchange.clientDelayMs = received.ClientDelayMs + (s.nowMs - exchange.createdMs)
 	s.startFirstRun(exchange, received, budgetMs, mayHaveExecuted)
 }
 
@@ -143,7 +143,7 @@
 
 // rememberNewFailure adds an exchange that has failed, if there is capacity for it.
 func (s *Store) rememberNewFailure(device *trackedDevice, received *CopyReceived) {
-	added := s.add(device, received.Key, 0)
+	added := s.addExchange(device, received.Key, 0)
 	if added == nil {
 		return
 	}
@@ -163,18 +163,18 @@
 // join handles a copy of an exchange that has run.
 func (s *Store) join(exchange *storedExchange, received *CopyReceived) {
 	device := exchange.device
-	exchange.touchedMs = s.nowMs
+	exchange.lastActivityMs = s.nowMs
 	if exchange.deadlineMs > s.nowMs { // the copy that its link delayed least gives the deadline best
 		exchange.deadlineMs = min(exchange.deadlineMs, s.nowMs+device.link.remainingHereMs(received.RemainingMs))
 	}
 	switch exchange.state {
 	case stateRunning:
 		s.stats.Joined++
-		s.wait(exchange, received)
+		s.addWaiting(exchange, received)
 	case stateResponded, stateDelivered:
 		s.stats.ServedFromCache++
 		s.copies[received.Copy] = exchange.id
-		s.respond(received.Copy, Respond{Outcome: OutcomeServed, ID: exchange.id, Cached: true, Advice: s.advice(device)})
+		s.respond(received.Copy, Respond{Kind: ResponseServed, ID: exchange.id, Cached: true, Advice: s.advice(device)})
 	case stateFailed:
 		s.joinFailed(exchange, received)
 	}
@@ -201,5 +201,5 @@
 		exchange.failureReported = true
 		s.releaseBody(exchange)
 	}
-	s.respond(received.Copy, Respond{Outcome: OutcomeFailed, Advice: s.advice(device)})
+	s.respond(received.Copy, Respond{Kind: ResponseFailed, Advice: s.advice(device)})
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -51,8 +51,13 @@
 				testbed.TryWrite(conn, <-next)
 			})
 			updates := make(chan lifecycle.EndpointUpdate, 16)
-			watcher := New(addr, lifecycle.EndpointUpdate{Version: known}, clock.NewManual(1e12), metrics.New(),
-				func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+			watcher := New(Options{
+				Addr:    addr,
+				Known:   lifecycle.EndpointUpdate{Version: known},
+				Clock:   clock.NewManual(1e12),
+				Metrics: metrics.New(),
+				Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+			})
 			var wire []byte
 			for _, response := range responses {
 				next <- response
@@ -75,8 +80,13 @@
 	requests := make(chan []byte, 1)
 	addr := testbed.Serve(t, func(conn net.Conn) { requests <- readHeader(conn) })
 	updates := make(chan lifecycle.EndpointUpdate, 16)
-	watcher := New("127.0.0.1:1", lifecycle.EndpointUpdate{Version: 41}, clock.NewManual(1e12), metrics.New(),
-		func(update lifecycle.EndpointUpdate) { updates <- update }, nil)
+	watcher := New(Options{
+		Addr:    "127.0.0.1:1",
+		Known:   lifecycle.EndpointUpdate{Version: 41},
+		Clock:   clock.NewManual(1e12),
+		Metrics: metrics.New(),
+		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+	})
 	watcher.SwitchAddress(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
 	<-updates
@@ -91,7 +101,7 @@
 	states := map[scheduler.ServerState]string{scheduler.Ready: "live", scheduler.Draining: "draining", scheduler.Removed: "gone"}
 	for _, server := range update.Servers {
 		fmt.Fprintf(&out, "name %q, address %q, zone %q, kind %q, shard %d, weight %v, started %v ms, state %s\n",
-			server.Name, server.Addr, server.Zone, server.Kind, server.Shard, server.Weight, server.StartedMs, states[server.State])
+			server.Name, server.Addr, server.Zone, server.Kind, server.Shard, server.Size, server.StartedMs, states[server.State])
 	}
 	return out.String()
 }
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -44,14 +44,14 @@
 			for b.Loop() {
 				id++
 				arrival := RequestArrived{ID: id, Class: "read", Plan: "gold", Volume: VolumeID(id % 20), Key: uint64(id),
-					TTL: time.Second, Units: 2, Shard: shard, Gateways: 2}
+					Remaining: time.Second, Units: 2, Shard: shard, Gateways: 2}
 				if arrival.Shard == 0 {
 					arrival.Shard = int(id) % benchmarkServers
 				}
 				now += 30 * ms
 				for _, action := range scheduler.Step(now, []Event{arrival}) {
 					if send, ok := action.(Send); ok {
-						scheduler.Step(now+5*ms, []Event{answerTo(send, 5*ms)})
+						scheduler.Step(now+5*ms, []Event{sendServed(send, 5*ms)})
 					}
 				}
 			}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -16,11 +16,14 @@
 
 // The states of a server.
 const (
-	Ready ServerState = iota
-	Draining
-	Removed
+	Ready    ServerState = iota // requests may be sent to it
+	Draining                    // it ends what it has accepted and gets nothing more
+	Removed                     // it has left the list
 )
 
+// String returns the state in lower case, or "unknown".
+func (s ServerState) String() string { return nameOf(s, "ready", "draining", "removed") }
+
 // Server is an entry of the endpoint list.
 type Server struct {
 	ID        ServerID
@@ -46,6 +49,11 @@
 	Heartbeat                        // the watch reports that nothing has changed; no entries
 )
 
+// String returns the kind in lower case, or "unknown".
+func (k UpdateKind) String() string {
+	return nameOf(k, "delta", "snapshot", "cached snapshot", "watch failed", "watch idle", "watch closed", "heartbeat")
+}
+
 // Event is something that happened at the gateway.
 type Event interface{ event() }
 
@@ -64,7 +72,7 @@
 	Plan           string // Plan.Name; ignored where the settings have a single plan
 	Volume         VolumeID
 	Key            uint64        // key of the data, for Class.OrderedByKey; NoKey for none
-	TTL            time.Duration // time left until the client's deadline; positive
+	Remaining      time.Duration // time left until the client's deadline; positive
 	ClientDelay    time.Duration // how long the request was on its way to the gateway; 0: unknown
 	Units          float64       // size of the request
 	Shard          int           // shard that holds the data; -1: a new object that any shard may take
@@ -76,18 +84,23 @@
 // Status is how an attempt ended.
 type Status uint8
 
-// The outcomes of an attempt. StatusOverloaded, StatusConnectFailed and StatusNotSent prove that it was not executed.
+// The ways in which an attempt ends. StatusOverloaded, StatusConnectFailed and StatusNotSent prove that it was not executed.
 const (
-	StatusOK Status = iota
-	StatusError
-	StatusOverloaded
-	StatusTimedOut
-	StatusConnectFailed
-	StatusConnectionReset
-	StatusCanceled
-	StatusNotSent
+	StatusOK              Status = iota // the server responded with success
+	StatusError                         // the server responded with an error
+	StatusOverloaded                    // the server rejected the attempt without executing it
+	StatusTimedOut                      // no response came in time
+	StatusConnectFailed                 // no connection was established
+	StatusConnectionReset               // the connection broke before the response was complete
+	StatusCanceled                      // the gateway abandoned the attempt
+	StatusNotSent                       // the gateway did not send its first byte
 )
 
+// String returns the status as counters and traces name it, or "unknown".
+func (s Status) String() string {
+	return nameOf(s, "ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent")
+}
+
 // AttemptEnded is the end of an attempt. Each Send has exactly one.
 type AttemptEnded struct {
 	ID             RequestID
@@ -98,7 +111,7 @@
 	RequestDone    bool          // the client has its response; the request needs nothing more
 	VolumeUsage    float64       // units that all servers served the volume in a finished period, as a fraction of Plan.Rate
 	HasVolumeUsage bool          // VolumeUsage is present
-	ForeignUnits   float64       // units that the server served the volume through other gateways since its last answer here
+	ForeignUnits   float64       // units that the server served the volume through other gateways since its last response here
 	LoadReport     []float64     // values in the order of Settings.LoadReportFields
 }
 
@@ -137,13 +150,13 @@
 	MinInterval time.Duration
 }
 
-// PeerLatency is a recent latency of a server as measured by other gateways. It counts as one answer.
+// PeerLatency is a recent latency of a server as measured by other gateways. It counts as one response.
 type PeerLatency struct {
 	Server  ServerID
 	Latency time.Duration
 }
 
-// TimerFired is the answer to a SetTimer.
+// TimerFired reports that the time of a SetTimer has come.
 type TimerFired struct{}
 
 func (EndpointUpdate) event()  {}
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -162,14 +162,14 @@
 	gateway := s.random.IntN(s.gateways)
 	s.deliver(gateway, RequestArrived{
 		ID: s.nextID, Class: "bulk", Plan: "gold", Volume: VolumeID(s.random.IntN(20)), Key: uint64(s.nextID),
-		TTL: 4 * time.Second, Units: slowStartRequestUnits, Gateways: s.gateways,
+		Remaining: 4 * time.Second, Units: slowStartRequestUnits, Gateways: s.gateways,
 	})
 }
 
 // serve answers an attempt after the latency and compares what was sent with the bound. A gateway that does not know of the restart
 // is not bound.
 func (s *slowStartSimulation) serve(gateway int, send Send) {
-	s.pending = append(s.pending, gatewayEnd{gateway, pendingEnd{s.now + s.latency, answered(send.ID, s.latency)}})
+	s.pending = append(s.pending, gatewayEnd{gateway, pendingEnd{s.now + s.latency, attemptServed(send.ID, s.latency)}})
 	age := s.now - s.restartAt
 	if s.informedAt[gateway] != 0 || age >= s.settings.SlowStartDuration {
 		return
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -127,7 +127,7 @@
 		volume, volumeGateways := s.random.IntN(overloadVolumes), max(gateways/overloadVolumes, min(gateways, 14))
 		gateway := (volume*volumeGateways + s.random.IntN(volumeGateways)) % gateways
 		arrival := RequestArrived{ID: s.nextID, Class: "all", Plan: "large", Volume: VolumeID(volume), Key: uint64(s.nextID),
-			TTL: 4 * time.Second, Units: float64(1 + s.random.IntN(6)), Gateways: volumeGateways}
+			Remaining: 4 * time.Second, Units: float64(1 + s.random.IntN(6)), Gateways: volumeGateways}
 		s.units[s.nextID] = arrival.Units
 		s.nextID++
 		s.deliver(gateway, arrival)
@@ -150,7 +150,7 @@
 func (s *overloadSimulation) serve(gateway int, send Send, capacity float64) {
 	units := s.units[send.ID]
 	s.serverIdle = max(s.serverIdle, s.now) + time.Duration(units/capacity*float64(time.Second))
-	s.pending[gateway] = append(s.pending[gateway], pendingEnd{s.serverIdle, answered(send.ID, s.serverIdle-s.now)})
+	s.pending[gateway] = append(s.pending[gateway], pendingEnd{s.serverIdle, attemptServed(send.ID, s.serverIdle-s.now)})
 	if !s.starting() {
 		s.runningUnits += units
 		return
