--- a/cmd/gaugerelay/main.go
+++ b/cmd/gaugerelay/main.go
@@ -12,10 +12,10 @@
 
 // commandLine is the program's commands and flags.
 type commandLine struct {
-	Serve serveCommand `cmd:"" default:"withargs" help:"Serve; this is what is done without a command."`
+	Serve serveCommand `cmd:"" default:"withargs" help:"Run the gateway. This is the default command."`
 	Fleet struct {
-		Show showCommand `cmd:"" help:"What a running gateway knows of its fleet: bounds in force, members, parts held."`
-	} `cmd:"" help:"Gateways that share limits."`
+		Show showCommand `cmd:"" help:"Show the fleet as a running gateway sees it: limits in force, members and quota."`
+	} `cmd:"" help:"Inspect gateways that share limits."`
 }
 
 func main() {
@@ -28,7 +28,7 @@
 // execute runs the command that the arguments name.
 func execute(args []string) error {
 	var command commandLine
-	parser := kong.Must(&command, kong.Name("gaugerelay"), kong.Description("The gateway."))
+	parser := kong.Must(&command, kong.Name("gaugerelay"), kong.Description("Gateway between clients and storage servers."))
 	ctx, err := parser.Parse(withLongFlags(args))
 	if err != nil {
 		return err
--- a/cmd/gaugerelay/serve.go
+++ b/cmd/gaugerelay/serve.go
@@ -27,8 +27,8 @@
 
 // serveCommand runs the gateway.
 type serveCommand struct {
-	Edge     string     `type:"path" placeholder:"FILE" help:"The operator's file for further fronts; none are on without it."`
-	LogLevel slog.Level `default:"info" placeholder:"LEVEL" help:"The least level that is logged: debug (each request and attempt), info, warn or error."`
+	Edge     string     `type:"path" placeholder:"FILE" help:"The operator's file, which enables further frontends. Without it only HTTP clients are served."`
+	LogLevel slog.Level `default:"info" placeholder:"LEVEL" help:"Lowest level that is logged: debug (each request and attempt), info, warn or error."`
 }
 
 // Run serves until SIGTERM or SIGINT. It returns an error if the gateway cannot start or a part of it fails.
--- a/cmd/gaugerelay/show.go
+++ b/cmd/gaugerelay/show.go
@@ -14,7 +14,7 @@
 
 // showCommand prints the status of a running gateway's fleet.
 type showCommand struct {
-	Addr string `arg:"" help:"Where the gateway's clients connect."`
+	Addr string `arg:"" help:"Address (host:port) that the gateway serves clients on."`
 }
 
 // Run prints the status to standard output.
