--- a/internal/bgp/connection.go
+++ b/internal/bgp/connection.go
@@ -43,7 +43,7 @@
 			if !established && session.state == stateEstablished {
 				established = true
 				s.metrics.Add("bgp_sessions_established", 1)
-				slog.Info(logevent.BGPSession, "peer", options.PeerAddress, "state", "established")
+				slog.Info(logevent.BGPSession, logevent.Peer, options.PeerAddress, logevent.State, "established")
 			}
 		case s.ready = <-s.readiness:
 			session.setReady(s.ready)
@@ -101,7 +101,7 @@
 		}
 		s.metrics.Add("bgp_messages_sent", 1)
 		if message.Header.Type == bgp.BGP_MSG_UPDATE {
-			slog.Info(logevent.BGPAnnounced, "peer", s.options.PeerAddress, "announced", session.announced)
+			slog.Info(logevent.BGPAnnounced, logevent.Peer, s.options.PeerAddress, logevent.Announced, session.announced)
 		}
 	}
 	session.outgoing = nil
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -75,8 +75,8 @@
 			return
 		}
 		s.metrics.Add("bgp_sessions_ended", 1)
-		slog.Warn(logevent.BGPSession, "peer", s.options.PeerAddress, "state", "ended",
-			logevent.Error, err, "retry_within_ms", retryDelayMs)
+		slog.Warn(logevent.BGPSession, logevent.Peer, s.options.PeerAddress, logevent.State, "ended",
+			logevent.Error, err, logevent.RetryWithinMs, retryDelayMs)
 		s.waitForRetry(ctx, retryDelayMs)
 		retryDelayMs = min(2*retryDelayMs, maxRetryDelayMs)
 	}
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -186,7 +186,8 @@
 	if truncated, packetType := c.received.truncated(); truncated {
 		// The command never became a request, so nothing else counts it.
 		s.Metrics.Add(commandsTruncated, 1)
-		slog.Info(logevent.SFTPClientError, logevent.Client, client, logevent.Reason, "cut off inside a packet", "type", packetType)
+		slog.Info(logevent.SFTPClientError, logevent.Client, client,
+			logevent.Reason, "cut off inside a packet", logevent.PacketType, packetType)
 		return
 	}
 	if !isOrdinaryEnd(err) {
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -78,7 +78,7 @@
 
 // logListening logs that clients or peers can reach an address.
 func (g *Gateway) logListening(what, addr string) {
-	slog.Info(logevent.ListenerStarted, "name", g.cfg.Name, "for", what, logevent.Address, addr)
+	slog.Info(logevent.ListenerStarted, logevent.Name, g.cfg.Name, logevent.Purpose, what, logevent.Address, addr)
 }
 
 // after returns a channel that receives once ms milliseconds have passed.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,7 +84,7 @@
 // Shutdown drains the gateway and closes it. It returns within the time that the platform leaves a program after SIGTERM;
 // by then every accepted request has its response.
 func (g *Gateway) Shutdown() {
-	slog.Info(logevent.ShutdownStarted, "name", g.cfg.Name)
+	slog.Info(logevent.ShutdownStarted, logevent.Name, g.cfg.Name)
 	times := newShutdownTimes(clock.Ms(g.longestDeadline))
 	for _, c := range g.components {
 		c.beginShutdown(times)
@@ -122,9 +122,9 @@
 	}
 	g.Metrics.Add("reloads", 1)
 	if names := g.cfg.RestartRequired(next); len(names) > 0 {
-		slog.Warn(logevent.ReloadRestartRequired, "changed", strings.Join(names, ", "))
+		slog.Warn(logevent.ReloadRestartRequired, logevent.Changed, strings.Join(names, ", "))
 	}
-	slog.Info(logevent.ReloadDone, "discovery", next.Discovery)
+	slog.Info(logevent.ReloadDone, logevent.Discovery, next.Discovery)
 	g.cfg = next
 	g.watcher.SwitchAddress(g.ctx, next.Discovery)
 }
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -48,18 +48,28 @@
 	SchedulerMessage  = "scheduler_message"
 )
 
-// Keys of fields that several events have. Latencies are in milliseconds.
+// Keys of fields. Times are in milliseconds.
 const (
-	Address = "addr"
-	Client  = "client"
-	Error   = "error"
-	Reason  = "reason"
-	Request = "request"
-	Attempt = "attempt"
-	Server  = "server"
-	Status  = "status"
-	TookMs  = "took_ms"
-	Version = "version"
+	Address       = "addr"
+	Announced     = "announced" // of a BGPAnnounced event: whether the prefixes are announced or withdrawn
+	Attempt       = "attempt"
+	Changed       = "changed" // the parts of the configuration that want a restart
+	Client        = "client"
+	Discovery     = "discovery" // discovery's address
+	Error         = "error"
+	Name          = "name" // the gateway's name
+	PacketType    = "type" // of an SFTP packet
+	Peer          = "peer" // a BGP peer's address
+	Purpose       = "for"  // whom a listener serves
+	Reason        = "reason"
+	Request       = "request"
+	RetryWithinMs = "retry_within_ms"
+	Server        = "server"
+	State         = "state" // of a BGP session
+	Status        = "status"
+	Text          = "text" // of a message that is not structured
+	TookMs        = "took_ms"
+	Version       = "version"
 )
 
 // Setup makes the default logger one that writes text records of a level and above to out. Records of the standard
@@ -76,6 +86,6 @@
 type httpServerWriter struct{}
 
 func (httpServerWriter) Write(message []byte) (int, error) {
-	slog.Info(HTTPServerMessage, "text", strings.TrimSuffix(string(message), "\n"))
+	slog.Info(HTTPServerMessage, Text, strings.TrimSuffix(string(message), "\n"))
 	return len(message), nil
 }
