--- a/internal/bgp/connection.go
+++ b/internal/bgp/connection.go
@@ -42,7 +42,7 @@
 			s.handleReceived(session, message)
 			if !established && session.state == stateEstablished {
 				established = true
-				s.metrics.Add("bgp_sessions_established", 1)
+				s.metrics.Add(sessionsEstablished, 1)
 				slog.Info(logevent.BGPSession, logevent.Peer, options.PeerAddress, logevent.State, "established")
 			}
 		case s.ready = <-s.readiness:
@@ -84,7 +84,7 @@
 
 // handleReceived passes on to the session what has been read.
 func (s *Speaker) handleReceived(session *session, message received) {
-	s.metrics.Add("bgp_messages_received", 1)
+	s.metrics.Add(messagesReceived, 1)
 	if message.err != nil {
 		session.fail(message.err)
 		return
@@ -99,7 +99,7 @@
 			session.end(err)
 			break
 		}
-		s.metrics.Add("bgp_messages_sent", 1)
+		s.metrics.Add(messagesSent, 1)
 		if message.Header.Type == bgp.BGP_MSG_UPDATE {
 			slog.Info(logevent.BGPAnnounced, logevent.Peer, s.options.PeerAddress, logevent.Announced, session.announced)
 		}
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -16,14 +16,24 @@
 	dialTimeout  = 5 * time.Second
 	writeTimeout = 5 * time.Second
 
-	// The delay before the next connection is doubled after each one on which no session was established.
+	// minRetryDelayMs is the delay before the next connection. It doubles, up to maxRetryDelayMs, after each connection on
+	// which no session was established.
 	minRetryDelayMs = 5_000
 	maxRetryDelayMs = 60_000
 
-	// Timers run for this part of their time to all of it, at random (RFC 4271, 10).
+	// minJitter is the least fraction of its time for which a timer runs; the fraction is random, up to 1 (RFC 4271, 10).
 	minJitter = 0.75
 
-	readinessQueue = 16 // calls of SetReady that do not wait for Run
+	// readinessQueue is the number of calls of SetReady that do not wait for Run.
+	readinessQueue = 16
+)
+
+// Names of counters.
+const (
+	messagesReceived    = "bgp_messages_received"
+	messagesSent        = "bgp_messages_sent"
+	sessionsEnded       = "bgp_sessions_ended"
+	sessionsEstablished = "bgp_sessions_established"
 )
 
 // Speaker keeps a session with the peer, and opens a new one when it ends.
@@ -74,7 +84,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		s.metrics.Add("bgp_sessions_ended", 1)
+		s.metrics.Add(sessionsEnded, 1)
 		slog.Warn(logevent.BGPSession, logevent.Peer, s.options.PeerAddress, logevent.State, "ended",
 			logevent.Error, err, logevent.RetryWithinMs, retryDelayMs)
 		s.waitForRetry(ctx, retryDelayMs)
@@ -111,7 +121,7 @@
 	}
 }
 
-// withJitter returns a random time from minJitter of ms to all of it.
+// withJitter returns a random time between minJitter*ms and ms.
 func withJitter(ms float64) float64 {
 	return ms * (minJitter + (1-minJitter)*rand.Float64())
 }
--- a/internal/frontend/coapserver/read.go
+++ b/internal/frontend/coapserver/read.go
@@ -55,7 +55,7 @@
 func (c *conn) handleReadError(err error, now time.Time) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		if c.buffered > 0 {
-			c.server.Metrics.Add("device_messages_truncated", 1)
+			c.server.Metrics.Add(messagesTruncated, 1)
 		}
 		return false
 	}
@@ -102,9 +102,9 @@
 	case early:
 		return ""
 	case !c.csmReceived:
-		return "device_connections_csm_timeout"
+		return connectionsCSMTimeout
 	case pingPending || c.buffered > 0:
-		return "device_connections_idle_timeout"
+		return connectionsIdleTimeout
 	}
 	c.ping(now)
 	return ""
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -195,7 +195,7 @@
 
 // rejectOverLimit responds to a request beyond MaxPendingRequests.
 func (c *conn) rejectOverLimit(m *message.Message) {
-	c.server.Metrics.Add("device_requests_over_limit", 1)
+	c.server.Metrics.Add(requestsOverLimit, 1)
 	if m.Code == codes.PUT && m.Options.HasOption(coapwire.OptRetry) { // an earlier copy may have been executed
 		c.sendText(m.Token, codes.BadGateway, textFailed)
 		return
--- a/internal/frontend/coapserver/server.go
+++ b/internal/frontend/coapserver/server.go
@@ -1,6 +1,7 @@
 package coapserver
 
 import (
+	"fmt"
 	"math"
 	"net"
 	"sync"
@@ -14,6 +15,19 @@
 	"gaugerelay/internal/scheduler"
 )
 
+// Names of counters.
+const (
+	abortsReceived         = "device_aborts_received"
+	abortsSent             = "device_aborts"
+	connectionsAccepted    = "device_connections"
+	connectionsCSMTimeout  = "device_connections_csm_timeout"
+	connectionsIdleTimeout = "device_connections_idle_timeout"
+	connectionsRefused     = "device_connections_refused"
+	connectionsShed        = "device_connections_shed"
+	messagesTruncated      = "device_messages_truncated"
+	requestsOverLimit      = "device_requests_over_limit"
+)
+
 // Options are the limits and timeouts of a Server. All must be set, and none may change while it serves.
 type Options struct {
 	// GatewayName identifies this run of the gateway to devices; it differs at each start.
@@ -42,6 +56,28 @@
 	LinkMeasured(device string, sample lifecycle.LinkSample)
 }
 
+// serverPhase says what a Server does with new connections. It only advances.
+type serverPhase uint8
+
+const (
+	phaseServing      serverPhase = iota // they are served
+	phaseDraining                        // they are served, and get a Release at once
+	phaseShuttingDown                    // they are refused
+)
+
+// String returns the name of the phase.
+func (p serverPhase) String() string {
+	switch p {
+	case phaseServing:
+		return "serving"
+	case phaseDraining:
+		return "draining"
+	case phaseShuttingDown:
+		return "shutting down"
+	}
+	return fmt.Sprintf("serverPhase(%d)", uint8(p))
+}
+
 // Server serves devices. The exported fields must be set before the first connection. Its methods may be called from any
 // goroutine.
 type Server struct {
@@ -56,10 +92,9 @@
 	respondByMs atomic.Uint64
 	readers     sync.WaitGroup
 
-	mu           sync.Mutex
-	conns        map[*conn]bool
-	draining     bool // new connections get a Release at once
-	shuttingDown bool // new connections are refused
+	mu    sync.Mutex
+	conns map[*conn]bool
+	phase serverPhase
 }
 
 // Serve accepts connections until the listener fails or is closed, and returns the listener's error.
@@ -80,17 +115,17 @@
 	if s.conns == nil {
 		s.conns = map[*conn]bool{}
 	}
-	if s.shuttingDown || len(s.conns) >= s.MaxConns && !s.evictIdle() {
+	if s.phase == phaseShuttingDown || len(s.conns) >= s.MaxConns && !s.evictIdle() {
 		s.mu.Unlock()
-		s.Metrics.Add("device_connections_refused", 1)
+		s.Metrics.Add(connectionsRefused, 1)
 		netConn.Close()
 		return
 	}
 	s.conns[c] = true
-	draining := s.draining
+	draining := s.phase == phaseDraining
 	s.readers.Add(1)
 	s.mu.Unlock()
-	s.Metrics.Add("device_connections", 1)
+	s.Metrics.Add(connectionsAccepted, 1)
 	c.sendCSM()
 	if draining {
 		c.release()
@@ -117,7 +152,7 @@
 	if oldest == nil {
 		return false
 	}
-	s.Metrics.Add("device_connections_shed", 1)
+	s.Metrics.Add(connectionsShed, 1)
 	delete(s.conns, oldest)
 	go oldest.closeNow() // closing may block, and s.mu is held
 	return true
@@ -139,7 +174,7 @@
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining = true
+	s.phase = max(s.phase, phaseDraining)
 	for c := range s.conns {
 		c.release()
 	}
@@ -149,7 +184,7 @@
 // The listener must be closed before.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
-	s.shuttingDown = true
+	s.phase = phaseShuttingDown
 	for c := range s.conns {
 		c.closeWhenIdle()
 	}
@@ -167,7 +202,7 @@
 // Close refuses new connections and closes all present ones at once; it does not wait for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.shuttingDown = true
+	s.phase = phaseShuttingDown
 	all := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
 		all = append(all, c)
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -120,10 +120,10 @@
 // written or the connection is lost. An Abort from the device is not answered.
 func (c *conn) abort(err error) {
 	if errors.Is(err, errAborted) {
-		c.server.Metrics.Add("device_aborts_received", 1)
+		c.server.Metrics.Add(abortsReceived, 1)
 		return
 	}
-	c.server.Metrics.Add("device_aborts", 1)
+	c.server.Metrics.Add(abortsSent, 1)
 	slog.Info(logevent.DeviceError, logevent.Client, c.netConn.RemoteAddr().String(), logevent.Error, err)
 	c.sendAndClose(message.Message{Code: codes.Abort, Payload: []byte(err.Error())})
 	c.mu.Lock()
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -122,7 +122,7 @@
 		c.netConn.SetWriteDeadline(time.Now().Add(idleTimeout))
 		if _, err := c.netConn.Write(chunk); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				c.server.Metrics.Add("device_connections_idle_timeout", 1)
+				c.server.Metrics.Add(connectionsIdleTimeout, 1)
 			}
 			return err
 		}
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -130,7 +130,7 @@
 
 // countDenied counts an attempt that was not authorized to start.
 func (g *Gateway) countDenied(_ *lifecycle.Attempt, reason permission.Denial) {
-	g.Metrics.Add("attempts_denied_"+reason.String(), 1)
+	g.Metrics.Add(attemptsDeniedPrefix+reason.String(), 1)
 }
 
 // waitForEndpointUpdates returns once the updates that have arrived on the watch are applied, or were waited for long
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,6 +26,14 @@
 	"gaugerelay/internal/upstream/httpclient"
 )
 
+// Names of counters.
+const (
+	attemptsDeniedPrefix = "attempts_denied_" // the reason of the denial follows
+	invalidKnownEntries  = "discovery_bad_entries"
+	reloads              = "reloads"
+	reloadsFailed        = "reloads_failed"
+)
+
 // maxFailures is how many failures of components Failed holds; further ones are dropped.
 const maxFailures = 8
 
@@ -61,7 +69,7 @@
 	if !g.cfg.Settings.PollEndpoints { // the scheduler opens a watch only where the list is polled
 		g.watcher.KeepOpen(g.ctx)
 	}
-	g.Metrics.Add("discovery_bad_entries", int64(g.cfg.InvalidKnownEntries))
+	g.Metrics.Add(invalidKnownEntries, int64(g.cfg.InvalidKnownEntries))
 	for i, c := range g.components {
 		if err := c.start(g.ctx); err != nil {
 			for _, started := range g.components[:i] {
@@ -116,11 +124,11 @@
 		_, err = scheduler.New(next.Settings, next.Seed) // a restart with these settings would fail as well
 	}
 	if err != nil {
-		g.Metrics.Add("reloads_failed", 1)
+		g.Metrics.Add(reloadsFailed, 1)
 		slog.Error(logevent.ReloadFailed, logevent.Error, err)
 		return
 	}
-	g.Metrics.Add("reloads", 1)
+	g.Metrics.Add(reloads, 1)
 	if names := g.cfg.RestartRequired(next); len(names) > 0 {
 		slog.Warn(logevent.ReloadRestartRequired, logevent.Changed, strings.Join(names, ", "))
 	}
