--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// isTolerated returns whether an error in an UPDATE leaves the session open (RFC 7606). The routes in it are not kept
+// isTolerated reports whether an error in an UPDATE leaves the session open (RFC 7606). The routes in it are not kept
 // anyway.
 func (s *session) isTolerated(messageType uint8, err error) bool {
 	var messageError *bgp.MessageError
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -62,7 +62,7 @@
 	m.mu.Unlock()
 }
 
-// nextDue returns the earliest timer that is due by endMs, or nil. m.mu is held.
+// nextDue returns the earliest timer that is due by endMs, or nil. The caller holds m.mu.
 func (m *Manual) nextDue(endMs float64) *manualTimer {
 	var next *manualTimer
 	for _, timer := range m.timers {
@@ -73,7 +73,7 @@
 	return next
 }
 
-// remove drops a timer, if it is still pending. m.mu is held.
+// remove drops a timer, if it is still pending. The caller holds m.mu.
 func (m *Manual) remove(timer *manualTimer) {
 	m.timers = slices.DeleteFunc(m.timers, func(other *manualTimer) bool { return other == timer })
 }
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -87,12 +87,12 @@
 	d.stopHeartbeat = d.clock.AfterFunc(heartbeatIntervalMs, d.heartbeat)
 }
 
-// isLate reports whether the process was paused between the last heartbeat and nowMs. d.mu is held.
+// isLate reports whether the process was paused between the last heartbeat and nowMs. The caller holds d.mu.
 func (d *PauseDetector) isLate(nowMs float64) bool {
 	return nowMs-d.lastHeartbeatMs > heartbeatIntervalMs+pauseThresholdMs
 }
 
-// observe records that the process runs at nowMs, and the pause before that if there was one. d.mu is held.
+// observe records that the process runs at nowMs, and the pause before that if there was one. The caller holds d.mu.
 func (d *PauseDetector) observe(nowMs float64) {
 	if d.isLate(nowMs) {
 		// A pause that follows another within backlogMs extends it: the process has hardly run in between.
--- a/internal/frontend/coapserver/blockwise.go
+++ b/internal/frontend/coapserver/blockwise.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// fitsWhole returns whether a body of a length is sent in one message: if the device can receive it, and the link is
+// fitsWhole reports whether a body of a length is sent in one message: if the device can receive it, and the link is
 // not better served with blocks.
 func (l peerLimits) fitsWhole(length int) bool {
 	if length > l.maxPayload {
@@ -60,7 +60,7 @@
 	return max(1, units) * coapwire.BERTBlockSize
 }
 
-// isTooLarge returns whether a block of a size is more than the device can receive or the link is well served with.
+// isTooLarge reports whether a block of a size is more than the device can receive or the link is well served with.
 func (l peerLimits) isTooLarge(size int) bool {
 	return size > l.maxPayload || l.preferredBlockSize >= minBlockSize && size > l.preferredBlockSize
 }
--- a/internal/frontend/coapserver/parse.go
+++ b/internal/frontend/coapserver/parse.go
@@ -264,7 +264,7 @@
 	return nil
 }
 
-// isFull returns whether a block has the length that all blocks but the last one must have.
+// isFull reports whether a block has the length that all blocks but the last one must have.
 func isFull(block coapwire.Block, length int) bool {
 	if block.BERT {
 		return length > 0 && length%coapwire.BERTBlockSize == 0
--- a/internal/frontend/coapserver/read.go
+++ b/internal/frontend/coapserver/read.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// handleReadError returns whether reading may go on after an error: it may if a deadline has passed and the device is
+// handleReadError reports whether reading may go on after an error: it may if a deadline has passed and the device is
 // not taken for lost.
 func (c *conn) handleReadError(err error, now time.Time) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -133,5 +133,5 @@
 	c.mu.Unlock()
 }
 
-// isCritical returns whether a receiver that does not know the option must reject its message (RFC 7252, 5.4.1).
+// isCritical reports whether a receiver that does not know the option must reject its message (RFC 7252, 5.4.1).
 func isCritical(id message.OptionID) bool { return id%2 == 1 }
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -167,7 +167,7 @@
 	c.Conn.Close()
 }
 
-// disconnectLocked records that no further response reaches the client. c.mu is held.
+// disconnectLocked records that no further response reaches the client. The caller holds c.mu.
 func (c *conn) disconnectLocked() {
 	c.disconnected = true
 	c.onDisconnect()
--- a/internal/frontend/sftpserver/file.go
+++ b/internal/frontend/sftpserver/file.go
@@ -109,7 +109,7 @@
 }
 
 // forgetOverwritten removes the failed writes that a new one overwrites: one of them that is sent again must be executed
-// again. f.mu is held.
+// again. The caller holds f.mu.
 func (f *openFile) forgetOverwritten(record *writeRecord) {
 	for offset, failed := range f.failed {
 		if failed.overlaps(record) {
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// removeLocked removes a WRITE. h.mu is held.
+// removeLocked removes a WRITE. The caller holds h.mu.
 func (h *writeHistory) removeLocked(element *list.Element) {
 	removed := h.order.Remove(element).(*historyEntry)
 	remaining := h.byLocation[removed.location][:0]
@@ -106,7 +106,7 @@
 	return earlier, ok
 }
 
-// removeExpiredLocked removes the writes that are maxAgeMs old or older. h.mu is held.
+// removeExpiredLocked removes the writes that are maxAgeMs old or older. The caller holds h.mu.
 func (h *writeHistory) removeExpiredLocked(nowMs, maxAgeMs float64) {
 	for oldest := h.order.Front(); oldest != nil; oldest = h.order.Front() {
 		if nowMs-oldest.Value.(*historyEntry).firstSentMs < maxAgeMs {
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -108,7 +108,7 @@
 	p.mu.Unlock()
 }
 
-// evictLocked closes an idle session to any address, if there is one. p.mu is held.
+// evictLocked closes an idle session to any address, if there is one. The caller holds p.mu.
 func (p *sessionPool) evictLocked() {
 	for address, sessions := range p.idle {
 		if len(sessions) > 0 {
