--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -9,8 +9,6 @@
 	"io"
 	"net"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -18,21 +16,9 @@
 	"gaugerelay/internal/bgp"
 	"gaugerelay/internal/clock"
 	"gaugerelay/internal/metrics"
+	"gaugerelay/internal/testbed"
 )
 
-// compareGolden fails the test unless got equals testdata/golden/name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // Types of messages by RFC 4271.
 const (
 	typeOpen         = 1
@@ -147,11 +133,11 @@
 		options bgp.Options
 		open    []byte
 	}{
-		{"external.txt", options(localAS), fourOctetOpen()},
-		{"external-two-octet-router.txt", options(localAS), openFrame(4, routerAS, 90, 9)},
-		{"wide-as.txt", options(largeAS), fourOctetOpen()},
-		{"wide-as-two-octet-router.txt", options(largeAS), openFrame(4, routerAS, 90, 9)},
-		{"internal.txt", options(routerAS), fourOctetOpen()},
+		{"external", options(localAS), fourOctetOpen()},
+		{"external-two-octet-router", options(localAS), openFrame(4, routerAS, 90, 9)},
+		{"wide-as", options(largeAS), fourOctetOpen()},
+		{"wide-as-two-octet-router", options(largeAS), openFrame(4, routerAS, 90, 9)},
+		{"internal", options(routerAS), fourOctetOpen()},
 	} {
 		t.Run(c.golden, func(t *testing.T) {
 			r := connect(t, c.options)
@@ -166,7 +152,7 @@
 			r.stop()
 			r.read()
 			r.readEnd()
-			compareGolden(t, c.golden, r.record.String())
+			testbed.CompareGolden(t, c.golden, r.record.String())
 		})
 	}
 }
@@ -182,7 +168,7 @@
 	r.clock.Advance(holdTimeMs)
 	r.read()
 	r.readEnd()
-	compareGolden(t, "timers.txt", r.record.String())
+	testbed.CompareGolden(t, "timers", r.record.String())
 }
 
 // What the speaker writes to a router that breaks the protocol, after the OPEN or in an established session.
@@ -225,7 +211,7 @@
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&r.record, "%s\n", hex.EncodeToString(rest))
-			compareGolden(t, "notification-"+strings.ReplaceAll(c.name, " ", "-")+".txt", r.record.String())
+			testbed.CompareGolden(t, "notification-"+strings.ReplaceAll(c.name, " ", "-"), r.record.String())
 		})
 	}
 }
--- a/internal/coapwire/golden_test.go
+++ b/internal/coapwire/golden_test.go
@@ -2,26 +2,14 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/plgd-dev/go-coap/v3/message"
 	"github.com/plgd-dev/go-coap/v3/message/codes"
-)
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
+	"gaugerelay/internal/testbed"
+)
 
 func TestGoldenEncode(t *testing.T) {
 	token := message.Token{1, 2}
@@ -41,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			wire := Encode(m)
-			compareGolden(t, "encode-"+name, fmt.Sprintf("%x\n%d bytes\n", wire[:min(len(wire), 400)], len(wire)))
+			testbed.CompareGolden(t, "encode-"+name, fmt.Sprintf("%x\n%d bytes\n", wire[:min(len(wire), 400)], len(wire)))
 		})
 	}
 }
@@ -51,7 +39,7 @@
 	for _, v := range []uint32{0, 1, 255, 256, 65535, 65536, 1 << 24, 1<<32 - 1} {
 		fmt.Fprintf(&out, "%d: %x\n", v, UintOption(OptTimeLeft, v).Value)
 	}
-	compareGolden(t, "uint", out.String())
+	testbed.CompareGolden(t, "uint", out.String())
 }
 
 func TestGoldenBlockOption(t *testing.T) {
@@ -60,5 +48,5 @@
 		{Offset: 3072, Size: BERTBlockSize, BERT: true, More: true}, {Offset: 64 << 10, Size: BERTBlockSize, BERT: true}} {
 		fmt.Fprintf(&out, "offset %d size %d more %t bert %t: %x\n", p.Offset, p.Size, p.More, p.BERT, p.Option(message.Block1).Value)
 	}
-	compareGolden(t, "block-option", out.String())
+	testbed.CompareGolden(t, "block-option", out.String())
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"gaugerelay/internal/config"
+	"gaugerelay/internal/testbed"
 )
 
 const (
@@ -20,19 +21,6 @@
 	edgeExample = "../../deploy/edge.example.jsonc"
 )
 
-// compareGolden fails the test unless got equals testdata/golden/name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // dump prints one line for each value reached from root, in the order of declaration: an index path and the value
 // with its kind. It prints no names of fields and types, so that renaming them changes nothing, and skips unexported
 // fields.
@@ -125,7 +113,7 @@
 }
 
 func TestGoldenLoad(t *testing.T) {
-	compareGolden(t, "full.txt", dump(load(t)))
+	testbed.CompareGolden(t, "full", dump(load(t)))
 }
 
 func TestGoldenLoadWithVariables(t *testing.T) {
@@ -134,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "variables.txt", dump([]string{c.Name, c.Listen, c.Discovery}))
+	testbed.CompareGolden(t, "variables", dump([]string{c.Name, c.Listen, c.Discovery}))
 }
 
 func TestGoldenDefaults(t *testing.T) {
@@ -142,14 +130,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "defaults.txt", dump(c))
+	testbed.CompareGolden(t, "defaults", dump(c))
 }
 
 func TestGoldenEdge(t *testing.T) {
 	for _, c := range []struct{ golden, text string }{
-		{"edge-example.txt", readFile(t, edgeExample)},
-		{"edge-empty.txt", `{}`},
-		{"edge-defaults.txt", `{"sftp":{"listen":":1","read_class":"pull","write_class":"push","backend_port":22,
+		{"edge-example", readFile(t, edgeExample)},
+		{"edge-empty", `{}`},
+		{"edge-defaults", `{"sftp":{"listen":":1","read_class":"pull","write_class":"push","backend_port":22,
 			"roots":[{"path":"/a","volume":"ff","plan":"basic"}]},
 			"devices":{"coap":":5683","http":":8081"}, "fleet":{},
 			"bgp":{"peer":":179","local_as":1,"peer_as":2,"router_id":"192.0.2.1","next_hop":"192.0.2.2","announce":["192.0.2.0/24"]}}`},
@@ -159,7 +147,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareGolden(t, c.golden, dump(edge))
+			testbed.CompareGolden(t, c.golden, dump(edge))
 		})
 	}
 }
@@ -168,8 +156,8 @@
 func TestGoldenFleetOptions(t *testing.T) {
 	platform := load(t)
 	for _, c := range []struct{ golden, text string }{
-		{"fleet-example.txt", readFile(t, edgeExample)},
-		{"fleet-platform.txt", `{"fleet":{}}`},
+		{"fleet-example", readFile(t, edgeExample)},
+		{"fleet-platform", `{"fleet":{}}`},
 	} {
 		t.Run(c.golden, func(t *testing.T) {
 			edge, err := config.ParseEdge([]byte(c.text), &platform.Settings)
@@ -180,7 +168,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareGolden(t, c.golden, dump([]any{listen, options}))
+			testbed.CompareGolden(t, c.golden, dump([]any{listen, options}))
 		})
 	}
 }
@@ -235,7 +223,7 @@
 	fmt.Fprintf(&out, "no variable: %v\n", err)
 	_, err = config.Load(environment(map[string]string{"ROUTER_CONFIG": "testdata/golden/absent.json"}))
 	fmt.Fprintf(&out, "no file: %v\n", err)
-	compareGolden(t, "load-errors.txt", strings.ReplaceAll(out.String(), path, "config.json"))
+	testbed.CompareGolden(t, "load-errors", strings.ReplaceAll(out.String(), path, "config.json"))
 }
 
 // The files of a site are the simulator's, not a gateway's: Load refuses them.
@@ -248,7 +236,7 @@
 			fmt.Fprintln(&out, err)
 		}
 	}
-	compareGolden(t, "site-files.txt", out.String())
+	testbed.CompareGolden(t, "site-files", out.String())
 }
 
 func TestGoldenEdgeErrors(t *testing.T) {
@@ -291,5 +279,5 @@
 		_, err := config.ParseEdge([]byte(replaced(t, text, c.old, c.new)), &settings)
 		fmt.Fprintf(&out, "%s => %s: %v\n", c.old, c.new, err)
 	}
-	compareGolden(t, "edge-errors.txt", out.String())
+	testbed.CompareGolden(t, "edge-errors", out.String())
 }
--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"fmt"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
@@ -16,22 +14,11 @@
 
 	"gaugerelay/internal/coapwire"
 	"gaugerelay/internal/lifecycle"
+	"gaugerelay/internal/testbed"
 )
 
 const hexLine = 32 // bytes on one line of a golden file
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // recorder is a device's end of a connection that records the bytes that the server writes.
 type recorder struct {
 	t        *testing.T
@@ -107,7 +94,7 @@
 		r.netConn.Close()
 		server.Close()
 		server.Shutdown()
-		compareGolden(t, name, r.text.String())
+		testbed.CompareGolden(t, name, r.text.String())
 	})
 }
 
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -4,8 +4,6 @@
 	"encoding/binary"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -17,18 +15,6 @@
 	"gaugerelay/internal/testbed"
 )
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // cannedLoop responds to each request at once. Its fields are changed between packets only.
 type cannedLoop struct {
 	full     bool
@@ -117,7 +103,7 @@
 	s.send("lstat", packetLstat, "/layers/a")
 	s.send("close", packetClose, "1")
 	s.send("close again", packetClose, "1")
-	compareGolden(t, "session", s.text.String())
+	testbed.CompareGolden(t, "session", s.text.String())
 }
 
 func TestGoldenStatuses(t *testing.T) {
@@ -146,7 +132,7 @@
 			s.send("write", packetWrite, "1", uint64(0), "data")
 			s.send("stat", packetStat, "/layers/a")
 			s.send("second open", packetOpen, "/layers/b", uint32(sftpwire.FlagRead), uint32(0))
-			compareGolden(t, "status-"+name, s.text.String())
+			testbed.CompareGolden(t, "status-"+name, s.text.String())
 		})
 	}
 }
@@ -156,7 +142,7 @@
 	s.loop.full = true
 	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead), uint32(0))
 	s.send("stat", packetStat, "/layers/a")
-	compareGolden(t, "full-inbox", s.text.String())
+	testbed.CompareGolden(t, "full-inbox", s.text.String())
 }
 
 func TestGoldenRejectedCommands(t *testing.T) {
@@ -170,5 +156,5 @@
 	s.send("open to read", packetOpen, "/layers/a", uint32(sftpwire.FlagRead), uint32(0))
 	s.send("write to it", packetWrite, "3", uint64(0), "data")
 	s.send("read of an unknown handle", packetRead, "9", uint64(0), uint32(10))
-	compareGolden(t, "rejected", s.text.String())
+	testbed.CompareGolden(t, "rejected", s.text.String())
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -7,29 +7,15 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"gaugerelay/internal/scheduler"
 	"gaugerelay/internal/simwire"
+	"gaugerelay/internal/testbed"
 )
 
-// compareGolden fails the test unless got equals testdata/golden/name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // fullSettings names every setting that the adapter reads, with a value of its own.
 const fullSettings = "Unknown.Path=1 Siblings=3 Discovery=ask TickMs=2.5" +
 	" Lanes.count=3" +
@@ -119,7 +105,7 @@
 		}
 		out.WriteString(dump(batch))
 	}
-	compareGolden(t, "events.txt", out.String())
+	testbed.CompareGolden(t, "events", out.String())
 }
 
 func TestGoldenMalformedInput(t *testing.T) {
@@ -162,7 +148,7 @@
 		_, err := simwire.NewReader(strings.NewReader(c.text)).Next()
 		fmt.Fprintf(&out, "%s: %v\n", c.name, err)
 	}
-	compareGolden(t, "malformed.txt", out.String())
+	testbed.CompareGolden(t, "malformed", out.String())
 }
 
 func TestGoldenReplies(t *testing.T) {
@@ -188,7 +174,7 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "replies.txt", out.String())
+	testbed.CompareGolden(t, "replies", out.String())
 }
 
 // roundsBatches are several rounds of two instances: requests, outcomes, a stream, a drain, a kill and a new start.
@@ -314,5 +300,5 @@
 }
 
 func TestGoldenRounds(t *testing.T) {
-	compareGolden(t, "rounds.txt", host(t, roundsBatches))
+	testbed.CompareGolden(t, "rounds", host(t, roundsBatches))
 }
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -6,8 +6,6 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -18,18 +16,6 @@
 	"gaugerelay/internal/testbed"
 )
 
-// compareGolden compares the text with the golden file of that name.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs from its golden file\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // statusNames are the names of statuses in the golden files.
 var statusNames = map[scheduler.Status]string{
 	scheduler.StatusOK:              "ok",
@@ -159,7 +145,7 @@
 			for range exchange.packets {
 				fmt.Fprintf(&text, "%x\n", <-packets)
 			}
-			compareGolden(t, "packets-"+name, text.String()+describeResult(result))
+			testbed.CompareGolden(t, "packets-"+name, text.String()+describeResult(result))
 		})
 	}
 }
