--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -68,32 +68,37 @@
 	body := response.Result.([]byte)
 	limits := c.peerLimits()
 	etag := message.Option{ID: message.ETag, Value: binary.BigEndian.AppendUint64(nil, response.ETag)}
-	m = message.Message{Token: p.token, Code: codes.Content}
+	m = message.Message{Token: p.token, Code: codes.Content, Options: message.Options{etag}}
 	if p.parsed.fields.Method == http.MethodPut {
 		m.Code = codes.Changed
 	}
-	requested := p.parsed.block2
-	if requested == nil {
-		if m.Code == codes.Content && strings.Contains(p.parsed.etags, string(etag.Value)) {
-			m.Code, m.Options = codes.Valid, message.Options{etag}
-			return m, true
-		}
-		if limits.fitsWhole(len(body)) {
-			m.Options, m.Payload = appendBlock1(message.Options{etag}, p), body
-			return m, true
-		}
-		if !limits.blockwise {
-			return textMessage(p.token, codes.InternalServerError, "the answer is larger than your Max-Message-Size"), true
-		}
-		requested = &coapwire.Block{Size: coapwire.BERTBlockSize, BERT: limits.bert}
+	if p.parsed.block2 != nil {
+		return composeBlock(p, m, body, limits, *p.parsed.block2)
 	}
-	block, length := limits.responseBlock(*requested)
+	if m.Code == codes.Content && strings.Contains(p.parsed.etags, string(etag.Value)) {
+		m.Code = codes.Valid
+		return m, true
+	}
+	if limits.fitsWhole(len(body)) {
+		m.Options, m.Payload = appendBlock1(m.Options, p), body
+		return m, true
+	}
+	if !limits.blockwise {
+		return textMessage(p.token, codes.InternalServerError, "the answer is larger than your Max-Message-Size"), true
+	}
+	return composeBlock(p, m, body, limits, coapwire.Block{Size: coapwire.BERTBlockSize, BERT: limits.bert})
+}
+
+// composeBlock adds to m, which has the code and the ETag of a served response, the block of the body for the one requested.
+// complete is set if it is the last block.
+func composeBlock(p *pendingRequest, m message.Message, body []byte, limits peerLimits, requested coapwire.Block) (_ message.Message, complete bool) {
+	block, length := limits.responseBlock(requested)
 	if block.Offset > 0 && block.Offset >= len(body) {
 		return textMessage(p.token, codes.BadOption, "a block behind the end"), false
 	}
 	end := min(block.Offset+length, len(body))
 	block.More = end < len(body)
-	m.Options = appendBlock1(message.Options{etag, block.Option(message.Block2)}, p)
+	m.Options = appendBlock1(append(m.Options, block.Option(message.Block2)), p)
 	m.Options = append(m.Options, coapwire.UintOption(message.Size2, uint32(len(body))))
 	m.Payload = body[block.Offset:end]
 	return m, !block.More
