--- a/cmd/gaugerelay/serve.go
+++ b/cmd/gaugerelay/serve.go
@@ -14,14 +14,14 @@
 	"gaugerelay/internal/logevent"
 )
 
-// signalQueue is how many signals may wait: one must not hide the next.
+// signalQueue is the number of signals that can be pending. Package signal drops what exceeds it.
 const signalQueue = 16
 
 const (
-	// gcPercent lets the heap grow to four times what is live. That is a few MB, so most of the memory limit is unused,
-	// and processor time is short before memory is. Near the limit the collector runs as often as it must.
+	// gcPercent lets the heap grow to four times its live part. The live part is a few MB, so this saves processor time, which
+	// is scarcer than memory. Near the memory limit the collector runs more often.
 	gcPercent = 300
-	// heapFraction of the platform's memory limit is the collector's limit.
+	// heapFraction is the fraction of the platform's memory limit that the Go runtime may use.
 	heapFraction = 0.75
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the platform and the operator tell a gateway, and validates it once into typed settings: the
-// ROUTER_ variables with the JSON file that ROUTER_CONFIG names, and the operator's file of further frontends.
+// Package config reads the configuration of a gateway and validates it once into typed settings: from the platform, the
+// ROUTER_ variables with the JSON file that ROUTER_CONFIG names, and from the operator, the file of further frontends.
 //
 // Errors are one plain line that names the bad value. The package runs no goroutine, and what it returns is not changed
 // afterwards.
@@ -24,7 +24,7 @@
 	variableDiscovery = "ROUTER_DISCOVERY"
 )
 
-// Defaults of limits that the platform does not set: package net's own would wait and keep connections without end.
+// Defaults of limits that the platform does not set. Without them package net would wait for and keep connections forever.
 const (
 	defaultIdleConnTimeoutMs = 30_000
 	defaultConnectTimeoutMs  = 1_000
@@ -75,7 +75,7 @@
 	return c, nil
 }
 
-// override takes in the variables that are set.
+// override applies the variables that are set.
 func (c *Config) override(getenv func(string) string) {
 	for variable, field := range map[string]*string{
 		variableName: &c.Name, variableListen: &c.Listen, variableDiscovery: &c.Discovery,
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -11,14 +11,14 @@
 	"gaugerelay/internal/dedup/exchange"
 )
 
-// Bounds of the store of exchanges that operators cannot choose.
+// Bounds of the exchange store that operators cannot choose.
 const (
 	maxWaitingCopies = 4
 	maxBodyBytes     = 64 << 10
 	maxUploadBlocks  = 1024
 )
 
-// Devices sets up the frontends for devices on poor links. An empty address is off.
+// Devices sets up the frontends for devices on poor links. A frontend whose address is empty is disabled.
 type Devices struct {
 	CoAP, HTTP string // addresses
 	// MaxConns bounds the connections of each frontend, MaxOpenRequests the requests open on one of them.
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -12,7 +12,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Edge is what an operator sets up beside the platform's configuration. Nil parts are off.
+// Edge is what an operator sets up beside the platform's configuration. A nil part is disabled.
 type Edge struct {
 	SFTP    *SFTP
 	BGP     *bgp.Options
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -55,7 +55,7 @@
 	if known != nil && known.Type() == fastjson.TypeObject {
 		c.KnownEndpoints, c.InvalidKnownEntries = discovery.Decode(known)
 	}
-	c.KnownEndpoints.Kind = scheduler.CachedSnapshot // whatever it says of itself
+	c.KnownEndpoints.Kind = scheduler.CachedSnapshot // it is out of date, whatever kind the file gives
 }
 
 func (c *Config) setDefaults() {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -89,7 +89,7 @@
 	settings.MaxPollInterval = r.ms(object, "Invariants", "AskWithin")
 }
 
-// readAttemptLimits reads what the gateway may do with attempts.
+// readAttemptLimits reads the limits of attempts.
 func (r *valueReader) readAttemptLimits(settings *scheduler.Settings, object *fastjson.Value) {
 	settings.MaxAttempts = r.count(object, "Limits", "AttemptsCap")
 	settings.AllowHedging = r.bool(object, "Limits", "MayDuplicate")
@@ -102,7 +102,7 @@
 	settings.DrainGrace = r.ms(object, "Invariants", "DrainGrace")
 }
 
-// readServerLimits reads what servers bear after a start and after failures.
+// readServerLimits reads the limits of servers after a start and after failures.
 func (r *valueReader) readServerLimits(settings *scheduler.Settings, object *fastjson.Value) {
 	settings.InitialCapacity = r.number(object, "Invariants", "StartCapacity")
 	settings.SlowStartDuration = r.ms(object, "Invariants", "RampTime")
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -116,7 +116,7 @@
 			errs = append(errs, fmt.Errorf("root %q: wants a clean absolute path, a volume in hex and a known plan", root.Path))
 		}
 		if root.Gateways == 0 {
-			root.Gateways = max(1, settings.Gateways) // the careful choice: the volume's limit is divided over all gateways
+			root.Gateways = max(1, settings.Gateways) // the conservative choice: the volume's limit is divided among all gateways
 		}
 		s.Roots = append(s.Roots, root)
 	}
--- a/internal/frontend/coapserver/read.go
+++ b/internal/frontend/coapserver/read.go
@@ -15,7 +15,7 @@
 
 const (
 	// idleBufferSize is the size in bytes of the read buffer of a connection without an incomplete frame. Only frames of
-	// at least this size tell the throughput of a link.
+	// at least this size measure the throughput of a link.
 	idleBufferSize = 512
 	// requestCodesEnd is the first code that is not of a request (RFC 7252, 12.1).
 	requestCodesEnd codes.Code = 32
@@ -50,8 +50,8 @@
 	}
 }
 
-// handleReadError reports whether reading may go on after an error: it may if a deadline has passed and the device is
-// not taken for lost.
+// handleReadError reports whether reading may go on after an error: it may if a deadline has passed and the device
+// does not count as lost.
 func (c *conn) handleReadError(err error, now time.Time) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		if c.buffered > 0 {
@@ -59,7 +59,7 @@
 		}
 		return false
 	}
-	if counter := c.handleSilence(now); counter != "" {
+	if counter := c.handleReadTimeout(now); counter != "" {
 		c.server.Metrics.Add(counter, 1)
 		return false
 	}
@@ -76,7 +76,7 @@
 	return !c.closed
 }
 
-// readDeadline returns until when the next bytes must arrive; handleSilence acts if they do not. The caller holds c.mu.
+// readDeadline returns the time by which the next bytes must arrive; handleReadTimeout acts if they do not. The caller holds c.mu.
 func (c *conn) readDeadline() time.Time {
 	switch {
 	case !c.csmReceived:
@@ -91,9 +91,9 @@
 	return c.lastReadAt.Add(c.server.KeepaliveTime)
 }
 
-// handleSilence acts on a read deadline that has passed. It sends a Ping to a device that may be waiting, and returns ""
+// handleReadTimeout acts on a read deadline that has passed. It sends a Ping to a device that may be waiting, and returns ""
 // while the connection goes on. For a connection that counts as lost it returns the name of the counter to increment.
-func (c *conn) handleSilence(now time.Time) (counter string) {
+func (c *conn) handleReadTimeout(now time.Time) (counter string) {
 	c.mu.Lock()
 	early := now.Before(c.readDeadline()) // the deadline has moved since it was set
 	pingPending := !c.pingSentAt.IsZero()
--- a/internal/frontend/coapserver/server.go
+++ b/internal/frontend/coapserver/server.go
@@ -39,7 +39,7 @@
 
 	// FirstMessageTimeout is how long after connecting the device's CSM must have arrived.
 	FirstMessageTimeout time.Duration
-	// KeepaliveTime is how long an idle connection may be silent before the server sends a Ping.
+	// KeepaliveTime is how long nothing may arrive on an idle connection before the server sends a Ping.
 	KeepaliveTime time.Duration
 	// MinIdleTimeout and MaxIdleTimeout bound the silence after which a connection with an unanswered Ping, an incomplete
 	// message or a blocked write counts as lost. Within them the measured link decides; it starts at the maximum.
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxHeaderBytes is the largest head of a request that the gateway's servers read.
-	maxHeaderBytes = 16 << 10
+	// MaxHeaderBytes is the limit of the head of a request, in bytes, for http.Server.MaxHeaderBytes.
+	MaxHeaderBytes = 16 << 10
 	// maxPipelinedBytes bounds what is buffered of the bytes that a client sends while its request is open: one more request
 	// of the largest size. What exceeds it is discarded, and the connection ends after the response.
-	maxPipelinedBytes = maxHeaderBytes + httpmessage.MaxBodyBytes
+	maxPipelinedBytes = MaxHeaderBytes + httpmessage.MaxBodyBytes
 	// maxDiscardBytes is how much of that excess is read.
 	maxDiscardBytes = 1 << 20
 	// discardBufferBytes is the size of reads while a request is open, after the first.
@@ -39,7 +39,7 @@
 
 	// Guarded by tracker.mu.
 
-	list           *list.List // the tracker's silentConns or idleConns; nil if it is in neither
+	list           *list.List // the tracker's newConns or idleConns; nil if it is in neither
 	element        *list.Element
 	listedMs       float64 // when it entered the list
 	isShed         bool
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -21,10 +21,10 @@
 	maxClosingDivisor = 16
 )
 
-// connectionsShed counts silent and idle connections that were closed because of the limits or of a shutdown.
+// connectionsShed counts new and idle connections that were closed because of the limits or of a shutdown.
 const connectionsShed = "client_connections_shed"
 
-// ConnTracker tracks the client connections of an http.Server and bounds their number. Over MaxOpen it sheds silent and idle
+// ConnTracker tracks the client connections of an http.Server and bounds their number. Over MaxOpen it sheds new and idle
 // connections, so that a client that sends a request finds its connection accepted and read. It sheds a connection only if
 // nothing has been read from it since its last response: a request that has been read is served, and its connection stays
 // until the response is written.
@@ -138,17 +138,17 @@
 	}
 }
 
-// shedOverLimit sheds connections down to MaxOpen: silent ones that had time to send something, then idle ones, then the
-// other silent ones. It returns false if the rest all have requests; then the listener's limit keeps further ones waiting.
+// shedOverLimit sheds connections down to MaxOpen: first new ones that have had time to send something, then idle ones, then
+// the other new ones. It returns false if the rest all have requests; the limit of the listener then keeps clients waiting.
 // The caller holds t.mu.
 func (t *ConnTracker) shedOverLimit(nowMs float64) bool {
 	for t.open > t.MaxOpen {
-		oldestNew, idle := oldest(&t.newConns), oldest(&t.idleConns)
+		oldestNew, oldestIdle := oldest(&t.newConns), oldest(&t.idleConns)
 		switch {
-		case oldestNew != nil && (nowMs-oldestNew.listedMs >= firstByteTimeoutMs || idle == nil):
+		case oldestNew != nil && (nowMs-oldestNew.listedMs >= firstByteTimeoutMs || oldestIdle == nil):
 			t.shed(oldestNew)
-		case idle != nil:
-			t.shed(idle)
+		case oldestIdle != nil:
+			t.shed(oldestIdle)
 		default:
 			return false
 		}
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -64,8 +64,8 @@
 	conns   []*connModel
 }
 
-// FuzzConnTracker compares random steps with a model of each connection: silent, busy, idle or closed. Over the limit the
-// connections that have been silent or idle longest are shed; one from which a request has been read never is.
+// FuzzConnTracker compares random steps with a model of each connection: new, busy, idle or closed. Over the limit the
+// connections that have been new or idle longest are shed; one from which a request has been read never is.
 func FuzzConnTracker(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 9, 2, 10, 6, 0, 0})
 	f.Add([]byte{0, 1, 2, 0, 9, 10, 7, 0, 7, 0, 3, 11, 0, 7})
@@ -112,7 +112,7 @@
 	}
 }
 
-// clientSends reads a byte from a silent or idle connection.
+// clientSends reads a byte from a new or idle connection.
 func (m *trackerModel) clientSends(i int, c *connModel) {
 	if c.state != http.StateNew && c.state != http.StateIdle {
 		return
@@ -171,9 +171,9 @@
 	return n, err
 }
 
-// Idle connections are shed after the platform's two seconds while more than half of MaxOpen are open; a silent one is shed
+// Idle connections are shed after the platform's two seconds while more than half of MaxOpen are open; a new one is shed
 // before them only if it has had time to send something.
-func TestIdleAndSilentConnections(t *testing.T) {
+func TestIdleAndNewConnections(t *testing.T) {
 	now := clock.NewManual(0)
 	tracker := &ConnTracker{MaxOpen: 4, Clock: now, Metrics: metrics.New()}
 	var conns []*clientConn
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -6,7 +6,7 @@
 //   - A request that was accepted gets its response, unless its client disconnects first.
 //   - A connection is shed only while nothing of a request has been read from it.
 //   - A connection that has been closed is reset only if its client keeps sending for gracefulclose.TimeoutMs, or if too many
-//     connections wait for their clients' ends.
+//     connections wait for their clients to close.
 //
 // Handlers run on the http.Server's goroutines, one for each connection. The package starts one goroutine of its own for each
 // connection that is closed before its client has ended it; that goroutine ends with the connection.
@@ -69,8 +69,8 @@
 	pacerMu sync.Mutex
 	pacer   shutdown.AdmissionPacer
 
-	keepFreeFromMs     atomic.Uint64 // bits of the float64 from when on connections are kept free; 0 before a shutdown
-	respondByMs        atomic.Uint64 // bits of the float64 by when the last response must be written; 0 before a shutdown
+	keepFreeFromMs     atomic.Uint64 // bits of the float64 time from which connections are kept free; 0 before a shutdown
+	respondByMs        atomic.Uint64 // bits of the float64 time by which the last response must be written; 0 before a shutdown
 	keepAlivesDisabled atomic.Bool
 }
 
@@ -130,8 +130,8 @@
 		h.rejectMalformed(w, err)
 		return
 	}
-	// The server's time to read the request ends here. Its deadline would also end the server's watch for a disconnect, and
-	// with that cancel a request that only waits for its response. The error is ignored: on a connection that is closed the
+	// The request has been read, so its read deadline is cleared: it would also end the server's watch for a disconnect, and
+	// thereby cancel a request that only waits for its response. The error is ignored: on a connection that is closed the
 	// request is canceled anyway, and a ResponseWriter without deadlines has none to clear.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	responses := make(chan lifecycle.Response, 1) // buffers the only response, so that the loop never waits
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -13,14 +13,15 @@
 	"gaugerelay/internal/upstream/httpclient"
 )
 
-// reuseDelayMs is how long a connection to a server is not used again after a response: the platform's servers may send a
-// duplicate response some milliseconds late. At worst a request waits for it, where latency objectives are a hundred
-// milliseconds and more.
+// reuseDelayMs is how long a connection to a server is not used again after a response, since the platform's servers may send
+// a duplicate response some milliseconds late. It is short compared with latency objectives, which are a hundred milliseconds
+// or more.
 const reuseDelayMs = 5
 
-// The platform's times of the endpoint list.
+// Times that the platform defines for the endpoint list.
 const (
-	// maxNotificationDelayMs after discovery has a change and can be reached, every gateway counts as notified.
+	// maxNotificationDelayMs is how long it takes at most until every gateway counts as notified of a change, from the moment
+	// at which discovery has the change and can be reached.
 	maxNotificationDelayMs = 6000
 	// sendDelayMarginMs bounds a pause of the process between reading the clock and writing the first byte.
 	sendDelayMarginMs = 150
@@ -133,8 +134,8 @@
 	g.Metrics.Add(attemptsDeniedPrefix+reason.String(), 1)
 }
 
-// waitForEndpointUpdates returns once the updates that have arrived on the watch are applied, or were waited for long
-// enough; it reports whether they are applied.
+// waitForEndpointUpdates waits for a bounded time until the updates that have arrived on the watch are applied, and reports
+// whether they are.
 func (g *Gateway) waitForEndpointUpdates() (applied bool) {
 	pending, applied := g.watcher.AwaitPendingUpdates()
 	if pending && applied {
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -19,8 +19,8 @@
 	idleConnTimeout   = 30 * time.Second
 )
 
-// pipelinedFraction of the memory limit may hold requests that clients have pipelined: little beside open requests and
-// their responses, of up to 64 KiB each, on all connections.
+// pipelinedFraction is the fraction of the memory limit that pipelined requests may hold. It is small because open requests
+// and their responses, of up to 64 KiB each on all connections, need most of the memory.
 const pipelinedFraction = 1.0 / 16
 
 // clientFrontend serves the platform's clients over HTTP.
@@ -55,7 +55,7 @@
 		ReadTimeout:                  readTimeout,
 		WriteTimeout:                 g.longestDeadline + writeGrace,
 		IdleTimeout:                  idleConnTimeout,
-		MaxHeaderBytes:               maxHeaderBytes,
+		MaxHeaderBytes:               httpserver.MaxHeaderBytes,
 		ConnState:                    f.conns.ConnState,
 		ConnContext:                  f.conns.ConnContext,
 		DisableGeneralOptionsHandler: true,
@@ -71,8 +71,8 @@
 	f.handler.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 }
 
-// drain closes connections late: clients that are not told of the shutdown go on using the connections that they have, and
-// without those they would have no gateway until the next start.
+// drain closes connections late: clients that are not notified of the shutdown go on using the connections that they have,
+// and without those they would have no gateway until the next start.
 func (f *clientFrontend) drain(times shutdownTimes) {
 	<-f.after(times.acceptUntilMs)
 	f.listener.Close()
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -39,14 +39,16 @@
 func (noopComponent) drain(shutdownTimes)         {}
 func (noopComponent) close()                      {}
 
-// maxHeaderBytes bounds the header of an HTTP request.
-const maxHeaderBytes = 16 << 10
+// The frontends and the upstreams share the sockets that the process may have open.
 
-// The frontends and the client of the servers share the process's sockets.
+// maxClientConns returns the limit of HTTP connections from the platform's clients.
+func maxClientConns(cfg *config.Config) int { return max(1, cfg.MaxSockets*3/8) }
 
-func maxClientConns(cfg *config.Config) int   { return max(1, cfg.MaxSockets*3/8) }
+// maxUpstreamConns returns the limit of HTTP connections to servers.
 func maxUpstreamConns(cfg *config.Config) int { return cfg.MaxSockets / 2 }
-func maxSFTPSessions(cfg *config.Config) int  { return max(1, cfg.MaxSockets/16) }
+
+// maxSFTPSessions returns the limit of SFTP connections to servers.
+func maxSFTPSessions(cfg *config.Config) int { return max(1, cfg.MaxSockets/16) }
 
 // sheddingThreshold is the number of open connections above which idle ones are closed, so that a client with a request
 // always finds a free one.
@@ -76,9 +78,9 @@
 	}()
 }
 
-// logListening logs that clients or peers can reach an address.
-func (g *Gateway) logListening(what, addr string) {
-	slog.Info(logevent.ListenerStarted, logevent.Name, g.cfg.Name, logevent.Purpose, what, logevent.Address, addr)
+// logListening logs that an address is open, and whom it serves.
+func (g *Gateway) logListening(purpose, addr string) {
+	slog.Info(logevent.ListenerStarted, logevent.Name, g.cfg.Name, logevent.Purpose, purpose, logevent.Address, addr)
 }
 
 // after returns a channel that receives once ms milliseconds have passed.
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -24,8 +24,8 @@
 	noopComponent
 	gateway    *Gateway
 	options    *config.Devices
-	coap       *coapserver.Server      // nil: off
-	http       *httpserver.Handler     // nil: off
+	coap       *coapserver.Server      // nil if disabled
+	http       *httpserver.Handler     // nil if disabled
 	conns      *httpserver.ConnTracker // of http
 	httpServer *http.Server            // of http, once it is started
 	listeners  []net.Listener
@@ -117,7 +117,7 @@
 		ReadTimeout:    2*longest + first,
 		WriteTimeout:   4*longest + first,
 		IdleTimeout:    f.options.IdleTimeout,
-		MaxHeaderBytes: maxHeaderBytes,
+		MaxHeaderBytes: httpserver.MaxHeaderBytes,
 		ConnState:      f.conns.ConnState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return f.http.ConnContext(f.conns.ConnContext(ctx, conn), conn)
@@ -140,8 +140,8 @@
 	}
 }
 
-// drain accepts new exchanges for as long as clients may not know of the shutdown. After that, devices that have lost their
-// connection may still connect and fetch their responses, as long as the platform leaves time.
+// drain accepts new exchanges until all clients can know of the shutdown. After that, devices that have lost their connection
+// may still connect and fetch their responses while the platform leaves time.
 func (f *deviceFrontend) drain(times shutdownTimes) {
 	<-after(times.acceptUntilMs)
 	f.gateway.loop.DrainDeduplicator()
--- a/internal/gateway/sftpfrontend.go
+++ b/internal/gateway/sftpfrontend.go
@@ -20,7 +20,7 @@
 	upstream *sftpclient.Client
 }
 
-// newSFTPFrontend returns the frontend. devices is nil if there are none, and then no store of exchanges.
+// newSFTPFrontend returns the frontend. devices is nil if the gateway serves none; then there is no exchange store.
 func newSFTPFrontend(g *Gateway, options *config.SFTP, devices *config.Devices) *sftpFrontend {
 	f := &sftpFrontend{gateway: g, addr: options.Listen}
 	f.upstream = sftpclient.New(sftpclient.Options{ConnectTimeoutMs: g.cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: g.cfg.IdleConnTimeoutMs,
--- a/internal/gateway/shutdowntimes.go
+++ b/internal/gateway/shutdowntimes.go
@@ -2,21 +2,22 @@
 
 // The platform's times of a shutdown, in milliseconds.
 const (
-	// newConnsMs after SIGTERM new connections still arrive: clients learn of the shutdown with a delay.
+	// newConnsMs is how long after SIGTERM new connections still arrive, because clients learn of the shutdown with a delay.
 	newConnsMs = 400
-	// The platform kills the program no sooner than killGraceMs after the longest deadline, of which it respects at most
-	// maxKillDeadlineMs.
+	// killGraceMs is how long the platform waits, after the longest deadline, before it kills the program.
+	killGraceMs = 700
+	// maxKillDeadlineMs bounds the longest deadline that the platform waits for.
 	maxKillDeadlineMs = 3000
-	killGraceMs       = 700
 )
 
 const (
 	// acceptMs is how long new connections are accepted, with a margin.
 	acceptMs = 1.5 * newConnsMs
-	// exitMarginMs is kept before the time to be killed, and as long again for clients to read the last responses.
+	// exitMarginMs is the time between the exit and the kill, and also between the last response and the exit, in which
+	// clients read it.
 	exitMarginMs = 75
-	// lastRequestsMs is left for the requests that are open when connections begin to close: nearly always enough where
-	// deadlines are long.
+	// lastRequestsMs is left for the requests that are open when connections begin to close. Where deadlines are long it is
+	// nearly always enough.
 	lastRequestsMs = 350
 )
 
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// readItem adds the item that begins with a line to the batch, unless it is unknown or the line is malformed, which
-// line.err then tells.
+// readItem adds the item that begins with a line to the batch, unless it is unknown or the line is malformed; in
+// the latter case line.err is set.
 func (r *Reader) readItem(batch *Batch, instance int, line *fieldParser) error {
 	item, known, err := r.parseItem(line)
 	if err != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -19,7 +19,8 @@
 	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
 }
 
-// settingsParser looks up settings by their path. Absent ones are zero values, and the first error, in the order of reading, is kept in err.
+// settingsParser looks up settings by their path. Absent ones are zero values, and the first error, in the order of reading,
+// is kept in err.
 type settingsParser struct {
 	values map[string]string
 	err    error
@@ -131,7 +132,7 @@
 	settings.MaxPollInterval = p.ms("Invariants.AskWithin")
 }
 
-// readAttemptLimits reads what the gateway may do with attempts.
+// readAttemptLimits reads the limits of attempts.
 func (p *settingsParser) readAttemptLimits(settings *scheduler.Settings) {
 	settings.MaxAttempts = p.count("Limits.AttemptsCap")
 	settings.AllowHedging = p.bool("Limits.MayDuplicate")
@@ -144,7 +145,7 @@
 	settings.DrainGrace = p.ms("Invariants.DrainGrace")
 }
 
-// readServerLimits reads what servers bear after a start and after failures.
+// readServerLimits reads the limits of servers after a start and after failures.
 func (p *settingsParser) readServerLimits(settings *scheduler.Settings) {
 	settings.InitialCapacity = p.number("Invariants.StartCapacity")
 	settings.SlowStartDuration = p.ms("Invariants.RampTime")
--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -121,7 +121,7 @@
 	}
 	// The server responds, if badly, and its other connections are as good as before: it must not be treated as one that
 	// resets them.
-	c.metrics.Add(serverResponsesBad, 1)
+	c.metrics.Add(serverResponsesInvalid, 1)
 	return scheduler.StatusError
 }
 
--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -28,13 +28,13 @@
 
 // Names of counters.
 const (
-	connectionsOpened     = "connections_opened"
-	connectionsCapped     = "connections_capped"
-	connectionsStale      = "connections_stale"
-	serverResponsesBad    = "server_responses_invalid"
-	serverHeadersBad      = "server_headers_invalid"
-	serverDataUnsolicited = "server_data_unsolicited"
-	ruleViolationsPrefix  = "rule_violations_"
+	connectionsOpened      = "connections_opened"
+	connectionsCapped      = "connections_capped"
+	connectionsStale       = "connections_stale"
+	serverResponsesInvalid = "server_responses_invalid"
+	serverHeadersInvalid   = "server_headers_invalid"
+	serverDataUnsolicited  = "server_data_unsolicited"
+	ruleViolationsPrefix   = "rule_violations_"
 )
 
 const (
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -105,7 +105,7 @@
 }
 
 // startRequest records that bytes of a request are about to be written, or returns errConnStale if the connection can't be
-// used for it any more. t is nil for a probe.
+// used for it any more. attempt is nil for a probe.
 func (c *conn) startRequest(attempt *attemptState) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -178,8 +178,8 @@
 			c := newTestClient()
 			c.Start(lifecycle.Attempt{Request: putRequest(), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + 1e9})
 			result := c.advanceUntilResult()
-			if result.Status != scheduler.StatusError || c.counters.Get(serverResponsesBad) != 1 {
-				t.Errorf("status %d, %d invalid", result.Status, c.counters.Get(serverResponsesBad))
+			if result.Status != scheduler.StatusError || c.counters.Get(serverResponsesInvalid) != 1 {
+				t.Errorf("status %d, %d invalid", result.Status, c.counters.Get(serverResponsesInvalid))
 			}
 		})
 	}
--- a/internal/upstream/httpclient/response.go
+++ b/internal/upstream/httpclient/response.go
@@ -28,7 +28,7 @@
 	c.readHeaders(&result, response.Header)
 	switch {
 	case len(body) > httpmessage.MaxBodyBytes:
-		c.metrics.Add(serverResponsesBad, 1)
+		c.metrics.Add(serverResponsesInvalid, 1)
 		result.Status = scheduler.StatusError
 	case response.StatusCode == http.StatusOK:
 		result.Status, result.Body = scheduler.StatusOK, body
@@ -64,7 +64,7 @@
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || !isReportable(number) {
-		c.metrics.Add(serverHeadersBad, 1)
+		c.metrics.Add(serverHeadersInvalid, 1)
 		return 0, false
 	}
 	return number, true
@@ -75,14 +75,14 @@
 func (c *Client) parseLoadReport(text string) []float64 {
 	object, err := fastjson.Parse(text)
 	if err != nil || object.Type() != fastjson.TypeObject {
-		c.metrics.Add(serverHeadersBad, 1)
+		c.metrics.Add(serverHeadersInvalid, 1)
 		return nil
 	}
 	report := make([]float64, len(c.options.LoadReportFields))
 	for i, name := range c.options.LoadReportFields {
 		number, ok := numberField(object, name)
 		if !ok {
-			c.metrics.Add(serverHeadersBad, 1)
+			c.metrics.Add(serverHeadersInvalid, 1)
 			return nil
 		}
 		report[i] = number
--- a/internal/upstream/httpclient/response_test.go
+++ b/internal/upstream/httpclient/response_test.go
@@ -11,7 +11,7 @@
 			t.Errorf("%s: %v", text, got)
 		}
 	}
-	if got := c.counters.Get(serverHeadersBad); got != 7 {
+	if got := c.counters.Get(serverHeadersInvalid); got != 7 {
 		t.Errorf("%d counted", got)
 	}
 }
