--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -8,6 +8,7 @@
 	"github.com/valyala/fastjson"
 
 	"gaugerelay/internal/discovery"
+	"gaugerelay/internal/platformsettings"
 	"gaugerelay/internal/scheduler"
 )
 
@@ -39,7 +40,7 @@
 	}
 	c.IdleConnTimeoutMs = min(r.number(settings, "Limits", "ConnIdleMs"), maxMs)
 	c.ConnectTimeoutMs = min(r.number(settings, "Limits", "ConnectTimeoutMs"), maxMs)
-	c.Settings = r.settings(settings)
+	c.Settings = platformsettings.Read(jsonSettings{r, settings})
 	c.GatewayIndex = r.count(settings, "SelfIndex")
 	c.PeerListen = r.text(object, "peer_listen")
 	for _, peer := range object.GetArray("peers") {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,127 +1,55 @@
 package config
 
 import (
+	"time"
+
 	"github.com/valyala/fastjson"
 
-	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/platformsettings"
 )
 
-// idempotencies translates the platform's effects of repeated requests.
-var idempotencies = map[string]scheduler.Idempotency{
-	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
+// jsonSettings is the platformsettings.Source of a JSON object.
+type jsonSettings struct {
+	reader *valueReader
+	object *fastjson.Value
 }
 
-// dedupScopes translates the platform's groups of servers that share deduplication.
-var dedupScopes = map[string]scheduler.DedupScope{
-	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell,
-}
+// Bool implements platformsettings.Source.
+func (s jsonSettings) Bool(path ...string) bool { return s.reader.bool(s.object, path...) }
 
-// settings reads the scheduler's settings. Unknown keys are skipped. The order of reading decides which of several invalid
-// values is reported.
-func (r *valueReader) settings(object *fastjson.Value) scheduler.Settings {
-	var settings scheduler.Settings
-	settings.Classes = r.classes(object)
-	settings.Plans = r.plans(object)
-	r.readDeployment(&settings, object)
-	r.readAttemptLimits(&settings, object)
-	r.readServerLimits(&settings, object)
-	r.readBudgets(&settings, object)
-	return settings
-}
+// Count implements platformsettings.Source. The number is at most maxCount.
+func (s jsonSettings) Count(path ...string) int { return s.reader.count(s.object, path...) }
 
-func (r *valueReader) classes(object *fastjson.Value) (classes []scheduler.Class) {
-	writes := object.GetArray("FamilyInfo", "ClassWrites")
-	for i, lane := range object.GetArray("Lanes") {
-		class := r.class(lane)
-		class.Write = i < len(writes) && writes[i].Type() == fastjson.TypeTrue
-		classes = append(classes, class)
-	}
-	return classes
-}
-
-func (r *valueReader) class(lane *fastjson.Value) scheduler.Class {
-	class := scheduler.Class{
-		Name:             r.text(lane, "Name"),
-		LatencyObjective: r.ms(lane, "Promise"),
-		ObjectiveStretch: r.number(lane, "AimStretch"),
-		Deadline:         r.ms(lane, "Deadline"),
-		DedupWindow:      r.ms(lane, "DedupWindow"),
-		OrderedByKey:     r.bool(lane, "InTurn"),
-		Stream:           r.bool(lane, "Stream"),
-		PriorityWeight:   r.number(lane, "Worth"),
-		LateFraction:     r.number(lane, "LateValue"),
-	}
-	var ok bool
-	if class.Idempotency, ok = idempotencies[r.text(lane, "Idempotency")]; !ok {
-		class.Idempotency = scheduler.NotIdempotent // an unknown one is read as the strictest
-	}
-	if class.DedupScope, ok = dedupScopes[r.text(lane, "KeyScope")]; !ok {
-		class.DedupScope = scheduler.DedupCell // an unknown one is read as the narrowest
-	}
-	return class
-}
+// Ms implements platformsettings.Source. The time is at most maxMs.
+func (s jsonSettings) Ms(path ...string) time.Duration { return s.reader.ms(s.object, path...) }
 
-func (r *valueReader) plans(object *fastjson.Value) (plans []scheduler.Plan) {
-	for _, plan := range object.GetArray("Plans") {
-		plans = append(plans, scheduler.Plan{
-			Name:           r.text(plan, "Name"),
-			Rate:           r.number(plan, "UsualRate"),
-			Reserve:        r.number(plan, "Reservation"),
-			Weight:         r.number(plan, "Shares"),
-			PriorityFactor: r.number(plan, "Pays"),
-			Limit:          r.number(plan, "CeilingRate"),
-			LimitBurst:     r.number(plan, "CapDepth"),
-			LimitOverdraft: r.number(plan, "CapSlack"),
-		})
-	}
-	return plans
-}
+// Number implements platformsettings.Source. The number is not negative.
+func (s jsonSettings) Number(path ...string) float64 { return s.reader.number(s.object, path...) }
 
-// readDeployment reads the sizes of the deployment and the weights of shared capacity.
-func (r *valueReader) readDeployment(settings *scheduler.Settings, object *fastjson.Value) {
-	settings.Gateways = r.count(object, "Siblings")
-	settings.Shards = r.count(object, "FamilyInfo", "NShards")
-	settings.MeanUnits = r.number(object, "FamilyInfo", "MeanUnits")
-	settings.MaxUnits = r.number(object, "FamilyInfo", "MostUnits")
-	settings.FairShareWeight = r.number(object, "FamilyInfo", "FairWorth")
-	settings.SurplusWeight = r.number(object, "FamilyInfo", "IdleWorth")
-	settings.PollEndpoints = r.text(object, "Discovery") == "ask"
-	settings.MaxPollInterval = r.ms(object, "Invariants", "AskWithin")
-}
+// Text implements platformsettings.Source.
+func (s jsonSettings) Text(path ...string) string { return s.reader.text(s.object, path...) }
 
-// readAttemptLimits reads the limits of attempts.
-func (r *valueReader) readAttemptLimits(settings *scheduler.Settings, object *fastjson.Value) {
-	settings.MaxAttempts = r.count(object, "Limits", "AttemptsCap")
-	settings.AllowHedging = r.bool(object, "Limits", "MayDuplicate")
-	settings.AllowCancel = r.bool(object, "Limits", "Cancel")
-	settings.AllowProbes = r.bool(object, "Limits", "Probing")
-	if r.bool(object, "Limits", "RetryAfter") {
-		settings.MaxRetryAfter = r.ms(object, "Limits", "MaxRetryAfter")
+// Bools implements platformsettings.Source.
+func (s jsonSettings) Bools(path ...string) (values []bool) {
+	for _, value := range s.object.GetArray(path...) {
+		values = append(values, value.Type() == fastjson.TypeTrue)
 	}
-	settings.ResponseGrace = r.ms(object, "Invariants", "GraceToAnswer")
-	settings.DrainGrace = r.ms(object, "Invariants", "DrainGrace")
+	return values
 }
 
-// readServerLimits reads the limits of servers after a start and after failures.
-func (r *valueReader) readServerLimits(settings *scheduler.Settings, object *fastjson.Value) {
-	settings.InitialCapacity = r.number(object, "Invariants", "StartCapacity")
-	settings.SlowStartDuration = r.ms(object, "Invariants", "RampTime")
-	settings.OverloadMultiple = r.number(object, "Invariants", "FallMultiple")
-	settings.OverloadWindow = r.ms(object, "Invariants", "Fall")
-	settings.SlowStartUnits = r.number(object, "FamilyInfo", "ColdBears")
-	settings.KeyCooldown = r.ms(object, "Invariants", "KeyRest")
+// Texts implements platformsettings.Source. A value that is not a string is "".
+func (s jsonSettings) Texts(path ...string) (texts []string) {
+	for _, value := range s.object.GetArray(path...) {
+		text, _ := value.StringBytes()
+		texts = append(texts, string(text))
+	}
+	return texts
 }
 
-// readBudgets reads the retry budget, what servers report and how often the scheduler may run.
-func (r *valueReader) readBudgets(settings *scheduler.Settings, object *fastjson.Value) {
-	settings.RetryBudgetMin = r.number(object, "Invariants", "ExtraFloor")
-	settings.RetryBudgetRatio = r.number(object, "Invariants", "ExtraRatio")
-	settings.RetryBudgetWindow = r.ms(object, "Invariants", "CountedOver")
-	settings.UsagePeriod = r.ms(object, "FamilyInfo", "UsePeriod")
-	settings.ReportsForeignUnits = r.bool(object, "FamilyInfo", "TellsElsewhere")
-	for _, field := range object.GetArray("Report", "Fields") {
-		name, _ := field.StringBytes()
-		settings.LoadReportFields = append(settings.LoadReportFields, string(name))
+// Objects implements platformsettings.Source.
+func (s jsonSettings) Objects(name string) (objects []platformsettings.Source) {
+	for _, object := range s.object.GetArray(name) {
+		objects = append(objects, jsonSettings{s.reader, object})
 	}
-	settings.MinStepInterval = r.ms(object, "Tick")
+	return objects
 }
