--- a/internal/bgp/connection.go
+++ b/internal/bgp/connection.go
@@ -10,6 +10,7 @@
 
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 
+	"gaugerelay/internal/clock"
 	"gaugerelay/internal/logevent"
 )
 
@@ -117,11 +118,11 @@
 	return err
 }
 
-// startTimer returns a channel that is closed at a time of the clock; at 0 it never is. stop must be called.
+// startTimer returns a channel that is closed at a time of the clock. For atMs 0 it is nil, which never receives. stop must be
+// called.
 func (s *Speaker) startTimer(atMs float64) (fired <-chan struct{}, stop func()) {
-	channel := make(chan struct{})
 	if atMs <= 0 {
-		return channel, func() {}
+		return nil, func() {}
 	}
-	return channel, s.clock.AfterFunc(atMs-s.clock.NowMs(), func() { close(channel) })
+	return clock.After(s.clock, atMs-s.clock.NowMs())
 }
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -107,8 +107,7 @@
 
 // waitForRetry waits for the delay with jitter, or until ctx ends.
 func (s *Speaker) waitForRetry(ctx context.Context, delayMs float64) {
-	due := make(chan struct{})
-	stop := s.clock.AfterFunc(withJitter(delayMs), func() { close(due) })
+	due, stop := clock.After(s.clock, withJitter(delayMs))
 	defer stop()
 	for {
 		select {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -28,6 +28,13 @@
 // Ms converts a time.Duration to milliseconds.
 func Ms(d time.Duration) float64 { return float64(d) / nanosPerMs }
 
+// After returns a channel that is closed once ms milliseconds have passed, which for 0 or less is at once. A call of stop
+// releases the timer; the channel then stays open unless it has been closed before.
+func After(c Clock, ms float64) (elapsed <-chan struct{}, stop func()) {
+	channel := make(chan struct{})
+	return channel, c.AfterFunc(ms, func() { close(channel) })
+}
+
 // WithDeadline returns a context that is canceled with the cause context.DeadlineExceeded when the clock reaches
 // deadlineMs. The caller must call cancel to release the timer.
 func WithDeadline(c Clock, deadlineMs float64) (ctx context.Context, cancel context.CancelCauseFunc) {
--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -99,8 +99,7 @@
 
 // wait returns after the given time, or when the listener is closed.
 func (l *Listener) wait(ms float64) {
-	elapsed := make(chan struct{})
-	stop := l.clock.AfterFunc(ms, func() { close(elapsed) })
+	elapsed, stop := clock.After(l.clock, ms)
 	defer stop()
 	select {
 	case <-elapsed:
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -174,9 +174,8 @@
 
 // awaitResponse writes the response to a submitted request, unless its client disconnects first.
 func (h *Handler) awaitResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, responses <-chan lifecycle.Response) {
-	overdue := make(chan struct{})
 	// A request that took all its time to get here is answered at once, and the guard must not race that.
-	stop := h.Clock.AfterFunc(max(0, request.RemainingMs)+frontend.ResponseGraceMs, func() { close(overdue) })
+	overdue, stop := clock.After(h.Clock, max(0, request.RemainingMs)+frontend.ResponseGraceMs)
 	defer stop()
 	select {
 	case response := <-responses:
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -8,6 +8,7 @@
 
 	"github.com/pkg/sftp"
 
+	"gaugerelay/internal/clock"
 	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/sftpwire"
@@ -109,8 +110,7 @@
 // waitForResponse waits until the request has its response, the client disconnects, or the response is overdue.
 func (h *handler) waitForResponse(request *lifecycle.Request, responses <-chan lifecycle.Response) (*sftpwire.Reply, error) {
 	server := h.server
-	overdue := make(chan struct{})
-	stopTimer := server.Clock.AfterFunc(request.RemainingMs+frontend.ResponseGraceMs, func() { close(overdue) })
+	overdue, stopTimer := clock.After(server.Clock, request.RemainingMs+frontend.ResponseGraceMs)
 	defer stopTimer()
 	select {
 	case response := <-responses:
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"syscall"
 
+	"gaugerelay/internal/clock"
 	"gaugerelay/internal/socketstate"
 )
 
@@ -137,8 +138,7 @@
 	}
 	c.mu.Unlock()
 	if waitMs > 0 {
-		elapsed := make(chan struct{})
-		c.client.clock.AfterFunc(waitMs, func() { close(elapsed) })
+		elapsed, _ := clock.After(c.client.clock, waitMs)
 		<-elapsed
 	}
 }
