--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -24,6 +24,7 @@
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/metrics"
 	"gaugerelay/internal/scheduler"
+	"gaugerelay/internal/upstream"
 )
 
 // Names of counters.
@@ -37,13 +38,8 @@
 	ruleViolationsPrefix   = "rule_violations_"
 )
 
-const (
-	// idleTimeoutFraction keeps the transport's idle timeout below that of the network: a request that is written to a
-	// connection which the network has dropped ends as a reset.
-	idleTimeoutFraction = 0.6
-	// maxHeadBytes bounds the head of a response, including the heads of the interim responses before it.
-	maxHeadBytes = 16 << 10
-)
+// maxHeadBytes bounds the head of a response, including the heads of the interim responses before it.
+const maxHeadBytes = 16 << 10
 
 var errTooManyConns = errors.New("httpclient: connection limit reached")
 
@@ -61,7 +57,7 @@
 	// ReuseDelayMs is the time from the end of a response to the next request on its connection.
 	ReuseDelayMs float64
 	// Dial opens connections; nil uses the network of this machine.
-	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	Dial upstream.DialFunc
 }
 
 // ResultHandler receives the results of attempts and probes, each on the goroutine of that attempt or probe.
@@ -90,7 +86,7 @@
 		DialContext:            c.dial,
 		DisableCompression:     true, // the body must pass unchanged
 		MaxIdleConnsPerHost:    max(options.MaxConns, 1),
-		IdleConnTimeout:        clock.Duration(options.ConnIdleTimeoutMs * idleTimeoutFraction),
+		IdleConnTimeout:        clock.Duration(options.ConnIdleTimeoutMs * upstream.IdleTimeoutFraction),
 		MaxResponseHeaderBytes: maxHeadBytes,
 	}
 	return c
@@ -116,10 +112,7 @@
 		c.metrics.Add(connectionsCapped, 1)
 		return nil, errTooManyConns
 	}
-	dial := c.options.Dial
-	if dial == nil {
-		dial = (&net.Dialer{Timeout: clock.Duration(c.options.ConnectTimeoutMs), KeepAlive: -1}).DialContext
-	}
+	dial := c.options.Dial.OrDefault(c.options.ConnectTimeoutMs)
 	netConn, err := dial(ctx, network, addr)
 	if err != nil {
 		c.openConns.Add(-1)
--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -16,7 +16,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"strings"
 
 	"gaugerelay/internal/clock"
@@ -25,6 +24,7 @@
 	"gaugerelay/internal/permission"
 	"gaugerelay/internal/scheduler"
 	"gaugerelay/internal/sftpwire"
+	"gaugerelay/internal/upstream"
 )
 
 // Names of counters.
@@ -44,7 +44,7 @@
 	// Address returns the address of a server's SFTP port; ok is false if the server has none.
 	Address func(server *lifecycle.Server) (address string, ok bool)
 	// Dial opens connections; nil uses the network of this machine.
-	Dial func(ctx context.Context, network, address string) (net.Conn, error)
+	Dial upstream.DialFunc
 }
 
 // Client sends attempts over pooled sessions. It implements lifecycle.Upstream. Its methods may be called from any goroutine.
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -4,16 +4,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"sync"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/upstream"
 )
 
-// idleTimeoutFraction keeps the time that a session may be idle below the server's own idle timeout: a command that is
-// written to a connection which the server has dropped ends as a reset.
-const idleTimeoutFraction = 0.6
-
 var errTooManySessions = errors.New("sftpclient: session limit reached")
 
 // sessionPool holds the idle sessions and bounds the number of sessions that are open. Its methods may be called from any
@@ -49,7 +45,7 @@
 	for sessions := p.idle[address]; len(sessions) > 0; sessions = p.idle[address] {
 		last := sessions[len(sessions)-1]
 		p.idle[address] = sessions[:len(sessions)-1]
-		if now-last.idleSinceMs < p.options.ConnIdleTimeoutMs*idleTimeoutFraction {
+		if now-last.idleSinceMs < p.options.ConnIdleTimeoutMs*upstream.IdleTimeoutFraction {
 			return last, nil
 		}
 		p.count--
@@ -67,11 +63,7 @@
 
 // open opens a session that is counted already.
 func (p *sessionPool) open(ctx context.Context, address string) (*session, error) {
-	dial := p.options.Dial
-	if dial == nil {
-		dialer := net.Dialer{Timeout: clock.Duration(p.options.ConnectTimeoutMs), KeepAlive: -1}
-		dial = dialer.DialContext
-	}
+	dial := p.options.Dial.OrDefault(p.options.ConnectTimeoutMs)
 	conn, err := dial(ctx, "tcp", address)
 	if err != nil {
 		p.mu.Lock()
