--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -105,9 +105,9 @@
 }
 
 // checkAddress returns an error unless the address is host:port.
-func checkAddress(what, address string) error {
+func checkAddress(name, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fmt.Errorf("%s address %q: not host:port", what, address)
+		return fmt.Errorf("%s address %q: not host:port", name, address)
 	}
 	return nil
 }
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -54,10 +54,10 @@
 
 // readDevices reads the values. Absent ones have the defaults that the example file shows.
 func readDevices(r *valueReader, object *fastjson.Value) *Devices {
-	number := func(name string, otherwise float64) float64 { return r.numberOr(otherwise, object, name) }
-	integer := func(name string, otherwise float64) int { return int(number(name, otherwise)) }
-	duration := func(name string, otherwise float64) time.Duration {
-		return clock.Duration(number(name, otherwise))
+	number := func(name string, defaultValue float64) float64 { return r.numberOr(defaultValue, object, name) }
+	integer := func(name string, defaultValue float64) int { return int(number(name, defaultValue)) }
+	duration := func(name string, defaultValue float64) time.Duration {
+		return clock.Duration(number(name, defaultValue))
 	}
 	return &Devices{
 		CoAP:                r.text(object, "coap"),
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -51,10 +51,10 @@
 	return x
 }
 
-// numberOr reads a number; otherwise stands for an absent one, but not for null.
-func (r *valueReader) numberOr(otherwise float64, object *fastjson.Value, name string) float64 {
+// numberOr reads a number; defaultValue stands for an absent one, but not for null.
+func (r *valueReader) numberOr(defaultValue float64, object *fastjson.Value, name string) float64 {
 	if !object.Exists(name) {
-		return otherwise
+		return defaultValue
 	}
 	return r.number(object, name)
 }
@@ -102,9 +102,9 @@
 }
 
 // checkHostPort returns an error unless the address is host:port.
-func checkHostPort(what, address string) error {
+func checkHostPort(name, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fmt.Errorf("%s %q is not host:port", what, address)
+		return fmt.Errorf("%s %q is not host:port", name, address)
 	}
 	return nil
 }
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -114,23 +114,18 @@
 
 // Shutdown closes the idle connections, lets the others finish the commands that they have received, and waits for them. The
 // listener must be closed before.
-func (s *Server) Shutdown() {
-	s.mu.Lock()
-	s.draining = true
-	for c := range s.conns {
-		c.stopReading()
-	}
-	s.mu.Unlock()
-	s.serving.Wait()
-}
+func (s *Server) Shutdown() { s.endConns((*conn).stopReading) }
 
 // Close closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
 // accepted later is not read.
-func (s *Server) Close() {
+func (s *Server) Close() { s.endConns((*conn).abort) }
+
+// endConns calls end for each connection and waits for their goroutines.
+func (s *Server) endConns(end func(*conn)) {
 	s.mu.Lock()
 	s.draining = true
 	for c := range s.conns {
-		c.abort()
+		end(c)
 	}
 	s.mu.Unlock()
 	s.serving.Wait()
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -65,14 +65,14 @@
 
 // serve runs a server in a goroutine of its own, which ends when the server's listener is closed. Any other end is a
 // failure of the gateway.
-func (g *Gateway) serve(what string, run func() error) {
+func (g *Gateway) serve(name string, run func() error) {
 	go func() {
 		err := run()
 		if err == nil || errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
 			return
 		}
 		select {
-		case g.failures <- fmt.Errorf("%s: %w", what, err):
+		case g.failures <- fmt.Errorf("%s: %w", name, err):
 		default:
 		}
 	}()
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -29,16 +29,16 @@
 
 // acquire returns an idle session to the address, or opens one. The caller passes the session to release or discard.
 func (p *sessionPool) acquire(ctx context.Context, address string) (*session, error) {
-	idle, err := p.takeIdleOrReserve(address)
+	idle, err := p.popIdleOrReserve(address)
 	if idle != nil || err != nil {
 		return idle, err
 	}
 	return p.open(ctx, address)
 }
 
-// takeIdleOrReserve returns an idle session to the address. If there is none, it counts a session that the caller opens, and
+// popIdleOrReserve returns an idle session to the address. If there is none, it counts a session that the caller opens, and
 // returns nil.
-func (p *sessionPool) takeIdleOrReserve(address string) (*session, error) {
+func (p *sessionPool) popIdleOrReserve(address string) (*session, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.NowMs()
