--- a/internal/bgp/connection.go
+++ b/internal/bgp/connection.go
@@ -10,6 +10,7 @@
 
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 
+	"gaugerelay/internal/clock"
 	"gaugerelay/internal/logevent"
 )
 
@@ -42,8 +43,8 @@
 			s.handleReceived(session, message)
 			if !established && session.state == stateEstablished {
 				established = true
-				s.metrics.Add("bgp_sessions_established", 1)
-				slog.Info(logevent.BGPSession, "peer", options.PeerAddress, "state", "established")
+				s.metrics.Add(sessionsEstablished, 1)
+				slog.Info(logevent.BGPSession, logevent.Peer, options.PeerAddress, logevent.State, "established")
 			}
 		case s.ready = <-s.readiness:
 			session.setReady(s.ready)
@@ -84,7 +85,7 @@
 
 // handleReceived passes on to the session what has been read.
 func (s *Speaker) handleReceived(session *session, message received) {
-	s.metrics.Add("bgp_messages_received", 1)
+	s.metrics.Add(messagesReceived, 1)
 	if message.err != nil {
 		session.fail(message.err)
 		return
@@ -99,9 +100,9 @@
 			session.end(err)
 			break
 		}
-		s.metrics.Add("bgp_messages_sent", 1)
+		s.metrics.Add(messagesSent, 1)
 		if message.Header.Type == bgp.BGP_MSG_UPDATE {
-			slog.Info(logevent.BGPAnnounced, "peer", s.options.PeerAddress, "announced", session.announced)
+			slog.Info(logevent.BGPAnnounced, logevent.Peer, s.options.PeerAddress, logevent.Announced, session.announced)
 		}
 	}
 	session.outgoing = nil
@@ -117,11 +118,11 @@
 	return err
 }
 
-// startTimer returns a channel that is closed at a time of the clock; at 0 it never is. stop must be called.
+// startTimer returns a channel that is closed at a time of the clock. For atMs 0 it is nil, which never receives. stop must be
+// called.
 func (s *Speaker) startTimer(atMs float64) (fired <-chan struct{}, stop func()) {
-	channel := make(chan struct{})
 	if atMs <= 0 {
-		return channel, func() {}
+		return nil, func() {}
 	}
-	return channel, s.clock.AfterFunc(atMs-s.clock.NowMs(), func() { close(channel) })
+	return clock.After(s.clock, atMs-s.clock.NowMs())
 }
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -11,14 +11,14 @@
 	"gaugerelay/internal/dedup/exchange"
 )
 
-// Bounds of the store of exchanges that operators cannot choose.
+// Bounds of the exchange store that operators cannot choose.
 const (
 	maxWaitingCopies = 4
 	maxBodyBytes     = 64 << 10
 	maxUploadBlocks  = 1024
 )
 
-// Devices sets up the frontends for devices on poor links. An empty address is off.
+// Devices sets up the frontends for devices on poor links. A frontend whose address is empty is disabled.
 type Devices struct {
 	CoAP, HTTP string // addresses
 	// MaxConns bounds the connections of each frontend, MaxOpenRequests the requests open on one of them.
@@ -54,10 +54,10 @@
 
 // readDevices reads the values. Absent ones have the defaults that the example file shows.
 func readDevices(r *valueReader, object *fastjson.Value) *Devices {
-	number := func(name string, otherwise float64) float64 { return r.numberOr(otherwise, object, name) }
-	integer := func(name string, otherwise float64) int { return int(number(name, otherwise)) }
-	duration := func(name string, otherwise float64) time.Duration {
-		return clock.Duration(number(name, otherwise))
+	number := func(name string, defaultValue float64) float64 { return r.numberOr(defaultValue, object, name) }
+	integer := func(name string, defaultValue float64) int { return int(number(name, defaultValue)) }
+	duration := func(name string, defaultValue float64) time.Duration {
+		return clock.Duration(number(name, defaultValue))
 	}
 	return &Devices{
 		CoAP:                r.text(object, "coap"),
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -120,10 +120,10 @@
 // written or the connection is lost. An Abort from the device is not answered.
 func (c *conn) abort(err error) {
 	if errors.Is(err, errAborted) {
-		c.server.Metrics.Add("device_aborts_received", 1)
+		c.server.Metrics.Add(abortsReceived, 1)
 		return
 	}
-	c.server.Metrics.Add("device_aborts", 1)
+	c.server.Metrics.Add(abortsSent, 1)
 	slog.Info(logevent.DeviceError, logevent.Client, c.netConn.RemoteAddr().String(), logevent.Error, err)
 	c.sendAndClose(message.Message{Code: codes.Abort, Payload: []byte(err.Error())})
 	c.mu.Lock()
@@ -133,5 +133,5 @@
 	c.mu.Unlock()
 }
 
-// isCritical returns whether a receiver that does not know the option must reject its message (RFC 7252, 5.4.1).
+// isCritical reports whether a receiver that does not know the option must reject its message (RFC 7252, 5.4.1).
 func isCritical(id message.OptionID) bool { return id%2 == 1 }
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -114,23 +114,18 @@
 
 // Shutdown closes the idle connections, lets the others finish the commands that they have received, and waits for them. The
 // listener must be closed before.
-func (s *Server) Shutdown() {
-	s.mu.Lock()
-	s.draining = true
-	for c := range s.conns {
-		c.stopReading()
-	}
-	s.mu.Unlock()
-	s.serving.Wait()
-}
+func (s *Server) Shutdown() { s.endConns((*conn).stopReading) }
 
 // Close closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
 // accepted later is not read.
-func (s *Server) Close() {
+func (s *Server) Close() { s.endConns((*conn).abort) }
+
+// endConns calls end for each connection and waits for their goroutines.
+func (s *Server) endConns(end func(*conn)) {
 	s.mu.Lock()
 	s.draining = true
 	for c := range s.conns {
-		c.abort()
+		end(c)
 	}
 	s.mu.Unlock()
 	s.serving.Wait()
@@ -186,7 +181,8 @@
 	if truncated, packetType := c.received.truncated(); truncated {
 		// The command never became a request, so nothing else counts it.
 		s.Metrics.Add(commandsTruncated, 1)
-		slog.Info(logevent.SFTPClientError, logevent.Client, client, logevent.Reason, "cut off inside a packet", "type", packetType)
+		slog.Info(logevent.SFTPClientError, logevent.Client, client,
+			logevent.Reason, "cut off inside a packet", logevent.PacketType, packetType)
 		return
 	}
 	if !isOrdinaryEnd(err) {
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"syscall"
 
+	"gaugerelay/internal/clock"
 	"gaugerelay/internal/socketstate"
 )
 
@@ -105,7 +106,7 @@
 }
 
 // startRequest records that bytes of a request are about to be written, or returns errConnStale if the connection can't be
-// used for it any more. t is nil for a probe.
+// used for it any more. attempt is nil for a probe.
 func (c *conn) startRequest(attempt *attemptState) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +138,7 @@
 	}
 	c.mu.Unlock()
 	if waitMs > 0 {
-		elapsed := make(chan struct{})
-		c.client.clock.AfterFunc(waitMs, func() { close(elapsed) })
+		elapsed, _ := clock.After(c.client.clock, waitMs)
 		<-elapsed
 	}
 }
