--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -87,7 +87,7 @@
 
 // Step processes the messages that were received until nowMs and all timers that have expired. It returns the messages
 // to send and the state changes that result. Successive calls must not pass decreasing times.
-func (l *Memberlist) Step(nowMs float64, incoming []Message) (outgoing []Message, changes []StateChange) {
+func (l *Memberlist) Step(nowMs float64, received []Message) (outgoing []Message, changes []StateChange) {
 	l.outgoing, l.changes = nil, nil
 	switch {
 	case !l.started:
@@ -97,7 +97,7 @@
 		l.resumeAfterPause(nowMs, nowMs-l.lastStepMs)
 	}
 	l.lastStepMs = nowMs
-	for _, m := range incoming {
+	for _, m := range received {
 		l.receive(nowMs, m)
 	}
 	l.runTimers(nowMs)
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -74,7 +74,7 @@
 
 // Step applies the reports of peers and returns the reports to send to all peers and the servers that are ejected now.
 // nowMs must not decrease from call to call.
-func (d *Detector) Step(nowMs float64, received []Report) (toSend []Report, ejections []Ejection) {
+func (d *Detector) Step(nowMs float64, received []Report) (outgoing []Report, ejections []Ejection) {
 	for _, report := range received {
 		d.receive(nowMs, report)
 	}
@@ -85,7 +85,7 @@
 		for _, condition := range conditions {
 			percent := s.observedPercent(condition, &d.settings)
 			if d.isReportDue(nowMs, s.ownReports[condition], percent) {
-				toSend = append(toSend, d.newReport(nowMs, s, condition, percent))
+				outgoing = append(outgoing, d.newReport(nowMs, s, condition, percent))
 			}
 			if ejection, ok := d.evaluate(nowMs, s, condition, percent); ok {
 				candidates = append(candidates, ejection)
@@ -93,7 +93,7 @@
 		}
 	}
 	d.ejections = d.selectEjections(candidates)
-	return toSend, d.ejections
+	return outgoing, d.ejections
 }
 
 // receive stores the report of a peer if it is valid and recent.
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -16,21 +16,21 @@
 	}
 	packets := packetSet{template: datagram.Packet{From: s.options.Self, Incarnation: s.options.Incarnation}}
 	for _, m := range outbox.membership {
-		p := packets.to(m.Peer)
+		p := packets.packetFor(m.Peer)
 		p.Membership = append(p.Membership, m)
 	}
 	for _, m := range outbox.quota {
-		p := packets.to(m.Peer)
+		p := packets.packetFor(m.Peer)
 		p.Quota = append(p.Quota, m)
 	}
 	if len(outbox.outlierReports) > 0 {
 		for _, peer := range s.reportRecipients() {
-			packets.to(peer).OutlierReports = outbox.outlierReports
+			packets.packetFor(peer).OutlierReports = outbox.outlierReports
 		}
 	}
 	if len(outbox.latencyReports) > 0 {
 		for _, peer := range s.reportRecipients() {
-			packets.to(peer).LatencyReports = outbox.latencyReports
+			packets.packetFor(peer).LatencyReports = outbox.latencyReports
 		}
 	}
 	s.sendPackets(packets)
@@ -70,8 +70,8 @@
 	packets    []*datagram.Packet // parallel to recipients
 }
 
-// to returns the packet for a recipient.
-func (s *packetSet) to(peer uint16) *datagram.Packet {
+// packetFor returns the packet for a recipient.
+func (s *packetSet) packetFor(peer uint16) *datagram.Packet {
 	if i := slices.Index(s.recipients, peer); i >= 0 {
 		return s.packets[i]
 	}
--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -49,11 +49,11 @@
 
 // Step processes the reports of peers. It returns the own reports to send to all peers, if a round of reports is due, and
 // the estimates that have changed. Successive calls must not pass decreasing times.
-func (a *Aggregator) Step(nowMs float64, incoming []Report) (outgoing []Report, estimates []Estimate) {
-	for _, r := range incoming {
+func (a *Aggregator) Step(nowMs float64, received []Report) (outgoing []Report, estimates []Estimate) {
+	for _, r := range received {
 		a.receive(nowMs, r)
 	}
-	if len(incoming) > 0 {
+	if len(received) > 0 {
 		estimates = a.updatedEstimates(nowMs)
 	}
 	if nowMs < a.lastReportMs+a.settings.ReportIntervalMs {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -30,7 +30,7 @@
 // Step applies the demands and messages that have arrived, in that order, and returns the messages to send and the shares
 // that have changed. nowMs must not decrease from call to call. A gateway calls Step before it uses any quota, since
 // leases expire by time alone.
-func (a *Allocator) Step(nowMs float64, demands []Demand, received []Message) (toSend []Message, changed []Share) {
+func (a *Allocator) Step(nowMs float64, demands []Demand, received []Message) (outgoing []Message, changed []Share) {
 	if !a.started {
 		a.started, a.startMs = true, nowMs
 	}
@@ -38,19 +38,19 @@
 		a.recordDemand(nowMs, demand)
 	}
 	for _, message := range received {
-		toSend = append(toSend, a.receive(nowMs, message)...)
+		outgoing = append(outgoing, a.receive(nowMs, message)...)
 	}
 	for _, id := range a.order {
 		p := a.pools[id]
 		p.expire(nowMs, a.settings.LeaseMs)
-		toSend = append(toSend, a.balance(p, nowMs)...)
+		outgoing = append(outgoing, a.balance(p, nowMs)...)
 		if available := a.available(p, nowMs); available != p.reportedFraction {
 			p.reportedFraction = available
 			changed = append(changed, Share{Pool: p.id, Fraction: available})
 		}
 	}
 	a.removeIdlePools(nowMs)
-	return toSend, changed
+	return outgoing, changed
 }
 
 // AvailableFraction returns the fraction of a pool that this gateway may use at nowMs, or 0 for a pool without state.
--- a/internal/quota/network_test.go
+++ b/internal/quota/network_test.go
@@ -105,8 +105,8 @@
 	if g.demand >= 0 {
 		demands = []Demand{{Pool: testPool, Gateways: len(net.gateways), Fraction: g.demand}}
 	}
-	toSend, _ := g.allocator.Step(net.clock(g), demands, received)
-	for _, message := range toSend {
+	outgoing, _ := g.allocator.Step(net.clock(g), demands, received)
+	for _, message := range outgoing {
 		net.inFlight = append(net.inFlight, packet{uint16(i), message})
 	}
 }
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -64,8 +64,8 @@
 		if len(inboxes[i]) == 0 && len(demands[i]) == 0 {
 			continue
 		}
-		toSend, _ := allocator.Step(nowMs, demands[i], inboxes[i])
-		net.send(tick, uint16(i), toSend)
+		outgoing, _ := allocator.Step(nowMs, demands[i], inboxes[i])
+		net.send(tick, uint16(i), outgoing)
 	}
 }
 
--- a/internal/testbed/chaos/client.go
+++ b/internal/testbed/chaos/client.go
@@ -44,7 +44,7 @@
 type clientGroup struct {
 	gateway int
 	addr    string
-	rnd     *rand.Rand // used by sendRequests alone
+	random  *rand.Rand // used by sendRequests alone
 
 	mu       sync.Mutex
 	idle     []net.Conn
@@ -53,7 +53,7 @@
 }
 
 func newClientGroup(gateway int, addr string, seed uint64) *clientGroup {
-	return &clientGroup{gateway: gateway, addr: addr, rnd: rand.New(rand.NewPCG(seed, uint64(clientStream+gateway)))}
+	return &clientGroup{gateway: gateway, addr: addr, random: rand.New(rand.NewPCG(seed, uint64(clientStream+gateway)))}
 }
 
 // sendRequests sends requests at a mean rate per second until stop is closed. Each request runs in a goroutine of the
@@ -73,25 +73,25 @@
 
 // drawGap draws the time between two requests.
 func (c *clientGroup) drawGap(rate float64) time.Duration {
-	return time.Duration(c.rnd.ExpFloat64() / rate * float64(time.Second))
+	return time.Duration(c.random.ExpFloat64() / rate * float64(time.Second))
 }
 
 // drawRequest draws the next request and records it.
 func (c *clientGroup) drawRequest(shards int) *request {
-	r := &request{gateway: c.gateway, class: &classes[c.rnd.IntN(len(classes))], shard: c.rnd.IntN(shards), units: 1 + c.rnd.IntN(maxTypicalUnits)}
-	if c.rnd.IntN(largeRequestOneIn) == 0 {
+	r := &request{gateway: c.gateway, class: &classes[c.random.IntN(len(classes))], shard: c.random.IntN(shards), units: 1 + c.random.IntN(maxTypicalUnits)}
+	if c.random.IntN(largeRequestOneIn) == 0 {
 		r.units = maxUnits
 	}
 	r.deadline = r.class.deadline
-	switch draw := c.rnd.Float64(); {
+	switch draw := c.random.Float64(); {
 	case draw < cancelBelow:
-		r.cancelAfter = time.Duration(c.rnd.ExpFloat64() * float64(meanCancelDelay))
+		r.cancelAfter = time.Duration(c.random.ExpFloat64() * float64(meanCancelDelay))
 	case draw < shortDeadlineBelow:
-		r.deadline = time.Duration(1+c.rnd.IntN(maxShortDeadlineMs)) * time.Millisecond
+		r.deadline = time.Duration(1+c.random.IntN(maxShortDeadlineMs)) * time.Millisecond
 	case draw < incompleteBelow:
 		r.incomplete = true
 	}
-	if r.class.write && r.class.idempotency == idempotentWithKey && c.rnd.IntN(anyShardOneIn) == 0 {
+	if r.class.write && r.class.idempotency == idempotentWithKey && c.random.IntN(anyShardOneIn) == 0 {
 		r.shard = anyShard
 	}
 	c.mu.Lock()
--- a/internal/testbed/chaos/client_test.go
+++ b/internal/testbed/chaos/client_test.go
@@ -15,7 +15,7 @@
 		clients := newClientGroup(test.gateway, "", 1)
 		hash := fnv.New64a()
 		for range 2000 {
-			gap := clients.rnd.ExpFloat64() / 12.0
+			gap := clients.random.ExpFloat64() / 12.0
 			r := clients.drawRequest(4)
 			_, _ = fmt.Fprintf(hash, "%v %s %v %v\n", gap, r.message(), r.cancelAfter, r.incomplete) // a hash never fails
 		}
--- a/internal/testbed/chaos/faults.go
+++ b/internal/testbed/chaos/faults.go
@@ -10,8 +10,8 @@
 type fault struct {
 	name   string
 	weight int // how often it is drawn, relative to the others
-	// inject injects the fault and returns when it is over. It takes its random choices from rnd alone.
-	inject func(h *harness, rnd *rand.Rand)
+	// inject injects the fault and returns when it is over. It takes its random choices from random alone.
+	inject func(h *harness, random *rand.Rand)
 }
 
 // faults are all kinds. Their order and weights decide which fault a seed draws.
@@ -35,8 +35,8 @@
 
 // Times without new faults: at the beginning of a run, and at its end, where the effects of earlier ones have to show.
 const (
-	warmUp   = time.Second
-	coolDown = 2 * time.Second
+	initialFaultFreeTime = time.Second
+	finalFaultFreeTime   = 2 * time.Second
 )
 
 // meanFaultInterval is the mean time between two faults. It is shorter than most faults last, so that they overlap.
@@ -44,20 +44,20 @@
 
 // faultSchedule draws the faults of a run from its seed.
 type faultSchedule struct {
-	rnd  *rand.Rand
-	pool []*fault // each as often as its weight says
+	random *rand.Rand
+	pool   []*fault // each as often as its weight says
 }
 
 // scheduledFault is a fault with its own random numbers and the pause that follows its start.
 type scheduledFault struct {
 	*fault
-	rnd   *rand.Rand
-	pause time.Duration
+	random *rand.Rand
+	pause  time.Duration
 }
 
 // newFaultSchedule returns the schedule of a seed with the faults that are named, or all if none is.
 func newFaultSchedule(seed uint64, names []string) *faultSchedule {
-	schedule := &faultSchedule{rnd: rand.New(rand.NewPCG(seed, faultScheduleStream))}
+	schedule := &faultSchedule{random: rand.New(rand.NewPCG(seed, faultScheduleStream))}
 	for i := range faults {
 		if len(names) > 0 && !slices.Contains(names, faults[i].name) {
 			continue
@@ -71,17 +71,17 @@
 
 // next draws the next fault. The schedule must not be empty.
 func (s *faultSchedule) next() scheduledFault {
-	drawn := s.pool[s.rnd.IntN(len(s.pool))]
-	ownRnd := rand.New(rand.NewPCG(s.rnd.Uint64(), singleFaultStream))
-	pause := time.Duration(s.rnd.ExpFloat64() * float64(meanFaultInterval))
-	return scheduledFault{fault: drawn, rnd: ownRnd, pause: pause}
+	drawn := s.pool[s.random.IntN(len(s.pool))]
+	ownRandom := rand.New(rand.NewPCG(s.random.Uint64(), singleFaultStream))
+	pause := time.Duration(s.random.ExpFloat64() * float64(meanFaultInterval))
+	return scheduledFault{fault: drawn, random: ownRandom, pause: pause}
 }
 
 // injectFaults starts faults one after the other, without waiting for the end of each.
 func (h *harness) injectFaults() {
 	schedule := newFaultSchedule(h.options.Seed, h.options.Faults)
-	end := h.startedAt.Add(h.options.Duration - coolDown)
-	if !h.sleep(warmUp) || len(schedule.pool) == 0 {
+	end := h.startedAt.Add(h.options.Duration - finalFaultFreeTime)
+	if !h.sleep(initialFaultFreeTime) || len(schedule.pool) == 0 {
 		return
 	}
 	for time.Now().Before(end) {
@@ -90,7 +90,7 @@
 		h.faultCount++
 		h.mu.Unlock()
 		h.log.Printf("(fault: %s)", next.name)
-		h.goroutines.Go(func() { next.inject(h, next.rnd) })
+		h.goroutines.Go(func() { next.inject(h, next.random) })
 		if !h.sleep(next.pause) {
 			return
 		}
@@ -98,6 +98,6 @@
 }
 
 // randomDuration draws a duration of a range, in which all are equally likely.
-func randomDuration(rnd *rand.Rand, shortest, longest time.Duration) time.Duration {
-	return shortest + time.Duration(rnd.Float64()*float64(longest-shortest))
+func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(random.Float64()*float64(longest-shortest))
 }
--- a/internal/testbed/chaos/faults_test.go
+++ b/internal/testbed/chaos/faults_test.go
@@ -37,7 +37,7 @@
 		{"replace", 0x16221d71f920ce1d},
 		{"kill", 0xa23010a920e79d4d},
 	} {
-		if next := schedule.next(); next.name != want.name || next.rnd.Uint64() != want.ownNumber {
+		if next := schedule.next(); next.name != want.name || next.random.Uint64() != want.ownNumber {
 			t.Errorf("fault %d is %s, or has other random numbers, want %s", i, next.name, want.name)
 		}
 	}
--- a/internal/testbed/chaos/gatewayfaults.go
+++ b/internal/testbed/chaos/gatewayfaults.go
@@ -13,9 +13,9 @@
 const reloadTime = 100 * time.Millisecond
 
 // onRandomGateways runs a function on a few random gateways at once. Those that another fault affects are left out.
-func (h *harness) onRandomGateways(rnd *rand.Rand, inject func(g *gateway)) {
-	for range 1 + rnd.IntN(max(1, len(h.gateways)/gatewaysPerFault)) {
-		g := h.gateways[rnd.IntN(len(h.gateways))]
+func (h *harness) onRandomGateways(random *rand.Rand, inject func(g *gateway)) {
+	for range 1 + random.IntN(max(1, len(h.gateways)/gatewaysPerFault)) {
+		g := h.gateways[random.IntN(len(h.gateways))]
 		h.goroutines.Go(func() {
 			if !g.faultMu.TryLock() {
 				return
@@ -29,9 +29,9 @@
 }
 
 // killGateways kills gateways and starts them again later.
-func killGateways(h *harness, rnd *rand.Rand) {
-	downTime := randomDuration(rnd, 50*time.Millisecond, 1500*time.Millisecond)
-	h.onRandomGateways(rnd, func(g *gateway) {
+func killGateways(h *harness, random *rand.Rand) {
+	downTime := randomDuration(random, 50*time.Millisecond, 1500*time.Millisecond)
+	h.onRandomGateways(random, func(g *gateway) {
 		h.recordMetricViolations(g)
 		end := h.beginInterval(&g.kills)
 		g.Kill()
@@ -42,8 +42,8 @@
 }
 
 // stopGateways lets gateways shut down gracefully and starts them again.
-func stopGateways(h *harness, rnd *rand.Rand) {
-	h.onRandomGateways(rnd, func(g *gateway) {
+func stopGateways(h *harness, random *rand.Rand) {
+	h.onRandomGateways(random, func(g *gateway) {
 		h.recordMetricViolations(g)
 		end := h.beginInterval(&g.terminations)
 		if !g.Stop() {
@@ -55,9 +55,9 @@
 }
 
 // pauseGateways stops the execution of gateways for a while.
-func pauseGateways(h *harness, rnd *rand.Rand) {
-	pause := randomDuration(rnd, 50*time.Millisecond, 3*time.Second)
-	h.onRandomGateways(rnd, func(g *gateway) {
+func pauseGateways(h *harness, random *rand.Rand) {
+	pause := randomDuration(random, 50*time.Millisecond, 3*time.Second)
+	h.onRandomGateways(random, func(g *gateway) {
 		end := h.beginInterval(&g.pauses)
 		g.Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
@@ -67,8 +67,8 @@
 }
 
 // reloadGateways makes gateways read a configuration that names their other discovery address.
-func reloadGateways(h *harness, rnd *rand.Rand) {
-	h.onRandomGateways(rnd, func(g *gateway) {
+func reloadGateways(h *harness, random *rand.Rand) {
+	h.onRandomGateways(random, func(g *gateway) {
 		g.discoveryAddr = 1 - g.discoveryAddr
 		if err := h.writeConfig(g); err == nil {
 			g.Signal(syscall.SIGHUP)
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -35,7 +35,7 @@
 	listener  net.Listener
 
 	mu             sync.Mutex
-	rnd            *rand.Rand
+	random         *rand.Rand
 	behavior       behavior
 	behaviorEnd    time.Time
 	draining       bool
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	s := &server{name: options.name, shard: options.shard, addr: ln.Addr().String(), startedAt: options.startedAt, listener: ln,
-		rnd: rand.New(rand.NewPCG(options.seed, uint64(options.shard))), conns: map[net.Conn]bool{}, idle: map[net.Conn]bool{}}
+		random: rand.New(rand.NewPCG(options.seed, uint64(options.shard))), conns: map[net.Conn]bool{}, idle: map[net.Conn]bool{}}
 	go s.acceptConns()
 	return s, nil
 }
@@ -216,8 +216,8 @@
 	e := execution{behavior: s.currentBehavior()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e.duration = time.Duration(s.rnd.ExpFloat64() * meanServiceMs * a.units / meanUnits * float64(time.Millisecond))
-	e.chance = s.rnd.Float64()
+	e.duration = time.Duration(s.random.ExpFloat64() * meanServiceMs * a.units / meanUnits * float64(time.Millisecond))
+	e.chance = s.random.Float64()
 	e.rejected = s.draining && s.rejectRequests
 	if !e.rejected {
 		a.executed = true
--- a/internal/testbed/chaos/serverfaults.go
+++ b/internal/testbed/chaos/serverfaults.go
@@ -20,11 +20,11 @@
 const shardsPerFault = 3
 
 // replaceServers drains the servers of some shards and puts others in their places.
-func replaceServers(h *harness, rnd *rand.Rand) {
-	for range 1 + rnd.IntN(max(1, h.options.Shards/shardsPerFault)) {
-		shard := rnd.IntN(h.options.Shards)
-		rejectWhileDraining := rnd.IntN(2) == 0
-		gap := randomDuration(rnd, 0, time.Second)
+func replaceServers(h *harness, random *rand.Rand) {
+	for range 1 + random.IntN(max(1, h.options.Shards/shardsPerFault)) {
+		shard := random.IntN(h.options.Shards)
+		rejectWhileDraining := random.IntN(2) == 0
+		gap := randomDuration(random, 0, time.Second)
 		drained, replacement, err := h.beginReplacement(shard)
 		if errors.Is(err, errReplacing) {
 			continue
@@ -73,9 +73,9 @@
 }
 
 // restartServer ends a server and starts it again under its name and address: a new incarnation in slow start.
-func restartServer(h *harness, rnd *rand.Rand) {
-	shard := rnd.IntN(h.options.Shards)
-	downTime := randomDuration(rnd, 0, time.Second)
+func restartServer(h *harness, random *rand.Rand) {
+	shard := random.IntN(h.options.Shards)
+	downTime := randomDuration(random, 0, time.Second)
 	old, ok := h.claimForRestart(shard)
 	if !ok {
 		return
@@ -115,11 +115,11 @@
 }
 
 // changeServerBehavior makes a server misbehave for a while.
-func changeServerBehavior(h *harness, rnd *rand.Rand) {
-	misbehavior := behavior(1 + rnd.IntN(int(behaviorCount)-1))
-	duration := randomDuration(rnd, 200*time.Millisecond, 4*time.Second)
+func changeServerBehavior(h *harness, random *rand.Rand) {
+	misbehavior := behavior(1 + random.IntN(int(behaviorCount)-1))
+	duration := randomDuration(random, 200*time.Millisecond, 4*time.Second)
 	h.mu.Lock()
-	s := h.current[rnd.IntN(h.options.Shards)]
+	s := h.current[random.IntN(h.options.Shards)]
 	h.mu.Unlock()
 	s.setBehavior(misbehavior, duration)
 }
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -63,7 +63,7 @@
 	byzantine *byzantinePeer
 	gateways  []*process.Process
 	links     [][]*datagramProxy // by sender and receiver; nil from a gateway to itself
-	rnd       *rand.Rand         // used by scenarios alone
+	random    *rand.Rand         // used by scenarios alone
 
 	stop       chan struct{}  // closed when the traffic has to end
 	goroutines sync.WaitGroup // traffic and the stall detector
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c = &Cluster{options: options, rnd: rand.New(rand.NewPCG(options.Seed, scenarioStream)), log: process.NewLog(), dir: dir,
+	c = &Cluster{options: options, random: rand.New(rand.NewPCG(options.Seed, scenarioStream)), log: process.NewLog(), dir: dir,
 		primaryHosts: make([]int, options.Volumes), stop: make(chan struct{})}
 	if err := c.start(); err != nil {
 		c.Close()
--- a/internal/testbed/cluster/datagramproxy.go
+++ b/internal/testbed/cluster/datagramproxy.go
@@ -14,7 +14,7 @@
 
 // DatagramFaults are the faults of datagrams from one gateway to another. The zero value is a good link.
 type DatagramFaults struct {
-	Cut           bool    // all datagrams are lost
+	Partitioned   bool    // all datagrams are lost
 	LossRate      float64 // fraction of datagrams that are lost
 	DuplicateRate float64 // fraction of datagrams that arrive twice
 	BitFlipRate   float64 // fraction of datagrams in which one bit is inverted
@@ -28,7 +28,7 @@
 	to   net.Addr
 
 	mu        sync.Mutex
-	rnd       *rand.Rand
+	random    *rand.Rand
 	faults    DatagramFaults
 	forwarded int // datagrams sent, a duplicate counts twice
 	impaired  int // datagrams lost, duplicated or changed
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &datagramProxy{conn: conn, to: toAddr, rnd: rand.New(rand.NewPCG(seed, datagramStream))}
+	p := &datagramProxy{conn: conn, to: toAddr, random: rand.New(rand.NewPCG(seed, datagramStream))}
 	go p.run()
 	return p, nil
 }
@@ -82,8 +82,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	copies := p.drawCopies()
-	if p.rnd.Float64() < p.faults.BitFlipRate {
-		datagram[p.rnd.IntN(len(datagram))] ^= 1 << p.rnd.IntN(8)
+	if p.random.Float64() < p.faults.BitFlipRate {
+		datagram[p.random.IntN(len(datagram))] ^= 1 << p.random.IntN(8)
 		p.impaired++
 	}
 	if copies != 1 {
@@ -91,7 +91,7 @@
 	}
 	p.forwarded += copies
 	for range copies {
-		delayMs := p.faults.DelayMs + p.faults.JitterMs*p.rnd.Float64()
+		delayMs := p.faults.DelayMs + p.faults.JitterMs*p.random.Float64()
 		if delayMs == 0 {
 			p.send(datagram)
 			continue
@@ -102,9 +102,9 @@
 
 // drawCopies draws how often a datagram arrives. p.mu must be held.
 func (p *datagramProxy) drawCopies() int {
-	draw := p.rnd.Float64()
+	draw := p.random.Float64()
 	switch {
-	case p.faults.Cut || draw < p.faults.LossRate:
+	case p.faults.Partitioned || draw < p.faults.LossRate:
 		return 0
 	case draw < p.faults.LossRate+p.faults.DuplicateRate:
 		return 2
--- a/internal/testbed/cluster/datagramproxy_test.go
+++ b/internal/testbed/cluster/datagramproxy_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	for _, faults := range []DatagramFaults{{Cut: true}, {LossRate: 1}} {
+	for _, faults := range []DatagramFaults{{Partitioned: true}, {LossRate: 1}} {
 		p.setFaults(faults)
 		write(t, sender, "lost")
 		waitUntilImpaired(p, 3)
@@ -60,7 +60,7 @@
 	p.setFaults(DatagramFaults{})
 	write(t, sender, "again")
 	if n, _, err := receiver.ReadFrom(buffer); err != nil || string(buffer[:n]) != "again" {
-		t.Errorf("after a cut: received %q, %v", buffer[:n], err)
+		t.Errorf("after the faults: received %q, %v", buffer[:n], err)
 	}
 }
 
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -16,22 +16,22 @@
 	c.setLinks(func(int, int) DatagramFaults { return DatagramFaults{} })
 }
 
-// partition cuts the links between gateways of a side and the others, in both directions.
+// partition partitions the gateways of a side from the others, in both directions.
 func (c *Cluster) partition(side func(gateway int) bool) {
 	c.log.Printf("(partition)")
-	c.cutLinks(func(from, to int) bool { return side(from) != side(to) })
+	c.partitionLinks(func(from, to int) bool { return side(from) != side(to) })
 }
 
-// partitionOneWay cuts the links from gateways of a side to the others.
+// partitionOneWay makes the links from the gateways of a side to the others lose all datagrams.
 func (c *Cluster) partitionOneWay(side func(gateway int) bool) {
 	c.log.Printf("(partition in one direction)")
-	c.cutLinks(func(from, to int) bool { return side(from) && !side(to) })
+	c.partitionLinks(func(from, to int) bool { return side(from) && !side(to) })
 }
 
-// cutLinks cuts links, heals the others, and counts a partition.
-func (c *Cluster) cutLinks(isCut func(from, to int) bool) {
+// partitionLinks makes the selected links lose all datagrams, heals the others, and counts a partition.
+func (c *Cluster) partitionLinks(isPartitioned func(from, to int) bool) {
 	c.updateResult(func(result *Result) { result.Partitions++ })
-	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Cut: isCut(from, to)} })
+	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Partitioned: isPartitioned(from, to)} })
 }
 
 func (c *Cluster) kill(gateway int) {
--- a/internal/testbed/cluster/partitionscenarios.go
+++ b/internal/testbed/cluster/partitionscenarios.go
@@ -43,15 +43,15 @@
 }
 
 func loseAcknowledgements(c *Cluster) {
-	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Cut: from > to, DelayMs: 3} })
+	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Partitioned: from > to, DelayMs: 3} })
 	c.rotatePrimaryHosts()
 	c.wait(2 * time.Second)
 	c.healLinks()
 	c.wait(500 * time.Millisecond)
 }
 
-func cutAllLinks(c *Cluster) {
-	c.cutLinks(func(int, int) bool { return true })
+func partitionAllLinks(c *Cluster) {
+	c.partitionLinks(func(int, int) bool { return true })
 	c.rotatePrimaryHosts()
 	c.wait(2500 * time.Millisecond)
 	c.healLinks()
--- a/internal/testbed/cluster/processscenarios.go
+++ b/internal/testbed/cluster/processscenarios.go
@@ -7,9 +7,9 @@
 
 func killLeaseHolders(c *Cluster) {
 	for range 3 {
-		gateway := c.rnd.IntN(len(c.gateways))
+		gateway := c.random.IntN(len(c.gateways))
 		c.kill(gateway)
-		c.wait(time.Duration(100+c.rnd.IntN(900)) * time.Millisecond)
+		c.wait(time.Duration(100+c.random.IntN(900)) * time.Millisecond)
 		c.restart(gateway)
 		c.rotatePrimaryHosts()
 		c.wait(700 * time.Millisecond)
@@ -18,7 +18,7 @@
 
 func pauseLeaseHolders(c *Cluster) {
 	for range 2 {
-		gateway := c.rnd.IntN(len(c.gateways))
+		gateway := c.random.IntN(len(c.gateways))
 		c.rotatePrimaryHosts()
 		c.wait(800 * time.Millisecond)
 		c.pause(gateway, time.Duration(2.5*c.options.LeaseMs)*time.Millisecond)
@@ -63,7 +63,7 @@
 
 // runOneWithoutGossip runs a gateway as versions before gossip do.
 func runOneWithoutGossip(c *Cluster) {
-	gateway := c.gateways[c.rnd.IntN(len(c.gateways))]
+	gateway := c.gateways[c.random.IntN(len(c.gateways))]
 	args := gateway.Args
 	c.kill(gateway.Index)
 	gateway.Args = nil
--- a/internal/testbed/cluster/scenarios.go
+++ b/internal/testbed/cluster/scenarios.go
@@ -16,7 +16,7 @@
 	{"gateways with granted and held leases killed and restarted", killLeaseHolders},
 	{"lease holder paused past its lease, resumed with a full inbox", pauseLeaseHolders},
 	{"most of the fleet killed at once", killMostGateways},
-	{"no datagrams between any gateways", cutAllLinks},
+	{"no datagrams between any gateways", partitionAllLinks},
 	{"graceful shutdown one after the other, under load", stopGateways},
 	{"paused and killed during a partition", pauseAndKillInPartition},
 	{"a server fails for all gateways", failServerForAll},
--- a/internal/testbed/cluster/traffic.go
+++ b/internal/testbed/cluster/traffic.go
@@ -58,19 +58,19 @@
 
 // requestSource draws the requests of one volume.
 type requestSource struct {
-	rnd    *rand.Rand
+	random *rand.Rand
 	hosts  int
 	shards int
 }
 
 func newRequestSource(options *Options, volume int) *requestSource {
-	return &requestSource{rnd: rand.New(rand.NewPCG(options.Seed, uint64(trafficStream+volume))), hosts: options.HostsPerVolume,
+	return &requestSource{random: rand.New(rand.NewPCG(options.Seed, uint64(trafficStream+volume))), hosts: options.HostsPerVolume,
 		shards: options.Shards}
 }
 
 // drawGap draws the time between two requests, for a load that is a multiple of the volume's limit.
 func (s *requestSource) drawGap(load float64) time.Duration {
-	return time.Duration(s.rnd.ExpFloat64() / (load * limitRate / meanUnits) * float64(time.Second))
+	return time.Duration(s.random.ExpFloat64() / (load * limitRate / meanUnits) * float64(time.Second))
 }
 
 // drawnRequest is a request of a volume.
@@ -83,14 +83,14 @@
 // drawRequest draws the next request. Nearly all go to the primary host.
 func (s *requestSource) drawRequest(primaryHost int) drawnRequest {
 	drawn := drawnRequest{host: primaryHost}
-	if s.rnd.IntN(otherHostOneIn) == 0 {
-		drawn.host = s.rnd.IntN(s.hosts)
+	if s.random.IntN(otherHostOneIn) == 0 {
+		drawn.host = s.random.IntN(s.hosts)
 	}
-	drawn.units = 1 + s.rnd.IntN(maxTypicalUnits)
-	if s.rnd.IntN(largeRequestOneIn) == 0 {
+	drawn.units = 1 + s.random.IntN(maxTypicalUnits)
+	if s.random.IntN(largeRequestOneIn) == 0 {
 		drawn.units = int(maxUnits)
 	}
-	drawn.shard = s.rnd.IntN(s.shards)
+	drawn.shard = s.random.IntN(s.shards)
 	return drawn
 }
 
--- a/internal/testbed/cluster/traffic_test.go
+++ b/internal/testbed/cluster/traffic_test.go
@@ -15,7 +15,7 @@
 		source := newRequestSource(&Options{Seed: 1, HostsPerVolume: 3, Shards: 4}, test.volume)
 		hash := fnv.New64a()
 		for range 2000 {
-			gap := source.rnd.ExpFloat64()
+			gap := source.random.ExpFloat64()
 			drawn := source.drawRequest(1)
 			_, _ = fmt.Fprintf(hash, "%v %d %d %d\n", gap, drawn.host, drawn.units, drawn.shard) // a hash never fails
 		}
--- a/internal/testbed/fakefileserver/handlers.go
+++ b/internal/testbed/fakefileserver/handlers.go
@@ -44,8 +44,8 @@
 	attrs = attrs[4:]
 	for range count {
 		var name, value string
-		name, attrs = cutString(attrs)
-		value, attrs = cutString(attrs)
+		name, attrs = readString(attrs)
+		value, attrs = readString(attrs)
 		if name == sftpwire.AttrUploadKey {
 			return value
 		}
@@ -53,9 +53,9 @@
 	return ""
 }
 
-// cutString returns the string that data begins with, after its length, and what follows it. If data does not hold a whole
+// readString returns the string that data begins with, after its length, and what follows it. If data does not hold a whole
 // string, it returns an empty one and data.
-func cutString(data []byte) (text string, rest []byte) {
+func readString(data []byte) (text string, rest []byte) {
 	if len(data) < 4 {
 		return "", data
 	}
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -64,13 +64,13 @@
 	options Options
 
 	mu             sync.Mutex
-	rnd            *rand.Rand
+	random         *rand.Rand
 	acceptFailures int // accepts that are still to fail in a row
 }
 
 // New returns a network.
 func New(options Options) *Network {
-	return &Network{options: options, rnd: rand.New(rand.NewPCG(options.Seed, randomStream))}
+	return &Network{options: options, random: rand.New(rand.NewPCG(options.Seed, randomStream))}
 }
 
 // Errors with which system calls fail. The order decides which one a seed draws.
@@ -84,7 +84,7 @@
 func (n *Network) draw(rate float64, errnos []syscall.Errno) (errno syscall.Errno, fails bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return errnos[n.rnd.IntN(len(errnos))], n.rnd.Float64() < rate
+	return errnos[n.random.IntN(len(errnos))], n.random.Float64() < rate
 }
 
 // drawAccept draws whether an accept fails. Failures come in rows.
@@ -93,7 +93,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if fails {
-		n.acceptFailures = 1 + n.rnd.IntN(maxAcceptFailures)
+		n.acceptFailures = 1 + n.random.IntN(maxAcceptFailures)
 	}
 	if n.acceptFailures == 0 {
 		return 0, false
--- a/internal/testbed/membershipsim/simulation.go
+++ b/internal/testbed/membershipsim/simulation.go
@@ -32,7 +32,7 @@
 	random          *rand.Rand
 	members         []*member
 	queue           eventQueue
-	isCut           func(from, to int) bool
+	isPartitioned   func(from, to int) bool
 	lastIncarnation uint32
 	codec           *datagram.Codec
 }
@@ -102,12 +102,12 @@
 	s.step(number, received)
 }
 
-// Partition makes the links lose all messages for which isCut returns true. A nil function repairs all links.
-func (s *Simulation) Partition(isCut func(from, to int) bool) {
-	if isCut == nil {
-		isCut = func(int, int) bool { return false }
+// Partition makes the links lose all messages for which isPartitioned returns true. A nil function repairs all links.
+func (s *Simulation) Partition(isPartitioned func(from, to int) bool) {
+	if isPartitioned == nil {
+		isPartitioned = func(int, int) bool { return false }
 	}
-	s.isCut = isCut
+	s.isPartitioned = isPartitioned
 }
 
 // Run advances the simulated time.
@@ -171,7 +171,7 @@
 		return
 	}
 	m.deadSinceMs[subject] = s.NowMs
-	if s.members[subject].isRunning() && !s.isCut(number, subject) {
+	if s.members[subject].isRunning() && !s.isPartitioned(number, subject) {
 		s.FalseDeaths++
 	}
 }
@@ -180,7 +180,7 @@
 func (s *Simulation) send(from int, message membership.Message) {
 	to := int(message.Peer)
 	s.countDatagrams(from, message)
-	if s.random.Float64() < s.options.LossRate || s.isCut(from, to) {
+	if s.random.Float64() < s.options.LossRate || s.isPartitioned(from, to) {
 		return
 	}
 	message.Peer = uint16(from)
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -30,7 +30,7 @@
 	volume  *volume
 	units   float64
 	shard   int // -1: any
-	gateway *gatewayNode
+	gateway *simulatedGateway
 
 	attempts    []*attempt
 	respondedAt time.Time
@@ -54,12 +54,12 @@
 
 // generateRequests sends the requests of a volume as a Poisson process, with a surge in the middle third of the run.
 func (s *simulation) generateRequests(v *volume, random *rand.Rand) {
-	began, usualRate := time.Now(), s.deployment.Plans[v.Plan].Rate*v.Usage/meanUnits
+	began, baselineRate := time.Now(), s.deployment.Plans[v.Plan].Rate*v.Usage/meanUnits
 	client := &http.Client{Transport: &http.Transport{DialContext: s.network.Dial, DisableKeepAlives: true}}
 	for n := 0; ; n++ {
-		rate := usualRate
+		rate := baselineRate
 		if elapsed := time.Since(began); elapsed > runDuration/3 && elapsed < runDuration*2/3 {
-			rate = min(usualRate*v.SurgeFactor, maxSurgeRate)
+			rate = min(baselineRate*v.SurgeFactor, maxSurgeRate)
 		}
 		time.Sleep(seconds(random.ExpFloat64() / rate))
 		if time.Since(began) > runDuration {
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -15,9 +15,9 @@
 type endpointState string
 
 const (
-	stateReady       endpointState = "Ready"
-	stateTerminating endpointState = "Terminating"
-	stateGone        endpointState = "Gone"
+	stateReady    endpointState = "Ready"
+	stateDraining endpointState = "Terminating"
+	stateRemoved  endpointState = "Gone"
 )
 
 // endpointChange is a published change of the endpoint list. Its version is its index in simulation.updates plus one.
@@ -47,7 +47,7 @@
 }
 
 // endpointFor returns the changed server as a gateway sees it.
-func (c endpointChange) endpointFor(g *gatewayNode) endpoint {
+func (c endpointChange) endpointFor(g *simulatedGateway) endpoint {
 	return endpoint{ID: c.server.name, Addr: serverAddr(g.index, c.server.index), Zone: c.server.zone, Kind: "k",
 		Shard: c.server.shard, State: c.state, Weight: 1, StartedMs: c.server.startedMs()}
 }
@@ -70,7 +70,7 @@
 }
 
 // markNotified records that a gateway counts as notified of all changes up to now. s.mu is held.
-func (s *simulation) markNotified(g *gatewayNode) {
+func (s *simulation) markNotified(g *simulatedGateway) {
 	if g.notifiedAt == nil { // It has not started yet.
 		return
 	}
@@ -82,11 +82,11 @@
 }
 
 // snapshot returns the whole endpoint list at a version as a gateway sees it. s.mu is held.
-func (s *simulation) snapshot(g *gatewayNode, version int) *endpointUpdate {
+func (s *simulation) snapshot(g *simulatedGateway, version int) *endpointUpdate {
 	latest := map[string]endpoint{}
 	for _, c := range s.updates[:version] {
 		e := c.endpointFor(g)
-		if c.state != stateGone {
+		if c.state != stateRemoved {
 			latest[e.ID] = e
 		} else if known, ok := latest[e.ID]; ok && known.StartedMs == e.StartedMs {
 			delete(latest, e.ID)
@@ -100,7 +100,7 @@
 }
 
 // delta returns the changes after a version as a gateway sees them. s.mu is held.
-func (s *simulation) delta(g *gatewayNode, after int) *endpointUpdate {
+func (s *simulation) delta(g *simulatedGateway, after int) *endpointUpdate {
 	update := &endpointUpdate{Version: len(s.updates), Servers: []endpoint{}}
 	for _, c := range s.updates[after:] {
 		update.Servers = append(update.Servers, c.endpointFor(g))
@@ -109,7 +109,7 @@
 }
 
 // startDiscovery starts the fake of discovery that a gateway watches.
-func (s *simulation) startDiscovery(g *gatewayNode) {
+func (s *simulation) startDiscovery(g *simulatedGateway) {
 	listener, err := s.network.Listen(discoveryAddr(g.index))
 	if err != nil {
 		panic(err)
@@ -119,7 +119,7 @@
 }
 
 // serveWatch serves a watch until its client leaves, the watch is reset or discovery goes down.
-func (s *simulation) serveWatch(g *gatewayNode, w http.ResponseWriter, r *http.Request) {
+func (s *simulation) serveWatch(g *simulatedGateway, w http.ResponseWriter, r *http.Request) {
 	const pollDelay, heartbeatInterval = 10 * time.Millisecond, 2 * time.Second
 	reset := make(chan struct{})
 	s.mu.Lock()
@@ -152,7 +152,7 @@
 
 // watchState is what an open watch has received.
 type watchState struct {
-	node        *gatewayNode
+	node        *simulatedGateway
 	incarnation *gateway.Gateway // that opened it
 	version     int
 	opening     bool // its first message has not been sent
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -68,7 +68,7 @@
 	old.draining = true
 	started := s.startServer(old.name, shard, time.Now())
 	s.mu.Unlock()
-	s.publish(old, stateGone, s.deployment.DiscoveryLagMs)
+	s.publish(old, stateRemoved, s.deployment.DiscoveryLagMs)
 	s.finishReplacement(old, started)
 }
 
@@ -84,8 +84,8 @@
 	old.draining = true
 	started := s.startServer(name, shard, time.Now())
 	s.mu.Unlock()
-	s.publish(old, stateTerminating, s.deployment.DiscoveryLagMs)
-	s.publish(old, stateGone, s.deployment.DiscoveryLagMs+s.drainTimeMs())
+	s.publish(old, stateDraining, s.deployment.DiscoveryLagMs)
+	s.publish(old, stateRemoved, s.deployment.DiscoveryLagMs+s.drainTimeMs())
 	s.finishReplacement(old, started)
 }
 
@@ -117,7 +117,7 @@
 }
 
 // scheduleDiscoveryOutage may have a gateway's discovery go down for up to two seconds, or only its watches reset.
-func (f *faultInjector) scheduleDiscoveryOutage(g *gatewayNode) {
+func (f *faultInjector) scheduleDiscoveryOutage(g *simulatedGateway) {
 	if f.random.IntN(2) != 0 {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // scheduleGatewayRestart may have a gateway killed or shut down gracefully, and started again.
-func (f *faultInjector) scheduleGatewayRestart(g *gatewayNode) {
+func (f *faultInjector) scheduleGatewayRestart(g *simulatedGateway) {
 	delay, downtime := 2+8*f.random.Float64(), 0.2+2*f.random.Float64()
 	switch f.random.IntN(3) {
 	case 0:
@@ -151,7 +151,7 @@
 }
 
 // killGateway kills a gateway and starts it again after a while. One that did not start is left alone.
-func (s *simulation) killGateway(g *gatewayNode, downtime time.Duration) {
+func (s *simulation) killGateway(g *simulatedGateway, downtime time.Duration) {
 	s.mu.Lock()
 	g.killed = true
 	old := g.gateway
@@ -166,7 +166,7 @@
 }
 
 // shutDownGateway shuts a gateway down gracefully and starts it again. One that did not start is left alone.
-func (s *simulation) shutDownGateway(g *gatewayNode) {
+func (s *simulation) shutDownGateway(g *simulatedGateway) {
 	s.mu.Lock()
 	g.stoppingSince = time.Now()
 	old := g.gateway
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/gateway"
 )
 
-// gatewayNode is one gateway over its restarts, with the fake of discovery that it watches.
-type gatewayNode struct {
+// simulatedGateway is one gateway over its restarts, with the fake of discovery that it watches.
+type simulatedGateway struct {
 	index     int
 	discovery *http.Server
 
@@ -29,7 +29,7 @@
 }
 
 // startGateway starts an incarnation of a gateway, with an endpoint list that may be out of date.
-func (s *simulation) startGateway(g *gatewayNode) {
+func (s *simulation) startGateway(g *simulatedGateway) {
 	document := s.prepareStart(g)
 	var started *gateway.Gateway
 	cfg, err := config.Parse(document)
@@ -51,7 +51,7 @@
 }
 
 // prepareStart resets what is known of the last incarnation and returns the settings of the next.
-func (s *simulation) prepareStart(g *gatewayNode) []byte {
+func (s *simulation) prepareStart(g *simulatedGateway) []byte {
 	const maxMissedUpdates = 3
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -18,7 +18,7 @@
 
 // recordArrival adds an attempt to its request and checks the rules that its arrival could break. Its first byte arrived at
 // firstByteAt, its last one now. s.mu is held.
-func (s *simulation) recordArrival(srv *server, g *gatewayNode, req *request, firstByteAt time.Time) *attempt {
+func (s *simulation) recordArrival(srv *server, g *simulatedGateway, req *request, firstByteAt time.Time) *attempt {
 	now := time.Now()
 	s.checkDrain(srv, g, firstByteAt)
 	if !req.respondedAt.IsZero() && firstByteAt.Sub(req.respondedAt) > tolerance {
@@ -39,7 +39,7 @@
 }
 
 // checkDrain checks that a gateway does not send to a server of which it was notified that it is not ready.
-func (s *simulation) checkDrain(srv *server, g *gatewayNode, firstByteAt time.Time) {
+func (s *simulation) checkDrain(srv *server, g *simulatedGateway, firstByteAt time.Time) {
 	notifiedAt, notified := g.notifiedAt[srv]
 	if !notified && !s.deployment.Push && len(g.watches) == 0 {
 		notifiedAt, notified = s.notificationDeadline(srv, g)
@@ -51,7 +51,7 @@
 
 // notificationDeadline returns when a gateway that does not poll counts as notified that a server is not ready, and whether
 // the server has ceased to be ready at all.
-func (s *simulation) notificationDeadline(srv *server, g *gatewayNode) (time.Time, bool) {
+func (s *simulation) notificationDeadline(srv *server, g *simulatedGateway) (time.Time, bool) {
 	const pollIntervals = 4
 	for _, c := range s.updates {
 		if c.server != srv || c.state == stateReady {
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -85,7 +85,7 @@
 }
 
 // serve handles a request at a server and checks the rules as it arrives.
-func (s *simulation) serve(srv *server, g *gatewayNode, w http.ResponseWriter, r *http.Request) {
+func (s *simulation) serve(srv *server, g *simulatedGateway, w http.ResponseWriter, r *http.Request) {
 	firstByteAt := time.Now()
 	if r.Header.Get("X-Correlation-Id") == "" {
 		s.mu.Lock()
@@ -109,7 +109,7 @@
 // serverTask is a request that a server has admitted.
 type serverTask struct {
 	server  *server
-	gateway *gatewayNode
+	gateway *simulatedGateway
 	request *request
 	frozen  chan struct{} // closed when the server responds again; nil if it does
 	outcome float64       // drawn from [0, 1): which fault the request meets, and whether a load report is sent
@@ -117,7 +117,7 @@
 }
 
 // admit checks a complete request against the rules and decides whether the server works on it.
-func (s *simulation) admit(srv *server, g *gatewayNode, r *http.Request, body string, firstByteAt time.Time) (serverTask, bool) {
+func (s *simulation) admit(srv *server, g *simulatedGateway, r *http.Request, body string, firstByteAt time.Time) (serverTask, bool) {
 	id := r.Header.Get("X-Correlation-Id")
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -32,10 +32,10 @@
 type simulation struct {
 	deployment *Deployment
 	network    memnet.Net
-	gateways   []*gatewayNode // fixed before clients start
-	tasks      sync.WaitGroup // clients, faults and delayed checks
+	gateways   []*simulatedGateway // fixed before clients start
+	tasks      sync.WaitGroup      // clients, faults and delayed checks
 
-	mu           sync.Mutex // guards the fields below and those of servers, gatewayNodes and requests
+	mu           sync.Mutex // guards the fields below and those of servers, simulatedGateways and requests
 	serverRandom *rand.Rand // of the servers' work
 	result       Result
 	servers      []*server // in the order of their starts
@@ -79,7 +79,7 @@
 		s.publish(s.startServer(fmt.Sprintf("s-%d", shard), shard, time.Time{}), stateReady, 0)
 	}
 	for i := range d.Gateways {
-		g := &gatewayNode{index: i, watches: map[chan struct{}]bool{}, updated: make(chan struct{})}
+		g := &simulatedGateway{index: i, watches: map[chan struct{}]bool{}, updated: make(chan struct{})}
 		s.gateways = append(s.gateways, g)
 		s.startDiscovery(g)
 	}
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -138,7 +138,7 @@
 func (r *run) upstreamDialer() func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dial := r.dialer()
 	r.mu.Lock()
-	process := r.processesGone
+	process := r.endedProcesses
 	r.mu.Unlock()
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -147,7 +147,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.processesGone != process { // The process has ended in the meantime.
+		if r.endedProcesses != process { // The process has ended in the meantime.
 			conn.Close()
 			return nil, net.ErrClosed
 		}
@@ -161,7 +161,7 @@
 	r.mu.Lock()
 	conns := r.upstreamConns
 	r.upstreamConns = nil
-	r.processesGone++
+	r.endedProcesses++
 	r.mu.Unlock()
 	for _, conn := range conns {
 		conn.Close()
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -62,20 +62,20 @@
 	checker *invariants.Checker
 	shards  [shardCount]shard
 
-	mu            sync.Mutex // guards the fields below
-	random        *rand.Rand // of the faults
-	servers       []*server  // those that are listed
-	serversBegun  int
-	listVersion   uint64
-	gateway       *gateway.Gateway
-	incarnation   int       // of the gateway, from 1
-	startedAt     time.Time // of the present incarnation
-	restarts      int
-	frontendAddrs map[frontend]string
-	fileAddrs     map[string]string // of file ports, by server
-	upstreamConns []net.Conn        // of the present gateway process
-	processesGone int               // gateway processes whose connections were reset
-	counters      map[string]int64
+	mu             sync.Mutex // guards the fields below
+	random         *rand.Rand // of the faults
+	servers        []*server  // those that are listed
+	serversBegun   int
+	listVersion    uint64
+	gateway        *gateway.Gateway
+	incarnation    int       // of the gateway, from 1
+	startedAt      time.Time // of the present incarnation
+	restarts       int
+	frontendAddrs  map[frontend]string
+	fileAddrs      map[string]string // of file ports, by server
+	upstreamConns  []net.Conn        // of the present gateway process
+	endedProcesses int               // gateway processes that have ended; their connections were reset
+	counters       map[string]int64
 
 	// writeIncarnations holds the incarnation that sent each file write in progress, by upload key.
 	writeIncarnations map[string]int
