--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -15,7 +15,7 @@
 	suspectedBy   []uint16 // at most ExpectedConfirmations+1 members
 }
 
-// Memberlist is the view that one member has of the cluster.
+// Memberlist is the view that one member has of the fleet. It is not safe for concurrent use.
 type Memberlist struct {
 	settings Settings
 	random   *rand.Rand
@@ -86,7 +86,7 @@
 }
 
 // Step processes the messages that were received until nowMs and all timers that have expired. It returns the messages
-// to send and the state changes that result. Successive calls must not pass decreasing times.
+// to send and the state changes that result. nowMs must not decrease from call to call.
 func (l *Memberlist) Step(nowMs float64, received []Message) (outgoing []Message, changes []StateChange) {
 	l.outgoing, l.changes = nil, nil
 	switch {
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -40,12 +40,12 @@
 	MaxUpdatesPerMessage int
 	// RetransmitFactor determines how often each update is sent: this factor times the decimal logarithm of MemberCount+1.
 	RetransmitFactor float64
-	// DeadProbeEvery makes every nth probe go to a dead member, so that the parts of a partitioned cluster find each other
+	// DeadProbeEvery makes every nth probe go to a dead member, so that the parts of a partitioned fleet find each other
 	// again.
 	DeadProbeEvery int
 }
 
-// DefaultSettings returns settings for a cluster on one site.
+// DefaultSettings returns settings for a fleet on one site.
 func DefaultSettings(self uint16, memberCount int, processIncarnation uint32, seed uint64) Settings {
 	return Settings{
 		Self:                  self,
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -60,7 +60,7 @@
 	s.recordAttempt(failed, d.settings.MaxAttemptWeight)
 }
 
-// MarkWithdrawn records that a server drains or is gone, by this gateway's endpoint list.
+// MarkWithdrawn records that a server drains or was removed, by this gateway's endpoint list.
 func (d *Detector) MarkWithdrawn(id uint64) {
 	if s := d.servers[id]; s != nil {
 		s.withdrawn = true
--- a/internal/outlier/doc.go
+++ b/internal/outlier/doc.go
@@ -5,7 +5,7 @@
 //
 // A report counts only from the gateway that observed the condition, only in its latest version, and only until it has
 // reached [Settings.MaxReportAgeMs]. Lost, reordered and repeated reports therefore change no decision, and the reports of
-// a gateway that crashes or is cut off expire.
+// a gateway that crashes or is partitioned expire.
 //
 // No single gateway, with a bad link or with false reports, ejects a server for all: a quorum has to report the same
 // condition, at most [Settings.MaxEjectedFraction] of the listed servers is ejected at once, and a gateway that a server
@@ -14,9 +14,8 @@
 //
 // While all links to its peers fail, a gateway ejects nothing once the reports that it has received have expired.
 //
-// # Use
+// # Concurrency
 //
-// The package is pure: it uses no clock, does no I/O, starts no goroutine, and its results do not depend on the iteration
-// order of maps. A [Detector] is not safe for concurrent use; one goroutine owns it. Times are milliseconds of the
-// caller's monotonic clock.
+// The package is pure: it has no clock, I/O or goroutine, and does not depend on the iteration order of maps. A [Detector]
+// belongs to one goroutine. Times are milliseconds of the caller's monotonic clock.
 package outlier
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -7,7 +7,7 @@
 const (
 	// Failing means that attempts at the server fail.
 	Failing Condition = iota + 1
-	// Withdrawn means that the server drains or is gone, by the reporter's endpoint list.
+	// Withdrawn means that the server drains or was removed, by the reporter's endpoint list.
 	Withdrawn
 
 	// conditionsEnd is one more than the largest condition, for arrays that conditions index.
--- a/internal/peer/datagram/doc.go
+++ b/internal/peer/datagram/doc.go
@@ -1,4 +1,4 @@
-// Package datagram encodes, decodes and transports the UDP datagrams that gateways of a cluster exchange. Datagrams may be
+// Package datagram encodes, decodes and transports the UDP datagrams that the gateways of a fleet exchange. Datagrams may be
 // lost, duplicated and reordered, so each one is complete in itself. None is longer than MaxSize.
 //
 // # Format
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer exchanges state with the other gateways of a cluster. It connects the pure packages membership, quota,
+// Package peer exchanges state with the other gateways of a fleet. It connects the pure packages membership, quota,
 // outlier and peerlatency to the network and to the scheduler: it passes them the messages of other gateways, sends their
 // messages, and turns their decisions into events of the scheduler.
 //
@@ -6,7 +6,7 @@
 //
 // # Invariants
 //
-//   - Only datagrams of other gateways of the cluster are processed. Duplicates that a datagram.ReplayWindow detects are
+//   - Only datagrams of other gateways of the fleet are processed. Duplicates that a datagram.ReplayWindow detects are
 //     dropped, and the messages tolerate those that it misses.
 //   - The messages and demands that wait for the next step are bounded.
 //   - The state of other gateways may be missing or late at any time. The gateway then uses its own measurements and the
--- a/internal/peer/inbox.go
+++ b/internal/peer/inbox.go
@@ -42,7 +42,7 @@
 	s.loop.Post(func(float64) { s.enqueue(packet) })
 }
 
-// isPeer reports whether a number belongs to another gateway of the cluster.
+// isPeer reports whether a number belongs to another gateway of the fleet.
 func (s *Service) isPeer(number uint16) bool {
 	return int(number) < len(s.options.Peers) && number != s.options.Self
 }
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// reportRecipients returns the gateways that receive a round of reports: all that are alive or, in a large cluster,
+// reportRecipients returns the gateways that receive a round of reports: all that are alive or, in a large fleet,
 // maxReportRecipients of them in rotation.
 func (s *Service) reportRecipients() []uint16 {
 	alive := s.members.AliveMembers()
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -84,7 +84,7 @@
 	return s, nil
 }
 
-// InitialQuotaShare returns the fraction of its even share of a quota that the gateway may use until it has received
+// InitialQuotaShare returns the fraction of its own share of a quota that the gateway may use until it has received
 // messages of other gateways.
 func (s *Service) InitialQuotaShare() float64 { return 1 - s.options.MaxGrantedFraction }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// Leave makes the service announce with the next step that this gateway shuts down.
+// Leave implements lifecycle.Peers. It makes the service announce with the next step that this gateway shuts down.
 func (s *Service) Leave(float64) {
 	s.members.Leave()
 	s.nextStepMs = 0
--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Aggregator collects own measurements and the reports of peers.
+// Aggregator collects own measurements and the reports of peers. It is not safe for concurrent use.
 type Aggregator struct {
 	settings     Settings
 	servers      map[uint64]*server
@@ -48,7 +48,7 @@
 }
 
 // Step processes the reports of peers. It returns the own reports to send to all peers, if a round of reports is due, and
-// the estimates that have changed. Successive calls must not pass decreasing times.
+// the estimates that have changed. nowMs must not decrease from call to call.
 func (a *Aggregator) Step(nowMs float64, received []Report) (outgoing []Report, estimates []Estimate) {
 	for _, r := range received {
 		a.receive(nowMs, r)
--- a/internal/peerlatency/doc.go
+++ b/internal/peerlatency/doc.go
@@ -10,10 +10,10 @@
 //
 //   - Of each peer the most recent report about a server is kept. Reordering and duplication of reports do not affect the
 //     estimates.
-//   - The size of an Aggregator is bounded by MaxServers and MaxPeers of its Settings.
+//   - The size of an [Aggregator] is bounded by MaxServers and MaxPeers of its [Settings].
 //
 // # Concurrency
 //
-// The package is pure: it has no clock, I/O or goroutine, and does not depend on the order of maps. An Aggregator belongs
-// to one goroutine. Times are milliseconds of the caller's monotonic clock.
+// The package is pure: it has no clock, I/O or goroutine, and does not depend on the iteration order of maps. An
+// [Aggregator] belongs to one goroutine. Times are milliseconds of the caller's monotonic clock.
 package peerlatency
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -28,9 +28,8 @@
 // most [Settings.GrantHoldMs] after the last grant that it issued. It can use at least 1 - MaxGrantedFraction of its own
 // share at any time, unless the number of gateways of the pool has grown since it granted the rest.
 //
-// # Use
+// # Concurrency
 //
-// The package is pure: it uses no clock, does no I/O, starts no goroutine, and its results do not depend on the iteration
-// order of maps. An [Allocator] is not safe for concurrent use; one goroutine owns it. Times are milliseconds of the
-// gateway's monotonic clock, whose zero is arbitrary.
+// The package is pure: it has no clock, I/O or goroutine, and does not depend on the iteration order of maps. An [Allocator]
+// belongs to one goroutine. Times are milliseconds of the caller's monotonic clock, whose zero is arbitrary.
 package quota
--- a/internal/testbed/chaos/harness.go
+++ b/internal/testbed/chaos/harness.go
@@ -196,7 +196,7 @@
 	})
 }
 
-// recordCrash records that a gateway ended, or failed to end or start, against its orders.
+// recordCrash records that a gateway exited unexpectedly, did not exit in time, or did not start.
 func (h *harness) recordCrash(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -148,7 +148,7 @@
 		return
 	}
 	time.Sleep(serviceTime)
-	_, _ = fmt.Fprintf(w, "%s from %d", text, shard) // a gateway that has left needs no response
+	_, _ = fmt.Fprintf(w, "%s from %d", text, shard) // the gateway may have closed the connection
 }
 
 // recordArrival counts a request, takes its units from the limit of its volume, and reports whether the server fails it.
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -59,7 +59,7 @@
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
 	ResponseTimeout time.Duration // after which the device gives up a silent connection
-	QuirkRate       float64       // share of its exchanges in which it behaves unusually
+	QuirkRate       float64       // fraction of its exchanges in which it behaves unusually
 }
 
 // quirk is an unusual behavior of a device in one exchange.
--- a/internal/testbed/fakestorage/server.go
+++ b/internal/testbed/fakestorage/server.go
@@ -25,7 +25,7 @@
 // drainNotice is how long a gateway may still send to a server after it was notified that the server drains.
 const drainNotice = time.Second
 
-// Faults are the shares of the requests that meet each fault.
+// Faults are the fractions of the requests that meet each fault, and the delay of slow ones.
 type Faults struct {
 	Reject      float64 // rejected without effect
 	ErrorAfter  float64 // status 500 after execution
@@ -82,14 +82,14 @@
 	return data[:size]
 }
 
-// faultDraw is a number drawn from [0, 1) that decides on the faults of a request. It is reduced by each share that it is
-// compared with, so that a request meets one fault at most.
+// faultDraw is a number drawn from [0, 1) that decides on the faults of a request. It is reduced by each fraction that it
+// is compared with, so that a request meets one fault at most.
 type faultDraw float64
 
-// hits reports whether the request meets a fault that the given share of all requests meets.
-func (d *faultDraw) hits(share float64) bool {
-	*d -= faultDraw(share)
-	return *d < 0 && float64(*d) >= -share
+// hits reports whether the request meets a fault that the given fraction of all requests meets.
+func (d *faultDraw) hits(fraction float64) bool {
+	*d -= faultDraw(fraction)
+	return *d < 0 && float64(*d) >= -fraction
 }
 
 // ServeHTTP implements http.Handler.
@@ -131,7 +131,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
-	_, _ = w.Write(response) // A gateway that has gone is no fault of the server.
+	_, _ = w.Write(response) // The gateway may have closed the connection.
 }
 
 // object returns the object that a request names.
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -82,7 +82,7 @@
 // New returns an empty checker.
 func New() *Checker { return &Checker{exchanges: map[string]*exchange{}} }
 
-// find returns the records of an exchange and starts them if there are none. c.mu is held.
+// find returns the records of an exchange and starts them if there are none. c.mu must be held.
 func (c *Checker) find(id string) *exchange {
 	x := c.exchanges[id]
 	if x == nil {
--- a/internal/testbed/linkshaper/profile.go
+++ b/internal/testbed/linkshaper/profile.go
@@ -8,7 +8,7 @@
 	BytesPerMs        float64       // in each direction; 0: unlimited
 	Delay             time.Duration // in each direction
 	Jitter            time.Duration // the largest addition to Delay
-	Loss              float64       // share of the segments that arrive by a retransmission only
+	Loss              float64       // fraction of the segments that arrive by a retransmission only
 	StallInterval     time.Duration // mean time between stalls
 	StallMin          time.Duration // the shortest stall
 	StallMax          time.Duration // the longest stall
--- a/internal/testbed/membershipsim/doc.go
+++ b/internal/testbed/membershipsim/doc.go
@@ -1,4 +1,4 @@
-// Package membershipsim simulates clusters of any size in one process, with a simulated clock. It connects members of
+// Package membershipsim simulates fleets of any size in one process, with a simulated clock. It connects members of
 // package membership by a network that delays and loses messages, and injects crashes, pauses, partitions and restarts.
 // It measures how fast failures are detected, how often members are wrongly declared dead, and the network load.
 //
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -31,7 +31,7 @@
 	DatagramsPerSecond, BytesPerSecond float64
 }
 
-// Measure simulates a cluster in three phases: without crashes, with up to the given number of crashes, and afterwards.
+// Measure simulates a fleet in three phases: without crashes, with up to the given number of crashes, and afterwards.
 // The first two phases take ms/3 each. The third one takes at least as long and, up to 4*ms, until the bound has passed.
 func Measure(options Options, ms float64, crashes int) Report {
 	s := New(options)
--- a/internal/testbed/membershipsim/simulation.go
+++ b/internal/testbed/membershipsim/simulation.go
@@ -19,7 +19,7 @@
 	Seed                 uint64
 }
 
-// Simulation is a simulated cluster. Its members are numbered from 0.
+// Simulation is a simulated fleet. Its members are numbered from 0.
 type Simulation struct {
 	// NowMs is the simulated time.
 	NowMs float64
@@ -51,7 +51,7 @@
 // isRunning reports whether the member takes part in the protocol.
 func (m *member) isRunning() bool { return !m.crashed && !m.paused }
 
-// New starts a Simulation of a cluster whose members assume each other to be alive.
+// New starts a Simulation of a fleet whose members assume each other to be alive.
 func New(options Options) *Simulation {
 	s := &Simulation{
 		options: options,
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -47,7 +47,7 @@
 	return l, nil
 }
 
-// assignPort returns a port that was not assigned before. n.mu is held.
+// assignPort returns a port that was not assigned before. n.mu must be held.
 func (n *Net) assignPort() string {
 	n.assignedPorts++
 	return fmt.Sprint(firstPort + n.assignedPorts)
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -42,7 +42,7 @@
 // timeout returns the time that the client gives the gateway.
 func (r *request) timeout() time.Duration { return milliseconds(r.class.DeadlineMs) }
 
-// mayHaveExecuted reports whether a server may have executed the request. simulation.mu is held.
+// mayHaveExecuted reports whether a server may have executed the request. simulation.mu must be held.
 func (r *request) mayHaveExecuted() bool {
 	for _, attempt := range r.attempts {
 		if attempt.mayHaveExecuted {
@@ -160,7 +160,7 @@
 }
 
 // checkLostRequest checks that a request without a response was refused at its connection, or that its gateway has ended.
-// s.mu is held.
+// s.mu must be held.
 func (s *simulation) checkLostRequest(ex exchange) {
 	g := ex.gateway
 	stopping := !g.stoppingSince.IsZero()
@@ -174,7 +174,7 @@
 		ex.sentAt.Sub(g.startedAt), stopping, ex.respondedAt.Sub(ex.sentAt), ex.err)
 }
 
-// checkResponse checks a response against what servers have done. s.mu is held.
+// checkResponse checks a response against what servers have done. s.mu must be held.
 func (s *simulation) checkResponse(ex exchange) {
 	if late := ex.respondedAt.Sub(ex.sentAt) - ex.timeout(); late > tolerance {
 		s.violation("%s: responded to %v after its deadline", ex.id, late)
@@ -196,7 +196,7 @@
 }
 
 // checkRejection checks that a rejected request has had no effect that a repeat would double, and that its response carries
-// Retry-After only where the settings allow it. s.mu is held.
+// Retry-After only where the settings allow it. s.mu must be held.
 func (s *simulation) checkRejection(ex exchange) {
 	c := ex.class
 	repeatHarmful := c.Idempotency == notIdempotent || c.Idempotency == idempotentWithKey && c.DedupScope != dedupScopeAll
--- a/internal/testbed/simulation/deployment.go
+++ b/internal/testbed/simulation/deployment.go
@@ -59,7 +59,7 @@
 	SlowStartMs            float64
 	OverloadMultiple       float64
 	OverloadWindowMs       float64
-	SlowStartUnits         float64 // units that a server which has just started bears within OverloadWindowMs
+	SlowStartUnits         float64 // units that a server which has just started can serve within OverloadWindowMs
 	Capacity               float64 // units per second of a server after its slow start
 	ServiceTimeMs          float64 // least time per unit at an idle server
 	Volumes                []volume
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// markNotified records that a gateway counts as notified of all changes up to now. s.mu is held.
+// markNotified records that a gateway counts as notified of all changes up to now. s.mu must be held.
 func (s *simulation) markNotified(g *simulatedGateway) {
 	if g.notifiedAt == nil { // It has not started yet.
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// snapshot returns the whole endpoint list at a version as a gateway sees it. s.mu is held.
+// snapshot returns the complete endpoint list at a version as a gateway sees it. s.mu must be held.
 func (s *simulation) snapshot(g *simulatedGateway, version int) *endpointUpdate {
 	latest := map[string]endpoint{}
 	for _, c := range s.updates[:version] {
@@ -99,7 +99,7 @@
 	return update
 }
 
-// delta returns the changes after a version as a gateway sees them. s.mu is held.
+// delta returns the changes after a version as a gateway sees them. s.mu must be held.
 func (s *simulation) delta(g *simulatedGateway, after int) *endpointUpdate {
 	update := &endpointUpdate{Version: len(s.updates), Servers: []endpoint{}}
 	for _, c := range s.updates[after:] {
@@ -128,7 +128,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // Absent: 0.
-	watch := watchState{node: g, incarnation: g.gateway, version: version, opening: true}
+	watch := watchState{gateway: g, incarnation: g.gateway, version: version, opening: true}
 	g.watches[reset] = true
 	s.mu.Unlock()
 	defer func() {
@@ -152,7 +152,7 @@
 
 // watchState is what an open watch has received.
 type watchState struct {
-	node        *simulatedGateway
+	gateway     *simulatedGateway
 	incarnation *gateway.Gateway // that opened it
 	version     int
 	opening     bool // its first message has not been sent
@@ -167,18 +167,18 @@
 	latest := len(s.updates)
 	switch {
 	case watch.version > latest || watch.opening && watch.version == 0:
-		update = s.snapshot(watch.node, latest)
+		update = s.snapshot(watch.gateway, latest)
 	case watch.version < latest || watch.opening:
-		update = s.delta(watch.node, watch.version)
+		update = s.delta(watch.gateway, watch.version)
 	}
 	watch.version, watch.opening = latest, false
-	if watch.node.gateway == watch.incarnation {
-		s.markNotified(watch.node)
+	if watch.gateway.gateway == watch.incarnation {
+		s.markNotified(watch.gateway)
 	}
 	if update != nil {
 		message, _ = json.Marshal(update) // All drawn numbers are finite.
 	}
-	return append(message, '\n'), watch.node.updated
+	return append(message, '\n'), watch.gateway.updated
 }
 
 // waitForUpdate waits for the next update or until a heartbeat is due. It returns false if the client has left, and aborts
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -105,7 +105,7 @@
 	return max(3000, s.deployment.DiscoveryLagMs+s.deployment.DrainGraceMs+2500)
 }
 
-// readyServer returns the latest ready server of a shard, or nil. s.mu is held.
+// readyServer returns the latest ready server of a shard, or nil. s.mu must be held.
 func (s *simulation) readyServer(shard int) *server {
 	var ready *server
 	for _, srv := range s.servers {
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -17,7 +17,7 @@
 }
 
 // recordArrival adds an attempt to its request and checks the rules that its arrival could break. Its first byte arrived at
-// firstByteAt, its last one now. s.mu is held.
+// firstByteAt, its last one now. s.mu must be held.
 func (s *simulation) recordArrival(srv *server, g *simulatedGateway, req *request, firstByteAt time.Time) *attempt {
 	now := time.Now()
 	s.checkDrain(srv, g, firstByteAt)
@@ -124,7 +124,7 @@
 	}
 }
 
-// checkSlowStart checks that a server in its slow start gets no more units than it bears.
+// checkSlowStart checks that a server in its slow start gets no more units than it can serve.
 func (s *simulation) checkSlowStart(srv *server, req *request, now time.Time) {
 	d := s.deployment
 	if srv.startedAt.IsZero() || now.Sub(srv.startedAt) >= milliseconds(d.SlowStartMs) {
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen          chan struct{} // while it does not respond: closed when it does again
 	queued          int
 	slowStartSends  []slowStartSend      // within the overload window
-	servedElsewhere map[uint64][]float64 // units by volume and gateway that the gateway has not been told of
+	servedElsewhere map[uint64][]float64 // units by volume and gateway that were not reported to the gateway yet
 }
 
 // slowStartSend is a request that reached a server during its slow start.
@@ -42,7 +42,7 @@
 	units float64
 }
 
-// startServer starts a server for all gateways. s.mu is held.
+// startServer starts a server for all gateways. s.mu must be held.
 func (s *simulation) startServer(name string, shard int, startedAt time.Time) *server {
 	srv := &server{index: len(s.servers), name: name, shard: shard, zone: s.deployment.Zones[shard%len(s.deployment.Zones)],
 		startedAt: startedAt, slots: make(chan struct{}, serverConcurrency), servedElsewhere: map[uint64][]float64{}}
@@ -191,11 +191,11 @@
 		}
 		w.Header().Set("X-Backend-Load", "{"+strings.Join(report, ",")+"}")
 	}
-	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // A gateway that has gone is no fault of the server.
+	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // The gateway may have closed the connection.
 }
 
-// recordServed adds a request's units to what the other gateways will be told of, and returns the units of its volume that
-// were served for others since its own gateway was last told.
+// recordServed adds a request's units to what is to be reported to the other gateways, and returns the units of its volume
+// that were served for others since the last report to its own gateway.
 func (s *simulation) recordServed(task serverTask) (elsewhere float64) {
 	volumeID := task.request.volume.ID
 	s.mu.Lock()
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -86,7 +86,7 @@
 	return s
 }
 
-// violation records a breach of a rule. s.mu is held.
+// violation records a breach of a rule. s.mu must be held.
 func (s *simulation) violation(format string, args ...any) {
 	if len(s.result.Violations) < maxViolations {
 		s.result.Violations = append(s.result.Violations, fmt.Sprintf(format, args...))
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// resetUpstreamConns closes the connections that a gateway process has left behind.
+// resetUpstreamConns closes the connections of a gateway process that has ended.
 func (r *run) resetUpstreamConns() {
 	r.mu.Lock()
 	conns := r.upstreamConns
--- a/internal/testbed/soak/servers.go
+++ b/internal/testbed/soak/servers.go
@@ -108,7 +108,7 @@
 	return addr, ok
 }
 
-// endpointList returns the present endpoint list as a new version. r.mu is held.
+// endpointList returns the present endpoint list as a new version. r.mu must be held.
 func (r *run) endpointList() lifecycle.EndpointUpdate {
 	r.listVersion++
 	list := lifecycle.EndpointUpdate{Version: r.listVersion, Kind: scheduler.Snapshot}
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -30,7 +30,7 @@
 	RestartInterval     time.Duration        // mean time between restarts of the gateway; 0: none
 	ReplacementInterval time.Duration        // mean time between replacements of servers; 0: none
 	Faults              fakestorage.Faults
-	QuirkRate           float64 // share of the exchanges in which a device behaves unusually
+	QuirkRate           float64 // fraction of the exchanges in which a device behaves unusually
 	Network             gateway.Network
 
 	ResponseTimeout time.Duration // after which devices give up a silent connection; 0: each draws its own
