--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -24,19 +24,24 @@
 		}
 	}
 	reply.Fraction += max(0, min(request.Fraction-reply.Fraction, a.lendable(p, nowMs)))
-	if reply.Fraction == 0 {
-		return []Message{reply}
+	if reply.Fraction > 0 && !a.recordGrant(p, nowMs, reply) {
+		reply.Fraction = 0
 	}
+	return []Message{reply}
+}
+
+// recordGrant records the lease of a grant, or renews it. It reports false if the pool has too many borrowers.
+func (a *Allocator) recordGrant(p *pool, nowMs float64, grant Message) bool {
+	granted := findLease(p.lent, grant.Peer, grant.RecipientIncarnation)
 	if granted == nil {
 		if len(p.lent) >= a.settings.MaxPeers {
-			reply.Fraction = 0
-			return []Message{reply}
+			return false
 		}
-		p.lent = append(p.lent, lease{peer: request.Peer, incarnation: request.SenderIncarnation})
+		p.lent = append(p.lent, lease{peer: grant.Peer, incarnation: grant.RecipientIncarnation})
 		granted = &p.lent[len(p.lent)-1]
 	}
-	granted.seq, granted.fraction, granted.expiresAtMs = request.Seq, reply.Fraction, nowMs+a.settings.GrantHoldMs()
-	return []Message{reply}
+	granted.seq, granted.fraction, granted.expiresAtMs = grant.Seq, grant.Fraction, nowMs+a.settings.GrantHoldMs()
+	return true
 }
 
 // lendable returns what this gateway can lend of its own share in addition to what it has lent. It may be negative.
