--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -38,7 +38,7 @@
 }
 
 // New returns the Memberlist of a process that has just started and assumes that all other members are alive. It returns
-// an error if the settings are out of range.
+// an error that wraps ErrInvalidSettings if the settings are out of range.
 func New(settings Settings) (*Memberlist, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	if l.leaving {
 		return next
 	}
-	if l.probe.pending && !l.probe.indirect {
+	if l.probe.phase == probeDirect {
 		next = min(next, l.indirectProbeAtMs())
 	}
 	for _, r := range l.relays {
@@ -110,7 +110,7 @@
 	for i := range l.members {
 		l.members[i].suspectedAtMs += pauseMs
 	}
-	l.probe.pending = false
+	l.probe.phase = probeFinished
 	l.relays = nil
 	l.nextProbeMs = nowMs
 	l.raiseHealthScore(1)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,20 +1,48 @@
 package membership
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+)
 
 // maxRelays bounds the pings that this member sends on behalf of others at the same time.
 const maxRelays = 64
 
+// probePhase is how far a probe has come.
+type probePhase uint8
+
+const (
+	probeFinished probePhase = iota // acknowledged, ended with its period, or there was none yet
+	probeDirect                     // the target was pinged
+	probeIndirect                   // other members were asked to ping the target
+)
+
+// String returns the lower-case name of the phase.
+func (p probePhase) String() string {
+	switch p {
+	case probeFinished:
+		return "finished"
+	case probeDirect:
+		return "direct"
+	case probeIndirect:
+		return "indirect"
+	default:
+		return fmt.Sprintf("phase(%d)", uint8(p))
+	}
+}
+
 // probe is the latest probe of this member.
 type probe struct {
+	phase         probePhase
 	target        uint16
 	seq           uint32
 	startMs       float64
-	pending       bool // neither acknowledged nor finished
-	indirect      bool // other members have been asked to ping the target
-	expectedNacks int  // of the members that have been asked
+	expectedNacks int // of the members that were asked to ping the target
 }
 
+// pending reports whether an acknowledgement would still end the probe.
+func (p *probe) pending() bool { return p.phase != probeFinished }
+
 // relay is a ping on behalf of another member.
 type relay struct {
 	requester    uint16
@@ -32,10 +60,10 @@
 // probeIndirectly asks other members to ping the target of the pending probe once its timeout has expired.
 func (l *Memberlist) probeIndirectly(nowMs float64) {
 	p := &l.probe
-	if !p.pending || p.indirect || nowMs < l.indirectProbeAtMs() {
+	if p.phase != probeDirect || nowMs < l.indirectProbeAtMs() {
 		return
 	}
-	p.indirect = true
+	p.phase = probeIndirect
 	for _, peer := range l.drawRelays(p.target) {
 		p.expectedNacks++
 		l.send(Message{Kind: PingRequest, Peer: peer, Seq: p.seq, Target: p.target})
@@ -54,10 +82,10 @@
 // finishProbe suspects the target of a probe that is still pending at the end of its period.
 func (l *Memberlist) finishProbe(nowMs float64) {
 	p := &l.probe
-	if !p.pending {
+	if !p.pending() {
 		return
 	}
-	p.pending = false
+	p.phase = probeFinished
 	l.applyUpdate(nowMs, Update{
 		Member:      p.target,
 		State:       Suspect,
@@ -74,7 +102,7 @@
 	if !ok {
 		return
 	}
-	l.probe = probe{target: target, seq: l.nextSeq(), startMs: nowMs, pending: true}
+	l.probe = probe{phase: probeDirect, target: target, seq: l.nextSeq(), startMs: nowMs}
 	l.send(Message{Kind: Ping, Peer: target, Seq: l.probe.seq, Target: target})
 }
 
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -33,14 +33,14 @@
 
 func (l *Memberlist) receiveAck(m Message) {
 	l.finishRelays(Ack, func(r relay) bool { return r.seq == m.Seq && r.target == m.Peer })
-	if p := &l.probe; p.pending && m.Seq == p.seq && m.Target == p.target {
-		p.pending = false
+	if p := &l.probe; p.pending() && m.Seq == p.seq && m.Target == p.target {
+		p.phase = probeFinished
 		l.lowerHealthScore()
 	}
 }
 
 func (l *Memberlist) receiveNack(m Message) {
-	if p := &l.probe; p.pending && m.Seq == p.seq && p.expectedNacks > 0 {
+	if p := &l.probe; p.pending() && m.Seq == p.seq && p.expectedNacks > 0 {
 		p.expectedNacks--
 	}
 }
