--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -1,10 +1,14 @@
 package membership
 
 import (
+	"errors"
 	"fmt"
 	"math"
 )
 
+// ErrInvalidSettings is wrapped by the errors of New.
+var ErrInvalidSettings = errors.New("membership: invalid settings")
+
 // maxMembers is the number of members that a 16-bit number can tell apart.
 const maxMembers = 1 << 16
 
@@ -65,14 +69,14 @@
 	}
 }
 
-// validate returns an error if the settings cannot be used.
+// validate returns an error that wraps ErrInvalidSettings if the settings cannot be used.
 func (s Settings) validate() error {
 	if s.MemberCount < 1 || s.MemberCount > maxMembers || int(s.Self) >= s.MemberCount {
-		return fmt.Errorf("members: number %d of %d", s.Self, s.MemberCount)
+		return fmt.Errorf("%w: number %d of %d members", ErrInvalidSettings, s.Self, s.MemberCount)
 	}
 	if !s.probesInRange() || !s.suspicionInRange() || !s.gossipInRange() {
-		return fmt.Errorf("members: a period of %v ms with a time-out of %v, or bounds out of range",
-			s.ProbePeriodMs, s.ProbeTimeoutMs)
+		return fmt.Errorf("%w: probe period of %v ms with a timeout of %v ms, or other settings out of range",
+			ErrInvalidSettings, s.ProbePeriodMs, s.ProbeTimeoutMs)
 	}
 	return nil
 }
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -1,5 +1,7 @@
 package outlier
 
+import "fmt"
+
 // Condition is what a gateway reports of a server. The numbers are part of the wire format.
 type Condition uint8
 
@@ -14,6 +16,18 @@
 	conditionsEnd
 )
 
+// String returns the lower-case name of the condition.
+func (c Condition) String() string {
+	switch c {
+	case Failing:
+		return "failing"
+	case Withdrawn:
+		return "withdrawn"
+	default:
+		return fmt.Sprintf("condition(%d)", uint8(c))
+	}
+}
+
 // conditions lists all conditions, in the order in which a Detector evaluates them.
 var conditions = [...]Condition{Failing, Withdrawn}
 
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -105,7 +105,7 @@
 	t.Helper()
 	wrongDirection := m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent
 	if wrongDirection || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
-		t.Errorf("message %d of kind %d: %v became %v", m.Seq, m.Kind, sent, m.Fraction)
+		t.Errorf("message %d of kind %v: %v became %v", m.Seq, m.Kind, sent, m.Fraction)
 	}
 }
 
--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -13,7 +13,7 @@
 	lastReportMs float64
 }
 
-// New returns an Aggregator without servers, or an error if the settings are out of range.
+// New returns an Aggregator without servers, or an error that wraps ErrInvalidSettings.
 func New(settings Settings) (*Aggregator, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
--- a/internal/peerlatency/settings.go
+++ b/internal/peerlatency/settings.go
@@ -1,6 +1,12 @@
 package peerlatency
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrInvalidSettings is wrapped by the errors of New.
+var ErrInvalidSettings = errors.New("peerlatency: invalid settings")
 
 // Settings configure an Aggregator.
 type Settings struct {
@@ -19,13 +25,13 @@
 	MaxPeers int
 }
 
-// validate returns an error if the settings cannot be used. Its comparisons are written so that NaN is out of range.
+// validate returns an error that wraps ErrInvalidSettings if the settings cannot be used. Its comparisons are written so that NaN is out of range.
 func (s Settings) validate() error {
 	timesInRange := s.DecayMs > 0 && s.MaxAgeMs > 0 && s.ReportIntervalMs > 0 && s.ReportIntervalMs < s.MaxAgeMs
 	boundsInRange := s.MaxServersPerReport >= 1 && s.MaxServers >= 1 && s.MaxPeers >= minReports
 	if !timesInRange || !boundsInRange {
-		return fmt.Errorf("latency: told every %v ms, counting for %v, of %d nodes by %d peers",
-			s.ReportIntervalMs, s.MaxAgeMs, s.MaxServers, s.MaxPeers)
+		return fmt.Errorf("%w: reports every %v ms that expire after %v ms, of at most %d servers by %d peers",
+			ErrInvalidSettings, s.ReportIntervalMs, s.MaxAgeMs, s.MaxServers, s.MaxPeers)
 	}
 	return nil
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,5 +1,7 @@
 package quota
 
+import "fmt"
+
 // MessageKind is what a Message is about. The numbers are part of the wire format.
 type MessageKind uint8
 
@@ -15,6 +17,22 @@
 	LeaseRecall
 )
 
+// String returns the lower-case name of the kind.
+func (k MessageKind) String() string {
+	switch k {
+	case LeaseRequest:
+		return "lease-request"
+	case LeaseGrant:
+		return "lease-grant"
+	case LeaseReturn:
+		return "lease-return"
+	case LeaseRecall:
+		return "lease-recall"
+	default:
+		return fmt.Sprintf("kind(%d)", uint8(k))
+	}
+}
+
 // Message is exchanged between the allocators of two gateways.
 type Message struct {
 	Kind MessageKind
