--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -38,7 +38,8 @@
 	return updates, greatest
 }
 
-// The final state of a member is the greatest update, independent of the order of updates and of duplicates.
+// TestUpdateOrderAndDuplicatesDoNotMatter checks that the final state of a member is the greatest update, independent
+// of the order of updates and of duplicates.
 func TestUpdateOrderAndDuplicatesDoNotMatter(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -64,7 +65,8 @@
 	}
 }
 
-// A member refutes a false update about itself with a greater incarnation, and reports another process with its number.
+// TestRefutesUpdatesAboutItself checks that a member refutes a false update about itself with a greater incarnation,
+// and reports another process with its number.
 func TestRefutesUpdatesAboutItself(t *testing.T) {
 	list := newMemberlist(t, 3, 1)
 	list.Step(0, nil)
@@ -81,7 +83,8 @@
 	}
 }
 
-// Arbitrary messages neither grow the state beyond its bounds nor produce output about members that do not exist.
+// FuzzMessages checks that arbitrary messages neither grow the state beyond its bounds nor produce output about members
+// that do not exist.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte{1, 1, 0, 2, 3, 4, 5, 6})
 	f.Add([]byte{2, 9, 9, 0, 0, 3, 200, 1})
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Confirmations by further members shorten a suspicion, and each member counts once.
+// TestConfirmationsShortenSuspicion checks that confirmations by further members shorten a suspicion, and each member
+// counts once.
 func TestConfirmationsShortenSuspicion(t *testing.T) {
 	settings := DefaultSettings(0, 10, 9, 1)
 	shortest, longest := settings.SuspicionBoundsMs()
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A large packet is split into datagrams of the allowed size without losing quota messages, and the rounding of fractions
-// never lets a lender record less than its borrower holds.
+// TestLargePacketIsSplit checks that a large packet is split into datagrams of the allowed size without losing quota
+// messages, and the rounding of fractions never lets a lender record less than its borrower holds.
 func TestLargePacketIsSplit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	packet := samplePacket()
@@ -109,7 +109,8 @@
 	}
 }
 
-// Unknown item types and the end of longer bodies are skipped, and another version is rejected.
+// TestForwardCompatibility checks that unknown item types and the end of longer bodies are skipped, and another version
+// is rejected.
 func TestForwardCompatibility(t *testing.T) {
 	codec := NewCodec(nil)
 	var number uint64
@@ -129,7 +130,7 @@
 	}
 }
 
-// Arbitrary items either are rejected or yield a packet that can be encoded and decoded again.
+// FuzzDecode checks that arbitrary items either are rejected or yield a packet that can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	codec := NewCodec(nil)
 	var number uint64
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// A busy gateway obtains a lease of quota that another gateway does not use. Datagrams with another key are ignored.
+// TestQuotaLeaseByDatagrams checks that a busy gateway obtains a lease of quota that another gateway does not use.
+// Datagrams with another key are ignored.
 func TestQuotaLeaseByDatagrams(t *testing.T) {
 	const (
 		ownShare    = 1.0 / testGateways
--- a/internal/peerlatency/aggregator_test.go
+++ b/internal/peerlatency/aggregator_test.go
@@ -25,7 +25,8 @@
 	return a
 }
 
-// Own measurements are reported once, servers with the most responses first, and not more often than the interval allows.
+// TestReportsOwnMeasurements checks that own measurements are reported once, servers with the most responses first, and
+// not more often than the interval allows.
 func TestReportsOwnMeasurements(t *testing.T) {
 	a := newAggregator(t, 1, 2, 3)
 	a.Observe(0, 1, 10)
@@ -48,7 +49,8 @@
 	}
 }
 
-// The estimate is the lower median of at least two peers, and reports expire.
+// TestEstimateIsLowerMedianOfPeers checks that the estimate is the lower median of at least two peers, and reports
+// expire.
 func TestEstimateIsLowerMedianOfPeers(t *testing.T) {
 	a := newAggregator(t, 1)
 	if _, e := a.Step(0, []Report{{Peer: 1, Server: 1, LatencyMs: 9000}}); len(e) > 0 {
@@ -70,8 +72,8 @@
 	}
 }
 
-// The estimate does not depend on the order of reports or on duplicates, and a peer that reports wrong values cannot move
-// it beyond a value that another peer has measured.
+// TestEstimateIgnoresOrderDuplicatesAndOutliers checks that the estimate does not depend on the order of reports or on
+// duplicates, and a peer that reports wrong values cannot move it beyond a value that another peer has measured.
 func TestEstimateIgnoresOrderDuplicatesAndOutliers(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 6))
@@ -106,7 +108,8 @@
 	}
 }
 
-// Arbitrary reports neither grow the state beyond its bounds nor produce estimates from fewer than two peers.
+// FuzzReports checks that arbitrary reports neither grow the state beyond its bounds nor produce estimates from fewer
+// than two peers.
 func FuzzReports(f *testing.F) {
 	f.Add([]byte{1, 1, 9, 3, 2, 1, 8, 2})
 	f.Fuzz(func(t *testing.T, input []byte) {
--- a/internal/testbed/chaos/client_test.go
+++ b/internal/testbed/chaos/client_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A seed gives the same requests on every machine and in every version, so that a run can be repeated.
+// TestSeedDrawsSameRequests checks that a seed gives the same requests on every machine and in every version, so that a
+// run can be repeated.
 func TestSeedDrawsSameRequests(t *testing.T) {
 	for _, test := range []struct {
 		gateway int
--- a/internal/testbed/chaos/faults_test.go
+++ b/internal/testbed/chaos/faults_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// A seed gives the same faults on every machine and in every version, so that a run can be repeated.
+// TestSeedDrawsSameFaults checks that a seed gives the same faults on every machine and in every version, so that a run
+// can be repeated.
 func TestSeedDrawsSameFaults(t *testing.T) {
 	schedule := newFaultSchedule(1, nil)
 	if len(schedule.pool) != 29 {
--- a/internal/testbed/chaos/harness_test.go
+++ b/internal/testbed/chaos/harness_test.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// A short run; `make chaos` runs longer ones with any seed.
+// TestInvariantsHoldUnderOverlappingFaults runs for a short time; `make chaos` runs longer, with any seed.
 func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
 	for _, push := range []bool{false, true} {
 		result, err := Run(Options{Binary: testbed.BuildGateway(t), Gateways: 8, Shards: 4, Duration: 20 * time.Second, Seed: 1, RequestRate: 12,
--- a/internal/testbed/chaos/outage_test.go
+++ b/internal/testbed/chaos/outage_test.go
@@ -8,8 +8,9 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// A server begins to drain right after an outage of discovery, while the gateways, whose settings name a large fleet,
-// have seen their polls fail again and again. None of them sends it anything once the change counts as notified.
+// TestDrainingServerGetsNoRequestsAfterDiscoveryOutage drains a server right after an outage of discovery, while the
+// gateways, whose settings name a large fleet, have seen their polls fail again and again. It checks that none of them
+// sends the server anything once the change counts as notified.
 func TestDrainingServerGetsNoRequestsAfterDiscoveryOutage(t *testing.T) {
 	const (
 		gateways        = 8
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -12,7 +12,7 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// All scenarios run in a fifth of their time; `make fleet-soak` runs them in full.
+// TestInvariantsHoldInAllScenarios runs all scenarios in a fifth of their time; `make fleet-soak` runs them in full.
 func TestInvariantsHoldInAllScenarios(t *testing.T) {
 	if testing.Short() {
 		t.Skip("several processes")
--- a/internal/testbed/faultnet/faultnet_test.go
+++ b/internal/testbed/faultnet/faultnet_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// A seed gives the same failures on every machine and in every version, so that a run can be repeated.
+// TestSeedDrawsSameFailures checks that a seed gives the same failures on every machine and in every version, so that a
+// run can be repeated.
 func TestSeedDrawsSameFailures(t *testing.T) {
 	network := New(Options{Seed: 7, FailureRate: 0.03})
 	hash, failures := fnv.New64a(), 0
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every crash is detected within the bound at any loss rate and, unless many messages are lost, nobody else is declared
-// dead.
+// TestCrashesAreDetectedWithinBound checks that every crash is detected within the bound at any loss rate and, unless
+// many messages are lost, nobody else is declared dead.
 func TestCrashesAreDetectedWithinBound(t *testing.T) {
 	for _, c := range []struct {
 		memberCount int
--- a/internal/testbed/membershipsim/simulation_test.go
+++ b/internal/testbed/membershipsim/simulation_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Both sides of a partition declare each other dead, and find each other again after it.
+// TestPartitionHeals checks that both sides of a partition declare each other dead, and find each other again after it.
 func TestPartitionHeals(t *testing.T) {
 	s := newSimulation(6, 0, 5)
 	s.Run(3000)
@@ -37,7 +37,8 @@
 	}
 }
 
-// If one direction of a single link fails, indirect probes prevent that a member is declared dead.
+// TestOneWayLinkFailureKillsNobody checks that if one direction of a single link fails, indirect probes prevent that a
+// member is declared dead.
 func TestOneWayLinkFailureKillsNobody(t *testing.T) {
 	s := newSimulation(6, 0, 8)
 	s.Partition(func(from, to int) bool { return from == 1 && to == 2 })
@@ -47,7 +48,8 @@
 	}
 }
 
-// A member that resumes after a long pause declares nobody dead, and is soon regarded as alive again.
+// TestPausedMember checks that a member that resumes after a long pause declares nobody dead, and is soon regarded as
+// alive again.
 func TestPausedMember(t *testing.T) {
 	const paused = 2
 	s := newSimulation(6, 0, 6)
@@ -67,7 +69,8 @@
 	requireState(t, s, paused, membership.Alive, 5)
 }
 
-// A restarted member is regarded as alive although its incarnation starts below the one that was declared dead.
+// TestRestartedMember checks that a restarted member is regarded as alive although its incarnation starts below the one
+// that was declared dead.
 func TestRestartedMember(t *testing.T) {
 	s := newSimulation(5, 0.05, 7)
 	for range 3 {
@@ -80,7 +83,7 @@
 	}
 }
 
-// A member that announces its shutdown is regarded as having left, without being suspected.
+// TestLeave checks that a member that announces its shutdown is regarded as having left, without being suspected.
 func TestLeave(t *testing.T) {
 	s := newSimulation(5, 0, 9)
 	s.Run(2000)
