--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -57,12 +57,12 @@
 	callTime   time.Duration
 	down       bool
 	outage     outageKind
-	up         []process.Interval // without an outage; the last is open while there is none
+	up         []process.Interval // spans without an outage; the last one has not ended while discovery is up
 	changes    []change
-	changed    chan struct{} // closed when the list changes
-	deliveries [][]delivery  // by gateway
-	silences   [][]process.Interval
-	open       []map[int]*watch // by gateway and watch ID
+	changed    chan struct{}        // closed when the list changes
+	deliveries [][]delivery         // by gateway
+	silences   [][]process.Interval // by gateway: when one of its watches was silent; recorded when the watch ends
+	open       []map[int]*watch     // by gateway and watch ID
 	nextWatch  int
 }
 
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -119,8 +119,8 @@
 	p.mu.Unlock()
 	var directions sync.WaitGroup
 	if !closed {
-		directions.Go(func() { p.copyBytes(toServer, server, client) })
-		directions.Go(func() { p.copyBytes(fromServer, client, server) })
+		directions.Go((&copier{proxy: p, direction: toServer, dst: server, src: client}).run)
+		directions.Go((&copier{proxy: p, direction: fromServer, dst: client, src: server}).run)
 	}
 	directions.Wait()
 	loopback.Reset(client)
@@ -144,39 +144,63 @@
 	}
 }
 
-// copyBytes copies the bytes of one direction until the source ends or the connection is reset.
-func (p *streamProxy) copyBytes(d direction, dst, src net.Conn) {
+// copier copies the bytes of one direction of a connection.
+type copier struct {
+	proxy        *streamProxy
+	direction    direction
+	dst, src     net.Conn
+	countedBytes int // passed while StreamFaults.ResetAfterBytes was set
+}
+
+// run copies bytes until the source ends or the connection is reset.
+func (c *copier) run() {
 	buffer := make([]byte, copyBufferSize)
-	countedBytes := 0 // passed while ResetAfterBytes was set
 	for {
-		n, err := src.Read(buffer)
+		n, err := c.src.Read(buffer)
 		if err != nil {
-			if tcp, ok := dst.(*net.TCPConn); ok {
+			if tcp, ok := c.dst.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite() // fails only on a connection that is broken already
 			}
 			return
 		}
-		for rest := buffer[:n]; len(rest) > 0; {
-			faults := p.waitUnstalled(d)
-			chunk := rest[:faults.delayChunk(len(rest))]
-			if faults.ResetAfterBytes > 0 && countedBytes+len(chunk) > faults.ResetAfterBytes {
-				_, _ = dst.Write(chunk[:max(0, faults.ResetAfterBytes-countedBytes)]) // the connection is reset anyway
-				loopback.Reset(src)
-				loopback.Reset(dst)
-				return
-			}
-			if faults.ResetAfterBytes > 0 {
-				countedBytes += len(chunk)
-			}
-			if _, err := dst.Write(chunk); err != nil {
-				loopback.Reset(src)
-				return
-			}
-			rest = rest[len(chunk):]
+		if !c.writeChunks(buffer[:n]) {
+			return
 		}
 	}
 }
 
+// writeChunks writes bytes with the faults of the direction. It returns false if the connection was reset.
+func (c *copier) writeChunks(data []byte) bool {
+	for len(data) > 0 {
+		faults := c.proxy.waitUnstalled(c.direction)
+		chunk := data[:faults.delayChunk(len(data))]
+		if !c.writeChunk(chunk, faults.ResetAfterBytes) {
+			return false
+		}
+		data = data[len(chunk):]
+	}
+	return true
+}
+
+// writeChunk writes a chunk, or what of it may pass before the connection is to be reset. It returns false if the
+// connection was reset.
+func (c *copier) writeChunk(chunk []byte, resetAfterBytes int) bool {
+	if resetAfterBytes > 0 && c.countedBytes+len(chunk) > resetAfterBytes {
+		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)]) // the connection is reset anyway
+		loopback.Reset(c.src)
+		loopback.Reset(c.dst)
+		return false
+	}
+	if resetAfterBytes > 0 {
+		c.countedBytes += len(chunk)
+	}
+	if _, err := c.dst.Write(chunk); err != nil {
+		loopback.Reset(c.src)
+		return false
+	}
+	return true
+}
+
 // delayChunk waits for the delay of the next chunk and returns its size, of a number of bytes that are there.
 func (f StreamFaults) delayChunk(available int) (size int) {
 	if f.DelayMs > 0 {
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -70,7 +70,7 @@
 	resend           // sends another copy after the response
 	changeBody       // sends another body under the same key, once
 	sendTwice        // sends a copy over each of two connections at once
-	leave            // disconnects after the first copy and does not return
+	leave            // disconnects after the first copy and does not connect again
 	resendLate       // disconnects after the exchange and sends another copy later
 )
 
@@ -81,7 +81,12 @@
 	resendLate: "resend late"}
 
 // String returns the quirk in lower case.
-func (q quirk) String() string { return quirkNames[q] }
+func (q quirk) String() string {
+	if int(q) < len(quirkNames) {
+		return quirkNames[q]
+	}
+	return fmt.Sprintf("quirk(%d)", uint8(q))
+}
 
 // drawQuirk draws the behavior in the next exchange.
 func (d *Device) drawQuirk() quirk {
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -25,7 +25,12 @@
 var outcomeNames = [...]string{Served: "served", Failed: "failed", Rejected: "rejected", Conflict: "conflict"}
 
 // String returns the outcome in lower case.
-func (o Outcome) String() string { return outcomeNames[o] }
+func (o Outcome) String() string {
+	if int(o) < len(outcomeNames) {
+		return outcomeNames[o]
+	}
+	return fmt.Sprintf("outcome(%d)", uint8(o))
+}
 
 // final reports whether the outcome ends its exchange.
 func (o Outcome) final() bool { return o == Served || o == Failed }
@@ -67,7 +72,7 @@
 	incarnation     int // of the gateway when it began
 	responses       []response
 	executions      []Execution
-	missingResponse string // how its device waited in vain over a working link; empty if it did not
+	missingResponse string // what its device has sent before it timed out on a working link; empty if it did not
 	bytesSent       int
 }
 
