--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -1,5 +1,5 @@
 // Command faultbench tests the gateway under faults, against fakes of the outside systems on loopback. Each subcommand
-// prints a summary line and exits with status 1 if an invariant was violated.
+// prints a summary line and exits with status 1 if an invariant was violated. The fields of the subcommands are their flags.
 package main
 
 import (
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -77,6 +77,21 @@
 	return sum
 }
 
+// demandsOf returns the demands of each gateway, given the gateways of each pool. The first one of a pool uses most of it.
+func demandsOf(members [][]int) map[int][]Demand {
+	demands := map[int][]Demand{}
+	for pool, gateways := range members {
+		for k, i := range gateways {
+			demand := Demand{Pool: uint64(pool), Gateways: len(gateways), Fraction: 0.01}
+			if k == 0 {
+				demand.Fraction = 0.9
+			}
+			demands[i] = append(demands[i], demand)
+		}
+	}
+	return demands
+}
+
 // TestLendersAreFoundAmongManyGateways runs 300 gateways with message loss. The traffic of each pool arrives at three of
 // them, mostly at the first, and none knows which the others are. Borrowers find the lenders within the bound, and the
 // invariant holds in every tick.
@@ -92,16 +107,7 @@
 	for pool := range members {
 		members[pool] = net.random.Perm(gateways)[:perPool]
 	}
-	demands := map[int][]Demand{}
-	for pool, gateways := range members {
-		for k, i := range gateways {
-			demand := Demand{Pool: uint64(pool), Gateways: perPool, Fraction: 0.01}
-			if k == 0 {
-				demand.Fraction = 0.9
-			}
-			demands[i] = append(demands[i], demand)
-		}
-	}
+	demands := demandsOf(members)
 
 	startMs := testSettings(0, 0).GrantHoldMs() + tickMs
 	boundMs := testSettings(0, 0).LenderSearchBoundMs(gateways)
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -16,9 +16,12 @@
 	callSlotTimeout = 2 * time.Second
 )
 
-// watch is an open watch.
+// watch is an open watch. Its fields are guarded by discovery.mu, except gateway and end, which do not change.
 type watch struct {
+	gateway     int
 	end         chan struct{} // closed to reset the watch
+	version     int           // of the list that the gateway has
+	opening     bool          // its first message was not sent yet
 	silentSince time.Time     // zero while it sends messages
 }
 
@@ -32,7 +35,7 @@
 		http.Error(w, "too many calls", http.StatusServiceUnavailable)
 		return
 	}
-	id, own := d.openWatch(gateway)
+	id, own := d.openWatch(gateway, version)
 	if own == nil {
 		d.failInOutage(w)
 		return
@@ -42,12 +45,11 @@
 		delete(d.open[gateway], id)
 		d.mu.Unlock()
 	}()
-	for first := true; ; first = false {
-		message, ok := d.nextMessage(gateway, own, version, first)
+	for {
+		message, ok := d.nextMessage(own)
 		if !ok {
-			d.waitSilently(gateway, own, r)
+			d.waitSilently(own, r)
 		}
-		version = message.version
 		if _, err := w.Write(message.line); err != nil {
 			return
 		}
@@ -96,43 +98,43 @@
 	return true
 }
 
-// openWatch registers a watch. During an outage it returns nil.
-func (d *discovery) openWatch(gateway int) (id int, own *watch) {
+// openWatch registers a watch of a gateway that has a version of the list. During an outage it returns nil.
+func (d *discovery) openWatch(gateway, version int) (id int, own *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down {
 		return 0, nil
 	}
 	d.nextWatch++
-	own = &watch{end: make(chan struct{})}
+	own = &watch{gateway: gateway, end: make(chan struct{}), version: version, opening: true}
 	d.open[gateway][d.nextWatch] = own
 	return d.nextWatch, own
 }
 
 // watchMessage is one line of a watch.
 type watchMessage struct {
-	line    []byte // a snapshot, a delta, or an empty line as a heartbeat
-	version int
+	line    []byte          // a snapshot, a delta, or an empty line as a heartbeat
 	changed <-chan struct{} // closed by the first change that it does not contain
 }
 
-// nextMessage returns the next message of a watch to a gateway that has a version of the list, and records its
-// delivery. It reports false if the watch is silent.
-func (d *discovery) nextMessage(gateway int, own *watch, version int, first bool) (watchMessage, bool) {
+// nextMessage returns the next message of a watch and records its delivery. It reports false if the watch is silent.
+func (d *discovery) nextMessage(own *watch) (watchMessage, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !own.silentSince.IsZero() {
 		return watchMessage{}, false
 	}
 	var line []byte
+	latest := len(d.changes)
 	switch {
-	case first && (version == 0 || version > len(d.changes)):
+	case own.opening && (own.version == 0 || own.version > latest):
 		line = encodeList(d.snapshot())
-	case version < len(d.changes):
-		line = encodeList(d.delta(version))
+	case own.version < latest:
+		line = encodeList(d.delta(own.version))
 	}
-	d.deliveries[gateway] = append(d.deliveries[gateway], delivery{time.Now(), len(d.changes)})
-	return watchMessage{line: append(line, '\n'), version: len(d.changes), changed: d.changed}, true
+	own.version, own.opening = latest, false
+	d.deliveries[own.gateway] = append(d.deliveries[own.gateway], delivery{time.Now(), latest})
+	return watchMessage{line: append(line, '\n'), changed: d.changed}, true
 }
 
 func encodeList(list process.EndpointList) []byte {
@@ -145,13 +147,13 @@
 
 // waitSilently keeps a silent watch open until either side ends it, and records for how long it was silent. It does not
 // return: it aborts the response.
-func (d *discovery) waitSilently(gateway int, own *watch, r *http.Request) {
+func (d *discovery) waitSilently(own *watch, r *http.Request) {
 	select {
 	case <-own.end:
 	case <-r.Context().Done():
 	}
 	d.mu.Lock()
-	d.silences[gateway] = append(d.silences[gateway], process.Interval{From: own.silentSince, To: time.Now()})
+	d.silences[own.gateway] = append(d.silences[own.gateway], process.Interval{From: own.silentSince, To: time.Now()})
 	d.mu.Unlock()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/testbed/cluster/datagramproxy_test.go
+++ b/internal/testbed/cluster/datagramproxy_test.go
@@ -8,24 +8,51 @@
 	"gaugerelay/internal/testbed/loopback"
 )
 
-func TestDatagramFaults(t *testing.T) {
+// proxiedLink is a sender and a receiver of datagrams with a proxy between them.
+type proxiedLink struct {
+	sender   net.Conn
+	proxy    *datagramProxy
+	receiver net.PacketConn
+}
+
+// newProxiedLink opens a good link that is closed at the end of the test.
+func newProxiedLink(t *testing.T) proxiedLink {
+	t.Helper()
 	receiver, err := loopback.ListenPacket()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer receiver.Close()
-	p, err := newDatagramProxy(receiver.LocalAddr().String(), 1)
+	t.Cleanup(func() { receiver.Close() })
+	proxy, err := newDatagramProxy(receiver.LocalAddr().String(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.close()
+	t.Cleanup(proxy.close)
 	var dialer net.Dialer
-	sender, err := dialer.DialContext(t.Context(), "udp", p.addr())
+	sender, err := dialer.DialContext(t.Context(), "udp", proxy.addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sender.Close()
+	t.Cleanup(func() { sender.Close() })
+	return proxiedLink{sender: sender, proxy: proxy, receiver: receiver}
+}
+
+// receive returns the next datagram that arrives.
+func (l proxiedLink) receive(t *testing.T) string {
+	t.Helper()
+	if err := l.receiver.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	buffer := make([]byte, 100)
+	n, _, err := l.receiver.ReadFrom(buffer)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(buffer[:n])
+}
+
+func TestDatagramFaults(t *testing.T) {
+	link := newProxiedLink(t)
 	for _, test := range []struct {
 		name      string
 		faults    DatagramFaults
@@ -37,30 +64,30 @@
 		{"bit flipped", DatagramFaults{BitFlipRate: 1}, 1, false},
 		{"delayed", DatagramFaults{DelayMs: 1, JitterMs: 1}, 1, true},
 	} {
-		p.setFaults(test.faults)
-		write(t, sender, "datagram")
-		for range test.copies {
-			if err := receiver.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
-				t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			link.proxy.setFaults(test.faults)
+			write(t, link.sender, "datagram")
+			for range test.copies {
+				if got := link.receive(t); (got == "datagram") != test.unchanged {
+					t.Errorf("received %q", got)
+				}
 			}
-			n, _, err := receiver.ReadFrom(buffer)
-			if err != nil || (string(buffer[:n]) == "datagram") != test.unchanged {
-				t.Errorf("%s: received %q, %v", test.name, buffer[:n], err)
-			}
-		}
+		})
 	}
-	for _, faults := range []DatagramFaults{{Partitioned: true}, {LossRate: 1}} {
-		p.setFaults(faults)
-		write(t, sender, "lost")
-		waitUntilImpaired(p, 3)
-		p.mu.Lock()
-		p.impaired = 2
-		p.mu.Unlock()
+}
+
+// TestLostDatagrams checks that a link without faults delivers nothing that was lost before.
+func TestLostDatagrams(t *testing.T) {
+	link := newProxiedLink(t)
+	for i, faults := range []DatagramFaults{{Partitioned: true}, {LossRate: 1}} {
+		link.proxy.setFaults(faults)
+		write(t, link.sender, "lost")
+		waitUntilImpaired(link.proxy, i+1)
 	}
-	p.setFaults(DatagramFaults{})
-	write(t, sender, "again")
-	if n, _, err := receiver.ReadFrom(buffer); err != nil || string(buffer[:n]) != "again" {
-		t.Errorf("after the faults: received %q, %v", buffer[:n], err)
+	link.proxy.setFaults(DatagramFaults{})
+	write(t, link.sender, "again")
+	if got := link.receive(t); got != "again" {
+		t.Errorf("after the faults: received %q", got)
 	}
 }
 
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -70,14 +70,14 @@
 	resend           // sends another copy after the response
 	changeBody       // sends another body under the same key, once
 	sendTwice        // sends a copy over each of two connections at once
-	leave            // disconnects after the first copy and does not connect again
+	abandon          // disconnects after the first copy and does not connect again
 	resendLate       // disconnects after the exchange and sends another copy later
 )
 
 // quirkCount is the number of quirks.
 const quirkCount = int(resendLate)
 
-var quirkNames = [...]string{noQuirk: "none", resend: "resend", changeBody: "change body", sendTwice: "send twice", leave: "leave",
+var quirkNames = [...]string{noQuirk: "none", resend: "resend", changeBody: "change body", sendTwice: "send twice", abandon: "abandon",
 	resendLate: "resend late"}
 
 // String returns the quirk in lower case.
@@ -118,7 +118,7 @@
 			continue
 		}
 		responded = d.send(d.Transport, c, d.Rand)
-		if !responded && behavior == leave {
+		if !responded && behavior == abandon {
 			d.Transport.Close()
 			time.Sleep(time.Until(e.Deadline))
 			break
