--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -2,7 +2,7 @@
 // to the event loop as a request of its own, and writes one response to each.
 //
 // A Server owns its connections: one goroutine serves each of them, and github.com/pkg/sftp's RequestServer, which parses the
-// packets, starts its workers below that. Shutdown and CloseAll wait for all of them. A client that disconnects cancels its
+// packets, starts its workers below that. Shutdown and Close wait for all of them. A client that disconnects cancels its
 // requests; when the server shuts down, the commands that were received to their last byte are still answered.
 //
 // Responses are mapped to status codes as follows:
@@ -28,6 +28,7 @@
 	"github.com/pkg/sftp"
 
 	"gaugerelay/internal/clock"
+	"gaugerelay/internal/frontend"
 	"gaugerelay/internal/frontend/gracefulclose"
 	"gaugerelay/internal/lifecycle"
 	"gaugerelay/internal/logevent"
@@ -43,8 +44,6 @@
 	commandsTruncated   = "file_commands_truncated"
 	commandsMalformed   = "file_commands_malformed"
 	writesRejoined      = "file_writes_rejoined"
-	requestsInboxFull   = "requests_inbox_full"
-	responsesOverdue    = "answers_by_guard"
 )
 
 // Root maps a directory, with all that is below it, to the volume that its requests draw on.
@@ -54,8 +53,8 @@
 	// Plan is the name of a plan from the scheduler's settings.
 	Plan   string
 	Volume uint64
-	// Hosts is the number of gateways through which the volume's requests come, by any protocol.
-	Hosts int
+	// Gateways is the number of gateways through which the volume's requests come, by any protocol.
+	Gateways int
 }
 
 // Options configure a Server.
@@ -77,21 +76,11 @@
 	RetentionMs float64
 }
 
-// Loop is the part of eventloop.Loop that a Server uses.
-type Loop interface {
-	// Submit submits a request. It returns false if the loop does not accept it; Respond is not called then.
-	Submit(*lifecycle.Request) bool
-	// Cancel reports that the client no longer waits for the response.
-	Cancel(*lifecycle.Request)
-	// ResponseWritten reports that the response of a request with an exchange was passed on.
-	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
-}
-
 // Server serves SFTP connections. Its exported fields are set before the first call of Serve. Its methods may be called from
 // any goroutine.
 type Server struct {
 	Options
-	Loop     Loop
+	Loop     frontend.Loop
 	Upstream lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Registry
@@ -135,9 +124,9 @@
 	s.serving.Wait()
 }
 
-// CloseAll closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
+// Close closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
 // accepted later is not read.
-func (s *Server) CloseAll() {
+func (s *Server) Close() {
 	s.mu.Lock()
 	s.draining = true
 	for c := range s.conns {
@@ -169,7 +158,7 @@
 	s.reportEnd(c, err)
 }
 
-// register adds a connection to those that Shutdown and CloseAll end.
+// register adds a connection to those that Shutdown and Close end.
 func (s *Server) register(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
