--- a/internal/testbed/chaos/behavior.go
+++ b/internal/testbed/chaos/behavior.go
@@ -34,7 +34,7 @@
 	failProbability     = 0.7
 	breakProbability    = 0.5
 	truncateProbability = 0.3
-	garbageProbability  = 0.6 // the part above truncateProbability
+	garbageProbability  = 0.6 // includes truncateProbability, since one draw decides on both
 	repeatProbability   = 0.3
 )
 
@@ -44,5 +44,5 @@
 // meanServiceMs is the mean time in milliseconds that a server works on a request of meanUnits.
 const meanServiceMs = 4
 
-// A repeated response follows after the drawn chance times repeatDelayFactor, in whole milliseconds.
+// repeatDelayFactor converts the drawn chance to the delay of a repeated response, in whole milliseconds.
 const repeatDelayFactor = 10
--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("%.3f", t.Sub(c.startedAt).Seconds())
 }
 
-// processStart returns when the process of a gateway was started that ran at a time.
+// processStart returns the start of the gateway process that was running at a time.
 func (c *checker) processStart(gateway int, at time.Time) (start time.Time) {
 	for _, s := range c.gateways[gateway].starts {
 		if !s.After(at) {
--- a/internal/testbed/chaos/faults.go
+++ b/internal/testbed/chaos/faults.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// randomDuration draws a duration of a range, in which all are equally likely.
+// randomDuration draws a uniformly distributed duration.
 func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(random.Float64()*float64(longest-shortest))
 }
--- a/internal/testbed/chaos/notification.go
+++ b/internal/testbed/chaos/notification.go
@@ -37,8 +37,8 @@
 	return time.Time{}
 }
 
-// silenceDeadline returns when a gateway has to treat a silent watch as broken that did not send a change. It returns
-// the zero time if no watch was silent when the list changed. d.mu must be held.
+// silenceDeadline returns when a gateway has to treat a watch as broken that was silent when the list changed. It returns
+// the zero time if no watch was silent then. d.mu must be held.
 func (d *discovery) silenceDeadline(gateway int, processStart time.Time, c change) (deadline time.Time) {
 	for _, silence := range d.silences[gateway] {
 		if silence.Contains(c.at) && silence.From.After(processStart) {
@@ -62,7 +62,7 @@
 	return b
 }
 
-// earlierNonzero returns the earlier of two times, of which a zero one does not count.
+// earlierNonzero returns the earlier of two times and ignores one that is zero.
 func earlierNonzero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/testbed/chaos/request.go
+++ b/internal/testbed/chaos/request.go
@@ -73,7 +73,7 @@
 	return b.String() + "\r\n" + body
 }
 
-// requestID names a request so that servers know by what it was sent.
+// requestID names a request so that servers know which gateway it was sent to and what it costs.
 type requestID struct {
 	gateway int // that the client sent it to
 	units   int
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -5,8 +5,9 @@
 const (
 	// minRequestsToCompare is how many requests a gateway must have sent to a server for a comparison with another.
 	minRequestsToCompare = 20
-	// ejectedFraction says that a gateway has ejected a server to which it sends less than one in so many requests.
-	ejectedFraction = 4
+	// ejectedRatio bounds the requests to a comparable server relative to those to this one. A gateway that exceeds it counts
+	// as having ejected this server.
+	ejectedRatio = 4
 	// recoveryCheckInterval is the time between two counts that look for the recovery of a server.
 	recoveryCheckInterval = 400 * time.Millisecond
 )
@@ -21,7 +22,7 @@
 	next := (shard + 1) % c.options.Shards
 	for gateway := range c.gateways {
 		sent, sentToNext := now[gateway][shard]-before[gateway][shard], now[gateway][next]-before[gateway][next]
-		if selected(gateway) && sentToNext >= minRequestsToCompare && ejectedFraction*sent < sentToNext {
+		if selected(gateway) && sentToNext >= minRequestsToCompare && ejectedRatio*sent < sentToNext {
 			c.updateResult(func(result *Result) { result.WrongEjections++ })
 			c.addViolation("n%d sent %d requests to a server that serves it well, %d to the next one", gateway, sent, sentToNext)
 		}
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -18,8 +18,8 @@
 	EjectedSendRate   float64 // highest rate from a gateway at a server that fails for all, in attempts per second
 	StaleListSendRate float64 // the same at a draining server of which the gateway's own endpoint list does not say so
 	RecoveryMs        float64 // longest time until a server that had failed for all was in use again
-	MaxOverLimit      float64 // units by which a volume exceeded its limit at most
-	AllowedOverLimit  float64 // units by which the invariant allows it
+	MaxOverLimit      float64 // most units by which a volume exceeded its limit
+	AllowedOverLimit  float64 // most units by which the invariant allows a volume to exceed its limit
 
 	// Violations of the invariants, by kind.
 	Lost              int // requests without a response though their gateway was running
--- a/internal/testbed/cluster/settings.go
+++ b/internal/testbed/cluster/settings.go
@@ -16,7 +16,8 @@
 	drainGraceMs       = 1000
 )
 
-// limitTimeSlackMs is for how long a volume's limit may be exceeded more on sockets than the invariant says.
+// limitTimeSlackMs is the time for which a volume may get units at limitRate beyond its overdraft, since sockets delay
+// requests differently.
 const limitTimeSlackMs = 150
 
 // limitBurst returns the size of the token bucket of a volume: two of the largest requests for each host.
--- a/internal/testbed/cluster/tokenbucket.go
+++ b/internal/testbed/cluster/tokenbucket.go
@@ -5,7 +5,7 @@
 // tokenBucket is the limit of a volume as the invariant counts it at the servers.
 type tokenBucket struct {
 	level, burst float64 // units; the level is below zero while the limit is exceeded
-	lowest       float64 // level ever
+	lowest       float64 // lowest level so far
 	at           time.Time
 }
 
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -87,7 +87,7 @@
 	return errnos[n.random.IntN(len(errnos))], n.random.Float64() < rate
 }
 
-// drawAccept draws whether an accept fails. Failures come in rows.
+// drawAccept draws whether an accept fails. One failure may be followed by others.
 func (n *Network) drawAccept() (errno syscall.Errno, fails bool) {
 	errno, fails = n.draw(n.options.FailureRate, acceptErrors)
 	n.mu.Lock()
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -33,7 +33,7 @@
 		d := Draw(seed)
 		synctest.Test(t, func(t *testing.T) {
 			result = Run(d)
-			time.Sleep(time.Minute) // Connections and timers that are left come to their own ends.
+			time.Sleep(time.Minute) // Remaining connections and timers time out.
 		})
 		for _, violation := range result.Violations {
 			t.Errorf("seed %d (push %v, %d of %d gateways, %d shards): %s", seed, d.Push, d.Gateways, d.FleetSize, d.Shards, violation)
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -73,7 +73,7 @@
 			old.Shutdown()
 		}
 		r.resetUpstreamConns()
-		time.Sleep(restartTime) // What it sent at the last moment comes to its end.
+		time.Sleep(restartTime) // Requests that it sent last still reach the servers.
 		r.collectCounters(old)
 		r.checker.RecordRestart()
 		if err := r.startGateway(); err != nil {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -34,7 +34,7 @@
 		if report, err = Run(options); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // Links and timers that are left come to their own ends.
+		time.Sleep(time.Minute) // Remaining links and timers time out.
 	})
 	return report
 }
