--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -15,7 +15,7 @@
 	suspectedBy   []uint16 // at most ExpectedConfirmations+1 members
 }
 
-// Memberlist is the view that one member has of the cluster.
+// Memberlist is the view that one member has of the fleet. It is not safe for concurrent use.
 type Memberlist struct {
 	settings Settings
 	random   *rand.Rand
@@ -38,7 +38,7 @@
 }
 
 // New returns the Memberlist of a process that has just started and assumes that all other members are alive. It returns
-// an error if the settings are out of range.
+// an error that wraps ErrInvalidSettings if the settings are out of range.
 func New(settings Settings) (*Memberlist, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	if l.leaving {
 		return next
 	}
-	if l.probe.pending && !l.probe.indirect {
+	if l.probe.phase == probeDirect {
 		next = min(next, l.indirectProbeAtMs())
 	}
 	for _, r := range l.relays {
@@ -86,8 +86,8 @@
 }
 
 // Step processes the messages that were received until nowMs and all timers that have expired. It returns the messages
-// to send and the state changes that result. Successive calls must not pass decreasing times.
-func (l *Memberlist) Step(nowMs float64, incoming []Message) (outgoing []Message, changes []StateChange) {
+// to send and the state changes that result. nowMs must not decrease from call to call.
+func (l *Memberlist) Step(nowMs float64, received []Message) (outgoing []Message, changes []StateChange) {
 	l.outgoing, l.changes = nil, nil
 	switch {
 	case !l.started:
@@ -97,7 +97,7 @@
 		l.resumeAfterPause(nowMs, nowMs-l.lastStepMs)
 	}
 	l.lastStepMs = nowMs
-	for _, m := range incoming {
+	for _, m := range received {
 		l.receive(nowMs, m)
 	}
 	l.runTimers(nowMs)
@@ -110,7 +110,7 @@
 	for i := range l.members {
 		l.members[i].suspectedAtMs += pauseMs
 	}
-	l.probe.pending = false
+	l.probe.phase = probeFinished
 	l.relays = nil
 	l.nextProbeMs = nowMs
 	l.raiseHealthScore(1)
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -1,5 +1,7 @@
 package outlier
 
+import "fmt"
+
 // Condition is what a gateway reports of a server. The numbers are part of the wire format.
 type Condition uint8
 
@@ -7,13 +9,25 @@
 const (
 	// Failing means that attempts at the server fail.
 	Failing Condition = iota + 1
-	// Withdrawn means that the server drains or is gone, by the reporter's endpoint list.
+	// Withdrawn means that the server drains or was removed, by the reporter's endpoint list.
 	Withdrawn
 
 	// conditionsEnd is one more than the largest condition, for arrays that conditions index.
 	conditionsEnd
 )
 
+// String returns the lower-case name of the condition.
+func (c Condition) String() string {
+	switch c {
+	case Failing:
+		return "failing"
+	case Withdrawn:
+		return "withdrawn"
+	default:
+		return fmt.Sprintf("condition(%d)", uint8(c))
+	}
+}
+
 // conditions lists all conditions, in the order in which a Detector evaluates them.
 var conditions = [...]Condition{Failing, Withdrawn}
 
--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Aggregator collects own measurements and the reports of peers.
+// Aggregator collects own measurements and the reports of peers. It is not safe for concurrent use.
 type Aggregator struct {
 	settings     Settings
 	servers      map[uint64]*server
@@ -13,7 +13,7 @@
 	lastReportMs float64
 }
 
-// New returns an Aggregator without servers, or an error if the settings are out of range.
+// New returns an Aggregator without servers, or an error that wraps ErrInvalidSettings.
 func New(settings Settings) (*Aggregator, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -48,12 +48,12 @@
 }
 
 // Step processes the reports of peers. It returns the own reports to send to all peers, if a round of reports is due, and
-// the estimates that have changed. Successive calls must not pass decreasing times.
-func (a *Aggregator) Step(nowMs float64, incoming []Report) (outgoing []Report, estimates []Estimate) {
-	for _, r := range incoming {
+// the estimates that have changed. nowMs must not decrease from call to call.
+func (a *Aggregator) Step(nowMs float64, received []Report) (outgoing []Report, estimates []Estimate) {
+	for _, r := range received {
 		a.receive(nowMs, r)
 	}
-	if len(incoming) > 0 {
+	if len(received) > 0 {
 		estimates = a.updatedEstimates(nowMs)
 	}
 	if nowMs < a.lastReportMs+a.settings.ReportIntervalMs {
--- a/internal/testbed/chaos/client_test.go
+++ b/internal/testbed/chaos/client_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A seed gives the same requests on every machine and in every version, so that a run can be repeated.
+// TestSeedDrawsSameRequests checks that a seed gives the same requests on every machine and in every version, so that a
+// run can be repeated.
 func TestSeedDrawsSameRequests(t *testing.T) {
 	for _, test := range []struct {
 		gateway int
@@ -15,7 +16,7 @@
 		clients := newClientGroup(test.gateway, "", 1)
 		hash := fnv.New64a()
 		for range 2000 {
-			gap := clients.rnd.ExpFloat64() / 12.0
+			gap := clients.random.ExpFloat64() / 12.0
 			r := clients.drawRequest(4)
 			_, _ = fmt.Fprintf(hash, "%v %s %v %v\n", gap, r.message(), r.cancelAfter, r.incomplete) // a hash never fails
 		}
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -59,7 +59,7 @@
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
 	ResponseTimeout time.Duration // after which the device gives up a silent connection
-	QuirkRate       float64       // share of its exchanges in which it behaves unusually
+	QuirkRate       float64       // fraction of its exchanges in which it behaves unusually
 }
 
 // quirk is an unusual behavior of a device in one exchange.
@@ -70,18 +70,23 @@
 	resend           // sends another copy after the response
 	changeBody       // sends another body under the same key, once
 	sendTwice        // sends a copy over each of two connections at once
-	leave            // disconnects after the first copy and does not return
+	abandon          // disconnects after the first copy and does not connect again
 	resendLate       // disconnects after the exchange and sends another copy later
 )
 
 // quirkCount is the number of quirks.
 const quirkCount = int(resendLate)
 
-var quirkNames = [...]string{noQuirk: "none", resend: "resend", changeBody: "change body", sendTwice: "send twice", leave: "leave",
+var quirkNames = [...]string{noQuirk: "none", resend: "resend", changeBody: "change body", sendTwice: "send twice", abandon: "abandon",
 	resendLate: "resend late"}
 
 // String returns the quirk in lower case.
-func (q quirk) String() string { return quirkNames[q] }
+func (q quirk) String() string {
+	if int(q) < len(quirkNames) {
+		return quirkNames[q]
+	}
+	return fmt.Sprintf("quirk(%d)", uint8(q))
+}
 
 // drawQuirk draws the behavior in the next exchange.
 func (d *Device) drawQuirk() quirk {
@@ -113,7 +118,7 @@
 			continue
 		}
 		responded = d.send(d.Transport, c, d.Rand)
-		if !responded && behavior == leave {
+		if !responded && behavior == abandon {
 			d.Transport.Close()
 			time.Sleep(time.Until(e.Deadline))
 			break
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -25,7 +25,12 @@
 var outcomeNames = [...]string{Served: "served", Failed: "failed", Rejected: "rejected", Conflict: "conflict"}
 
 // String returns the outcome in lower case.
-func (o Outcome) String() string { return outcomeNames[o] }
+func (o Outcome) String() string {
+	if int(o) < len(outcomeNames) {
+		return outcomeNames[o]
+	}
+	return fmt.Sprintf("outcome(%d)", uint8(o))
+}
 
 // final reports whether the outcome ends its exchange.
 func (o Outcome) final() bool { return o == Served || o == Failed }
@@ -67,7 +72,7 @@
 	incarnation     int // of the gateway when it began
 	responses       []response
 	executions      []Execution
-	missingResponse string // how its device waited in vain over a working link; empty if it did not
+	missingResponse string // what its device has sent before it timed out on a working link; empty if it did not
 	bytesSent       int
 }
 
@@ -82,7 +87,7 @@
 // New returns an empty checker.
 func New() *Checker { return &Checker{exchanges: map[string]*exchange{}} }
 
-// find returns the records of an exchange and starts them if there are none. c.mu is held.
+// find returns the records of an exchange and starts them if there are none. c.mu must be held.
 func (c *Checker) find(id string) *exchange {
 	x := c.exchanges[id]
 	if x == nil {
--- a/internal/testbed/membershipsim/simulation.go
+++ b/internal/testbed/membershipsim/simulation.go
@@ -19,7 +19,7 @@
 	Seed                 uint64
 }
 
-// Simulation is a simulated cluster. Its members are numbered from 0.
+// Simulation is a simulated fleet. Its members are numbered from 0.
 type Simulation struct {
 	// NowMs is the simulated time.
 	NowMs float64
@@ -32,7 +32,7 @@
 	random          *rand.Rand
 	members         []*member
 	queue           eventQueue
-	isCut           func(from, to int) bool
+	isPartitioned   func(from, to int) bool
 	lastIncarnation uint32
 	codec           *datagram.Codec
 }
@@ -51,7 +51,7 @@
 // isRunning reports whether the member takes part in the protocol.
 func (m *member) isRunning() bool { return !m.crashed && !m.paused }
 
-// New starts a Simulation of a cluster whose members assume each other to be alive.
+// New starts a Simulation of a fleet whose members assume each other to be alive.
 func New(options Options) *Simulation {
 	s := &Simulation{
 		options: options,
@@ -102,12 +102,12 @@
 	s.step(number, received)
 }
 
-// Partition makes the links lose all messages for which isCut returns true. A nil function repairs all links.
-func (s *Simulation) Partition(isCut func(from, to int) bool) {
-	if isCut == nil {
-		isCut = func(int, int) bool { return false }
+// Partition makes the links lose all messages for which isPartitioned returns true. A nil function repairs all links.
+func (s *Simulation) Partition(isPartitioned func(from, to int) bool) {
+	if isPartitioned == nil {
+		isPartitioned = func(int, int) bool { return false }
 	}
-	s.isCut = isCut
+	s.isPartitioned = isPartitioned
 }
 
 // Run advances the simulated time.
@@ -171,7 +171,7 @@
 		return
 	}
 	m.deadSinceMs[subject] = s.NowMs
-	if s.members[subject].isRunning() && !s.isCut(number, subject) {
+	if s.members[subject].isRunning() && !s.isPartitioned(number, subject) {
 		s.FalseDeaths++
 	}
 }
@@ -180,7 +180,7 @@
 func (s *Simulation) send(from int, message membership.Message) {
 	to := int(message.Peer)
 	s.countDatagrams(from, message)
-	if s.random.Float64() < s.options.LossRate || s.isCut(from, to) {
+	if s.random.Float64() < s.options.LossRate || s.isPartitioned(from, to) {
 		return
 	}
 	message.Peer = uint16(from)
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -15,9 +15,9 @@
 type endpointState string
 
 const (
-	stateReady       endpointState = "Ready"
-	stateTerminating endpointState = "Terminating"
-	stateGone        endpointState = "Gone"
+	stateReady    endpointState = "Ready"
+	stateDraining endpointState = "Terminating"
+	stateRemoved  endpointState = "Gone"
 )
 
 // endpointChange is a published change of the endpoint list. Its version is its index in simulation.updates plus one.
@@ -47,7 +47,7 @@
 }
 
 // endpointFor returns the changed server as a gateway sees it.
-func (c endpointChange) endpointFor(g *gatewayNode) endpoint {
+func (c endpointChange) endpointFor(g *simulatedGateway) endpoint {
 	return endpoint{ID: c.server.name, Addr: serverAddr(g.index, c.server.index), Zone: c.server.zone, Kind: "k",
 		Shard: c.server.shard, State: c.state, Weight: 1, StartedMs: c.server.startedMs()}
 }
@@ -69,8 +69,8 @@
 	})
 }
 
-// markNotified records that a gateway counts as notified of all changes up to now. s.mu is held.
-func (s *simulation) markNotified(g *gatewayNode) {
+// markNotified records that a gateway counts as notified of all changes up to now. s.mu must be held.
+func (s *simulation) markNotified(g *simulatedGateway) {
 	if g.notifiedAt == nil { // It has not started yet.
 		return
 	}
@@ -81,12 +81,12 @@
 	}
 }
 
-// snapshot returns the whole endpoint list at a version as a gateway sees it. s.mu is held.
-func (s *simulation) snapshot(g *gatewayNode, version int) *endpointUpdate {
+// snapshot returns the complete endpoint list at a version as a gateway sees it. s.mu must be held.
+func (s *simulation) snapshot(g *simulatedGateway, version int) *endpointUpdate {
 	latest := map[string]endpoint{}
 	for _, c := range s.updates[:version] {
 		e := c.endpointFor(g)
-		if c.state != stateGone {
+		if c.state != stateRemoved {
 			latest[e.ID] = e
 		} else if known, ok := latest[e.ID]; ok && known.StartedMs == e.StartedMs {
 			delete(latest, e.ID)
@@ -99,8 +99,8 @@
 	return update
 }
 
-// delta returns the changes after a version as a gateway sees them. s.mu is held.
-func (s *simulation) delta(g *gatewayNode, after int) *endpointUpdate {
+// delta returns the changes after a version as a gateway sees them. s.mu must be held.
+func (s *simulation) delta(g *simulatedGateway, after int) *endpointUpdate {
 	update := &endpointUpdate{Version: len(s.updates), Servers: []endpoint{}}
 	for _, c := range s.updates[after:] {
 		update.Servers = append(update.Servers, c.endpointFor(g))
@@ -109,7 +109,7 @@
 }
 
 // startDiscovery starts the fake of discovery that a gateway watches.
-func (s *simulation) startDiscovery(g *gatewayNode) {
+func (s *simulation) startDiscovery(g *simulatedGateway) {
 	listener, err := s.network.Listen(discoveryAddr(g.index))
 	if err != nil {
 		panic(err)
@@ -119,7 +119,7 @@
 }
 
 // serveWatch serves a watch until its client leaves, the watch is reset or discovery goes down.
-func (s *simulation) serveWatch(g *gatewayNode, w http.ResponseWriter, r *http.Request) {
+func (s *simulation) serveWatch(g *simulatedGateway, w http.ResponseWriter, r *http.Request) {
 	const pollDelay, heartbeatInterval = 10 * time.Millisecond, 2 * time.Second
 	reset := make(chan struct{})
 	s.mu.Lock()
@@ -128,7 +128,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // Absent: 0.
-	watch := watchState{node: g, incarnation: g.gateway, version: version, opening: true}
+	watch := watchState{gateway: g, incarnation: g.gateway, version: version, opening: true}
 	g.watches[reset] = true
 	s.mu.Unlock()
 	defer func() {
@@ -152,7 +152,7 @@
 
 // watchState is what an open watch has received.
 type watchState struct {
-	node        *gatewayNode
+	gateway     *simulatedGateway
 	incarnation *gateway.Gateway // that opened it
 	version     int
 	opening     bool // its first message has not been sent
@@ -167,18 +167,18 @@
 	latest := len(s.updates)
 	switch {
 	case watch.version > latest || watch.opening && watch.version == 0:
-		update = s.snapshot(watch.node, latest)
+		update = s.snapshot(watch.gateway, latest)
 	case watch.version < latest || watch.opening:
-		update = s.delta(watch.node, watch.version)
+		update = s.delta(watch.gateway, watch.version)
 	}
 	watch.version, watch.opening = latest, false
-	if watch.node.gateway == watch.incarnation {
-		s.markNotified(watch.node)
+	if watch.gateway.gateway == watch.incarnation {
+		s.markNotified(watch.gateway)
 	}
 	if update != nil {
 		message, _ = json.Marshal(update) // All drawn numbers are finite.
 	}
-	return append(message, '\n'), watch.node.updated
+	return append(message, '\n'), watch.gateway.updated
 }
 
 // waitForUpdate waits for the next update or until a heartbeat is due. It returns false if the client has left, and aborts
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen          chan struct{} // while it does not respond: closed when it does again
 	queued          int
 	slowStartSends  []slowStartSend      // within the overload window
-	servedElsewhere map[uint64][]float64 // units by volume and gateway that the gateway has not been told of
+	servedElsewhere map[uint64][]float64 // units by volume and gateway that were not reported to the gateway yet
 }
 
 // slowStartSend is a request that reached a server during its slow start.
@@ -42,7 +42,7 @@
 	units float64
 }
 
-// startServer starts a server for all gateways. s.mu is held.
+// startServer starts a server for all gateways. s.mu must be held.
 func (s *simulation) startServer(name string, shard int, startedAt time.Time) *server {
 	srv := &server{index: len(s.servers), name: name, shard: shard, zone: s.deployment.Zones[shard%len(s.deployment.Zones)],
 		startedAt: startedAt, slots: make(chan struct{}, serverConcurrency), servedElsewhere: map[uint64][]float64{}}
@@ -85,7 +85,7 @@
 }
 
 // serve handles a request at a server and checks the rules as it arrives.
-func (s *simulation) serve(srv *server, g *gatewayNode, w http.ResponseWriter, r *http.Request) {
+func (s *simulation) serve(srv *server, g *simulatedGateway, w http.ResponseWriter, r *http.Request) {
 	firstByteAt := time.Now()
 	if r.Header.Get("X-Correlation-Id") == "" {
 		s.mu.Lock()
@@ -109,7 +109,7 @@
 // serverTask is a request that a server has admitted.
 type serverTask struct {
 	server  *server
-	gateway *gatewayNode
+	gateway *simulatedGateway
 	request *request
 	frozen  chan struct{} // closed when the server responds again; nil if it does
 	outcome float64       // drawn from [0, 1): which fault the request meets, and whether a load report is sent
@@ -117,7 +117,7 @@
 }
 
 // admit checks a complete request against the rules and decides whether the server works on it.
-func (s *simulation) admit(srv *server, g *gatewayNode, r *http.Request, body string, firstByteAt time.Time) (serverTask, bool) {
+func (s *simulation) admit(srv *server, g *simulatedGateway, r *http.Request, body string, firstByteAt time.Time) (serverTask, bool) {
 	id := r.Header.Get("X-Correlation-Id")
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,11 +191,11 @@
 		}
 		w.Header().Set("X-Backend-Load", "{"+strings.Join(report, ",")+"}")
 	}
-	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // A gateway that has gone is no fault of the server.
+	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // The gateway may have closed the connection.
 }
 
-// recordServed adds a request's units to what the other gateways will be told of, and returns the units of its volume that
-// were served for others since its own gateway was last told.
+// recordServed adds a request's units to what is to be reported to the other gateways, and returns the units of its volume
+// that were served for others since the last report to its own gateway.
 func (s *simulation) recordServed(task serverTask) (elsewhere float64) {
 	volumeID := task.request.volume.ID
 	s.mu.Lock()
