--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -57,7 +57,8 @@
 }
 
 // earlierMayHaveExecuted reports whether an earlier copy of an exchange that the store does not know may have executed.
-// If all were sent to this gateway since it started, and it has forgotten nothing so recent, none arrived entirely.
+// None has if all were sent to this gateway since it started and no exchange so recent was evicted or forgotten: the store would know
+// the exchange if one of them had arrived completely.
 func (s *Store) earlierMayHaveExecuted(idempotency scheduler.Idempotency, history *ResendHistory) bool {
 	if !history.IsRetry || idempotency == scheduler.Idempotent {
 		return false
@@ -68,8 +69,8 @@
 	return !wouldBeKnown
 }
 
-// safeRepeatMs returns for how long a request that may have executed through another gateway may run: while its window
-// is open and the same group of servers drops the repeat. It is negative if nobody knows what a repeat would do.
+// safeRepeatMs returns for how long a request that may have executed through another gateway may run: until its
+// deduplication window ends, if the repeat is sure to reach the group of servers that drops it. Otherwise it is negative.
 func safeRepeatMs(received *CopyReceived) float64 {
 	class := &received.Class
 	if class.Idempotency != scheduler.IdempotentWithKey || !(received.AgeMs >= 0) || class.DedupScope == scheduler.DedupZone {
@@ -164,7 +165,7 @@
 func (s *Store) join(exchange *storedExchange, received *CopyReceived) {
 	device := exchange.device
 	exchange.lastActivityMs = s.nowMs
-	if exchange.deadlineMs > s.nowMs { // the copy that its link delayed least gives the deadline best
+	if exchange.deadlineMs > s.nowMs { // the earliest deadline is that of the copy whose link delayed it least
 		exchange.deadlineMs = min(exchange.deadlineMs, s.nowMs+device.link.remainingHereMs(received.RemainingMs))
 	}
 	switch exchange.state {
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -35,11 +35,11 @@
 	maxMeasurementMs     = 3600_000 // a longer time is not a measurement
 	minRateSampleBytes   = 512      // the rate of less measures the round trip
 	minGapSamples        = 8        // fewer may be a single disturbance
-	medianGap            = 0.5
-	highGap              = 0.99
-	idleTimeoutGaps      = 2 // the idle timeout is so many times the high quantile of the gaps
-	deviations           = 4 // as in RFC 6298
-	minDeviationFraction = 8 // the deviation of the idle timeout is at least this part of the round trip
+	medianGap            = 0.5      // the quantile of the gaps that a response is expected to wait for
+	highGap              = 0.99     // the quantile of the gaps that the idle timeout is derived from
+	idleTimeoutGaps      = 2        // the idle timeout is so many times the high quantile of the gaps
+	deviations           = 4        // as in RFC 6298
+	minDeviationFraction = 8        // the deviation of the idle timeout is at least this part of the round trip
 )
 
 // LinkEstimator estimates the round trip, delivery rate and gaps of one device's link from samples: three numbers and
@@ -67,6 +67,7 @@
 // isPlausibleMs reports whether a duration can be a measurement. NaN is not.
 func isPlausibleMs(ms float64) bool { return ms > 0 && ms <= maxMeasurementMs }
 
+// observeRoundTrip adds a round trip to the smoothed one and its deviation.
 func (l *LinkEstimator) observeRoundTrip(ms float64) {
 	if l.roundTripMs == 0 {
 		l.roundTripMs, l.deviationMs = ms, ms/2
@@ -76,6 +77,7 @@
 	l.roundTripMs += roundTripGain * (ms - l.roundTripMs)
 }
 
+// observeRate adds a delivery rate to the smoothed one.
 func (l *LinkEstimator) observeRate(bytesPerMs float64) {
 	if l.bytesPerMs == 0 {
 		l.bytesPerMs = bytesPerMs
@@ -125,6 +127,7 @@
 	return LinkAdvice{IdleTimeoutMs: l.idleTimeoutMs(settings), BlockSize: l.blockSize(settings)}
 }
 
+// idleTimeoutMs returns the silence after which a connection counts as dead, within the settings.
 func (l *LinkEstimator) idleTimeoutMs(settings *LinkSettings) float64 {
 	roundTripMs := l.expectedRoundTripMs(math.Inf(1))
 	timeoutMs := roundTripMs + deviations*max(l.deviationMs, roundTripMs/minDeviationFraction)
--- a/internal/dedup/exchange/run.go
+++ b/internal/dedup/exchange/run.go
@@ -35,9 +35,9 @@
 	return s.settings.MaxBodyBytes
 }
 
-// rerunBudgetMs returns how long a failed exchange may run once more, given the time that the link leaves, and whether
-// it may run at all.
-func (s *Store) rerunBudgetMs(exchange *storedExchange, budgetMs float64) (float64, bool) {
+// rerunBudgetMs returns how long a failed exchange may run once more, at most the given budget, and whether it may run at
+// all.
+func (s *Store) rerunBudgetMs(exchange *storedExchange, budgetMs float64) (rerunMs float64, allowed bool) {
 	if exchange.deadlineMs > s.nowMs {
 		budgetMs = min(budgetMs, exchange.deadlineMs-s.nowMs)
 	}
@@ -58,8 +58,8 @@
 	return budgetMs, budgetMs >= s.settings.MinRunMs
 }
 
-// canRepeatInScope reports whether a repeat can be sent to the group of servers that drops it. A run can name a cell's
-// shard, but no zone.
+// canRepeatInScope reports whether a repeat can be sent to the group of servers that drops it. A run can be bound to a
+// shard, but not to a zone.
 func (e *storedExchange) canRepeatInScope() bool {
 	switch e.class.DedupScope {
 	case scheduler.DedupZone:
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -37,7 +37,7 @@
 	untilMs float64 // when its device stops waiting, if the request took no time to arrive
 }
 
-// storedExchange is an exchange.
+// storedExchange is the state of an exchange in the store.
 type storedExchange struct {
 	id     ID
 	key    string
@@ -56,8 +56,8 @@
 	mayHaveExecuted   bool
 	firstAttemptMs    float64 // when the first attempt that may have executed was sent
 	firstAttemptShard int     // where to; -1: unknown
-	// latestAttemptMs is the latest time known of an attempt that may have executed: if the first one did not arrive,
-	// the servers' deduplication window began with it.
+	// latestAttemptMs is the latest time known of an attempt that may have executed. The servers' deduplication window
+	// began with it if the earlier ones did not arrive.
 	latestAttemptMs float64
 	failureReported bool // a copy got the response that the exchange failed, which is final
 
@@ -82,6 +82,8 @@
 // retainUntilMs returns when no server drops repeats any more. What may have executed is not forgotten before it.
 func (e *storedExchange) retainUntilMs() float64 { return e.windowEndMs(e.latestAttemptMs) }
 
+// windowEndMs returns when the deduplication window of an attempt that was sent at sentMs ends. It is minus infinity if there
+// is no window.
 func (e *storedExchange) windowEndMs(sentMs float64) float64 {
 	if !e.mayHaveExecuted || e.class.Idempotency != scheduler.IdempotentWithKey {
 		return math.Inf(-1)
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -90,6 +90,7 @@
 	s.wheel = timerwheel.New[*storedExchange](nowMs, tickMs)
 }
 
+// handle updates the state by one event.
 func (s *Store) handle(event Event) {
 	switch event := event.(type) {
 	case CopyReceived:
@@ -115,6 +116,7 @@
 	}
 }
 
+// emit records an action of the present step.
 func (s *Store) emit(action Action) { s.actions = append(s.actions, action) }
 
 // respond sends the one response to a copy. A copy that is served is remembered until the response is written or its
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -87,6 +87,7 @@
 	return watchMessage{update: update, versioned: value.Exists("version"), invalidEntries: invalidEntries}, nil
 }
 
+// isArray reports whether a value is present and an array.
 func isArray(value *fastjson.Value) bool {
 	return value != nil && value.Type() == fastjson.TypeArray
 }
--- a/internal/discovery/objectreader.go
+++ b/internal/discovery/objectreader.go
@@ -17,6 +17,7 @@
 	afterObject bool   // an object has ended and its line has not
 }
 
+// newObjectReader returns a reader of the body of a watch.
 func newObjectReader(body io.Reader) *objectReader {
 	return &objectReader{reader: bufio.NewReader(body)}
 }
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -81,7 +81,7 @@
 		"answered", session.responded, logevent.Version, version)
 }
 
-// idleTimer cancels a watch that is idle for too long. Its zero value needs a clock and a cancel function.
+// idleTimer cancels a watch that is idle for too long. clock and cancel must be set.
 type idleTimer struct {
 	clock  clock.Clock
 	cancel context.CancelCauseFunc
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -10,7 +10,7 @@
 // that never runs backwards.
 package endpointlease
 
-// congestedLatencyMs is the latency from which on a call that discovery responded to must have waited for those of others.
+// congestedLatencyMs is the least latency of a response from which it is concluded that the call waited for those of other gateways.
 const congestedLatencyMs = 1000
 
 // Settings determine the length of a lease. All are in milliseconds.
--- a/internal/lifecycle/deduplicator.go
+++ b/internal/lifecycle/deduplicator.go
@@ -55,7 +55,7 @@
 // LinkSample is what a connection to a device has measured since its last sample. A zero field means no measurement.
 type LinkSample struct {
 	RoundTripMs float64
-	// Bytes were delivered within BytesMs.
+	// Bytes were delivered within TransferMs.
 	Bytes      int
 	TransferMs float64
 	// MaxGapMs is the longest time without a byte within a message.
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// admit takes in a request: it is queued in its volume's flow at its shard, or rejected if it can't be scheduled at all. A
-// repeated ID is ignored.
+// admit queues a request in the flow of its volume at its shard, or rejects it if it cannot be scheduled at all. A request whose ID
+// is in use is ignored.
 func (s *Scheduler) admit(arrival *RequestArrived) {
 	s.retryBudget.recordArrival(s.now)
 	if s.requests[arrival.ID] != nil {
@@ -40,9 +40,12 @@
 		validUnits(arrival.Units)
 }
 
-// setDeadlines sets the expiry and the latency objective of a request. A client's retry has used up part of its objective: what
-// it lacks of the longest time seen in its class, less its time on the way, is its age. If less than half of the longest time is
-// left, the client is taken for an impatient one: a retry so old has nothing to lose.
+// setDeadlines sets the expiry and the latency objective of a request.
+//
+// The objective counts from the client's first attempt. The age of a retry is estimated as the difference between the longest
+// remaining time that a request of its class has had when its client sent it, and that of the request. If the age is not less than
+// the latter, the request is taken for the first attempt of a client with a short deadline: a retry that old could hardly meet its
+// objective.
 func (s *Scheduler) setDeadlines(request *request) {
 	request.expiresAt = s.now + request.Remaining
 	request.objectiveAt = s.now + request.class.LatencyObjective
--- a/internal/scheduler/authorization.go
+++ b/internal/scheduler/authorization.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// authorizeSend reports whether the rules let a request be sent to a server now. Capacity is hasCapacity's concern.
+// authorizeSend reports whether the rules let a request be sent to a server now. Whether the server has capacity for it is left to
+// hasCapacity.
 func (s *Scheduler) authorizeSend(server *serverEntry, request *request) bool {
 	if s.endpointsExpired() || request.finished || request.expiresAt <= s.now || len(request.attempts) >= s.settings.MaxAttempts {
 		return false
@@ -15,7 +16,8 @@
 	return s.keyOrder.allows(s.now, request) && s.slowStartAllows(server)
 }
 
-// endpointsExpired reports whether the endpoint list is too old to send by: a server in it may drain, which counts as known.
+// endpointsExpired reports whether the endpoint list is too old to send by: a server in it may be draining, and that change counts
+// as notified although it has not arrived.
 func (s *Scheduler) endpointsExpired() bool {
 	return s.endpointsValidUntil != 0 && s.now >= s.endpointsValidUntil
 }
--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -63,8 +63,9 @@
 	c.addSample(latency)
 }
 
-// updateLatency moves the smoothed latency by the samples of the period, if there are any. Samples weigh by the age of what they
-// replace, so that a gateway with one response per second follows the server as quickly; one response weighs at most half.
+// updateLatency updates the smoothed latency by the samples of the period, of which there is at least one. The longer ago the last
+// update, the more the samples weigh, so that a gateway with one response per second follows the server as quickly as one with many.
+// A single sample weighs at most half.
 func (c *congestionControl) updateLatency(now time.Duration) {
 	elapsed := float64(now-c.latencyUpdatedAt) / float64(latencyHalfLife)
 	history := math.Exp2(-min(elapsed, c.latencySamples))
@@ -93,8 +94,9 @@
 	c.surplusWindow = max(c.surplusWindow, min(1, c.surplusWindow*growth))
 }
 
-// idleLatency returns the expected latency with nothing in flight: what the smoothed latency exceeds the threshold by fades, else
-// a gateway with few responses would reject for seconds after a flood. A server that stays slow costs a trial now and then.
+// idleLatency returns the expected latency while nothing is in flight. The excess of the smoothed latency over the threshold decays
+// with time; without that, a gateway with few responses would reject requests for seconds after an overload. At a server that stays
+// slow the decay costs a slow request now and then.
 func (c *congestionControl) idleLatency(now, threshold time.Duration) time.Duration {
 	age := float64(now-c.latencyUpdatedAt) / float64(latencyHalfLife)
 	excess := float64(max(0, c.latency-threshold))
@@ -128,7 +130,8 @@
 	return beta
 }
 
-// updateServerWindows moves a server's latency and windows. A period without responses leaves them alone, unless some are owed.
+// updateServerWindows updates a server's latency and windows at the end of a period. Without a response in the period they stay,
+// except at an unresponsive server, whose windows shrink, and at one with nothing in flight, whose windows grow back.
 func (s *Scheduler) updateServerWindows(server *serverEntry, beta float64) {
 	congestion := &server.congestion
 	if congestion.latencySamples > 0 {
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -9,7 +9,7 @@
 // their objective.
 func (s *Scheduler) dispatch(shard *shard) {
 	latency := s.responseLatency(shard)
-	for _, server := range shard.servers { // the longest running first; the next gets what that has no room for
+	for _, server := range shard.servers { // the longest running first; the next one gets what exceeds its capacity
 		server.detectLostAttempts(s.now, s.latencyThreshold, max(1, s.settings.MeanUnits))
 		for {
 			flow, request := s.selectNext(shard, server, latency)
@@ -31,7 +31,7 @@
 	fastest := s.latencyThreshold
 	for i, server := range shard.servers {
 		latency := server.expectedLatency(s.now, s.latencyThreshold)
-		if server.responsiveness(s.now, s.latencyThreshold) == trialDue { // else nothing would stay queued long enough for a trial
+		if server.responsiveness(s.now, s.latencyThreshold) == trialDue { // a longer latency would expire every queued request before the trial
 			latency = time.Duration(float64(server.congestion.latency) / queueTimeoutFactor)
 		}
 		if i == 0 || latency < fastest {
@@ -41,7 +41,7 @@
 	return fastest
 }
 
-// canMeetObjective reports whether a queued request is still worth sending where a response takes latency.
+// canMeetObjective reports whether a queued request is still worth sending to a server that responds after the given latency.
 func (s *Scheduler) canMeetObjective(request *request, latency time.Duration) bool {
 	factor := queueTimeoutFactor
 	if request.volume.withinReserve(s.now, request.Units) {
@@ -51,8 +51,8 @@
 }
 
 // expireOrForward rejects a queued request that can no longer meet its latency objective. A first attempt that a slow client link
-// has delayed is forwarded instead, while its time lasts, if a fast server has capacity left. A client's retry is not: on a busy
-// day it would take the place of a fresh request.
+// has delayed is forwarded instead if its deadline leaves time for it and a fast server has spare capacity. A client's retry is
+// not forwarded: under overload it would take the capacity of a first attempt.
 func (s *Scheduler) expireOrForward(flow *flow, request *request) {
 	delayedByLink := request.ClientDelay > s.latencyThreshold && len(request.attempts) == 0
 	if delayedByLink && request.expiresAt > s.now+s.latencyThreshold {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -78,7 +78,7 @@
 	Shard          int           // shard that holds the data; -1: a new object that any shard may take
 	Gateways       int           // gateways through which the volume's requests come; 0: all
 	IsRetry        bool          // the client has marked it as a retry
-	IsFirstAttempt bool          // the gateway knows it to be the client's first attempt, whatever its TTL
+	IsFirstAttempt bool          // the gateway knows it to be the client's first attempt, whatever time remains
 }
 
 // Status is how an attempt ended.
--- a/internal/scheduler/fairqueue.go
+++ b/internal/scheduler/fairqueue.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// minFairPriority bounds how much faster than others a low priority uses up a flow's share.
+	// minFairPriority is the lowest relative priority by which the cost of a request is divided when its flow is charged.
 	minFairPriority = 0.1
 	// idleFlowOutstanding is the mean of outstanding requests below which an idle flow is dropped.
 	idleFlowOutstanding = 0.01
@@ -65,8 +65,8 @@
 	return flow
 }
 
-// smoothFlows updates the flows' means after a time and returns the sum of the weights of those that are not idle. If all are,
-// the virtual time catches up with them, so that no flow owes for the past.
+// smoothFlows updates the mean outstanding requests of the flows and returns the sum of the weights of those that are not idle. If
+// all are idle, the virtual time advances to the latest start tag, so that no flow is charged for earlier requests any more.
 func (sh *shard) smoothFlows(elapsed time.Duration) (weights float64) {
 	maxTag, decay := 0.0, math.Exp2(-float64(elapsed)/float64(latencyHalfLife))
 	for _, flow := range sh.flows {
@@ -82,7 +82,7 @@
 	return weights
 }
 
-// dropIdleFlows drops the flows whose state a new one would equal.
+// dropIdleFlows drops idle flows whose state is that of a new flow.
 func (sh *shard) dropIdleFlows() {
 	sh.flows = slices.DeleteFunc(sh.flows, func(flow *flow) bool {
 		droppable := flow.isIdle() && flow.startTag <= sh.virtualTime && flow.meanOutstanding < idleFlowOutstanding
--- a/internal/scheduler/outcomes.go
+++ b/internal/scheduler/outcomes.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// outstandingAttempt returns the request and the attempt that an outcome names, or nil if there is no such attempt or it has ended.
+// outstandingAttempt returns the request and the attempt that have ended, or nil if the attempt is unknown or had ended before.
 func (s *Scheduler) outstandingAttempt(ended *AttemptEnded) (*request, *attempt) {
 	request := s.requests[ended.ID]
 	if request == nil || ended.Attempt < 0 || ended.Attempt >= len(request.attempts) {
@@ -68,16 +68,16 @@
 	s.finish(request)
 }
 
-// isSafeToReject reports whether a retry by the client has no further effect: the request is idempotent, has not been executed,
-// or any server drops the retry as a duplicate.
+// isSafeToReject reports whether a retry by the client has no further effect: the request has not been executed, is idempotent, or
+// any server drops the retry as a duplicate.
 func (r *request) isSafeToReject() bool {
 	notExecuted := r.outstanding == 0 && !r.mayHaveExecuted
 	return notExecuted || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupAll
 }
 
-// cancel ends a request whose client no longer waits, and its outstanding attempts where that is allowed: where servers stop
-// canceled work they are free for other requests, elsewhere a cancel costs a connection.
+// cancel ends a request whose client no longer waits. It cancels its outstanding attempts only where the settings allow that: servers
+// that stop canceled work are free for other requests, while at others a cancellation only costs a connection.
 func (s *Scheduler) cancel(id RequestID) {
 	request := s.requests[id]
 	if request == nil || request.finished {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -14,10 +14,10 @@
 	placementChoices = 2
 )
 
-// leastLoadedShard returns the shard for a new object: of two shards drawn at random the one whose server has less to do, as seen
-// from here. The least loaded of all would be the same for every gateway with few requests, and would draw the new objects of
-// them all and the reads that follow. Shards that are not preferred are chosen only if there is no other. It returns nil if no
-// shard has a server.
+// leastLoadedShard returns the shard for a new object: the less loaded one, as seen from this gateway, of two preferred shards drawn
+// at random. The least loaded of all may be the same for every gateway with few requests, and would then get the new objects of all
+// of them and the reads that follow. A shard that is not preferred is returned only if there is no other, and nil if no shard has a
+// server.
 func (s *Scheduler) leastLoadedShard() (best *shard) {
 	bestLoad, bestPreferred, candidates := math.Inf(1), false, 0
 	enoughKnown := s.knownServers() >= minKnownServers
@@ -51,8 +51,8 @@
 	return count
 }
 
-// isPreferred reports whether a server should get new objects: it accepts requests, responds, has not failed lately, is not in
-// slow start and, once enough servers are known, is one of them, since a new one costs a handshake from every gateway.
+// isPreferred reports whether a server should get new objects: it accepts requests, responds, has not failed lately and is not in
+// slow start. Once enough servers are known it must be one of those, because another costs a handshake from every gateway.
 func (s *Scheduler) isPreferred(server *serverEntry, enoughKnown bool) bool {
 	accepting := server.consecutiveRejects == 0 && server.connectFailures == 0 && s.now >= server.backoffUntil
 	failedLately := server.lastErrorAt != 0 && s.now-server.lastErrorAt <= errorCooldown
--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -22,7 +22,7 @@
 	// maxPollCycleFactor bounds the cycle, as a multiple of the fleet's poll time.
 	maxPollCycleFactor = 8
 	minPollCycle       = time.Second / 2
-	// maxPollCycle and the poll itself take no longer than a change of the list may stay unknown.
+	// maxPollCycle bounds the cycle such that a change of the list is received before it counts as notified.
 	maxPollCycle    = 5 * time.Second
 	pollCycleJitter = 0.1
 
@@ -37,15 +37,15 @@
 	watchedPollInterval = time.Hour
 	// minPollTimeout is the least time to the next poll while a poll is in flight.
 	minPollTimeout = time.Second
-	// minPollLatency is the shortest poll latency that is believed.
+	// minPollLatency is the least poll latency that is recorded.
 	minPollLatency = time.Millisecond / 2
 )
 
 // endpointPoller decides when a gateway polls discovery for the endpoint list.
 //
-// Discovery responds to the polls of all gateways one after the other and abandons those that have waited too long, while a
-// gateway that learns of a change late is bound by it all the same. So the polls of a fleet are spread over about the time
-// that all of them take together, and over no more.
+// Discovery responds to the polls of all gateways one after the other and abandons those that have waited too long. On the other
+// hand a change counts as notified after a fixed time even at a gateway that has not learned of it. The polls of a fleet are
+// therefore spread over about the time that all of them take together, and over no more.
 type endpointPoller struct {
 	gateways    int           // that poll the same discovery service, including this one
 	maxInterval time.Duration // Settings.MaxPollInterval; 0: unbounded
@@ -59,7 +59,7 @@
 	failures     int           // consecutive failed polls
 }
 
-// due reports whether it is time to poll.
+// due reports whether nextPollAt has come.
 func (p *endpointPoller) due(now time.Duration) bool { return now >= p.nextPollAt }
 
 // pollStarted records that a poll goes out now.
@@ -88,8 +88,8 @@
 // scheduleFirst draws the time of the first poll from the fleet's poll time, since all gateways may have started at once.
 func (p *endpointPoller) scheduleFirst(now time.Duration) { p.scheduleWithin(now, p.fleetPollTime()) }
 
-// scheduleAfterWatch draws the time of the poll after a watch has ended or fallen idle, which is at most maxSpread from now. No
-// poll has failed, and what is missed counts as known soon; but all watches may have ended at once.
+// scheduleAfterWatch draws the time of the poll after a watch has ended or fallen idle, at most maxSpread from now. It is soon,
+// because changes that are missed count as notified before long, and spread, because all watches may have ended at once.
 func (p *endpointPoller) scheduleAfterWatch(now, maxSpread time.Duration) {
 	p.pollInFlight = false
 	spread := p.fleetPollTime()
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// mayRetry reports whether a request may be sent again: that must not execute it twice where this matters, attempts must be left
-// and none may be outstanding.
+// mayRetry reports whether a request may be sent again: the retry is safe, attempts are left, and none is outstanding.
 func (s *Scheduler) mayRetry(request *request) bool {
 	return request.isSafeToRetry(s.now) && len(request.attempts) < s.settings.MaxAttempts && request.outstanding == 0
 }
@@ -14,8 +13,8 @@
 		r.class.Idempotency == IdempotentWithKey && now < r.retryStartDeadline()
 }
 
-// retryStartDeadline returns the clock time before which a retry must begin, since servers drop duplicates only for a while from
-// the first attempt on and a retry may have to wait for its connection; 0 means that there is no such time.
+// retryStartDeadline returns the clock time before which the first byte of a retry must be sent: servers drop duplicates until the
+// DedupWindow after the first attempt has ended, and a retry may have to wait for its connection. 0 means that there is none.
 func (r *request) retryStartDeadline() time.Duration {
 	if !r.mayHaveExecuted || r.class.Idempotency != IdempotentWithKey {
 		return 0
@@ -39,8 +38,8 @@
 	}
 }
 
-// retryAfter returns how long a rejected client should wait: until its server has worked off what it has, but not so much longer
-// that the client's objective has passed, and until the volume's limit has room.
+// retryAfter returns how long a rejected client should wait: until its server has probably completed its present requests, which is
+// bounded so that the client's objective is not missed by the wait alone, and until the volume's limit has tokens for the request.
 func (s *Scheduler) retryAfter(request *request) time.Duration {
 	wait := s.latencyThreshold
 	for _, server := range request.shard.servers {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -30,7 +30,7 @@
 	volumeIdleTimeout = time.Minute
 	// evictionInterval is the least time between two searches for idle state.
 	evictionInterval = volumeIdleTimeout / 4
-	// maxReservedLoss bounds what of a request's priority counts as lost by a late rejection within the reserve.
+	// maxReservedLoss bounds the FairShareWeight that reservedQueueTimeoutFactor computes with.
 	maxReservedLoss = 0.5
 )
 
@@ -123,20 +123,22 @@
 			s.maxPriority = max(s.maxPriority, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
-	if s.maxPriority == 0 { // all priorities are zero, so all requests are alike
+	if s.maxPriority == 0 { // all priorities are zero; any other maximum keeps them equal and can be divided by
 		s.maxPriority = 1
 	}
 }
 
-// reservedQueueTimeoutFactor returns the queue timeout factor of requests within their reserve. Such a request is worth sending
-// while that is worth more than a certain response beyond the reserve: where responses take L in the mean, one comes within t with
-// a probability of 1-exp(-t/L), which equals fairShareWeight here.
+// reservedQueueTimeoutFactor returns the queue timeout factor of requests within their reserve. A request beyond the reserve that
+// is certain to meet its objective earns fairShareWeight of its priority. A request within the reserve is therefore worth sending
+// while it meets its objective with at least that probability. Where responses take L in the mean, one arrives within t with a
+// probability of 1-exp(-t/L), which equals fairShareWeight at the returned multiple of L.
 func reservedQueueTimeoutFactor(fairShareWeight float64) float64 {
 	factor := -math.Log1p(-min(fairShareWeight, maxReservedLoss))
 	return min(max(factor, queueTimeoutFactor/2), queueTimeoutFactor)
 }
 
-// Step applies the events of one moment and returns what to do now. An earlier time than that of the last call counts as that.
+// Step applies the events of one moment and returns the actions to carry out, in order. A time before that of the previous call
+// counts as that of the previous call. The returned slice belongs to the caller.
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = max(now, s.now), nil
 	s.detectStall()
@@ -207,7 +209,7 @@
 	}
 }
 
-// dispatchActiveShards sends queued requests and, once a period, moves the windows. The other shards cost nothing.
+// dispatchActiveShards sends queued requests of the shards that have flows and updates their windows once a period.
 func (s *Scheduler) dispatchActiveShards() {
 	periodEnds := s.now-s.windowsUpdatedAt >= s.latencyThreshold
 	s.activeShards = slices.DeleteFunc(s.activeShards, func(shard *shard) bool {
@@ -224,8 +226,8 @@
 	}
 }
 
-// evictIdle drops the state of keys that have cooled down and of volumes that have long been idle, which new state would equal.
-// Otherwise a client that names ever new volumes would fill the memory.
+// evictIdle drops the state of keys that have cooled down and of volumes that have long been idle: state created anew would be the
+// same. Without it, a client that names a new volume in each request would exhaust the memory.
 func (s *Scheduler) evictIdle() {
 	if s.now-s.lastEvictionAt < evictionInterval {
 		return
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -80,9 +80,9 @@
 	return e.outstanding[0]
 }
 
-// responsiveness reports whether the server owes responses and has given none for longer than a pause or a large request explains,
-// and whether a trial is due, which thins out with time. It covers hangs, broken links and lost responses alike; in a long stall
-// the trials add to the server's queue.
+// responsiveness reports whether the server has sent no response for longer than a pause or a large request explains although
+// attempts are in flight, and whether a trial is due. The time between trials grows with the silence. Hangs, broken links and lost
+// responses look alike here; in a long stall the trials add to the server's queue.
 func (e *serverEntry) responsiveness(now, threshold time.Duration) responsiveness {
 	oldest := e.oldestAttempt()
 	if oldest == nil {
@@ -99,9 +99,9 @@
 	return unresponsive
 }
 
-// detectLostAttempts finds attempts that the server has passed over, since it has responded to one sent clearly later, and releases
-// their slots. It covers lost responses, broken links and stuck requests; it is wrong where a server works out of order for long.
-// meanUnits is the size of a request.
+// detectLostAttempts finds overdue attempts that the server has passed over, since an attempt sent clearly later has succeeded, and
+// releases their slots. That covers lost responses, broken links and stuck requests. It errs at a server that keeps working out of
+// order. meanUnits is the mean size of a request.
 func (e *serverEntry) detectLostAttempts(now, threshold time.Duration, meanUnits float64) {
 	for _, attempt := range e.outstanding {
 		age := now - attempt.sentAt
@@ -144,8 +144,8 @@
 	e.lastResponseAt, e.connectFailures, e.consecutiveRejects = now, 0, 0
 }
 
-// recordReject backs off from a server that rejects one request after the other: it drains, and the endpoint list is late to
-// say so. A single reject shows no more than a queue that is full for a moment.
+// recordReject backs off from a server that rejects several requests in a row: it may be draining before the endpoint list reports
+// so. A single rejection shows no more than a queue that is full for a moment.
 func (e *serverEntry) recordReject(now, threshold time.Duration) {
 	e.consecutiveRejects = min(e.consecutiveRejects+1, maxConsecutiveRejects)
 	if e.consecutiveRejects > 1 {
@@ -159,9 +159,9 @@
 	e.backOff(now + threshold<<(e.connectFailures-1))
 }
 
-// expectedLatency returns how long a response to a request that is sent now takes: the smoothed latency, or the age of the oldest attempt
-// in flight where that is longer. That age covers hangs, stalls and floods, which late responses would show too late; it does not
-// enter the smoothed latency, so that one response ends it.
+// expectedLatency returns the latency to expect of a request that is sent now: the smoothed latency, or the age of the oldest
+// attempt in flight if that is longer. The age shows a hang or an overload before any late response does. It is not added to the
+// smoothed latency, so that its effect ends with the response.
 func (e *serverEntry) expectedLatency(now, threshold time.Duration) time.Duration {
 	if oldest := e.oldestAttempt(); oldest != nil {
 		return max(e.congestion.latency, now-oldest.sentAt)
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -91,7 +91,7 @@
 	b.updatedAt = now
 	switch {
 	case b.level <= lifetimeUnits:
-	case lifetimeUnits < meanUnits: // the token has expired; the next one comes in its turn
+	case lifetimeUnits < meanUnits: // the token has expired; the next one is issued at its own time
 		b.level -= meanUnits * math.Ceil((b.level-lifetimeUnits)/meanUnits)
 	default:
 		b.level = lifetimeUnits
@@ -146,7 +146,7 @@
 }
 
 // slowStartTolerance returns the units per OverloadWindow that a starting server bears from all gateways. It grows with the
-// server's age; what counts is the least that it may have been in the window that ends now.
+// server's age. The value at the start of the window that ends now is used, because it is the lowest in that window.
 func (s *Scheduler) slowStartTolerance(server *serverEntry) float64 {
 	age := max(0, float64(s.now-server.StartedAt-s.settings.OverloadWindow)/float64(s.settings.SlowStartDuration))
 	return s.settings.SlowStartUnits * (1 + (1/s.settings.InitialCapacity-1)*age)
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -53,8 +53,8 @@
 	return volume
 }
 
-// newVolumeEntry returns the state of a volume without requests. Its limit has been filling since the gateway's start, before
-// which a predecessor may have used it up.
+// newVolumeEntry returns the state of a volume without requests. The bucket of its limit counts as empty at the gateway's start,
+// because a previous process may have used it up, and has been filling since.
 func (s *Scheduler) newVolumeEntry(plan *Plan, gateways float64) *volumeEntry {
 	share := s.settings.InitialQuotaShare
 	return &volumeEntry{
@@ -79,7 +79,8 @@
 // validUnits reports whether an amount of units is a believable number.
 func validUnits(units float64) bool { return units >= 0 && units < unitsBound }
 
-// recordUsage takes in a response that says how much the volume was served through other gateways.
+// recordUsage adds the units of a served request and those that other gateways were served meanwhile, as the response reports them.
+// A reported value that is out of range is ignored.
 func (v *volumeEntry) recordUsage(now time.Duration, units, foreignUnits float64) {
 	if !validUnits(foreignUnits) {
 		return
@@ -88,8 +89,8 @@
 	v.localUnits, v.foreignUnits, v.usageUpdatedAt = decay*v.localUnits+units, decay*v.foreignUnits+foreignUnits, now
 }
 
-// updateQuotaRates sets this gateway's part of the reserve and the baseline rate by the reported usage, and by the even part as
-// far as reports are few or old. meanUnits is the size of a request.
+// updateQuotaRates sets this gateway's part of the reserve and of the baseline rate by the reported usage. With few or old reports
+// it tends to the even part. meanUnits is the mean size of a request.
 func (v *volumeEntry) updateQuotaRates(now time.Duration, meanUnits float64) {
 	decay := math.Exp2(-float64(now-v.usageUpdatedAt) / float64(usageHalfLife))
 	part := (decay*v.localUnits + meanUnits/v.gateways) / (decay*(v.localUnits+v.foreignUnits) + meanUnits)
