--- a/cmd/gaugerelay/shutdown_test.go
+++ b/cmd/gaugerelay/shutdown_test.go
@@ -58,13 +58,13 @@
 
 // A gateway that never becomes ready ends without an error on the first SIGTERM, also if further signals come with it.
 func TestSignalsBeforeReady(t *testing.T) {
-	silentDiscovery := testbed.Listen(t) // accepts connections and sends nothing
+	unresponsiveDiscovery := testbed.Listen(t) // accepts connections and sends nothing
 	text := settingsFor(unusedServer)
 	for _, change := range []struct{ old, new string }{
 		{`"known":{"version":1,"servers":[{"id":"s-1","addr":"127.0.0.1:1","cell":0,"state":"Ready"}]},`, ""},
 		{`"Lanes":[{"Name":"pull","PromiseMs":60000,"DeadlineMs":60000`, `"Lanes":[{"Name":"pull","PromiseMs":50,"DeadlineMs":50`},
 		{`"PromiseMs":60000,"DeadlineMs":60000,"DedupWindowMs"`, `"PromiseMs":50,"DeadlineMs":50,"DedupWindowMs"`},
-		{`"discovery":"127.0.0.1:1"`, `"discovery":"` + silentDiscovery.Addr().String() + `"`},
+		{`"discovery":"127.0.0.1:1"`, `"discovery":"` + unresponsiveDiscovery.Addr().String() + `"`},
 	} {
 		text = strings.Replace(text, change.old, change.new, 1)
 	}
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// Over hours of a simulated clock a session is kept alive, ended when the router falls silent, and established anew.
+// Over hours of a simulated clock a session is kept alive, ended when the router sends nothing more, and established anew.
 func TestSpeakerOverTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := testOptions()
--- a/internal/frontend/coapserver/blockwise.go
+++ b/internal/frontend/coapserver/blockwise.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// fitsWhole reports whether a body of a length is sent in one message: if the device can receive it, and the link is
+// fitsInOneMessage reports whether a body of a length is sent in one message: if the device can receive it, and the link is
 // not better served with blocks.
-func (l peerLimits) fitsWhole(length int) bool {
+func (l peerLimits) fitsInOneMessage(length int) bool {
 	if length > l.maxPayload {
 		return false
 	}
--- a/internal/frontend/coapserver/read_test.go
+++ b/internal/frontend/coapserver/read_test.go
@@ -13,7 +13,7 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// A silent device is sent a Ping while it has something pending, and its connection ends only if it does not answer.
+// A device from which nothing arrives is sent a Ping while it has something pending, and its connection ends only if it does not answer.
 func TestIdleTimeouts(t *testing.T) {
 	t.Run("incomplete frame", func(t *testing.T) {
 		withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -79,7 +79,7 @@
 		m.Code = codes.Valid
 		return m, true
 	}
-	if limits.fitsWhole(len(body)) {
+	if limits.fitsInOneMessage(len(body)) {
 		m.Options, m.Payload = appendBlock1(m.Options, p), body
 		return m, true
 	}
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -154,7 +154,7 @@
 		t.Error(err)
 	}
 	if b, err := io.ReadAll(reader); len(b) != 0 || err != nil || len(s.submitted) != 0 {
-		t.Errorf("after a flood came %q, %v; %d submitted", b, err, len(s.submitted))
+		t.Errorf("after a flood: received %q, %v; %d submitted", b, err, len(s.submitted))
 	}
 }
 
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -10,7 +10,7 @@
 )
 
 // During a shutdown the request that takes the last free connection is rejected at once: the next one would find none, and its
-// clients would take the gateway for dead. Before the shutdown, and while new connections may arrive, none is.
+// clients would consider the gateway down. Before the shutdown, and while new connections may arrive, none is.
 func TestLastFreeConnectionIsKept(t *testing.T) {
 	h := newTestHandler(nil)
 	h.Conns = &ConnTracker{MaxOpen: 9, Clock: h.now, Metrics: metrics.New()}
--- a/internal/frontend/requestparse/device.go
+++ b/internal/frontend/requestparse/device.go
@@ -32,7 +32,7 @@
 
 // MakeDeviceRequest makes a parsed request a copy of an exchange of a device. payload is the request to servers; each run of
 // the exchange gets a copy of it with its own header and body. The same request belongs to the same exchange whichever
-// frontend it came over. The caller sets the body of request.Device.
+// frontend it arrived over. The caller sets the body of request.Device.
 func MakeDeviceRequest(request *lifecycle.Request, class *scheduler.Class, fields Fields, device DeviceFields, payload *httpmessage.Request) error {
 	if !IsIdentifier(device.DeviceID) {
 		return errors.New("the device's name is missing, too long or not plain text")
--- a/internal/frontend/sftpserver/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestReadTimeouts checks the timeout of each phase of a connection. That of the first packet counts from the connecting: a
-// client that sends single bytes does not hold its connection longer than one that is silent.
+// client that sends single bytes does not keep its connection longer than one that sends nothing.
 func TestReadTimeouts(t *testing.T) {
 	const sinceConnecting = -1
 	recorder := &deadlineRecorder{reads: []string{"\x00\x00", "\x00\x05\x01\x00\x00\x00\x03", "\x00\x00\x00", "\x02\x07\x00"}}
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -18,7 +18,7 @@
 	conn := g.dial()
 	mustWrite(t, conn, append(binary.BigEndian.AppendUint32(nil, sftpwire.MaxPacket+1), packetWrite))
 	if n, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes came back", n)
+		t.Errorf("%d bytes received", n)
 	}
 	if _, err := g.client().Stat("/layers/none"); statusOf(err) != sftpwire.StatusNoSuchFile {
 		t.Errorf("another connection: %v", err)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -65,7 +65,7 @@
 	})
 	select {
 	case text := <-status:
-		_, _ = io.WriteString(w, text) // the client may have gone away
+		_, _ = io.WriteString(w, text) // a client that has disconnected needs no response
 	case <-f.gateway.ctx.Done():
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -4,6 +4,7 @@
 	"net"
 	"regexp"
 	"runtime"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -22,8 +23,8 @@
 		Settings: testsettings.Settings(2), KnownEndpoints: lifecycle.EndpointUpdate{}}
 }
 
-// bubbleGoroutines returns how many goroutines the test's bubble has. Those of the rest of the process, among them such of
-// earlier bubbles that are still ending, do not count.
+// bubbleGoroutines returns the number of goroutines of the test's bubble. Other goroutines of the process do not count, such
+// as those of earlier bubbles that are still ending.
 func bubbleGoroutines(t *testing.T) (count int) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
@@ -46,8 +47,8 @@
 // bubbleName matches the first line of a goroutine of a bubble in a stack trace.
 var bubbleName = regexp.MustCompile(`(?m)^goroutine \d+ \[[^\]]*synctest bubble (\d+)[^\]]*\]:`)
 
-// A gateway without an operator's file opens its one listener and has no deduplicator: what the file does not name is not
-// there. With the file there are the frontends that it names.
+// A gateway without an operator's file opens its one listener and has no deduplicator. With the file it has the frontends that
+// the file names, and no others.
 func TestOnlyConfiguredComponentsAreBuilt(t *testing.T) {
 	exchanges := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxStoredBytes: 1 << 20,
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
@@ -79,7 +80,7 @@
 			}
 			synctest.Wait()
 			goroutines[name] = bubbleGoroutines(t) - before
-			if len(opened) != len(c.want) {
+			if !slices.Equal(opened, c.want) {
 				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
 			}
 			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -35,7 +35,7 @@
 func shutDownWithOpenRequests(t *testing.T, deadline time.Duration) {
 	killedAfter := min(deadline, 3*time.Second) + 700*time.Millisecond
 	network := &memnet.Net{}
-	listenSilently(t, network, "127.0.0.2:1")
+	listenWithoutResponding(t, network, "127.0.0.2:1")
 	g := startWithDeadline(t, network, deadline)
 	client := &http.Client{Transport: &http.Transport{DialContext: network.Dial}}
 	completions := make(chan completion, 2)
@@ -73,14 +73,14 @@
 			t.Errorf("a response of %q", c.what)
 		}
 		if took := c.at.Sub(begun); took >= killedAfter || c.at.After(ended) {
-			t.Errorf("%q came after %v, the gateway ended after %v", c.what, took, ended.Sub(begun))
+			t.Errorf("%q ended after %v, the gateway ended after %v", c.what, took, ended.Sub(begun))
 		}
 	}
 	time.Sleep(time.Minute)
 }
 
-// listenSilently opens a server that reads everything and sends nothing.
-func listenSilently(t *testing.T, network *memnet.Net, addr string) {
+// listenWithoutResponding opens a server that reads everything and sends nothing.
+func listenWithoutResponding(t *testing.T, network *memnet.Net, addr string) {
 	t.Helper()
 	listener, err := network.Listen(addr)
 	if err != nil {
