--- a/internal/bgp/connection.go
+++ b/internal/bgp/connection.go
@@ -108,6 +108,7 @@
 	session.outgoing = nil
 }
 
+// writeMessage encodes a message and writes it within writeTimeout.
 func writeMessage(conn net.Conn, message *bgp.BGPMessage) error {
 	encoded, err := message.Serialize()
 	if err != nil {
--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -184,6 +184,7 @@
 	}
 }
 
+// supportsFourOctetAS reports whether the peer's OPEN has the capability of four-octet AS numbers (RFC 6793).
 func supportsFourOctetAS(open *bgp.BGPOpen) bool {
 	for _, parameter := range open.OptParams {
 		capabilities, ok := parameter.(*bgp.OptionParameterCapability)
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -21,6 +21,7 @@
 	maxHoldMs     = 65_535_000
 )
 
+// parseBGP parses and validates the key "bgp" of the operator's file.
 func parseBGP(object *fastjson.Value) (*bgp.Options, error) {
 	r := &valueReader{}
 	options := &bgp.Options{PeerAddress: r.text(object, "peer")}
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -29,6 +29,7 @@
 	Exchanges                                 exchange.Settings
 }
 
+// parseDevices parses and validates the key "devices" of the operator's file.
 func parseDevices(object *fastjson.Value) (*Devices, error) {
 	r := &valueReader{}
 	d := readDevices(r, object)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -41,6 +41,7 @@
 	Options      peer.Options // without Self, Peers, Incarnation and Seed
 }
 
+// parseFleet parses and validates the key "fleet" of the operator's file.
 func parseFleet(object *fastjson.Value) (*Fleet, error) {
 	r := &valueReader{}
 	f := &Fleet{Listen: r.text(object, "listen"), GatewayIndex: platformIndex}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -59,6 +59,7 @@
 	c.KnownEndpoints.Kind = scheduler.CachedSnapshot // it is out of date, whatever kind the file gives
 }
 
+// setDefaults sets the limits that the file does not give.
 func (c *Config) setDefaults() {
 	if c.IdleConnTimeoutMs == 0 {
 		c.IdleConnTimeoutMs = defaultIdleConnTimeoutMs
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -56,6 +56,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.BackendPort)), true
 }
 
+// parseSFTP parses and validates the key "sftp" of the operator's file.
 func parseSFTP(object *fastjson.Value, settings *scheduler.Settings) (*SFTP, error) {
 	r := &valueReader{}
 	s := &SFTP{
@@ -81,6 +82,7 @@
 	return s, firstError(append(errs, r.err))
 }
 
+// parseClasses looks up the classes by their names, and checks that writes can be deduplicated.
 func (s *SFTP) parseClasses(r *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
 	for _, class := range []struct {
 		key   string
@@ -103,6 +105,7 @@
 	return errs
 }
 
+// parseRoots parses the roots, of which there must be at least one.
 func (s *SFTP) parseRoots(r *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
 	plans := map[string]bool{}
 	for _, plan := range settings.Plans {
@@ -126,6 +129,7 @@
 	return errs
 }
 
+// parseBackends parses the addresses of servers for file commands.
 func (s *SFTP) parseBackends(object *fastjson.Value) (errs []error) {
 	if backends := object.GetObject("backends"); backends != nil {
 		backends.Visit(func(id []byte, value *fastjson.Value) {
--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -44,7 +44,8 @@
 // Wrap returns a Listener that accepts from ln. Its waits after failures double up to a small part of the shortest deadline.
 // onDelay is called by Accept with each span of the clock in which accepts failed, once one has succeeded: what arrived
 // meanwhile has waited since.
-func Wrap(ln net.Listener, clk clock.Clock, registry *metrics.Registry, shortestDeadlineMs float64, onDelay func(fromMs, toMs float64)) *Listener {
+func Wrap(ln net.Listener, clk clock.Clock, registry *metrics.Registry, shortestDeadlineMs float64,
+	onDelay func(fromMs, toMs float64)) *Listener {
 	return &Listener{
 		Listener:     ln,
 		clock:        clk,
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -45,6 +45,7 @@
 	preferredBlockSize int // bytes that suit the measured link; 0: not known
 }
 
+// newConn returns a connection that serve has yet to be called for.
 func newConn(s *Server, netConn net.Conn) *conn {
 	now := time.Now()
 	c := &conn{
--- a/internal/frontend/coapserver/parse.go
+++ b/internal/frontend/coapserver/parse.go
@@ -193,6 +193,7 @@
 	return nil
 }
 
+// parseContentFormat translates the number of a content format to a Content-Type.
 func (p *requestParser) parseContentFormat(option message.Option) error {
 	format, err := parseUint(option)
 	if err != nil {
@@ -224,6 +225,7 @@
 	return nil
 }
 
+// parseUint returns the number in an option.
 func parseUint(option message.Option) (uint32, error) {
 	value, ok := coapwire.DecodeUint(option.Value)
 	if !ok {
--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -91,7 +91,8 @@
 
 // composeBlock adds to m, which has the code and the ETag of a served response, the block of the body for the one requested.
 // complete is set if it is the last block.
-func composeBlock(p *pendingRequest, m message.Message, body []byte, limits peerLimits, requested coapwire.Block) (_ message.Message, complete bool) {
+func composeBlock(p *pendingRequest, m message.Message, body []byte, limits peerLimits,
+	requested coapwire.Block) (_ message.Message, complete bool) {
 	block, length := limits.responseBlock(requested)
 	if block.Offset > 0 && block.Offset >= len(body) {
 		return textMessage(p.token, codes.BadOption, "a block behind the end"), false
--- a/internal/gateway/announcer.go
+++ b/internal/gateway/announcer.go
@@ -13,10 +13,12 @@
 	cancel  func()
 }
 
+// newAnnouncer builds the BGP speaker, which opens no connection before start.
 func newAnnouncer(g *Gateway, options *bgp.Options) *announcer {
 	return &announcer{speaker: bgp.New(*options, g.Clock, g.Metrics)}
 }
 
+// start runs the speaker.
 func (a *announcer) start(ctx context.Context) error {
 	ctx, a.cancel = context.WithCancel(ctx)
 	go a.speaker.Run(ctx)
@@ -26,6 +28,7 @@
 func (a *announcer) ready()                      { a.speaker.SetReady(true) }
 func (a *announcer) beginShutdown(shutdownTimes) { a.speaker.SetReady(false) }
 
+// close ends the session with the router and waits for the speaker.
 func (a *announcer) close() {
 	a.cancel()
 	a.speaker.Wait()
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -34,6 +34,7 @@
 	after    func(ms float64) <-chan time.Time // after, except in tests
 }
 
+// newClientFrontend builds the frontend without opening its listener.
 func newClientFrontend(g *Gateway) *clientFrontend {
 	conns := &httpserver.ConnTracker{MaxOpen: sheddingThreshold(maxClientConns(g.cfg)), Clock: g.Clock, Metrics: g.Metrics,
 		MaxPipelinedBytes: int(g.cfg.MemoryMB * pipelinedFraction * (1 << 20))}
@@ -42,6 +43,7 @@
 	return &clientFrontend{gateway: g, conns: conns, handler: handler, after: after}
 }
 
+// start opens the listener and serves it.
 func (f *clientFrontend) start(context.Context) error {
 	g := f.gateway
 	listener, err := g.listen(g.cfg.Listen)
@@ -67,6 +69,7 @@
 	return nil
 }
 
+// beginShutdown makes requests that arrive from now on end in time.
 func (f *clientFrontend) beginShutdown(times shutdownTimes) {
 	f.handler.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 }
@@ -84,6 +87,7 @@
 	}
 }
 
+// close closes the listener and all connections.
 func (f *clientFrontend) close() {
 	f.listener.Close() // the server may not have begun to serve it
 	f.server.Close()
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -44,6 +44,7 @@
 	return deduplicator, gatewayName, err
 }
 
+// newDeviceFrontend builds the servers that the options enable, without opening their listeners.
 func newDeviceFrontend(g *Gateway, options *config.Devices, gatewayName string) *deviceFrontend {
 	f := &deviceFrontend{gateway: g, options: options}
 	if options.CoAP != "" {
@@ -69,6 +70,7 @@
 	return f
 }
 
+// start opens and serves the listeners. After an error none is open.
 func (f *deviceFrontend) start(context.Context) error {
 	if f.coap != nil {
 		if err := f.startCoAP(); err != nil {
@@ -94,6 +96,7 @@
 	return listener, nil
 }
 
+// startCoAP opens the listener for CoAP and serves it.
 func (f *deviceFrontend) startCoAP() error {
 	listener, err := f.listen(f.options.CoAP)
 	if err != nil {
@@ -104,6 +107,7 @@
 	return nil
 }
 
+// startHTTP opens the listener for HTTP and serves it.
 func (f *deviceFrontend) startHTTP() error {
 	listener, err := f.listen(f.options.HTTP)
 	if err != nil {
@@ -131,6 +135,7 @@
 	return nil
 }
 
+// beginShutdown makes requests that arrive from now on end in time.
 func (f *deviceFrontend) beginShutdown(times shutdownTimes) {
 	if f.coap != nil {
 		f.coap.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
@@ -167,12 +172,14 @@
 	draining.Wait()
 }
 
+// closeListeners closes the listeners. Connections stay open.
 func (f *deviceFrontend) closeListeners() {
 	for _, listener := range f.listeners {
 		listener.Close()
 	}
 }
 
+// close closes the listeners and all connections.
 func (f *deviceFrontend) close() {
 	f.closeListeners()
 	if f.coap != nil {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -21,6 +21,7 @@
 	service *peer.Service
 }
 
+// newFleetMember builds the exchange service from the options of the operator and the platform, without opening its socket.
 func newFleetMember(g *Gateway, fleet *config.Fleet) (*fleetMember, error) {
 	listen, options, err := fleet.Resolve(g.cfg)
 	if err != nil {
@@ -40,6 +41,7 @@
 	return uint32(g.cfg.Seed) ^ uint32(int64(g.Clock.NowMs())) ^ uint32(os.Getpid())<<16
 }
 
+// start opens the socket for the other gateways and starts the exchange.
 func (f *fleetMember) start(ctx context.Context) error {
 	var listenConfig net.ListenConfig
 	conn, err := listenConfig.ListenPacket(ctx, "udp", f.listen)
@@ -51,8 +53,10 @@
 	return nil
 }
 
+// beginShutdown announces to the other gateways that this one leaves.
 func (f *fleetMember) beginShutdown(shutdownTimes) { f.gateway.loop.Post(f.service.Leave) }
 
+// close ends the exchange and closes the socket.
 func (f *fleetMember) close() { f.service.Close() }
 
 // serveStatus responds with the fleet's status, which only the event loop's goroutine may read.
--- a/internal/gateway/sftpfrontend.go
+++ b/internal/gateway/sftpfrontend.go
@@ -39,6 +39,7 @@
 	return f
 }
 
+// start opens the listener and serves it.
 func (f *sftpFrontend) start(context.Context) error {
 	listener, err := f.gateway.listen(f.addr)
 	if err != nil {
@@ -57,6 +58,7 @@
 	runWithin(times.exitByMs-times.acceptUntilMs, f.server.Shutdown)
 }
 
+// close closes the listener, all connections of clients and the idle ones to servers.
 func (f *sftpFrontend) close() {
 	f.listener.Close()
 	f.server.Close()
--- a/internal/gateway/shutdowntimes.go
+++ b/internal/gateway/shutdowntimes.go
@@ -30,6 +30,7 @@
 	exitByMs      float64 // the program has exited
 }
 
+// newShutdownTimes returns the times for a gateway whose longest deadline is given in milliseconds.
 func newShutdownTimes(longestDeadlineMs float64) shutdownTimes {
 	killMs := min(longestDeadlineMs, maxKillDeadlineMs) + killGraceMs
 	times := shutdownTimes{exitByMs: killMs - exitMarginMs, respondByMs: killMs - 2*exitMarginMs}
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -53,6 +53,7 @@
 	return settings
 }
 
+// readClasses reads the service classes, which the platform calls lanes.
 func readClasses(source Source) (classes []scheduler.Class) {
 	writes := source.Bools("FamilyInfo", "ClassWrites")
 	for i, lane := range source.Objects("Lanes") {
@@ -63,6 +64,7 @@
 	return classes
 }
 
+// readClass reads one service class.
 func readClass(lane Source) scheduler.Class {
 	class := scheduler.Class{
 		Name:             lane.Text("Name"),
@@ -85,6 +87,7 @@
 	return class
 }
 
+// readPlans reads the plans of volumes.
 func readPlans(source Source) (plans []scheduler.Plan) {
 	for _, plan := range source.Objects("Plans") {
 		plans = append(plans, scheduler.Plan{
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -69,6 +69,7 @@
 	return item, true, err
 }
 
+// parseRequestArrived parses the values of lineRequestArrived.
 func parseRequestArrived(line *fieldParser) scheduler.RequestArrived {
 	request := scheduler.RequestArrived{ID: parseRequestID(line), Class: line.text("TierClass"), Plan: line.optionalText(),
 		Key: scheduler.NoKey}
@@ -94,6 +95,7 @@
 	return int(line.parseNumber("Shard", shard))
 }
 
+// parseResponseStarted parses the values of lineResponseStarted.
 func parseResponseStarted(line *fieldParser) scheduler.ResponseStarted {
 	started := scheduler.ResponseStarted{ID: parseRequestID(line)}
 	started.Latency = line.optionalMs("LagMs")
@@ -102,6 +104,7 @@
 	return started
 }
 
+// parseProbeEnded parses the values of lineProbeEnded.
 func parseProbeEnded(line *fieldParser) scheduler.ProbeEnded {
 	probe := scheduler.ProbeEnded{Latency: line.optionalMs("LagMs")}
 	probe.Status = parseStatus(line)
@@ -110,6 +113,7 @@
 	return probe
 }
 
+// parseAttemptEnded parses the values of lineAttemptEnded.
 func parseAttemptEnded(line *fieldParser) scheduler.AttemptEnded {
 	attempt := scheduler.AttemptEnded{ID: parseRequestID(line)}
 	attempt.Latency = line.optionalMs("LagMs")
@@ -133,6 +137,7 @@
 	return scheduler.ServerID(line.integer("Store", idBits))
 }
 
+// parseStatus parses the status of an attempt or a probe.
 func parseStatus(line *fieldParser) scheduler.Status {
 	code := line.integer("Status", idBits)
 	status, ok := statuses[code]
@@ -142,7 +147,7 @@
 	return status
 }
 
-// parseEndpointUpdate reads the servers' lines too.
+// parseEndpointUpdate parses the values of lineEndpointUpdate, and the lines of its servers that follow it.
 func (r *Reader) parseEndpointUpdate(line *fieldParser) (scheduler.Event, error) {
 	update := scheduler.EndpointUpdate{Version: line.optionalInteger("Epoch", wordBits)}
 	scope := line.text("Scope")
@@ -163,6 +168,7 @@
 	return update, nil
 }
 
+// parseServer parses the values of lineEndpoint.
 func parseServer(line *fieldParser) scheduler.Server {
 	server := scheduler.Server{Size: line.optionalNumber("Share")}
 	state, ok := serverStates[line.text("Readiness")]
--- a/internal/upstream/sftpclient/codec.go
+++ b/internal/upstream/sftpclient/codec.go
@@ -121,6 +121,7 @@
 // bytes returns a string of the protocol. It is part of the body, not a copy.
 func (d *decoder) bytes() []byte { return d.next(int(d.uint32())) }
 
+// attrs returns the attributes of a file. Those that the gateway does not use are skipped.
 func (d *decoder) attrs() (attrs sftpwire.Attrs) {
 	present := d.uint32()
 	if present&attrSize != 0 {
