--- a/internal/testbed/chaos/result.go
+++ b/internal/testbed/chaos/result.go
@@ -36,7 +36,7 @@
 
 // String returns the summary line of the run, in the form that scripts read.
 func (r *Result) String() string {
-	return fmt.Sprintf("processes=%d seed=%d faults=%d requests=%d drain=%d slow_start=%d lost=%d duplicate=%d late_deadline=%d closed_owing=%d crashed=%d",
+	return fmt.Sprintf("processes=%d seed=%d faults=%d requests=%d drain=%d slow_start=%d lost=%d duplicate=%d late_deadline=%d closed_without_response=%d crashed=%d",
 		r.Gateways, r.Seed, r.FaultCount, r.Requests, r.SentAfterDrain, r.SlowStartExceeded, r.Lost, r.DuplicateExecutions,
 		r.DeadlineExtended, r.GatewayReported, r.Crashed)
 }
