--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -60,6 +60,7 @@
 	firstSentMs map[string]float64
 }
 
+// modelCopy is what the model knows of a copy.
 type modelCopy struct {
 	device, key string
 	class       Class
@@ -75,6 +76,7 @@
 // name identifies the copy's exchange in the maps of the model.
 func (c *modelCopy) name() string { return c.device + c.key }
 
+// modelExecution is what the model knows of the executions of an exchange.
 type modelExecution struct {
 	sentMs   float64
 	shard    int
@@ -84,6 +86,7 @@
 // windowEndMs returns when a repeat would execute again.
 func (e *modelExecution) windowEndMs() float64 { return e.sentMs + e.windowMs }
 
+// modelExchange is what the model knows of an exchange.
 type modelExchange struct {
 	device, key   string
 	class         Class
@@ -98,6 +101,7 @@
 
 func (e *modelExchange) name() string { return e.device + e.key }
 
+// newGatewayModel returns a model without devices.
 func newGatewayModel(t *testing.T) *gatewayModel {
 	t.Helper()
 	store, err := New(testSettings())
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -39,6 +39,7 @@
 	callFailureCount = iota
 )
 
+// callFailureNames are the names that String returns.
 var callFailureNames = [callFailureCount]string{
 	CallRejected:     "rejected",
 	CallUnreachable:  "unreachable",
--- a/internal/lifecycle/endpoints_test.go
+++ b/internal/lifecycle/endpoints_test.go
@@ -62,7 +62,7 @@
 		}
 	}
 	if manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}); !manager.Ready() {
-		t.Error("not ready though discovery has answered")
+		t.Error("not ready though discovery has responded")
 	}
 	manager = newManager(&scriptedScheduler{})
 	cached := snapshot(scheduler.Ready)
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -32,6 +32,7 @@
 	responseKindCount = iota
 )
 
+// responseKindNames are the names that String returns.
 var responseKindNames = [responseKindCount]string{
 	Served:      "served",
 	Rejected:    "rejected",
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -8,6 +8,7 @@
 // benchmarkServers is the number of servers in the benchmarks.
 const benchmarkServers = 200
 
+// benchmarkSettings returns the settings of the benchmarks.
 func benchmarkSettings() Settings {
 	settings := testSettings()
 	settings.Gateways, settings.Shards = simulatedGateways, benchmarkServers
@@ -33,7 +34,7 @@
 	}
 }
 
-// BenchmarkFleetRequest measures a request from its arrival to its answer.
+// BenchmarkFleetRequest measures a request from its arrival to its response.
 func BenchmarkFleetRequest(b *testing.B) {
 	for name, shard := range map[string]int{"named": 0, "new": -1} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/scheduler/congestion_test.go
+++ b/internal/scheduler/congestion_test.go
@@ -121,7 +121,7 @@
 	setSubunitWindow(server, 0.25, 40*ms, gateway.now)
 	ordinary, reserved := gateway.newArrival("bulk", "gold", 1, 2, 5), gateway.newArrival("bulk", "reserved", 3, 2, 6)
 	if sent := sentIDs(gateway.step(ordinary)); len(sent) != 0 {
-		t.Errorf("sent %v right after an answer with a window of a quarter", sent)
+		t.Errorf("sent %v right after a response with a window of a quarter", sent)
 	}
 	gateway.now += 30 * ms
 	if sent := sentIDs(gateway.step(reserved)); len(sent) != 1 || sent[0] != reserved.ID {
@@ -135,7 +135,7 @@
 	}
 }
 
-// A window below one grows back while nothing is in flight, since no answer would ever move it.
+// A window below one grows back while nothing is in flight, since no response would ever move it.
 func TestSubunitWindowGrowsWhileIdle(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 100 })
 	setSubunitWindow(gateway.server(1), 0.05, time.Second, gateway.now)
@@ -146,7 +146,7 @@
 	}
 }
 
-// A gateway that sees one answer in two seconds must follow a server that has become slow.
+// A gateway that sees one response in two seconds must follow a server that has become slow.
 func TestFewResponsesMoveLatency(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	for range 3 {
@@ -158,7 +158,7 @@
 	}
 	gateway.advance(100 * ms)
 	if latency := gateway.server(1).congestion.latency; latency < 450*ms {
-		t.Errorf("latency is %v after three answers of 600 ms", latency)
+		t.Errorf("latency is %v after three responses of 600 ms", latency)
 	}
 }
 
@@ -168,7 +168,7 @@
 	congestion := &gateway.server(1).congestion
 	congestion.latency, congestion.latencyUpdatedAt = time.Second, gateway.now
 	if rejected := rejectedIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 5))); len(rejected) != 1 {
-		t.Fatalf("rejected %v right after answers of a second, want it", rejected)
+		t.Fatalf("rejected %v right after responses of a second, want it", rejected)
 	}
 	gateway.advance(2 * time.Second)
 	if sent := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 6))); len(sent) != 1 {
@@ -176,7 +176,7 @@
 	}
 }
 
-// Answers that a stalled gateway gets when it resumes include its own stall.
+// Responses that a stalled gateway gets when it resumes include its own stall.
 func TestStallIsNotServerLatency(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	congestion := &gateway.server(1).congestion
@@ -211,7 +211,7 @@
 	}
 }
 
-// Latencies measured by peers count as answers: a gateway with few answers of its own learns that a server has become slow and that
+// Latencies measured by peers count as responses: a gateway with few responses of its own learns that a server has become slow and that
 // it has recovered. The samples of a server without requests are bounded.
 func TestPeerLatencies(t *testing.T) {
 	gateway := newTestGateway(t, nil)
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -48,6 +48,7 @@
 	event Event
 }
 
+// newGoldenWorld returns the world of a scenario before its first event.
 func newGoldenWorld(t *testing.T, scenario goldenScenario, seed uint64) *goldenWorld {
 	t.Helper()
 	world := &goldenWorld{
@@ -134,6 +135,7 @@
 	return plain
 }
 
+// later delivers an event after a time.
 func (w *goldenWorld) later(after time.Duration, event Event) {
 	w.pending = append(w.pending, goldenPending{at: w.now + after, event: event})
 }
@@ -146,19 +148,20 @@
 	if int(send.Server)%5 == 0 { // a slow server
 		latency *= 6
 	}
-	outcome := AttemptEnded{ID: send.ID, Attempt: attempt, Server: send.Server, Status: status, Latency: latency, RequestDone: status == StatusOK}
+	ended := AttemptEnded{ID: send.ID, Attempt: attempt, Server: send.Server, Status: status, Latency: latency, RequestDone: status == StatusOK}
 	if w.random.IntN(4) == 0 {
-		outcome.ForeignUnits, outcome.HasVolumeUsage, outcome.VolumeUsage = 10*w.random.Float64(), true, w.random.Float64()
+		ended.ForeignUnits, ended.HasVolumeUsage, ended.VolumeUsage = 10*w.random.Float64(), true, w.random.Float64()
 	}
-	if w.random.IntN(40) == 0 { // a lost answer ends late, if at all
+	if w.random.IntN(40) == 0 { // a lost response ends late, if at all
 		latency *= 50
 	}
-	w.later(latency, outcome)
+	w.later(latency, ended)
 	if status == StatusOK && w.random.IntN(30) == 0 {
 		w.later(latency/2, ResponseStarted{ID: send.ID, Attempt: attempt, Server: send.Server, Latency: latency / 2})
 	}
 }
 
+// drawStatus draws how an attempt ends: mostly with success.
 func (w *goldenWorld) drawStatus() Status {
 	draw := w.random.IntN(100)
 	if draw < 80 {
@@ -168,7 +171,7 @@
 	return statuses[draw%len(statuses)]
 }
 
-// respondToPoll answers a poll of the endpoint list: with the list, late, or not at all.
+// respondToPoll responds to a poll of the endpoint list: with the list, late, or not at all.
 func (w *goldenWorld) respondToPoll() {
 	latency := time.Duration(w.random.IntN(60)+1) * ms
 	if w.scenario.outage && (w.lifetimes%2 == 1 || w.random.IntN(4) != 0) {
--- a/internal/scheduler/goldenscenarios_test.go
+++ b/internal/scheduler/goldenscenarios_test.go
@@ -14,6 +14,7 @@
 	outage bool
 }
 
+// goldenScenarios returns the scenarios of the golden test.
 func goldenScenarios() []goldenScenario {
 	return []goldenScenario{
 		{name: "polled", settings: goldenPolledSettings(), polls: true},
@@ -77,7 +78,7 @@
 	return settings
 }
 
-// goldenOutageSettings has so many gateways that discovery can't answer all of them in time.
+// goldenOutageSettings has so many gateways that discovery cannot respond to all of them in time.
 func goldenOutageSettings() Settings {
 	settings := goldenPolledSettings()
 	settings.Gateways, settings.MeanUnits = 300, 0
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -20,9 +20,9 @@
 	return gateway
 }
 
-// place sends new objects one by one, ends each at once with the status that its server answers, and returns how many went to each
+// place sends new objects one by one, ends each at once with the status that its server responds with, and returns how many went to each
 // server.
-func (g *placementGateway) place(t *testing.T, count int, answer func(ServerID) Status) map[ServerID]int {
+func (g *placementGateway) place(t *testing.T, count int, statusOf func(ServerID) Status) map[ServerID]int {
 	t.Helper()
 	placed := map[ServerID]int{}
 	for range count {
@@ -37,14 +37,14 @@
 		for _, send := range actionsOf[Send](actions) {
 			placed[send.Server]++
 			end := sendServed(send, 5*ms)
-			end.Status = answer(send.Server)
+			end.Status = statusOf(send.Server)
 			g.scheduler.Step(g.now, []Event{end})
 		}
 	}
 	return placed
 }
 
-// allSucceed is the answer of servers that execute every request.
+// allSucceed is the response of servers that execute every request.
 func allSucceed(ServerID) Status { return StatusOK }
 
 // Many gateways with hardly any requests in flight must not choose the same shard as the least loaded one, nor a server that is
@@ -61,7 +61,7 @@
 		scheduler.Step(time.Hour, []Event{endpoints})
 		now := time.Hour + 5*time.Second
 		arrival := RequestArrived{ID: 1, Class: "read", Plan: "gold", Remaining: time.Second, Units: 1, Shard: 1, Gateways: 1}
-		scheduler.Step(now, []Event{arrival}) // server 2 owes its answer for long
+		scheduler.Step(now, []Event{arrival}) // server 2 owes its response for long
 		now += 900 * ms
 		scheduler.servers[3].connectFailures = 1
 		arrival.ID, arrival.Shard = 2, -1
@@ -76,7 +76,7 @@
 	}
 }
 
-// New objects stay on servers that the gateway knows, since a connection to a new one costs a handshake. A server that has answered
+// New objects stay on servers that the gateway knows, since a connection to a new one costs a handshake. A server that has responded
 // with an error gets none until its cooldown is over.
 func TestNewObjectsStayOnKnownServers(t *testing.T) {
 	settings := testSettings()
--- a/internal/scheduler/polling_fleet_test.go
+++ b/internal/scheduler/polling_fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pollTimeout is how long a poll waits for its answer in the simulations.
+// pollTimeout is how long a poll waits for its response in the simulations.
 const pollTimeout = 2 * time.Second
 
 // pollingSettings returns settings of a fleet whose gateways poll for the endpoint list.
@@ -26,13 +26,13 @@
 
 // simulatedPoll is a poll of the endpoint list.
 type simulatedPoll struct {
-	gateway    int
-	startedAt  time.Duration
-	answeredAt time.Duration
-	done       bool
+	gateway     int
+	startedAt   time.Duration
+	respondedAt time.Duration
+	done        bool
 }
 
-// wastefulDiscovery answers polls one by one. It works also on those that have timed out.
+// wastefulDiscovery responds to polls one by one. It works also on those that have timed out.
 type wastefulDiscovery struct {
 	fleet     *simulatedFleet
 	cost      time.Duration // of one poll
@@ -44,16 +44,16 @@
 // poll takes in a poll.
 func (d *wastefulDiscovery) poll(gateway int) {
 	d.idleAt = max(d.idleAt, d.fleet.now) + d.cost
-	d.polls = append(d.polls, &simulatedPoll{gateway: gateway, startedAt: d.fleet.now, answeredAt: d.idleAt})
+	d.polls = append(d.polls, &simulatedPoll{gateway: gateway, startedAt: d.fleet.now, respondedAt: d.idleAt})
 }
 
-// respondToPolls delivers the answers and the timeouts that are due.
+// respondToPolls delivers the responses and the timeouts that are due.
 func (d *wastefulDiscovery) respondToPolls() {
 	for _, poll := range d.polls {
 		timesOutAt := poll.startedAt + pollTimeout
 		switch {
 		case poll.done:
-		case d.fleet.now >= poll.answeredAt && poll.answeredAt <= timesOutAt:
+		case d.fleet.now >= poll.respondedAt && poll.respondedAt <= timesOutAt:
 			poll.done = true
 			d.snapshots++
 			d.fleet.deliver(poll.gateway, EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}, {ID: 2, Shard: 1}}})
@@ -64,7 +64,7 @@
 	}
 }
 
-// All gateways start at once, and discovery answers their polls one by one. It abandons polls that have waited 2 s but does their
+// All gateways start at once, and discovery responds to their polls one by one. It abandons polls that have waited 2 s but does their
 // work all the same, so polls that come together, fail together and are repeated together would keep it busy for good. Where it is
 // fast, a large fleet must not wait as long as a slow one would take.
 func TestFleetGetsFirstSnapshots(t *testing.T) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// failingDiscovery answers polls one by one while it is up. Polls time out while they wait.
+// failingDiscovery responds to polls one by one while it is up. Polls time out while they wait.
 type failingDiscovery struct {
 	fleet     *simulatedFleet
 	up        bool
@@ -121,7 +121,7 @@
 	}
 }
 
-// respondToPolls answers polls as far as there is time.
+// respondToPolls responds to polls as far as there is time.
 func (d *failingDiscovery) respondToPolls() {
 	for d.up && len(d.waiting) > 0 && d.idleAt <= d.fleet.now {
 		d.idleAt = max(d.idleAt, d.fleet.now-outageStep) + d.cost
@@ -162,7 +162,7 @@
 }
 
 // After an outage of discovery, which ends all watches, every gateway gets a snapshot in time: a change that is made as discovery
-// comes back counts as known 6 s later and binds after a grace of 1 s. Polls wait 2 s before they fail, in the outage and under
+// comes back counts as notified 6 s later and binds after a grace of 1 s. Polls wait 2 s before they fail, in the outage and under
 // overload.
 func TestFleetGetsSnapshotsAfterOutage(t *testing.T) {
 	const snapshotsWithin = 7 * time.Second
--- a/internal/scheduler/polling_test.go
+++ b/internal/scheduler/polling_test.go
@@ -83,7 +83,7 @@
 		t.Fatal("no poll after a failed one")
 	}
 	if polls := countPolls(20 * time.Second); polls < 3 || polls > 4 {
-		t.Errorf("%d polls in 20 s while none is answered, want one every MaxPollInterval/2", polls)
+		t.Errorf("%d polls in 20 s while none gets a response, want one every MaxPollInterval/2", polls)
 	}
 	gateway.step(EndpointUpdate{Kind: Delta})
 	if polls := countPolls(60 * time.Second); polls != 0 {
@@ -145,7 +145,7 @@
 	}
 }
 
-// run lets time pass and returns the times of polls, each of which is answered after 10 ms.
+// run lets time pass and returns the times of polls, each of which gets a response after 10 ms.
 func (c *pollClock) run(until time.Duration) (polls []time.Duration) {
 	for ; c.now < until; c.now += 10 * ms {
 		for range actionsOf[WatchEndpoints](c.scheduler.Step(c.now, []Event{TimerFired{}})) {
@@ -157,7 +157,7 @@
 	return polls
 }
 
-// Watches that fall idle are opened again within two seconds, spread over them: what they miss counts as known 6 s after their last
+// Watches that fall idle are opened again within two seconds, spread over them: what they miss counts as notified 6 s after their last
 // message, and 3 s of that have passed. An idle watch is no failed poll, so it does not lengthen the cycle.
 func TestIdleWatchesAreReopenedSoon(t *testing.T) {
 	const gateways = 300
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -143,15 +143,15 @@
 }
 
 // recordAttemptEnd takes in the end of an attempt.
-func (c *ruleChecker) recordAttemptEnd(outcome AttemptEnded) {
-	request := c.requests[outcome.ID]
-	attempt := request.attempts[outcome.Attempt]
-	attempt.ended, attempt.status = true, outcome.Status
-	switch outcome.Status {
+func (c *ruleChecker) recordAttemptEnd(ended AttemptEnded) {
+	request := c.requests[ended.ID]
+	attempt := request.attempts[ended.Attempt]
+	attempt.ended, attempt.status = true, ended.Status
+	switch ended.Status {
 	case StatusTimedOut, StatusConnectionReset, StatusCanceled:
 		request.cooldownUntil = c.now + c.settings.KeyCooldown
 	}
-	if outcome.RequestDone {
+	if ended.RequestDone {
 		request.finished = true
 	}
 }
@@ -310,17 +310,17 @@
 	c.t.Helper()
 	request := c.requests[id]
 	if request == nil || request.finished {
-		c.fatalf("rule 1: second answer for %d", id)
+		c.fatalf("rule 1: second response for %d", id)
 	}
 	request.finished = true
 	return request
 }
 
-// checkDeadlines checks that no request is unanswered beyond its client's deadline.
+// checkDeadlines checks that every request has ended by its client's deadline.
 func (c *ruleChecker) checkDeadlines() {
 	for _, request := range c.requests {
 		if !request.finished && c.now > request.expiresAt+c.settings.ResponseGrace {
-			c.fatalf("rule 1: %d was never answered (expired at %v)", request.arrival.ID, request.expiresAt)
+			c.fatalf("rule 1: %d never got a response (expired at %v)", request.arrival.ID, request.expiresAt)
 		}
 	}
 }
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -41,17 +41,17 @@
 	return settings
 }
 
-// Random legal events, outcomes and restarts must keep the rules.
+// Random legal events, ends of attempts and restarts must keep the rules.
 func TestRulesHoldOverArbitraryEvents(t *testing.T) {
 	for scenario := range 24 {
 		t.Run(fmt.Sprint(scenario), func(t *testing.T) {
 			simulation := newRuleSimulation(t, scenario)
 			simulation.run()
 			simulation.checker.checkAllFinished()
-			if simulation.sends < 120 || simulation.answers < 1000 {
-				t.Fatalf("the scenario exercised too little: %d sends, %d answers", simulation.sends, simulation.answers)
+			if simulation.sends < 120 || simulation.responses < 1000 {
+				t.Fatalf("the scenario exercised too little: %d sends, %d responses", simulation.sends, simulation.responses)
 			}
-			t.Logf("%d sends, %d answers", simulation.sends, simulation.answers)
+			t.Logf("%d sends, %d responses", simulation.sends, simulation.responses)
 		})
 	}
 }
@@ -71,7 +71,7 @@
 	pending      []pendingEnd
 	timers       []time.Duration
 
-	sends, answers int
+	sends, responses int
 }
 
 // newRuleSimulation returns the simulation of a scenario, whose gateway has just started.
@@ -174,17 +174,17 @@
 		if pending.at > s.checker.now {
 			return false
 		}
-		outcome := pending.end
-		request := s.checker.requests[outcome.ID]
-		outcome.RequestDone = request.finished || outcome.Status == StatusOK
-		if outcome.Status == StatusOK {
+		ended := pending.end
+		request := s.checker.requests[ended.ID]
+		ended.RequestDone = request.finished || ended.Status == StatusOK
+		if ended.Status == StatusOK {
 			request.finished = true
-			s.answers++
+			s.responses++
 		}
-		s.checker.recordAttemptEnd(outcome)
-		events = append(events, outcome)
+		s.checker.recordAttemptEnd(ended)
+		events = append(events, ended)
 		if s.random.IntN(50) == 0 && request.finished {
-			events = append(events, RequestCanceled{ID: outcome.ID})
+			events = append(events, RequestCanceled{ID: ended.ID})
 		}
 		return true
 	})
@@ -211,10 +211,10 @@
 			s.sends++
 			s.drawEnd(action, s.checker.checkSend(action))
 		case Reject:
-			s.answers++
+			s.responses++
 			s.checker.checkReject(action)
 		case Fail:
-			s.answers++
+			s.responses++
 			s.checker.checkFail(action)
 		case SetTimer:
 			s.timers = append(s.timers, action.At)
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -88,11 +88,11 @@
 	if oldest == nil {
 		return responsive
 	}
-	silentFor := now - max(oldest.sentAt, e.lastResponseAt)
-	if silentFor <= unresponsiveFactor*max(threshold, e.congestion.latency) {
+	unresponsiveFor := now - max(oldest.sentAt, e.lastResponseAt)
+	if unresponsiveFor <= unresponsiveFactor*max(threshold, e.congestion.latency) {
 		return responsive
 	}
-	interval := float64(min(max(2*threshold, silentFor/4), 16*threshold)) / min(1, e.congestion.window)
+	interval := float64(min(max(2*threshold, unresponsiveFor/4), 16*threshold)) / min(1, e.congestion.window)
 	if float64(now-e.lastSendAt) > interval {
 		return trialDue
 	}
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -16,8 +16,8 @@
 	}
 	idle, slow, stuck, tried := &serverEntry{}, newServer(now-overdue), newServer(now-overdue-1), newServer(now-overdue-1)
 	tried.lastSendAt = now
-	answering := newServer(now - time.Minute)
-	answering.recordResponse(now - overdue)
+	responding := newServer(now - time.Minute)
+	responding.recordResponse(now - overdue)
 	for name, test := range map[string]struct {
 		server *serverEntry
 		want   responsiveness
@@ -26,7 +26,7 @@
 		"not overdue":             {slow, responsive},
 		"overdue":                 {stuck, trialDue},
 		"overdue after a trial":   {tried, unresponsive},
-		"has answered others":     {answering, responsive},
+		"has responded to others": {responding, responsive},
 		"attempt ended meanwhile": {endedAttempt(newServer(now - time.Minute)), responsive},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -46,11 +46,11 @@
 func TestUnresponsiveServerGetsTrials(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK)
-	if sends := gateway.serveReads(3*time.Second, 10*ms, time.Hour, StatusOK); sends > 35 { // nothing is answered
+	if sends := gateway.serveReads(3*time.Second, 10*ms, time.Hour, StatusOK); sends > 35 { // no request gets a response
 		t.Errorf("%d requests sent to an unresponsive server", sends)
 	}
 	if sends := gateway.serveReads(2*time.Second, 10*ms, 30*ms, StatusOK); sends < 60 {
-		t.Errorf("only %d sent after it answers again", sends)
+		t.Errorf("only %d sent after it responds again", sends)
 	}
 }
 
@@ -61,13 +61,13 @@
 		t.Fatal("not sent")
 	}
 	if sends := gateway.serveReads(3*time.Second, 20*ms, 30*ms, StatusOK); sends < 50 {
-		t.Errorf("%d sent beside a lost answer", sends)
+		t.Errorf("%d sent beside a lost response", sends)
 	}
 }
 
-// A reset leads to a backoff only if the server has not answered other requests lately.
+// A reset leads to a backoff only if the server has not responded to other requests lately.
 func TestConnectionResetBacksOffOnlyUnresponsiveServer(t *testing.T) {
-	for name, otherAnswered := range map[string]bool{"answers others": true, "answers nothing": false} {
+	for name, otherResponded := range map[string]bool{"responds to others": true, "sends no response": false} {
 		t.Run(name, func(t *testing.T) {
 			gateway := newTestGateway(t, nil)
 			other, reset := gateway.newArrival("read", "gold", 1, 2, 1), gateway.newArrival("read", "gold", 2, 2, 2)
@@ -75,13 +75,13 @@
 			if sent := sentIDs(gateway.step(other, reset)); len(sent) != 2 {
 				t.Fatalf("sent %v", sent)
 			}
-			if otherAnswered {
+			if otherResponded {
 				gateway.now += 5 * ms
 				gateway.step(attemptServed(other.ID, 5*ms))
 			}
 			gateway.now += 5 * ms
 			gateway.step(AttemptEnded{ID: reset.ID, Server: 1, Status: StatusConnectionReset, RequestDone: true})
-			if sent := sentIDs(gateway.step(next)); (len(sent) == 1) != otherAnswered {
+			if sent := sentIDs(gateway.step(next)); (len(sent) == 1) != otherResponded {
 				t.Errorf("sent %v", sent)
 			}
 		})
@@ -180,7 +180,7 @@
 }
 
 // serveBothShards lets a read for one of the shards, or a new object, arrive every 10 ms for a period, together with other events. It
-// answers every attempt at once and returns the sends by server.
+// responds to every attempt at once and returns the sends by server.
 func (g *testGateway) serveBothShards(period time.Duration, others ...Event) map[ServerID]int {
 	sends := map[ServerID]int{}
 	for end := g.now + period; g.now < end; g.now += 10 * ms {
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -137,6 +137,7 @@
 	return settings.withDefaults(), nil
 }
 
+// validateClasses returns an error that names the first class that cannot be used, or nil.
 func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for _, class := range classes {
@@ -148,6 +149,7 @@
 	return nil
 }
 
+// validatePlans returns an error that names the first plan that cannot be used, or nil.
 func validatePlans(plans []Plan) error {
 	names := map[string]bool{}
 	for _, plan := range plans {
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -47,7 +47,7 @@
 	gateways       int
 	tolerance      float64       // Settings.SlowStartUnits
 	demand         float64       // units per second over all gateways
-	latency        time.Duration // of answers
+	latency        time.Duration // of responses
 	bursts         bool          // demand comes in bursts at all gateways at one moment
 	delayedUpdates bool          // gateways learn of the restart up to 3 s late
 }
@@ -166,7 +166,7 @@
 	})
 }
 
-// serve answers an attempt after the latency and compares what was sent with the bound. A gateway that does not know of the restart
+// serve responds to an attempt after the latency and compares what was sent with the bound. A gateway that does not know of the restart
 // is not bound.
 func (s *slowStartSimulation) serve(gateway int, send Send) {
 	s.pending = append(s.pending, gatewayEnd{gateway, pendingEnd{s.now + s.latency, attemptServed(send.ID, s.latency)}})
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -51,6 +51,7 @@
 	toleratedUnits              float64 // that the settings let the server bear after the restart
 }
 
+// newOverloadSimulation returns a simulation before the restart.
 func newOverloadSimulation(t *testing.T, gateways int, seed uint64) *overloadSimulation {
 	t.Helper()
 	settings := propertySettings(1)
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -84,7 +84,7 @@
 			t.Errorf("%d requests, %.0f units in 4 s, want about 6 units per second growing slowly", sends, units)
 		}
 	})
-	t.Run("neither earlier sends nor fast answers widen the bound", func(t *testing.T) {
+	t.Run("neither earlier sends nor fast responses widen the bound", func(t *testing.T) {
 		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 100 })
 		gateway.serveReads(20*time.Second, 20*ms, 30*ms, StatusOK)
 		gateway.restartServer()
@@ -92,10 +92,10 @@
 			t.Errorf("%d sent in the first second", sends)
 		}
 	})
-	t.Run("one of many gateways sends its even part, however fast the answers are", func(t *testing.T) {
+	t.Run("one of many gateways sends its even part, however fast the responses are", func(t *testing.T) {
 		fast, slow := serveStartingServerOfMany(t, 5*ms), serveStartingServerOfMany(t, 100*ms)
 		if fast < 1 || fast > 3 || slow < 1 || slow > fast {
-			t.Errorf("of 24 requests %d were sent with answers of 5 ms, %d with answers of 100 ms", fast, slow)
+			t.Errorf("of 24 requests %d were sent with responses of 5 ms, %d with responses of 100 ms", fast, slow)
 		}
 	})
 	t.Run("a surge does not raise the bound", func(t *testing.T) {
--- a/internal/scheduler/testgateway_test.go
+++ b/internal/scheduler/testgateway_test.go
@@ -75,9 +75,9 @@
 // newArrival returns a request with a new ID for shard 0.
 func (g *testGateway) newArrival(class, plan string, volume int, units float64, key uint64) RequestArrived {
 	g.lastID++
-	ttl := g.scheduler.classes[class].Deadline
+	remaining := g.scheduler.classes[class].Deadline
 	return RequestArrived{
-		ID: g.lastID, Class: class, Plan: plan, Volume: VolumeID(volume), Key: key, Remaining: ttl, Units: units, Gateways: 1,
+		ID: g.lastID, Class: class, Plan: plan, Volume: VolumeID(volume), Key: key, Remaining: remaining, Units: units, Gateways: 1,
 	}
 }
 
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -92,6 +92,7 @@
 	sentUnits float64
 }
 
+// newLimitSimulation returns a simulation of a volume whose requests come through the given number of gateways.
 func newLimitSimulation(t *testing.T, gateways int) *limitSimulation {
 	t.Helper()
 	settings := testSettings()
