--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -88,14 +88,12 @@
 
 // listen starts an HTTP server for one gateway.
 func (d *discovery) listen(gateway int) (addr string, err error) {
-	ln, err := loopback.Listen()
+	s, addr, err := loopback.ServeHTTP(func(w http.ResponseWriter, r *http.Request) { d.serveWatch(gateway, w, r) })
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serveWatch(gateway, w, r) })}
 	d.servers = append(d.servers, s)
-	go func() { _ = s.Serve(ln) }() // returns when the server is closed
-	return ln.Addr().String(), nil
+	return addr, nil
 }
 
 func (d *discovery) close() {
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -1,7 +1,6 @@
 package chaos
 
 import (
-	"encoding/json"
 	"net/http"
 	"strconv"
 	"time"
@@ -128,23 +127,15 @@
 	latest := len(d.changes)
 	switch {
 	case own.opening && (own.version == 0 || own.version > latest):
-		line = encodeList(d.snapshot())
+		line = d.snapshot().JSON()
 	case own.version < latest:
-		line = encodeList(d.delta(own.version))
+		line = d.delta(own.version).JSON()
 	}
 	own.version, own.opening = latest, false
 	d.deliveries[own.gateway] = append(d.deliveries[own.gateway], delivery{time.Now(), latest})
 	return watchMessage{line: append(line, '\n'), changed: d.changed}, true
 }
 
-func encodeList(list process.EndpointList) []byte {
-	line, err := json.Marshal(list)
-	if err != nil {
-		panic(err) // its types have no values that JSON cannot express
-	}
-	return line
-}
-
 // waitSilently keeps a silent watch open until either side ends it, and records for how long it was silent. It does not
 // return: it aborts the response.
 func (d *discovery) waitSilently(own *watch, r *http.Request) {
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -1,7 +1,6 @@
 package cluster
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -80,14 +79,12 @@
 
 // listen starts an HTTP server behind a proxy.
 func (p *platform) listen(handler http.HandlerFunc) (*streamProxy, error) {
-	ln, err := loopback.Listen()
+	s, addr, err := loopback.ServeHTTP(handler)
 	if err != nil {
 		return nil, err
 	}
-	s := &http.Server{Handler: handler}
 	p.servers = append(p.servers, s)
-	go func() { _ = s.Serve(ln) }() // returns when the server is closed
-	proxy, err := newStreamProxy(ln.Addr().String())
+	proxy, err := newStreamProxy(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -204,7 +201,7 @@
 		p.mu.Unlock()
 		var line []byte
 		if changed {
-			line = encodeList(p.endpointList(gateway))
+			line = p.endpointList(gateway).JSON()
 		}
 		if _, err := w.Write(append(line, '\n')); err != nil {
 			return
@@ -220,11 +217,3 @@
 		}
 	}
 }
-
-func encodeList(list process.EndpointList) []byte {
-	line, err := json.Marshal(list)
-	if err != nil {
-		panic(err) // its types have no values that JSON cannot express
-	}
-	return line
-}
--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -1,11 +1,13 @@
-// Package loopback opens listeners on loopback addresses, chooses addresses for gateway processes and resets TCP
-// connections. It keeps no state and starts no goroutines; its functions may be called from any goroutine.
+// Package loopback opens listeners and HTTP servers on loopback addresses, chooses addresses for gateway processes and
+// resets TCP connections. It keeps no state; its functions may be called from any goroutine. The only goroutines that it
+// starts are those of ServeHTTP, which end when the server is closed.
 package loopback
 
 import (
 	"context"
 	"fmt"
 	"net"
+	"net/http"
 	"os"
 )
 
@@ -29,6 +31,17 @@
 	return config.ListenPacket(context.Background(), "udp", addr)
 }
 
+// ServeHTTP starts an HTTP server on a port that the system chooses. The caller must close the server.
+func ServeHTTP(handler http.HandlerFunc) (server *http.Server, addr string, err error) {
+	ln, err := Listen()
+	if err != nil {
+		return nil, "", err
+	}
+	server = &http.Server{Handler: handler}
+	go func() { _ = server.Serve(ln) }() // returns when the server is closed
+	return server, ln.Addr().String(), nil
+}
+
 // Host returns the loopback address of one gateway process of this program. Each bench has a block of its own. No
 // outgoing connection uses these addresses, so none takes the port of a gateway while its process is down.
 func Host(block, gateway int) string {
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -38,6 +38,15 @@
 	Servers  []Endpoint `json:"servers"`
 }
 
+// JSON returns the list as discovery sends it, without the end of the line.
+func (l EndpointList) JSON() []byte {
+	line, err := json.Marshal(l)
+	if err != nil {
+		panic(err) // its types have no values that JSON cannot express
+	}
+	return line
+}
+
 // Endpoint is one server of an endpoint list.
 type Endpoint struct {
 	ID        string  `json:"id"`
