--- a/internal/eventloop/environment.go
+++ b/internal/eventloop/environment.go
@@ -26,7 +26,7 @@
 func (e environment) ProbeServer(server *lifecycle.Server) { e.loop.options.ProbeServer(server) }
 
 // Log implements lifecycle.Environment.
-func (e environment) Log(text string) { slog.Info(logevent.SchedulerMessage, "text", text) }
+func (e environment) Log(text string) { slog.Info(logevent.SchedulerMessage, logevent.Text, text) }
 
 // Count implements lifecycle.Environment.
 func (e environment) Count(name string) { e.loop.options.Metrics.Add(name, 1) }
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -65,7 +65,9 @@
 	Request       = "request"
 	RetryWithinMs = "retry_within_ms"
 	Server        = "server"
-	State         = "state" // of a BGP session
+	Member        = "member" // of the fleet, by its number
+	Incarnation   = "incarnation"
+	State         = "state" // of a BGP session or a member of the fleet
 	Status        = "status"
 	Text          = "text" // of a message that is not structured
 	TookMs        = "took_ms"
--- a/internal/peer/step.go
+++ b/internal/peer/step.go
@@ -77,11 +77,11 @@
 
 func (s *Service) logChange(change membership.StateChange) {
 	if change.IdentityConflict {
-		s.log.Warn(logevent.FleetIdentityConflict, "member", change.Member, "life", change.ProcessIncarnation)
+		s.log.Warn(logevent.FleetIdentityConflict, logevent.Member, change.Member, logevent.Incarnation, change.ProcessIncarnation)
 		return
 	}
 	s.log.Info(logevent.FleetMemberChanged,
-		"member", change.Member, "state", change.State.String(), "life", change.ProcessIncarnation)
+		logevent.Member, change.Member, logevent.State, change.State.String(), logevent.Incarnation, change.ProcessIncarnation)
 }
 
 // stepOutliers runs outlier detection. It returns events for ejected servers once in ejectionIntervalMs.
