--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -40,7 +40,7 @@
 	}
 	update := acceptedUpdate(message.update, decision)
 	if decision.Snapshot || len(decision.Accepted) > 0 {
-		update.CallDurationMs = session.callDuration(w.clock.NowMs())
+		update.CallDurationMs = session.recordUpdate(w.clock.NowMs())
 	}
 	slog.Debug(logevent.DiscoveryUpdate, logevent.Version, update.Version,
 		"entries", len(update.Servers), "snapshot", decision.Snapshot)
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -27,11 +27,11 @@
 	clock clock.Clock
 
 	mu sync.Mutex
-	// emptyAtMs is a time at which nothing had arrived yet of what was read last.
-	emptyAtMs  float64
-	conn       *trackedConn  // the latest watch's; nil: none
-	processing bool          // bytes read from conn are being processed
-	processed  chan struct{} // closed when they have been; nil: nobody waits
+	// readStartedMs is when the latest read that has returned was started. None of its bytes had arrived then.
+	readStartedMs float64
+	conn          *trackedConn  // the latest watch's; nil: none
+	processing    bool          // bytes read from conn are being processed
+	processed     chan struct{} // closed when they have been; nil: nobody waits
 }
 
 // trackedConn is the connection of a watch. Its reader has processed everything that it read before it reads again.
@@ -74,18 +74,18 @@
 	}
 }
 
-// setEmptyAt records a time at which nothing had arrived yet of what was read last.
-func (t *receiveTracker) setEmptyAt(atMs float64) {
+// setReadStarted records when the read that returns now was started.
+func (t *receiveTracker) setReadStarted(startedMs float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.emptyAtMs = atMs
+	t.readStartedMs = startedMs
 }
 
-// lastEmptyMs returns a time at which nothing had arrived yet of what was read last.
-func (t *receiveTracker) lastEmptyMs() float64 {
+// lastReadStartedMs returns when the latest read that has returned was started. None of its bytes had arrived then.
+func (t *receiveTracker) lastReadStartedMs() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.emptyAtMs
+	return t.readStartedMs
 }
 
 // forget stops tracking a connection, if it is the latest one.
@@ -125,7 +125,7 @@
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
 		}
-		c.tracker.setEmptyAt(startedMs)
+		c.tracker.setReadStarted(startedMs)
 		c.tracker.setProcessing(c, n > 0)
 		return n, err
 	}
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -51,9 +51,9 @@
 	return s.updated || atMs-s.startedMs >= confirmationDelayMs
 }
 
-// callDuration notes that an update has applied. It returns how long the call took if this is the first one, and 0
-// otherwise.
-func (s *watchSession) callDuration(nowMs float64) float64 {
+// recordUpdate records that an update of the session has applied. It returns how long the call took if this is the first
+// one, and 0 otherwise.
+func (s *watchSession) recordUpdate(nowMs float64) float64 {
 	if s.updated {
 		return 0
 	}
@@ -148,7 +148,7 @@
 		}
 		idle.reset(idleTimeoutMs)
 		session.onMessage()
-		receivedMs := w.received.lastEmptyMs()
+		receivedMs := w.received.lastReadStartedMs()
 		if object == nil {
 			w.handleHeartbeat(session, receivedMs)
 			continue
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -117,7 +117,7 @@
 	}
 	latencyMs := nowMs - attempt.sentMs
 	attempt.ended = true
-	attempt.neverExecuted = provesNotExecuted(result.Status)
+	attempt.neverExecuted = result.Status.ProvesNotExecuted()
 	state.inFlight--
 	m.environment.Count(counterAttemptsPrefix + result.Status.String())
 	m.traceAttemptEnded(request, number, attempt.server, result.Status, latencyMs)
@@ -142,15 +142,6 @@
 	m.releaseIfDone(state)
 }
 
-// provesNotExecuted reports whether an attempt that ended with a status was certainly not executed.
-func provesNotExecuted(status scheduler.Status) bool {
-	switch status {
-	case scheduler.StatusOverloaded, scheduler.StatusConnectFailed, scheduler.StatusNotSent:
-		return true
-	}
-	return false
-}
-
 // finish gives an open request its final response. It has no effect on a request that is done.
 func (m *Manager) finish(id scheduler.RequestID, response Response) {
 	if state := m.requests[id]; state != nil && !state.done {
--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -74,16 +74,16 @@
 	c.latencyUpdatedAt, c.latencySum, c.latencySamples = now, 0, 0
 }
 
-// updateWindows is PARDA's update, w ← (1−γ)w + γ(T/L·w + β), where ratio is T/L. Below one request the window falls only
-// at higher latencies.
-func (c *congestionControl) updateWindows(ratio, beta, smallest float64) {
-	window := (1-windowGain)*c.window + windowGain*(ratio*c.window+beta)
+// updateWindows is PARDA's update, w ← (1−γ)w + γ(T/L·w + β), where latencyRatio is T/L, the threshold over the latency, and
+// targetQueue is β. Neither window falls below minimum. Below one request the window falls only at higher latencies.
+func (c *congestionControl) updateWindows(latencyRatio, targetQueue, minimum float64) {
+	window := (1-windowGain)*c.window + windowGain*(latencyRatio*c.window+targetQueue)
 	if window < 1 {
-		window = min(1, (1-windowGain)*c.window+windowGain*(subunitWindowFactor*ratio*c.window+beta))
+		window = min(1, (1-windowGain)*c.window+windowGain*(subunitWindowFactor*latencyRatio*c.window+targetQueue))
 	}
-	surplus := (1-windowGain)*c.surplusWindow + windowGain*(surplusWindowFactor*ratio*c.surplusWindow+beta)
-	c.window = min(max(window, smallest), maxWindow)
-	c.surplusWindow = min(max(surplus, smallest), maxWindow)
+	surplus := (1-windowGain)*c.surplusWindow + windowGain*(surplusWindowFactor*latencyRatio*c.surplusWindow+targetQueue)
+	c.window = min(max(window, minimum), maxWindow)
+	c.surplusWindow = min(max(surplus, minimum), maxWindow)
 }
 
 // growIdle lets windows below one request grow back over a period in which nothing was in flight, since no response would ever
@@ -115,7 +115,7 @@
 
 // targetQueue returns PARDA's β of a server, in requests: the sum over the flows, each by its weight. A flow that uses less than
 // its share of the window counts for that much less. weights is the sum of the weights of all flows that are not idle.
-func (s *Scheduler) targetQueue(shard *shard, server *serverEntry, weights float64) (beta float64) {
+func (s *Scheduler) targetQueue(shard *shard, server *serverEntry, weights float64) (targetQueue float64) {
 	for _, flow := range shard.flows {
 		if flow.isIdle() {
 			continue
@@ -125,14 +125,14 @@
 		if flow.meanOutstanding < share && len(flow.queue) == 0 {
 			weight *= flow.meanOutstanding / share
 		}
-		beta += targetQueuePerFlow * weight / s.meanPlanWeight / flow.volume.gateways
+		targetQueue += targetQueuePerFlow * weight / s.meanPlanWeight / flow.volume.gateways
 	}
-	return beta
+	return targetQueue
 }
 
 // updateServerWindows updates a server's latency and windows at the end of a period. Without a response in the period they stay,
 // except at an unresponsive server, whose windows shrink, and at one with nothing in flight, whose windows grow back.
-func (s *Scheduler) updateServerWindows(server *serverEntry, beta float64) {
+func (s *Scheduler) updateServerWindows(server *serverEntry, targetQueue float64) {
 	congestion := &server.congestion
 	if congestion.latencySamples > 0 {
 		congestion.updateLatency(s.now)
@@ -142,8 +142,8 @@
 		}
 		return
 	}
-	ratio := float64(s.latencyThreshold) / float64(server.expectedLatency(s.now, s.latencyThreshold))
-	congestion.updateWindows(ratio, beta, s.evenShare(minWindow))
+	latencyRatio := float64(s.latencyThreshold) / float64(server.expectedLatency(s.now, s.latencyThreshold))
+	congestion.updateWindows(latencyRatio, targetQueue, s.evenShare(minWindow))
 }
 
 // evenShare returns this gateway's even part of a figure that holds for all gateways together.
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -84,7 +84,7 @@
 // Status is how an attempt ended.
 type Status uint8
 
-// The ways in which an attempt ends. StatusOverloaded, StatusConnectFailed and StatusNotSent prove that it was not executed.
+// The ways in which an attempt ends.
 const (
 	StatusOK              Status = iota // the server responded with success
 	StatusError                         // the server responded with an error
@@ -101,6 +101,11 @@
 	return nameOf(s, "ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent")
 }
 
+// ProvesNotExecuted reports whether an attempt that ended with the status was certainly not executed.
+func (s Status) ProvesNotExecuted() bool {
+	return s == StatusOverloaded || s == StatusConnectFailed || s == StatusNotSent
+}
+
 // AttemptEnded is the end of an attempt. Each Send has exactly one.
 type AttemptEnded struct {
 	ID             RequestID
--- a/internal/scheduler/outcomes_test.go
+++ b/internal/scheduler/outcomes_test.go
@@ -48,3 +48,14 @@
 			failed, rejected, unsafe.ID, idempotent.ID)
 	}
 }
+
+func TestStatusProvesNotExecuted(t *testing.T) {
+	for status, want := range map[Status]bool{
+		StatusOK: false, StatusError: false, StatusOverloaded: true, StatusTimedOut: false,
+		StatusConnectFailed: true, StatusConnectionReset: false, StatusCanceled: false, StatusNotSent: true,
+	} {
+		if got := status.ProvesNotExecuted(); got != want {
+			t.Errorf("%v proves that the attempt was not executed: %t, want %t", status, got, want)
+		}
+	}
+}
