--- a/internal/dedup/coordinator_test.go
+++ b/internal/dedup/coordinator_test.go
@@ -63,6 +63,7 @@
 	return c
 }
 
+// setTestTimer is the coordinator's Options.AfterFunc.
 func (c *testCoordinator) setTestTimer(ms float64, f func(float64)) (stop func()) {
 	c.timer, c.timerMs = f, c.nowMs+ms
 	return func() { c.timer = nil }
@@ -134,8 +135,10 @@
 	return func(request *lifecycle.Request) { request.IsRetry, request.Device.AgeMs = true, ageMs }
 }
 
+// shard makes a copy name a shard.
 func shard(shard int) option { return func(request *lifecycle.Request) { request.Shard = shard } }
 
+// class makes a copy one of a class.
 func class(name string) option { return func(request *lifecycle.Request) { request.Class = name } }
 
 // part makes a copy a block that further blocks follow.
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -30,6 +30,7 @@
 	startedAt time.Time
 }
 
+// newFakeAgent starts an agent at an address of a network.
 func newFakeAgent(t *testing.T, network *memnet.Net, addr string) *fakeAgent {
 	t.Helper()
 	listener, err := network.Listen(addr)
@@ -42,6 +43,7 @@
 	return a
 }
 
+// serve handles one watch.
 func (a *fakeAgent) serve(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	sinceStart := time.Since(a.startedAt).Milliseconds()
@@ -82,6 +84,7 @@
 	updates []string
 }
 
+// record is the notify function of a Watcher.
 func (r *updateRecorder) record(update lifecycle.EndpointUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,6 +92,7 @@
 		fmt.Sprintf("%d: %d, snapshot %v", update.Version, len(update.Servers), update.Kind == scheduler.Snapshot))
 }
 
+// expect checks all updates so far.
 func (r *updateRecorder) expect(t *testing.T, want ...string) {
 	t.Helper()
 	r.mu.Lock()
@@ -113,17 +117,13 @@
 		known := lifecycle.EndpointUpdate{Version: 41, Kind: scheduler.CachedSnapshot,
 			Servers: []*lifecycle.Server{{Name: "s-1"}, {Name: "s-2"}}}
 		watcher := New(Options{
-			Addr:    "127.0.0.1:1",
-			Known:   known,
-			Clock:   clock.NewSystem(),
-			Metrics: counters,
+			Addr: "127.0.0.1:1", Known: known, Clock: clock.NewSystem(), Metrics: counters, Dial: network.Dial,
 			Notify: func(update lifecycle.EndpointUpdate) {
 				if update.Kind == scheduler.WatchFailed {
 					t.Error("a failed watch is reported")
 				}
 				recorder.record(update)
 			},
-			Dial: network.Dial,
 		})
 		watcher.KeepOpen(ctx)
 		time.Sleep(80 * time.Millisecond)
--- a/internal/discovery/switchaddress_test.go
+++ b/internal/discovery/switchaddress_test.go
@@ -21,6 +21,7 @@
 	ended   chan struct{} // one value for each watch that was ended
 }
 
+// newWatchServer starts a service that ends with the test.
 func newWatchServer(t *testing.T) *watchServer {
 	t.Helper()
 	s := &watchServer{feed: make(chan string), queries: make(chan string, 4), ended: make(chan struct{}, 4)}
@@ -30,6 +31,7 @@
 	return s
 }
 
+// serve handles one watch.
 func (s *watchServer) serve(w http.ResponseWriter, r *http.Request) {
 	s.queries <- r.URL.RawQuery
 	w.(http.Flusher).Flush()
--- a/internal/endpoints/tracker_test.go
+++ b/internal/endpoints/tracker_test.go
@@ -6,10 +6,12 @@
 	"testing"
 )
 
+// ready returns the entry of a ready server.
 func ready(name string, startedMs float64) Endpoint {
 	return Endpoint{Name: name, Ready: true, StartedMs: startedMs}
 }
 
+// draining returns the entry of a draining server.
 func draining(name string, startedMs float64) Endpoint {
 	return Endpoint{Name: name, StartedMs: startedMs}
 }
@@ -66,10 +68,12 @@
 	closed  map[string]float64
 }
 
+// newReferenceModel returns a model without endpoints.
 func newReferenceModel() *referenceModel {
 	return &referenceModel{ready: map[string]float64{}, closed: map[string]float64{}}
 }
 
+// apply checks a decision and records the endpoints that it accepts.
 func (m *referenceModel) apply(update Update, decision Decision) error {
 	if decision.Snapshot && update.Version < m.version {
 		return fmt.Errorf("an older list is applied as a snapshot")
@@ -97,6 +101,7 @@
 	return nil
 }
 
+// record records an accepted endpoint.
 func (m *referenceModel) record(endpoint Endpoint) {
 	delete(m.ready, endpoint.Name)
 	delete(m.closed, endpoint.Name)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -39,6 +39,7 @@
 	cancel    context.CancelFunc
 }
 
+// startLoop starts a loop. The caller ends it with end.
 func startLoop(t *testing.T) *runningLoop {
 	t.Helper()
 	l := &runningLoop{clock: clock.NewManual(100), decisions: &timerScheduler{timerAt: 150 * time.Millisecond}}
--- a/internal/incarnation/tracker_test.go
+++ b/internal/incarnation/tracker_test.go
@@ -15,6 +15,7 @@
 	}
 }
 
+// checkSkew checks the start times of servers at a gateway whose clock is off by skewMs.
 func checkSkew(t *testing.T, skewMs float64) {
 	t.Helper()
 	nowMs := 100*hourMs + skewMs // on this gateway's clock
