--- a/internal/dedup/exchange/modelactions_test.go
+++ b/internal/dedup/exchange/modelactions_test.go
@@ -70,7 +70,7 @@
 	case m.nowMs+action.RemainingMs > execution.windowEndMs():
 		m.fail("a repeat may be sent at %v, the window ends at %v", m.nowMs+action.RemainingMs, execution.windowEndMs())
 	case c.class.DedupScope == scheduler.DedupShard && action.Shard != execution.shard:
-		m.fail("a repeat in cell %d of what executed in %d", action.Shard, execution.shard)
+		m.fail("a repeat in shard %d of what executed in %d", action.Shard, execution.shard)
 	case c.class.DedupScope == scheduler.DedupZone:
 		m.fail("a repeat in an unknown zone")
 	}
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// If no copy got to know of a failure, the next one runs again inside of the window and in the cell of the first
+// If no copy got to know of a failure, the next one runs again inside of the window and in the shard of the first
 // attempt, and fails otherwise. A failure that a copy got to know is final.
 func TestCopyAfterFailure(t *testing.T) {
 	const noRun = -2
@@ -109,7 +109,7 @@
 		"inside of the window":   {[]option{resent(1000)}, true},
 		"after the window":       {[]option{resent(2990)}, false},
 		"of unknown age":         {[]option{resent(-1)}, false},
-		"in an unknown cell":     {[]option{resent(1000), shard(unknownShard)}, false},
+		"in an unknown shard":    {[]option{resent(1000), shard(unknownShard)}, false},
 		"no retry":               {[]option{shard(unknownShard)}, true},
 		"idempotent":             {[]option{resent(-1), class("pull")}, true},
 		"deduplicated in a zone": {[]option{resent(100), class("zoned")}, false},
--- a/internal/scheduler/authorization.go
+++ b/internal/scheduler/authorization.go
@@ -33,8 +33,8 @@
 	return s.mayRetry(request) && s.retryBudget.allowsRetry(s.now) && request.isWithinDedupScope(server)
 }
 
-// isWithinDedupScope reports whether a server drops the request as a duplicate, as far as that is needed. All servers of a shard
-// belong to one cell, and a request that may have been executed stays with its shard.
+// isWithinDedupScope reports whether a server drops the request as a duplicate, if that is needed. Only DedupZone is checked: a
+// request that may have been executed stays with its shard, which satisfies DedupShard.
 func (r *request) isWithinDedupScope(server *serverEntry) bool {
 	zoneOnly := r.mayHaveExecuted && r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupZone
 	return !zoneOnly || server.Zone == r.executionZone
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -15,7 +15,7 @@
 
 const (
 	responsive   responsiveness = iota
-	unresponsive                // it owes responses and sends none
+	unresponsive                // attempts are in flight and no response has come for too long
 	trialDue                    // unresponsive, and one more request may test whether it responds again
 )
 
