--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -57,15 +57,13 @@
 // restartServer stops a server at once and starts it again under its name.
 func (s *simulation) restartServer(shard int) {
 	s.mu.Lock()
-	old := s.readyServer(shard)
+	old := s.drainReadyServer(shard)
 	if old == nil {
 		s.mu.Unlock()
 		return
 	}
-	s.result.DrainedServers++
 	old.stopped = true
 	old.stop()
-	old.draining = true
 	started := s.startServer(old.name, shard, time.Now())
 	s.mu.Unlock()
 	s.publish(old, stateRemoved, s.deployment.DiscoveryLagMs)
@@ -75,13 +73,11 @@
 // replaceServer drains a server and starts another one in its place.
 func (s *simulation) replaceServer(shard int, name string) {
 	s.mu.Lock()
-	old := s.readyServer(shard)
+	old := s.drainReadyServer(shard)
 	if old == nil {
 		s.mu.Unlock()
 		return
 	}
-	s.result.DrainedServers++
-	old.draining = true
 	started := s.startServer(name, shard, time.Now())
 	s.mu.Unlock()
 	s.publish(old, stateDraining, s.deployment.DiscoveryLagMs)
@@ -105,6 +101,16 @@
 	return max(3000, s.deployment.DiscoveryLagMs+s.deployment.DrainGraceMs+2500)
 }
 
+// drainReadyServer makes the ready server of a shard drain and returns it, or nil if there is none. s.mu must be held.
+func (s *simulation) drainReadyServer(shard int) *server {
+	ready := s.readyServer(shard)
+	if ready != nil {
+		s.result.DrainedServers++
+		ready.draining = true
+	}
+	return ready
+}
+
 // readyServer returns the latest ready server of a shard, or nil. s.mu must be held.
 func (s *simulation) readyServer(shard int) *server {
 	var ready *server
