--- a/internal/lifecycle/authorizer.go
+++ b/internal/lifecycle/authorizer.go
@@ -8,8 +8,8 @@
 	"gaugerelay/internal/permission"
 )
 
-// sendDelayMarginMs is for how long the process may be delayed between an authorization and the byte that it permits.
-const sendDelayMarginMs = 150
+// SendDelayMarginMs is for how long the process may be delayed between an authorization and the byte that it permits.
+const SendDelayMarginMs = 150
 
 // The violations that CheckSent reports. They are parts of counters' names.
 const (
@@ -86,11 +86,11 @@
 func (a *Attempt) CheckSent(nowMs, announcedMs float64) (violation string) {
 	conditions := a.conditions(nowMs)
 	switch {
-	case conditions.NowMs >= conditions.LeaseExpiresAtMs+sendDelayMarginMs:
+	case conditions.NowMs >= conditions.LeaseExpiresAtMs+SendDelayMarginMs:
 		return violationDrain
-	case conditions.StartDeadlineMs != 0 && conditions.NowMs >= conditions.StartDeadlineMs+sendDelayMarginMs:
+	case conditions.StartDeadlineMs != 0 && conditions.NowMs >= conditions.StartDeadlineMs+SendDelayMarginMs:
 		return violationDuplicate
-	case announcedMs > conditions.DeadlineMs-conditions.NowMs+sendDelayMarginMs:
+	case announcedMs > conditions.DeadlineMs-conditions.NowMs+SendDelayMarginMs:
 		return violationLateDeadline
 	}
 	return ""
