--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -18,14 +18,9 @@
 // or more.
 const reuseDelayMs = 5
 
-// Times that the platform defines for the endpoint list.
-const (
-	// maxNotificationDelayMs is how long it takes at most until every gateway counts as notified of a change, from the moment
-	// at which discovery has the change and can be reached.
-	maxNotificationDelayMs = 6000
-	// sendDelayMarginMs bounds a pause of the process between reading the clock and writing the first byte.
-	sendDelayMarginMs = 150
-)
+// maxNotificationDelayMs is how long it takes at most until every gateway counts as notified of a change of the endpoint list, from
+// the moment at which discovery has the change and can be reached.
+const maxNotificationDelayMs = 6000
 
 // New builds a gateway. Only its pause detector runs before Start. The configuration must not be changed afterwards.
 func New(cfg *config.Config, edge *config.Edge, c clock.Clock, network Network) (*Gateway, error) {
@@ -93,7 +88,7 @@
 	if g.cfg.Settings.PollEndpoints {
 		// A pushed list needs no lease: what this machine's agent has counts as notified, and it can always be asked.
 		options.EndpointLease = endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: maxNotificationDelayMs,
-			DrainGraceMs: clock.Ms(g.cfg.Settings.DrainGrace), SendDelayMarginMs: sendDelayMarginMs}, g.Clock.NowMs())
+			DrainGraceMs: clock.Ms(g.cfg.Settings.DrainGrace), SendDelayMarginMs: lifecycle.SendDelayMarginMs}, g.Clock.NowMs())
 	}
 	if fleet != nil {
 		options.Peers = fleet.service
