--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -146,7 +146,7 @@
 	congestion.updateWindows(latencyRatio, targetQueue, s.evenShare(minWindow))
 }
 
-// evenShare returns this gateway's even part of a figure that holds for all gateways together.
+// evenShare returns this gateway's equal share of a figure that holds for all gateways together.
 func (s *Scheduler) evenShare(total float64) float64 { return total / float64(s.settings.Gateways) }
 
 // hasCapacity reports whether a server's window has room for a request. After failed connects one request at a time tries the
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -16,7 +16,7 @@
 //  6. Retries stay within their budget.
 //  7. Volumes stay within their limits.
 //
-// Of limits and starting servers it checks this gateway's even part, which is all that one gateway can be held to alone; but see
+// Of limits and starting servers it checks this gateway's equal share, which is all that one gateway can be held to alone; but see
 // maxSlowStartUnits.
 type ruleChecker struct {
 	t        *testing.T
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -92,7 +92,7 @@
 	SlowStartDuration time.Duration // a server has its full capacity this long after its start; 0: no slow start
 	OverloadMultiple  float64       // a starting server fails above this multiple of its capacity; 0: no slow start
 	OverloadWindow    time.Duration // over which that multiple is measured; 0: no slow start
-	SlowStartUnits    float64       // units per OverloadWindow that a starting server bears from all gateways together
+	SlowStartUnits    float64       // units per OverloadWindow that a starting server tolerates from all gateways together
 
 	KeyCooldown time.Duration // pause of an ordered key after a timeout, reset or cancel
 
@@ -103,7 +103,7 @@
 	ReportsForeignUnits bool          // AttemptEnded.ForeignUnits is present
 
 	// QuotaLeases is set where gateways lease parts of volume limits to each other: the scheduler emits QuotaDemand and
-	// receives QuotaShare. Until a volume's first QuotaShare, InitialQuotaShare of its even part is in force here, which is
+	// receives QuotaShare. Until a volume's first QuotaShare, InitialQuotaShare of its equal share is in force here, which is
 	// the part that no gateway ever leases out; 0 stands for all of it.
 	QuotaLeases       bool
 	InitialQuotaShare float64
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Slow start limits what a server that has just started is sent. Let N be the requests of mean size that it bears per
+// Slow start limits what a server that has just started is sent. Let N be the requests of mean size that it tolerates per
 // OverloadWindow from all gateways together: SlowStartUnits over MeanUnits when it starts, and more with its age. The rule allows
-// N and a slack of about twice its root in any window. Gateways do not coordinate, so each has an even part:
+// N and a slack of about twice its root in any window. Gateways do not coordinate, so each has an equal share:
 //
-// Where gateways are so few that the slack has room for a burst of each of them, each has a bucket that fills at its even part of
+// Where gateways are so few that the slack has room for a burst of each of them, each has a bucket that fills at its equal share of
 // N per window and holds no more than its part of the slack.
 //
 // Where there are many, a gateway's part may be far below one request per window. It then gets single tokens, at times that each
-// gateway draws on its own, at its even part of a rate of e·N per window, and a token that is not used during its lifetime F is
+// gateway draws on its own, at its equal share of a rate of e·N per window, and a token that is not used during its lifetime F is
 // lost. So, however demand arrives, the requests of a window are at most the tokens issued in it and in the time F before it:
 // e·N·(1 + F/OverloadWindow) in the mean. A gateway with little demand does best with few tokens that live long, one with much
 // demand with many; what it may send per window is the same. The draws are independent, so their sum deviates by at most its
@@ -35,7 +35,7 @@
 	slowStartSmallN = 30
 )
 
-// slowStartSlack returns by how many requests of mean size a starting server that bears n may get more.
+// slowStartSlack returns by how many requests of mean size a starting server that tolerates n may get more.
 func slowStartSlack(n float64) float64 {
 	if n < slowStartSmallN {
 		return 3*math.Sqrt(n) + 3
@@ -43,7 +43,7 @@
 	return 2*math.Sqrt(n) + 2
 }
 
-// slowStartTokenLifetime returns the lifetime of a token, in windows, that makes the most of an even part where demand requests
+// slowStartTokenLifetime returns the lifetime of a token, in windows, that makes the most of an equal share where demand requests
 // arrive per window and each of them waits for maxWait windows: that with the largest e·(1 - exp(-y)), where y is the demand in
 // both times.
 func slowStartTokenLifetime(demand, maxWait float64) float64 {
@@ -145,7 +145,7 @@
 	return server.slowStart.replenishTokens(s.now, rate, meanUnits, rate*window*lifetime)
 }
 
-// slowStartTolerance returns the units per OverloadWindow that a starting server bears from all gateways. It grows with the
+// slowStartTolerance returns the units per OverloadWindow that a starting server tolerates from all gateways. It grows with the
 // server's age. The value at the start of the window that ends now is used, because it is the lowest in that window.
 func (s *Scheduler) slowStartTolerance(server *serverEntry) float64 {
 	age := max(0, float64(s.now-server.StartedAt-s.settings.OverloadWindow)/float64(s.settings.SlowStartDuration))
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -101,7 +101,7 @@
 // starting reports whether the server has restarted.
 func (s *overloadSimulation) starting() bool { return s.now >= s.restartAt }
 
-// capacity returns the server's capacity now in units per second, and counts what it bears in this step.
+// capacity returns the server's capacity now in units per second, and counts what it tolerates in this step.
 func (s *overloadSimulation) capacity() float64 {
 	rate := overloadCapacity
 	if s.starting() {
@@ -164,7 +164,7 @@
 	}
 }
 
-// checkUse checks that the server is not left idle: each gateway uses its even part of what the server bears as far as it has
+// checkUse checks that the server is not left idle: each gateway uses its equal share of what the server tolerates as far as it has
 // requests just then.
 func (s *overloadSimulation) checkUse() {
 	s.t.Helper()
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -109,7 +109,7 @@
 }
 
 // serveStartingServerOfMany simulates 12 s with a request of 2 units every 500 ms for a server that has just started, at one of 80
-// gateways, whose even part is 0.11 to 0.5 units per second. It returns the number of sends.
+// gateways, whose equal share is 0.11 to 0.5 units per second. It returns the number of sends.
 func serveStartingServerOfMany(t *testing.T, latency time.Duration) (sends int) {
 	t.Helper()
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 80 })
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -90,7 +90,7 @@
 }
 
 // updateQuotaRates sets this gateway's part of the reserve and of the baseline rate by the reported usage. With few or old reports
-// it tends to the even part. meanUnits is the mean size of a request.
+// it tends to the equal share. meanUnits is the mean size of a request.
 func (v *volumeEntry) updateQuotaRates(now time.Duration, meanUnits float64) {
 	decay := math.Exp2(-float64(now-v.usageUpdatedAt) / float64(usageHalfLife))
 	part := (decay*v.localUnits + meanUnits/v.gateways) / (decay*(v.localUnits+v.foreignUnits) + meanUnits)
