--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -68,11 +68,24 @@
 	t       *testing.T
 	conn    net.Conn
 	speaker *bgp.Speaker
-	clock   *clock.Manual
+	clock   *armingClock
 	stop    context.CancelFunc
 	record  strings.Builder
 }
 
+// armingClock is a manual clock that reports each timer that is set.
+type armingClock struct {
+	*clock.Manual
+	armed chan struct{}
+}
+
+// AfterFunc implements clock.Clock.
+func (c *armingClock) AfterFunc(ms float64, f func()) (stop func()) {
+	stop = c.Manual.AfterFunc(ms, f)
+	c.armed <- struct{}{}
+	return stop
+}
+
 // connect starts a speaker and accepts its connection.
 func connect(t *testing.T, o bgp.Options) *router {
 	t.Helper()
@@ -83,7 +96,7 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	o.PeerAddress = listener.Addr().String()
-	r := &router{t: t, clock: clock.NewManual(startMs)}
+	r := &router{t: t, clock: &armingClock{Manual: clock.NewManual(startMs), armed: make(chan struct{}, 64)}}
 	r.speaker = bgp.New(o, r.clock, metrics.New())
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
@@ -161,12 +174,19 @@
 func TestGoldenTimers(t *testing.T) {
 	r := connect(t, options(localAS))
 	r.read()
+	<-r.clock.armed // the clock must not move between the speaker's reading it and its setting of the timer
 	r.write(fourOctetOpen())
 	r.read()
+	// Each step ends at the time at which a timer runs out. A longer one would pass it, and the speaker might read the clock
+	// at that time or at the step's end.
+	for range 2 {
+		<-r.clock.armed
+		r.clock.Advance(holdTimeMs / 3)
+		r.read()
+	}
+	<-r.clock.armed
 	r.clock.Advance(holdTimeMs / 3)
 	r.read()
-	r.clock.Advance(holdTimeMs)
-	r.read()
 	r.readEnd()
 	testbed.CompareGolden(t, "timers", r.record.String())
 }
