--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -10,6 +10,7 @@
 	"net"
 	"net/netip"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -73,10 +74,26 @@
 	record  strings.Builder
 }
 
-// armingClock is a manual clock that reports each timer that is set.
+// armingClock is a manual clock that reports each timer that is set. While Advance runs, NowMs blocks: the speaker, which runs
+// in another goroutine, sees the time at the end of an advance and none in between.
 type armingClock struct {
 	*clock.Manual
-	armed chan struct{}
+	advancing sync.RWMutex
+	armed     chan struct{}
+}
+
+// NowMs implements clock.Clock.
+func (c *armingClock) NowMs() float64 {
+	c.advancing.RLock()
+	defer c.advancing.RUnlock()
+	return c.Manual.NowMs()
+}
+
+// Advance moves the clock forward by ms and runs the callbacks that become due. They must not read the clock.
+func (c *armingClock) Advance(ms float64) {
+	c.advancing.Lock()
+	defer c.advancing.Unlock()
+	c.Manual.Advance(ms)
 }
 
 // AfterFunc implements clock.Clock.
@@ -177,8 +194,8 @@
 	<-r.clock.armed // the clock must not move between the speaker's reading it and its setting of the timer
 	r.write(fourOctetOpen())
 	r.read()
-	// Each step ends at the time at which a timer runs out. A longer one would pass it, and the speaker might read the clock
-	// at that time or at the step's end.
+	// The keepalive timer has jitter, so it runs out before the end of a step. The speaker reads the clock at the step's end. The
+	// third step ends when the hold timer runs out, which comes before the keepalive that is due by then too.
 	for range 2 {
 		<-r.clock.armed
 		r.clock.Advance(holdTimeMs / 3)
