--- a/internal/dedup/content.go
+++ b/internal/dedup/content.go
@@ -6,16 +6,16 @@
 	"gaugerelay/internal/dedup/exchange"
 )
 
-// content is what is stored of an exchange.
+// content is the stored body and response of an exchange.
 type content struct {
-	body       []byte            // of an upload
-	bodyDigest [sha256.Size]byte // of the complete body, if hasDigest
+	body       []byte            // body of an upload
+	bodyDigest [sha256.Size]byte // digest of the complete body; valid if hasDigest is true
 	hasDigest  bool
 	response   any
-	etag       uint64 // of the response
+	etag       uint64 // entity tag of the response
 }
 
-// append adds a block to the body. The first block of another body makes the digest invalid.
+// append adds a block to the body. The first block of a body invalidates the digest of the previous one.
 func (c *content) append(block []byte) {
 	if len(c.body) == 0 {
 		c.hasDigest = false
@@ -23,8 +23,8 @@
 	c.body = append(c.body, block...)
 }
 
-// contentOf returns the content of an exchange, which it adds if there is none.
-func (c *Coordinator) contentOf(id exchange.ID) *content {
+// findOrAddContent returns the content of an exchange, after adding an empty one if there is none.
+func (c *Coordinator) findOrAddContent(id exchange.ID) *content {
 	stored := c.contents[id]
 	if stored == nil {
 		stored = &content{}
@@ -33,8 +33,8 @@
 	return stored
 }
 
-// release frees what is stored of an exchange. The digest of a released body remains until the exchange is forgotten,
-// because the last block may be sent again.
+// release frees the parts of an exchange's content that the action names. The digest of a released body is kept until the
+// exchange is forgotten, because the device may send the last block again.
 func (c *Coordinator) release(action exchange.Release) {
 	stored := c.contents[action.ID]
 	if stored == nil {
--- a/internal/dedup/convert.go
+++ b/internal/dedup/convert.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// responseKinds are the kinds of response by those of the exchange store.
+// responseKinds maps the exchange store's kinds of response to those of the request life cycle.
 var responseKinds = [...]lifecycle.ResponseKind{
 	exchange.ResponseServed:     lifecycle.Served,
 	exchange.ResponseRejected:   lifecycle.Rejected,
@@ -23,17 +23,18 @@
 	exchange.ResponseSuperseded: lifecycle.Superseded,
 }
 
-// copyID returns the store's id of a copy.
-func copyID(request *lifecycle.Request) exchange.CopyID {
+// transmissionID returns the id of a transmission in the exchange store.
+func transmissionID(request *lifecycle.Request) exchange.CopyID {
 	return exchange.CopyID(request.Device.CopyID)
 }
 
-// copyReceived returns the event of a copy with its entire body, given the body's digest and size.
-func (c *Coordinator) copyReceived(request *lifecycle.Request, bodyDigest [sha256.Size]byte, size int) exchange.CopyReceived {
+// transmissionReceived returns the event of a transmission with an entire body of the given digest and size.
+func (c *Coordinator) transmissionReceived(request *lifecycle.Request, bodyDigest [sha256.Size]byte,
+	size int) exchange.TransmissionReceived {
 	device := request.Device
 	digest := sha256.Sum256(append(device.HeadDigest[:], bodyDigest[:]...))
-	return exchange.CopyReceived{
-		Copy:          copyID(request),
+	return exchange.TransmissionReceived{
+		Transmission:  transmissionID(request),
 		Device:        device.ID,
 		Key:           device.Key,
 		Class:         c.classes[request.Class],
@@ -47,11 +48,11 @@
 	}
 }
 
-// blockReceived returns the event of a block of an upload.
+// blockReceived returns the event of a transmission with a block of an upload.
 func (c *Coordinator) blockReceived(request *lifecycle.Request) exchange.BlockReceived {
 	device := request.Device
 	return exchange.BlockReceived{
-		Copy:          copyID(request),
+		Transmission:  transmissionID(request),
 		Device:        device.ID,
 		Key:           device.Key,
 		Tag:           device.Block.Tag,
@@ -67,7 +68,7 @@
 	}
 }
 
-// resendHistory returns what a device says about earlier copies of a request.
+// resendHistory returns what a device reports about earlier transmissions of a request.
 func (c *Coordinator) resendHistory(request *lifecycle.Request) exchange.ResendHistory {
 	previous := request.Device.PreviousGateway
 	return exchange.ResendHistory{
@@ -77,7 +78,7 @@
 	}
 }
 
-// linkSample converts the measurement of a link to the store's form.
+// linkSample converts the measurements of a link to the type of the exchange store.
 func linkSample(sample lifecycle.LinkSample) exchange.LinkSample {
 	return exchange.LinkSample{RoundTripMs: sample.RoundTripMs, Bytes: sample.Bytes, TransferMs: sample.TransferMs,
 		MaxGapMs: sample.MaxGapMs}
--- a/internal/dedup/coordinator.go
+++ b/internal/dedup/coordinator.go
@@ -1,6 +1,6 @@
-// Package dedup detects duplicate requests of devices on poor links and caches their responses. A Coordinator stands
-// between the frontends for devices and the request life cycle: it stores the bodies and responses of exchanges, runs
-// each exchange's request, and carries out what the exchange store decides on each copy.
+// Package dedup detects duplicate requests of devices on poor links and caches their responses. A Coordinator connects the
+// frontends for devices with the request life cycle: it stores the bodies and responses of exchanges, submits the request
+// of each exchange for execution, and performs the actions of the exchange store for each transmission.
 //
 // The package starts no goroutine. The goroutine of the lifecycle.Manager owns the Coordinator and calls all its
 // methods. Bodies and responses are stored exactly as long as the exchange store counts their bytes.
@@ -18,20 +18,20 @@
 
 // Options are the settings and dependencies of a Coordinator. All functions are called on the owner's goroutine.
 type Options struct {
-	// Settings bound the exchange store.
+	// Settings are the limits of the exchange store.
 	Settings exchange.Settings
-	// Classes are the classes of requests, by whose names requests refer to them.
+	// Classes are the classes of requests. Requests refer to them by name.
 	Classes []scheduler.Class
-	// RunIDPrefix begins the ids by which servers know the runs. No other gateway and no earlier start of this one may have
-	// the same.
+	// RunIDPrefix is the prefix of the execution ids that servers receive. It must differ from that of every other gateway and
+	// of every earlier start of this gateway.
 	RunIDPrefix string
-	// GatewayName is the name by which devices know this gateway. It differs at each start.
+	// GatewayName is the name of this gateway for devices. It differs at each start.
 	GatewayName string
 	// Metrics receives the counters.
 	Metrics *metrics.Registry
 	// NowMs returns the current time in milliseconds.
 	NowMs func() float64
-	// AfterFunc calls f after a time. stop cancels the call.
+	// AfterFunc calls f after ms milliseconds. stop cancels the call.
 	AfterFunc func(ms float64, f func(nowMs float64)) (stop func())
 	// Submit hands a request to the request life cycle. It may call the request's Respond before it returns.
 	Submit func(nowMs float64, request *lifecycle.Request)
@@ -39,15 +39,15 @@
 
 // Coordinator implements lifecycle.Deduplicator. It is not safe for concurrent use.
 type Coordinator struct {
-	options  Options
-	store    *exchange.Store
-	classes  map[string]exchange.Class
-	copies   map[exchange.CopyID]*lifecycle.Request // copies that wait for a response
-	lastCopy exchange.CopyID
-	contents map[exchange.ID]*content
-	// stopTimer cancels the timer of the store's latest SetTimer.
+	options          Options
+	store            *exchange.Store
+	classes          map[string]exchange.Class
+	transmissions    map[exchange.CopyID]*lifecycle.Request // transmissions that wait for a response
+	lastTransmission exchange.CopyID
+	contents         map[exchange.ID]*content
+	// stopTimer cancels the timer of the latest exchange.SetTimer action.
 	stopTimer    func()
-	countedStats exchange.Stats // the statistics that the counters include
+	countedStats exchange.Stats // statistics that are already included in the counters
 }
 
 var _ lifecycle.Deduplicator = (*Coordinator)(nil)
@@ -65,39 +65,40 @@
 			DedupWindowMs: clock.Ms(class.DedupWindow)}
 	}
 	return &Coordinator{
-		options:   options,
-		store:     store,
-		classes:   classes,
-		copies:    map[exchange.CopyID]*lifecycle.Request{},
-		contents:  map[exchange.ID]*content{},
-		stopTimer: func() {},
+		options:       options,
+		store:         store,
+		classes:       classes,
+		transmissions: map[exchange.CopyID]*lifecycle.Request{},
+		contents:      map[exchange.ID]*content{},
+		stopTimer:     func() {},
 	}, nil
 }
 
-// Submit handles a copy of a device's request, or a block of its upload.
+// Submit handles a transmission of a device's request or of a block of its upload.
 func (c *Coordinator) Submit(nowMs float64, request *lifecycle.Request) {
-	c.lastCopy++
-	request.Device.CopyID = uint64(c.lastCopy)
-	c.copies[c.lastCopy] = request
+	c.lastTransmission++
+	request.Device.CopyID = uint64(c.lastTransmission)
+	c.transmissions[c.lastTransmission] = request
 	if request.Device.Block != nil {
 		c.step(nowMs, c.blockReceived(request))
 		return
 	}
-	c.step(nowMs, c.copyReceived(request, request.Device.BodyDigest, len(request.Device.Body)))
+	c.step(nowMs, c.transmissionReceived(request, request.Device.BodyDigest, len(request.Device.Body)))
 }
 
-// Cancel forgets a copy whose response nobody waits for. It has no effect if the copy was not submitted.
+// Cancel removes a transmission whose device no longer waits for the response. It has no effect if the transmission was not
+// submitted.
 func (c *Coordinator) Cancel(nowMs float64, request *lifecycle.Request) {
 	if request.Device.CopyID != 0 {
-		id := copyID(request)
-		delete(c.copies, id)
-		c.step(nowMs, exchange.CopyCanceled{Copy: id})
+		id := transmissionID(request)
+		delete(c.transmissions, id)
+		c.step(nowMs, exchange.TransmissionCanceled{Transmission: id})
 	}
 }
 
-// ResponseWritten records that the response to a copy was written to its connection.
+// ResponseWritten records that the response to a transmission was written to its connection.
 func (c *Coordinator) ResponseWritten(nowMs float64, request *lifecycle.Request, link lifecycle.LinkSample) {
-	c.step(nowMs, exchange.ResponseWritten{Copy: copyID(request), Link: linkSample(link)})
+	c.step(nowMs, exchange.ResponseWritten{Transmission: transmissionID(request), Link: linkSample(link)})
 }
 
 // LinkMeasured records a measurement of a device's link.
@@ -105,23 +106,23 @@
 	c.step(nowMs, exchange.LinkMeasured{Device: device, Link: linkSample(link)})
 }
 
-// Drain ends the admission of new exchanges. Those that are known continue.
+// Drain ends the admission of new exchanges. The exchanges in the store continue.
 func (c *Coordinator) Drain(nowMs float64) { c.step(nowMs, exchange.ShutdownStarted{}) }
 
 // Stats returns the statistics of the exchange store.
 func (c *Coordinator) Stats() exchange.Stats { return c.store.Stats() }
 
-// step hands an event to the store and performs its actions.
+// step passes an event to the store and performs the resulting actions.
 func (c *Coordinator) step(nowMs float64, event exchange.Event) {
 	var assemblies []exchange.AssembleBody
 	for _, action := range c.store.Step(nowMs, event) {
 		switch action := action.(type) {
 		case exchange.AppendBlock:
-			c.contentOf(action.ID).append(c.copies[action.Copy].Device.Body)
+			c.findOrAddContent(action.ID).append(c.transmissions[action.Transmission].Device.Body)
 		case exchange.AssembleBody:
 			assemblies = append(assemblies, action)
-		case exchange.StartRun:
-			c.startRun(nowMs, action)
+		case exchange.StartExecution:
+			c.startExecution(nowMs, action)
 		case exchange.Respond:
 			c.respond(action)
 		case exchange.Release:
@@ -131,32 +132,33 @@
 		}
 	}
 	c.updateCounters()
-	// Each assembly is another step, which comes last because a SetTimer of this step must not replace its timer.
+	// Each assembly is a separate step. It follows the actions of this step, because a SetTimer of this step must not replace
+	// the timer that the later step sets.
 	for _, assembly := range assemblies {
 		c.assembleBody(nowMs, assembly)
 	}
 }
 
-// setTimer replaces the store's timer.
+// setTimer replaces the timer of the exchange store.
 func (c *Coordinator) setTimer(nowMs float64, action exchange.SetTimer) {
 	c.stopTimer()
 	c.stopTimer = c.options.AfterFunc(action.AtMs-nowMs, func(nowMs float64) { c.step(nowMs, exchange.TimerFired{}) })
 }
 
-// assembleBody reports the digest and size of an upload's complete body to the store.
+// assembleBody passes the digest and size of an upload's complete body to the store.
 func (c *Coordinator) assembleBody(nowMs float64, action exchange.AssembleBody) {
-	uploaded, request := c.contentOf(action.ID), c.copies[action.Copy]
+	uploaded, request := c.findOrAddContent(action.ID), c.transmissions[action.Transmission]
 	if !uploaded.hasDigest {
 		uploaded.bodyDigest, uploaded.hasDigest = sha256.Sum256(uploaded.body), true
 	}
-	received := c.copyReceived(request, uploaded.bodyDigest, len(uploaded.body))
-	c.step(nowMs, exchange.BodyAssembled{CopyReceived: received})
+	received := c.transmissionReceived(request, uploaded.bodyDigest, len(uploaded.body))
+	c.step(nowMs, exchange.BodyAssembled{TransmissionReceived: received})
 }
 
-// respond sends the response to a copy.
+// respond sends the response to a transmission, unless it was canceled.
 func (c *Coordinator) respond(action exchange.Respond) {
-	request := c.copies[action.Copy]
-	delete(c.copies, action.Copy)
+	request := c.transmissions[action.Transmission]
+	delete(c.transmissions, action.Transmission)
 	if request == nil {
 		return
 	}
--- a/internal/dedup/coordinator_test.go
+++ b/internal/dedup/coordinator_test.go
@@ -17,23 +17,23 @@
 const (
 	testStartMs       = 1e6
 	testMaxExchanges  = 16
-	testDedupWindowMs = 3000 // of the classes push and zoned
-	testShard         = 2    // that copies name
+	testDedupWindowMs = 3000 // deduplication window of the classes push and zoned
+	testShard         = 2    // shard that transmissions name by default
 	testResult        = "done"
 	unknownShard      = -1
 )
 
-// testCoordinator is a coordinator whose request life cycle and timer are the test.
+// testCoordinator is a coordinator whose clock, timer and request life cycle are controlled by the test.
 type testCoordinator struct {
 	t *testing.T
 	*Coordinator
-	nowMs   float64
-	runs    []*lifecycle.Request
-	timer   func(nowMs float64) // nil: none is set
-	timerMs float64
+	nowMs    float64
+	executed []*lifecycle.Request // requests submitted for execution, in order
+	timer    func(nowMs float64)  // callback of the timer; nil: not set
+	timerMs  float64              // when the timer fires
 }
 
-// newTestCoordinator returns a coordinator with small limits; change, which may be nil, changes them.
+// newTestCoordinator returns a coordinator with small limits. change adjusts them unless it is nil.
 func newTestCoordinator(t *testing.T, change func(*exchange.Settings)) *testCoordinator {
 	t.Helper()
 	c := &testCoordinator{t: t, nowMs: testStartMs}
@@ -55,7 +55,7 @@
 		Settings: settings, Classes: classes, RunIDPrefix: "gw", Metrics: metrics.New(),
 		NowMs:     func() float64 { return c.nowMs },
 		AfterFunc: c.setTestTimer,
-		Submit:    func(_ float64, request *lifecycle.Request) { c.runs = append(c.runs, request) },
+		Submit:    func(_ float64, request *lifecycle.Request) { c.executed = append(c.executed, request) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	return func() { c.timer = nil }
 }
 
-// advance lets time pass; the timer fires on the way.
+// advance advances the time by ms and fires the timer whenever it is due.
 func (c *testCoordinator) advance(ms float64) {
 	endMs := c.nowMs + ms
 	for c.timer != nil && c.timerMs <= endMs {
@@ -81,27 +81,27 @@
 	c.nowMs = endMs
 }
 
-// sentCopy is a copy and the responses that it got.
-type sentCopy struct {
+// sentTransmission is a transmission and the responses to it.
+type sentTransmission struct {
 	*lifecycle.Request
 	responses []lifecycle.Response
 }
 
-// response returns the copy's only response.
-func (c *sentCopy) response(t *testing.T) lifecycle.Response {
+// response returns the only response to the transmission.
+func (c *sentTransmission) response(t *testing.T) lifecycle.Response {
 	t.Helper()
 	if len(c.responses) != 1 {
-		t.Fatalf("%d responses: %+v", len(c.responses), c.responses)
+		t.Fatalf("got %d responses, want 1: %+v", len(c.responses), c.responses)
 	}
 	return c.responses[0]
 }
 
-// option changes a copy before it is sent.
+// option changes a transmission before it is sent.
 type option func(*lifecycle.Request)
 
-// send submits a copy of a request of a class.
-func (c *testCoordinator) send(class, key, body string, options ...option) *sentCopy {
-	sent := &sentCopy{}
+// send submits a transmission of a request.
+func (c *testCoordinator) send(class, key, body string, options ...option) *sentTransmission {
+	sent := &sentTransmission{}
 	sent.Request = &lifecycle.Request{Class: class, Plan: "basic", RemainingMs: 2500, Units: 1, Shard: testShard, Gateways: 1,
 		Device: &lifecycle.DeviceRequest{ID: "dev", Key: key, Body: []byte(body), BodyDigest: sha256.Sum256([]byte(body)),
 			AgeMs: -1, BuildPayload: func(id string, body []byte) any { return fmt.Sprintf("%s %s", id, body) }},
@@ -113,43 +113,45 @@
 	return sent
 }
 
-// cancel closes the connection of a copy.
-func (c *testCoordinator) cancel(sent *sentCopy) { c.Cancel(c.nowMs, sent.Request) }
+// cancel reports that the connection of a transmission is closed.
+func (c *testCoordinator) cancel(sent *sentTransmission) { c.Cancel(c.nowMs, sent.Request) }
 
-// serve ends a run with testResult, after an attempt that was sent some time ago.
-func (c *testCoordinator) serve(run *lifecycle.Request, attemptAgeMs float64) {
-	run.Respond(lifecycle.Response{Body: []byte(testResult), MayHaveExecuted: true, FirstAttemptMs: c.nowMs - attemptAgeMs,
+// serve ends an execution with testResult. Its first attempt was sent attemptAgeMs ago.
+func (c *testCoordinator) serve(execution *lifecycle.Request, attemptAgeMs float64) {
+	execution.Respond(lifecycle.Response{Body: []byte(testResult), MayHaveExecuted: true, FirstAttemptMs: c.nowMs - attemptAgeMs,
 		Shard: testShard})
 }
 
-// checkEmpty checks that nothing is stored any more.
+// checkEmpty checks that no exchange, content or transmission is stored.
 func (c *testCoordinator) checkEmpty() {
 	c.t.Helper()
-	if stats := c.Stats(); stats.Exchanges != 0 || stats.StoredBytes != 0 || len(c.contents) != 0 || len(c.copies) != 0 {
-		c.t.Errorf("left over: %+v, %d contents, %d copies", stats, len(c.contents), len(c.copies))
+	if stats := c.Stats(); stats.Exchanges != 0 || stats.StoredBytes != 0 || len(c.contents) != 0 || len(c.transmissions) != 0 {
+		c.t.Errorf("got stats %+v, %d contents and %d transmissions, want an empty store", stats, len(c.contents), len(c.transmissions))
 	}
 }
 
-// resent marks a copy as a retry of one that was first sent some time ago; below zero: the device did not say.
+// resent marks a transmission as a retry of a request that was first sent ageMs ago. A negative ageMs means unknown.
 func resent(ageMs float64) option {
 	return func(request *lifecycle.Request) { request.IsRetry, request.Device.AgeMs = true, ageMs }
 }
 
-// shard makes a copy name a shard.
+// shard sets the shard that a transmission names.
 func shard(shard int) option { return func(request *lifecycle.Request) { request.Shard = shard } }
 
-// class makes a copy one of a class.
+// class sets the class of a transmission.
 func class(name string) option { return func(request *lifecycle.Request) { request.Class = name } }
 
-// part makes a copy a block that further blocks follow.
-func part(offset int) option {
+// blockAt makes a transmission a block of an upload, but not the last one.
+func blockAt(offset int) option {
 	return block(lifecycle.Block{Tag: "t", Offset: offset, More: true, Total: -1})
 }
 
-// lastPart makes a copy the last block of an upload.
-func lastPart(offset int) option { return block(lifecycle.Block{Tag: "t", Offset: offset, Total: -1}) }
+// lastBlockAt makes a transmission the last block of an upload.
+func lastBlockAt(offset int) option {
+	return block(lifecycle.Block{Tag: "t", Offset: offset, Total: -1})
+}
 
-// block makes a copy a block of an upload.
+// block makes a transmission a block of an upload.
 func block(position lifecycle.Block) option {
 	return func(request *lifecycle.Request) {
 		request.Device.Block = &position
@@ -157,7 +159,7 @@
 	}
 }
 
-// hasBody reports whether a run carries a body.
-func hasBody(run *lifecycle.Request, body string) bool {
-	return strings.HasSuffix(run.Payload.(string), " "+body)
+// hasBody reports whether the request of an execution has a body.
+func hasBody(execution *lifecycle.Request, body string) bool {
+	return strings.HasSuffix(execution.Payload.(string), " "+body)
 }
--- a/internal/dedup/counters.go
+++ b/internal/dedup/counters.go
@@ -2,16 +2,17 @@
 
 import "gaugerelay/internal/dedup/exchange"
 
-// counters are the names of the counters and what they count. Those that end in _now rise and fall.
+// counters maps the names of the counters to the statistics that they report. Counters whose names end in _now are gauges:
+// they rise and fall.
 var counters = [...]struct {
 	name  string
 	value func(*exchange.Stats) int
 }{
-	{"device_copies", func(s *exchange.Stats) int { return s.Copies }},
-	{"device_runs", func(s *exchange.Stats) int { return s.Runs }},
+	{"device_copies", func(s *exchange.Stats) int { return s.Transmissions }},
+	{"device_runs", func(s *exchange.Stats) int { return s.Executions }},
 	{"device_copies_joined", func(s *exchange.Stats) int { return s.Joined }},
 	{"device_answers_kept", func(s *exchange.Stats) int { return s.ServedFromCache }},
-	{"device_runs_again", func(s *exchange.Stats) int { return s.Reruns }},
+	{"device_runs_again", func(s *exchange.Stats) int { return s.RepeatedExecutions }},
 	{"device_conflicts", func(s *exchange.Stats) int { return s.Conflicts }},
 	{"device_busy", func(s *exchange.Stats) int { return s.Busy }},
 	{"device_late", func(s *exchange.Stats) int { return s.TooLate }},
@@ -25,7 +26,7 @@
 	{"device_undelivered_now", func(s *exchange.Stats) int { return s.Undelivered }},
 }
 
-// updateCounters adds what the store has counted since the previous call.
+// updateCounters adds the changes of the store's statistics since the previous call to the counters.
 func (c *Coordinator) updateCounters() {
 	stats := c.store.Stats()
 	counted := c.countedStats
--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -2,36 +2,36 @@
 
 import "fmt"
 
-// Action is something that the owner must do at once, in the order of the slice that Step returns. The types of this
-// file implement it.
+// Action is an output of Store.Step. The owner performs all actions immediately, in the order in which Step returns them.
+// The types of this file implement Action.
 type Action interface{ action() }
 
-// StartRun hands the request of an exchange to the request life cycle. Its content is that of the copy, or of the
-// upload that the copy completes.
-type StartRun struct {
-	ID            ID
-	Run           int // number of the run in its exchange, from 1
-	Copy          CopyID
-	RemainingMs   float64 // how long the run may take
-	ClientDelayMs float64 // how much of the device's time its link took
-	Shard         int     // where it must run; -1: anywhere
+// StartExecution asks to submit the request of an exchange to the request life cycle. The content of the request is that of
+// the transmission, or that of the upload which the transmission completes.
+type StartExecution struct {
+	ID              ID
+	ExecutionNumber int // number of the execution in its exchange, counted from 1
+	Transmission    CopyID
+	RemainingMs     float64 // longest time that the execution may take
+	ClientDelayMs   float64 // part of the device's time that the link took
+	Shard           int     // shard that must execute the request; -1: any
 }
 
-// ResponseKind is the kind of response to a copy.
+// ResponseKind is the kind of response to a transmission.
 type ResponseKind uint8
 
 // The kinds of response.
 const (
-	ResponseServed     ResponseKind = iota // the exchange's response
-	ResponseRejected                       // nothing of it executed; the device may retry
-	ResponseBusy                           // as ResponseRejected, because of the store's own limits
-	ResponseTooLate                        // as ResponseRejected, because the response could not arrive in time
-	ResponseFailed                         // it may have executed
-	ResponseConflict                       // its content differs from that of the exchange it names
-	ResponseContinue                       // a block was received
-	ResponseIncomplete                     // a block does not continue the upload
-	ResponseTooLarge                       // an upload exceeds its limits
-	ResponseSuperseded                     // newer copies wait for the response; this connection should be closed
+	ResponseServed     ResponseKind = iota // the response of the exchange
+	ResponseRejected                       // the request was not executed; the device may retry
+	ResponseBusy                           // like ResponseRejected, because a limit of the store is reached
+	ResponseTooLate                        // like ResponseRejected, because the response could not arrive in time
+	ResponseFailed                         // there is no response; the request may have been executed
+	ResponseConflict                       // the content differs from that of the exchange with the same key
+	ResponseContinue                       // the block was received; the next one may be sent
+	ResponseIncomplete                     // the block does not follow the blocks received before
+	ResponseTooLarge                       // the upload exceeds a limit
+	ResponseSuperseded                     // newer transmissions wait for the response; this connection should be closed
 )
 
 // String returns the kind in lower case.
@@ -40,49 +40,49 @@
 		"too large", "superseded")
 }
 
-// Respond sends the response to a copy. Each copy gets exactly one, unless it was canceled before.
+// Respond asks to send the response to a transmission. Each transmission gets exactly one response, unless it is canceled first.
 type Respond struct {
-	Copy          CopyID
+	Transmission  CopyID
 	Kind          ResponseKind
-	ID            ID      // with ResponseServed: the exchange whose response it is
-	RetryAfterMs  float64 // with ResponseRejected and ResponseBusy; 0: no advice
-	BufferedBytes int     // with ResponseContinue and ResponseIncomplete: the size of the body so far
-	Cached        bool    // the response was there before the copy came
+	ID            ID      // exchange whose response is sent; set for ResponseServed
+	RetryAfterMs  float64 // delay before a retry; set for ResponseRejected and ResponseBusy; 0: none is given
+	BufferedBytes int     // bytes of the body received so far; set for ResponseContinue and ResponseIncomplete
+	Cached        bool    // the response was stored before the transmission arrived
 	Advice        LinkAdvice
 }
 
-// AppendBlock asks to append a copy's block to the body that is stored for its exchange.
+// AppendBlock asks to append the block of a transmission to the body that is stored for its exchange.
 type AppendBlock struct {
-	ID   ID
-	Copy CopyID
+	ID           ID
+	Transmission CopyID
 }
 
-// AssembleBody reports that a body is complete. It asks for a BodyAssembled event, in a step of its own after the other
-// actions are done.
+// AssembleBody reports that a body is complete. It asks for a BodyAssembled event, to be passed in a separate step after the
+// other actions have been performed.
 type AssembleBody struct {
-	ID   ID
-	Copy CopyID
+	ID           ID
+	Transmission CopyID
 }
 
-// Release frees what is stored for an exchange.
+// Release asks to free data that is stored for an exchange.
 type Release struct {
 	ID       ID
-	Body     bool // the bytes of the body; its digest remains
-	Response bool
-	Exchange bool // everything: the exchange is forgotten
+	Body     bool // free the bytes of the body, but not its digest
+	Response bool // free the response
+	Exchange bool // free everything, because the exchange is forgotten
 }
 
-// SetTimer asks for a TimerFired event at a time or soon after it. It replaces the previous timer.
+// SetTimer asks for a TimerFired event at AtMs or soon after. It replaces the previous timer.
 type SetTimer struct{ AtMs float64 }
 
-func (StartRun) action()     {}
-func (Respond) action()      {}
-func (AppendBlock) action()  {}
-func (AssembleBody) action() {}
-func (Release) action()      {}
-func (SetTimer) action()     {}
+func (StartExecution) action() {}
+func (Respond) action()        {}
+func (AppendBlock) action()    {}
+func (AssembleBody) action()   {}
+func (Release) action()        {}
+func (SetTimer) action()       {}
 
-// nameOf returns the name of an enumeration's value.
+// nameOf returns the name of an enumeration value, given the names of all values.
 func nameOf(value int, names ...string) string {
 	if value < len(names) {
 		return names[value]
--- a/internal/dedup/exchange/admission_test.go
+++ b/internal/dedup/exchange/admission_test.go
@@ -5,38 +5,38 @@
 	"testing"
 )
 
-// newCopySender returns a function that sends a new store the first copy of a new exchange and returns the first
-// action.
-func newCopySender(t *testing.T) func(id CopyID, remainingMs, roundTripMs float64) Action {
+// newTransmissionSender creates a store and returns a function that sends it the first transmission of a new exchange. The
+// function returns the first action of the store.
+func newTransmissionSender(t *testing.T) func(id CopyID, remainingMs, roundTripMs float64) Action {
 	t.Helper()
 	store, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return func(id CopyID, remainingMs, roundTripMs float64) Action {
-		return store.Step(1e6, CopyReceived{Copy: id, Device: "d", Key: string(rune('a' + id)), RemainingMs: remainingMs,
-			ResendHistory: ResendHistory{AgeMs: -1}, Link: LinkSample{RoundTripMs: roundTripMs}})[0]
+		return store.Step(1e6, TransmissionReceived{Transmission: id, Device: "d", Key: string(rune('a' + id)),
+			RemainingMs: remainingMs, ResendHistory: ResendHistory{AgeMs: -1}, Link: LinkSample{RoundTripMs: roundTripMs}})[0]
 	}
 }
 
-// What the link takes is not available to the run.
-func TestRunGetsTheTimeThatTheLinkLeaves(t *testing.T) {
-	send := newCopySender(t)
-	if run, ok := send(1, 2000, 400).(StartRun); !ok || run.RemainingMs > 1600 || run.RemainingMs < 700 {
-		t.Errorf("%+v", run)
+// The time that the link takes is not available to the execution.
+func TestExecutionTimeExcludesLinkOverhead(t *testing.T) {
+	send := newTransmissionSender(t)
+	if execution, ok := send(1, 2000, 400).(StartExecution); !ok || execution.RemainingMs > 1600 || execution.RemainingMs < 700 {
+		t.Errorf("%+v", execution)
 	}
 }
 
-// A request whose response could not arrive in time is rejected at once, and nothing is run.
-func TestRejectsCopyThatIsTooLate(t *testing.T) {
-	send := newCopySender(t)
+// A request whose response could not arrive in time is rejected immediately and is not executed.
+func TestTooLateTransmissionIsRejected(t *testing.T) {
+	send := newTransmissionSender(t)
 	send(1, 2000, 400)
 	if response, ok := send(2, 300, 0).(Respond); !ok || response.Kind != ResponseTooLate {
 		t.Errorf("%+v", response)
 	}
 	for i, remainingMs := range []float64{0, -100, math.NaN()} {
 		if response, ok := send(CopyID(10+i), remainingMs, 0).(Respond); !ok || response.Kind != ResponseTooLate {
-			t.Errorf("%v ms remaining: %+v", remainingMs, response)
+			t.Errorf("with %v ms remaining: got %+v, want a response of kind too late", remainingMs, response)
 		}
 	}
 }
--- a/internal/dedup/exchange/device.go
+++ b/internal/dedup/exchange/device.go
@@ -2,32 +2,32 @@
 
 import "container/list"
 
-// responseSizeGain is the gain of the smoothed size of a device's responses.
+// responseSizeGain is the gain of the moving average of a device's response size.
 const responseSizeGain = 1.0 / 4
 
-// trackedDevice is a device that has sent something recently.
+// trackedDevice is a device whose link and exchanges are stored.
 type trackedDevice struct {
 	name                 string
 	link                 LinkEstimator
-	exchanges            map[string]*storedExchange // by key
-	active               int                        // number of its exchanges that are receiving or running
-	averageResponseBytes float64                    // smoothed
-	idleElement          *list.Element              // in Store.idleDevices; nil if it has exchanges
+	exchanges            map[string]*storedExchange // exchanges of the device by key
+	active               int                        // number of exchanges in stateReceiving or stateRunning
+	averageResponseBytes float64                    // exponential moving average
+	idleElement          *list.Element              // element of Store.idleDevices; nil if the device has exchanges
 }
 
-// observeResponse adds the size of a response to the smoothed one.
+// observeResponse adds the size of a response to the moving average.
 func (d *trackedDevice) observeResponse(bytes int) {
 	d.averageResponseBytes += (float64(bytes) - d.averageResponseBytes) * responseSizeGain
 }
 
-// runBudgetMs returns how long a run may take if its response is to reach the device in time.
-func (d *trackedDevice) runBudgetMs(remainingMs float64) float64 {
+// executionBudgetMs returns the longest time that an execution may take for its response to reach the device in time.
+func (d *trackedDevice) executionBudgetMs(remainingMs float64) float64 {
 	return remainingMs - d.link.ExpectedOverheadMs(int(d.averageResponseBytes), remainingMs)
 }
 
-// admitDevice returns the device of a name, which it adds if it is new. At the limit it forgets the least
-// recently seen device without exchanges, and returns nil if there is none.
-func (s *Store) admitDevice(name string) *trackedDevice {
+// findOrAddDevice returns the device with a name and adds it if it is new. At the limit it removes the least recently seen
+// device without exchanges, and returns nil if there is none.
+func (s *Store) findOrAddDevice(name string) *trackedDevice {
 	device := s.devices[name]
 	if device == nil {
 		if len(s.devices) >= s.settings.MaxDevices {
@@ -45,8 +45,8 @@
 	return device
 }
 
-// updateIdle moves a device without exchanges to the end of the list of those that may be forgotten, and takes one with
-// exchanges out of it.
+// updateIdle moves a device without exchanges to the end of the list of idle devices, and removes a device with exchanges
+// from that list.
 func (s *Store) updateIdle(d *trackedDevice) {
 	if d.idleElement != nil {
 		s.idleDevices.Remove(d.idleElement)
--- a/internal/dedup/exchange/events.go
+++ b/internal/dedup/exchange/events.go
@@ -2,57 +2,58 @@
 
 import "gaugerelay/internal/scheduler"
 
-// Event is something that happened. The types of this file implement it.
+// Event is an input of Store.Step. The types of this file implement it.
 type Event interface{ event() }
 
-// CopyReceived reports a copy of a request with its entire body.
-type CopyReceived struct {
-	Copy          CopyID
+// TransmissionReceived reports a transmission of a request with its entire body.
+type TransmissionReceived struct {
+	Transmission  CopyID
 	Device, Key   string
 	Class         Class
 	Digest        Digest
 	BodyBytes     int
-	RemainingMs   float64 // how long the device still waits, counted from its sending
-	ClientDelayMs float64 // how much of the device's time the transfer took
-	Shard         int     // the shard that the request names; -1: it creates an object
+	RemainingMs   float64 // time that the device waits for the response, counted from when it sent the request
+	ClientDelayMs float64 // part of the device's time that the transfer took
+	Shard         int     // shard that the request names; -1: none, the request creates an object
 	ResendHistory
 	Link LinkSample
 }
 
-// ResendHistory is what a device says about earlier copies of a request.
+// ResendHistory is what a device reports about earlier transmissions of a request.
 type ResendHistory struct {
-	IsRetry     bool    // earlier copies were sent to their last byte
-	SameGateway bool    // all of them were sent to this gateway since it started
-	AgeMs       float64 // how long ago the first copy was sent; below zero: unknown
+	IsRetry     bool    // at least one earlier transmission was sent completely
+	SameGateway bool    // all earlier transmissions were sent to this gateway since it started
+	AgeMs       float64 // time since the first transmission was sent; negative: unknown
 }
 
-// BlockReceived reports a block of an upload. The owner stores its bytes until the store responds; AppendBlock asks to
-// add them to the body.
+// BlockReceived reports a block of an upload. The owner stores the bytes of the block until the store responds to the
+// transmission. An AppendBlock action asks for adding them to the body.
 type BlockReceived struct {
-	Copy        CopyID
-	Device, Key string
-	Tag         string // Request-Tag, which distinguishes the bodies that a device uploads under one key
-	Offset      int
-	Length      int
-	Digest      uint64 // of the block's bytes
-	More        bool   // further blocks follow
-	TotalBytes  int    // size of the body that the device announces; below zero: unknown
-	Idempotency scheduler.Idempotency
+	Transmission CopyID
+	Device, Key  string
+	Tag          string // Request-Tag option, which distinguishes the bodies that a device uploads under one key
+	Offset       int    // position of the block in the body
+	Length       int    // size of the block
+	Digest       uint64 // digest of the block's bytes
+	More         bool   // further blocks follow
+	TotalBytes   int    // size of the body as announced by the device; negative: unknown
+	Idempotency  scheduler.Idempotency
 	ResendHistory
-	RemainingMs float64 // how long the device still waits, counted from its sending
+	RemainingMs float64 // time that the device waits for the response, counted from when it sent the block
 	Link        LinkSample
 }
 
-// BodyAssembled answers AssembleBody with the entire body's digest and size. It is a step of its own.
-type BodyAssembled struct{ CopyReceived }
+// BodyAssembled is the response to AssembleBody, with the digest and size of the entire body. It must be the only event of
+// its step.
+type BodyAssembled struct{ TransmissionReceived }
 
-// CopyCanceled reports that a copy's connection is closed or that its device no longer waits for the response.
-type CopyCanceled struct{ Copy CopyID }
+// TransmissionCanceled reports that a transmission's connection is closed or that the device no longer waits for the response.
+type TransmissionCanceled struct{ Transmission CopyID }
 
-// ResponseWritten reports that a response was written entirely to its copy's connection.
+// ResponseWritten reports that a response was written completely to the connection of its transmission.
 type ResponseWritten struct {
-	Copy CopyID
-	Link LinkSample
+	Transmission CopyID
+	Link         LinkSample
 }
 
 // LinkMeasured reports new measurements of a device's link.
@@ -61,46 +62,46 @@
 	Link   LinkSample
 }
 
-// RunResult is the result of a run.
-type RunResult uint8
+// ExecutionResult is the result of an execution.
+type ExecutionResult uint8
 
-// The results of a run.
+// The results of an execution.
 const (
-	RunServed   RunResult = iota // there is a response
-	RunRejected                  // nothing of this run executed
-	RunFailed                    // there is no response, and no promise on the effect
+	ExecutionServed   ExecutionResult = iota // a server responded
+	ExecutionRejected                        // no server executed the request in this execution
+	ExecutionFailed                          // there is no response; servers may or may not have executed the request
 )
 
 // String returns the result in lower case.
-func (r RunResult) String() string {
+func (r ExecutionResult) String() string {
 	return nameOf(int(r), "served", "rejected", "failed")
 }
 
-// RunEnded reports the end of a run. Each StartRun is followed by exactly one.
-type RunEnded struct {
+// ExecutionEnded reports the end of an execution. Each StartExecution is followed by exactly one ExecutionEnded.
+type ExecutionEnded struct {
 	ID              ID
-	Run             int
-	Result          RunResult
-	ResponseBytes   int     // with RunServed
-	RetryAfterMs    float64 // with RunRejected
-	MayHaveExecuted bool    // an attempt may have executed
-	FirstAttemptMs  float64 // when the first such attempt was sent
-	Shard           int     // the shard that it was sent to
+	ExecutionNumber int // number from StartExecution
+	Result          ExecutionResult
+	ResponseBytes   int     // size of the response of ExecutionServed
+	RetryAfterMs    float64 // delay before a retry after ExecutionRejected
+	MayHaveExecuted bool    // a server may have executed an attempt
+	FirstAttemptMs  float64 // when the first attempt that may have been executed was sent
+	Shard           int     // shard that this attempt was sent to
 }
 
-// ShutdownStarted reports that the gateway is shutting down: no exchange is begun from now on. Those that are known
+// ShutdownStarted reports that the gateway is shutting down. No exchange is added from then on. The exchanges in the store
 // continue and get their responses.
 type ShutdownStarted struct{}
 
-// TimerFired reports that the timer of the latest SetTimer fired.
+// TimerFired reports that the timer of the latest SetTimer action fired.
 type TimerFired struct{}
 
-func (CopyReceived) event()    {}
-func (BlockReceived) event()   {}
-func (BodyAssembled) event()   {}
-func (CopyCanceled) event()    {}
-func (ResponseWritten) event() {}
-func (LinkMeasured) event()    {}
-func (RunEnded) event()        {}
-func (ShutdownStarted) event() {}
-func (TimerFired) event()      {}
+func (TransmissionReceived) event() {}
+func (BlockReceived) event()        {}
+func (BodyAssembled) event()        {}
+func (TransmissionCanceled) event() {}
+func (ResponseWritten) event()      {}
+func (LinkMeasured) event()         {}
+func (ExecutionEnded) event()       {}
+func (ShutdownStarted) event()      {}
+func (TimerFired) event()           {}
--- a/internal/dedup/exchange/eviction.go
+++ b/internal/dedup/exchange/eviction.go
@@ -6,11 +6,12 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// uploadEvictionAgeMs is for how long an upload must have received no block before it is evicted.
+// uploadEvictionAgeMs is the time without a new block after which an upload may be evicted.
 const uploadEvictionAgeMs = 1000
 
-// ensureCapacity evicts exchanges until so many more exchanges and bytes fit into the limits, and reports whether they
-// do. What may have executed is never evicted while it may be repeated, or the next copy would run on another server.
+// ensureCapacity evicts exchanges until the given number of additional exchanges and bytes fit into the limits, and reports
+// whether they do. An exchange that may have been executed is never evicted while it may be repeated, because the next
+// transmission would then be executed on another server.
 func (s *Store) ensureCapacity(exchanges, bytes int) bool {
 	for len(s.exchanges)+exchanges > s.settings.MaxExchanges || s.stats.StoredBytes+bytes > s.settings.MaxStoredBytes {
 		victim := s.evictionVictim()
@@ -19,15 +20,15 @@
 		}
 		s.stats.Evicted++
 		if victim.class.Idempotency != scheduler.Idempotent && (victim.mayHaveExecuted || victim.failureReported) {
-			s.evictedUntilMs = max(s.evictedUntilMs, victim.createdMs, victim.latestAttemptMs)
+			s.latestEvictedActivityMs = max(s.latestEvictedActivityMs, victim.createdMs, victim.latestAttemptMs)
 		}
 		s.forget(victim)
 	}
 	return true
 }
 
-// evictionVictim returns the exchange to evict next: reads that ended, then uploads that receive no blocks, then writes
-// whose deduplication window is over. It returns nil if there is none.
+// evictionVictim returns the exchange to evict next: first ended reads, then uploads without new blocks, then ended writes
+// whose deduplication window has ended. It returns nil if there is none.
 func (s *Store) evictionVictim() *storedExchange {
 	if read := s.endedReads.Front(); read != nil {
 		return read.Value.(*storedExchange)
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// updateEvictable puts an exchange into the eviction list that its state asks for, if any. An upload moves to the end
-// of its list each time.
+// updateEvictable moves an exchange to the eviction list for its state, if any. Each call moves an upload to the end of its
+// list.
 func (s *Store) updateEvictable(exchange *storedExchange) {
 	wanted := s.evictionListOf(exchange)
 	if exchange.evictionList == wanted && wanted != &s.openUploads {
@@ -57,7 +58,7 @@
 	}
 }
 
-// evictionListOf returns the list of exchanges that are evicted like this one; nil if it must not be evicted.
+// evictionListOf returns the eviction list for the state of an exchange, or nil if the exchange must not be evicted.
 func (s *Store) evictionListOf(exchange *storedExchange) *list.List {
 	switch {
 	case exchange.state == stateForgotten || exchange.state == stateRunning:
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// protectFromEviction takes an exchange out of its eviction list, for instance while capacity is freed for itself.
+// protectFromEviction removes an exchange from its eviction list, for instance while capacity is freed for this exchange.
 func (s *Store) protectFromEviction(exchange *storedExchange) {
 	if exchange.evictionList != nil {
 		exchange.evictionList.Remove(exchange.evictionElement)
--- a/internal/dedup/exchange/run.go
+++ b/internal/dedup/exchange/execution.go
@@ -2,9 +2,10 @@
 
 import "gaugerelay/internal/scheduler"
 
-// startFirstRun runs an exchange that has not run yet. mayHaveExecuted is whether an earlier copy may have executed
-// through another gateway, so that a run that is rejected does not mean that nothing executed.
-func (s *Store) startFirstRun(exchange *storedExchange, received *CopyReceived, budgetMs float64, mayHaveExecuted bool) {
+// startFirstExecution starts the first execution of an exchange. mayHaveExecuted tells whether an earlier transmission may
+// have been executed through another gateway. If so, a rejected execution does not mean that the request was not executed.
+func (s *Store) startFirstExecution(exchange *storedExchange, received *TransmissionReceived, budgetMs float64,
+	mayHaveExecuted bool) {
 	s.setState(exchange, stateRunning)
 	exchange.class, exchange.digest, exchange.shard = received.Class, received.Digest, received.Shard
 	if mayHaveExecuted {
@@ -14,20 +15,21 @@
 		exchange.firstAttemptShard = received.Shard
 	}
 	s.setStoredBytes(exchange, received.BodyBytes, 0, s.reservedResponseBytes(received.Class))
-	s.startRun(exchange, received, budgetMs, received.Shard)
+	s.startExecution(exchange, received, budgetMs, received.Shard)
 }
 
-// startRun runs an exchange for a copy that waits for its response.
-func (s *Store) startRun(exchange *storedExchange, received *CopyReceived, budgetMs float64, shard int) {
-	s.stats.Runs++
-	exchange.runNumber++
+// startExecution starts an execution of an exchange for a transmission, which then waits for the response.
+func (s *Store) startExecution(exchange *storedExchange, received *TransmissionReceived, budgetMs float64, shard int) {
+	s.stats.Executions++
+	exchange.executionNumber++
 	s.addWaiting(exchange, received)
-	s.emit(StartRun{ID: exchange.id, Run: exchange.runNumber, Copy: received.Copy, RemainingMs: budgetMs,
-		ClientDelayMs: exchange.clientDelayMs, Shard: shard})
+	s.emit(StartExecution{ID: exchange.id, ExecutionNumber: exchange.executionNumber, Transmission: received.Transmission,
+		RemainingMs: budgetMs, ClientDelayMs: exchange.clientDelayMs, Shard: shard})
 }
 
-// reservedResponseBytes returns what is reserved for the response of a run. That of a write must be retained, so its bytes
-// are reserved from the start; that of a read is retained if there is capacity.
+// reservedResponseBytes returns the number of bytes that are reserved for the response at the start of an execution. The
+// response to a write must be retained, so its maximum size is reserved. The response to a read is retained if there is
+// capacity at the end.
 func (s *Store) reservedResponseBytes(class Class) int {
 	if class.Idempotency == scheduler.Idempotent {
 		return 0
@@ -35,9 +37,9 @@
 	return s.settings.MaxBodyBytes
 }
 
-// rerunBudgetMs returns how long a failed exchange may run once more, at most the given budget, and whether it may run at
-// all.
-func (s *Store) rerunBudgetMs(exchange *storedExchange, budgetMs float64) (rerunMs float64, allowed bool) {
+// repeatBudgetMs returns the longest time that a repeated execution of a failed exchange may take, at most the given budget,
+// and whether the exchange may be executed again.
+func (s *Store) repeatBudgetMs(exchange *storedExchange, budgetMs float64) (repeatMs float64, allowed bool) {
 	if exchange.deadlineMs > s.nowMs {
 		budgetMs = min(budgetMs, exchange.deadlineMs-s.nowMs)
 	}
@@ -52,14 +54,14 @@
 			if !exchange.canRepeatInScope() {
 				return 0, false
 			}
-			budgetMs = min(budgetMs, exchange.rerunUntilMs()-s.nowMs-windowMarginMs)
+			budgetMs = min(budgetMs, exchange.repeatUntilMs()-s.nowMs-dedupWindowMarginMs)
 		}
 	}
 	return budgetMs, budgetMs >= s.settings.MinRunMs
 }
 
-// canRepeatInScope reports whether a repeat can be sent to the group of servers that drops it. A run can be bound to a
-// shard, but not to a zone.
+// canRepeatInScope reports whether a repeat can be sent to the group of servers that drop it. An execution can be restricted
+// to a shard, but not to a zone.
 func (e *storedExchange) canRepeatInScope() bool {
 	switch e.class.DedupScope {
 	case scheduler.DedupZone:
@@ -71,32 +73,32 @@
 	}
 }
 
-// additionalRerunBytes returns how many bytes another run of an exchange stores beyond those stored now.
-func (s *Store) additionalRerunBytes(exchange *storedExchange, received *CopyReceived) int {
+// additionalRepeatBytes returns the number of bytes that a repeated execution stores beyond those stored now.
+func (s *Store) additionalRepeatBytes(exchange *storedExchange, received *TransmissionReceived) int {
 	wanted := received.BodyBytes + exchange.incompleteUploadBytes() + s.reservedResponseBytes(exchange.class)
 	return wanted - exchange.bodyBytes - exchange.uploadBytes - exchange.responseBytes
 }
 
-// rerun runs a failed exchange once more.
-func (s *Store) rerun(exchange *storedExchange, received *CopyReceived, budgetMs float64) {
-	s.stats.Reruns++
+// executeAgain starts a repeated execution of a failed exchange.
+func (s *Store) executeAgain(exchange *storedExchange, received *TransmissionReceived, budgetMs float64) {
+	s.stats.RepeatedExecutions++
 	s.setState(exchange, stateRunning)
 	s.setStoredBytes(exchange, received.BodyBytes, exchange.incompleteUploadBytes(), s.reservedResponseBytes(exchange.class))
-	if exchange.deadlineMs < s.nowMs { // the device waits again
-		exchange.deadlineMs = s.nowMs + exchange.device.link.remainingHereMs(received.RemainingMs)
+	if exchange.deadlineMs < s.nowMs { // the previous deadline has passed, and the device waits again
+		exchange.deadlineMs = s.nowMs + exchange.device.link.remainingOnArrivalMs(received.RemainingMs)
 	}
 	shard := exchange.shard
 	class := &exchange.class
 	if exchange.mayHaveExecuted && class.Idempotency == scheduler.IdempotentWithKey && class.DedupScope == scheduler.DedupShard {
 		shard = exchange.firstAttemptShard
 	}
-	s.startRun(exchange, received, budgetMs, shard)
+	s.startExecution(exchange, received, budgetMs, shard)
 }
 
-// onRunEnded handles the end of an exchange's run. The end of an earlier run is ignored.
-func (s *Store) onRunEnded(ended *RunEnded) {
+// onExecutionEnded handles the end of the latest execution of an exchange. The end of an earlier one is ignored.
+func (s *Store) onExecutionEnded(ended *ExecutionEnded) {
 	exchange := s.exchanges[ended.ID]
-	if exchange == nil || exchange.state != stateRunning || exchange.runNumber != ended.Run {
+	if exchange == nil || exchange.state != stateRunning || exchange.executionNumber != ended.ExecutionNumber {
 		return
 	}
 	exchange.recordAttempts(ended)
@@ -104,9 +106,9 @@
 	waiting := exchange.waiting
 	exchange.waiting = nil
 	switch {
-	case ended.Result == RunServed && !exchange.failureReported:
+	case ended.Result == ExecutionServed && !exchange.failureReported:
 		s.onServed(exchange, ended, waiting)
-	case ended.Result == RunRejected && !exchange.mayHaveExecuted && !exchange.failureReported:
+	case ended.Result == ExecutionRejected && !exchange.mayHaveExecuted && !exchange.failureReported:
 		s.respondAll(waiting, Respond{Kind: ResponseRejected, RetryAfterMs: ended.RetryAfterMs,
 			Advice: s.advice(exchange.device)})
 		s.forget(exchange)
@@ -115,12 +117,12 @@
 	}
 }
 
-// recordAttempts notes when and where a run's attempts may have executed.
-func (e *storedExchange) recordAttempts(ended *RunEnded) {
+// recordAttempts records when and in which shard the attempts of an execution may have been executed.
+func (e *storedExchange) recordAttempts(ended *ExecutionEnded) {
 	if !ended.MayHaveExecuted {
 		return
 	}
-	windowOver := e.class.Idempotency == scheduler.IdempotentWithKey && ended.FirstAttemptMs >= e.rerunUntilMs()
+	windowOver := e.class.Idempotency == scheduler.IdempotentWithKey && ended.FirstAttemptMs >= e.repeatUntilMs()
 	if !e.mayHaveExecuted || windowOver {
 		e.mayHaveExecuted = true
 		e.firstAttemptMs, e.firstAttemptShard = ended.FirstAttemptMs, ended.Shard
@@ -128,9 +130,9 @@
 	e.latestAttemptMs = max(e.latestAttemptMs, ended.FirstAttemptMs)
 }
 
-// onServed stores the response of a run and sends it to the copies that wait. The response of a read that exceeds the
-// limits is forgotten after that.
-func (s *Store) onServed(exchange *storedExchange, ended *RunEnded, waiting []waitingCopy) {
+// onServed stores the response of an execution and sends it to the waiting transmissions. If the response to a read exceeds
+// the limits, the exchange is forgotten after that.
+func (s *Store) onServed(exchange *storedExchange, ended *ExecutionEnded, waiting []waitingTransmission) {
 	advice := s.advice(exchange.device)
 	exchange.device.observeResponse(ended.ResponseBytes)
 	s.releaseBody(exchange)
@@ -146,10 +148,10 @@
 	s.armTimer(exchange)
 }
 
-// onFailed ends an exchange without a response. That includes a response that comes after a copy got to know of a
-// failure, which is final.
-func (s *Store) onFailed(exchange *storedExchange, ended *RunEnded, waiting []waitingCopy) {
-	if ended.Result == RunServed {
+// onFailed ends an exchange without a response. It also handles a response that arrives after a failure was reported to a
+// transmission, because a reported failure is final.
+func (s *Store) onFailed(exchange *storedExchange, ended *ExecutionEnded, waiting []waitingTransmission) {
+	if ended.Result == ExecutionServed {
 		s.emit(Release{ID: exchange.id, Response: true})
 	}
 	s.respondAll(waiting, Respond{Kind: ResponseFailed, Advice: s.advice(exchange.device)})
@@ -158,14 +160,14 @@
 	if exchange.failureReported {
 		s.releaseBody(exchange)
 	} else {
-		s.setStoredBytes(exchange, exchange.bodyBytes, exchange.uploadBytes, 0) // the body may be run once more
+		s.setStoredBytes(exchange, exchange.bodyBytes, exchange.uploadBytes, 0) // the body is kept for a repeated execution
 	}
 	s.armTimer(exchange)
 }
 
-// respondAll sends one response to several copies.
-func (s *Store) respondAll(copies []waitingCopy, response Respond) {
-	for _, waiter := range copies {
+// respondAll sends the same response to several transmissions.
+func (s *Store) respondAll(transmissions []waitingTransmission, response Respond) {
+	for _, waiter := range transmissions {
 		s.respond(waiter.id, response)
 	}
 }
--- a/internal/dedup/exchange/expiry.go
+++ b/internal/dedup/exchange/expiry.go
@@ -6,10 +6,10 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// minReadRetentionMs is for how long the response to a read is retained at least.
+// minReadRetentionMs is the minimum time for which the response to a read is retained.
 const minReadRetentionMs = 100
 
-// armTimer sets the timer of an exchange to what happens next to it without an event.
+// armTimer sets the timer of an exchange to the next time at which the exchange changes without an event.
 func (s *Store) armTimer(exchange *storedExchange) {
 	nextMs := math.Inf(1)
 	for _, waiter := range exchange.waiting {
@@ -22,7 +22,7 @@
 	default:
 		nextMs = min(nextMs, s.forgetAtMs(exchange))
 		if exchange.retainUntilMs() > s.nowMs {
-			nextMs = min(nextMs, exchange.retainUntilMs()) // it may be evicted from then on
+			nextMs = min(nextMs, exchange.retainUntilMs()) // the exchange may be evicted from then on
 		}
 	}
 	if math.IsInf(nextMs, 1) {
@@ -32,10 +32,10 @@
 	s.wheel.Schedule(&exchange.timer, nextMs)
 }
 
-// forgetAtMs returns when an exchange that has ended is forgotten.
+// forgetAtMs returns when an ended exchange is forgotten.
 func (s *Store) forgetAtMs(exchange *storedExchange) float64 {
 	if exchange.class.Idempotency == scheduler.Idempotent {
-		return max(exchange.deadlineMs, exchange.lastActivityMs+minReadRetentionMs) // a later copy is run again
+		return max(exchange.deadlineMs, exchange.lastActivityMs+minReadRetentionMs) // a later transmission is executed again
 	}
 	return max(exchange.deadlineMs, exchange.retainUntilMs()) + s.settings.RetentionMs
 }
@@ -52,7 +52,7 @@
 			stillWaiting = append(stillWaiting, waiter)
 			continue
 		}
-		// The device stops waiting now. The failure is final for all later copies as well.
+		// The device stops waiting now. The failure is final for all later transmissions as well.
 		s.respond(waiter.id, Respond{Kind: ResponseFailed, Advice: s.advice(exchange.device)})
 		exchange.failureReported = true
 	}
@@ -61,7 +61,7 @@
 	s.armTimer(exchange)
 }
 
-// expired reports whether the time of an exchange is over.
+// expired reports whether an exchange must be forgotten now.
 func (s *Store) expired(exchange *storedExchange) bool {
 	switch exchange.state {
 	case stateRunning:
--- a/internal/dedup/exchange/fuzz_test.go
+++ b/internal/dedup/exchange/fuzz_test.go
@@ -8,33 +8,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// testBlockSize is the size of the blocks that the fuzz test uploads.
+// testBlockSize is the size of the blocks that the fuzz test uploads, in bytes.
 const testBlockSize = 40
 
-// fuzzStep is a step of the fuzz test: three bytes of its input.
+// fuzzStep is a step of the fuzz test. It is encoded as three bytes of the fuzz input.
 type fuzzStep struct {
 	operation byte
-	a, b      int
+	a, b      int // second and third byte
 }
 
-// copyOf returns the copy of a request that a step describes, without its content.
-func (s fuzzStep) copyOf(nowMs float64) *modelCopy {
+// newTransmission returns the transmission that a step describes, without its content.
+func (s fuzzStep) newTransmission(nowMs float64) *modelTransmission {
 	key := s.key()
-	return &modelCopy{device: fmt.Sprint("d", s.a%5), key: fmt.Sprint("/k", key), class: modelClasses[key],
-		untilMs: nowMs + float64(30+s.b*4)}
+	return &modelTransmission{device: fmt.Sprint("d", s.a%5), key: fmt.Sprint("/k", key), class: modelClasses[key],
+		deviceDeadlineMs: nowMs + float64(30+s.b*4)}
 }
 
 func (s fuzzStep) key() int { return s.a / 5 % 5 }
 
-// content returns the body of the step's request: rarely another one than the other copies have.
-func (s fuzzStep) content() []byte { return contentOf(s.key(), s.b%16/15) }
+// content returns the body of the step's request. One step in 16 has another body than the other transmissions.
+func (s fuzzStep) content() []byte { return bodyOfKey(s.key(), s.b%16/15) }
 
-// history returns what the device says about earlier copies.
+// history returns what the device reports about earlier transmissions.
 func (s fuzzStep) history(ageMs float64) ResendHistory {
 	return ResendHistory{IsRetry: s.b%7 == 0, SameGateway: s.b%3 == 0, AgeMs: ageMs}
 }
 
-// FuzzStore takes random steps.
+// FuzzStore performs random steps and compares the store with the model after each.
 func FuzzStore(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 9, 0, 0, 0, 1, 0, 9, 3, 0, 0})
 	random := rand.New(rand.NewPCG(5, 6))
@@ -59,13 +59,13 @@
 	m.t.Helper()
 	switch s.operation % 8 {
 	case 0, 1:
-		m.fuzzCopy(s)
+		m.fuzzTransmission(s)
 	case 2, 3:
 		m.fuzzBlock(s)
 	case 4:
 		m.fuzzConnection(s)
 	case 5, 6:
-		m.fuzzRunEnd(s)
+		m.fuzzExecutionEnd(s)
 	case 7:
 		if s.a == 255 && s.b > 250 {
 			m.step(ShutdownStarted{})
@@ -75,79 +75,79 @@
 	}
 }
 
-// fuzzCopy sends a copy in one piece.
-func (m *gatewayModel) fuzzCopy(s fuzzStep) {
+// fuzzTransmission sends a transmission with an entire body.
+func (m *gatewayModel) fuzzTransmission(s fuzzStep) {
 	m.t.Helper()
-	c := s.copyOf(m.nowMs)
-	c.body = s.content()
-	c.digest = digestOf(c.body)
-	id := m.addCopy(c)
-	ageMs := m.ageMs(c)
+	sent := s.newTransmission(m.nowMs)
+	sent.body = s.content()
+	sent.digest = digestOf(sent.body)
+	id := m.addTransmission(sent)
+	ageMs := m.ageMs(sent)
 	if s.b%14 == 0 {
 		ageMs = -1
 	}
-	m.step(CopyReceived{Copy: id, Device: c.device, Key: c.key, Class: c.class, Digest: c.digest, BodyBytes: len(c.body),
-		RemainingMs: c.untilMs - m.nowMs, Shard: shardOfKey(s.key()), ResendHistory: s.history(ageMs),
-		Link: LinkSample{RoundTripMs: float64(s.b), MaxGapMs: float64(s.a)}})
+	m.step(TransmissionReceived{Transmission: id, Device: sent.device, Key: sent.key, Class: sent.class, Digest: sent.digest,
+		BodyBytes: len(sent.body), RemainingMs: sent.deviceDeadlineMs - m.nowMs, Shard: shardOfKey(s.key()),
+		ResendHistory: s.history(ageMs), Link: LinkSample{RoundTripMs: float64(s.b), MaxGapMs: float64(s.a)}})
 }
 
-// fuzzBlock sends a block: mostly the one that continues the upload.
+// fuzzBlock sends a block, usually the next one of the upload.
 func (m *gatewayModel) fuzzBlock(s fuzzStep) {
 	m.t.Helper()
-	c := s.copyOf(m.nowMs)
+	sent := s.newTransmission(m.nowMs)
 	content := s.content()
 	offset, tag := s.b%8*testBlockSize, fmt.Sprint(s.operation>>6)
-	if current := m.uploadOf(c); s.operation&8 == 0 && current != nil {
+	if current := m.uploadOf(sent); s.operation&8 == 0 && current != nil {
 		offset, tag = current.received, current.tag
-		if offset == len(content) && s.b%2 == 0 { // the last one again
+		if offset == len(content) && s.b%2 == 0 { // repeat the last block
 			offset = (len(content) - 1) / testBlockSize * testBlockSize
 		}
 	}
 	if offset > len(content) {
 		offset = 0
 	}
-	c.body = content[offset:min(offset+testBlockSize, len(content))]
+	sent.body = content[offset:min(offset+testBlockSize, len(content))]
 	total := -1
 	if s.b%5 == 0 {
 		total = len(content) + s.b%16/15
 	}
-	c.block = &BlockReceived{Device: c.device, Key: c.key, Tag: tag, Offset: offset, Length: len(c.body),
-		Digest: xxhash.Sum64(c.body), More: offset+testBlockSize < len(content), TotalBytes: total,
-		Idempotency: c.class.Idempotency, ResendHistory: s.history(m.ageMs(c)), RemainingMs: c.untilMs - m.nowMs}
-	c.block.Copy = m.addCopy(c)
-	m.step(*c.block)
+	sent.block = &BlockReceived{Device: sent.device, Key: sent.key, Tag: tag, Offset: offset, Length: len(sent.body),
+		Digest: xxhash.Sum64(sent.body), More: offset+testBlockSize < len(content), TotalBytes: total,
+		Idempotency: sent.class.Idempotency, ResendHistory: s.history(m.ageMs(sent)), RemainingMs: sent.deviceDeadlineMs - m.nowMs}
+	sent.block.Transmission = m.addTransmission(sent)
+	m.step(*sent.block)
 }
 
-// uploadOf returns the store's upload of a copy's exchange; nil if there is none.
-func (m *gatewayModel) uploadOf(c *modelCopy) *upload {
-	device := m.store.devices[c.device]
-	if device == nil || device.exchanges[c.key] == nil {
+// uploadOf returns the store's upload for the exchange of a transmission, or nil if there is none.
+func (m *gatewayModel) uploadOf(sent *modelTransmission) *upload {
+	device := m.store.devices[sent.device]
+	if device == nil || device.exchanges[sent.key] == nil {
 		return nil
 	}
-	return device.exchanges[c.key].upload
+	return device.exchanges[sent.key].upload
 }
 
-// fuzzConnection closes a connection, measures a link or completes the writing of a response.
+// fuzzConnection reports a written response, a link measurement or a closed connection.
 func (m *gatewayModel) fuzzConnection(s fuzzStep) {
 	m.t.Helper()
-	if m.lastCopy == 0 {
+	if m.lastTransmission == 0 {
 		return
 	}
-	id := m.lastCopy - CopyID(s.a)%min(m.lastCopy, 8)
-	c := m.copies[id]
+	id := m.lastTransmission - CopyID(s.a)%min(m.lastTransmission, 8)
+	sent := m.transmissions[id]
 	switch {
-	case c.servedBy != 0 && s.b%2 == 0:
-		m.step(ResponseWritten{Copy: id, Link: LinkSample{Bytes: 1000, TransferMs: float64(s.b)}})
+	case sent.servedBy != 0 && s.b%2 == 0:
+		m.step(ResponseWritten{Transmission: id, Link: LinkSample{Bytes: 1000, TransferMs: float64(s.b)}})
 	case s.b%5 == 0:
-		m.step(LinkMeasured{Device: c.device, Link: LinkSample{RoundTripMs: float64(4 * s.a)}})
+		m.step(LinkMeasured{Device: sent.device, Link: LinkSample{RoundTripMs: float64(4 * s.a)}})
 	default:
-		c.canceled = true
-		m.step(CopyCanceled{id})
+		sent.canceled = true
+		m.step(TransmissionCanceled{id})
 	}
 }
 
-// fuzzRunEnd ends a run, if one is open.
-func (m *gatewayModel) fuzzRunEnd(s fuzzStep) {
+// fuzzExecutionEnd ends an execution, if one is in progress.
+func (m *gatewayModel) fuzzExecutionEnd(s fuzzStep) {
 	m.t.Helper()
 	skip := s.a
 	for id := ID(1); id <= m.store.lastID; id++ {
@@ -156,33 +156,33 @@
 			continue
 		}
 		if skip--; skip < 0 || id == m.store.lastID {
-			m.endRun(id, exchange, RunEnded{Result: RunResult(s.b % 3), MayHaveExecuted: s.b%4 >= 2,
+			m.endExecution(id, exchange, ExecutionEnded{Result: ExecutionResult(s.b % 3), MayHaveExecuted: s.b%4 >= 2,
 				Shard: max(shardOfKey(keyNumber(exchange.key)), s.b%3), ResponseBytes: s.b % (testMaxBodyBytes + 1)})
 			return
 		}
 	}
 }
 
-// drain ends all runs, lets time pass until nothing is left, and checks that every copy got a response.
+// drain ends all executions, advances the time until the store is empty, and checks that every transmission got a response.
 func (m *gatewayModel) drain() {
 	m.t.Helper()
 	for id, exchange := range m.exchanges {
 		if exchange.running {
-			m.endRun(id, exchange, RunEnded{Result: RunFailed, MayHaveExecuted: true, Shard: 1})
+			m.endExecution(id, exchange, ExecutionEnded{Result: ExecutionFailed, MayHaveExecuted: true, Shard: 1})
 		}
 	}
 	for fired := 0; m.timerMs != 0; fired++ {
 		m.fireTimer()
 		if fired > 1000 {
-			m.fail("the timer never stops")
+			m.fail("the timer still fires after 1000 expiries")
 		}
 	}
 	if stats := m.store.Stats(); stats.Exchanges != 0 || stats.StoredBytes != 0 || len(m.exchanges) != 0 {
-		m.fail("left over: %+v, %d known", stats, len(m.exchanges))
+		m.fail("after the drain: stats %+v and %d exchanges in the model, want none", stats, len(m.exchanges))
 	}
-	for id, c := range m.copies {
-		if c.responses == 0 && !c.canceled {
-			m.fail("copy %d never got a response", id)
+	for id, sent := range m.transmissions {
+		if sent.responses == 0 && !sent.canceled {
+			m.fail("transmission %d got no response", id)
 		}
 	}
 }
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -6,52 +6,53 @@
 	"gaugerelay/internal/quantile"
 )
 
-// LinkSample is what a connection has measured since its previous sample. Zero fields mean no measurement.
+// LinkSample contains the measurements of a connection since its previous sample. A zero field means no measurement.
 type LinkSample struct {
 	RoundTripMs float64
 	Bytes       int     // bytes delivered in TransferMs
 	TransferMs  float64 // duration of the delivery
-	MaxGapMs    float64 // the longest time without a byte inside of a message
+	MaxGapMs    float64 // longest time without a received byte within a message
 }
 
-// LinkAdvice is how a connection should use its link.
+// LinkAdvice tells a connection how to use its link.
 type LinkAdvice struct {
-	IdleTimeoutMs float64 // the silence after which the connection is dead
-	BlockSize     int     // the size of a block to send, in bytes
+	IdleTimeoutMs float64 // time without received data after which the connection is considered dead
+	BlockSize     int     // size of the blocks to send
 }
 
 const (
-	// Gains of the smoothed round trip and its deviation, as in RFC 6298, and of the delivery rate.
+	// Gains of the moving averages: the round trip and its deviation as in RFC 6298, and the delivery rate.
 	roundTripGain = 1.0 / 8
 	deviationGain = 1.0 / 4
 	rateGain      = 1.0 / 4
 
-	// A link without measurements is taken for a poor one, but it takes no more than a part of the device's time.
+	// A link without measurements is assumed to be poor. Its assumed round trip is limited to a fraction of the device's
+	// remaining time.
 	defaultRoundTripMs       = 600
 	defaultRoundTripFraction = 1.0 / 4
 	defaultBytesPerMs        = 16
 
-	minSafetyMarginMs    = 25
-	maxMeasurementMs     = 3600_000 // a longer time is not a measurement
-	minRateSampleBytes   = 512      // the rate of less measures the round trip
-	minGapSamples        = 8        // fewer may be a single disturbance
-	medianGap            = 0.5      // the quantile of the gaps that a response is expected to wait for
-	highGap              = 0.99     // the quantile of the gaps that the idle timeout is derived from
-	idleTimeoutGaps      = 2        // the idle timeout is so many times the high quantile of the gaps
-	deviations           = 4        // as in RFC 6298
-	minDeviationFraction = 8        // the deviation of the idle timeout is at least this part of the round trip
+	minSafetyMarginMs      = 25
+	maxMeasurementMs       = 3600_000 // longer durations are ignored as implausible
+	minRateSampleBytes     = 512      // for fewer bytes the transfer time depends on the round trip, not on the rate
+	minGapSamples          = 8        // fewer samples may come from a single disturbance
+	medianGapQuantile      = 0.5      // quantile of the gaps from which the delay of a response is estimated
+	highGapQuantile        = 0.99     // quantile of the gaps from which the idle timeout is derived
+	idleTimeoutGapMultiple = 2        // ratio of the idle timeout to the high quantile of the gaps
+	deviationMultiple      = 4        // number of deviations in margins and timeouts, as in RFC 6298
+	minDeviationDivisor    = 8        // the idle timeout uses a deviation of at least the round trip divided by this
 )
 
-// LinkEstimator estimates the round trip, delivery rate and gaps of one device's link from samples: three numbers and
-// a sketch. The zero value knows nothing. It is not safe for concurrent use.
+// LinkEstimator estimates the round trip, delivery rate and gaps of one device's link from samples. It stores three numbers
+// and a quantile sketch. The zero value has no measurements. It is not safe for concurrent use.
 type LinkEstimator struct {
-	roundTripMs float64 // smoothed; 0: unknown
-	deviationMs float64 // smoothed deviation of the round trip
-	bytesPerMs  float64 // smoothed; 0: unknown
+	roundTripMs float64 // moving average; 0: unknown
+	deviationMs float64 // moving average of the deviation of the round trip
+	bytesPerMs  float64 // moving average of the delivery rate; 0: unknown
 	gaps        quantile.Sketch
 }
 
-// Observe adds a sample. Samples come from devices, so that values which cannot be measurements are ignored.
+// Observe adds a sample. Samples come from devices, so implausible values are ignored.
 func (l *LinkEstimator) Observe(sample LinkSample) {
 	if isPlausibleMs(sample.RoundTripMs) {
 		l.observeRoundTrip(sample.RoundTripMs)
@@ -64,10 +65,10 @@
 	}
 }
 
-// isPlausibleMs reports whether a duration can be a measurement. NaN is not.
+// isPlausibleMs reports whether a duration can be a measurement. NaN is not plausible.
 func isPlausibleMs(ms float64) bool { return ms > 0 && ms <= maxMeasurementMs }
 
-// observeRoundTrip adds a round trip to the smoothed one and its deviation.
+// observeRoundTrip adds a round trip to the moving averages of the round trip and its deviation.
 func (l *LinkEstimator) observeRoundTrip(ms float64) {
 	if l.roundTripMs == 0 {
 		l.roundTripMs, l.deviationMs = ms, ms/2
@@ -77,7 +78,7 @@
 	l.roundTripMs += roundTripGain * (ms - l.roundTripMs)
 }
 
-// observeRate adds a delivery rate to the smoothed one.
+// observeRate adds a delivery rate to the moving average.
 func (l *LinkEstimator) observeRate(bytesPerMs float64) {
 	if l.bytesPerMs == 0 {
 		l.bytesPerMs = bytesPerMs
@@ -86,7 +87,7 @@
 	l.bytesPerMs += rateGain * (bytesPerMs - l.bytesPerMs)
 }
 
-// expectedRoundTripMs returns the round trip to expect of a device that waits for remainingMs.
+// expectedRoundTripMs returns the expected round trip to a device that still waits for remainingMs.
 func (l *LinkEstimator) expectedRoundTripMs(remainingMs float64) float64 {
 	if l.roundTripMs == 0 {
 		return min(defaultRoundTripMs, defaultRoundTripFraction*max(0, remainingMs))
@@ -94,7 +95,7 @@
 	return l.roundTripMs
 }
 
-// expectedBytesPerMs returns the delivery rate to expect.
+// expectedBytesPerMs returns the expected delivery rate.
 func (l *LinkEstimator) expectedBytesPerMs() float64 {
 	if l.bytesPerMs == 0 {
 		return defaultBytesPerMs
@@ -102,44 +103,47 @@
 	return l.bytesPerMs
 }
 
-// ExpectedOverheadMs returns how much of the time that a device waits its link takes: the way of the request's last
-// bytes, since the device counts from its sending, and the way of a response of so many bytes.
+// ExpectedOverheadMs returns the part of the device's remaining time that the link is expected to take: the delay of the
+// request, because the device counts from when it sent the request, and the transfer of a response of responseBytes.
 func (l *LinkEstimator) ExpectedOverheadMs(responseBytes int, remainingMs float64) float64 {
 	ms := l.expectedRoundTripMs(remainingMs) + l.safetyMarginMs() + float64(responseBytes)/l.expectedBytesPerMs()
 	if l.gaps.Count() >= minGapSamples {
-		ms += l.gaps.Quantile(medianGap) / 2 // half, because a gap may fall before, into or after the response
+		ms += l.gaps.Quantile(medianGapQuantile) / 2 // half, because a gap may occur before, during or after the response
 	}
 	return ms
 }
 
-// safetyMarginMs returns what is reserved for the variation of the link, as in RFC 6298.
+// safetyMarginMs returns the time that is reserved for variation of the round trip, as in RFC 6298.
 func (l *LinkEstimator) safetyMarginMs() float64 {
-	return max(minSafetyMarginMs, deviations*l.deviationMs)
+	return max(minSafetyMarginMs, deviationMultiple*l.deviationMs)
 }
 
-// remainingHereMs returns what is left on arrival of the time that was left when the device sent.
-func (l *LinkEstimator) remainingHereMs(remainingMs float64) float64 {
+// remainingOnArrivalMs returns the remaining time at the arrival of a request whose remaining time was remainingMs when
+// the device sent it.
+func (l *LinkEstimator) remainingOnArrivalMs(remainingMs float64) float64 {
 	return max(0, remainingMs-l.expectedRoundTripMs(remainingMs)/2)
 }
 
-// Advise returns how a connection should use the link, within the settings. settings must not be nil.
+// Advise returns the advice for a connection over the link, within the limits of settings, which must not be nil.
 func (l *LinkEstimator) Advise(settings *LinkSettings) LinkAdvice {
 	return LinkAdvice{IdleTimeoutMs: l.idleTimeoutMs(settings), BlockSize: l.blockSize(settings)}
 }
 
-// idleTimeoutMs returns the silence after which a connection counts as dead, within the settings.
+// idleTimeoutMs returns the time without received data after which a connection is considered dead, within the limits of
+// settings.
 func (l *LinkEstimator) idleTimeoutMs(settings *LinkSettings) float64 {
 	roundTripMs := l.expectedRoundTripMs(math.Inf(1))
-	timeoutMs := roundTripMs + deviations*max(l.deviationMs, roundTripMs/minDeviationFraction)
+	timeoutMs := roundTripMs + deviationMultiple*max(l.deviationMs, roundTripMs/minDeviationDivisor)
 	if l.gaps.Count() >= minGapSamples {
-		timeoutMs = max(timeoutMs, idleTimeoutGaps*l.gaps.Quantile(highGap))
+		timeoutMs = max(timeoutMs, idleTimeoutGapMultiple*l.gaps.Quantile(highGapQuantile))
 	} else {
 		timeoutMs = settings.MaxIdleTimeoutMs
 	}
 	return min(max(timeoutMs, settings.MinIdleTimeoutMs), settings.MaxIdleTimeoutMs)
 }
 
-// blockSize returns the largest of the minimum size's doublings that the link transfers in the time allowed.
+// blockSize returns the block size: the minimum size, doubled as often as the link transfers the block within
+// MaxBlockTransferMs and the maximum size allows.
 func (l *LinkEstimator) blockSize(settings *LinkSettings) int {
 	size := settings.MinBlockSize
 	for size*2 <= settings.MaxBlockSize && float64(size*2) <= l.expectedBytesPerMs()*settings.MaxBlockTransferMs {
--- a/internal/dedup/exchange/link_test.go
+++ b/internal/dedup/exchange/link_test.go
@@ -28,13 +28,13 @@
 			}
 			advice := link.Advise(&estimatorSettings)
 			if advice.BlockSize != c.blockSize || advice.IdleTimeoutMs < c.minIdleTimeoutMs || advice.IdleTimeoutMs > c.maxIdleTimeoutMs {
-				t.Errorf("%+v, want blocks of %d and an idle timeout of %v to %v ms", advice, c.blockSize,
+				t.Errorf("got advice %+v, want a block size of %d and an idle timeout of %v to %v ms", advice, c.blockSize,
 					c.minIdleTimeoutMs, c.maxIdleTimeoutMs)
 			}
-			// The round trip, the transfer of a response of 1,000 bytes, half a median gap, and the margin.
+			// The overhead is the round trip, the transfer time of a response of 1,000 bytes, half the median gap, and the margin.
 			want := c.roundTripMs + 1000/c.bytesPerMs + c.gapMs/2
 			if got := link.ExpectedOverheadMs(1000, 1e6); got < want*0.9 || got > want*1.1+max(25, 4*c.jitterMs) {
-				t.Errorf("overhead of %v ms, want about %v", got, want)
+				t.Errorf("got an expected overhead of %v ms, want about %v", got, want)
 			}
 		})
 	}
@@ -53,13 +53,13 @@
 
 func TestEstimatorWithoutSamples(t *testing.T) {
 	link := &LinkEstimator{}
-	// Up to 600 ms or a quarter of the device's time.
+	// The expected round trip is 600 ms or a quarter of the remaining time, whichever is less.
 	for remainingMs, want := range map[float64]float64{400: 100, 2400: 600, 1e5: 600, -3: 0} {
 		if got := link.expectedRoundTripMs(remainingMs); got != want {
-			t.Errorf("round trip of %v ms with %v remaining, want %v", got, remainingMs, want)
+			t.Errorf("got an expected round trip of %v ms with %v ms remaining, want %v", got, remainingMs, want)
 		}
 	}
 	if advice := link.Advise(&estimatorSettings); advice.IdleTimeoutMs != 10_000 {
-		t.Errorf("idle timeout of %v ms", advice.IdleTimeoutMs)
+		t.Errorf("got an idle timeout of %v ms, want the maximum", advice.IdleTimeoutMs)
 	}
 }
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -17,7 +17,7 @@
 	testMaxExchanges   = 7
 	testMaxDevices     = 4
 	testMaxActive      = 3
-	testMinRunMs       = 20
+	testMinExecutionMs = 20
 	testMaxRetryMs     = 2000
 	testRetentionMs    = 400
 	testDedupWindowMs  = 900
@@ -26,15 +26,15 @@
 var testLinkSettings = LinkSettings{MinIdleTimeoutMs: 200, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096,
 	MaxBlockTransferMs: 200}
 
-// testSettings returns limits that short runs reach.
+// testSettings returns settings with limits that short tests reach.
 func testSettings() Settings {
 	return Settings{MaxExchanges: testMaxExchanges, MaxDevices: testMaxDevices, MaxActivePerDevice: testMaxActive,
 		MaxWaitingCopies: 2, MaxStoredBytes: testMaxStoredBytes, MaxBodyBytes: testMaxBodyBytes, MaxUploadBlocks: 8,
-		RetentionMs: testRetentionMs, UploadIdleTimeoutMs: 500, MinRunMs: testMinRunMs, MaxRetryAfterMs: testMaxRetryMs,
+		RetentionMs: testRetentionMs, UploadIdleTimeoutMs: 500, MinRunMs: testMinExecutionMs, MaxRetryAfterMs: testMaxRetryMs,
 		Link: testLinkSettings}
 }
 
-// modelClasses are the classes of the keys of the model.
+// modelClasses are the classes of the model's requests. The index is the number in the key.
 var modelClasses = []Class{
 	{Idempotency: scheduler.Idempotent},
 	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupShard, DedupWindowMs: testDedupWindowMs},
@@ -43,60 +43,61 @@
 	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupAll, DedupWindowMs: testDedupWindowMs},
 }
 
-// gatewayModel is the simplest gateway around a store: it stores what the store says, runs what it says, and checks each
-// action against what it knows of every exchange itself.
+// gatewayModel is a minimal owner of a store. It performs the store's actions and checks each against its own record of all
+// exchanges.
 type gatewayModel struct {
-	t         *testing.T
-	store     *Store
-	nowMs     float64
-	timerMs   float64 // 0: none is set
-	log       []string
-	copies    map[CopyID]*modelCopy
-	lastCopy  CopyID
-	exchanges map[ID]*modelExchange
-	// executions maps device and key to what executed last, however much the store has forgotten.
-	executions map[string]*modelExecution
-	// firstSentMs maps device and key to when the first copy was sent.
+	t                *testing.T
+	store            *Store
+	nowMs            float64
+	timerMs          float64 // when the timer fires; 0: not set
+	log              []string
+	transmissions    map[CopyID]*modelTransmission
+	lastTransmission CopyID
+	exchanges        map[ID]*modelExchange
+	// serverExecutions maps device and key to the latest execution by a server. Entries remain when the store has forgotten
+	// the exchange.
+	serverExecutions map[string]*serverExecution
+	// firstSentMs maps device and key to the time at which the first transmission was sent.
 	firstSentMs map[string]float64
 }
 
-// modelCopy is what the model knows of a copy.
-type modelCopy struct {
-	device, key string
-	class       Class
-	body        []byte
-	block       *BlockReceived // nil: the copy came in one piece
-	untilMs     float64
-	responses   int
-	canceled    bool
-	servedBy    ID
-	digest      Digest
+// modelTransmission is the model's record of a transmission.
+type modelTransmission struct {
+	device, key      string
+	class            Class
+	body             []byte
+	block            *BlockReceived // nil: the transmission has the entire body
+	deviceDeadlineMs float64        // when the device stops waiting
+	responses        int
+	canceled         bool
+	servedBy         ID // exchange whose response was sent; 0: none
+	digest           Digest
 }
 
-// name identifies the copy's exchange in the maps of the model.
-func (c *modelCopy) name() string { return c.device + c.key }
+// name identifies the exchange of the transmission in the maps of the model.
+func (sent *modelTransmission) name() string { return sent.device + sent.key }
 
-// modelExecution is what the model knows of the executions of an exchange.
-type modelExecution struct {
+// serverExecution is the model's record of the latest execution of a request by a server.
+type serverExecution struct {
 	sentMs   float64
 	shard    int
 	windowMs float64
 }
 
-// windowEndMs returns when a repeat would execute again.
-func (e *modelExecution) windowEndMs() float64 { return e.sentMs + e.windowMs }
+// windowEndMs returns the time from which servers would execute a repeat.
+func (e *serverExecution) windowEndMs() float64 { return e.sentMs + e.windowMs }
 
-// modelExchange is what the model knows of an exchange.
+// modelExchange is the model's record of an exchange.
 type modelExchange struct {
-	device, key   string
-	class         Class
-	digest        Digest
-	run           int
-	running       bool
-	body          []byte // of its upload
-	responseBytes int    // -1: it was released
-	final         ResponseKind
-	hasFinal      bool
+	device, key     string
+	class           Class
+	digest          Digest
+	executionNumber int
+	running         bool   // an execution is in progress
+	body            []byte // body of the upload
+	responseBytes   int    // size of the response; -1: released
+	final           ResponseKind
+	hasFinal        bool
 }
 
 // name identifies the exchange in the maps of the model.
@@ -109,8 +110,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &gatewayModel{t: t, store: store, nowMs: 1e6, copies: map[CopyID]*modelCopy{}, exchanges: map[ID]*modelExchange{},
-		executions: map[string]*modelExecution{}, firstSentMs: map[string]float64{}}
+	return &gatewayModel{t: t, store: store, nowMs: 1e6, transmissions: map[CopyID]*modelTransmission{},
+		exchanges: map[ID]*modelExchange{}, serverExecutions: map[string]*serverExecution{}, firstSentMs: map[string]float64{}}
 }
 
 // fail ends the test with the log of all events and actions.
@@ -131,39 +132,40 @@
 	return digest
 }
 
-// shardOfKey returns the shard that a key's requests name: all copies the same.
+// shardOfKey returns the shard that the requests of a key name, the same for all transmissions: 2 for even keys, -1 for odd
+// ones.
 func shardOfKey(key int) int { return 2 - 3*(key%2) }
 
 // keyNumber returns the number in a key.
 func keyNumber(key string) int { return int(key[2] - '0') }
 
-// contentOf returns the body of a key's requests. Keys differ in size, variants in content.
-func contentOf(key, variant int) []byte {
+// bodyOfKey returns the body of a key's requests. The size depends on the key, the content on key and variant.
+func bodyOfKey(key, variant int) []byte {
 	return bytes.Repeat([]byte{byte(key), byte(variant), 7}, 20+key*15)
 }
 
-// ageMs returns how long ago the first copy of an exchange was sent.
-func (m *gatewayModel) ageMs(c *modelCopy) float64 {
-	if _, ok := m.firstSentMs[c.name()]; !ok {
-		m.firstSentMs[c.name()] = m.nowMs
+// ageMs returns the time since the first transmission of an exchange was sent.
+func (m *gatewayModel) ageMs(sent *modelTransmission) float64 {
+	if _, ok := m.firstSentMs[sent.name()]; !ok {
+		m.firstSentMs[sent.name()] = m.nowMs
 	}
-	return m.nowMs - m.firstSentMs[c.name()]
+	return m.nowMs - m.firstSentMs[sent.name()]
 }
 
-// addCopy gives a copy an id.
-func (m *gatewayModel) addCopy(c *modelCopy) CopyID {
-	m.lastCopy++
-	m.copies[m.lastCopy] = c
-	return m.lastCopy
+// addTransmission records a transmission and returns its new id.
+func (m *gatewayModel) addTransmission(sent *modelTransmission) CopyID {
+	m.lastTransmission++
+	m.transmissions[m.lastTransmission] = sent
+	return m.lastTransmission
 }
 
-// step hands events to the store, performs its actions and checks its state.
+// step passes events to the store, performs its actions and checks its state.
 func (m *gatewayModel) step(events ...Event) {
 	m.t.Helper()
 	for _, event := range events {
 		m.log = append(m.log, fmt.Sprintf("%.0f %T%+v", m.nowMs, event, event))
 	}
-	var assemblies []AssembleBody // each asks for another step after this one
+	var assemblies []AssembleBody // each requires a separate step after this one
 	for _, action := range m.store.Step(m.nowMs, events...) {
 		m.log = append(m.log, fmt.Sprintf("     -> %T%+v", action, action))
 		switch action := action.(type) {
@@ -171,8 +173,8 @@
 			m.appendBlock(action)
 		case AssembleBody:
 			assemblies = append(assemblies, action)
-		case StartRun:
-			m.startRun(action)
+		case StartExecution:
+			m.startExecution(action)
 		case Respond:
 			m.respond(action)
 		case Release:
@@ -187,25 +189,25 @@
 	}
 }
 
-// endRun ends the run of an exchange.
-func (m *gatewayModel) endRun(id ID, exchange *modelExchange, ended RunEnded) {
+// endExecution ends the execution of an exchange.
+func (m *gatewayModel) endExecution(id ID, exchange *modelExchange, ended ExecutionEnded) {
 	m.t.Helper()
 	exchange.running = false
-	if ended.Result == RunServed {
+	if ended.Result == ExecutionServed {
 		ended.MayHaveExecuted = true
 	}
 	sentMs := m.nowMs - 10
 	if ended.MayHaveExecuted && exchange.class.Idempotency != scheduler.Idempotent {
-		m.recordExecution(exchange, sentMs, ended.Shard)
+		m.recordServerExecution(exchange, sentMs, ended.Shard)
 	}
 	exchange.responseBytes = ended.ResponseBytes
-	ended.ID, ended.Run, ended.RetryAfterMs, ended.FirstAttemptMs = id, exchange.run, 50, sentMs
+	ended.ID, ended.ExecutionNumber, ended.RetryAfterMs, ended.FirstAttemptMs = id, exchange.executionNumber, 50, sentMs
 	m.step(ended)
 }
 
-// recordExecution notes an execution, unless servers dropped it as the repeat of an earlier one.
-func (m *gatewayModel) recordExecution(exchange *modelExchange, sentMs float64, shard int) {
-	earlier := m.executions[exchange.name()]
+// recordServerExecution records the execution of an attempt by a server, unless servers drop the attempt as a repeat.
+func (m *gatewayModel) recordServerExecution(exchange *modelExchange, sentMs float64, shard int) {
+	earlier := m.serverExecutions[exchange.name()]
 	if earlier != nil && sentMs < earlier.windowEndMs() {
 		return
 	}
@@ -213,10 +215,10 @@
 	if exchange.class.Idempotency == scheduler.NotIdempotent {
 		windowMs = math.Inf(1)
 	}
-	m.executions[exchange.name()] = &modelExecution{sentMs, shard, windowMs}
+	m.serverExecutions[exchange.name()] = &serverExecution{sentMs, shard, windowMs}
 }
 
-// advanceTo lets time pass; the timer fires on the way.
+// advanceTo advances the time to endMs and fires the timer whenever it is due.
 func (m *gatewayModel) advanceTo(endMs float64) {
 	m.t.Helper()
 	for m.timerMs != 0 && m.timerMs <= endMs {
@@ -225,14 +227,14 @@
 	m.nowMs = endMs
 }
 
-// fireTimer lets time pass until the timer fires.
+// fireTimer advances the time to the expiry of the timer and fires it.
 func (m *gatewayModel) fireTimer() {
 	m.t.Helper()
 	m.nowMs, m.timerMs = max(m.nowMs, m.timerMs), 0
 	m.step(TimerFired{})
 }
 
-// checkStore compares the store's counts with a recount.
+// checkStore compares the store's statistics with values computed from its exchanges, and checks its limits and timer.
 func (m *gatewayModel) checkStore() {
 	m.t.Helper()
 	stats := m.store.Stats()
@@ -244,10 +246,10 @@
 		undelivered += boolToInt(exchange.state == stateResponded)
 	}
 	if storedBytes != stats.StoredBytes || running != stats.Running || undelivered != stats.Undelivered {
-		m.fail("stats: %+v, recount: %d bytes, %d running, %d undelivered", stats, storedBytes, running, undelivered)
+		m.fail("got stats %+v, want %d stored bytes, %d running, %d undelivered", stats, storedBytes, running, undelivered)
 	}
 	if stats.StoredBytes > testMaxStoredBytes || stats.Exchanges > testMaxExchanges || stats.Devices > testMaxDevices {
-		m.fail("over the limits: %+v", stats)
+		m.fail("stats %+v exceed the limits", stats)
 	}
 	for name, device := range m.store.devices {
 		active := 0
@@ -255,28 +257,29 @@
 			active += boolToInt(exchange.state == stateReceiving || exchange.state == stateRunning)
 		}
 		if active != device.active || active > testMaxActive || (len(device.exchanges) == 0) != (device.idleElement != nil) {
-			m.fail("device %s: %d active, recount %d", name, device.active, active)
+			m.fail("device %s: got %d active exchanges, counted %d; or its place in the list of idle devices is wrong",
+				name, device.active, active)
 		}
 	}
 	if expiryMs, ok := m.store.wheel.NextExpiry(); ok && (m.timerMs == 0 || m.timerMs > expiryMs) {
-		m.fail("the timer is set to %v, the wheel's next expiry is %v", m.timerMs, expiryMs)
+		m.fail("the timer is set to %v, want at most the next expiry of the timer wheel at %v", m.timerMs, expiryMs)
 	}
 }
 
-// checkExchange checks an exchange of the store against the model's.
+// checkExchange compares an exchange of the store with the model's record.
 func (m *gatewayModel) checkExchange(id ID, exchange *storedExchange) {
 	m.t.Helper()
 	known := m.exchanges[id]
 	if exchange.state == stateRunning && (known == nil || !known.running) {
-		m.fail("exchange %d is running without a run", id)
+		m.fail("exchange %d is in the state running, but no execution is in progress", id)
 	}
 	if exchange.state != stateRunning && !exchange.timer.Pending() {
-		m.fail("exchange %d will never be forgotten", id)
+		m.fail("exchange %d has no pending timer, so it will never be forgotten", id)
 	}
 	if len(exchange.waiting) > 0 && exchange.state != stateRunning {
-		m.fail("copies wait for exchange %d, which is %v", id, exchange.state)
+		m.fail("transmissions wait for exchange %d in the state %v, want running", id, exchange.state)
 	}
 	if stored := exchange.bodyBytes + exchange.uploadBytes; known != nil && len(known.body) > stored {
-		m.fail("exchange %d stores %d bytes, the store counts %d", id, len(known.body), stored)
+		m.fail("exchange %d has a body of %d bytes, but the store counts %d", id, len(known.body), stored)
 	}
 }
--- a/internal/dedup/exchange/modelactions_test.go
+++ b/internal/dedup/exchange/modelactions_test.go
@@ -2,135 +2,139 @@
 
 import "gaugerelay/internal/scheduler"
 
-// exchangeOf returns an exchange, which it adds if it is new.
-func (m *gatewayModel) exchangeOf(id ID, c *modelCopy) *modelExchange {
+// findOrAddExchange returns the model's record of an exchange and adds one if there is none.
+func (m *gatewayModel) findOrAddExchange(id ID, sent *modelTransmission) *modelExchange {
 	exchange := m.exchanges[id]
 	if exchange == nil {
-		exchange = &modelExchange{device: c.device, key: c.key}
+		exchange = &modelExchange{device: sent.device, key: sent.key}
 		m.exchanges[id] = exchange
 	}
 	return exchange
 }
 
-// appendBlock appends the bytes of a copy's block to the body of its exchange.
+// appendBlock appends the block of a transmission to the body of its exchange.
 func (m *gatewayModel) appendBlock(action AppendBlock) {
 	m.t.Helper()
-	c := m.copies[action.Copy]
-	exchange := m.exchangeOf(action.ID, c)
-	if len(exchange.body) != c.block.Offset {
-		m.fail("a block at %d is appended to %d bytes", c.block.Offset, len(exchange.body))
+	sent := m.transmissions[action.Transmission]
+	exchange := m.findOrAddExchange(action.ID, sent)
+	if len(exchange.body) != sent.block.Offset {
+		m.fail("a block at offset %d is appended to a body of %d bytes", sent.block.Offset, len(exchange.body))
 	}
-	exchange.body = append(exchange.body, c.body...)
+	exchange.body = append(exchange.body, sent.body...)
 }
 
-// assemble reports the complete body of an exchange to the store.
+// assemble passes the digest and size of an exchange's complete body to the store.
 func (m *gatewayModel) assemble(action AssembleBody) {
 	m.t.Helper()
-	c, exchange := m.copies[action.Copy], m.exchanges[action.ID]
+	sent, exchange := m.transmissions[action.Transmission], m.exchanges[action.ID]
 	if exchange.body != nil {
 		exchange.digest = digestOf(exchange.body)
 	}
-	c.digest = exchange.digest
-	m.step(BodyAssembled{CopyReceived{Copy: action.Copy, Device: c.device, Key: c.key, Class: c.class, Digest: c.digest,
-		BodyBytes: len(exchange.body), RemainingMs: c.untilMs - m.nowMs, Shard: shardOfKey(keyNumber(c.key)),
-		ResendHistory: ResendHistory{c.block.IsRetry, c.block.SameGateway, m.ageMs(c)}}})
+	sent.digest = exchange.digest
+	m.step(BodyAssembled{TransmissionReceived{Transmission: action.Transmission, Device: sent.device, Key: sent.key,
+		Class: sent.class, Digest: sent.digest, BodyBytes: len(exchange.body), RemainingMs: sent.deviceDeadlineMs - m.nowMs,
+		Shard:         shardOfKey(keyNumber(sent.key)),
+		ResendHistory: ResendHistory{sent.block.IsRetry, sent.block.SameGateway, m.ageMs(sent)}}})
 }
 
-// startRun begins a run and checks that it is the only one and is allowed.
-func (m *gatewayModel) startRun(action StartRun) {
+// startExecution starts an execution and checks that it is allowed and that no other is in progress.
+func (m *gatewayModel) startExecution(action StartExecution) {
 	m.t.Helper()
-	c := m.copies[action.Copy]
-	exchange := m.exchangeOf(action.ID, c)
+	sent := m.transmissions[action.Transmission]
+	exchange := m.findOrAddExchange(action.ID, sent)
 	if exchange.running {
-		m.fail("a second run of exchange %d while the first is open", action.ID)
+		m.fail("exchange %d starts a second execution while the first is in progress", action.ID)
 	}
-	if c.block != nil && digestOf(exchange.body) != c.digest {
-		m.fail("the run of an upload whose bytes are gone")
+	if sent.block != nil && digestOf(exchange.body) != sent.digest {
+		m.fail("the stored body of the upload does not have the digest of the transmission that is executed")
 	}
-	if exchange.run > 0 && exchange.digest != c.digest {
-		m.fail("another content is run")
+	if exchange.executionNumber > 0 && exchange.digest != sent.digest {
+		m.fail("a repeated execution has another content than the first")
 	}
-	exchange.running, exchange.run, exchange.class, exchange.digest = true, action.Run, c.class, c.digest
-	if action.RemainingMs < testMinRunMs {
-		m.fail("a run of %v ms", action.RemainingMs)
+	exchange.running, exchange.executionNumber, exchange.class, exchange.digest =
+		true, action.ExecutionNumber, sent.class, sent.digest
+	if action.RemainingMs < testMinExecutionMs {
+		m.fail("an execution has %v ms, which is less than the minimum", action.RemainingMs)
 	}
-	m.checkRepeat(action, c)
+	m.checkRepeat(action, sent)
 }
 
-// checkRepeat checks that a run of what has executed reaches servers that drop the repeat.
-func (m *gatewayModel) checkRepeat(action StartRun, c *modelCopy) {
+// checkRepeat checks that the execution of a request that a server has executed reaches servers that drop the repeat.
+func (m *gatewayModel) checkRepeat(action StartExecution, sent *modelTransmission) {
 	m.t.Helper()
-	execution := m.executions[c.name()]
-	if execution == nil || c.class.Idempotency == scheduler.Idempotent || m.nowMs >= execution.windowEndMs() {
+	execution := m.serverExecutions[sent.name()]
+	if execution == nil || sent.class.Idempotency == scheduler.Idempotent || m.nowMs >= execution.windowEndMs() {
 		return
 	}
 	switch {
-	case c.class.Idempotency == scheduler.NotIdempotent:
-		m.fail("executed once, and again")
+	case sent.class.Idempotency == scheduler.NotIdempotent:
+		m.fail("a request that is not idempotent and was executed by a server is executed again")
 	case m.nowMs+action.RemainingMs > execution.windowEndMs():
-		m.fail("a repeat may be sent at %v, the window ends at %v", m.nowMs+action.RemainingMs, execution.windowEndMs())
-	case c.class.DedupScope == scheduler.DedupShard && action.Shard != execution.shard:
-		m.fail("a repeat in shard %d of what executed in %d", action.Shard, execution.shard)
-	case c.class.DedupScope == scheduler.DedupZone:
-		m.fail("a repeat in an unknown zone")
+		m.fail("a repeat may be sent until %v, but the deduplication window ends at %v", m.nowMs+action.RemainingMs,
+			execution.windowEndMs())
+	case sent.class.DedupScope == scheduler.DedupShard && action.Shard != execution.shard:
+		m.fail("a repeat is sent to shard %d, but the request was executed in shard %d", action.Shard, execution.shard)
+	case sent.class.DedupScope == scheduler.DedupZone:
+		m.fail("a repeat is sent to an unknown zone")
 	}
 }
 
-// respond checks a response by its kind.
+// respond checks a response to a transmission.
 func (m *gatewayModel) respond(action Respond) {
 	m.t.Helper()
-	c := m.copies[action.Copy]
-	m.checkResponse(action, c)
-	exchange := m.lastRunOf(c)
+	sent := m.transmissions[action.Transmission]
+	m.checkResponse(action, sent)
+	exchange := m.executedExchange(sent)
 	switch action.Kind {
 	case ResponseServed:
-		if m.exchanges[action.ID] != exchange || exchange == nil || exchange.responseBytes < 0 || exchange.digest != c.digest {
-			m.fail("copy %d is served what is not its own", action.Copy)
+		if m.exchanges[action.ID] != exchange || exchange == nil || exchange.responseBytes < 0 || exchange.digest != sent.digest {
+			m.fail("transmission %d is served the response of another exchange or a released one", action.Transmission)
 		}
-		c.servedBy = action.ID
-		m.checkFinal(action, c, exchange)
+		sent.servedBy = action.ID
+		m.checkFinal(action, sent, exchange)
 	case ResponseFailed:
-		m.checkFinal(action, c, exchange)
+		m.checkFinal(action, sent, exchange)
 	case ResponseRejected:
-		m.checkRejection(action, c, exchange)
+		m.checkRejection(action, sent, exchange)
 	case ResponseBusy, ResponseTooLate:
-		if c.block != nil && c.block.IsRetry && !c.block.SameGateway && c.class.Idempotency != scheduler.Idempotent {
-			m.fail("what may have executed elsewhere is rejected")
+		if sent.block != nil && sent.block.IsRetry && !sent.block.SameGateway && sent.class.Idempotency != scheduler.Idempotent {
+			m.fail("a request that may have been executed through another gateway is rejected")
 		}
 		inRange := action.RetryAfterMs >= minRetryAfterMs && action.RetryAfterMs <= testMaxRetryMs
 		if action.Kind == ResponseBusy && !inRange {
-			m.fail("retry after %v", action.RetryAfterMs)
+			m.fail("a busy response has a retry delay of %v ms, which is out of range", action.RetryAfterMs)
 		}
 	}
 }
 
-// checkResponse checks what is true of each response.
-func (m *gatewayModel) checkResponse(action Respond, c *modelCopy) {
+// checkResponse checks the properties that all responses must have.
+func (m *gatewayModel) checkResponse(action Respond, sent *modelTransmission) {
 	m.t.Helper()
-	if c == nil {
-		m.fail("a response to an unknown copy")
+	if sent == nil {
+		m.fail("a response is sent to an unknown transmission")
 	}
-	if c.responses++; c.responses > 1 {
-		m.fail("copy %d gets a second response", action.Copy)
+	if sent.responses++; sent.responses > 1 {
+		m.fail("transmission %d gets a second response", action.Transmission)
 	}
-	if c.canceled {
-		m.fail("copy %d gets a response after it was canceled", action.Copy)
+	if sent.canceled {
+		m.fail("transmission %d gets a response after it was canceled", action.Transmission)
 	}
-	if m.nowMs > c.untilMs+responseGraceMs+2*tickMs && action.Kind != ResponseSuperseded {
-		m.fail("copy %d gets its response %v ms late", action.Copy, m.nowMs-c.untilMs)
+	if m.nowMs > sent.deviceDeadlineMs+responseGraceMs+2*wheelTickMs && action.Kind != ResponseSuperseded {
+		m.fail("transmission %d gets its response %v ms after its deadline", action.Transmission, m.nowMs-sent.deviceDeadlineMs)
 	}
 	advice, limits := action.Advice, testLinkSettings
 	if advice.IdleTimeoutMs != 0 && (advice.IdleTimeoutMs < limits.MinIdleTimeoutMs ||
-		advice.IdleTimeoutMs > limits.MaxIdleTimeoutMs || advice.BlockSize < limits.MinBlockSize || advice.BlockSize > limits.MaxBlockSize) {
-		m.fail("advice %+v", advice)
+		advice.IdleTimeoutMs > limits.MaxIdleTimeoutMs || advice.BlockSize < limits.MinBlockSize ||
+		advice.BlockSize > limits.MaxBlockSize) {
+		m.fail("advice %+v is out of range", advice)
 	}
 }
 
-// lastRunOf returns the exchange of a copy if it has run.
-func (m *gatewayModel) lastRunOf(c *modelCopy) *modelExchange {
+// executedExchange returns the exchange of a transmission if it has been executed at least once, and nil otherwise.
+func (m *gatewayModel) executedExchange(sent *modelTransmission) *modelExchange {
 	var found *modelExchange
 	for _, exchange := range m.exchanges {
-		if exchange.device == c.device && exchange.key == c.key && exchange.run > 0 {
+		if exchange.device == sent.device && exchange.key == sent.key && exchange.executionNumber > 0 {
 			found = exchange
 		}
 	}
@@ -138,30 +142,31 @@
 }
 
 // checkFinal checks that the final response of an exchange never changes.
-func (m *gatewayModel) checkFinal(action Respond, c *modelCopy, exchange *modelExchange) {
+func (m *gatewayModel) checkFinal(action Respond, sent *modelTransmission, exchange *modelExchange) {
 	m.t.Helper()
-	if exchange == nil || exchange.running && action.Kind != ResponseFailed || exchange.digest != c.digest {
+	if exchange == nil || exchange.running && action.Kind != ResponseFailed || exchange.digest != sent.digest {
 		return
 	}
 	if exchange.hasFinal && exchange.final != action.Kind {
-		m.fail("the response of exchange %s/%s was %v, now %v", c.device, c.key, exchange.final, action.Kind)
+		m.fail("the final response of exchange %s/%s changes from %v to %v", sent.device, sent.key, exchange.final, action.Kind)
 	}
 	exchange.hasFinal, exchange.final = true, action.Kind
 }
 
-// checkRejection checks that nothing of a rejected exchange executed.
-func (m *gatewayModel) checkRejection(action Respond, c *modelCopy, exchange *modelExchange) {
+// checkRejection checks that no server executed the request of a rejected exchange.
+func (m *gatewayModel) checkRejection(action Respond, sent *modelTransmission, exchange *modelExchange) {
 	m.t.Helper()
-	execution := m.executions[c.name()]
-	if execution != nil && exchange != nil && c.class.Idempotency != scheduler.Idempotent && execution.windowEndMs() > m.nowMs {
-		m.fail("what may have executed is rejected")
+	execution := m.serverExecutions[sent.name()]
+	if execution != nil && exchange != nil && sent.class.Idempotency != scheduler.Idempotent && execution.windowEndMs() > m.nowMs {
+		m.fail("a request that may have been executed is rejected")
 	}
 	if action.RetryAfterMs < 0 {
-		m.fail("retry after %v", action.RetryAfterMs)
+		m.fail("a rejection has a negative retry delay of %v ms", action.RetryAfterMs)
 	}
 }
 
-// release frees what is stored and checks that no exchange is forgotten while it runs or while its repeats would be dropped.
+// release frees stored data. It checks that no exchange is forgotten during an execution or before its deduplication window
+// ends.
 func (m *gatewayModel) release(action Release) {
 	m.t.Helper()
 	exchange := m.exchanges[action.ID]
@@ -178,15 +183,15 @@
 		return
 	}
 	if exchange.running {
-		m.fail("a running exchange is forgotten")
+		m.fail("an exchange is forgotten while its execution is in progress")
 	}
-	execution := m.executions[exchange.name()]
-	if exchange.run > 0 && exchange.class.Idempotency == scheduler.IdempotentWithKey && execution != nil &&
+	execution := m.serverExecutions[exchange.name()]
+	if exchange.executionNumber > 0 && exchange.class.Idempotency == scheduler.IdempotentWithKey && execution != nil &&
 		m.nowMs < execution.windowEndMs() {
-		m.fail("exchange %d is forgotten %v ms before its window ends", action.ID, execution.windowEndMs()-m.nowMs)
+		m.fail("exchange %d is forgotten %v ms before its deduplication window ends", action.ID, execution.windowEndMs()-m.nowMs)
 	}
-	if exchange.class.Idempotency == scheduler.NotIdempotent { // retained as long as the settings say; it has no window
-		delete(m.executions, exchange.name())
+	if exchange.class.Idempotency == scheduler.NotIdempotent { // it has no window; Settings.RetentionMs applies
+		delete(m.serverExecutions, exchange.name())
 	}
 	delete(m.exchanges, action.ID)
 }
--- a/internal/dedup/exchange/settings.go
+++ b/internal/dedup/exchange/settings.go
@@ -5,74 +5,76 @@
 	"fmt"
 )
 
-// minBlockSize is the smallest block that RFC 7959 knows.
+// minBlockSize is the smallest block size of RFC 7959, in bytes.
 const minBlockSize = 16
 
-// ErrOutOfRange reports a setting outside of the range that its documentation gives.
-var ErrOutOfRange = errors.New("out of range")
+// ErrOutOfRange reports a setting outside its documented range.
+var ErrOutOfRange = errors.New("setting out of range")
 
-// Settings bound a Store. All must be above zero.
+// Settings are the limits of a Store. All must be greater than zero.
 type Settings struct {
-	// MaxExchanges is the number of exchanges that are remembered at once, uploads included.
+	// MaxExchanges is the maximum number of exchanges in the store, uploads included.
 	MaxExchanges int
-	// MaxDevices is the number of devices whose links are remembered.
+	// MaxDevices is the maximum number of devices whose link estimates are stored.
 	MaxDevices int
-	// MaxActivePerDevice is the number of exchanges of one device that are receiving an upload or running.
+	// MaxActivePerDevice is the maximum number of exchanges of one device that are receiving an upload or being executed.
 	MaxActivePerDevice int
-	// MaxWaitingCopies is the number of copies of one exchange that wait for its response.
+	// MaxWaitingCopies is the maximum number of transmissions of one exchange that wait for its response.
 	MaxWaitingCopies int
-	// MaxStoredBytes bounds the bodies and responses that are stored. It must be at least twice MaxBodyBytes.
+	// MaxStoredBytes limits the total size of stored bodies and responses. It must be at least twice MaxBodyBytes.
 	MaxStoredBytes int
-	// MaxBodyBytes bounds a single body or response.
+	// MaxBodyBytes limits the size of a single body or response.
 	MaxBodyBytes int
-	// MaxUploadBlocks is the number of blocks of one upload.
+	// MaxUploadBlocks is the maximum number of blocks of one upload.
 	MaxUploadBlocks int
-	// RetentionMs is for how long a write is remembered after its deadline and its deduplication window.
+	// RetentionMs is how long a write is retained after its deadline and its deduplication window have both ended.
 	RetentionMs float64
-	// UploadIdleTimeoutMs is after how long without a new block an upload is dropped.
+	// UploadIdleTimeoutMs is the time without a new block after which an upload is dropped.
 	UploadIdleTimeoutMs float64
-	// MinRunMs is the least remaining time with which a request is run.
+	// MinRunMs is the least remaining time with which a request is executed.
 	MinRunMs float64
-	// MaxRetryAfterMs is the longest time after which a rejected device is asked to retry. It must be at least 100.
+	// MaxRetryAfterMs is the longest delay before a retry that a rejected device is given. It must be at least 100.
 	MaxRetryAfterMs float64
-	// Link bounds what is derived from measurements of devices' links.
+	// Link limits the values that are derived from the measurements of devices' links.
 	Link LinkSettings
 }
 
-// LinkSettings bound what is derived from the measurements of a link.
+// LinkSettings limit the values that are derived from the measurements of a link.
 type LinkSettings struct {
-	// MinIdleTimeoutMs and MaxIdleTimeoutMs bound the silence after which a connection counts as dead.
+	// MinIdleTimeoutMs and MaxIdleTimeoutMs bound the time without received data after which a connection is considered dead.
 	MinIdleTimeoutMs, MaxIdleTimeoutMs float64
 	// MinBlockSize and MaxBlockSize bound the size of a block in bytes. MinBlockSize must be at least 16.
 	MinBlockSize, MaxBlockSize int
-	// MaxBlockTransferMs is how long the transfer of a block should take at most.
+	// MaxBlockTransferMs is the longest time that the transfer of one block should take.
 	MaxBlockTransferMs float64
 }
 
-// validate returns an error that wraps ErrOutOfRange and names the first setting that is out of range, or nil.
+// validate returns an error that wraps ErrOutOfRange and states the first requirement that the settings violate, or nil.
 func (s *Settings) validate() error {
 	link := &s.Link
 	for _, check := range []struct {
-		name string
-		ok   bool
+		requirement string
+		ok          bool
 	}{
-		{"number of exchanges", s.MaxExchanges > 0},
-		{"number of devices", s.MaxDevices > 0},
-		{"exchanges of one device", s.MaxActivePerDevice > 0},
-		{"waiting copies", s.MaxWaitingCopies > 0},
-		{"bytes of a body", s.MaxBodyBytes > 0},
-		{"bytes held: less than two bodies", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
-		{"blocks of an upload", s.MaxUploadBlocks > 0},
-		{"time that writes are kept", s.RetentionMs > 0},
-		{"idle time of an upload", s.UploadIdleTimeoutMs > 0},
-		{"least time of a run", s.MinRunMs > 0},
-		{"longest time to come back", s.MaxRetryAfterMs >= minRetryAfterMs},
-		{"silence of a dead link", link.MinIdleTimeoutMs > 0 && link.MaxIdleTimeoutMs >= link.MinIdleTimeoutMs},
-		{"size of a block", link.MinBlockSize >= minBlockSize && link.MaxBlockSize >= link.MinBlockSize},
-		{"time of a block", link.MaxBlockTransferMs > 0},
+		{"the maximum number of exchanges must be greater than 0", s.MaxExchanges > 0},
+		{"the maximum number of devices must be greater than 0", s.MaxDevices > 0},
+		{"the maximum number of active exchanges per device must be greater than 0", s.MaxActivePerDevice > 0},
+		{"the maximum number of waiting transmissions must be greater than 0", s.MaxWaitingCopies > 0},
+		{"the maximum size of a body must be greater than 0", s.MaxBodyBytes > 0},
+		{"the maximum of stored bytes must be at least twice the maximum size of a body", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
+		{"the maximum number of blocks per upload must be greater than 0", s.MaxUploadBlocks > 0},
+		{"the retention of writes must be greater than 0 ms", s.RetentionMs > 0},
+		{"the idle timeout of uploads must be greater than 0 ms", s.UploadIdleTimeoutMs > 0},
+		{"the minimum time for an execution must be greater than 0 ms", s.MinRunMs > 0},
+		{"the maximum retry delay must be at least 100 ms", s.MaxRetryAfterMs >= minRetryAfterMs},
+		{"the minimum idle timeout of a connection must be greater than 0 ms and not above the maximum",
+			link.MinIdleTimeoutMs > 0 && link.MaxIdleTimeoutMs >= link.MinIdleTimeoutMs},
+		{"the minimum block size must be at least 16 bytes and not above the maximum",
+			link.MinBlockSize >= minBlockSize && link.MaxBlockSize >= link.MinBlockSize},
+		{"the maximum transfer time of a block must be greater than 0 ms", link.MaxBlockTransferMs > 0},
 	} {
 		if !check.ok {
-			return fmt.Errorf("exchange: %s: %w", check.name, ErrOutOfRange)
+			return fmt.Errorf("exchange: %s: %w", check.requirement, ErrOutOfRange)
 		}
 	}
 	return nil
--- a/internal/dedup/exchange/settings_test.go
+++ b/internal/dedup/exchange/settings_test.go
@@ -19,7 +19,7 @@
 			settings := testSettings()
 			change(&settings)
 			if _, err := New(settings); !errors.Is(err, ErrOutOfRange) {
-				t.Errorf("error %v, want %v", err, ErrOutOfRange)
+				t.Errorf("New returned error %v, want %v", err, ErrOutOfRange)
 			}
 		})
 	}
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -8,19 +8,20 @@
 	"gaugerelay/internal/timerwheel"
 )
 
-// responseGraceMs is how long after its response was due a waiting copy fails, if its run has not ended by then.
+// responseGraceMs is the delay after the due time of the response at which a waiting transmission fails if the execution has
+// not ended by then.
 const responseGraceMs = 12
 
 // state is the state of an exchange.
 type state uint8
 
 const (
-	stateReceiving state = iota // its body is being uploaded; it has not run
-	stateRunning                // a run is open
-	stateResponded              // its response is stored, and was written to no connection yet
-	stateDelivered              // its response is stored, and was written to a connection
-	stateFailed                 // it ended without a response
-	stateForgotten              // it is not in the store any more
+	stateReceiving state = iota // the body is being uploaded; the exchange has not been executed
+	stateRunning                // an execution is in progress
+	stateResponded              // the response is stored but has not been written to a connection
+	stateDelivered              // the response is stored and has been written to a connection
+	stateFailed                 // the exchange ended without a response
+	stateForgotten              // the exchange has been removed from the store
 )
 
 // String returns the state in lower case.
@@ -31,13 +32,14 @@
 // isActive reports whether an exchange in this state counts towards Settings.MaxActivePerDevice.
 func (s state) isActive() bool { return s == stateReceiving || s == stateRunning }
 
-// waitingCopy is a copy that waits for its exchange's response.
-type waitingCopy struct {
-	id      CopyID
-	untilMs float64 // when its device stops waiting, if the request took no time to arrive
+// waitingTransmission is a transmission that waits for the response of its exchange.
+type waitingTransmission struct {
+	id CopyID
+	// deviceDeadlineMs is when the device stops waiting, on the assumption that the request took no time to arrive.
+	deviceDeadlineMs float64
 }
 
-// storedExchange is the state of an exchange in the store.
+// storedExchange is an exchange in the store.
 type storedExchange struct {
 	id     ID
 	key    string
@@ -46,44 +48,46 @@
 
 	class          Class
 	digest         Digest
-	shard          int     // the shard that the request names
-	createdMs      float64 // when its first copy or block arrived
-	lastActivityMs float64 // when a copy, a block or the end of a run last arrived
-	deadlineMs     float64 // when the device stops waiting, by its first copy
+	shard          int     // shard that the request names; -1: none
+	createdMs      float64 // arrival time of the first transmission or block
+	lastActivityMs float64 // time of the latest transmission, block or end of an execution
+	deadlineMs     float64 // when the device stops waiting, according to the transmission with the earliest deadline
 	clientDelayMs  float64
 
-	runNumber         int // number of its latest run
-	mayHaveExecuted   bool
-	firstAttemptMs    float64 // when the first attempt that may have executed was sent
-	firstAttemptShard int     // where to; -1: unknown
-	// latestAttemptMs is the latest time known of an attempt that may have executed. The servers' deduplication window
-	// began with it if the earlier ones did not arrive.
+	executionNumber   int     // number of the latest execution, counted from 1
+	mayHaveExecuted   bool    // a server may have executed the request
+	firstAttemptMs    float64 // when the first attempt that may have been executed was sent
+	firstAttemptShard int     // shard that this attempt was sent to; -1: unknown
+	// latestAttemptMs is the latest known send time of an attempt that may have been executed. If the earlier attempts
+	// did not arrive, the deduplication window of the servers starts at this time.
 	latestAttemptMs float64
-	failureReported bool // a copy got the response that the exchange failed, which is final
+	failureReported bool // a transmission got the response that the exchange failed, which makes the failure final
 
-	bodyBytes     int // stored for the run
-	uploadBytes   int // stored of an upload that was not run
-	responseBytes int // stored of the response, or reserved for it
-	waiting       []waitingCopy
-	upload        *upload // nil: no block was received
+	bodyBytes     int // bytes stored of the body for an execution
+	uploadBytes   int // bytes stored of an upload that has not been executed
+	responseBytes int // bytes stored of the response or reserved for it
+	waiting       []waitingTransmission
+	upload        *upload // nil: no block has been received
 
 	timer           timerwheel.Timer[*storedExchange]
-	evictionList    *list.List // that it is in; nil: it must not be evicted
+	evictionList    *list.List // list that contains the exchange; nil: the exchange must not be evicted
 	evictionElement *list.Element
 }
 
-// outcomeUnknown reports whether the exchange failed and no copy got to know that, so that another run may decide.
+// outcomeUnknown reports whether the exchange failed but no transmission got that response yet. Another execution may still
+// determine the outcome.
 func (e *storedExchange) outcomeUnknown() bool { return e.state == stateFailed && !e.failureReported }
 
-// rerunUntilMs returns when servers may stop dropping repeats of the first attempt: none is sent from then on. It is
-// minus infinity if no server drops them.
-func (e *storedExchange) rerunUntilMs() float64 { return e.windowEndMs(e.firstAttemptMs) }
+// repeatUntilMs returns the earliest time at which servers may stop dropping repeats of the first attempt. No repeat is sent
+// from then on. The result is minus infinity if no server drops repeats.
+func (e *storedExchange) repeatUntilMs() float64 { return e.windowEndMs(e.firstAttemptMs) }
 
-// retainUntilMs returns when no server drops repeats any more. What may have executed is not forgotten before it.
+// retainUntilMs returns the time from which no server drops repeats. An exchange that may have been executed is not forgotten
+// before that time.
 func (e *storedExchange) retainUntilMs() float64 { return e.windowEndMs(e.latestAttemptMs) }
 
-// windowEndMs returns when the deduplication window of an attempt that was sent at sentMs ends. It is minus infinity if there
-// is no window.
+// windowEndMs returns when the deduplication window of an attempt that was sent at sentMs ends. It returns minus infinity if
+// there is no window.
 func (e *storedExchange) windowEndMs(sentMs float64) float64 {
 	if !e.mayHaveExecuted || e.class.Idempotency != scheduler.IdempotentWithKey {
 		return math.Inf(-1)
@@ -91,7 +95,7 @@
 	return sentMs + e.class.DedupWindowMs
 }
 
-// incompleteUploadBytes returns the bytes stored of an upload that is not complete yet.
+// incompleteUploadBytes returns the number of bytes stored of an upload that is not complete.
 func (e *storedExchange) incompleteUploadBytes() int {
 	if e.upload == nil || e.upload.complete {
 		return 0
@@ -99,14 +103,15 @@
 	return e.uploadBytes
 }
 
-// respondByMs returns when a copy that still waits must get a response: the response takes time on the link, as the
-// request did.
-func (e *storedExchange) respondByMs(waiter waitingCopy) float64 {
+// respondByMs returns when a waiting transmission must get a response at the latest. It subtracts a round trip and the
+// safety margin of the link from the device's deadline, because request and response both take time on the link.
+func (e *storedExchange) respondByMs(waiter waitingTransmission) float64 {
 	link := &e.device.link
-	return waiter.untilMs - link.expectedRoundTripMs(waiter.untilMs-e.lastActivityMs) - link.safetyMarginMs() + responseGraceMs
+	return waiter.deviceDeadlineMs - link.expectedRoundTripMs(waiter.deviceDeadlineMs-e.lastActivityMs) -
+		link.safetyMarginMs() + responseGraceMs
 }
 
-// addExchange begins an exchange that stores so many bytes. It returns nil if that exceeds the limits.
+// addExchange adds an exchange that will store the given number of bytes. It returns nil if that exceeds the limits.
 func (s *Store) addExchange(device *trackedDevice, key string, bytes int) *storedExchange {
 	if device.active >= s.settings.MaxActivePerDevice || !s.ensureCapacity(1, bytes) {
 		return nil
@@ -122,7 +127,7 @@
 	return added
 }
 
-// setState changes the state of an exchange, and the counts and the eviction list that follow from it.
+// setState changes the state of an exchange and updates the counts and the eviction lists accordingly.
 func (s *Store) setState(exchange *storedExchange, to state) {
 	from := exchange.state
 	exchange.device.active += boolToInt(to.isActive()) - boolToInt(from.isActive())
@@ -132,7 +137,6 @@
 	s.updateEvictable(exchange)
 }
 
-// boolToInt returns 1 for true and 0 for false.
 func boolToInt(condition bool) int {
 	if condition {
 		return 1
@@ -140,14 +144,14 @@
 	return 0
 }
 
-// setStoredBytes sets how many bytes an exchange stores.
+// setStoredBytes sets the number of bytes that an exchange stores, by kind.
 func (s *Store) setStoredBytes(exchange *storedExchange, body, upload, response int) {
 	s.stats.StoredBytes += body + upload + response - exchange.bodyBytes - exchange.uploadBytes - exchange.responseBytes
 	exchange.bodyBytes, exchange.uploadBytes, exchange.responseBytes = body, upload, response
 }
 
-// releaseBody frees a body that will not run again and the bytes reserved for a response. An upload that is not
-// complete continues, so that its content can be compared.
+// releaseBody frees a body that will not be executed again and the bytes reserved for a response. An incomplete upload is
+// kept, so that its content can be compared with that of the exchange.
 func (s *Store) releaseBody(exchange *storedExchange) {
 	s.setStoredBytes(exchange, 0, exchange.incompleteUploadBytes(), 0)
 	if exchange.uploadBytes == 0 {
@@ -155,7 +159,7 @@
 	}
 }
 
-// forget removes an exchange. Copies that still wait for it fail.
+// forget removes an exchange from the store. Transmissions that still wait for its response fail.
 func (s *Store) forget(exchange *storedExchange) {
 	for _, waiter := range exchange.waiting {
 		s.respond(waiter.id, Respond{Kind: ResponseFailed})
--- a/internal/dedup/exchange/stats.go
+++ b/internal/dedup/exchange/stats.go
@@ -1,25 +1,25 @@
 package exchange
 
-// Stats counts copies and exchanges since the store was created, and gives its present size.
+// Stats contains event counts since the creation of the store, and current sizes.
 type Stats struct {
-	Copies          int // copies and blocks received
-	Runs            int // runs started
-	Joined          int // copies that waited with an earlier one
-	ServedFromCache int // copies that got a retained response
-	Reruns          int // runs of exchanges whose earlier run failed with no copy waiting
+	Transmissions      int // received transmissions, including blocks
+	Executions         int // started executions
+	Joined             int // transmissions that joined an execution in progress
+	ServedFromCache    int // transmissions that got a retained response
+	RepeatedExecutions int // executions of exchanges whose previous execution failed with no transmission waiting
 
-	Conflicts            int // copies with another content than their exchange
-	Busy                 int // copies rejected because of the store's limits
-	TooLate              int // copies rejected because the response could not arrive in time
-	UnknownOutcomeFailed int // copies failed because an earlier one may have executed
+	Conflicts            int // transmissions whose content differs from that of their exchange
+	Busy                 int // transmissions rejected because of the limits of the store
+	TooLate              int // transmissions rejected because the response could not arrive in time
+	UnknownOutcomeFailed int // transmissions failed because an earlier one may have been executed
 
 	UploadsStarted int
-	UploadsDropped int // uploads forgotten before they were complete
-	Evicted        int // exchanges forgotten early because of the limits
+	UploadsDropped int // uploads removed before they were complete
+	Evicted        int // exchanges removed early because of the limits
 
-	Exchanges   int // at present
-	Running     int // at present: exchanges with an open run
-	Devices     int // at present
-	StoredBytes int // at present: of bodies and responses
-	Undelivered int // at present: responses that were written to no connection yet
+	Exchanges   int // current number of exchanges
+	Running     int // current number of exchanges with an execution in progress
+	Devices     int // current number of devices
+	StoredBytes int // current size of stored bodies and responses
+	Undelivered int // current number of stored responses that have not been written to a connection
 }
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	tickMs          = 4   // of the timer wheel
-	minRetryAfterMs = 100 // the shortest time after which a rejected device is asked to retry
+	wheelTickMs     = 4   // resolution of the timer wheel
+	minRetryAfterMs = 100 // shortest delay before a retry that a rejected device is given
 )
 
-// Store is the state of all exchanges. It is not safe for concurrent use: one goroutine calls all its methods.
+// Store holds all exchanges. It is not safe for concurrent use: one goroutine must call all its methods.
 type Store struct {
 	settings Settings
 
 	started      bool
 	startedMs    float64 // time of the first step
-	nowMs        float64 // time of the present step; it never goes back
+	nowMs        float64 // time of the current step; never decreases
 	shuttingDown bool
-	// evictedUntilMs is the latest time at which an evicted exchange that may have executed was active. An exchange that
-	// began before it may have been forgotten while its device can still send copies.
-	evictedUntilMs float64
+	// latestEvictedActivityMs is the latest known creation or attempt time of the evicted exchanges that may have been
+	// executed. An exchange whose first transmission was sent before that time may have been evicted although its device
+	// can still send transmissions.
+	latestEvictedActivityMs float64
 
-	actions []Action // of the present step
+	actions []Action // actions of the current step
 
-	exchanges map[ID]*storedExchange
-	lastID    ID
-	copies    map[CopyID]ID // copies that wait for a response or are being written one
+	exchanges     map[ID]*storedExchange
+	lastID        ID
+	transmissions map[CopyID]ID // exchanges of the transmissions that wait for a response or whose response is being written
 
 	devices     map[string]*trackedDevice
-	idleDevices list.List // devices without exchanges, the least recently seen first
+	idleDevices list.List // devices without exchanges, least recently seen first
 
 	wheel     *timerwheel.Wheel[*storedExchange]
-	timerAtMs float64 // when the owner's timer fires; 0: none is set
+	timerAtMs float64 // when the owner's timer fires; 0: not set
 
-	// Exchanges that may be evicted; each is in at most one of these lists.
-	endedReads  list.List // the oldest first
-	openUploads list.List // the longest without a block first
-	endedWrites list.List // those whose deduplication window is over, the oldest first
+	// The eviction lists. Each exchange is in at most one of them.
+	endedReads  list.List // oldest first
+	openUploads list.List // longest time without a block first
+	endedWrites list.List // writes that were not executed or whose deduplication window has ended, oldest first
 
 	stats Stats
 }
@@ -50,22 +51,22 @@
 		return nil, err
 	}
 	return &Store{
-		settings:  settings,
-		exchanges: map[ID]*storedExchange{},
-		copies:    map[CopyID]ID{},
-		devices:   map[string]*trackedDevice{},
+		settings:      settings,
+		exchanges:     map[ID]*storedExchange{},
+		transmissions: map[CopyID]ID{},
+		devices:       map[string]*trackedDevice{},
 	}, nil
 }
 
-// Stats returns the counts after the latest step.
+// Stats returns the statistics as of the latest step.
 func (s *Store) Stats() Stats {
 	stats := s.stats
 	stats.Exchanges, stats.Devices = len(s.exchanges), len(s.devices)
 	return stats
 }
 
-// Step handles events that happened at nowMs and returns what the owner must do, in order. Time that goes back counts
-// as standing still.
+// Step handles events that happened at nowMs and returns the actions that the owner must perform, in order. If nowMs is less
+// than at an earlier step, the later of the two times is used.
 func (s *Store) Step(nowMs float64, events ...Event) []Action {
 	s.actions = nil
 	if !s.started {
@@ -83,32 +84,32 @@
 	return s.actions
 }
 
-// start sets the clock at the first step.
+// start initializes the time and the timer wheel at the first step.
 func (s *Store) start(nowMs float64) {
 	s.started = true
-	s.startedMs, s.nowMs, s.evictedUntilMs = nowMs, nowMs, math.Inf(-1)
-	s.wheel = timerwheel.New[*storedExchange](nowMs, tickMs)
+	s.startedMs, s.nowMs, s.latestEvictedActivityMs = nowMs, nowMs, math.Inf(-1)
+	s.wheel = timerwheel.New[*storedExchange](nowMs, wheelTickMs)
 }
 
-// handle updates the state by one event.
+// handle applies one event.
 func (s *Store) handle(event Event) {
 	switch event := event.(type) {
-	case CopyReceived:
-		s.stats.Copies++
-		s.onCopy(&event)
+	case TransmissionReceived:
+		s.stats.Transmissions++
+		s.onTransmission(&event)
 	case BlockReceived:
-		s.stats.Copies++
+		s.stats.Transmissions++
 		s.onBlock(&event)
 	case BodyAssembled:
-		s.onBodyAssembled(&event.CopyReceived)
-	case CopyCanceled:
-		s.onCopyCanceled(event.Copy)
+		s.onBodyAssembled(&event.TransmissionReceived)
+	case TransmissionCanceled:
+		s.onTransmissionCanceled(event.Transmission)
 	case ResponseWritten:
 		s.onResponseWritten(&event)
 	case LinkMeasured:
 		s.onLinkMeasured(&event)
-	case RunEnded:
-		s.onRunEnded(&event)
+	case ExecutionEnded:
+		s.onExecutionEnded(&event)
 	case ShutdownStarted:
 		s.shuttingDown = true
 	case TimerFired:
@@ -116,15 +117,15 @@
 	}
 }
 
-// emit records an action of the present step.
+// emit adds an action to those of the current step.
 func (s *Store) emit(action Action) { s.actions = append(s.actions, action) }
 
-// respond sends the one response to a copy. A copy that is served is remembered until the response is written or its
-// connection is closed.
+// respond emits the only response to a transmission. A transmission that is served stays in the store until the response
+// is written or the connection is closed.
 func (s *Store) respond(id CopyID, response Respond) {
-	response.Copy = id
+	response.Transmission = id
 	if response.Kind != ResponseServed {
-		delete(s.copies, id)
+		delete(s.transmissions, id)
 	}
 	switch response.Kind {
 	case ResponseConflict:
@@ -137,13 +138,13 @@
 	s.emit(response)
 }
 
-// respondBusy rejects a copy because of the store's limits. Nothing of its exchange has executed.
+// respondBusy rejects a transmission because a limit of the store is reached. No server may have executed its request.
 func (s *Store) respondBusy(id CopyID, device *trackedDevice) {
 	s.respond(id, Respond{Kind: ResponseBusy, RetryAfterMs: s.retryAfterMs(), Advice: s.advice(device)})
 }
 
-// reject responds to a copy that is not run with an outcome that promises that nothing executed. Where an earlier copy
-// may have executed, nobody can promise that, and the copy fails.
+// reject responds to a transmission that is not executed. The response is of the given kind, which tells the device that the
+// request was not executed. If an earlier transmission may have been executed, the response is ResponseFailed instead.
 func (s *Store) reject(id CopyID, device *trackedDevice, kind ResponseKind, mayHaveExecuted bool) {
 	switch {
 	case mayHaveExecuted:
@@ -156,8 +157,8 @@
 	}
 }
 
-// retryAfterMs returns after how long there may be capacity: when the next timer expires. A gateway that is shutting
-// down will not have any.
+// retryAfterMs returns the delay before a retry of a rejected request: the time until the next timer expires, which may free
+// capacity. A gateway that is shutting down frees none for new exchanges, so it returns the maximum.
 func (s *Store) retryAfterMs() float64 {
 	expiryMs, ok := s.wheel.NextExpiry()
 	if !ok || s.shuttingDown {
@@ -166,7 +167,7 @@
 	return min(max(expiryMs-s.nowMs, minRetryAfterMs), s.settings.MaxRetryAfterMs)
 }
 
-// advice returns how to use a device's link; nil stands for a device of which nothing is known.
+// advice returns the advice for a device's link. A nil device stands for one without measurements.
 func (s *Store) advice(device *trackedDevice) LinkAdvice {
 	if device == nil {
 		return (&LinkEstimator{}).Advise(&s.settings.Link)
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -5,36 +5,35 @@
 	"slices"
 )
 
-// block is a block that an upload has received.
+// block is a received block of an upload.
 type block struct {
 	offset, length int
 	digest         uint64
 }
 
-// upload is a body that is received in blocks, in order, over as many connections as it takes. A complete one is
-// remembered with its exchange, without its bytes, so that repeated blocks whose acknowledgements were lost are
-// distinguished from blocks of another body.
+// upload is a body that is received in blocks, in order, over any number of connections. A complete upload is kept with its
+// exchange, without its bytes, to distinguish repeated blocks, whose acknowledgements were lost, from blocks of another body.
 type upload struct {
 	tag      string
-	received int // bytes
-	total    int // announced size; below zero: unknown
+	received int // number of bytes received
+	total    int // announced size; negative: unknown
 	complete bool
-	blocks   []block // by offset
+	blocks   []block // received blocks, sorted by offset
 }
 
-// blockMatch is how a block relates to those that an upload has received.
+// blockMatch is the result of comparing a block with the received blocks of an upload.
 type blockMatch uint8
 
 const (
-	blockNew       blockMatch = iota // no block of its offset and length was received
-	blockDuplicate                   // it was received before
-	blockDifferent                   // one with other content, or with another end of the body, was received
+	blockNew       blockMatch = iota // no block with the same offset and length was received
+	blockDuplicate                   // the same block was received before
+	blockDifferent                   // a block with the same offset and length, but other content or another More flag, was received
 )
 
 // String returns the match in lower case.
 func (m blockMatch) String() string { return nameOf(int(m), "new", "duplicate", "different") }
 
-// match compares a block with those that were received. The upload may be nil.
+// match compares a block with the received blocks. The upload may be nil.
 func (u *upload) match(received *BlockReceived) blockMatch {
 	if u == nil {
 		return blockNew
@@ -52,16 +51,17 @@
 	return blockDifferent
 }
 
-// onBlock handles a block. Its copy gets a response at once, except for the last one's, which waits for the exchange's.
+// onBlock handles a block. The transmission of the last block waits for the response of the exchange; those of other blocks
+// get a response immediately.
 func (s *Store) onBlock(received *BlockReceived) {
 	mayHaveExecuted := s.earlierMayHaveExecuted(received.Idempotency, &received.ResendHistory)
-	device := s.admitDevice(received.Device)
+	device := s.findOrAddDevice(received.Device)
 	if device == nil {
-		s.reject(received.Copy, nil, ResponseBusy, mayHaveExecuted)
+		s.reject(received.Transmission, nil, ResponseBusy, mayHaveExecuted)
 		return
 	}
 	device.link.Observe(received.Link)
-	exchange := s.exchangeOfBlock(device, received, mayHaveExecuted)
+	exchange := s.exchangeForBlock(device, received, mayHaveExecuted)
 	if exchange == nil {
 		return
 	}
@@ -76,88 +76,91 @@
 	s.updateEvictable(exchange)
 	s.armTimer(exchange)
 	if !received.More {
-		s.emit(AssembleBody{ID: exchange.id, Copy: received.Copy})
+		s.emit(AssembleBody{ID: exchange.id, Transmission: received.Transmission})
 		return
 	}
-	s.respond(received.Copy, Respond{Kind: ResponseContinue, BufferedBytes: exchange.upload.received,
+	s.respond(received.Transmission, Respond{Kind: ResponseContinue, BufferedBytes: exchange.upload.received,
 		Advice: s.advice(device)})
 }
 
-// exchangeOfBlock returns the exchange that a block belongs to, which it begins with the first block of an upload. If
-// there is none it responds to the copy and returns nil.
-func (s *Store) exchangeOfBlock(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
+// exchangeForBlock returns the exchange of a block. It adds the exchange for the first block of an upload. If there is no
+// exchange, it responds to the transmission and returns nil.
+func (s *Store) exchangeForBlock(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
 	exchange := device.exchanges[received.Key]
 	if exchange != nil && exchange.state == stateReceiving && s.nowMs > exchange.deadlineMs {
-		s.forget(exchange) // the device gave up, and this is the start of another wait
+		s.forget(exchange) // the device stopped waiting for that upload and now starts another
 		exchange = nil
 	}
 	switch {
 	case exchange != nil:
 		return exchange
-	case received.Offset != 0: // for instance after a restart of this gateway
-		s.respondIncomplete(received.Copy, device, 0)
+	case received.Offset != 0: // the earlier blocks were lost, for instance at a restart of this gateway
+		s.respondIncomplete(received.Transmission, device, 0)
 		return nil
 	default:
 		return s.beginUpload(device, received, mayHaveExecuted)
 	}
 }
 
-// beginUpload begins an exchange with the first block of its upload, or rejects the copy and returns nil.
+// beginUpload adds an exchange for the first block of its upload, or rejects the transmission and returns nil.
 func (s *Store) beginUpload(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
 	if s.shuttingDown {
-		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
+		s.reject(received.Transmission, device, ResponseBusy, mayHaveExecuted)
 		return nil
 	}
 	if s.tooLate(received.RemainingMs) {
-		s.reject(received.Copy, device, ResponseTooLate, mayHaveExecuted)
+		s.reject(received.Transmission, device, ResponseTooLate, mayHaveExecuted)
 		return nil
 	}
 	added := s.addExchange(device, received.Key, received.Length)
 	if added == nil {
-		s.reject(received.Copy, device, ResponseBusy, mayHaveExecuted)
+		s.reject(received.Transmission, device, ResponseBusy, mayHaveExecuted)
 		return nil
 	}
-	added.deadlineMs = s.nowMs + device.link.remainingHereMs(received.RemainingMs)
+	added.deadlineMs = s.nowMs + device.link.remainingOnArrivalMs(received.RemainingMs)
 	s.stats.UploadsStarted++
 	s.updateEvictable(added)
 	s.armTimer(added)
 	return added
 }
 
-// acceptPosition reports whether a block continues its exchange's upload, and starts a new upload where it begins one.
-// Otherwise it responds to the copy.
+// acceptPosition reports whether a block continues the upload of its exchange or repeats one of its blocks. A first block of
+// another body starts a new upload. If the block is not accepted, it responds to the transmission.
 func (s *Store) acceptPosition(exchange *storedExchange, received *BlockReceived, match blockMatch) bool {
 	current := exchange.upload
 	switch {
 	case current == nil && received.Offset != 0:
-		s.respondIncomplete(received.Copy, exchange.device, 0)
+		s.respondIncomplete(received.Transmission, exchange.device, 0)
 		return false
 	case current == nil, received.Offset == 0 && (current.tag != received.Tag || match != blockDuplicate):
-		// The first body, one under another tag, or, by RFC 7959, a new one under the same tag.
+		// This is the first body, a body with another tag, or, as RFC 7959 allows, a new body with the same tag.
 		s.dropUpload(exchange)
 		exchange.upload = &upload{tag: received.Tag, total: received.TotalBytes}
 		return true
 	case current.tag != received.Tag:
-		s.respondIncomplete(received.Copy, exchange.device, 0)
+		s.respondIncomplete(received.Transmission, exchange.device, 0)
 		return false
-	case match == blockDifferent, current.otherTotal(received.TotalBytes):
-		s.abortUpload(exchange, received.Copy, ResponseConflict)
+	case match == blockDifferent, current.contradictsTotal(received.TotalBytes):
+		s.abortUpload(exchange, received.Transmission, ResponseConflict)
 		return false
 	case match == blockNew && current.complete:
-		// Nothing can be appended. The device begins a new body, which is compared once it is complete.
-		s.respondIncomplete(received.Copy, exchange.device, 0)
+		// Nothing can be appended to a complete upload. The device must start a new body, which is compared with that of the
+		// exchange once it is complete.
+		s.respondIncomplete(received.Transmission, exchange.device, 0)
 		return false
 	case match == blockNew && received.Offset != current.received:
-		s.respondIncomplete(received.Copy, exchange.device, current.received)
+		s.respondIncomplete(received.Transmission, exchange.device, current.received)
 		return false
 	}
 	return true
 }
 
-// otherTotal reports whether the announced size of a body differs from the one announced before.
-func (u *upload) otherTotal(total int) bool { return total >= 0 && u.total >= 0 && total != u.total }
+// contradictsTotal reports whether the announced size of a body differs from the size announced before.
+func (u *upload) contradictsTotal(total int) bool {
+	return total >= 0 && u.total >= 0 && total != u.total
+}
 
-// appendBlock adds a block to its exchange's upload. Where the limits do not allow it, it responds to the copy and
+// appendBlock adds a block to the upload of its exchange. If that exceeds the limits, it responds to the transmission and
 // returns false.
 func (s *Store) appendBlock(exchange *storedExchange, received *BlockReceived, mayHaveExecuted bool) bool {
 	current := exchange.upload
@@ -165,7 +168,7 @@
 		current.total = received.TotalBytes
 	}
 	if s.exceedsLimits(current, received) {
-		s.abortUpload(exchange, received.Copy, ResponseTooLarge)
+		s.abortUpload(exchange, received.Transmission, ResponseTooLarge)
 		return false
 	}
 	exchange.lastActivityMs = s.nowMs
@@ -174,18 +177,18 @@
 	s.updateEvictable(exchange)
 	if !fits {
 		s.armTimer(exchange)
-		s.reject(received.Copy, exchange.device, ResponseBusy, mayHaveExecuted || exchange.mayHaveExecuted)
+		s.reject(received.Transmission, exchange.device, ResponseBusy, mayHaveExecuted || exchange.mayHaveExecuted)
 		return false
 	}
 	current.blocks = append(current.blocks, block{received.Offset, received.Length, received.Digest})
 	current.received, current.complete = received.Offset+received.Length, !received.More
 	s.setStoredBytes(exchange, exchange.bodyBytes, exchange.uploadBytes+received.Length, exchange.responseBytes)
-	s.emit(AppendBlock{ID: exchange.id, Copy: received.Copy})
+	s.emit(AppendBlock{ID: exchange.id, Transmission: received.Transmission})
 	return true
 }
 
-// exceedsLimits reports whether a block makes an upload larger than allowed or announced, or ends it before its
-// announced size, or is empty without ending it.
+// exceedsLimits reports whether a block makes an upload larger than allowed or announced, ends it before its announced size,
+// exceeds the maximum number of blocks, or is empty without being the last one.
 func (s *Store) exceedsLimits(current *upload, received *BlockReceived) bool {
 	end := received.Offset + received.Length
 	if end > s.settings.MaxBodyBytes || current.total > s.settings.MaxBodyBytes {
@@ -197,14 +200,15 @@
 	return len(current.blocks) >= s.settings.MaxUploadBlocks || received.Length <= 0 && received.More
 }
 
-// dropUpload releases what is stored of an upload. A run that has begun retains its body.
+// dropUpload releases the bytes stored of an upload. An execution that has started retains its body.
 func (s *Store) dropUpload(exchange *storedExchange) {
 	exchange.upload = nil
 	s.setStoredBytes(exchange, exchange.bodyBytes, 0, exchange.responseBytes)
 	s.emit(Release{ID: exchange.id, Body: true})
 }
 
-// abortUpload ends an upload whose blocks contradict each other or the limits. An exchange that has run is remembered.
+// abortUpload ends an upload whose blocks contradict each other or exceed the limits. An exchange that has been executed stays
+// in the store.
 func (s *Store) abortUpload(exchange *storedExchange, id CopyID, kind ResponseKind) {
 	s.respond(id, Respond{Kind: kind, Advice: s.advice(exchange.device)})
 	if exchange.state == stateReceiving {
@@ -214,7 +218,7 @@
 	s.dropUpload(exchange)
 }
 
-// respondIncomplete tells a device how many bytes of its upload are stored, from where it must continue.
+// respondIncomplete reports to a device how many bytes of its upload are stored. The device must continue at that offset.
 func (s *Store) respondIncomplete(id CopyID, device *trackedDevice, bufferedBytes int) {
 	s.respond(id, Respond{Kind: ResponseIncomplete, BufferedBytes: bufferedBytes, Advice: s.advice(device)})
 }
--- a/internal/dedup/exchange/waiting.go
+++ b/internal/dedup/exchange/waiting.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// addWaiting adds a copy to those that wait for an exchange's response.
-func (s *Store) addWaiting(exchange *storedExchange, received *CopyReceived) {
-	if len(exchange.waiting) >= s.settings.MaxWaitingCopies { // the oldest connection is the likeliest to be half-open
+// addWaiting adds a transmission to those that wait for the response of an exchange. At the limit, the oldest one is
+// superseded.
+func (s *Store) addWaiting(exchange *storedExchange, received *TransmissionReceived) {
+	if len(exchange.waiting) >= s.settings.MaxWaitingCopies { // the oldest connection is the most likely to be half-open
 		s.respond(exchange.waiting[0].id, Respond{Kind: ResponseSuperseded})
 		exchange.waiting = exchange.waiting[1:]
 	}
-	exchange.waiting = append(exchange.waiting, waitingCopy{received.Copy, s.nowMs + max(0, received.RemainingMs)})
+	exchange.waiting = append(exchange.waiting, waitingTransmission{received.Transmission, s.nowMs + max(0, received.RemainingMs)})
 	exchange.lastActivityMs = s.nowMs
-	s.copies[received.Copy] = exchange.id
+	s.transmissions[received.Transmission] = exchange.id
 	s.armTimer(exchange)
 }
 
-// onCopyCanceled forgets a copy. Its exchange continues, because the device may send another copy.
-func (s *Store) onCopyCanceled(id CopyID) {
-	exchange := s.exchanges[s.copies[id]]
-	delete(s.copies, id)
+// onTransmissionCanceled removes a transmission. Its exchange continues, because the device may send another transmission.
+func (s *Store) onTransmissionCanceled(id CopyID) {
+	exchange := s.exchanges[s.transmissions[id]]
+	delete(s.transmissions, id)
 	if exchange == nil {
 		return
 	}
@@ -33,10 +34,10 @@
 	}
 }
 
-// onResponseWritten records that a response was delivered.
+// onResponseWritten records the delivery of a response.
 func (s *Store) onResponseWritten(written *ResponseWritten) {
-	exchange := s.exchanges[s.copies[written.Copy]]
-	delete(s.copies, written.Copy)
+	exchange := s.exchanges[s.transmissions[written.Transmission]]
+	delete(s.transmissions, written.Transmission)
 	if exchange == nil {
 		return
 	}
@@ -47,7 +48,8 @@
 	}
 }
 
-// onLinkMeasured adds measurements of a device's link. Copies that wait may have to get a response earlier for it.
+// onLinkMeasured adds measurements of a device's link. They may change the time by which waiting transmissions must get a
+// response.
 func (s *Store) onLinkMeasured(measured *LinkMeasured) {
 	device := s.devices[measured.Device]
 	if device == nil {
@@ -60,7 +62,7 @@
 			waiting = append(waiting, exchange)
 		}
 	}
-	// The order of a map is random, that of timers must not be.
+	// Timers are set in a fixed order, because the iteration order of a map is random.
 	slices.SortFunc(waiting, func(a, b *storedExchange) int { return cmp.Compare(a.id, b.id) })
 	for _, exchange := range waiting {
 		s.armTimer(exchange)
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -6,53 +6,54 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// A copy joins the run of an earlier one and gets its response, also after it; a copy with another content never runs.
-func TestResentCopies(t *testing.T) {
+// A repeated transmission joins the execution in progress or gets the retained response. A transmission with the same key but
+// another content is never executed.
+func TestRepeatedTransmissions(t *testing.T) {
 	c := newTestCoordinator(t, nil)
 	first := c.send("push", "k", "body")
 	second := c.send("push", "k", "body")
 	changed := c.send("push", "k", "changed")
-	if len(c.runs) != 1 || changed.response(t).Kind != lifecycle.Conflict {
-		t.Fatalf("%d runs, the changed copy got %+v", len(c.runs), changed.responses)
+	if len(c.executed) != 1 || changed.response(t).Kind != lifecycle.Conflict {
+		t.Fatalf("got %d executions, want 1; the changed transmission got %+v, want a conflict", len(c.executed), changed.responses)
 	}
-	if run := c.runs[0]; !hasBody(run, "body") || !run.IsFirstAttempt || run.RemainingMs >= 2500 {
-		t.Errorf("run as %+v", run)
+	if execution := c.executed[0]; !hasBody(execution, "body") || !execution.IsFirstAttempt || execution.RemainingMs >= 2500 {
+		t.Errorf("the execution has the request %+v", execution)
 	}
 	c.cancel(first)
 	c.advance(100)
-	c.serve(c.runs[0], 90)
+	c.serve(c.executed[0], 90)
 	late := c.send("push", "k", "body", resent(100))
 	if response := late.response(t); string(response.Body.([]byte)) != testResult || !response.Cached || response.ETag == 0 ||
 		second.response(t).ETag != response.ETag {
-		t.Errorf("a late copy got %+v", response)
+		t.Errorf("a transmission after the response got %+v, want the cached response", response)
 	}
-	if len(first.responses) != 0 || len(c.runs) != 1 {
-		t.Errorf("%d runs; the canceled copy got %+v", len(c.runs), first.responses)
+	if len(first.responses) != 0 || len(c.executed) != 1 {
+		t.Errorf("got %d executions, want 1; the canceled transmission got %+v, want no response", len(c.executed), first.responses)
 	}
-	c.advance(6000) // until its window and retention are over
+	c.advance(6000) // until the deduplication window and the retention have ended
 	c.checkEmpty()
-	if c.send("push", "k", "body"); len(c.runs) != 2 {
-		t.Error("a forgotten request does not run as a new one")
+	if c.send("push", "k", "body"); len(c.executed) != 2 {
+		t.Error("a forgotten request is not executed as a new one")
 	}
 }
 
-// If no copy got to know of a failure, the next one runs again inside of the window and in the shard of the first
-// attempt, and fails otherwise. A failure that a copy got to know is final.
-func TestCopyAfterFailure(t *testing.T) {
-	const noRun = -2
+// If a failure was not reported to any transmission, the next transmission starts a repeated execution within the
+// deduplication window, in the shard of the first attempt. It fails if that is not possible. A reported failure is final.
+func TestTransmissionAfterFailure(t *testing.T) {
+	const noExecution = -2
 	for name, c := range map[string]struct {
 		class           string
 		mayHaveExecuted bool
 		waitMs          float64
 		reported        bool
-		shard           int // of the second run
+		shard           int // shard of the second execution; noExecution: the second transmission fails
 	}{
 		"inside of the window":         {"push", true, 500, false, 3},
-		"after the window":             {"push", true, 3100, false, noRun},
-		"failure reported":             {"push", true, 500, true, noRun},
+		"after the window":             {"push", true, 3100, false, noExecution},
+		"failure reported":             {"push", true, 500, true, noExecution},
 		"not executed":                 {"push", false, 500, false, unknownShard},
-		"deduplicated in a zone":       {"zoned", true, 500, false, noRun},
-		"not idempotent, executed":     {"once", true, 500, false, noRun},
+		"deduplicated in a zone":       {"zoned", true, 500, false, noExecution},
+		"not idempotent, executed":     {"once", true, 500, false, noExecution},
 		"not idempotent, not executed": {"once", false, 500, false, unknownShard},
 		"idempotent":                   {"pull", true, 500, false, unknownShard},
 	} {
@@ -67,44 +68,46 @@
 				attemptShard = 3
 			}
 			coordinator.advance(20)
-			coordinator.runs[0].Respond(lifecycle.Response{Kind: lifecycle.Failed, MayHaveExecuted: c.mayHaveExecuted,
+			coordinator.executed[0].Respond(lifecycle.Response{Kind: lifecycle.Failed, MayHaveExecuted: c.mayHaveExecuted,
 				FirstAttemptMs: coordinator.nowMs - 10, Shard: attemptShard})
 			coordinator.advance(c.waitMs)
 			second := coordinator.send(c.class, "k", "body", resent(c.waitMs), shard(unknownShard))
-			if c.shard == noRun {
-				if len(coordinator.runs) != 1 || second.response(t).Kind != lifecycle.Failed {
-					t.Errorf("%d runs, responses %+v", len(coordinator.runs), second.responses)
+			if c.shard == noExecution {
+				if len(coordinator.executed) != 1 || second.response(t).Kind != lifecycle.Failed {
+					t.Errorf("got %d executions, want 1; the second transmission got %+v, want a failure",
+						len(coordinator.executed), second.responses)
 				}
 				return
 			}
-			checkSecondRun(t, coordinator, second, c.shard)
+			checkSecondExecution(t, coordinator, second, c.shard)
 			windowEndMs := float64(testStartMs + 10 + testDedupWindowMs)
-			latestMs := coordinator.nowMs + coordinator.runs[1].RemainingMs
+			latestMs := coordinator.nowMs + coordinator.executed[1].RemainingMs
 			if c.mayHaveExecuted && c.class == "push" && latestMs > windowEndMs {
-				t.Errorf("it may be sent until %v, the window ends at %v", latestMs, windowEndMs)
+				t.Errorf("a repeat may be sent until %v, but the deduplication window ends at %v", latestMs, windowEndMs)
 			}
-			// The second run did not execute, but the first may have.
-			coordinator.runs[1].Respond(lifecycle.Response{Kind: lifecycle.Rejected})
+			// No server executed the request in the second execution, but one may have done so in the first.
+			coordinator.executed[1].Respond(lifecycle.Response{Kind: lifecycle.Rejected})
 			if kind := second.response(t).Kind; (kind == lifecycle.Failed) != c.mayHaveExecuted {
-				t.Errorf("response %v", kind)
+				t.Errorf("the second transmission got a response of kind %v, want a failure only if the first may have been executed", kind)
 			}
 		})
 	}
 }
 
-// checkSecondRun checks that a copy runs again in a shard, under another id.
-func checkSecondRun(t *testing.T, c *testCoordinator, sent *sentCopy, shard int) {
+// checkSecondExecution checks that a transmission started a second execution in the given shard, with another id.
+func checkSecondExecution(t *testing.T, c *testCoordinator, sent *sentTransmission, shard int) {
 	t.Helper()
-	if len(c.runs) != 2 || c.runs[1].Shard != shard || c.runs[1].ClientID == c.runs[0].ClientID {
-		t.Fatalf("%d runs, responses %+v", len(c.runs), sent.responses)
+	if len(c.executed) != 2 || c.executed[1].Shard != shard || c.executed[1].ClientID == c.executed[0].ClientID {
+		t.Fatalf("got %d executions, want a second one; responses %+v", len(c.executed), sent.responses)
 	}
 }
 
-// A gateway that has restarted does not know what an earlier copy of a retry did.
+// A gateway that has restarted does not know whether an earlier transmission of a retried request was executed. It executes
+// the retry only if the request is idempotent or servers are certain to drop a repeat.
 func TestRetryAfterRestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		options []option
-		runs    bool
+		options  []option
+		executed bool
 	}{
 		"inside of the window":   {[]option{resent(1000)}, true},
 		"after the window":       {[]option{resent(2990)}, false},
@@ -117,24 +120,25 @@
 		t.Run(name, func(t *testing.T) {
 			coordinator := newTestCoordinator(t, nil)
 			sent := coordinator.send("push", "k", "body", c.options...)
-			if !c.runs {
-				if len(coordinator.runs) != 0 || sent.response(t).Kind != lifecycle.Failed {
-					t.Fatalf("%d runs, responses %+v", len(coordinator.runs), sent.responses)
+			if !c.executed {
+				if len(coordinator.executed) != 0 || sent.response(t).Kind != lifecycle.Failed {
+					t.Fatalf("got %d executions, want none; the retry got %+v, want a failure", len(coordinator.executed), sent.responses)
 				}
-				// A first copy that was only slow must not run after that.
+				// A delayed first transmission must not be executed after that.
 				late := coordinator.send("push", "k", "body", class(sent.Class), shard(sent.Shard))
-				if len(coordinator.runs) != 0 || late.response(t).Kind != lifecycle.Failed {
-					t.Errorf("a late first copy: %d runs, responses %+v", len(coordinator.runs), late.responses)
+				if len(coordinator.executed) != 0 || late.response(t).Kind != lifecycle.Failed {
+					t.Errorf("after a delayed first transmission: got %d executions, want none; responses %+v, want a failure",
+						len(coordinator.executed), late.responses)
 				}
 				return
 			}
-			if len(coordinator.runs) != 1 {
-				t.Fatalf("%d runs, responses %+v", len(coordinator.runs), sent.responses)
+			if len(coordinator.executed) != 1 {
+				t.Fatalf("got %d executions, want 1; responses %+v", len(coordinator.executed), sent.responses)
 			}
 			if sent.IsRetry && sent.Class == "push" {
-				coordinator.runs[0].Respond(lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 50})
+				coordinator.executed[0].Respond(lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 50})
 				if sent.response(t).Kind != lifecycle.Failed {
-					t.Errorf("what may have executed elsewhere got %+v", sent.responses)
+					t.Errorf("a request that may have been executed through another gateway got %+v, want a failure", sent.responses)
 				}
 			}
 		})
