--- a/internal/dedup/exchange/execution.go
+++ b/internal/dedup/exchange/execution.go
@@ -28,8 +28,8 @@
 }
 
 // reservedResponseBytes returns the number of bytes that are reserved for the response at the start of an execution. The
-// response to a write must be retained, so its maximum size is reserved. The response to a read is retained if there is
-// capacity at the end.
+// response to a write must be retained, so its maximum size is reserved. The response to a read is retained only if there is
+// capacity when it arrives, so nothing is reserved.
 func (s *Store) reservedResponseBytes(class Class) int {
 	if class.Idempotency == scheduler.Idempotent {
 		return 0
--- a/internal/dedup/exchange/settings.go
+++ b/internal/dedup/exchange/settings.go
@@ -9,7 +9,7 @@
 const minBlockSize = 16
 
 // ErrOutOfRange reports a setting outside its documented range.
-var ErrOutOfRange = errors.New("setting out of range")
+var ErrOutOfRange = errors.New("out of range")
 
 // Settings are the limits of a Store. All must be greater than zero.
 type Settings struct {
@@ -49,32 +49,30 @@
 	MaxBlockTransferMs float64
 }
 
-// validate returns an error that wraps ErrOutOfRange and states the first requirement that the settings violate, or nil.
+// validate returns an error that wraps ErrOutOfRange and names the first setting that is out of range, or nil.
 func (s *Settings) validate() error {
 	link := &s.Link
 	for _, check := range []struct {
-		requirement string
-		ok          bool
+		name string
+		ok   bool
 	}{
-		{"the maximum number of exchanges must be greater than 0", s.MaxExchanges > 0},
-		{"the maximum number of devices must be greater than 0", s.MaxDevices > 0},
-		{"the maximum number of active exchanges per device must be greater than 0", s.MaxActivePerDevice > 0},
-		{"the maximum number of waiting transmissions must be greater than 0", s.MaxWaitingCopies > 0},
-		{"the maximum size of a body must be greater than 0", s.MaxBodyBytes > 0},
-		{"the maximum of stored bytes must be at least twice the maximum size of a body", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
-		{"the maximum number of blocks per upload must be greater than 0", s.MaxUploadBlocks > 0},
-		{"the retention of writes must be greater than 0 ms", s.RetentionMs > 0},
-		{"the idle timeout of uploads must be greater than 0 ms", s.UploadIdleTimeoutMs > 0},
-		{"the minimum time for an execution must be greater than 0 ms", s.MinRunMs > 0},
-		{"the maximum retry delay must be at least 100 ms", s.MaxRetryAfterMs >= minRetryAfterMs},
-		{"the minimum idle timeout of a connection must be greater than 0 ms and not above the maximum",
-			link.MinIdleTimeoutMs > 0 && link.MaxIdleTimeoutMs >= link.MinIdleTimeoutMs},
-		{"the minimum block size must be at least 16 bytes and not above the maximum",
-			link.MinBlockSize >= minBlockSize && link.MaxBlockSize >= link.MinBlockSize},
-		{"the maximum transfer time of a block must be greater than 0 ms", link.MaxBlockTransferMs > 0},
+		{"maximum number of exchanges", s.MaxExchanges > 0},
+		{"maximum number of devices", s.MaxDevices > 0},
+		{"maximum number of active exchanges per device", s.MaxActivePerDevice > 0},
+		{"maximum number of waiting transmissions", s.MaxWaitingCopies > 0},
+		{"maximum size of a body", s.MaxBodyBytes > 0},
+		{"maximum of stored bytes (at least twice the maximum size of a body)", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
+		{"maximum number of blocks per upload", s.MaxUploadBlocks > 0},
+		{"time that writes are kept", s.RetentionMs > 0},
+		{"idle timeout of an upload", s.UploadIdleTimeoutMs > 0},
+		{"minimum time of an execution", s.MinRunMs > 0},
+		{"maximum retry delay (at least 100 ms)", s.MaxRetryAfterMs >= minRetryAfterMs},
+		{"silence of a dead link", link.MinIdleTimeoutMs > 0 && link.MaxIdleTimeoutMs >= link.MinIdleTimeoutMs},
+		{"size of a block", link.MinBlockSize >= minBlockSize && link.MaxBlockSize >= link.MinBlockSize},
+		{"maximum transfer time of a block", link.MaxBlockTransferMs > 0},
 	} {
 		if !check.ok {
-			return fmt.Errorf("exchange: %s: %w", check.requirement, ErrOutOfRange)
+			return fmt.Errorf("exchange: %s: %w", check.name, ErrOutOfRange)
 		}
 	}
 	return nil
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -52,7 +52,7 @@
 	createdMs      float64 // arrival time of the first transmission or block
 	lastActivityMs float64 // time of the latest transmission, block or end of an execution
 	deadlineMs     float64 // when the device stops waiting, according to the transmission with the earliest deadline
-	clientDelayMs  float64
+	clientDelayMs  float64 // part of the device's time that the transfer of the request took
 
 	executionNumber   int     // number of the latest execution, counted from 1
 	mayHaveExecuted   bool    // a server may have executed the request
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -138,7 +138,8 @@
 	s.emit(response)
 }
 
-// respondBusy rejects a transmission because a limit of the store is reached. No server may have executed its request.
+// respondBusy rejects a transmission because a limit of the store is reached. It must not be called if a server may have
+// executed the request.
 func (s *Store) respondBusy(id CopyID, device *trackedDevice) {
 	s.respond(id, Respond{Kind: ResponseBusy, RetryAfterMs: s.retryAfterMs(), Advice: s.advice(device)})
 }
