--- a/internal/dedup/exchange/settings.go
+++ b/internal/dedup/exchange/settings.go
@@ -5,47 +5,47 @@
 	"fmt"
 )
 
-// minBlockSize is the smallest block that RFC 7959 knows.
+// minBlockSize is the smallest block size of RFC 7959, in bytes.
 const minBlockSize = 16
 
-// ErrOutOfRange reports a setting outside of the range that its documentation gives.
+// ErrOutOfRange reports a setting outside its documented range.
 var ErrOutOfRange = errors.New("out of range")
 
-// Settings bound a Store. All must be above zero.
+// Settings are the limits of a Store. All must be greater than zero.
 type Settings struct {
-	// MaxExchanges is the number of exchanges that are remembered at once, uploads included.
+	// MaxExchanges is the maximum number of exchanges in the store, uploads included.
 	MaxExchanges int
-	// MaxDevices is the number of devices whose links are remembered.
+	// MaxDevices is the maximum number of devices whose link estimates are stored.
 	MaxDevices int
-	// MaxActivePerDevice is the number of exchanges of one device that are receiving an upload or running.
+	// MaxActivePerDevice is the maximum number of exchanges of one device that are receiving an upload or being executed.
 	MaxActivePerDevice int
-	// MaxWaitingCopies is the number of copies of one exchange that wait for its response.
+	// MaxWaitingCopies is the maximum number of transmissions of one exchange that wait for its response.
 	MaxWaitingCopies int
-	// MaxStoredBytes bounds the bodies and responses that are stored. It must be at least twice MaxBodyBytes.
+	// MaxStoredBytes limits the total size of stored bodies and responses. It must be at least twice MaxBodyBytes.
 	MaxStoredBytes int
-	// MaxBodyBytes bounds a single body or response.
+	// MaxBodyBytes limits the size of a single body or response.
 	MaxBodyBytes int
-	// MaxUploadBlocks is the number of blocks of one upload.
+	// MaxUploadBlocks is the maximum number of blocks of one upload.
 	MaxUploadBlocks int
-	// RetentionMs is for how long a write is remembered after its deadline and its deduplication window.
+	// RetentionMs is how long a write is retained after its deadline and its deduplication window have both ended.
 	RetentionMs float64
-	// UploadIdleTimeoutMs is after how long without a new block an upload is dropped.
+	// UploadIdleTimeoutMs is the time without a new block after which an upload is dropped.
 	UploadIdleTimeoutMs float64
-	// MinRunMs is the least remaining time with which a request is run.
+	// MinRunMs is the least remaining time with which a request is executed.
 	MinRunMs float64
-	// MaxRetryAfterMs is the longest time after which a rejected device is asked to retry. It must be at least 100.
+	// MaxRetryAfterMs is the longest delay before a retry that a rejected device is given. It must be at least 100.
 	MaxRetryAfterMs float64
-	// Link bounds what is derived from measurements of devices' links.
+	// Link limits the values that are derived from the measurements of devices' links.
 	Link LinkSettings
 }
 
-// LinkSettings bound what is derived from the measurements of a link.
+// LinkSettings limit the values that are derived from the measurements of a link.
 type LinkSettings struct {
-	// MinIdleTimeoutMs and MaxIdleTimeoutMs bound the silence after which a connection counts as dead.
+	// MinIdleTimeoutMs and MaxIdleTimeoutMs bound the time without received data after which a connection is considered dead.
 	MinIdleTimeoutMs, MaxIdleTimeoutMs float64
 	// MinBlockSize and MaxBlockSize bound the size of a block in bytes. MinBlockSize must be at least 16.
 	MinBlockSize, MaxBlockSize int
-	// MaxBlockTransferMs is how long the transfer of a block should take at most.
+	// MaxBlockTransferMs is the longest time that the transfer of one block should take.
 	MaxBlockTransferMs float64
 }
 
@@ -56,20 +56,20 @@
 		name string
 		ok   bool
 	}{
-		{"number of exchanges", s.MaxExchanges > 0},
-		{"number of devices", s.MaxDevices > 0},
-		{"exchanges of one device", s.MaxActivePerDevice > 0},
-		{"waiting copies", s.MaxWaitingCopies > 0},
-		{"bytes of a body", s.MaxBodyBytes > 0},
-		{"bytes held: less than two bodies", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
-		{"blocks of an upload", s.MaxUploadBlocks > 0},
+		{"maximum number of exchanges", s.MaxExchanges > 0},
+		{"maximum number of devices", s.MaxDevices > 0},
+		{"maximum number of active exchanges per device", s.MaxActivePerDevice > 0},
+		{"maximum number of waiting transmissions", s.MaxWaitingCopies > 0},
+		{"maximum size of a body", s.MaxBodyBytes > 0},
+		{"maximum of stored bytes (at least twice the maximum size of a body)", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
+		{"maximum number of blocks per upload", s.MaxUploadBlocks > 0},
 		{"time that writes are kept", s.RetentionMs > 0},
-		{"idle time of an upload", s.UploadIdleTimeoutMs > 0},
-		{"least time of a run", s.MinRunMs > 0},
-		{"longest time to come back", s.MaxRetryAfterMs >= minRetryAfterMs},
+		{"idle timeout of an upload", s.UploadIdleTimeoutMs > 0},
+		{"minimum time of an execution", s.MinRunMs > 0},
+		{"maximum retry delay (at least 100 ms)", s.MaxRetryAfterMs >= minRetryAfterMs},
 		{"silence of a dead link", link.MinIdleTimeoutMs > 0 && link.MaxIdleTimeoutMs >= link.MinIdleTimeoutMs},
 		{"size of a block", link.MinBlockSize >= minBlockSize && link.MaxBlockSize >= link.MinBlockSize},
-		{"time of a block", link.MaxBlockTransferMs > 0},
+		{"maximum transfer time of a block", link.MaxBlockTransferMs > 0},
 	} {
 		if !check.ok {
 			return fmt.Errorf("exchange: %s: %w", check.name, ErrOutOfRange)
