--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -7,25 +7,25 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// requestState is what the Manager knows of a request that is not done, or of which an attempt is in flight.
+// requestState is the state of a request that is not done, or that still has an attempt in flight.
 type requestState struct {
 	request    *Request
 	deadlineMs float64
-	done       bool            // it was responded to or canceled
-	attempts   []*attemptState // by number
-	inFlight   int             // attempts that have not ended
+	done       bool            // whether the request was responded to or canceled
+	attempts   []*attemptState // indexed by attempt number
+	inFlight   int             // number of attempts that have not ended
 }
 
-// attemptState is what the Manager knows of an attempt.
+// attemptState is the state of one attempt.
 type attemptState struct {
 	server        *Server
 	sentMs        float64
 	cancel        func()
 	ended         bool
-	neverExecuted bool // it ended in a way that proves that the server did not execute it
+	neverExecuted bool // whether the attempt's status proves that the server did not execute it
 }
 
-// attemptInFlight returns the attempt of a number, or nil if there is none or it has ended.
+// attemptInFlight returns the attempt with the given number, or nil if no such attempt exists or it has ended.
 func (s *requestState) attemptInFlight(number int) *attemptState {
 	if number < 0 || number >= len(s.attempts) || s.attempts[number].ended {
 		return nil
@@ -33,9 +33,9 @@
 	return s.attempts[number]
 }
 
-// firstPossibleExecution returns the first attempt that may have been executed, or nil. Its start begins the window in which
-// servers drop duplicates.
-func (s *requestState) firstPossibleExecution() *attemptState {
+// firstPossiblyExecuted returns the first attempt that may have been executed, or nil if there is none. The deduplication window
+// of the servers begins when that attempt is sent.
+func (s *requestState) firstPossiblyExecuted() *attemptState {
 	for _, attempt := range s.attempts {
 		if !attempt.neverExecuted {
 			return attempt
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// stateOf returns the state of a request, or nil if it was never accepted or is released.
+// stateOf returns the state of a request, or nil if the request was never accepted or its state has been released.
 func (m *Manager) stateOf(request *Request) *requestState {
 	state := m.requests[request.id]
 	if state == nil || state.request != request {
@@ -53,11 +53,11 @@
 	return state
 }
 
-// startAttempt executes a Send of the scheduler.
+// startAttempt executes a Send action of the scheduler.
 func (m *Manager) startAttempt(nowMs float64, send scheduler.Send) {
 	state, server := m.requests[send.ID], m.servers[send.Server]
 	if state == nil || server == nil {
-		m.environment.Log(fmt.Sprintf("send of request %d to node %d: not known", send.ID, send.Server))
+		m.environment.Log(fmt.Sprintf("cannot send request %d to server %d: unknown request or server", send.ID, send.Server))
 		return
 	}
 	deadlineMs := state.deadlineMs
@@ -81,8 +81,8 @@
 	})
 }
 
-// startDeadlineMs returns the earlier of the scheduler's start deadline and the expiry of the quota lease that the request
-// relies on. 0 means that there is neither.
+// startDeadlineMs returns the earlier of the scheduler's start deadline and the expiry of the quota lease that the attempt
+// depends on. 0 means that there is neither.
 func (m *Manager) startDeadlineMs(request *Request, send scheduler.Send) float64 {
 	deadlineMs := 0.0
 	if m.peers != nil {
@@ -94,7 +94,7 @@
 	return deadlineMs
 }
 
-// cancelAttempt executes a CancelAttempt of the scheduler. The attempt still ends in a Complete.
+// cancelAttempt executes a CancelAttempt action of the scheduler. The upstream still calls Complete for the canceled attempt.
 func (m *Manager) cancelAttempt(action scheduler.CancelAttempt) {
 	state := m.requests[action.ID]
 	if state == nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Complete records how an attempt ended. A second end of the same attempt is ignored.
+// Complete records how an attempt ended. Further calls for the same attempt are ignored.
 func (m *Manager) Complete(nowMs float64, request *Request, number int, result AttemptResult) {
 	state := m.stateOf(request)
 	if state == nil {
@@ -142,7 +142,7 @@
 	m.releaseIfDone(state)
 }
 
-// finish gives an open request its final response. It has no effect on a request that is done.
+// finish responds to an open request. It has no effect on a request that is done.
 func (m *Manager) finish(id scheduler.RequestID, response Response) {
 	if state := m.requests[id]; state != nil && !state.done {
 		m.respond(state, response)
@@ -150,7 +150,7 @@
 	}
 }
 
-// respond gives the one final response. The caller checks that the request is not done.
+// respond passes the one final response of a request to its frontend. The caller checks that the request is not done.
 func (m *Manager) respond(state *requestState, response Response) {
 	state.done = true
 	m.environment.Count(responseCounters[response.Kind])
@@ -159,13 +159,13 @@
 	}
 	m.traceCompleted(state.request, &response)
 	response.Shard = -1
-	if attempt := state.firstPossibleExecution(); attempt != nil {
+	if attempt := state.firstPossiblyExecuted(); attempt != nil {
 		response.MayHaveExecuted, response.FirstAttemptMs, response.Shard = true, attempt.sentMs, attempt.server.Shard
 	}
 	state.request.Respond(response)
 }
 
-// releaseIfDone forgets a request that is done and has no attempt in flight.
+// releaseIfDone deletes the state of a request that is done and has no attempt in flight.
 func (m *Manager) releaseIfDone(state *requestState) {
 	if state.done && state.inFlight == 0 {
 		delete(m.requests, state.request.id)
--- a/internal/lifecycle/counters.go
+++ b/internal/lifecycle/counters.go
@@ -2,7 +2,7 @@
 
 import "gaugerelay/internal/scheduler"
 
-// Names of counters. Those of attempts and responses continue with a status or reason.
+// Names of counters. A status is appended to counterAttemptsPrefix.
 const (
 	counterRequestsAccepted  = "requests_accepted"
 	counterRequestsDuplicate = "requests_duplicate"
@@ -12,14 +12,14 @@
 	counterAttemptsPrefix = "attempts_"
 )
 
-// responseCounters are the names of the counters of responses to accepted requests.
+// responseCounters holds the name of the counter of each kind of response to accepted requests.
 var responseCounters = [...]string{
 	Served:   "answers_served",
 	Rejected: "answers_rejected",
 	Failed:   "answers_failed",
 }
 
-// reasonCounters are the names of the counters of rejected and failed requests by reason.
+// reasonCounters holds the names of the counters of responses by kind and reason. Only those of Rejected and Failed are used.
 var reasonCounters = func() (names [len(responseCounters)][scheduler.ReasonCount]string) {
 	for kind, name := range responseCounters {
 		for reason := range names[kind] {
--- a/internal/lifecycle/counters_test.go
+++ b/internal/lifecycle/counters_test.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// countingEnvironment counts.
+// countingEnvironment records the values of the counters.
 type countingEnvironment struct {
 	fakeEnvironment
 	counts map[string]int
@@ -16,23 +16,24 @@
 
 func (e *countingEnvironment) Count(name string) { e.counts[name]++ }
 
-// countOneAttempt returns the counters of a request whose one attempt ended with a status and was then finished by an action.
+// countOneAttempt returns the counters after a request whose only attempt ended with a status, and which the scheduler then
+// finished by an action.
 func countOneAttempt(status scheduler.Status, finish scheduler.Action) map[string]int {
-	decisions, environment := &scriptedScheduler{}, &countingEnvironment{counts: map[string]int{}}
-	manager := lifecycle.New(lifecycle.Options{Scheduler: decisions, Environment: environment})
+	fakeScheduler, environment := &scriptedScheduler{}, &countingEnvironment{counts: map[string]int{}}
+	manager := lifecycle.New(lifecycle.Options{Scheduler: fakeScheduler, Environment: environment})
 	manager.UpdateEndpoints(snapshot(scheduler.Ready))
 	manager.Step(0)
 	request := &lifecycle.Request{RemainingMs: 100, Upstream: &recordingUpstream{}, Respond: func(lifecycle.Response) {}}
 	manager.Submit(0, request)
-	decisions.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}}
+	fakeScheduler.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}}
 	manager.Step(0)
 	manager.Complete(1, request, 0, lifecycle.AttemptResult{Status: status})
-	decisions.actions = []scheduler.Action{finish}
+	fakeScheduler.actions = []scheduler.Action{finish}
 	manager.Step(1)
 	return environment.counts
 }
 
-// The counters of an attempt show how it ended, and those of a response its kind and reason.
+// An attempt is counted by its status, and a response by its kind and reason.
 func TestCounters(t *testing.T) {
 	reject := scheduler.Reject{ID: 1, Reason: scheduler.ReasonNoServer}
 	fail := scheduler.Fail{ID: 1, Reason: scheduler.ReasonNoServer}
@@ -58,7 +59,7 @@
 				want[name] = 1
 			}
 			if got := countOneAttempt(c.status, c.finish); !maps.Equal(got, want) {
-				t.Errorf("counted %v, want %v", got, want)
+				t.Errorf("counters are %v, want %v", got, want)
 			}
 		})
 	}
--- a/internal/lifecycle/deduplicator.go
+++ b/internal/lifecycle/deduplicator.go
@@ -1,63 +1,64 @@
 package lifecycle
 
-// Deduplicator handles the requests of devices, which may arrive several times, and submits those that are to run. Its methods
-// are called on the Manager's goroutine; nowMs is the current time in milliseconds.
+// Deduplicator handles device requests. A device may transmit the same request several times; the Deduplicator submits a request
+// for each execution that is needed. Its methods are called on the Manager's goroutine; nowMs is the current time in milliseconds.
 type Deduplicator interface {
-	// Submit handles a request of which Request.Device is set.
+	// Submit handles a transmission of a request, whose Device field is set.
 	Submit(nowMs float64, request *Request)
-	// Cancel handles the cancellation of a request, which may not have been submitted.
+	// Cancel handles the cancellation of a request, including one that was never passed to Submit.
 	Cancel(nowMs float64, request *Request)
 	// ResponseWritten records that the response to a request was written to its connection.
 	ResponseWritten(nowMs float64, request *Request, link LinkSample)
 	// LinkMeasured records a measurement of a device's link.
 	LinkMeasured(nowMs float64, device string, link LinkSample)
-	// Drain ends the admission of new exchanges.
+	// Drain stops the admission of new exchanges.
 	Drain(nowMs float64)
 }
 
-// DeviceRequest identifies the exchange that a device request is a copy of.
+// DeviceRequest describes one transmission of a device request and identifies the exchange that it belongs to.
 type DeviceRequest struct {
-	// ID is the device, and Key its name for the exchange.
+	// ID identifies the device, and Key identifies the exchange among those of the device.
 	ID, Key string
 	// HeadDigest is the digest of the request without its body.
 	HeadDigest [32]byte
 	// BodyDigest is the digest of the body. It is set for a complete body only.
 	BodyDigest [32]byte
-	// Body is the complete body, or the bytes of Block.
+	// Body is the complete body or, if Block is set, the bytes of the block.
 	Body []byte
-	// Block is set for a part of an upload.
+	// Block is the position of Body in an upload that is sent in blocks. It is nil for a complete body.
 	Block *Block
-	// AgeMs is how long ago the device first sent the request. A negative value means that the device did not say.
+	// AgeMs is how long ago the device first sent the request. A negative value means unknown.
 	AgeMs float64
-	// PreviousGateway names the gateway that the device sent earlier copies to. The empty string means that it did not say.
+	// PreviousGateway is the name of the gateway that the device sent earlier transmissions to. The empty string means unknown.
 	PreviousGateway string
-	// Link is what the connection has measured since its last sample.
+	// Link holds the measurements of the connection since its last sample.
 	Link LinkSample
-	// BuildPayload returns the Request.Payload for a run of the exchange. Servers know each run by an id of its own.
+	// BuildPayload returns the Request.Payload for an execution of the exchange. id is the id under which servers know that
+	// execution; each execution has a different one.
 	BuildPayload func(id string, body []byte) any
 
-	// CopyID is the Deduplicator's number of the copy. 0 means that it was not submitted.
+	// CopyID is the number that the Deduplicator has assigned to this transmission. 0 means that it was not submitted.
 	CopyID uint64
 }
 
-// Block is the position of a part in its upload.
+// Block is the position of a block in an upload.
 type Block struct {
 	// Tag identifies the upload.
 	Tag string
-	// Offset is the position of the first byte.
+	// Offset is the position of the block's first byte in the upload.
 	Offset int
 	// More reports that further blocks follow.
 	More bool
-	// Total is the size of the upload. A negative value means that the device did not say.
+	// Total is the size of the upload in bytes. A negative value means unknown.
 	Total int
 }
 
-// LinkSample is what a connection to a device has measured since its last sample. A zero field means no measurement.
+// LinkSample holds what a connection to a device has measured since its last sample. A zero field means no measurement.
 type LinkSample struct {
 	RoundTripMs float64
-	// Bytes were delivered within TransferMs.
+	// Bytes is the number of bytes that were delivered within TransferMs.
 	Bytes      int
 	TransferMs float64
-	// MaxGapMs is the longest time without a byte within a message.
+	// MaxGapMs is the longest time between two consecutive bytes of a message.
 	MaxGapMs float64
 }
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -11,35 +11,36 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// EndpointUpdate is an update of the endpoint list, or of the state of its watch.
+// EndpointUpdate is an update of the endpoint list, or a change in the state of its watch.
 type EndpointUpdate struct {
 	Version uint64
 	Kind    scheduler.UpdateKind
 	Servers []*Server
-	// CompleteAsOfMs is the time before which no change is missing. If Kind is scheduler.WatchFailed, it is the start of the call.
+	// CompleteAsOfMs is a time such that the list contains every change made before it. If Kind is scheduler.WatchFailed, it is
+	// the time when the failed call started.
 	CompleteAsOfMs float64
-	// CallDurationMs is how long discovery took to respond to a call. It is set in the first update of a call and 0 in others.
+	// CallDurationMs is how long discovery took to respond to a call. It is set in the first update of a call only.
 	CallDurationMs float64
 	// Failure is set if Kind is scheduler.WatchFailed.
 	Failure CallFailure
 }
 
-// CallFailure classifies a failed call of discovery by what it proves.
+// CallFailure classifies a failed call to discovery by what the failure proves about the state of discovery.
 type CallFailure uint8
 
 // The kinds of failure.
 const (
-	// CallRejected means that discovery rejected or broke off the call: it is down, or it has too many callers.
+	// CallRejected means that discovery rejected or interrupted the call, because it is down or has too many callers.
 	CallRejected CallFailure = iota
-	// CallUnreachable means that nothing accepted the connection.
+	// CallUnreachable means that no connection to discovery could be established.
 	CallUnreachable
-	// CallInconclusive means that the call failed on this machine or exceeded its time, which proves nothing of discovery.
+	// CallInconclusive means that the call failed on this machine or timed out, which proves nothing about discovery.
 	CallInconclusive
 
 	callFailureCount = iota
 )
 
-// callFailureNames are the names that String returns.
+// callFailureNames holds the name of each failure, as String returns it.
 var callFailureNames = [callFailureCount]string{
 	CallRejected:     "rejected",
 	CallUnreachable:  "unreachable",
@@ -54,13 +55,13 @@
 	return "unknown"
 }
 
-// isSnapshot reports whether the update holds the complete endpoint list.
+// isSnapshot reports whether the update contains the complete endpoint list.
 func (u *EndpointUpdate) isSnapshot() bool {
 	return u.Kind == scheduler.Snapshot || u.Kind == scheduler.CachedSnapshot
 }
 
-// providesEndpoints reports whether requests can be served once the update is applied. An empty cached list from before the
-// start does not count.
+// providesEndpoints reports whether the gateway has a usable endpoint list once the update is applied. A cached snapshot, which
+// dates from before the start, is usable only if it lists a server.
 func (u *EndpointUpdate) providesEndpoints() bool {
 	switch u.Kind {
 	case scheduler.Delta, scheduler.Snapshot:
@@ -74,10 +75,10 @@
 // ServerCount returns the number of servers in the endpoint list.
 func (m *Manager) ServerCount() int { return len(m.serverIDs) }
 
-// Ready reports whether an endpoint list has been received that requests can be served by.
+// Ready reports whether a usable endpoint list has been received. Once true, it stays true.
 func (m *Manager) Ready() bool { return m.hasEndpoints }
 
-// UpdateEndpoints applies an update of the endpoint list. The Manager keeps the update's Servers.
+// UpdateEndpoints applies an update of the endpoint list. The Manager retains the entries in update.Servers.
 func (m *Manager) UpdateEndpoints(update EndpointUpdate) {
 	m.renewEndpointLease(update)
 	event := scheduler.EndpointUpdate{Version: update.Version, Kind: update.Kind, ValidUntil: m.endpointsValidUntil()}
@@ -103,8 +104,8 @@
 	m.endpointsChanged = true
 }
 
-// assignID gives an entry the id of its server, a new one if the server is new. It returns false for the removal of a server
-// that is not known, which can be ignored.
+// assignID sets the id of an entry to that of its server, or to a new id if the server is new. It returns false if the entry
+// removes an unknown server: such an entry can be ignored.
 func (m *Manager) assignID(server *Server) bool {
 	id := m.serverIDs[server.Name]
 	if id == 0 {
@@ -119,8 +120,9 @@
 	return true
 }
 
-// replaceEntry replaces the previous entry of a server. Attempts may hold that one: it closes if the server moved, and shares
-// the closed state of the new one otherwise. A closed entry is never opened again, because it may mean an earlier process.
+// replaceEntry replaces the previous entry of a server, which attempts may still hold. If the server has moved to another
+// address, the previous entry is closed; otherwise both entries share their closed state. A closed entry is never reopened,
+// because it may refer to an earlier process of the server.
 func (m *Manager) replaceEntry(server *Server) {
 	server.closed = &atomic.Bool{}
 	if previous := m.servers[server.id]; previous != nil {
@@ -144,8 +146,8 @@
 	}
 }
 
-// removeServer forgets a server. A server that replaces another has a name and id of its own, so that kept ones would
-// accumulate. Attempts keep their entries for as long as they need them.
+// removeServer deletes a server. Servers that replace others get new names and ids, so entries that are not deleted would
+// accumulate. Attempts hold their entries for as long as they need them.
 func (m *Manager) removeServer(server *Server) {
 	delete(m.servers, server.id)
 	delete(m.serverIDs, server.Name)
@@ -154,7 +156,7 @@
 	}
 }
 
-// renewEndpointLease renews the lease on the endpoint list by what an update proves.
+// renewEndpointLease renews the lease on the endpoint list if the update proves that no change is missing.
 func (m *Manager) renewEndpointLease(update EndpointUpdate) {
 	if m.endpointLease == nil {
 		return
@@ -168,10 +170,10 @@
 	case scheduler.WatchFailed:
 		m.recordCallFailure(update)
 	}
-	m.authorizer.SetEndpointsValidUntil(m.endpointLease.ExpiresAtMs())
+	m.authorizer.SetEndpointsValidUntilMs(m.endpointLease.ExpiresAtMs())
 }
 
-// recordCallFailure records a failed call of discovery at the lease.
+// recordCallFailure records a failed call to discovery in the endpoint lease.
 func (m *Manager) recordCallFailure(update EndpointUpdate) {
 	switch update.Failure {
 	case CallUnreachable:
@@ -181,7 +183,7 @@
 	}
 }
 
-// endpointsValidUntil returns when the endpoint list expires. 0 means never.
+// endpointsValidUntil returns the time when the endpoint list expires. 0 means never.
 func (m *Manager) endpointsValidUntil() time.Duration {
 	if m.endpointLease == nil {
 		return 0
@@ -199,7 +201,7 @@
 	})
 }
 
-// stepPeers reports changed endpoints to the peers and puts their events before those of the step.
+// stepPeers reports changes of the endpoint list to Peers and puts the events that Peers returns before the pending ones.
 func (m *Manager) stepPeers(nowMs float64) {
 	if m.endpointsChanged {
 		servers := slices.SortedFunc(maps.Values(m.servers), func(a, b *Server) int { return cmp.Compare(a.id, b.id) })
--- a/internal/lifecycle/endpoints_test.go
+++ b/internal/lifecycle/endpoints_test.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// An upstream that holds an attempt back must see that its server has drained, moved or been removed.
+// An upstream that has not sent an attempt yet must find out that the server is draining, has moved or was removed.
 func TestServerIsClosedByUpdates(t *testing.T) {
 	for name, change := range map[string]lifecycle.EndpointUpdate{
 		"draining": snapshot(scheduler.Draining),
@@ -21,22 +21,22 @@
 			first := snapshot(scheduler.Ready)
 			manager.UpdateEndpoints(first)
 			if first.Servers[0].Closed() {
-				t.Error("closed from the start")
+				t.Error("the entry of a ready server is closed, want open")
 			}
 			manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed})
 			manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Delta})
 			if first.Servers[0].Closed() {
-				t.Error("closed by a failed watch or an empty delta")
+				t.Error("a failed watch or an empty delta closed the entry")
 			}
 			if manager.UpdateEndpoints(change); !first.Servers[0].Closed() {
-				t.Error("not closed")
+				t.Error("the update did not close the entry")
 			}
 		})
 	}
 }
 
-// An attempt may hold an entry that a later one has replaced: a drain closes both. A server that comes back does not open the
-// entries of the earlier process.
+// An attempt may hold an entry that a later one has replaced. A drain closes both entries, and a server that becomes ready again
+// does not reopen them, because they refer to its earlier process.
 func TestReplacedEntryClosesWithItsServer(t *testing.T) {
 	manager := newManager(&scriptedScheduler{})
 	var entries []*lifecycle.Server
@@ -48,34 +48,34 @@
 	}
 	for i, want := range []bool{true, true, true, false} {
 		if entries[i].Closed() != want {
-			t.Errorf("entry %d: closed is %v", i, !want)
+			t.Errorf("entry %d: Closed() = %v, want the opposite", i, !want)
 		}
 	}
 }
 
-// A gateway is ready once it has a list that can be used: a cached one may be empty, and a watch may fail.
+// A gateway is ready once it has a usable endpoint list. An empty cached snapshot or a failed watch does not provide one.
 func TestReady(t *testing.T) {
 	manager := newManager(&scriptedScheduler{})
 	for _, update := range []lifecycle.EndpointUpdate{{Kind: scheduler.CachedSnapshot}, {Kind: scheduler.WatchFailed}} {
 		if manager.UpdateEndpoints(update); manager.Ready() {
-			t.Errorf("ready by %+v", update)
+			t.Errorf("the gateway is ready after the update %+v", update)
 		}
 	}
 	if manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}); !manager.Ready() {
-		t.Error("not ready though discovery has responded")
+		t.Error("the gateway is not ready after a snapshot from discovery")
 	}
 	manager = newManager(&scriptedScheduler{})
 	cached := snapshot(scheduler.Ready)
 	cached.Kind = scheduler.CachedSnapshot
 	if manager.UpdateEndpoints(cached); !manager.Ready() {
-		t.Error("not ready with a cached server")
+		t.Error("the gateway is not ready after a cached snapshot with a server")
 	}
 }
 
-// Servers come and go under ever new names: the state does not grow, and no id is used twice.
-func TestRemovedServersAreForgotten(t *testing.T) {
-	decisions := &scriptedScheduler{}
-	manager := newManager(decisions)
+// Servers are replaced again and again by servers with new names. The state must not grow, and no id may be used twice.
+func TestRemovedServersAreDeleted(t *testing.T) {
+	fakeScheduler := &scriptedScheduler{}
+	manager := newManager(fakeScheduler)
 	ids := map[scheduler.ServerID]bool{}
 	for i := range 1000 {
 		name := fmt.Sprint("s-", i)
@@ -84,27 +84,27 @@
 			{Name: name, State: scheduler.Removed},
 			{Name: "unknown", State: scheduler.Removed},
 		}}
-		if i%2 == 1 { // or the next snapshot lacks it
+		if i%2 == 1 { // every other server is removed by a snapshot that does not list it
 			removal = lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}
 		}
 		manager.UpdateEndpoints(removal)
 		manager.Step(float64(i))
-		for _, event := range decisions.events {
+		for _, event := range fakeScheduler.events {
 			for _, server := range event.(scheduler.EndpointUpdate).Servers {
 				ids[server.ID] = true
 			}
 		}
-		decisions.events = nil
+		fakeScheduler.events = nil
 	}
 	if count := manager.ServerCount(); count != 0 || len(ids) != 1000 {
-		t.Errorf("%d servers are left; %d ids", count, len(ids))
+		t.Errorf("%d servers are left, want none; %d ids were used, want 1000", count, len(ids))
 	}
 }
 
-// repeatedDelta returns a delta that lists servers s-0, s-1, ... once for each state.
-func repeatedDelta(names int, states ...scheduler.ServerState) (update lifecycle.EndpointUpdate) {
+// repeatedDelta returns a delta that lists the servers s-0, s-1, ... once for each of the given states.
+func repeatedDelta(serverCount int, states ...scheduler.ServerState) (update lifecycle.EndpointUpdate) {
 	for _, state := range states {
-		for i := range names {
+		for i := range serverCount {
 			update.Servers = append(update.Servers,
 				&lifecycle.Server{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Shard: i, State: state})
 		}
@@ -112,38 +112,38 @@
 	return update
 }
 
-// An update may list a server twice: the later entry counts, also for what holds the earlier one, and nothing is left of either
-// once the server is removed.
+// An update may list a server twice. The later entry determines the state of the server, also for holders of the earlier entry,
+// and no state is left once the server is removed.
 func TestUpdateWithDuplicateEntries(t *testing.T) {
-	const names = 200
-	decisions := &scriptedScheduler{}
-	manager := newManager(decisions)
-	update := repeatedDelta(names, scheduler.Ready, scheduler.Draining)
+	const serverCount = 200
+	fakeScheduler := &scriptedScheduler{}
+	manager := newManager(fakeScheduler)
+	update := repeatedDelta(serverCount, scheduler.Ready, scheduler.Draining)
 	manager.UpdateEndpoints(update)
 	manager.Step(0)
-	if manager.ServerCount() != names {
-		t.Errorf("%d servers, want %d", manager.ServerCount(), names)
+	if manager.ServerCount() != serverCount {
+		t.Errorf("%d servers are listed, want %d", manager.ServerCount(), serverCount)
 	}
 	for i, server := range update.Servers {
 		if !server.Closed() {
-			t.Fatalf("entry %d of a server that drains by a later one is open", i)
+			t.Fatalf("entry %d is open, although the later entry of its server is draining", i)
 		}
 	}
 	lastStates := map[scheduler.ServerID]scheduler.ServerState{}
-	for _, server := range decisions.events[0].(scheduler.EndpointUpdate).Servers {
+	for _, server := range fakeScheduler.events[0].(scheduler.EndpointUpdate).Servers {
 		lastStates[server.ID] = server.State
 	}
-	if len(lastStates) != names {
-		t.Errorf("the scheduler got %d servers", len(lastStates))
+	if len(lastStates) != serverCount {
+		t.Errorf("the scheduler got %d servers, want each of them", len(lastStates))
 	}
 	for id, state := range lastStates {
 		if state != scheduler.Draining {
-			t.Errorf("the last state of server %d is %v", id, state)
+			t.Errorf("the last state of server %d is %v, want draining", id, state)
 		}
 	}
-	manager.UpdateEndpoints(repeatedDelta(names, scheduler.Removed, scheduler.Removed))
+	manager.UpdateEndpoints(repeatedDelta(serverCount, scheduler.Removed, scheduler.Removed))
 	manager.Step(0)
 	if manager.ServerCount() != 0 {
-		t.Errorf("%d servers, and all are removed", manager.ServerCount())
+		t.Errorf("%d servers are left after the removal of all", manager.ServerCount())
 	}
 }
--- a/internal/lifecycle/environment.go
+++ b/internal/lifecycle/environment.go
@@ -6,7 +6,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Scheduler makes the decisions. *scheduler.Scheduler implements it.
+// Scheduler decides which actions follow from events. *scheduler.Scheduler implements it.
 type Scheduler interface {
 	Step(now time.Duration, events []scheduler.Event) []scheduler.Action
 }
@@ -14,13 +14,13 @@
 // Environment is what a Manager needs from the rest of the program. Its methods are called on the Manager's goroutine and must
 // not block.
 type Environment interface {
-	// SetTimer schedules a call of Manager.TimerFired at a time in milliseconds. It replaces the pending timer.
+	// SetTimer schedules a call to Manager.TimerFired at a time in milliseconds. It replaces the pending timer.
 	SetTimer(atMs float64)
-	// WatchEndpoints starts a watch of the endpoint list, which ends in calls of Manager.UpdateEndpoints.
+	// WatchEndpoints starts a watch of the endpoint list, whose updates are passed to Manager.UpdateEndpoints.
 	WatchEndpoints()
-	// ProbeServer starts a probe, which ends in one call of Manager.ProbeEnded.
+	// ProbeServer starts a probe of a server. Its result is passed to Manager.ProbeEnded once.
 	ProbeServer(server *Server)
-	// Log logs a line for the operators.
+	// Log logs a line for operators.
 	Log(text string)
 	// Count increments a counter.
 	Count(name string)
@@ -31,16 +31,16 @@
 // Peers coordinates this gateway with the others. Its methods are called on the Manager's goroutine; nowMs is the current time
 // in milliseconds.
 type Peers interface {
-	// BeginStep is called at the start of each step. It returns events that the scheduler has to see first, for instance because
-	// a lease has expired.
+	// BeginStep is called at the start of each step. It returns the events that the scheduler must get before all others, for
+	// instance because a lease has expired.
 	BeginStep(nowMs float64) []scheduler.Event
-	// ReportDemand records how much of a volume's limit this gateway could use.
+	// ReportDemand records how much of a volume's quota this gateway could use.
 	ReportDemand(nowMs float64, demand scheduler.QuotaDemand)
-	// EndpointsChanged records the servers in this gateway's endpoint list, in the order of their ids, and those removed from it
-	// since the last call.
+	// EndpointsChanged records the servers in this gateway's endpoint list, sorted by id, and the servers that were removed from
+	// it since the last call.
 	EndpointsChanged(nowMs float64, servers, removed []*Server)
 	// AttemptEnded records how an attempt at a server ended.
 	AttemptEnded(nowMs float64, server *Server, status scheduler.Status, latencyMs float64)
-	// QuotaExpiresMs returns when the first lease on a volume's quota expires. 0 means that none is held.
+	// QuotaExpiresMs returns the earliest expiry of the leases on a volume's quota. 0 means that no lease is held.
 	QuotaExpiresMs(volume scheduler.VolumeID) float64
 }
--- a/internal/lifecycle/fuzz_test.go
+++ b/internal/lifecycle/fuzz_test.go
@@ -7,34 +7,34 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// requestModel is what a request must look like from outside.
+// requestModel is the expected state of a request.
 type requestModel struct {
 	request       *lifecycle.Request
 	id            scheduler.RequestID
-	responses     int
-	done          bool   // it was responded to or canceled
-	attemptsEnded []bool // by number
+	responses     int    // number of responses that the request got
+	done          bool   // whether the request was responded to or canceled
+	attemptsEnded []bool // whether each attempt has ended, indexed by attempt number
 }
 
-// fuzzHarness runs a Manager beside a model of each of its requests.
+// fuzzHarness runs a Manager together with a model of each of its requests.
 type fuzzHarness struct {
-	t         *testing.T
-	manager   *lifecycle.Manager
-	decisions *scriptedScheduler
-	upstream  *recordingUpstream
-	models    []*requestModel
+	t             *testing.T
+	manager       *lifecycle.Manager
+	fakeScheduler *scriptedScheduler
+	upstream      *recordingUpstream
+	models        []*requestModel
 }
 
 func newFuzzHarness(t *testing.T) *fuzzHarness {
 	t.Helper()
-	h := &fuzzHarness{t: t, decisions: &scriptedScheduler{}, upstream: &recordingUpstream{}}
-	h.manager = newManager(h.decisions)
+	h := &fuzzHarness{t: t, fakeScheduler: &scriptedScheduler{}, upstream: &recordingUpstream{}}
+	h.manager = newManager(h.fakeScheduler)
 	h.manager.UpdateEndpoints(snapshot(scheduler.Ready))
 	h.manager.Step(0)
 	return h
 }
 
-// submit submits a further request.
+// submit submits a new request and adds a model of it.
 func (h *fuzzHarness) submit(nowMs float64) {
 	model := &requestModel{id: scheduler.RequestID(len(h.models) + 1)}
 	model.request = &lifecycle.Request{RemainingMs: 1000, Upstream: h.upstream,
@@ -44,7 +44,7 @@
 	h.manager.Step(nowMs)
 }
 
-// The operations on a request, by the lowest bits of a fuzzer's byte. 0 submits a further request.
+// The operations on a request, encoded in the lowest three bits of a byte of fuzzer input. 0 submits a new request.
 const (
 	opSend           = 1
 	opAttemptOK      = 2
@@ -57,14 +57,14 @@
 )
 
 // perform performs an operation on a request and its model. It returns the number of events that the scheduler must get. The
-// highest bits of the byte are the number of an attempt.
+// highest three bits of the operation are the number of an attempt.
 func (h *fuzzHarness) perform(nowMs float64, model *requestModel, operation byte) (wantEvents int) {
-	number := int(operation >> 5)
+	attempt := int(operation >> 5)
 	switch operation % opCount {
 	case opAttemptOK:
-		return h.completeAttempt(nowMs, model, number, scheduler.StatusOK)
+		return h.completeAttempt(nowMs, model, attempt, scheduler.StatusOK)
 	case opAttemptError:
-		return h.completeAttempt(nowMs, model, number, scheduler.StatusError)
+		return h.completeAttempt(nowMs, model, attempt, scheduler.StatusError)
 	case opClientCancel:
 		h.manager.Cancel(nowMs, model.request)
 		if model.done {
@@ -74,18 +74,18 @@
 		return 1
 	case opSend:
 		if !model.done {
-			h.decisions.actions = []scheduler.Action{scheduler.Send{ID: model.id, Server: 1}}
+			h.fakeScheduler.actions = []scheduler.Action{scheduler.Send{ID: model.id, Server: 1}}
 			model.attemptsEnded = append(model.attemptsEnded, false)
 		}
-	case opFail: // perhaps of a request that is done
-		h.decisions.actions = []scheduler.Action{scheduler.Fail{ID: model.id}}
+	case opFail: // the request may already be done
+		h.fakeScheduler.actions = []scheduler.Action{scheduler.Fail{ID: model.id}}
 		model.done = true
 	case opReject:
-		h.decisions.actions = []scheduler.Action{scheduler.Reject{ID: model.id}}
+		h.fakeScheduler.actions = []scheduler.Action{scheduler.Reject{ID: model.id}}
 		model.done = true
 	case opInvalidActions:
-		h.decisions.actions = []scheduler.Action{
-			scheduler.CancelAttempt{ID: model.id, Attempt: number},
+		h.fakeScheduler.actions = []scheduler.Action{
+			scheduler.CancelAttempt{ID: model.id, Attempt: attempt},
 			scheduler.ProbeServer{Server: 9},
 			scheduler.Send{ID: 999, Server: 1},
 			scheduler.Send{ID: model.id, Server: 99},
@@ -96,35 +96,36 @@
 	return 1
 }
 
-// completeAttempt ends an attempt, which may have ended before or not exist.
-func (h *fuzzHarness) completeAttempt(nowMs float64, model *requestModel, number int, status scheduler.Status) (wantEvents int) {
-	h.manager.Complete(nowMs, model.request, number, lifecycle.AttemptResult{Status: status})
-	if number >= len(model.attemptsEnded) || model.attemptsEnded[number] {
+// completeAttempt reports the end of an attempt that may not exist or may already have ended.
+func (h *fuzzHarness) completeAttempt(nowMs float64, model *requestModel, attempt int,
+	status scheduler.Status) (wantEvents int) {
+	h.manager.Complete(nowMs, model.request, attempt, lifecycle.AttemptResult{Status: status})
+	if attempt >= len(model.attemptsEnded) || model.attemptsEnded[attempt] {
 		return 0
 	}
-	model.attemptsEnded[number] = true
+	model.attemptsEnded[attempt] = true
 	model.done = model.done || status == scheduler.StatusOK
 	return 1
 }
 
-// checkStep checks what a step on a request has brought.
+// checkStep checks the events and the number of responses after an operation on a request.
 func (h *fuzzHarness) checkStep(step int, operation byte, model *requestModel, wantEvents int) {
 	h.t.Helper()
-	events := h.decisions.events
+	events := h.fakeScheduler.events
 	if len(events) != wantEvents {
-		h.t.Fatalf("step %d (%d): the scheduler got %v, want %d events", step, operation, events, wantEvents)
+		h.t.Fatalf("step %d, operation %d: the scheduler got the events %v, want %d events", step, operation, events, wantEvents)
 	}
 	if wantEvents == 1 {
 		if ended, ok := events[0].(scheduler.AttemptEnded); ok && (ended.RequestDone != model.done || ended.ID != model.id) {
-			h.t.Fatalf("step %d: %+v, done is %v", step, ended, model.done)
+			h.t.Fatalf("step %d: the scheduler got %+v, want RequestDone %v and the id of the request", step, ended, model.done)
 		}
 	}
 	if model.responses > 1 {
-		h.t.Fatalf("step %d: %d responses", step, model.responses)
+		h.t.Fatalf("step %d: the request got %d responses, want at most one", step, model.responses)
 	}
 }
 
-// checkTotals checks the open requests and the started attempts.
+// checkTotals checks the numbers of open requests and of started attempts.
 func (h *fuzzHarness) checkTotals() {
 	h.t.Helper()
 	open, started := 0, 0
@@ -133,17 +134,19 @@
 		if !model.done {
 			open++
 			if model.responses != 0 {
-				h.t.Fatalf("request %d is open and has %d responses", model.id, model.responses)
+				h.t.Fatalf("open request %d got %d responses, want none", model.id, model.responses)
 			}
 		}
 	}
 	if h.manager.OpenRequests() != open || len(h.upstream.started) != started {
-		h.t.Fatalf("%d open, want %d; %d started, want %d", h.manager.OpenRequests(), open, len(h.upstream.started), started)
+		h.t.Fatalf("%d requests are open, want %d; %d attempts were started, want %d",
+			h.manager.OpenRequests(), open, len(h.upstream.started), started)
 	}
 }
 
-// FuzzRequests checks random steps against a model of each request: it is open, responded to or canceled; whatever races, it
-// gets at most one response, and the scheduler learns of the end of each attempt once, and whether the request is done by then.
+// FuzzRequests performs random operations and checks the Manager against a model of each request. In whatever order operations
+// arrive, a request gets at most one response, and the scheduler is notified once of the end of each attempt, including whether
+// the request is done by then.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 5, 3})
 	f.Add([]byte{0, 1, 1, 2, 2, 10, 2, 4, 3, 5})
@@ -153,7 +156,7 @@
 		h := newFuzzHarness(t)
 		for step, operation := range operations {
 			nowMs := float64(step)
-			h.decisions.events = nil
+			h.fakeScheduler.events = nil
 			if operation%opCount == 0 || len(h.models) == 0 {
 				h.submit(nowMs)
 				continue
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -13,11 +13,11 @@
 type Options struct {
 	Scheduler   Scheduler
 	Environment Environment
-	// Deduplicator handles the requests of devices. If it is nil, they are handled like all others.
+	// Deduplicator handles device requests. If it is nil, they are handled like all other requests.
 	Deduplicator Deduplicator
 	// Peers coordinates with the other gateways. nil means that there are none.
 	Peers Peers
-	// EndpointLease bounds for how long an endpoint list is used that cannot be refreshed. nil means without a bound.
+	// EndpointLease limits how long the endpoint list is used while it cannot be refreshed. nil means without a limit.
 	EndpointLease *endpointlease.Lease
 	// Authorizer authorizes the first byte of each attempt. nil means NewAuthorizer(AuthorizerOptions{}).
 	Authorizer *Authorizer
@@ -26,14 +26,14 @@
 }
 
 // Manager owns the open requests and the endpoint list of one gateway. Create one with New. Its methods must be called from
-// one goroutine; what they report reaches the scheduler at the next Step. nowMs is the current time in milliseconds.
+// one goroutine. They queue events, which Step passes to the scheduler. nowMs is the current time in milliseconds.
 type Manager struct {
 	scheduler    Scheduler
 	environment  Environment
 	deduplicator Deduplicator
 	peers        Peers
 	authorizer   *Authorizer
-	// endpointLease is nil if the endpoint list may be used without a bound.
+	// endpointLease is nil if the endpoint list may be used without a time limit.
 	endpointLease *endpointlease.Lease
 	traceRequests bool
 
@@ -41,7 +41,7 @@
 	pendingEvents []scheduler.Event
 
 	requests map[scheduler.RequestID]*requestState
-	// requestsByClientID holds those of requests that have a ClientID.
+	// requestsByClientID holds the entries of requests that have a ClientID.
 	requestsByClientID map[string]*requestState
 	lastRequestID      scheduler.RequestID
 
@@ -91,8 +91,8 @@
 	return count
 }
 
-// Submit accepts a client's request. A request that is already canceled is ignored and not counted. A request of a device goes
-// to the Deduplicator, which submits what is to run.
+// Submit accepts a client's request. A request that is already canceled is ignored and not counted. A device request goes to the
+// Deduplicator, which submits a request for each execution that is needed.
 func (m *Manager) Submit(nowMs float64, request *Request) {
 	if request.canceled.Load() {
 		return
@@ -102,7 +102,7 @@
 		return
 	}
 	if request.ClientID != "" && m.requestsByClientID[request.ClientID] != nil {
-		// Servers know requests by this name. The client of the other request must get the response to its own.
+		// Servers identify requests by ClientID. The client of the open request must get the response to its own request only.
 		m.environment.Count(counterRequestsDuplicate)
 		request.Respond(Response{Kind: DuplicateID})
 		return
@@ -136,7 +136,7 @@
 	})
 }
 
-// nextRequestID returns an id that no open request has. After 2^32 requests ids wrap around.
+// nextRequestID returns an id that is not in use. Ids wrap around after 2^32 requests.
 func (m *Manager) nextRequestID() scheduler.RequestID {
 	m.lastRequestID++
 	for m.requests[m.lastRequestID] != nil {
@@ -145,7 +145,8 @@
 	return m.lastRequestID
 }
 
-// Cancel ends a request whose client no longer waits: it gets no response. It has no effect on a request that is done.
+// Cancel ends a request whose client no longer waits for the response, without a response. It has no effect on a request that
+// is done.
 func (m *Manager) Cancel(nowMs float64, request *Request) {
 	request.Cancel()
 	if request.Device != nil && m.deduplicator != nil {
@@ -163,13 +164,13 @@
 	m.releaseIfDone(state)
 }
 
-// BeginShutdown reports that the gateway shuts down, and by when every open request must have been responded to. That bounds
-// also requests from before the shutdown, whose deadlines may be later than the end of the program.
+// BeginShutdown reports that the gateway is shutting down and must respond to every open request by deadlineMs. The deadline also
+// applies to requests from before the shutdown, whose own deadlines may be later than the exit of the program.
 func (m *Manager) BeginShutdown(deadlineMs float64) {
 	m.pendingEvents = append(m.pendingEvents, scheduler.ShutdownStarted{Deadline: clock.Duration(deadlineMs)})
 }
 
-// Step passes the events since the last step to the scheduler and executes its actions in their order.
+// Step passes the events since the last step to the scheduler and executes the actions that it returns, in order.
 func (m *Manager) Step(nowMs float64) {
 	if m.peers != nil {
 		m.stepPeers(nowMs)
@@ -210,6 +211,6 @@
 	case scheduler.Log:
 		m.environment.Log(action.Text)
 	default:
-		m.environment.Log(fmt.Sprintf("unknown action %T", action))
+		m.environment.Log(fmt.Sprintf("ignoring a scheduler action of unknown type %T", action))
 	}
 }
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// scriptedScheduler returns the actions that a test has set, and records the events that it gets.
+// scriptedScheduler returns once the actions that a test has set, and records the events that it gets.
 type scriptedScheduler struct {
 	actions []scheduler.Action
 	events  []scheduler.Event
@@ -21,7 +21,7 @@
 	return actions
 }
 
-// fakeEnvironment ignores everything.
+// fakeEnvironment is a lifecycle.Environment that ignores all calls.
 type fakeEnvironment struct{}
 
 func (fakeEnvironment) SetTimer(float64)              {}
@@ -31,7 +31,7 @@
 func (fakeEnvironment) Count(string)                  {}
 func (fakeEnvironment) Trace(string, ...any)          {}
 
-// recordingUpstream records the attempts that are started.
+// recordingUpstream records the attempts that it starts, and never completes them.
 type recordingUpstream struct{ started []lifecycle.Attempt }
 
 func (u *recordingUpstream) Start(attempt lifecycle.Attempt) func() {
@@ -40,11 +40,11 @@
 }
 
 // newManager returns a manager in a fakeEnvironment.
-func newManager(decisions lifecycle.Scheduler) *lifecycle.Manager {
-	return lifecycle.New(lifecycle.Options{Scheduler: decisions, Environment: fakeEnvironment{}})
+func newManager(fakeScheduler lifecycle.Scheduler) *lifecycle.Manager {
+	return lifecycle.New(lifecycle.Options{Scheduler: fakeScheduler, Environment: fakeEnvironment{}})
 }
 
-// snapshot returns a snapshot of servers a, b, ... in the given states.
+// snapshot returns a snapshot of servers that are named a, b, ... and have the given states.
 func snapshot(states ...scheduler.ServerState) (update lifecycle.EndpointUpdate) {
 	update.Kind = scheduler.Snapshot
 	for i, state := range states {
@@ -53,48 +53,51 @@
 	return update
 }
 
-// A client may cancel before the loop has handled its request.
+// A client may cancel a request before the Manager gets it. The request must then be ignored.
 func TestCancelBeforeSubmit(t *testing.T) {
-	decisions := &scriptedScheduler{}
-	manager := newManager(decisions)
-	request := &lifecycle.Request{Respond: func(lifecycle.Response) { t.Error("got a response") }}
+	fakeScheduler := &scriptedScheduler{}
+	manager := newManager(fakeScheduler)
+	request := &lifecycle.Request{Respond: func(lifecycle.Response) { t.Error("a canceled request got a response") }}
 	manager.Cancel(0, request)
 	manager.Submit(1, request)
-	if manager.Step(1); len(decisions.events) != 0 || manager.OpenRequests() != 0 {
-		t.Errorf("the scheduler got %v", decisions.events)
+	if manager.Step(1); len(fakeScheduler.events) != 0 || manager.OpenRequests() != 0 {
+		t.Errorf("the request was canceled: the scheduler got the events %v, want none, and no open request", fakeScheduler.events)
 	}
 }
 
-// A request with the ClientID of an open request is rejected, and the open one gets its own response only. The ClientID is
-// free again once the open request is done and all its attempts have ended.
+// A request with the ClientID of an open request gets the response DuplicateID, without an effect on the open request. The
+// ClientID can be used again once the open request is done and all its attempts have ended.
 func TestDuplicateClientID(t *testing.T) {
-	decisions, upstream := &scriptedScheduler{}, &recordingUpstream{}
-	manager := newManager(decisions)
+	fakeScheduler, upstream := &scriptedScheduler{}, &recordingUpstream{}
+	manager := newManager(fakeScheduler)
 	manager.UpdateEndpoints(snapshot(scheduler.Ready))
 	manager.Step(0)
 	var responses []lifecycle.ResponseKind
 	submit := func() *lifecycle.Request {
 		request := &lifecycle.Request{ClientID: "a", RemainingMs: 100, Upstream: upstream,
 			Respond: func(response lifecycle.Response) { responses = append(responses, response.Kind) }}
-		decisions.events = nil
+		fakeScheduler.events = nil
 		manager.Submit(1, request)
 		manager.Step(1)
 		return request
 	}
 
 	first := submit()
-	decisions.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}}
+	fakeScheduler.actions = []scheduler.Action{scheduler.Send{ID: 1, Server: 1}}
 	manager.TimerFired()
 	manager.Step(1)
-	if submit(); len(decisions.events) != 0 || len(responses) != 1 || responses[0] != lifecycle.DuplicateID {
-		t.Errorf("the first request is open: the scheduler got %v; responses %v", decisions.events, responses)
+	if submit(); len(fakeScheduler.events) != 0 || len(responses) != 1 || responses[0] != lifecycle.DuplicateID {
+		t.Errorf("the first request is open: the scheduler got the events %v, want none; responses %v, want one duplicate_id",
+			fakeScheduler.events, responses)
 	}
 	manager.Cancel(0, first)
-	if submit(); len(decisions.events) != 1 || len(responses) != 2 {
-		t.Errorf("an attempt of the first request is in flight: the scheduler got %v; responses %v", decisions.events, responses)
+	if submit(); len(fakeScheduler.events) != 1 || len(responses) != 2 {
+		t.Errorf("the canceled request has an attempt in flight: the scheduler got %v, want one event; responses %v, want two",
+			fakeScheduler.events, responses)
 	}
 	manager.Complete(2, first, 0, lifecycle.AttemptResult{Status: scheduler.StatusOK})
 	if submit(); len(responses) != 2 || manager.OpenRequests() != 1 {
-		t.Errorf("the ClientID is free: responses %v, %d open", responses, manager.OpenRequests())
+		t.Errorf("the ClientID is not in use: responses %v, want two; %d open requests, want one",
+			responses, manager.OpenRequests())
 	}
 }
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -6,30 +6,30 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Request is a client request. The frontend that received it fills in the exported fields before it submits the request.
+// Request is a client request. The frontend that received it sets the exported fields before it submits the request.
 type Request struct {
-	// ClientID is the name by which clients and servers know the request. At most one open request has a given ClientID. The
-	// empty string means that the request has no such name.
+	// ClientID is the id by which the client and the servers identify the request. It is unique among the open requests. The
+	// empty string means that the request has no such id.
 	ClientID string
 	// Class and Plan are names from the scheduler's settings.
 	Class, Plan string
-	// Volume is the volume that the request draws on.
+	// Volume is the id of the volume that the request belongs to.
 	Volume uint64
-	// Key is the piece of data that the request works on, or scheduler.NoKey.
+	// Key is the key of the data that the request accesses, or scheduler.NoKey.
 	Key uint64
-	// RemainingMs is the time until the client's deadline, from the submission on.
+	// RemainingMs is the time from the submission of the request to the client's deadline.
 	RemainingMs float64
-	// ClientDelayMs is how much of the client's time had passed when the request arrived. 0 means that it is not known.
+	// ClientDelayMs is the time that the request took to arrive, which counts against the client's time. 0 means unknown.
 	ClientDelayMs float64
-	// Units is the size of the request.
+	// Units is the size of the request in the units of the scheduler.
 	Units float64
-	// Shard is the shard that holds the data, or -1 for a new object, which any server may take.
+	// Shard is the shard that holds the data, or -1 for a new object, which any shard may take.
 	Shard int
-	// Gateways is the number of gateways through which the volume's requests come.
+	// Gateways is the number of gateways that receive requests of the volume. 0 means all.
 	Gateways int
 	// IsRetry reports that the client marked the request as a retry.
 	IsRetry bool
-	// IsFirstAttempt reports that the request is known not to be a retry, however little time it has left.
+	// IsFirstAttempt reports that the request is known not to be a retry. Its age is then not estimated from its remaining time.
 	IsFirstAttempt bool
 
 	// Device identifies the exchange of a device request. It is nil for other requests.
@@ -39,22 +39,22 @@
 	Upstream Upstream
 	// Payload is what Upstream sends. It is opaque to this package.
 	Payload any
-	// Respond receives the one final response, unless the request is canceled first. It is called on the Manager's goroutine
-	// and must not block.
+	// Respond is called with the one final response, unless the request is canceled first. It is called on the Manager's
+	// goroutine and must not block.
 	Respond func(Response)
-	// ClientDisconnected reports whether the client has disconnected, even if nothing has noticed it yet. It must be safe for
-	// concurrent use. nil means that it cannot be known.
+	// ClientDisconnected reports whether the client has disconnected, possibly before Cancel is called for that reason. It must
+	// be safe for concurrent use. nil means that this cannot be determined.
 	ClientDisconnected func() bool
 
 	id       scheduler.RequestID
 	canceled atomic.Bool
 }
 
-// Cancel marks the request as one whose response nobody waits for. It may be called at any time from any goroutine, and takes
-// effect at once: an attempt that waits for its connection may be about to start.
+// Cancel marks the request as canceled: its client no longer waits for the response. It may be called at any time from any
+// goroutine. It takes effect at once, because an attempt that waits for a connection may be about to start.
 func (r *Request) Cancel() { r.canceled.Store(true) }
 
-// Canceled reports whether nobody waits for the response. It may be called from any goroutine.
+// Canceled reports whether the request was canceled or its client has disconnected. It may be called from any goroutine.
 func (r *Request) Canceled() bool {
 	return r.canceled.Load() || r.ClientDisconnected != nil && r.ClientDisconnected()
 }
--- a/internal/lifecycle/timer.go
+++ b/internal/lifecycle/timer.go
@@ -7,8 +7,9 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// timerRoundingError exceeds what a time loses on its way to a timer and back as float64 milliseconds since the epoch.
-const timerRoundingError = time.Microsecond
+// maxTimerRoundingError exceeds the rounding error of a time that is converted to float64 milliseconds since the epoch, as timers
+// take it, and back.
+const maxTimerRoundingError = time.Microsecond
 
 // setTimer schedules the scheduler's next TimerFired event.
 func (m *Manager) setTimer(at time.Duration) {
@@ -16,18 +17,18 @@
 	m.environment.SetTimer(clock.Ms(at))
 }
 
-// TimerFired reports that the time of Environment.SetTimer has come.
+// TimerFired records that the timer of Environment.SetTimer has fired.
 func (m *Manager) TimerFired() {
 	m.timerFired = true
 	m.pendingEvents = append(m.pendingEvents, scheduler.TimerFired{})
 }
 
-// stepTime returns the time of a step. The step of a timer is never before the time that the scheduler asked for: rounding
-// can make it a few hundred nanoseconds too early, and the scheduler, which then still waits for that time, would not ask for
-// another timer. Its queued requests would wait until something else happens.
+// stepTime returns the time that the scheduler gets in a step. Rounding can make a timer fire a few hundred nanoseconds before
+// the time that the scheduler asked for. The scheduler would go on waiting for that time without setting another timer, and its
+// queued requests would wait until another event arrives. The step therefore gets the time that the scheduler asked for.
 func (m *Manager) stepTime(nowMs float64) time.Duration {
 	now := clock.Duration(nowMs)
-	if m.timerFired && now < m.timerAt && m.timerAt-now < timerRoundingError {
+	if m.timerFired && now < m.timerAt && m.timerAt-now < maxTimerRoundingError {
 		now = m.timerAt
 	}
 	m.timerFired = false
--- a/internal/lifecycle/timer_test.go
+++ b/internal/lifecycle/timer_test.go
@@ -8,7 +8,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// timerScheduler asks for one timer and waits for its time and for nothing else, as the real scheduler does.
+// timerScheduler sets one timer, and records whether its time was reached when the timer fired. Like the real scheduler, it does
+// not set another one if the timer fires too early.
 type timerScheduler struct {
 	at      time.Duration
 	reached bool
@@ -22,7 +23,7 @@
 	return []scheduler.Action{scheduler.SetTimer{At: s.at}}
 }
 
-// timerEnvironment records the time of the last timer.
+// timerEnvironment records the time of the last timer that was set.
 type timerEnvironment struct {
 	fakeEnvironment
 	timerMs float64
@@ -30,16 +31,16 @@
 
 func (e *timerEnvironment) SetTimer(atMs float64) { e.timerMs = atMs }
 
-// A time since the epoch loses some hundred nanoseconds as float64 milliseconds. A timer that fires at the time that was asked
-// for is never seen as one that is too early; one that is too early by more is.
+// A time since the epoch is rounded by some hundred nanoseconds when it is converted to float64 milliseconds. A timer that fires
+// at the rounded time must count as on time, and one that fires earlier than that as too early.
 func TestTimerIsNotEarlyByRounding(t *testing.T) {
 	roundedDown := 0
 	for i := range time.Duration(2000) {
-		decisions, environment := &timerScheduler{at: 1_796_000_000_123_456_789 + 7*i}, &timerEnvironment{}
-		manager := lifecycle.New(lifecycle.Options{Scheduler: decisions, Environment: environment})
+		fakeScheduler, environment := &timerScheduler{at: 1_796_000_000_123_456_789 + 7*i}, &timerEnvironment{}
+		manager := lifecycle.New(lifecycle.Options{Scheduler: fakeScheduler, Environment: environment})
 		manager.UpdateEndpoints(lifecycle.EndpointUpdate{})
 		manager.Step(1.796e12)
-		if time.Duration(environment.timerMs*1e6) < decisions.at {
+		if time.Duration(environment.timerMs*1e6) < fakeScheduler.at {
 			roundedDown++
 		}
 		onTime := i%2 == 0
@@ -49,11 +50,12 @@
 		} else {
 			manager.Step(environment.timerMs - 0.01)
 		}
-		if decisions.reached != onTime {
-			t.Fatalf("asked for %d, at %v ms: reached is %v", decisions.at, environment.timerMs, decisions.reached)
+		if fakeScheduler.reached != onTime {
+			t.Fatalf("timer for %d ns, set for %v ms: reached is %v, want the opposite",
+				fakeScheduler.at, environment.timerMs, fakeScheduler.reached)
 		}
 	}
 	if roundedDown == 0 {
-		t.Error("no time was rounded down")
+		t.Error("no time was rounded down, so the test covers nothing")
 	}
 }
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -5,16 +5,16 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Keys of fields of this package's trace events, besides those of package logevent.
+// Keys of the fields of this package's trace events, in addition to those of package logevent.
 const (
-	fieldRequestID   = "id" // the scheduler's id
+	fieldRequestID   = "id" // id of the request in the scheduler
 	fieldClass       = "class"
 	fieldShard       = "shard"
 	fieldRemainingMs = "left_ms"
 	fieldVerdict     = "verdict"
 )
 
-// traceAccepted traces that a request was opened.
+// traceAccepted traces that a request was accepted.
 func (m *Manager) traceAccepted(request *Request) {
 	if m.traceRequests {
 		m.environment.Trace(logevent.RequestAccepted, logevent.Request, request.ClientID, fieldRequestID, request.id,
@@ -37,7 +37,7 @@
 	}
 }
 
-// traceAttemptStarted traces that an attempt was handed to its upstream.
+// traceAttemptStarted traces that an attempt is passed to its Upstream.
 func (m *Manager) traceAttemptStarted(request *Request, number int, server *Server) {
 	if m.traceRequests {
 		m.environment.Trace(logevent.AttemptStarted, logevent.Request, request.ClientID, fieldRequestID, request.id,
--- a/internal/lifecycle/upstream.go
+++ b/internal/lifecycle/upstream.go
@@ -4,7 +4,8 @@
 
 // Upstream carries out attempts over one wire protocol.
 type Upstream interface {
-	// Start starts an attempt without blocking. Each attempt ends in one Manager.Complete. cancel may be called at any time.
+	// Start starts an attempt without blocking. The Upstream calls Manager.Complete once for each attempt, canceled ones included.
+	// cancel may be called at any time.
 	Start(attempt Attempt) (cancel func())
 }
 
@@ -14,22 +15,22 @@
 	// Number counts the attempts of the request from 0.
 	Number int
 	Server *Server
-	// DeadlineMs is when to stop waiting for the response.
+	// DeadlineMs is the time from which on the response is not awaited any more.
 	DeadlineMs float64
-	// StartDeadlineMs is when the first byte must have been sent: what the attempt relies on, such as a quota lease, ends then.
-	// 0 means that there is no such time.
+	// StartDeadlineMs is the time from which on the first byte must not be sent, because something that the attempt depends on,
+	// such as a quota lease, expires then. 0 means that there is no such time.
 	StartDeadlineMs float64
-	// Authorizer bounds the use of the endpoint list. nil means that it has no bound.
+	// Authorizer limits how long the endpoint list may be used. nil means without a limit.
 	Authorizer *Authorizer
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Status scheduler.Status
-	// VolumeUsage is the use of the volume as a fraction of its plan's rate. It is valid if HasVolumeUsage is set.
+	// VolumeUsage is the usage of the volume as a fraction of its plan's rate. It is valid if HasVolumeUsage is set.
 	VolumeUsage    float64
 	HasVolumeUsage bool
-	// ForeignUnits and LoadReport are those of scheduler.AttemptEnded.
+	// ForeignUnits and LoadReport have the meaning of the fields of scheduler.AttemptEnded with the same names.
 	ForeignUnits float64
 	LoadReport   []float64
 	// Body becomes Response.Body if Status is scheduler.StatusOK.
