--- a/internal/eventloop/environment.go
+++ b/internal/eventloop/environment.go
@@ -10,7 +10,7 @@
 // environment is the lifecycle.Environment of a Loop. Its methods run on the loop's goroutine.
 type environment struct{ loop *Loop }
 
-// SetTimer implements lifecycle.Environment. A time in the past fires at once.
+// SetTimer implements lifecycle.Environment. A timer for a time in the past fires at once.
 func (e environment) SetTimer(atMs float64) {
 	e.loop.stopTimer()
 	options := &e.loop.options
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,11 +1,11 @@
 // Package eventloop runs the one goroutine that owns the state of requests (package lifecycle) and the scheduler. All other
-// goroutines reach them through its bounded inbox.
+// goroutines access them through the bounded inbox of the loop.
 //
-// What waits in the inbox is handled together, in its order, and then the scheduler steps once. The loop itself never waits for
-// another goroutine, so a full inbox soon has room again.
+// In each step the loop handles all tasks that wait in the inbox, in order, and then steps the scheduler once. The loop itself
+// never waits for another goroutine, so a full inbox soon has room again.
 //
 // Methods of Loop may be called from any goroutine unless their comments say otherwise. The caller of Run owns the goroutine.
-// Once Run has returned, nothing that is still in the inbox or posted later is handled.
+// Tasks that are in the inbox when Run returns, or that are posted later, are not handled.
 package eventloop
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	// inboxSize bounds the tasks that wait for the loop.
+	// inboxSize is the maximum number of tasks that wait for the loop.
 	inboxSize = 4096
-	// requestInboxSize is from how many waiting tasks on new requests are rejected, so that the ends of attempts, which must
-	// not be lost, soon have room.
-	requestInboxSize = inboxSize * 3 / 4
+	// requestInboxLimit is the number of waiting tasks above which new requests are rejected. The rest of the inbox is reserved
+	// for other tasks such as the ends of attempts, which must not be lost and should not wait long for room.
+	requestInboxLimit = inboxSize * 3 / 4
 )
 
 // Options are the collaborators of a Loop. Scheduler, Clock and Metrics are required. The functions are called on the loop's
@@ -34,7 +34,7 @@
 	Clock     clock.Clock
 	Metrics   *metrics.Registry
 
-	// Deduplicator, Peers, EndpointLease and Authorizer are those of lifecycle.Options; each may be nil.
+	// Deduplicator, Peers, EndpointLease and Authorizer are passed on to lifecycle.Options. Each may be nil.
 	Deduplicator  lifecycle.Deduplicator
 	Peers         lifecycle.Peers
 	EndpointLease *endpointlease.Lease
@@ -42,13 +42,13 @@
 
 	// WatchEndpoints starts a watch of the endpoint list.
 	WatchEndpoints func()
-	// ProbeServer starts a probe of a server, which ends in one call of Loop.ProbeEnded.
+	// ProbeServer starts a probe of a server. Its result must be passed to Loop.ProbeEnded once.
 	ProbeServer func(server *lifecycle.Server)
-	// OnReady is called once, when the gateway can serve requests.
+	// OnReady is called once, as soon as the gateway can serve requests.
 	OnReady func()
 }
 
-// setDefaults replaces the functions that are nil.
+// setDefaults replaces nil functions by functions that do nothing.
 func (o *Options) setDefaults() {
 	if o.WatchEndpoints == nil {
 		o.WatchEndpoints = func() {}
@@ -70,7 +70,7 @@
 	manager *lifecycle.Manager
 	inbox   chan task
 	done    chan struct{} // closed when Run returns
-	// stopTimer stops the pending timer of the scheduler. It belongs to the loop's goroutine.
+	// stopTimer stops the pending timer of the scheduler. It is used on the loop's goroutine only.
 	stopTimer func()
 
 	ready        atomic.Bool
@@ -106,15 +106,15 @@
 	}
 }
 
-// step handles a task and all that wait behind it, and then steps the scheduler.
+// step handles first and all tasks that wait in the inbox, and then steps the scheduler.
 func (l *Loop) step(first task) {
 	nowMs := l.options.Clock.NowMs()
 	first(nowMs)
-	for n := len(l.inbox); n > 0; n-- {
+	for waiting := len(l.inbox); waiting > 0; waiting-- {
 		(<-l.inbox)(nowMs)
 	}
-	// The clock is read again, because a timer that has fired meanwhile is for a later time than nowMs. The scheduler would
-	// take it for one that is too early, and never ask for another.
+	// The clock is read again, because a timer may have fired since nowMs. At nowMs the scheduler would regard that timer as too
+	// early and never set another one.
 	l.manager.Step(l.options.Clock.NowMs())
 	if l.manager.Ready() && !l.ready.Swap(true) {
 		l.options.OnReady()
@@ -122,10 +122,10 @@
 	l.openRequests.Store(int64(l.manager.OpenRequests()))
 }
 
-// post puts a task into the inbox, and waits while that is full. It returns false if the loop has ended.
+// post puts a task into the inbox. It waits while the inbox is full, and returns false if the loop has ended.
 func (l *Loop) post(t task) bool {
 	select {
-	case <-l.done: // an ended loop leaves its inbox unread, even if that has room
+	case <-l.done: // checked first, because the inbox of an ended loop is not read even if it has room
 		return false
 	default:
 	}
@@ -146,8 +146,8 @@
 	return l.options.Clock.AfterFunc(ms, func() { l.post(f) })
 }
 
-// Sync returns once all that was posted before has been handled and the scheduler has stepped, or the loop has ended. It must
-// not be called on the loop's goroutine.
+// Sync waits until all tasks that were posted before it have been handled and the scheduler has stepped, or the loop has ended.
+// It must not be called on the loop's goroutine.
 func (l *Loop) Sync() {
 	for range 2 { // the second task is handled after the step that follows the first
 		handled := make(chan struct{})
@@ -156,13 +156,13 @@
 		}
 		select {
 		case <-handled:
-		case <-l.done: // the loop may have ended with the task in its inbox
+		case <-l.done: // the loop may have ended without handling the task
 			return
 		}
 	}
 }
 
-// Ready reports whether the gateway can serve requests. Once true, it stays so.
+// Ready reports whether the gateway can serve requests. Once true, it stays true.
 func (l *Loop) Ready() bool { return l.ready.Load() }
 
 // OpenRequests returns the number of open requests as of the last step.
--- a/internal/eventloop/requests.go
+++ b/internal/eventloop/requests.go
@@ -7,25 +7,26 @@
 
 // Submit submits a request. It returns false, without effect, if the inbox has no room for requests or the loop has ended.
 func (l *Loop) Submit(request *lifecycle.Request) bool {
-	if len(l.inbox) > requestInboxSize {
+	if len(l.inbox) > requestInboxLimit {
 		return false
 	}
 	return l.post(func(nowMs float64) { l.manager.Submit(nowMs, request) })
 }
 
-// SubmitOnLoop submits a request without a pass through the inbox. It must be called on the loop's goroutine, as the
-// Deduplicator is.
+// SubmitOnLoop submits a request directly instead of through the inbox. It must be called on the loop's goroutine, where the
+// Deduplicator runs.
 func (l *Loop) SubmitOnLoop(nowMs float64, request *lifecycle.Request) {
 	l.manager.Submit(nowMs, request)
 }
 
-// Cancel ends a request whose client no longer waits: it gets no response. Request.Canceled is true when Cancel returns.
+// Cancel ends a request whose client no longer waits for the response, without a response. Request.Canceled returns true from
+// then on.
 func (l *Loop) Cancel(request *lifecycle.Request) {
 	request.Cancel()
 	l.post(func(nowMs float64) { l.manager.Cancel(nowMs, request) })
 }
 
-// Complete records how an attempt ended. A second end of the same attempt is ignored.
+// Complete records how an attempt ended. Further calls for the same attempt are ignored.
 func (l *Loop) Complete(attempt lifecycle.Attempt, result lifecycle.AttemptResult) {
 	l.post(func(nowMs float64) { l.manager.Complete(nowMs, attempt.Request, attempt.Number, result) })
 }
@@ -40,13 +41,13 @@
 	l.post(func(float64) { l.manager.UpdateEndpoints(update) })
 }
 
-// BeginShutdown reports that the gateway shuts down, and by when every open request must have been responded to.
+// BeginShutdown reports that the gateway is shutting down and must respond to every open request by deadlineMs.
 func (l *Loop) BeginShutdown(deadlineMs float64) {
 	l.post(func(float64) { l.manager.BeginShutdown(deadlineMs) })
 }
 
-// ResponseWritten records that the response to a device's request was written completely to its connection. Options.Deduplicator
-// must be set.
+// ResponseWritten records that the complete response to a device request was written to its connection. Options.Deduplicator must
+// be set.
 func (l *Loop) ResponseWritten(request *lifecycle.Request, link lifecycle.LinkSample) {
 	l.post(func(nowMs float64) { l.options.Deduplicator.ResponseWritten(nowMs, request, link) })
 }
@@ -56,7 +57,7 @@
 	l.post(func(nowMs float64) { l.options.Deduplicator.LinkMeasured(nowMs, device, link) })
 }
 
-// DrainDeduplicator ends the admission of new exchanges of devices. It has no effect if Options.Deduplicator is nil.
+// DrainDeduplicator stops the admission of new device exchanges. It has no effect if Options.Deduplicator is nil.
 func (l *Loop) DrainDeduplicator() {
 	l.post(func(nowMs float64) {
 		if l.options.Deduplicator != nil {
--- a/internal/permission/permission.go
+++ b/internal/permission/permission.go
@@ -1,6 +1,6 @@
-// Package permission authorizes the first byte of an attempt. It is the only place that decides whether an attempt may
-// start, at the moment of its first byte: whatever the scheduler decided before, and however long the attempt has waited
-// since, has to hold at that moment.
+// Package permission authorizes the first byte of an attempt. It alone decides whether an attempt may start. The decision is made
+// right before the first byte is sent, because the conditions under which the scheduler started the attempt may have changed while
+// the attempt waited, for instance for a connection.
 //
 // Package permission owns no goroutine, performs no I/O and reads no clock: callers collect the Conditions.
 package permission
@@ -18,20 +18,20 @@
 	ClientCanceled
 	// ServerUnavailable means that the endpoint list reports the server as draining, removed or moved to another address.
 	ServerUnavailable
-	// LeaseExpired means that the endpoint list could not be refreshed in time.
+	// LeaseExpired means that the lease on the endpoint list has expired, because the list could not be refreshed in time.
 	LeaseExpired
 	// UpdatePending means that an update of the endpoint list has arrived and is not applied yet.
 	UpdatePending
-	// StartDeadlineExceeded means that what the attempt relies on, such as the servers' window for dropping duplicates or a
-	// quota lease, has ended.
+	// StartDeadlineExceeded means that something that the attempt depends on has expired, such as the deduplication window of
+	// the servers or a quota lease.
 	StartDeadlineExceeded
-	// DeadlineExceeded means that less than a millisecond is left of the client's time.
+	// DeadlineExceeded means that less than a millisecond remains until the client's deadline.
 	DeadlineExceeded
 
 	denialCount = iota
 )
 
-// denialNames are parts of counters' names.
+// denialNames holds the name of each denial, which is also part of counter names.
 var denialNames = [denialCount]string{
 	Allowed:               "allowed",
 	ClientCanceled:        "client_canceled",
@@ -50,30 +50,30 @@
 	return "unknown"
 }
 
-// IsIndependentOfServer reports whether the denial says nothing about the state of the server.
+// IsIndependentOfServer reports whether the denial implies nothing about the state of the server.
 func (d Denial) IsIndependentOfServer() bool {
 	return d == LeaseExpired || d == UpdatePending || d == DeadlineExceeded
 }
 
-// Conditions describe an attempt at one moment. All times are in milliseconds on the gateway's clock.
+// Conditions describe an attempt at one point in time. All times are in milliseconds on the gateway's clock.
 type Conditions struct {
-	// NowMs is the moment that the conditions describe.
+	// NowMs is the current time, which the other conditions refer to.
 	NowMs float64
 	// ClientCanceled reports that the client no longer waits for a response.
 	ClientCanceled bool
-	// ServerUnavailable reports that the server is draining, removed or moved.
+	// ServerUnavailable reports that the server is draining, removed or moved to another address.
 	ServerUnavailable bool
 	// LeaseExpiresAtMs is the time from which on the endpoint list must not be used.
 	LeaseExpiresAtMs float64
-	// UpdatePending reports that an update of the endpoint list has arrived and could not be applied.
+	// UpdatePending reports that an update of the endpoint list has arrived and is not applied yet.
 	UpdatePending bool
 	// StartDeadlineMs is the time from which on the attempt must not start. 0 means that there is none.
 	StartDeadlineMs float64
-	// DeadlineMs is when the client's time ends.
+	// DeadlineMs is the client's deadline.
 	DeadlineMs float64
 }
 
-// Authorize decides whether the first byte of an attempt may be sent. It returns Allowed or the first reason against it.
+// Authorize decides whether the first byte of an attempt may be sent. It returns Allowed or the first reason for a denial.
 func Authorize(conditions Conditions) Denial {
 	switch {
 	case conditions.ClientCanceled:
--- a/internal/permission/permission_test.go
+++ b/internal/permission/permission_test.go
@@ -23,13 +23,14 @@
 		{"one millisecond left", func(c *Conditions) { c.DeadlineMs = 101 }, Allowed},
 		{"less than a millisecond left", func(c *Conditions) { c.DeadlineMs = 100.9 }, DeadlineExceeded},
 		{"no time left", func(c *Conditions) { c.DeadlineMs = 50 }, DeadlineExceeded},
-		{"first of several", func(c *Conditions) { c.ClientCanceled, c.ServerUnavailable, c.DeadlineMs = true, true, 0 }, ClientCanceled},
+		{"first of several reasons", func(c *Conditions) { c.ClientCanceled, c.ServerUnavailable, c.DeadlineMs = true, true, 0 },
+			ClientCanceled},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			conditions := allowed
 			test.change(&conditions)
 			if got := Authorize(conditions); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("Authorize() = %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -37,14 +38,14 @@
 
 func TestRemainingMs(t *testing.T) {
 	if got := RemainingMs(Conditions{NowMs: 100.2, DeadlineMs: 300}); got != 199 {
-		t.Errorf("got %v, want 199", got)
+		t.Errorf("RemainingMs() = %v, want 199 (199.8 rounded down)", got)
 	}
 }
 
 func TestDenialString(t *testing.T) {
 	for denial, want := range map[Denial]string{DeadlineExceeded: "deadline_exceeded", Denial(99): "unknown"} {
 		if got := denial.String(); got != want {
-			t.Errorf("Denial(%d) is %q, want %q", uint8(denial), got, want)
+			t.Errorf("Denial(%d).String() = %q, want %q", uint8(denial), got, want)
 		}
 	}
 }
