--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -1,25 +1,26 @@
 // Package endpointlease decides for how long the endpoint list may be used while it cannot be refreshed.
 //
-// A change of the list counts as notified at the latest MaxNotificationDelayMs after discovery had it and was reachable,
-// whether or not it arrived. A gateway that keeps sending by an outdated list violates the rule on drains as soon as one of
-// its servers drains. The list is therefore used under a lease: the lease is valid as of the last moment at which the
-// gateway is known to have missed no change, and expires when a change made right after that moment would have to be
-// obeyed.
+// The gateway is treated as having been notified of a change of the list at the latest MaxNotificationDelayMs after discovery had
+// the change and was reachable, whether or not a notification arrived. No request may be sent to a draining server after the grace
+// period that follows the notification of its drain, so a gateway that goes on using an outdated list violates this rule as soon
+// as one of its servers drains. The list is therefore used under a lease. The lease starts at the last time at which the gateway
+// is known to have missed no change, and expires when the gateway would have to obey a change that was made right after that time.
 //
 // Package endpointlease owns no goroutine, performs no I/O and reads no clock. All times are in milliseconds on one clock
 // that never runs backwards.
 package endpointlease
 
-// congestedLatencyMs is the least latency of a response from which it is concluded that the call waited for those of other gateways.
+// congestedLatencyMs is the response latency from which on a call is assumed to have waited for the calls of other gateways.
 const congestedLatencyMs = 1000
 
 // Settings determine the length of a lease. All are in milliseconds.
 type Settings struct {
-	// MaxNotificationDelayMs is when, after it was made, a change counts as notified at the latest.
+	// MaxNotificationDelayMs is the time after a change by which the gateway is treated as having been notified of it.
 	MaxNotificationDelayMs float64
-	// DrainGraceMs is for how long requests may still be sent to a server after the notification of its drain.
+	// DrainGraceMs is how long requests may still be sent to a server after the notification of its drain.
 	DrainGraceMs float64
-	// SendDelayMarginMs is for how long the gateway may be delayed between a decision and the first byte that it sends.
+	// SendDelayMarginMs is the longest delay of the gateway that is allowed for between a decision and the first byte that is
+	// sent after it.
 	SendDelayMarginMs float64
 }
 
@@ -27,8 +28,8 @@
 // is not safe for concurrent use.
 type Lease struct {
 	settings     Settings
-	completeAtMs float64 // no change made before this time is missing
-	congested    bool    // the last call that got a response waited for those of others
+	completeAtMs float64 // the list contains every change made before this time
+	congested    bool    // whether the last call that got a response is assumed to have waited for the calls of other gateways
 }
 
 // New returns a lease for a list that is complete at nowMs.
@@ -36,21 +37,23 @@
 	return &Lease{settings: settings, completeAtMs: nowMs}
 }
 
-// Renew records that the list was complete at a time, because discovery sent an update or a heartbeat on an open watch.
-// Renewals for earlier times have no effect.
+// Renew records that the list was complete at atMs, because discovery sent an update or a heartbeat on an open watch then. It has
+// no effect if a later renewal is recorded.
 func (l *Lease) Renew(atMs float64) { l.completeAtMs = max(l.completeAtMs, atMs) }
 
-// RecordCallLatency records how long discovery took to respond to a call.
+// RecordCallLatency records how long discovery took to respond to a call. A long latency indicates congestion.
 func (l *Lease) RecordCallLatency(latencyMs float64) {
 	l.congested = latencyMs >= congestedLatencyMs
 }
 
-// RecordUnreachable renews the lease as of the start of a call that could not connect: discovery was unreachable then.
+// RecordUnreachable renews the lease as of startedMs, when a call started that could not connect. Discovery was unreachable then,
+// so the time by which the gateway must have been notified of a missed change counts from a later moment.
 func (l *Lease) RecordUnreachable(startedMs float64) { l.Renew(startedMs) }
 
-// RecordRejection records that discovery rejected or broke off a call that started at startedMs. Discovery does so while it
-// is down, which renews the lease, but also under too many calls, which proves nothing. Calls are paced so that the latter
-// is rare; while the last call that got a response indicated congestion, a rejection does not renew the lease.
+// RecordRejection records that discovery rejected or interrupted a call that started at startedMs. Discovery does so while it is
+// down, which renews the lease like unreachability. It also does so when it gets too many calls, which does not justify a renewal.
+// Gateways pace their calls so that this is rare. If the last call that got a response indicated congestion, a rejection does not
+// renew the lease.
 func (l *Lease) RecordRejection(startedMs float64) {
 	if !l.congested {
 		l.Renew(startedMs)
--- a/internal/endpointlease/lease_test.go
+++ b/internal/endpointlease/lease_test.go
@@ -4,7 +4,7 @@
 
 var testSettings = Settings{MaxNotificationDelayMs: 6000, DrainGraceMs: 1000, SendDelayMarginMs: 150}
 
-// leaseMs is the length of a lease with testSettings after its last renewal.
+// leaseMs is the time from the last renewal to the expiry of a lease with testSettings.
 const leaseMs = 6850
 
 func TestExpiry(t *testing.T) {
@@ -28,7 +28,7 @@
 			lease := New(testSettings, 0)
 			test.record(lease)
 			if got := lease.ExpiresAtMs(); got != test.want {
-				t.Errorf("expires at %v, want %v", got, test.want)
+				t.Errorf("the lease expires at %v ms, want %v ms", got, test.want)
 			}
 		})
 	}
@@ -38,6 +38,6 @@
 	settings := testSettings
 	settings.DrainGraceMs = 100
 	if got := New(settings, 0).ExpiresAtMs(); got != 6000 {
-		t.Errorf("expires at %v, want 6000", got)
+		t.Errorf("the lease expires at %v ms, want 6000 ms", got)
 	}
 }
--- a/internal/endpoints/tracker.go
+++ b/internal/endpoints/tracker.go
@@ -1,16 +1,16 @@
-// Package endpoints decides which updates of the endpoint list apply.
+// Package endpoints decides which updates of the endpoint list are applied.
 //
-// Within one watch, updates arrive in order and none is missing. Across two watches neither holds: an agent that
-// restarts may serve an older list, or an empty one, and a discovery service that is set up anew numbers its versions
-// from the beginning. Applied as they are, the first would reopen servers that are known to be draining or removed,
-// and the second would empty the list.
+// Within one watch, updates arrive in order and none is missing. This does not hold across two watches: a restarted agent
+// may serve an older list or an empty one, and a reinstalled discovery service numbers its versions from the beginning
+// again. If every update were applied, an older list would reopen servers that are known to be draining or removed, and
+// an empty one would remove all servers.
 //
 // Package endpoints owns no goroutine, performs no I/O and reads no clock: callers pass the time.
 package endpoints
 
 // RegressionTimeoutMs is how long, in milliseconds, updates may stay behind the current version before the Tracker
-// takes their numbering for a new one. Every change counts as notified within 6 s, so by then an older source has either
-// caught up or will never do so.
+// concludes that the source has begun to number its versions anew. A gateway is treated as having been notified of every
+// change within 6 s, so by then an older source has either caught up or will never do so.
 const RegressionTimeoutMs = 6000
 
 // Endpoint is the entry of one server in an update.
@@ -19,7 +19,7 @@
 	Name string
 	// Ready reports whether new requests may be sent to the server.
 	Ready bool
-	// Removed reports that the server has left the list. It excludes Ready.
+	// Removed reports that the server was removed from the list. Ready is then false.
 	Removed bool
 	// StartedMs is when the server last started, in milliseconds on the clock of the source. 0 means long ago.
 	StartedMs float64
@@ -27,54 +27,54 @@
 
 // Update is one message of the discovery service.
 type Update struct {
-	// Version numbers the state of the list after the update.
+	// Version is the version of the list after the update.
 	Version uint64
-	// Snapshot reports that Endpoints holds all servers. Otherwise it holds only those that changed.
+	// Snapshot reports that Endpoints holds all servers. Otherwise it holds only those that have changed.
 	Snapshot bool
 	// Endpoints are the entries in the order in which they arrived.
 	Endpoints []Endpoint
 }
 
-// Decision says which part of an update applies.
+// Decision specifies which part of an update is to be applied.
 type Decision struct {
 	// Snapshot reports that the accepted endpoints replace the whole list.
 	Snapshot bool
-	// Accepted holds the indices, in ascending order, of the endpoints that apply.
+	// Accepted holds the indices of the endpoints to apply, in ascending order.
 	Accepted []int
-	// Resync reports that the source has begun to number its versions anew. Nothing of the update applies, and the caller
-	// has to request a snapshot as if it knew no version.
+	// Resync reports that the source has begun to number its versions anew. No part of the update is to be applied, and the
+	// caller must request a snapshot without a known version.
 	Resync bool
 }
 
-// Tracker holds the version of the endpoint list and the start of each listed server. Its size is that of the list. Create
-// one with NewTracker. A Tracker is not safe for concurrent use.
+// Tracker holds the version of the endpoint list and the start time of each listed server. It holds one entry per listed
+// server. Create one with NewTracker. A Tracker is not safe for concurrent use.
 type Tracker struct {
 	version   uint64
-	startedMs map[string]float64 // by name: the start that was last accepted
+	startedMs map[string]float64 // start time in the last accepted entry of each server, by name
 
-	regressed        bool    // updates are behind version
-	regressedSinceMs float64 // when the first of them arrived; valid while regressed is set
+	regressed        bool    // whether the last update was older than version
+	regressedSinceMs float64 // when the first of the older updates arrived; valid while regressed is set
 }
 
-// NewTracker returns a Tracker that starts from a known list. The zero Update stands for no known list.
+// NewTracker returns a Tracker that starts from a known list. The zero Update means that no list is known.
 func NewTracker(known Update) *Tracker {
 	tracker := &Tracker{startedMs: map[string]float64{}}
 	tracker.Apply(0, known)
 	return tracker
 }
 
-// Reset forgets the version but keeps the servers, because the next update comes from a source with a numbering of its
-// own. The first snapshot of that source replaces the list.
+// Reset clears the version but keeps the servers. It is for the case that the next update comes from a source that numbers its
+// versions independently. The first snapshot from that source replaces the list.
 func (t *Tracker) Reset() {
 	t.version = 0
 	t.regressed = false
 }
 
-// Apply decides which endpoints of an update apply and records them. nowMs is in milliseconds and must never decrease.
+// Apply decides which endpoints of an update are applied and records them. nowMs is in milliseconds and must never decrease.
 //
-// An update that is not older than the current version applies in full. While updates are older, they may close a server
-// unless they describe an earlier start of it, they make ready only a server that has started since, and they never
-// replace the list.
+// An update that is not older than the current version is applied in full. An older update never replaces the list and adds no
+// server. It can make a server draining or removed, unless its entry is from before the server's last known start. It can make a
+// server ready only if the server has started again since the last accepted entry.
 func (t *Tracker) Apply(nowMs float64, update Update) Decision {
 	if update.Version >= t.version {
 		return t.applyCurrent(update)
@@ -90,7 +90,7 @@
 	return t.applyOutdated(update)
 }
 
-// applyCurrent records all of an update that is at or past the current version.
+// applyCurrent records all endpoints of an update that is not older than the current version.
 func (t *Tracker) applyCurrent(update Update) Decision {
 	t.version = update.Version
 	t.regressed = false
@@ -109,7 +109,7 @@
 func (t *Tracker) applyOutdated(update Update) Decision {
 	var decision Decision
 	for i, endpoint := range update.Endpoints {
-		if t.supersedes(endpoint) {
+		if t.isSafeWhenOutdated(endpoint) {
 			decision.Accepted = append(decision.Accepted, i)
 			t.record(endpoint)
 		}
@@ -117,8 +117,8 @@
 	return decision
 }
 
-// supersedes reports whether an endpoint of an older update applies to its server.
-func (t *Tracker) supersedes(endpoint Endpoint) bool {
+// isSafeWhenOutdated reports whether an endpoint of an older update is safe to apply.
+func (t *Tracker) isSafeWhenOutdated(endpoint Endpoint) bool {
 	startedMs, known := t.startedMs[endpoint.Name]
 	if !known || endpoint.StartedMs < startedMs {
 		return false
@@ -127,7 +127,7 @@
 	return !endpoint.Ready || restarted
 }
 
-// record stores the start of an accepted endpoint, or forgets its server if that was removed.
+// record stores the start time of an accepted endpoint, or deletes its server if that was removed.
 func (t *Tracker) record(endpoint Endpoint) {
 	if endpoint.Removed {
 		delete(t.startedMs, endpoint.Name)
--- a/internal/endpoints/tracker_test.go
+++ b/internal/endpoints/tracker_test.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("delta %v", decision.Accepted)
 }
 
-// TestVersionRegression applies a sequence of updates to one tracker, so its steps depend on those before.
+// TestVersionRegression applies a sequence of updates to one tracker. Each step depends on the previous ones.
 func TestVersionRegression(t *testing.T) {
 	tracker := NewTracker(Update{Version: 41, Snapshot: true,
 		Endpoints: []Endpoint{ready("a", 0), ready("b", 0), draining("c", 5)}})
@@ -37,12 +37,12 @@
 		want   string
 	}{
 		{1, Update{Version: 42, Endpoints: []Endpoint{draining("a", 0)}}, "delta [0]"},
-		// A restarted agent serves an empty list, then an older one: neither empties the list nor reopens a server.
+		// A restarted agent serves an empty list, then an older one. Neither may remove all servers or reopen one.
 		{2, Update{Version: 0, Snapshot: true}, "delta []"},
 		{3, Update{Version: 40, Snapshot: true, Endpoints: []Endpoint{ready("a", 0), ready("b", 0), ready("gone", 0)}}, "delta []"},
 		{4, Update{Version: 40, Endpoints: []Endpoint{draining("b", 0), draining("c", 4), ready("c", 4)}}, "delta [0]"},
 		{5, Update{Version: 40, Endpoints: []Endpoint{ready("b", 0), ready("c", 6)}}, "delta [1]"},
-		// It catches up, then regresses again.
+		// The agent catches up, then serves older versions again.
 		{6, Update{Version: 42, Endpoints: []Endpoint{ready("b", 0)}}, "delta [0]"},
 		{7, Update{Version: 3, Endpoints: []Endpoint{ready("x", 0)}}, "delta []"},
 		{6 + RegressionTimeoutMs, Update{Version: 4}, "delta []"},
@@ -50,22 +50,22 @@
 		{8 + RegressionTimeoutMs, Update{Version: 5, Snapshot: true, Endpoints: []Endpoint{ready("x", 0), ready("a", 0)}}, "snapshot [0 1]"},
 	} {
 		if got := describe(tracker.Apply(step.atMs, step.update)); got != step.want {
-			t.Errorf("step %d: %+v: %s, want %s", i, step.update, got, step.want)
+			t.Errorf("step %d: the decision on %+v is %s, want %s", i, step.update, got, step.want)
 		}
 	}
 	tracker.Reset()
 	first := Update{Version: 1, Snapshot: true, Endpoints: []Endpoint{ready("a", 0)}}
 	if decision := tracker.Apply(9+RegressionTimeoutMs, first); !decision.Snapshot || len(decision.Accepted) != 1 {
-		t.Errorf("snapshot of another source: %+v", decision)
+		t.Errorf("the decision on the first snapshot of another source is %+v, want all of it accepted as a snapshot", decision)
 	}
 }
 
-// referenceModel records every accepted endpoint and checks the decisions: a server may be ready only if the newest
-// version says so, or if it has started later than any update that closed it.
+// referenceModel records every accepted endpoint and checks the decisions: an older update may report a server as ready only
+// if the server is ready already or has started again since it was closed.
 type referenceModel struct {
 	version uint64
-	ready   map[string]float64 // start time by name
-	closed  map[string]float64
+	ready   map[string]float64 // start times of the ready servers, by name
+	closed  map[string]float64 // start times of the draining servers, by name
 }
 
 // newReferenceModel returns a model without endpoints.
@@ -76,11 +76,11 @@
 // apply checks a decision and records the endpoints that it accepts.
 func (m *referenceModel) apply(update Update, decision Decision) error {
 	if decision.Snapshot && update.Version < m.version {
-		return fmt.Errorf("an older list is applied as a snapshot")
+		return fmt.Errorf("an outdated update is applied as a snapshot")
 	}
 	if update.Version >= m.version {
 		if decision.Resync || len(decision.Accepted) != len(update.Endpoints) || decision.Snapshot != update.Snapshot {
-			return fmt.Errorf("an update in order does not apply in full: %+v", decision)
+			return fmt.Errorf("an update that is not outdated is not applied in full: %+v", decision)
 		}
 		m.version = update.Version
 		if decision.Snapshot {
@@ -93,7 +93,7 @@
 		if update.Version < m.version && endpoint.Ready {
 			closedStart, closed := m.closed[endpoint.Name]
 			if !closed && m.ready[endpoint.Name] == 0 || closed && endpoint.StartedMs <= closedStart {
-				return fmt.Errorf("made ready by an older update: %+v", endpoint)
+				return fmt.Errorf("an outdated update makes ready a server that is unknown or has not restarted: %+v", endpoint)
 			}
 		}
 		m.record(endpoint)
@@ -112,7 +112,7 @@
 	}
 }
 
-// randomUpdate draws an update of at most three endpoints out of four names.
+// randomUpdate returns a random update with at most three endpoints, whose names are drawn from four.
 func randomUpdate(random *rand.Rand, version uint64) Update {
 	update := Update{Version: version, Snapshot: random.IntN(4) == 0}
 	for range random.IntN(4) {
@@ -124,6 +124,7 @@
 	return update
 }
 
+// FuzzTracker checks the decisions on random updates, whose versions go forwards and backwards, against the referenceModel.
 func FuzzTracker(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -150,7 +151,7 @@
 				t.Fatal(err)
 			}
 			if len(tracker.startedMs) > len(model.ready)+len(model.closed) {
-				t.Fatalf("%d servers kept, %d known", len(tracker.startedMs), len(model.ready)+len(model.closed))
+				t.Fatalf("%d servers are kept, want at most %d", len(tracker.startedMs), len(model.ready)+len(model.closed))
 			}
 		}
 	})
--- a/internal/incarnation/tracker.go
+++ b/internal/incarnation/tracker.go
@@ -1,62 +1,63 @@
-// Package incarnation converts the start times of servers, which are reported by the wall clocks of other machines, to this
+// Package incarnation converts the start times of servers, which are reported on the wall clocks of other machines, to this
 // gateway's clock.
 //
-// A wall clock may be off, or be stepped, by an hour, and slow start must not end early because of it. A server that was
-// missing from a list that was complete at some time has not been running before that time, whatever start is reported:
-// it counts as started when it is first seen.
+// A wall clock may be wrong, or be stepped, by an hour. Slow start must not end early because of that. If a complete list at some
+// time did not contain a server, the server was not running before that time, whatever start time is reported. In this case
+// the server is treated as started when it is first seen.
 //
 // Package incarnation owns no goroutine, performs no I/O and reads no clock: callers pass the time.
 package incarnation
 
 const (
-	// reportDelayMs is how much later than a server's start the list may report it. A start that is reported with a longer
-	// delay is not trusted over this gateway's own observation.
-	reportDelayMs = 2500
+	// maxReportDelayMs is the longest time from the start of a server until the list contains it. If a reported start time
+	// implies a longer delay, this gateway's own observation is used instead.
+	maxReportDelayMs = 2500
 
-	// maxIncarnations bounds the number of incarnations that are remembered.
+	// maxIncarnations is the maximum number of incarnations that are kept.
 	maxIncarnations = 1 << 13
 )
 
-// Tracker remembers the incarnations of listed servers. The zero value is ready for use and knows no complete list. A
-// Tracker is not safe for concurrent use.
+// Tracker keeps the incarnations of listed servers. The zero value is ready to use, without a complete list so far. A Tracker
+// is not safe for concurrent use.
 type Tracker struct {
-	completeAtMs float64 // the last time at which the list was complete; 0: never
+	completeAtMs float64 // the last time at which the list was complete; 0 means never
 	incarnations map[string]incarnation
 }
 
-// incarnation is one run of a server.
+// incarnation is one process of a server, from its start to its end.
 type incarnation struct {
-	reportedMs float64 // its start as reported
-	startedMs  float64 // its start on this gateway's clock
+	reportedStartMs float64 // start time as reported by the list
+	startedMs       float64 // start time on this gateway's clock
 }
 
-// MarkComplete records that the list was complete at a time, in milliseconds on this gateway's clock. Earlier times than
-// the last one have no effect.
+// MarkComplete records that the list was complete at atMs, in milliseconds on this gateway's clock. It has no effect if a
+// later time was recorded before.
 func (t *Tracker) MarkComplete(atMs float64) { t.completeAtMs = max(t.completeAtMs, atMs) }
 
-// StartedAtMs returns when a listed server was started, in milliseconds on this gateway's clock. reportedMs is the start
-// that the list reports, where 0 means long ago and is returned as it is. The result is the same for each call with the
-// same incarnation while that is remembered, and is never after nowMs when the incarnation is first seen.
-func (t *Tracker) StartedAtMs(name string, reportedMs, nowMs float64) float64 {
-	if reportedMs == 0 {
+// StartedAtMs returns when a listed server was started, in milliseconds on this gateway's clock. reportedStartMs is the start
+// time that the list reports; 0 means long ago and is returned unchanged. An incarnation is identified by the name and the
+// reported start time. The result is the same for each call for the same incarnation while that is kept, and it is not
+// after nowMs of the first of these calls.
+func (t *Tracker) StartedAtMs(name string, reportedStartMs, nowMs float64) float64 {
+	if reportedStartMs == 0 {
 		return 0
 	}
-	if known, ok := t.incarnations[name]; ok && known.reportedMs == reportedMs {
+	if known, ok := t.incarnations[name]; ok && known.reportedStartMs == reportedStartMs {
 		return known.startedMs
 	}
-	startedMs := t.estimateStartMs(reportedMs, nowMs)
+	startedMs := t.estimateStartMs(reportedStartMs, nowMs)
 	if t.incarnations == nil || len(t.incarnations) >= maxIncarnations {
 		t.incarnations = map[string]incarnation{}
 	}
-	t.incarnations[name] = incarnation{reportedMs: reportedMs, startedMs: startedMs}
+	t.incarnations[name] = incarnation{reportedStartMs: reportedStartMs, startedMs: startedMs}
 	return startedMs
 }
 
-// estimateStartMs returns the start of an incarnation that is first seen at nowMs.
-func (t *Tracker) estimateStartMs(reportedMs, nowMs float64) float64 {
-	startedMs := min(reportedMs, nowMs)
-	if t.completeAtMs > 0 && startedMs < t.completeAtMs-reportDelayMs {
-		return nowMs // the complete list would have held it: one of the clocks is off
+// estimateStartMs returns the start time of an incarnation that is first seen at nowMs, on this gateway's clock.
+func (t *Tracker) estimateStartMs(reportedStartMs, nowMs float64) float64 {
+	startedMs := min(reportedStartMs, nowMs)
+	if t.completeAtMs > 0 && startedMs < t.completeAtMs-maxReportDelayMs {
+		return nowMs // the complete list would have contained the server, so one of the clocks must be wrong
 	}
 	return startedMs
 }
