--- a/internal/shutdown/pacer.go
+++ b/internal/shutdown/pacer.go
@@ -1,28 +1,31 @@
-// Package shutdown sheds load during a graceful shutdown, so that a gateway stays in use until it exits.
+// Package shutdown sheds load during a graceful shutdown, so that clients use the gateway until it exits.
 //
-// Clients open no new connections to a gateway that is shutting down, and they regard it as down after the first request
-// for which they find every open connection busy, although it could serve them for seconds more. Rejecting one request
-// at once keeps a connection idle for all the requests that follow.
+// Clients open no new connections to a gateway that is shutting down. If a request finds every open connection busy, they
+// consider the gateway down from then on, although it could serve them for seconds more. Rejecting one request at once
+// keeps a connection idle for the requests that follow.
 //
-// The package is pure: no clock, no I/O, no goroutine. Times are milliseconds of one clock that never runs backwards.
+// Package shutdown owns no goroutine, performs no I/O and reads no clock. All times are in milliseconds on one clock that
+// never runs backwards.
 package shutdown
 
 import "math"
 
 const (
-	// decayMs is the time constant of the moving averages: a few seconds of traffic, as long as a shutdown takes.
-	decayMs = 1000
-	// rejectionMs is how long a rejected request occupies its connection: a round trip and two scheduling delays of a
+	// averagingTimeMs is the time constant of the exponential moving averages. They cover a few seconds of traffic, which is
+	// as long as a shutdown takes.
+	averagingTimeMs = 1000
+	// rejectionTimeMs is how long a rejected request occupies its connection: a round trip and two scheduling delays of a
 	// busy machine.
-	rejectionMs = 2
+	rejectionTimeMs = 2
 )
 
 // AdmissionPacer decides which requests to reject during a graceful shutdown, from moving averages of the arrival rate
 // and the service time. The zero value is ready to use. It is not safe for concurrent use.
 type AdmissionPacer struct {
-	// Exponentially decayed counts of requests and of responses, and the decayed sum of the responses' service times.
+	// arrivals and completions are exponentially decayed counts of requests and of responses, and serviceMs is the decayed sum
+	// of the service times of these responses.
 	arrivals, completions, serviceMs float64
-	// firstMs is when the first observation was made, updatedMs when the averages were last decayed.
+	// firstMs is the time of the first observation, and updatedMs is the time of the last decay. Both are valid if started is set.
 	firstMs, updatedMs float64
 	started            bool
 }
@@ -33,65 +36,71 @@
 	p.arrivals++
 }
 
-// RecordCompletion counts a response that was complete at nowMs, serviceMs after its request arrived. Negative service
-// times count as 0. Responses to requests that ShouldReject rejected must not be recorded.
+// RecordCompletion counts a response that was complete at nowMs, serviceMs after its request arrived. A negative service
+// time is counted as 0. Responses to requests that were rejected because of ShouldReject must not be recorded.
 func (p *AdmissionPacer) RecordCompletion(nowMs, serviceMs float64) {
 	p.decay(nowMs)
 	p.completions++
 	p.serviceMs += max(0, serviceMs)
 }
 
-// ShouldReject reports whether to reject the request that has just arrived. There are open client connections, of which
-// busy carry a request, this one included, and leftMs until the gateway exits.
+// ShouldReject reports whether to reject the request that has just arrived. open is the number of open client connections,
+// busy is the number of those that carry a request, including this one, and remainingMs is the time until the gateway exits.
 //
-// A rejection pays off if it is expected to save more than the one request. With arrival rate r and mean service time
-// s, the first busy connection becomes idle after s/busy, and another request arrives before that with probability
-// 1-exp(-r*s/busy). That request would be rejected as well, so the i idle connections run out only if i requests arrive
-// within one rejection time: (r*rejectionMs)^i/i!. The loss is then what would be served of r*leftMs with one connection
-// less, by Erlang's loss formula. A single connection is never given up, because without it nothing can be served.
-func (p *AdmissionPacer) ShouldReject(nowMs float64, open, busy int, leftMs float64) bool {
+// A request is rejected if the rejection is expected to save more than one other request. Let r be the arrival rate and s
+// the mean service time:
+//   - The first busy connection becomes idle after s/busy. Another request arrives before that with probability
+//     1-exp(-r*s/busy).
+//   - That request would be rejected as well. All i idle connections are therefore in use at once only if i requests arrive
+//     within the time of one rejection, which has the probability (r*rejectionTimeMs)^i/i!.
+//   - When no connection is idle, the gateway loses those of the r*remainingMs further requests that it would have served with
+//     one connection less. Their number follows from Erlang's loss formula.
+//
+// If only one connection is open, no request is rejected, because no other connection could serve any.
+func (p *AdmissionPacer) ShouldReject(nowMs float64, open, busy int, remainingMs float64) bool {
 	p.decay(nowMs)
-	window := p.averagingWindowMs(nowMs)
-	if open < 2 || busy < 1 || leftMs <= 0 || window <= 0 || p.completions == 0 {
+	windowMs := p.averagingWindowMs(nowMs)
+	if open < 2 || busy < 1 || remainingMs <= 0 || windowMs <= 0 || p.completions == 0 {
 		return false
 	}
-	rate, serviceMs := p.arrivals/window, p.serviceMs/p.completions
-	risk := -math.Expm1(-rate * serviceMs / float64(busy))
+	ratePerMs, serviceMs := p.arrivals/windowMs, p.serviceMs/p.completions
+	exhaustion := -math.Expm1(-ratePerMs * serviceMs / float64(busy)) // probability that no connection is idle
 	for i := 1; i <= open-busy; i++ {
-		if risk *= min(1, rate*rejectionMs/float64(i)); risk*rate*leftMs <= 1 {
+		if exhaustion *= min(1, ratePerMs*rejectionTimeMs/float64(i)); exhaustion*ratePerMs*remainingMs <= 1 {
 			return false
 		}
 	}
-	return risk*rate*leftMs*(1-erlangLoss(open-1, rate*serviceMs)) > 1
+	return exhaustion*ratePerMs*remainingMs*(1-erlangLoss(open-1, ratePerMs*serviceMs)) > 1
 }
 
-// decay brings the moving averages up to nowMs.
+// decay applies the decay of the moving averages up to nowMs.
 func (p *AdmissionPacer) decay(nowMs float64) {
 	if !p.started {
 		p.started, p.firstMs, p.updatedMs = true, nowMs, nowMs
 	}
-	elapsed := nowMs - p.updatedMs
-	if !(elapsed > 0) {
+	elapsedMs := nowMs - p.updatedMs
+	if !(elapsedMs > 0) {
 		return
 	}
-	factor := math.Exp(-elapsed / decayMs)
+	factor := math.Exp(-elapsedMs / averagingTimeMs)
 	p.arrivals *= factor
 	p.completions *= factor
 	p.serviceMs *= factor
 	p.updatedMs = nowMs
 }
 
-// averagingWindowMs is the time that the decayed counts stand for: nearly decayMs once the pacer is some seconds old.
+// averagingWindowMs returns the length of the time that the decayed counts represent. Some seconds after the first observation
+// it is nearly averagingTimeMs.
 func (p *AdmissionPacer) averagingWindowMs(nowMs float64) float64 {
-	return decayMs * -math.Expm1(-(nowMs-p.firstMs)/decayMs)
+	return averagingTimeMs * -math.Expm1(-(nowMs-p.firstMs)/averagingTimeMs)
 }
 
-// erlangLoss is Erlang's loss formula: the fraction of requests that find all connections busy, where offeredLoad
-// requests are in progress on average.
+// erlangLoss computes Erlang's loss formula (Erlang B): the fraction of requests that find all connections busy. offeredLoad is
+// the arrival rate multiplied by the mean service time.
 func erlangLoss(connections int, offeredLoad float64) float64 {
-	blocked := 1.0
+	blockedFraction := 1.0
 	for i := 1; i <= connections; i++ {
-		blocked = offeredLoad * blocked / (float64(i) + offeredLoad*blocked)
+		blockedFraction = offeredLoad * blockedFraction / (float64(i) + offeredLoad*blockedFraction)
 	}
-	return blocked
+	return blockedFraction
 }
