--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -15,12 +15,11 @@
 
 // Settings determine the length of a lease. All are in milliseconds.
 type Settings struct {
-	// MaxNotificationDelayMs is the time after a change by which the gateway is treated as having been notified of it.
+	// MaxNotificationDelayMs is the longest time from a change until the gateway is treated as having been notified of it.
 	MaxNotificationDelayMs float64
 	// DrainGraceMs is how long requests may still be sent to a server after the notification of its drain.
 	DrainGraceMs float64
-	// SendDelayMarginMs is the longest delay of the gateway that is allowed for between a decision and the first byte that is
-	// sent after it.
+	// SendDelayMarginMs is the allowance for a delay of the gateway between a decision and the first byte that it sends.
 	SendDelayMarginMs float64
 }
 
@@ -38,7 +37,7 @@
 }
 
 // Renew records that the list was complete at atMs, because discovery sent an update or a heartbeat on an open watch then. It has
-// no effect if a later renewal is recorded.
+// no effect if a renewal for a later time was recorded.
 func (l *Lease) Renew(atMs float64) { l.completeAtMs = max(l.completeAtMs, atMs) }
 
 // RecordCallLatency records how long discovery took to respond to a call. A long latency indicates congestion.
--- a/internal/endpoints/tracker.go
+++ b/internal/endpoints/tracker.go
@@ -52,7 +52,7 @@
 	version   uint64
 	startedMs map[string]float64 // start time in the last accepted entry of each server, by name
 
-	regressed        bool    // whether the last update was older than version
+	regressed        bool    // whether the updates that arrive are older than version
 	regressedSinceMs float64 // when the first of the older updates arrived; valid while regressed is set
 }
 
@@ -117,7 +117,9 @@
 	return decision
 }
 
-// isSafeWhenOutdated reports whether an endpoint of an older update is safe to apply.
+// isSafeWhenOutdated reports whether an endpoint of an older update is safe to apply. The server must be known, and the endpoint
+// must not describe an earlier start of it than the last accepted endpoint. To make the server ready, it must describe a later
+// start.
 func (t *Tracker) isSafeWhenOutdated(endpoint Endpoint) bool {
 	startedMs, known := t.startedMs[endpoint.Name]
 	if !known || endpoint.StartedMs < startedMs {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -27,8 +27,8 @@
 	requestInboxLimit = inboxSize * 3 / 4
 )
 
-// Options are the collaborators of a Loop. Scheduler, Clock and Metrics are required. The functions are called on the loop's
-// goroutine, must not block, and do nothing if they are nil.
+// Options configure a Loop. Scheduler, Clock and Metrics are required. The functions are called on the loop's goroutine and must
+// not block. A nil function is replaced by one that does nothing.
 type Options struct {
 	Scheduler lifecycle.Scheduler
 	Clock     clock.Clock
--- a/internal/eventloop/requests.go
+++ b/internal/eventloop/requests.go
@@ -19,8 +19,8 @@
 	l.manager.Submit(nowMs, request)
 }
 
-// Cancel ends a request whose client no longer waits for the response, without a response. Request.Canceled returns true from
-// then on.
+// Cancel ends a request whose client no longer waits for the response. The request gets no response. Request.Canceled returns
+// true as soon as Cancel has returned.
 func (l *Loop) Cancel(request *lifecycle.Request) {
 	request.Cancel()
 	l.post(func(nowMs float64) { l.manager.Cancel(nowMs, request) })
--- a/internal/incarnation/tracker.go
+++ b/internal/incarnation/tracker.go
@@ -13,7 +13,7 @@
 	// implies a longer delay, this gateway's own observation is used instead.
 	maxReportDelayMs = 2500
 
-	// maxIncarnations is the maximum number of incarnations that are kept.
+	// maxIncarnations is the maximum number of incarnations that are kept. All are discarded before a further one is added.
 	maxIncarnations = 1 << 13
 )
 
--- a/internal/lifecycle/authorizer.go
+++ b/internal/lifecycle/authorizer.go
@@ -8,21 +8,21 @@
 	"gaugerelay/internal/permission"
 )
 
-// SendDelayMarginMs is the longest delay of the process that is allowed for between an authorization and the byte that is then
-// sent.
+// SendDelayMarginMs is the allowance for a delay of the process between an authorization and the sending of the first byte.
 const SendDelayMarginMs = 150
 
 // The violations that CheckSent reports. They are parts of counter names.
 const (
-	violationDrain        = "drain"
-	violationDuplicate    = "duplicate"
-	violationLateDeadline = "late_deadline"
+	violationDrain        = "drain"         // the lease on the endpoint list had expired
+	violationDuplicate    = "duplicate"     // the start deadline of the attempt had passed
+	violationLateDeadline = "late_deadline" // the announced remaining time ends after the deadline of the attempt
 )
 
-// Authorizer holds the conditions that apply to the attempts of all upstreams. It is safe for concurrent use.
+// Authorizer holds the hooks and the time limit by which the attempts of all upstreams are authorized. It is safe for concurrent
+// use.
 type Authorizer struct {
 	options               AuthorizerOptions
-	endpointsValidUntilMs atomic.Uint64 // float64 in its bit representation
+	endpointsValidUntilMs atomic.Uint64 // a float64, stored as its math.Float64bits
 }
 
 // AuthorizerOptions are the hooks of an Authorizer. They are called from the goroutines of upstreams, and each may be nil.
@@ -82,8 +82,9 @@
 	return permission.Authorize(a.conditions(nowMs)) != permission.Allowed
 }
 
-// CheckSent checks right after the first byte of an attempt was sent whether it was sent too late. announcedMs is the remaining
-// time that was announced to the server. CheckSent returns the name of the violation, or "" if there is none.
+// CheckSent checks, right after the first byte of an attempt was sent, whether it was sent too late by more than the allowance for
+// a delay. announcedMs is the remaining time that was announced to the server. CheckSent returns the name of the violation, or ""
+// if there is none.
 func (a *Attempt) CheckSent(nowMs, announcedMs float64) (violation string) {
 	conditions := a.conditions(nowMs)
 	switch {
--- a/internal/lifecycle/environment.go
+++ b/internal/lifecycle/environment.go
@@ -34,7 +34,7 @@
 	// BeginStep is called at the start of each step. It returns the events that the scheduler must get before all others, for
 	// instance because a lease has expired.
 	BeginStep(nowMs float64) []scheduler.Event
-	// ReportDemand records how much of a volume's quota this gateway could use.
+	// ReportDemand records how much of a volume's limit this gateway could use.
 	ReportDemand(nowMs float64, demand scheduler.QuotaDemand)
 	// EndpointsChanged records the servers in this gateway's endpoint list, sorted by id, and the servers that were removed from
 	// it since the last call.
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Options are the collaborators of a Manager. Scheduler and Environment are required.
+// Options configure a Manager. Scheduler and Environment are required.
 type Options struct {
 	Scheduler   Scheduler
 	Environment Environment
@@ -145,8 +145,8 @@
 	return m.lastRequestID
 }
 
-// Cancel ends a request whose client no longer waits for the response, without a response. It has no effect on a request that
-// is done.
+// Cancel ends a request whose client no longer waits for the response. The request gets no response. Cancel has no effect on a
+// request that is done.
 func (m *Manager) Cancel(nowMs float64, request *Request) {
 	request.Cancel()
 	if request.Device != nil && m.deduplicator != nil {
--- a/internal/shutdown/pacer.go
+++ b/internal/shutdown/pacer.go
@@ -1,8 +1,8 @@
 // Package shutdown sheds load during a graceful shutdown, so that clients use the gateway until it exits.
 //
-// Clients open no new connections to a gateway that is shutting down. If a request finds every open connection busy, they
-// consider the gateway down from then on, although it could serve them for seconds more. Rejecting one request at once
-// keeps a connection idle for the requests that follow.
+// Clients open no new connections to a gateway that is shutting down. Once they find every open connection busy for a request,
+// they consider the gateway down, although it could serve them for seconds more. Rejecting one request at once keeps a
+// connection idle for the requests that follow.
 //
 // Package shutdown owns no goroutine, performs no I/O and reads no clock. All times are in milliseconds on one clock that
 // never runs backwards.
@@ -47,8 +47,8 @@
 // ShouldReject reports whether to reject the request that has just arrived. open is the number of open client connections,
 // busy is the number of those that carry a request, including this one, and remainingMs is the time until the gateway exits.
 //
-// A request is rejected if the rejection is expected to save more than one other request. Let r be the arrival rate and s
-// the mean service time:
+// A request is rejected if the rejection is expected to save more requests than the one that it costs. Let r be the arrival
+// rate and s the mean service time:
 //   - The first busy connection becomes idle after s/busy. Another request arrives before that with probability
 //     1-exp(-r*s/busy).
 //   - That request would be rejected as well. All i idle connections are therefore in use at once only if i requests arrive
