--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Action is an instruction to the gateway, which carries out the actions of one Step in order.
+// Action is an instruction to the gateway. The gateway carries out the actions of one Step in order.
 type Action interface{ action() }
 
 // Send starts the next attempt of a request at a server. The gateway reports exactly one AttemptEnded for every Send.
 type Send struct {
 	ID            RequestID
 	Server        ServerID
-	Timeout       time.Duration // 0, which is all the scheduler sets: until the client's deadline
-	StartDeadline time.Duration // clock time by which the first byte must be sent, else nothing is; 0: no such time
+	Timeout       time.Duration // time limit of the attempt; 0: the client's deadline. The scheduler always sets 0.
+	StartDeadline time.Duration // clock time by which the first byte must be sent, or the attempt is not sent at all; 0: none
 }
 
-// Reason is why a request ended without a server's response.
+// Reason states why a request ended without a response of a server.
 type Reason uint8
 
-// The reasons.
+// Reasons for which a request ends without a response.
 const (
-	ReasonInvalidRequest   Reason = iota // the settings do not cover the request, or its values are out of range
-	ReasonNoServer                       // no shard has a server that may take it
-	ReasonObjectiveMissed                // no response could come within the class's latency objective
-	ReasonDeadlineExceeded               // the client's deadline, or that of the gateway's shutdown, has passed
-	ReasonRetryNotAllowed                // an attempt failed and a retry is forbidden or would come too late
-	ReasonEndpointsExpired               // the endpoint list is too old to send by
+	ReasonInvalidRequest   Reason = iota // the class or plan is not in the settings, or a value is out of range
+	ReasonNoServer                       // no shard has a server for the request
+	ReasonObjectiveMissed                // a response within the class's latency objective is no longer possible
+	ReasonDeadlineExceeded               // the deadline of the client or of the gateway's shutdown has passed
+	ReasonRetryNotAllowed                // an attempt failed, and a retry is not allowed or would come too late
+	ReasonEndpointsExpired               // the endpoint list has expired, so nothing may be sent
 )
 
-// ReasonCount is the number of reasons.
+// ReasonCount is the number of Reason values.
 const ReasonCount = int(ReasonEndpointsExpired) + 1
 
-// String returns the reason as logs and counters name it, or "unknown".
+// String returns the name of the reason in logs and counters, or "unknown".
 func (r Reason) String() string {
 	return nameOf(r, "invalid_request", "no_server", "objective_missed", "deadline_exceeded", "retry_not_allowed",
 		"endpoint_lease_expired")
 }
 
-// nameOf returns the name of an enumeration's value, or "unknown" if it has none.
+// nameOf returns the name of an enumeration value, or "unknown" if names does not contain one for it.
 func nameOf[E ~uint8](value E, names ...string) string {
 	if int(value) < len(names) {
 		return names[value]
@@ -43,10 +43,10 @@
 	return "unknown"
 }
 
-// Reject ends a request and assures the client that a retry of its own is harmless.
+// Reject ends a request without a response. It assures the client that a retry is harmless.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // how long the client is advised to wait before it retries; 0: no advice
+	RetryAfter time.Duration // advised wait before the client retries; 0: no advice
 	Reason     Reason
 }
 
@@ -56,10 +56,10 @@
 	Reason Reason
 }
 
-// CancelAttempt asks the gateway to abandon an attempt, which still ends with an AttemptEnded.
+// CancelAttempt asks the gateway to abandon an attempt. The gateway still reports its AttemptEnded.
 type CancelAttempt struct {
 	ID      RequestID
-	Attempt int // counted from 0 in the order of the request's Sends
+	Attempt int // index of the attempt among the request's Sends, counted from 0
 }
 
 // WatchEndpoints asks the gateway to open a watch of the endpoint list.
@@ -68,20 +68,20 @@
 // ProbeServer asks the gateway to probe a server. The scheduler never emits it.
 type ProbeServer struct{ Server ServerID }
 
-// QuotaDemand reports how much of a volume's limit its requests at this gateway could use. It is emitted only where
+// QuotaDemand reports how much of a volume's limit its requests at this gateway could use. It is emitted only if
 // Settings.QuotaLeases is set.
 type QuotaDemand struct {
 	Volume   VolumeID
-	Gateways int     // gateways through which the volume's requests come
+	Gateways int     // number of gateways that receive requests of the volume
 	Share    float64 // demand as a fraction of the whole limit; may exceed 1
-	First    bool    // the scheduler holds no QuotaShare of the volume yet and needs one
+	First    bool    // whether this is the first demand for the volume: the scheduler needs its first QuotaShare
 }
 
-// SetTimer asks for a TimerFired at the given clock time or soon after. While a timer is pending, the scheduler asks for another
-// one only if that is to fire earlier.
+// SetTimer asks for a TimerFired at the given clock time or soon after. While a timer is pending, the scheduler sets only timers
+// that fire earlier.
 type SetTimer struct{ At time.Duration }
 
-// Log is a line for the operators. The scheduler never emits it.
+// Log is a line of text for operators. The scheduler never emits it.
 type Log struct{ Text string }
 
 func (Send) action()           {}
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// admit queues a request in the flow of its volume at its shard, or rejects it if it cannot be scheduled at all. A request whose ID
-// is in use is ignored.
+// admit queues a request in the flow of its volume at its shard, or rejects it if it cannot be scheduled. A request is ignored if
+// its ID is in use.
 func (s *Scheduler) admit(arrival *RequestArrived) {
 	s.retryBudget.recordArrival(s.now)
 	if s.requests[arrival.ID] != nil {
@@ -26,7 +26,7 @@
 	s.enqueue(request)
 }
 
-// planFor returns the plan of a request, or nil if the settings have none of its name.
+// planFor returns the plan of a request, or nil if the settings have no plan of that name. A single plan applies to all requests.
 func (s *Scheduler) planFor(arrival *RequestArrived) *Plan {
 	if len(s.settings.Plans) == 1 {
 		return &s.settings.Plans[0]
@@ -34,7 +34,7 @@
 	return s.plans[arrival.Plan]
 }
 
-// isValid reports whether the values of a request are in range.
+// isValid reports whether all values of a request are in range.
 func (s *Scheduler) isValid(arrival *RequestArrived) bool {
 	return arrival.Shard >= -1 && arrival.Shard < len(s.shards) && arrival.Remaining > 0 && arrival.ClientDelay >= 0 &&
 		validUnits(arrival.Units)
@@ -42,18 +42,18 @@
 
 // setDeadlines sets the expiry and the latency objective of a request.
 //
-// The objective counts from the client's first attempt. The age of a retry is estimated as the difference between the longest
-// remaining time that a request of its class has had when its client sent it, and that of the request. If the age is not less than
-// the latter, the request is taken for the first attempt of a client with a short deadline: a retry that old could hardly meet its
-// objective.
+// The objective is measured from the client's first attempt. For a request that may be a retry, the time since the first attempt
+// (its age) is estimated: it is the longest remaining time that any request of the class had when its client sent it, minus the
+// remaining time that this request had then. If the estimated age is not below that remaining time, the request is treated as a
+// first attempt with a short deadline, because a retry of that age could hardly meet its objective.
 func (s *Scheduler) setDeadlines(request *request) {
 	request.expiresAt = s.now + request.Remaining
 	request.objectiveAt = s.now + request.class.LatencyObjective
 	if !request.IsFirstAttempt {
-		total := request.Remaining + request.ClientDelay
-		longest := max(s.longestRemaining[request.class], total)
+		remainingAtClient := request.Remaining + request.ClientDelay
+		longest := max(s.longestRemaining[request.class], remainingAtClient)
 		s.longestRemaining[request.class] = longest
-		if age := longest - total; age < total {
+		if age := longest - remainingAtClient; age < remainingAtClient {
 			request.objectiveAt -= age
 		}
 	}
@@ -63,15 +63,15 @@
 	request.objectiveAt = min(request.objectiveAt, request.expiresAt)
 }
 
-// shardFor returns the shard of a request, or nil if no shard has a server for a new object.
+// shardFor returns the shard of a request. It returns nil for a new object if no shard has a server.
 func (s *Scheduler) shardFor(arrival *RequestArrived) *shard {
 	if arrival.Shard == -1 {
-		return s.leastLoadedShard()
+		return s.shardForNewObject()
 	}
 	return s.shards[arrival.Shard]
 }
 
-// recordDemand counts a request for slow start and for quota leases.
+// recordDemand adds a request to the demand that slow start and quota leases use, and emits a QuotaDemand if one is due.
 func (s *Scheduler) recordDemand(request *request, plan *Plan) {
 	if duration := s.settings.SlowStartDuration; duration > 0 {
 		request.shard.demand.add(s.now, duration, request.Units)
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// deadline is the time at which a request expires.
+// deadline is an entry of a deadlineHeap.
 type deadline struct {
-	at      time.Duration
+	at      time.Duration // clock time at which the request expires
 	request *request
 }
 
-// deadlineHeap orders the deadlines of requests, soonest first. Requests that end earlier stay in it until their deadline.
+// deadlineHeap is a priority queue of the deadlines of requests, earliest first. A request that ends before its deadline stays in
+// the heap until the deadline.
 type deadlineHeap struct{ entries deadlineEntries }
 
 // add inserts the deadline of a request.
@@ -19,7 +20,7 @@
 	heap.Push(&h.entries, deadline{at: at, request: request})
 }
 
-// next returns the soonest deadline; ok is false if there is none.
+// next returns the earliest deadline. ok is false if the heap is empty.
 func (h *deadlineHeap) next() (at time.Duration, ok bool) {
 	if len(h.entries) == 0 {
 		return 0, false
@@ -27,7 +28,7 @@
 	return h.entries[0].at, true
 }
 
-// popExpired removes the soonest deadline that has been reached and returns its request, or nil if there is none.
+// popExpired removes the earliest deadline and returns its request if that deadline has been reached. Otherwise it returns nil.
 func (h *deadlineHeap) popExpired(now time.Duration) *request {
 	if len(h.entries) == 0 || h.entries[0].at > now {
 		return nil
@@ -35,8 +36,8 @@
 	return heap.Pop(&h.entries).(deadline).request
 }
 
-// shortenTo moves all later deadlines to latest, together with the expiry and the objective of their requests. The later ones
-// become equal, so the heap keeps its order.
+// shortenTo moves all deadlines after latest to latest, together with the expiry and the objective of their requests. The heap
+// order is preserved, because all moved deadlines become equal to latest.
 func (h *deadlineHeap) shortenTo(latest time.Duration) {
 	for i := range h.entries {
 		if entry := &h.entries[i]; entry.at > latest {
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// queueTimeoutFactor is how many times the expected latency must be left until a queued request's objective for it to be sent.
+// queueTimeoutFactor is the least time left until a queued request's latency objective at which the request is still sent, as a
+// multiple of the expected latency.
 const queueTimeoutFactor = 0.6
 
-// dispatch sends queued requests of a shard while the windows of its servers have room, and ends those that can no longer meet
-// their objective.
+// dispatch sends queued requests of a shard while the windows of its servers have room. It then ends the queued requests that can
+// no longer meet their objective.
 func (s *Scheduler) dispatch(shard *shard) {
 	latency := s.responseLatency(shard)
-	for _, server := range shard.servers { // the longest running first; the next one gets what exceeds its capacity
+	for _, server := range shard.servers { // longest running first; the next server gets the requests that exceed its capacity
 		server.detectLostAttempts(s.now, s.latencyThreshold, max(1, s.settings.MeanUnits))
 		for {
 			flow, request := s.selectNext(shard, server, latency)
@@ -26,12 +27,14 @@
 	}
 }
 
-// responseLatency returns how long a response of the fastest server of a shard takes.
+// responseLatency returns the expected latency of the fastest server of a shard, or the latency threshold if it has no server.
 func (s *Scheduler) responseLatency(shard *shard) time.Duration {
 	fastest := s.latencyThreshold
 	for i, server := range shard.servers {
 		latency := server.expectedLatency(s.now, s.latencyThreshold)
-		if server.responsiveness(s.now, s.latencyThreshold) == trialDue { // a longer latency would expire every queued request before the trial
+		if server.responsiveness(s.now, s.latencyThreshold) == trialDue {
+			// The expected latency includes the age of the unanswered attempt. It would expire all queued requests, and the trial
+			// needs one of them.
 			latency = time.Duration(float64(server.congestion.latency) / queueTimeoutFactor)
 		}
 		if i == 0 || latency < fastest {
@@ -41,7 +44,8 @@
 	return fastest
 }
 
-// canMeetObjective reports whether a queued request is still worth sending to a server that responds after the given latency.
+// canMeetObjective reports whether enough time is left until the objective of a queued request to send it to a server with the
+// given latency. A request within its volume's reserve may be sent with less time left than others.
 func (s *Scheduler) canMeetObjective(request *request, latency time.Duration) bool {
 	factor := queueTimeoutFactor
 	if request.volume.withinReserve(s.now, request.Units) {
@@ -51,11 +55,11 @@
 }
 
 // expireOrForward rejects a queued request that can no longer meet its latency objective. A first attempt that a slow client link
-// has delayed is forwarded instead if its deadline leaves time for it and a fast server has spare capacity. A client's retry is
-// not forwarded: under overload it would take the capacity of a first attempt.
+// has delayed is sent instead if its deadline leaves enough time and a fast server has spare capacity. A client's retry is not sent:
+// under overload it would take capacity from first attempts.
 func (s *Scheduler) expireOrForward(flow *flow, request *request) {
-	delayedByLink := request.ClientDelay > s.latencyThreshold && len(request.attempts) == 0
-	if delayedByLink && request.expiresAt > s.now+s.latencyThreshold {
+	delayedByClientLink := request.ClientDelay > s.latencyThreshold && len(request.attempts) == 0
+	if delayedByClientLink && request.expiresAt > s.now+s.latencyThreshold {
 		for _, server := range request.shard.servers {
 			fast := server.expectedLatency(s.now, s.latencyThreshold) <= s.latencyThreshold
 			if fast && s.authorizeSend(server, request) && s.hasCapacity(server, request) {
@@ -67,7 +71,8 @@
 	s.rejectOrFail(request, ReasonObjectiveMissed)
 }
 
-// send starts an attempt and charges it to the volume, the flow, the server and the retry budget.
+// send starts an attempt and charges it to the flow, to the server, and to the volume's limit or, if it is a retry, to the retry
+// budget.
 func (s *Scheduler) send(server *serverEntry, flow *flow, request *request) {
 	request.dequeue()
 	if len(request.attempts) == 0 {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -8,17 +8,17 @@
 // RequestID identifies a client request. IDs are never reused.
 type RequestID uint32
 
-// NoKey is the key of a request without one.
+// NoKey is the value of RequestArrived.Key for a request that has no key.
 const NoKey = ^uint64(0)
 
 // ServerState is the state of a server in the endpoint list.
 type ServerState uint8
 
-// The states of a server.
+// States of a server in the endpoint list.
 const (
-	Ready    ServerState = iota // requests may be sent to it
-	Draining                    // it ends what it has accepted and gets nothing more
-	Removed                     // it has left the list
+	Ready    ServerState = iota // the server accepts requests
+	Draining                    // the server completes the requests it has accepted; no more may be sent to it
+	Removed                     // the server is no longer in the list
 )
 
 // String returns the state in lower case, or "unknown".
@@ -28,25 +28,25 @@
 type Server struct {
 	ID        ServerID
 	State     ServerState
-	Shard     int           // the shard (cell) that it serves
-	StartedAt time.Duration // clock time of its last start; 0: long ago
+	Shard     int           // shard (called "cell" in the endpoint list) that the server holds
+	StartedAt time.Duration // clock time of the server's last start; 0: long ago
 	Kind      string
 	Zone      string
-	Size      float64 // relative size as listed
+	Size      float64 // relative size according to the endpoint list
 }
 
-// UpdateKind is how an EndpointUpdate relates to the endpoint list already held.
+// UpdateKind distinguishes the messages and the changes of state of a watch.
 type UpdateKind uint8
 
-// The kinds of endpoint updates.
+// Kinds of endpoint updates. Only Delta, Snapshot and CachedSnapshot carry entries.
 const (
 	Delta          UpdateKind = iota // the changed entries only
 	Snapshot                         // the complete list; servers that are not in it are removed
 	CachedSnapshot                   // the complete list as last seen before the gateway started
-	WatchFailed                      // opening a watch failed, or it broke; no entries
-	WatchIdle                        // an established watch sends neither entries nor heartbeats any more; no entries
-	WatchClosed                      // an established watch has ended after it had sent entries; no entries
-	Heartbeat                        // the watch reports that nothing has changed; no entries
+	WatchFailed                      // a watch could not be opened, or it broke
+	WatchIdle                        // an established watch no longer sends entries or heartbeats
+	WatchClosed                      // an established watch ended after it had sent entries
+	Heartbeat                        // the watch reports that nothing has changed
 )
 
 // String returns the kind in lower case, or "unknown".
@@ -54,7 +54,7 @@
 	return nameOf(k, "delta", "snapshot", "cached snapshot", "watch failed", "watch idle", "watch closed", "heartbeat")
 }
 
-// Event is something that happened at the gateway.
+// Event is an input of Scheduler.Step: something that happened at the gateway.
 type Event interface{ event() }
 
 // EndpointUpdate is a message or a change of state of the watch of the endpoint list.
@@ -62,29 +62,29 @@
 	Version    uint64
 	Kind       UpdateKind
 	Servers    []Server
-	ValidUntil time.Duration // clock time until which the list now held may be used; 0: unbounded
+	ValidUntil time.Duration // clock time until which the endpoint list may be used after this update; 0: no limit
 }
 
 // RequestArrived is a client request that the gateway has accepted.
 type RequestArrived struct {
 	ID             RequestID
 	Class          string // Class.Name
-	Plan           string // Plan.Name; ignored where the settings have a single plan
+	Plan           string // Plan.Name; ignored if the settings have a single plan
 	Volume         VolumeID
 	Key            uint64        // key of the data, for Class.OrderedByKey; NoKey for none
 	Remaining      time.Duration // time left until the client's deadline; positive
-	ClientDelay    time.Duration // how long the request was on its way to the gateway; 0: unknown
+	ClientDelay    time.Duration // time that the request took from the client to the gateway; 0: unknown
 	Units          float64       // size of the request
-	Shard          int           // shard that holds the data; -1: a new object that any shard may take
-	Gateways       int           // gateways through which the volume's requests come; 0: all
-	IsRetry        bool          // the client has marked it as a retry
-	IsFirstAttempt bool          // the gateway knows it to be the client's first attempt, whatever time remains
+	Shard          int           // shard that holds the data; -1: a new object, which any shard may take
+	Gateways       int           // number of gateways that receive requests of the volume; 0: all gateways
+	IsRetry        bool          // whether the client has marked the request as a retry
+	IsFirstAttempt bool          // whether this is known to be the client's first attempt, however little time remains
 }
 
-// Status is how an attempt ended.
+// Status is the result of an attempt.
 type Status uint8
 
-// The ways in which an attempt ends.
+// Results of an attempt.
 const (
 	StatusOK              Status = iota // the server responded with success
 	StatusError                         // the server responded with an error
@@ -96,31 +96,31 @@
 	StatusNotSent                       // the gateway did not send its first byte
 )
 
-// String returns the status as counters and traces name it, or "unknown".
+// String returns the name of the status in counters and traces, or "unknown".
 func (s Status) String() string {
 	return nameOf(s, "ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent")
 }
 
-// ProvesNotExecuted reports whether an attempt that ended with the status was certainly not executed.
+// ProvesNotExecuted reports whether the status proves that the server has not executed the attempt.
 func (s Status) ProvesNotExecuted() bool {
 	return s == StatusOverloaded || s == StatusConnectFailed || s == StatusNotSent
 }
 
-// AttemptEnded is the end of an attempt. Each Send has exactly one.
+// AttemptEnded reports the end of an attempt. The gateway reports exactly one for each Send.
 type AttemptEnded struct {
 	ID             RequestID
-	Attempt        int // counted from 0 in the order of the request's Sends
+	Attempt        int // index of the attempt among the request's Sends, counted from 0
 	Server         ServerID
 	Status         Status
-	Latency        time.Duration // from the send to the end
-	RequestDone    bool          // the client has its response; the request needs nothing more
-	VolumeUsage    float64       // units that all servers served the volume in a finished period, as a fraction of Plan.Rate
-	HasVolumeUsage bool          // VolumeUsage is present
-	ForeignUnits   float64       // units that the server served the volume through other gateways since its last response here
+	Latency        time.Duration // time from the send to the end of the attempt
+	RequestDone    bool          // whether the client has its response, so that the request needs no further attempt
+	VolumeUsage    float64       // units of the volume that all servers served in a complete UsagePeriod, as a fraction of Plan.Rate
+	HasVolumeUsage bool          // whether VolumeUsage is present
+	ForeignUnits   float64       // units of the volume that the server served to other gateways since its last response to this one
 	LoadReport     []float64     // values in the order of Settings.LoadReportFields
 }
 
-// ResponseStarted reports that a streamed response has begun. The request has no deadline from then on.
+// ResponseStarted reports that a streamed response has begun. From then on the request has no deadline.
 type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
@@ -131,7 +131,7 @@
 // RequestCanceled reports that the client no longer waits for a request. It may name a request that has already ended.
 type RequestCanceled struct{ ID RequestID }
 
-// ProbeEnded is the result of a ProbeServer. The scheduler ignores it.
+// ProbeEnded reports the result of a ProbeServer. The scheduler ignores it.
 type ProbeEnded struct {
 	Server     ServerID
 	Status     Status
@@ -139,23 +139,23 @@
 	LoadReport []float64
 }
 
-// ShutdownStarted reports that the gateway shuts down. Every request ends by the deadline, which is a clock time.
+// ShutdownStarted reports that the gateway is shutting down. Every request ends by Deadline, a clock time.
 type ShutdownStarted struct{ Deadline time.Duration }
 
-// QuotaShare sets the part of a volume's limit that is in force at this gateway from now on.
+// QuotaShare sets the share of a volume's limit that this gateway may use from now on.
 type QuotaShare struct {
 	Volume VolumeID
-	Share  float64 // fraction of the whole limit over all gateways
+	Share  float64 // fraction of the volume's whole limit
 }
 
-// EjectServer reports that several gateways find a server failing, or that it is known to drain or to be removed. Requests
-// to it are then sent one at a time with MinInterval between them. It is repeated for as long as it applies.
+// EjectServer limits a server to one request per MinInterval, because several gateways find that it fails, or because it is known
+// to be draining or removed. The event is repeated while this is the case.
 type EjectServer struct {
 	Server      ServerID
 	MinInterval time.Duration
 }
 
-// PeerLatency is a recent latency of a server as measured by other gateways. It counts as one response.
+// PeerLatency reports a recent latency of a server as measured by other gateways. It has the weight of one response.
 type PeerLatency struct {
 	Server  ServerID
 	Latency time.Duration
--- a/internal/scheduler/fairqueue.go
+++ b/internal/scheduler/fairqueue.go
@@ -8,52 +8,53 @@
 )
 
 const (
-	// minFairPriority is the lowest relative priority by which the cost of a request is divided when its flow is charged.
+	// minFairPriority is the lower bound of the relative priority by which a request's cost is divided when its flow is charged.
 	minFairPriority = 0.1
-	// idleFlowOutstanding is the mean of outstanding requests below which an idle flow is dropped.
-	idleFlowOutstanding = 0.01
+	// negligibleMeanOutstanding is the mean number of outstanding requests below which the state of an idle flow may be dropped.
+	negligibleMeanOutstanding = 0.01
 )
 
 // flow is the queue of a volume at one shard, with its state of start-time fair queueing.
 type flow struct {
 	volumeID        VolumeID
 	volume          *volumeEntry
-	startTag        float64    // virtual time at which its next request starts
-	queue           []*request // by objective
-	outstanding     int        // requests in flight
-	meanOutstanding float64    // smoothed over latencyHalfLife
+	startTag        float64    // virtual time at which the flow's next request starts
+	queue           []*request // earliest objective first
+	outstanding     int        // attempts in flight
+	meanOutstanding float64    // mean of outstanding, smoothed with the half-life latencyHalfLife
 }
 
-// newFlow returns the flow of a request's volume.
+// newFlow returns an empty flow for the volume of a request.
 func newFlow(request *request) *flow { return &flow{volumeID: request.Volume, volume: request.volume} }
 
 // isIdle reports whether the flow has neither queued nor outstanding requests.
 func (f *flow) isIdle() bool { return f.outstanding == 0 && len(f.queue) == 0 }
 
-// insert puts a request into the queue, behind those with the same objective.
+// insert puts a request into the queue, after requests with the same objective.
 func (f *flow) insert(request *request) {
 	i, _ := slices.BinarySearchFunc(f.queue, request, compareObjectives)
 	f.queue = slices.Insert(f.queue, i, request)
 	request.queued = true
 }
 
-// compareObjectives orders requests by objective. It never returns 0, so that a request sorts behind equal ones.
+// compareObjectives orders requests by objective. It returns -1 for equal objectives, so that a binary search finds the position
+// after all of them.
 func compareObjectives(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.objectiveAt, b.objectiveAt), -1)
 }
 
-// shard is a part of the pool. One server holds it, or two while one replaces the other.
+// shard is a part of the server pool. One server holds it, or two while a new server replaces the old one.
 type shard struct {
-	servers          []*serverEntry // those that are ready, the longest running first
+	servers          []*serverEntry // servers that are ready, longest running first
 	flows            []*flow        // in order of creation
 	flowsByVolume    map[VolumeID]*flow
-	active           bool // in Scheduler.activeShards
+	active           bool // whether Scheduler.activeShards contains the shard
 	windowsUpdatedAt time.Duration
-	virtualTime      float64     // of start-time fair queueing
-	demand           decayingSum // units requested, over Settings.SlowStartDuration
+	virtualTime      float64     // virtual time of start-time fair queueing
+	demand           decayingSum // units requested; the time constant is Settings.SlowStartDuration
 }
 
-// flowFor returns the flow of a request's volume, which it creates if need be.
+// flowFor returns the flow of a request's volume and creates it if it does not exist.
 func (sh *shard) flowFor(request *request) *flow {
 	flow := sh.flowsByVolume[request.Volume]
 	if flow == nil {
@@ -61,12 +62,12 @@
 		sh.flowsByVolume[request.Volume] = flow
 		sh.flows = append(sh.flows, flow)
 	}
-	flow.volume = request.volume // the volume's state may have been evicted and created again since
+	flow.volume = request.volume // the volume's entry may have been evicted and created again
 	return flow
 }
 
-// smoothFlows updates the mean outstanding requests of the flows and returns the sum of the weights of those that are not idle. If
-// all are idle, the virtual time advances to the latest start tag, so that no flow is charged for earlier requests any more.
+// smoothFlows updates the flows' mean numbers of outstanding requests and returns the sum of the weights of all flows that are not
+// idle. If all flows are idle, the virtual time advances to the latest start tag, so that earlier charges no longer delay any flow.
 func (sh *shard) smoothFlows(elapsed time.Duration) (weights float64) {
 	maxTag, decay := 0.0, math.Exp2(-float64(elapsed)/float64(latencyHalfLife))
 	for _, flow := range sh.flows {
@@ -82,10 +83,10 @@
 	return weights
 }
 
-// dropIdleFlows drops idle flows whose state is that of a new flow.
+// dropIdleFlows drops idle flows whose state no longer differs from that of a new flow.
 func (sh *shard) dropIdleFlows() {
 	sh.flows = slices.DeleteFunc(sh.flows, func(flow *flow) bool {
-		droppable := flow.isIdle() && flow.startTag <= sh.virtualTime && flow.meanOutstanding < idleFlowOutstanding
+		droppable := flow.isIdle() && flow.startTag <= sh.virtualTime && flow.meanOutstanding < negligibleMeanOutstanding
 		if droppable {
 			delete(sh.flowsByVolume, flow.volumeID)
 		}
@@ -93,7 +94,7 @@
 	})
 }
 
-// enqueue puts a request into its flow.
+// enqueue puts a request into the queue of its flow and marks its shard as active.
 func (s *Scheduler) enqueue(request *request) {
 	shard := request.shard
 	flow := shard.flowFor(request)
@@ -108,8 +109,8 @@
 	flow.insert(request)
 }
 
-// selectNext returns the request that leaves next for a server and its flow, or nil: requests within their reserve come first,
-// then the flow with the lowest start tag. latency is how long a response takes.
+// selectNext returns the next request to send to a server, with its flow, or nil if there is none. Requests within their reserve
+// come first, then requests of the flow with the lowest start tag. latency is the expected latency of the shard.
 func (s *Scheduler) selectNext(shard *shard, server *serverEntry, latency time.Duration) (best *flow, next *request) {
 	bestReserved := false
 	for _, flow := range shard.flows {
@@ -128,7 +129,8 @@
 	return best, next
 }
 
-// chargeFlow charges a request that is sent now to its flow: to the reserve if that covers it, else to the fair share.
+// chargeFlow charges a request that is sent now to its volume's reserve if that covers it, and otherwise to the fair share of its
+// flow. In both cases it also charges the volume's baseline rate if that covers the request.
 func (s *Scheduler) chargeFlow(flow *flow, request *request) {
 	volume := flow.volume
 	if volume.withinReserve(s.now, request.Units) {
--- a/internal/scheduler/ordering.go
+++ b/internal/scheduler/ordering.go
@@ -8,17 +8,17 @@
 // keyQueue holds the unfinished ordered requests of one key, in order of arrival.
 type keyQueue struct {
 	requests      []*request
-	cooldownUntil time.Duration // later requests are not sent before
+	cooldownUntil time.Duration // clock time before which no later request of the key is sent
 }
 
-// keyOrder holds the order of requests by key: one runs at a time, and a key cools down after an attempt that may go on running
-// at a server unobserved.
+// keyOrder implements per-key order: the requests of a key run one at a time, in order of arrival. After an attempt that the server
+// may still be executing although the gateway no longer observes it, later requests of the key wait for a cooldown.
 type keyOrder struct {
 	queues   map[uint64]*keyQueue
-	cooldown time.Duration
+	cooldown time.Duration // duration of a key's cooldown
 }
 
-// isOrderedByKey reports whether a request has to wait for earlier ones of its key.
+// isOrderedByKey reports whether a request has to wait for earlier requests of its key.
 func (r *request) isOrderedByKey() bool { return r.class.OrderedByKey && r.Key != NoKey }
 
 // enqueue appends a request to the queue of its key. A request that is not ordered is ignored.
@@ -34,8 +34,9 @@
 	queue.requests = append(queue.requests, request)
 }
 
-// allows reports whether a request may be sent: it is not ordered, or every earlier request of its key has ended without an
-// outstanding attempt and the key is not cooling down. The cooldown does not bind the retries of the request that caused it.
+// allows reports whether per-key order allows a request to be sent. A request that is ordered is the first of its key's queue, which
+// holds every earlier request until it has ended without an outstanding attempt, and the cooldown of the key is over. The cooldown
+// does not apply to retries of the request that caused it.
 func (o *keyOrder) allows(now time.Duration, request *request) bool {
 	if !request.isOrderedByKey() {
 		return true
@@ -44,7 +45,8 @@
 	return queue.requests[0] == request && (now >= queue.cooldownUntil || len(request.attempts) > 0)
 }
 
-// startCooldown records that an attempt of an ordered request may still be running.
+// startCooldown starts the cooldown of a request's key, because an attempt of the request may still be running at a server. A
+// request that is not ordered is ignored.
 func (o *keyOrder) startCooldown(now time.Duration, request *request) {
 	if !request.isOrderedByKey() {
 		return
@@ -54,7 +56,7 @@
 	}
 }
 
-// remove takes an ended request out of the queue of its key. The queue stays while the key cools down.
+// remove takes an ended request out of the queue of its key. An empty queue is kept until the cooldown of the key is over.
 func (o *keyOrder) remove(now time.Duration, request *request) {
 	if !request.isOrderedByKey() {
 		return
@@ -68,7 +70,7 @@
 	}
 }
 
-// evictIdle drops empty queues whose keys have cooled down.
+// evictIdle drops the empty queues of keys whose cooldown is over.
 func (o *keyOrder) evictIdle(now time.Duration) {
 	for key, queue := range o.queues {
 		if len(queue.requests) == 0 && now >= queue.cooldownUntil {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// errorCooldown is how long a server that responded with an error gets no new objects.
+	// errorCooldown is the time after an error response in which a server gets no new objects.
 	errorCooldown = 4 * time.Second
-	// minKnownServers is how many servers a gateway gets to know by placing new objects on servers it has not used yet.
+	// minKnownServers is the number of known servers from which on a gateway prefers them to other servers for new objects.
 	minKnownServers = 8
-	// placementChoices is the number of preferred shards among which the less loaded one is chosen.
+	// placementChoices is the number of preferred shards from which the least loaded one is chosen.
 	placementChoices = 2
 )
 
-// leastLoadedShard returns the shard for a new object: the less loaded one, as seen from this gateway, of two preferred shards drawn
-// at random. The least loaded of all may be the same for every gateway with few requests, and would then get the new objects of all
-// of them and the reads that follow. A shard that is not preferred is returned only if there is no other, and nil if no shard has a
-// server.
-func (s *Scheduler) leastLoadedShard() (best *shard) {
+// shardForNewObject returns the shard for a new object: the less loaded, as seen from this gateway, of two preferred shards drawn at
+// random. Gateways with few requests may all see the same shard as the least loaded one. If they searched all shards, it would get
+// the new objects of all of them and the reads that follow. A shard that is not preferred is returned only if none is preferred. The
+// result is nil if no shard has a server.
+func (s *Scheduler) shardForNewObject() (best *shard) {
 	bestLoad, bestPreferred, candidates := math.Inf(1), false, 0
 	enoughKnown := s.knownServers() >= minKnownServers
 	for _, i := range s.random.Perm(len(s.shards)) {
@@ -51,8 +51,9 @@
 	return count
 }
 
-// isPreferred reports whether a server should get new objects: it accepts requests, responds, has not failed lately and is not in
-// slow start. Once enough servers are known it must be one of those, because another costs a handshake from every gateway.
+// isPreferred reports whether a server should get new objects: it accepts requests, is responsive, has not responded with an error
+// lately and is not in slow start. Once the gateway knows enough servers, only known servers are preferred, because the first use of
+// another one costs a handshake at every gateway.
 func (s *Scheduler) isPreferred(server *serverEntry, enoughKnown bool) bool {
 	accepting := server.consecutiveRejects == 0 && server.connectFailures == 0 && s.now >= server.backoffUntil
 	failedLately := server.lastErrorAt != 0 && s.now-server.lastErrorAt <= errorCooldown
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// attempt is one send of a request to a server.
+// attempt is one transmission of a request to a server.
 type attempt struct {
 	request *request
 	server  *serverEntry
 	sentAt  time.Duration
 	ended   bool
-	lost    bool // its response is no longer expected, so it does not count as in flight
+	lost    bool // whether its response is no longer expected; a lost attempt does not count as in flight
 }
 
 // releaseSlot stops counting the attempt as in flight at its server and in its flow.
@@ -20,22 +20,22 @@
 	a.request.flow().outstanding--
 }
 
-// request is an admitted request. It is kept until it is finished and has no outstanding attempt.
+// request is an admitted request. The scheduler keeps it until it is finished and has no outstanding attempt.
 type request struct {
 	RequestArrived
 	class                *Class
 	volume               *volumeEntry
 	shard                *shard
-	objectiveAt          time.Duration // when its latency objective is missed
-	expiresAt            time.Duration // when the client stops waiting; 0: its response has started
-	retryNotBefore       time.Duration
+	objectiveAt          time.Duration // clock time by which a response meets the latency objective
+	expiresAt            time.Duration // clock time of the deadline; 0: none, since the response has started
+	retryNotBefore       time.Duration // clock time before which no retry is sent
 	attempts             []*attempt
-	outstanding          int  // attempts that have not ended, including lost ones
-	mayHaveExecuted      bool // by an ended attempt
-	mayHaveExecutedSince time.Duration
-	executionZone        string // zone of the server that may have executed it first
-	finished             bool   // nothing more is sent for it
-	queued               bool   // in the queue of its flow
+	outstanding          int           // number of attempts that have not ended, including lost ones
+	mayHaveExecuted      bool          // whether a server may have executed an attempt that has ended
+	mayHaveExecutedSince time.Duration // send time of the earliest attempt that may have been executed
+	executionZone        string        // zone of the server of that attempt
+	finished             bool          // whether no further attempt is sent
+	queued               bool          // whether the queue of its flow contains the request
 }
 
 // flow returns the flow of the request's volume at its shard.
@@ -50,14 +50,14 @@
 	r.queued = false
 }
 
-// shortenDeadline makes the request end by a time, unless its response has started.
+// shortenDeadline sets the deadline to latest and the objective to no later than that, unless the response has started.
 func (r *request) shortenDeadline(latest time.Duration) {
 	if r.expiresAt != 0 {
 		r.expiresAt, r.objectiveAt = latest, min(r.objectiveAt, latest)
 	}
 }
 
-// recordPossibleExecution notes that an attempt may have been executed.
+// recordPossibleExecution records that an attempt may have been executed.
 func (r *request) recordPossibleExecution(attempt *attempt) {
 	if !r.mayHaveExecuted || attempt.sentAt < r.mayHaveExecutedSince {
 		r.mayHaveExecuted, r.mayHaveExecutedSince, r.executionZone = true, attempt.sentAt, attempt.server.Zone
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -26,7 +26,7 @@
 func (s *Scheduler) retryOrEnd(request *request, server *serverEntry, status Status) {
 	request.retryNotBefore = s.now + server.congestion.latency/4
 	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that no server has yet
-		if shard := s.leastLoadedShard(); shard != nil {
+		if shard := s.shardForNewObject(); shard != nil {
 			request.shard = shard
 		}
 	}
