--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// mayRetry reports whether a request may be sent again: the retry is safe, attempts are left, and none is outstanding.
+// mayRetry reports whether a request may be sent again: the retry is safe, MaxAttempts is not reached, no attempt is outstanding.
 func (s *Scheduler) mayRetry(request *request) bool {
 	return request.isSafeToRetry(s.now) && len(request.attempts) < s.settings.MaxAttempts && request.outstanding == 0
 }
 
-// isSafeToRetry reports whether another attempt that starts now has no further effect.
+// isSafeToRetry reports whether another attempt that starts now is certain to have no additional effect.
 func (r *request) isSafeToRetry(now time.Duration) bool {
 	return !r.mayHaveExecuted || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotentWithKey && now < r.retryStartDeadline()
 }
 
-// retryStartDeadline returns the clock time before which the first byte of a retry must be sent: servers drop duplicates until the
-// DedupWindow after the first attempt has ended, and a retry may have to wait for its connection. 0 means that there is none.
+// retryStartDeadline returns the clock time before which the first byte of a retry must be sent, or 0 if there is none. Servers drop
+// duplicates only during the DedupWindow that begins with the first attempt that may have been executed, and a retry that is sent in
+// time may still have to wait for its connection.
 func (r *request) retryStartDeadline() time.Duration {
 	if !r.mayHaveExecuted || r.class.Idempotency != IdempotentWithKey {
 		return 0
@@ -22,10 +23,10 @@
 	return r.mayHaveExecutedSince + r.class.DedupWindow
 }
 
-// retryOrEnd queues a request again after a failed attempt, or ends it if a retry is not allowed or would come too late.
+// retryOrEnd queues a request again after a failed attempt. It ends the request if a retry is not allowed or would come too late.
 func (s *Scheduler) retryOrEnd(request *request, server *serverEntry, status Status) {
 	request.retryNotBefore = s.now + server.congestion.latency/4
-	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that no server has yet
+	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that no server can have stored yet
 		if shard := s.shardForNewObject(); shard != nil {
 			request.shard = shard
 		}
@@ -38,8 +39,9 @@
 	}
 }
 
-// retryAfter returns how long a rejected client should wait: until its server has probably completed its present requests, which is
-// bounded so that the client's objective is not missed by the wait alone, and until the volume's limit has tokens for the request.
+// retryAfter returns how long a rejected client should wait before it retries: until the server has probably completed its present
+// requests, and until the volume's limit has tokens for the request. The wait for the server is at most twice the latency threshold,
+// so that the client does not miss its objective by the wait alone.
 func (s *Scheduler) retryAfter(request *request) time.Duration {
 	wait := s.latencyThreshold
 	for _, server := range request.shard.servers {
--- a/internal/scheduler/retrybudget.go
+++ b/internal/scheduler/retrybudget.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// retryBudget limits the retries of all requests together to a constant and a fraction of the requests that have arrived, both
-// counted over a sliding window. The zero value allows every retry.
+// retryBudget limits the number of retries in a sliding window, over all requests, to a constant plus a fraction of the requests
+// that have arrived in the window. The zero value allows every retry.
 type retryBudget struct {
 	window  time.Duration // 0: no budget
-	minimum float64       // retries allowed per window without any request
-	ratio   float64       // further retries allowed per request in the window
+	minimum float64       // retries allowed per window even if no request arrives
+	ratio   float64       // additional retries allowed per request in the window
 
-	arrivals []time.Duration // times of the requests, oldest first
-	retries  []time.Duration // times of the retries, oldest first
+	arrivals []time.Duration // clock times of the arrivals of requests, oldest first
+	retries  []time.Duration // clock times of the retries, oldest first
 }
 
-// recordArrival counts a request.
+// recordArrival counts the arrival of a request.
 func (b *retryBudget) recordArrival(now time.Duration) {
 	if b.window > 0 {
 		b.arrivals = append(b.arrivals, now)
 	}
 }
 
-// recordRetry counts a retry.
+// recordRetry counts a retry that is sent now.
 func (b *retryBudget) recordRetry(now time.Duration) {
 	if b.window > 0 {
 		b.retries = append(b.retries, now)
 	}
 }
 
-// allowsRetry reports whether one more retry stays within the budget. It drops what has left the window: a request at the age
-// of the window, a retry beyond it.
+// allowsRetry reports whether one more retry stays within the budget. It drops entries that have left the window: an arrival when
+// its age reaches the window, a retry only when its age exceeds the window.
 func (b *retryBudget) allowsRetry(now time.Duration) bool {
 	if b.window == 0 {
 		return true
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// VolumeID identifies the volume whose reserve, limit and fair share a request draws on.
+// VolumeID identifies a volume. A request is charged to the reserve, the limit and the fair share of its volume.
 type VolumeID uint64
 
-// Idempotency is the effect of executing a request more than once.
+// Idempotency states whether a request may be executed more than once.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// Kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // retries are always harmless
-	IdempotentWithKey                    // servers of one DedupScope drop duplicates for the DedupWindow
-	NotIdempotent                        // must never execute twice
+	IdempotentWithKey                    // the servers of a DedupScope drop duplicates during the DedupWindow
+	NotIdempotent                        // the request must never be executed twice
 )
 
 // String returns the kind in lower case, or "unknown".
@@ -24,10 +24,10 @@
 	return nameOf(i, "idempotent", "idempotent with key", "not idempotent")
 }
 
-// DedupScope is the group of servers that drops duplicates of an IdempotentWithKey request.
+// DedupScope is the group of servers that drop duplicates of an IdempotentWithKey request.
 type DedupScope uint8
 
-// The scopes, from widest to narrowest.
+// Deduplication scopes, from widest to narrowest.
 const (
 	DedupAll   DedupScope = iota // all servers
 	DedupZone                    // the servers of one zone
@@ -37,89 +37,89 @@
 // String returns the scope in lower case, or "unknown".
 func (d DedupScope) String() string { return nameOf(d, "all", "zone", "shard") }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // a response within this time earns the full PriorityWeight; positive
-	ObjectiveStretch float64       // growth of the objective by the request's own work; not consulted by the scheduler
-	Deadline         time.Duration // how long a client waits over all its own attempts; positive
+	LatencyObjective time.Duration // a response within this time has the full PriorityWeight; positive
+	ObjectiveStretch float64       // growth of the objective by the request's own work; not used by the scheduler
+	Deadline         time.Duration // how long a client waits, over all its attempts; positive
 	Idempotency      Idempotency
-	DedupScope       DedupScope    // of IdempotentWithKey
-	DedupWindow      time.Duration // of IdempotentWithKey: how long duplicates are dropped after the first send
-	OrderedByKey     bool          // requests with the same key run one at a time, in order of arrival
-	Stream           bool          // responses begin with ResponseStarted; not consulted by the scheduler
-	Write            bool          // not consulted by the scheduler
+	DedupScope       DedupScope    // for IdempotentWithKey
+	DedupWindow      time.Duration // for IdempotentWithKey: how long duplicates are dropped, from the first send
+	OrderedByKey     bool          // whether requests with the same key run one at a time, in order of arrival
+	Stream           bool          // whether responses begin with ResponseStarted; not used by the scheduler
+	Write            bool          // whether requests of the class write data; not used by the scheduler
 	PriorityWeight   float64       // relative value of a response within the objective; not negative
-	LateFraction     float64       // fraction of PriorityWeight that a later response earns; not consulted by the scheduler
+	LateFraction     float64       // fraction of PriorityWeight that a response after the objective has; not used by the scheduler
 }
 
-// Plan is the service that a volume has bought. Rates and bursts hold per volume, over all gateways and servers.
+// Plan is the service level of a volume. Rates and bursts hold per volume, over all gateways and servers.
 type Plan struct {
 	Name           string
-	Rate           float64 // baseline in units per second that the volume is sized for
-	Reserve        float64 // guaranteed units per second; 0: none
-	Weight         float64 // share of what is left beyond all reserves; positive
+	Rate           float64 // baseline rate in units per second, which the volume is sized for
+	Reserve        float64 // guaranteed rate in units per second; 0: none
+	Weight         float64 // weight in sharing the capacity beyond all reserves; positive
 	PriorityFactor float64 // multiplies Class.PriorityWeight; not negative
 	Limit          float64 // fill rate of the limit's token bucket in units per second; 0: no limit
 	LimitBurst     float64 // capacity of that bucket in units
-	LimitOverdraft float64 // how far below zero the bucket may go, in units; not consulted by the scheduler
+	LimitOverdraft float64 // how far below zero the level of that bucket may fall, in units; not used by the scheduler
 }
 
-// Settings configures a Scheduler. The zero value of an optional field means that the operator gave none.
+// Settings configures a Scheduler. The zero value of an optional field means that the operator has not set it.
 type Settings struct {
-	Gateways int     // gateways that share the servers, including this one; at least 1
+	Gateways int     // number of gateways that share the servers, including this one; at least 1
 	Classes  []Class // at least one
-	Plans    []Plan  // none: one plan with weight 1 for every request
-	Shards   int     // shards that exist; an endpoint update may name more
+	Plans    []Plan  // if empty, one plan with weight 1 applies to all requests
+	Shards   int     // number of shards; an endpoint update may name further ones
 
-	MeanUnits, MaxUnits float64 // mean and largest size of a request in units; a mean of 0 counts as 1
-	FairShareWeight     float64 // fraction of the priority that a request beyond its reserve has; not negative
-	SurplusWeight       float64 // fraction of the priority beyond the fair share; not negative, not consulted otherwise
+	MeanUnits, MaxUnits float64 // mean and largest size of a request in units; a mean of 0 stands for 1
+	FairShareWeight     float64 // fraction of its priority that a request beyond the reserve has; not negative
+	SurplusWeight       float64 // fraction of its priority that a request beyond the fair share has; not negative, otherwise unused
 
-	PollEndpoints   bool          // the endpoint list is only sent in response to WatchEndpoints
-	MaxPollInterval time.Duration // a gateway that has not polled for this long counts as notified; 0: unbounded
+	PollEndpoints   bool          // whether the endpoint list is sent only in response to WatchEndpoints
+	MaxPollInterval time.Duration // a gateway that has not polled for this long is treated as notified of all changes; 0: unbounded
 
 	MaxAttempts   int           // attempts per request, including the first; at least 1
-	AllowHedging  bool          // not consulted by the scheduler: it never hedges
-	AllowCancel   bool          // attempts may be canceled with CancelAttempt
-	AllowProbes   bool          // not consulted by the scheduler: it never probes
-	MaxRetryAfter time.Duration // longest Reject.RetryAfter that clients respect; 0: none is given
+	AllowHedging  bool          // not used by the scheduler, which sends no hedged requests
+	AllowCancel   bool          // whether attempts may be canceled with CancelAttempt
+	AllowProbes   bool          // not used by the scheduler, which never probes
+	MaxRetryAfter time.Duration // longest Reject.RetryAfter that clients respect; 0: rejections have no RetryAfter
 
-	ResponseGrace time.Duration // how long after the client's deadline a response is valid; not consulted by the scheduler
-	DrainGrace    time.Duration // how long a drained server still accepts requests; not consulted by the scheduler
+	ResponseGrace time.Duration // how long after the client's deadline a response is still valid; not used by the scheduler
+	DrainGrace    time.Duration // how long a draining server still accepts requests; not used by the scheduler
 
-	InitialCapacity   float64       // fraction of its capacity that a server has when it starts
-	SlowStartDuration time.Duration // a server has its full capacity this long after its start; 0: no slow start
-	OverloadMultiple  float64       // a starting server fails above this multiple of its capacity; 0: no slow start
-	OverloadWindow    time.Duration // over which that multiple is measured; 0: no slow start
-	SlowStartUnits    float64       // units per OverloadWindow that a starting server tolerates from all gateways together
+	InitialCapacity   float64       // capacity of a server when it starts, as a fraction of its full capacity
+	SlowStartDuration time.Duration // time from a server's start until it has its full capacity; 0: no slow start
+	OverloadMultiple  float64       // multiple of its capacity above which a starting server fails; 0: no slow start
+	OverloadWindow    time.Duration // time over which that multiple is measured; 0: no slow start
+	SlowStartUnits    float64       // units per OverloadWindow that a server can serve at its start, from all gateways together
 
-	KeyCooldown time.Duration // pause of an ordered key after a timeout, reset or cancel
+	KeyCooldown time.Duration // pause of an ordered key after a timeout, a reset or a cancellation
 
-	RetryBudgetMin, RetryBudgetRatio float64       // retries allowed per window: a constant, and per admitted request
-	RetryBudgetWindow                time.Duration // over which retries and requests are counted; 0: no budget
+	RetryBudgetMin, RetryBudgetRatio float64       // retries allowed per window: a constant, plus a fraction of the requests
+	RetryBudgetWindow                time.Duration // time over which retries and requests are counted; 0: no budget
 
-	UsagePeriod         time.Duration // period of AttemptEnded.VolumeUsage; not consulted by the scheduler
-	ReportsForeignUnits bool          // AttemptEnded.ForeignUnits is present
+	UsagePeriod         time.Duration // period of AttemptEnded.VolumeUsage; not used by the scheduler
+	ReportsForeignUnits bool          // whether AttemptEnded.ForeignUnits is present
 
-	// QuotaLeases is set where gateways lease parts of volume limits to each other: the scheduler emits QuotaDemand and
-	// receives QuotaShare. Until a volume's first QuotaShare, InitialQuotaShare of its equal share is in force here, which is
-	// the part that no gateway ever leases out; 0 stands for all of it.
+	// QuotaLeases is set if gateways lease parts of volume limits to each other. The scheduler then emits QuotaDemand and receives
+	// QuotaShare. Until the first QuotaShare of a volume, the gateway uses the fraction InitialQuotaShare of its equal share of
+	// the limit. That is the part which no gateway ever leases to others. 0 stands for the whole equal share.
 	QuotaLeases       bool
 	InitialQuotaShare float64
 
-	LoadReportFields []string      // names of the values of a load report, in order; not consulted by the scheduler
+	LoadReportFields []string      // names of the values of a load report, in order; not used by the scheduler
 	MinStepInterval  time.Duration // shortest time between two calls of Step
 }
 
-// minInitialCapacity is the smallest InitialCapacity in use: with a lower one the slow-start budget would stay empty for most
-// of the SlowStartDuration.
+// minInitialCapacity is the lower bound of InitialCapacity. With a lower value, the slow-start budget would stay empty for most of
+// the SlowStartDuration.
 const minInitialCapacity = 0.01
 
-// validated checks the settings and returns them with defaults for what they leave out.
+// validated checks the settings and returns them with defaults for optional fields that are not set.
 func (settings Settings) validated() (Settings, error) {
 	if len(settings.Classes) == 0 || settings.Gateways < 1 || settings.MaxAttempts < 1 || settings.Shards < 0 {
-		return settings, fmt.Errorf("gaugerelay: %d classes, %d siblings, %d attempts, %d shards",
+		return settings, fmt.Errorf("gaugerelay: %d classes, %d gateways, %d attempts (at least 1 each), %d shards (at least 0)",
 			len(settings.Classes), settings.Gateways, settings.MaxAttempts, settings.Shards)
 	}
 	if err := validateClasses(settings.Classes); err != nil {
@@ -132,45 +132,45 @@
 		return settings, err
 	}
 	if settings.FairShareWeight < 0 || settings.SurplusWeight < 0 {
-		return settings, errors.New("gaugerelay: a worth below zero")
+		return settings, errors.New("gaugerelay: FairShareWeight and SurplusWeight must not be negative")
 	}
 	return settings.withDefaults(), nil
 }
 
-// validateClasses returns an error that names the first class that cannot be used, or nil.
+// validateClasses returns an error that names the first invalid class, or nil.
 func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for _, class := range classes {
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.PriorityWeight < 0 || names[class.Name] {
-			return fmt.Errorf("gaugerelay: class %q: bad aim, deadline or worth, or listed twice", class.Name)
+			return fmt.Errorf("gaugerelay: class %q: needs a positive objective and deadline, a weight >= 0 and a unique name", class.Name)
 		}
 		names[class.Name] = true
 	}
 	return nil
 }
 
-// validatePlans returns an error that names the first plan that cannot be used, or nil.
+// validatePlans returns an error that names the first invalid plan, or nil.
 func validatePlans(plans []Plan) error {
 	names := map[string]bool{}
 	for _, plan := range plans {
 		if plan.Weight <= 0 || plan.PriorityFactor < 0 || plan.Reserve < 0 || plan.Limit < 0 || names[plan.Name] {
-			return fmt.Errorf("gaugerelay: plan %q: bad figures, or listed twice", plan.Name)
+			return fmt.Errorf("gaugerelay: plan %q: needs a positive weight, factor, reserve and limit >= 0 and a unique name", plan.Name)
 		}
 		names[plan.Name] = true
 	}
 	return nil
 }
 
-// withDefaults fills in optional settings that are absent.
+// withDefaults returns the settings with defaults for optional fields that are not set.
 func (settings Settings) withDefaults() Settings {
-	if settings.OverloadWindow <= 0 { // without a window there is no overload rule
+	if settings.OverloadWindow <= 0 { // without a window, the overload multiple has no meaning
 		settings.OverloadMultiple = 0
 	}
 	if !(settings.InitialQuotaShare > 0 && settings.InitialQuotaShare < 1) || !settings.QuotaLeases {
 		settings.InitialQuotaShare = 1
 	}
 	settings.InitialCapacity = max(settings.InitialCapacity, minInitialCapacity)
-	if settings.SlowStartUnits <= 0 { // absent: a request of mean size from each gateway
+	if settings.SlowStartUnits <= 0 { // not set: one request of mean size from each gateway
 		settings.SlowStartUnits = max(1, settings.MeanUnits) * float64(settings.Gateways)
 	}
 	return settings
--- a/internal/scheduler/tokenbucket.go
+++ b/internal/scheduler/tokenbucket.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// tokenBucket holds units that arrive at a rate up to a capacity. It may be overdrawn.
+// tokenBucket is filled with units at a constant rate up to a capacity. Its level may fall below zero.
 type tokenBucket struct {
-	rate, capacity, tokens float64 // rate per second
+	rate, capacity, tokens float64 // units per second, most units, and units at updatedAt
 	updatedAt              time.Duration
 }
 
-// newTokenBucket returns a bucket that is empty at a time.
+// newTokenBucket returns a bucket that is empty at the clock time now.
 func newTokenBucket(rate, capacity float64, now time.Duration) tokenBucket {
 	return tokenBucket{rate: rate, capacity: capacity, updatedAt: now}
 }
 
-// newFullTokenBucket returns a bucket that is full at a time.
+// newFullTokenBucket returns a bucket that is full at the clock time now.
 func newFullTokenBucket(rate, capacity float64, now time.Duration) tokenBucket {
 	return tokenBucket{rate: rate, capacity: capacity, tokens: capacity, updatedAt: now}
 }
 
-// available adds the units that have arrived since the last call and returns what the bucket holds.
+// available adds the units that are due since the last update and returns the level of the bucket.
 func (b *tokenBucket) available(now time.Duration) float64 {
 	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.updatedAt).Seconds())
 	b.updatedAt = now
 	return b.tokens
 }
 
-// consume takes units out of the bucket, below zero if need be.
+// consume takes units out of the bucket, even if its level falls below zero.
 func (b *tokenBucket) consume(now time.Duration, units float64) { b.tokens = b.available(now) - units }
 
-// resize changes rate and capacity from now on. Units beyond the new capacity are lost at the next call of available.
+// resize changes the rate and the capacity from now on. The next call of available discards units beyond the new capacity.
 func (b *tokenBucket) resize(now time.Duration, rate, capacity float64) {
 	b.available(now)
 	b.rate, b.capacity = rate, capacity
@@ -43,20 +43,20 @@
 	b.rate = rate
 }
 
-// decayingSum is a sum of units that decay exponentially with a time constant, which every call must give alike.
+// decayingSum is a sum of units that decays exponentially. All calls must pass the same time constant.
 type decayingSum struct {
-	units     float64
+	units     float64 // value at updatedAt
 	updatedAt time.Duration
 }
 
-// value returns what has not decayed yet.
+// value returns the decayed sum at the clock time now.
 func (d *decayingSum) value(now, timeConstant time.Duration) float64 {
 	d.units *= math.Exp(-float64(now-d.updatedAt) / float64(timeConstant))
 	d.updatedAt = now
 	return d.units
 }
 
-// add adds units.
+// add adds units at the clock time now.
 func (d *decayingSum) add(now, timeConstant time.Duration, units float64) {
 	d.units = d.value(now, timeConstant) + units
 }
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// demandInterval is the least time between two QuotaDemands of a volume.
-	demandInterval = 100 * time.Millisecond
-	// demandDecayTime is the time constant over which the demand in a QuotaDemand is measured.
-	demandDecayTime = time.Second
-	// usageHalfLife is the half-life of what is known of a volume's use through this and other gateways.
+	// minDemandInterval is the least time between two QuotaDemands of a volume.
+	minDemandInterval = 100 * time.Millisecond
+	// demandTimeConstant is the time constant of the exponential decay of the demand in a QuotaDemand.
+	demandTimeConstant = time.Second
+	// usageHalfLife is the half-life of the recorded usage of a volume through this gateway and through other gateways.
 	usageHalfLife = 2 * latencyHalfLife
-	// unitsBound is the amount of units from which on a reported value is not believed.
+	// unitsBound is the exclusive upper bound of plausible unit counts. Larger values are rejected or ignored.
 	unitsBound = 1e9
 )
 
-// volumeEntry is the state of a volume over all shards, as seen from this gateway.
+// volumeEntry is the state of a volume at this gateway, over all shards.
 type volumeEntry struct {
 	plan          *Plan
-	gateways      float64     // through which its requests come
-	reserve       tokenBucket // this gateway's part of Plan.Reserve
-	baseline      tokenBucket // this gateway's part of Plan.Rate
-	limit         tokenBucket // this gateway's part of Plan.Limit
+	gateways      float64     // number of gateways that receive requests of the volume
+	reserve       tokenBucket // this gateway's share of Plan.Reserve
+	baseline      tokenBucket // this gateway's share of Plan.Rate
+	limit         tokenBucket // this gateway's share of Plan.Limit
 	lastRequestAt time.Duration
 
-	localUnits     float64 // units served through this gateway, decaying
-	foreignUnits   float64 // units served through other gateways as far as reported, decaying
+	localUnits     float64 // units served through this gateway; decays with usageHalfLife
+	foreignUnits   float64 // units served through other gateways according to servers' reports; decays with usageHalfLife
 	usageUpdatedAt time.Duration
 
-	demand       decayingSum   // units requested here, over demandDecayTime
-	nextDemandAt time.Duration // when the next QuotaDemand may be sent; 0: none has been sent
+	demand       decayingSum   // units requested at this gateway; the time constant is demandTimeConstant
+	nextDemandAt time.Duration // clock time from which the next QuotaDemand may be emitted; 0: none has been emitted
 }
 
-// volumeFor returns the state of a request's volume, which it creates at the volume's first request.
+// volumeFor returns the state of a request's volume. It creates the state at the volume's first request.
 func (s *Scheduler) volumeFor(arrival *RequestArrived, plan *Plan) *volumeEntry {
 	gateways := float64(arrival.Gateways)
 	if arrival.Gateways < 1 || arrival.Gateways > s.settings.Gateways {
@@ -44,7 +44,7 @@
 		volume = s.newVolumeEntry(plan, gateways)
 		s.volumes[arrival.Volume] = volume
 	}
-	if gateways > volume.gateways { // it also comes through further gateways, so the part of each is smaller
+	if gateways > volume.gateways { // more gateways receive requests of the volume, so each has a smaller share
 		volume.gateways = gateways
 		volume.limit.resize(s.now, min(volume.limit.rate, plan.Limit/gateways), min(volume.limit.capacity, plan.LimitBurst/gateways))
 	}
@@ -53,8 +53,8 @@
 	return volume
 }
 
-// newVolumeEntry returns the state of a volume without requests. The bucket of its limit counts as empty at the gateway's start,
-// because a previous process may have used it up, and has been filling since.
+// newVolumeEntry returns the state of a volume without requests. The bucket of its limit has been filling since the gateway's start.
+// It is taken to be empty then, because a previous process may have used it up.
 func (s *Scheduler) newVolumeEntry(plan *Plan, gateways float64) *volumeEntry {
 	share := s.settings.InitialQuotaShare
 	return &volumeEntry{
@@ -66,21 +66,22 @@
 	}
 }
 
-// withinReserve reports whether units are covered by this gateway's part of the reserve now.
+// withinReserve reports whether this gateway's share of the reserve covers the units now.
 func (v *volumeEntry) withinReserve(now time.Duration, units float64) bool {
 	return v.plan.Reserve > 0 && v.reserve.available(now) >= units
 }
 
-// isIdle reports whether the volume has had no request for long and its limit is full, so that its state can be dropped.
+// isIdle reports whether the state of the volume can be dropped: it has had no request for volumeIdleTimeout, and the bucket
+// of its limit is full or it has no limit.
 func (v *volumeEntry) isIdle(now time.Duration) bool {
 	return now-v.lastRequestAt > volumeIdleTimeout && (v.plan.Limit == 0 || v.limit.available(now) >= v.limit.capacity)
 }
 
-// validUnits reports whether an amount of units is a believable number.
+// validUnits reports whether a number of units is plausible: not NaN, not negative and below unitsBound.
 func validUnits(units float64) bool { return units >= 0 && units < unitsBound }
 
-// recordUsage adds the units of a served request and those that other gateways were served meanwhile, as the response reports them.
-// A reported value that is out of range is ignored.
+// recordUsage adds the units of a served request, and the units served through other gateways that the response reports. If the
+// reported value is out of range, neither is added.
 func (v *volumeEntry) recordUsage(now time.Duration, units, foreignUnits float64) {
 	if !validUnits(foreignUnits) {
 		return
@@ -89,34 +90,34 @@
 	v.localUnits, v.foreignUnits, v.usageUpdatedAt = decay*v.localUnits+units, decay*v.foreignUnits+foreignUnits, now
 }
 
-// updateQuotaRates sets this gateway's part of the reserve and of the baseline rate by the reported usage. With few or old reports
-// it tends to the equal share. meanUnits is the mean size of a request.
+// updateQuotaRates sets this gateway's share of the reserve and of the baseline rate in proportion to its part of the recorded
+// usage. If reports are few or old, the share tends to the equal share of all gateways. meanUnits is the mean size of a request.
 func (v *volumeEntry) updateQuotaRates(now time.Duration, meanUnits float64) {
 	decay := math.Exp2(-float64(now-v.usageUpdatedAt) / float64(usageHalfLife))
-	part := (decay*v.localUnits + meanUnits/v.gateways) / (decay*(v.localUnits+v.foreignUnits) + meanUnits)
-	v.reserve.setRate(now, v.plan.Reserve*part)
-	v.baseline.setRate(now, v.plan.Rate*part)
+	share := (decay*v.localUnits + meanUnits/v.gateways) / (decay*(v.localUnits+v.foreignUnits) + meanUnits)
+	v.reserve.setRate(now, v.plan.Reserve*share)
+	v.baseline.setRate(now, v.plan.Rate*share)
 }
 
-// recordDemand counts the units of a request and reports whether a QuotaDemand is due.
+// recordDemand adds the units of a request to the demand and reports whether a QuotaDemand is due.
 func (v *volumeEntry) recordDemand(now time.Duration, units float64) bool {
-	v.demand.add(now, demandDecayTime, units)
+	v.demand.add(now, demandTimeConstant, units)
 	return v.nextDemandAt == 0 || now >= v.nextDemandAt
 }
 
-// quotaDemand returns what the volume's requests at this gateway could use of its limit.
+// quotaDemand returns a QuotaDemand with the present demand and sets the time of the next one.
 func (v *volumeEntry) quotaDemand(id VolumeID) QuotaDemand {
 	demand := QuotaDemand{
 		Volume:   id,
 		Gateways: int(v.gateways),
-		Share:    v.demand.units / demandDecayTime.Seconds() / v.plan.Limit,
+		Share:    v.demand.units / demandTimeConstant.Seconds() / v.plan.Limit,
 		First:    v.nextDemandAt == 0,
 	}
-	v.nextDemandAt = v.demand.updatedAt + demandInterval
+	v.nextDemandAt = v.demand.updatedAt + minDemandInterval
 	return demand
 }
 
-// applyQuotaShare sets the part of the limit that is in force at this gateway.
+// applyQuotaShare sets the share of the volume's limit that this gateway may use.
 func (v *volumeEntry) applyQuotaShare(now time.Duration, share float64) {
 	v.limit.resize(now, v.plan.Limit*share, v.plan.LimitBurst*share)
 }
