--- a/internal/scheduler/deadlines_test.go
+++ b/internal/scheduler/deadlines_test.go
@@ -20,29 +20,29 @@
 		}
 		return expired
 	}
-	t.Run("soonest first", func(t *testing.T) {
+	t.Run("earliest first", func(t *testing.T) {
 		heap := newHeap(5, 1, 4, 2, 3)
 		if at, ok := heap.next(); at != 1 || !ok {
-			t.Errorf("next is %v, %v", at, ok)
+			t.Errorf("next deadline is %v, %v, want 1ns, true", at, ok)
 		}
 		if expired := popAll(heap, 3); !slices.Equal(expired, []time.Duration{1, 2, 3}) {
-			t.Errorf("expired %v", expired)
+			t.Errorf("expired deadlines %v, want 1, 2 and 3 ns", expired)
 		}
 		if at, ok := heap.next(); at != 4 || !ok {
-			t.Errorf("next is %v, %v", at, ok)
+			t.Errorf("next deadline is %v, %v, want 4ns, true", at, ok)
 		}
 	})
 	t.Run("empty", func(t *testing.T) {
 		heap := newHeap()
 		if _, ok := heap.next(); ok || heap.popExpired(time.Hour) != nil {
-			t.Error("an empty heap has a deadline")
+			t.Error("an empty heap returned a deadline")
 		}
 	})
 	t.Run("shortened", func(t *testing.T) {
 		heap := newHeap(5, 1, 4, 2, 3)
 		heap.shortenTo(3)
 		if expired := popAll(heap, 3); !slices.Equal(expired, []time.Duration{1, 2, 3, 3, 3}) {
-			t.Errorf("expired %v", expired)
+			t.Errorf("expired deadlines %v, want 1 and 2 ns, then three times 3 ns", expired)
 		}
 	})
 	t.Run("a started response has no deadline", func(t *testing.T) {
@@ -51,7 +51,7 @@
 		request.expiresAt = 0
 		heap.shortenTo(3)
 		if request.expiresAt != 0 || request.objectiveAt != 5 {
-			t.Errorf("expires at %v, objective at %v", request.expiresAt, request.objectiveAt)
+			t.Errorf("request expires at %v and has its objective at %v, want 0s and 5ns", request.expiresAt, request.objectiveAt)
 		}
 	})
 }
--- a/internal/scheduler/fairqueue_test.go
+++ b/internal/scheduler/fairqueue_test.go
@@ -9,9 +9,9 @@
 	gateway.server(1).congestion.window = 1
 	var events []Event
 	plans := map[RequestID]string{}
-	for k := range 60 {
-		plan := []string{"gold", "twice"}[k%2]
-		arrival := gateway.newArrival("bulk", plan, k%2, 2, uint64(k))
+	for i := range 60 {
+		plan := []string{"gold", "twice"}[i%2]
+		arrival := gateway.newArrival("bulk", plan, i%2, 2, uint64(i))
 		plans[arrival.ID], events = plan, append(events, arrival)
 	}
 	counts := map[string]int{}
@@ -24,7 +24,7 @@
 		sent = append(sent[1:], sentIDs(gateway.step(attemptServed(id, 5*ms)))...)
 	}
 	if counts["twice"] < 14 || counts["twice"] > 18 || counts["gold"] < 6 {
-		t.Errorf("sent %v, want about 1 to 2", counts)
+		t.Errorf("sent requests by plan: %v, want about 1 of gold to 2 of twice", counts)
 	}
 }
 
@@ -38,6 +38,6 @@
 	gateway.now += 5 * ms
 	gateway.server(1).congestion.window = 1
 	if sent := sentIDs(gateway.step(attemptServed(first.ID, 5*ms))); len(sent) == 0 || sent[0] != reserved.ID {
-		t.Errorf("sent %v, want the reserved %d first", sent, reserved.ID)
+		t.Errorf("sent requests %v, want %d first, which is within its reserve", sent, reserved.ID)
 	}
 }
--- a/internal/scheduler/ordering_test.go
+++ b/internal/scheduler/ordering_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// newOrderedRequest returns a request that is ordered by a key.
+// newOrderedRequest returns a request of a class that is ordered by key.
 func newOrderedRequest(key uint64) *request {
 	return &request{RequestArrived: RequestArrived{Key: key}, class: &Class{OrderedByKey: true}}
 }
@@ -13,7 +13,7 @@
 // orderCooldown is the cooldown in the tests of keyOrder.
 const orderCooldown = 200 * ms
 
-// newKeyOrder returns an order without requests.
+// newKeyOrder returns a keyOrder without requests.
 func newKeyOrder() *keyOrder {
 	return &keyOrder{queues: map[uint64]*keyQueue{}, cooldown: orderCooldown}
 }
@@ -26,20 +26,20 @@
 			order.enqueue(request)
 		}
 		if !order.allows(now, first) || order.allows(now, second) || !order.allows(now, other) {
-			t.Error("wrong order")
+			t.Error("want the first request of each key allowed and the second one not allowed")
 		}
 		order.remove(now, first)
 		if !order.allows(now, second) {
-			t.Error("the second request is not allowed after the first")
+			t.Error("the second request is not allowed after the first was removed")
 		}
 	})
-	t.Run("requests without order are ignored", func(t *testing.T) {
+	t.Run("requests that are not ordered are ignored", func(t *testing.T) {
 		order := newKeyOrder()
 		for _, request := range []*request{newOrderedRequest(NoKey), {RequestArrived: RequestArrived{Key: 5}, class: &Class{}}} {
 			order.enqueue(request)
 			order.startCooldown(now, request)
 			if len(order.queues) != 0 || !order.allows(now, request) {
-				t.Errorf("%d queues", len(order.queues))
+				t.Errorf("%d queues after a request that is not ordered, want 0 and the request allowed", len(order.queues))
 			}
 			order.remove(now, request)
 		}
@@ -48,18 +48,18 @@
 
 func TestKeyOrderCooldown(t *testing.T) {
 	const now = time.Hour
-	t.Run("a cooldown binds later requests only", func(t *testing.T) {
+	t.Run("a cooldown applies to later requests only", func(t *testing.T) {
 		order, first, second := newKeyOrder(), newOrderedRequest(5), newOrderedRequest(5)
 		order.enqueue(first)
 		order.enqueue(second)
 		first.attempts = []*attempt{{}}
 		order.startCooldown(now, first)
 		if !order.allows(now, first) {
-			t.Error("the retry of the first request is not allowed")
+			t.Error("a retry of the first request is not allowed during the cooldown")
 		}
 		order.remove(now, first)
 		if order.allows(now+orderCooldown-1, second) || !order.allows(now+orderCooldown, second) {
-			t.Error("the second request does not wait for the end of the cooldown")
+			t.Error("the second request is not allowed exactly from the end of the cooldown on")
 		}
 	})
 	t.Run("idle queues are dropped after their cooldown", func(t *testing.T) {
@@ -69,11 +69,11 @@
 		order.remove(now, request)
 		order.evictIdle(now + orderCooldown - 1)
 		if len(order.queues) != 1 {
-			t.Fatal("dropped in its cooldown")
+			t.Fatal("the queue of the key was dropped during its cooldown")
 		}
 		order.evictIdle(now + orderCooldown)
 		if len(order.queues) != 0 {
-			t.Error("kept after its cooldown")
+			t.Error("the queue of the key was kept after its cooldown")
 		}
 	})
 }
@@ -83,18 +83,18 @@
 	first, second := gateway.newArrival("once", "gold", 1, 2, 5), gateway.newArrival("once", "gold", 1, 2, 5)
 	other := gateway.newArrival("once", "gold", 1, 2, 6)
 	if sent := sentIDs(gateway.step(first, second, other)); len(sent) != 2 || sent[0] != first.ID || sent[1] != other.ID {
-		t.Fatalf("sent %v, want %d and %d: a key must not block its volume", sent, first.ID, other.ID)
+		t.Fatalf("sent requests %v, want %d and %d: a key must not block other keys of its volume", sent, first.ID, other.ID)
 	}
 	gateway.now += 20 * ms
 	actions := gateway.step(AttemptEnded{ID: other.ID, Server: 1, Status: StatusOK, RequestDone: true},
 		AttemptEnded{ID: first.ID, Server: 1, Status: StatusConnectionReset})
 	if len(failedIDs(actions)) != 1 || len(sentIDs(actions)) != 0 {
-		t.Fatalf("after a reset: %v", actions)
+		t.Fatalf("actions after a connection reset: %v, want one Fail and no Send", actions)
 	}
 	if sent := sentIDs(gateway.advance(150 * ms)); len(sent) != 0 {
-		t.Errorf("sent %v before the end of the cooldown", sent)
+		t.Errorf("sent requests %v before the end of the cooldown, want none", sent)
 	}
 	if sent := sentIDs(gateway.advance(150 * ms)); len(sent) != 1 || sent[0] != second.ID {
-		t.Errorf("sent %v after the cooldown, want %d", sent, second.ID)
+		t.Errorf("sent requests %v after the cooldown, want %d", sent, second.ID)
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// placementGateway is a gateway that only gets new objects.
+// placementGateway is a gateway whose requests are all for new objects.
 type placementGateway struct {
 	scheduler *Scheduler
 	now       time.Duration
@@ -20,8 +20,8 @@
 	return gateway
 }
 
-// place sends new objects one by one, ends each at once with the status that its server responds with, and returns how many went to each
-// server.
+// place lets requests for new objects arrive one by one and ends each after 5 ms with the status that statusOf returns for its
+// server. It returns the number of requests that each server got.
 func (g *placementGateway) place(t *testing.T, count int, statusOf func(ServerID) Status) map[ServerID]int {
 	t.Helper()
 	placed := map[ServerID]int{}
@@ -32,7 +32,7 @@
 		actions := g.scheduler.Step(g.now, []Event{arrival})
 		g.now += 5 * ms
 		if probes := actionsOf[ProbeServer](actions); len(probes) > 0 {
-			t.Fatalf("probes %v", probes)
+			t.Fatalf("scheduler emitted probes %v, want none", probes)
 		}
 		for _, send := range actionsOf[Send](actions) {
 			placed[send.Server]++
@@ -44,13 +44,13 @@
 	return placed
 }
 
-// allSucceed is the response of servers that execute every request.
+// allSucceed is the statusOf function of servers that execute every request.
 func allSucceed(ServerID) Status { return StatusOK }
 
-// Many gateways with hardly any requests in flight must not choose the same shard as the least loaded one, nor a server that is
-// starting, unresponsive or failing.
+// Gateways with hardly any requests in flight must not all choose the same shard as the least loaded one. They must not choose a
+// server that is in slow start, unresponsive or failing.
 func TestNewObjectsSpreadOverServers(t *testing.T) {
-	const gateways, shards, unfit = 200, 20, 3 // servers 1 to 3 are unfit
+	const gateways, shards, ineligible = 200, 20, 3 // servers 1 to 3 must not get new objects
 	placed := make([]int, shards)
 	for seed := range uint64(gateways) {
 		settings := testSettings()
@@ -61,7 +61,7 @@
 		scheduler.Step(time.Hour, []Event{endpoints})
 		now := time.Hour + 5*time.Second
 		arrival := RequestArrived{ID: 1, Class: "read", Plan: "gold", Remaining: time.Second, Units: 1, Shard: 1, Gateways: 1}
-		scheduler.Step(now, []Event{arrival}) // server 2 owes its response for long
+		scheduler.Step(now, []Event{arrival}) // server 2 does not respond and becomes unresponsive
 		now += 900 * ms
 		scheduler.servers[3].connectFailures = 1
 		arrival.ID, arrival.Shard = 2, -1
@@ -70,14 +70,15 @@
 		}
 	}
 	for i, count := range placed {
-		if fair := gateways / (shards - unfit); i < unfit && count > 0 || i >= unfit && (count < fair/4 || count > 3*fair) {
-			t.Errorf("server %d got %d of %d new objects: %v", i+1, count, gateways, placed)
+		if mean := gateways / (shards - ineligible); i < ineligible && count > 0 || i >= ineligible && (count < mean/4 || count > 3*mean) {
+			t.Errorf("server %d got %d of %d new objects, want none at servers 1 to 3 and an even spread over the rest: %v",
+				i+1, count, gateways, placed)
 		}
 	}
 }
 
-// New objects stay on servers that the gateway knows, since a connection to a new one costs a handshake. A server that has responded
-// with an error gets none until its cooldown is over.
+// New objects are placed on servers that the gateway knows, since a connection to another one costs a handshake. A server that has
+// responded with an error gets no new objects until its cooldown is over.
 func TestNewObjectsStayOnKnownServers(t *testing.T) {
 	settings := testSettings()
 	settings.Shards = 60
@@ -97,16 +98,16 @@
 		return StatusOK
 	})
 	if placed[failing] != 1 {
-		t.Errorf("%d new objects went to a server that fails them", placed[failing])
+		t.Errorf("%d new objects went to a server that responds with errors, want 1", placed[failing])
 	}
 	gateway.now += errorCooldown
 	if placed := gateway.place(t, 200, allSucceed); placed[failing] == 0 {
-		t.Errorf("the server got none after its cooldown: %v", placed)
+		t.Errorf("the server got no new objects after its cooldown: %v", placed)
 	}
 }
 
-// 300 gateways place a hundred new objects each on 200 servers: they connect to minKnownServers servers each, which are spread
-// evenly.
+// 300 gateways place 100 new objects each on 200 servers. Each gateway connects to at most minKnownServers servers, and no server
+// gets many more connections than the mean.
 func TestNewObjectsOpenFewConnections(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.Shards, settings.PollEndpoints = simulatedGateways, 200, true
@@ -118,11 +119,11 @@
 		}
 	}
 	if connections > simulatedGateways*minKnownServers {
-		t.Errorf("%d connections from %d gateways, at most %d wanted", connections, simulatedGateways, simulatedGateways*minKnownServers)
+		t.Errorf("%d connections from %d gateways, want at most %d", connections, simulatedGateways, simulatedGateways*minKnownServers)
 	}
 	for id, count := range perServer {
 		if mean := simulatedGateways * minKnownServers / settings.Shards; count > 3*mean {
-			t.Errorf("server %d got %d connections, the mean is %d", id, count, mean)
+			t.Errorf("server %d got %d connections, want at most 3 times the mean of %d", id, count, mean)
 		}
 	}
 }
--- a/internal/scheduler/retry_test.go
+++ b/internal/scheduler/retry_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// dedupGateway returns a gateway whose class bulk has an idempotency and a dedup scope with a window of 5 s.
+// dedupGateway returns a gateway whose class bulk has the given idempotency and deduplication scope, and a deduplication window of
+// 5 s.
 func dedupGateway(t *testing.T, idempotency Idempotency, scope DedupScope) *testGateway {
 	t.Helper()
 	return newTestGateway(t, func(s *Settings) {
@@ -26,19 +27,19 @@
 			actions := gateway.step(AttemptEnded{ID: arrival.ID, Server: 1, Status: StatusError})
 			actions = append(actions, gateway.advance(3*time.Second)...)
 			if retries := len(sentIDs(actions)); retries != want {
-				t.Errorf("%d retries, want %d", retries, want)
+				t.Errorf("%d retries sent, want %d", retries, want)
 			}
 		})
 	}
 }
 
-// A retry of what may have been executed carries the time by which it has to begin, since servers drop duplicates for a while from
-// the first attempt on. Other retries have no such time.
+// A retry of a request that may have been executed has a start deadline, since servers drop duplicates only for a limited time from
+// the first attempt on. Other retries have none.
 func TestRetryStartDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency Idempotency
 		status      Status
-		deadline    time.Duration // of the retry, after the first attempt
+		deadline    time.Duration // start deadline of the retry, counted from the first attempt; 0: none
 	}{
 		"may have been executed": {IdempotentWithKey, StatusError, 5 * time.Second},
 		"not executed":           {IdempotentWithKey, StatusConnectFailed, 0},
@@ -66,24 +67,24 @@
 	}
 }
 
-// A rejected client is advised to retry soon, while its objective can still be met, and once its limit has room.
+// A rejected client is advised to retry soon enough to meet its objective, or when its volume's limit has room.
 func TestRetryAfter(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.MaxRetryAfter = 500 * ms })
 	limited, late := gateway.newArrival("read", "capped", 1, 6, 1), gateway.newArrival("read", "gold", 2, 6, 2)
 	volume := gateway.scheduler.volumeFor(&limited, gateway.scheduler.plans["capped"])
-	volume.limit.tokens = -2 // 8 units are missing at 20 per second
-	late.Remaining = ms      // too late for its server
+	volume.limit.tokens = -2 // 8 units are missing, which takes 400 ms at 20 per second
+	late.Remaining = ms      // too little for its server to respond
 	retryAfter := map[RequestID]time.Duration{}
 	for _, reject := range actionsOf[Reject](append(gateway.step(limited, late), gateway.advance(time.Second)...)) {
 		retryAfter[reject.ID] = reject.RetryAfter
 	}
 	if len(retryAfter) != 2 {
-		t.Fatalf("rejected: %v", retryAfter)
+		t.Fatalf("rejected requests with their RetryAfter: %v, want 2", retryAfter)
 	}
 	if got := retryAfter[late.ID]; got <= 0 || got > 2*gateway.scheduler.latencyThreshold {
-		t.Errorf("late at its server: retry after %v", got)
+		t.Errorf("request with 1 ms left: RetryAfter is %v, want a positive value up to twice the latency threshold", got)
 	}
 	if got := retryAfter[limited.ID]; got <= 0 || got > 400*ms {
-		t.Errorf("limit: retry after %v", got)
+		t.Errorf("request beyond the limit: RetryAfter is %v, want a positive value up to 400ms", got)
 	}
 }
--- a/internal/scheduler/retrybudget_test.go
+++ b/internal/scheduler/retrybudget_test.go
@@ -24,24 +24,24 @@
 		}
 		for range 3 {
 			if !budget.allowsRetry(now) {
-				t.Fatalf("denied after %d retries", len(budget.retries))
+				t.Fatalf("retry denied after %d retries, want 3 allowed", len(budget.retries))
 			}
 			budget.recordRetry(now)
 		}
 		if budget.allowsRetry(now) {
-			t.Error("a fourth retry is allowed for ten requests")
+			t.Error("a fourth retry is allowed for 10 requests, want a constant of 2 plus a tenth of the requests")
 		}
 	})
 	t.Run("window slides", func(t *testing.T) {
 		budget := retryBudget{window: 5 * time.Second, minimum: 0, ratio: 1}
 		budget.recordArrival(now)
 		if !budget.allowsRetry(now+5*time.Second-1) || budget.allowsRetry(now+5*time.Second) {
-			t.Error("a request counts for another time than the window")
+			t.Error("an arrival does not count exactly until its age is that of the window")
 		}
 		budget = retryBudget{window: 5 * time.Second, minimum: 1}
 		budget.recordRetry(now)
 		if budget.allowsRetry(now+5*time.Second) || !budget.allowsRetry(now+5*time.Second+1) {
-			t.Error("a retry counts for another time than the window")
+			t.Error("a retry does not count exactly until its age exceeds the window")
 		}
 	})
 }
@@ -51,8 +51,8 @@
 		s.RetryBudgetMin, s.RetryBudgetRatio, s.RetryBudgetWindow = 3, 0.1, 5*time.Second
 	})
 	retries := 0
-	for k := range 40 {
-		arrival := gateway.newArrival("bulk", "gold", 1, 2, uint64(k))
+	for key := range 40 {
+		arrival := gateway.newArrival("bulk", "gold", 1, 2, uint64(key))
 		gateway.step(arrival)
 		gateway.now += 5 * ms
 		gateway.step(AttemptEnded{ID: arrival.ID, Server: 1, Status: StatusError, Latency: 5 * ms})
@@ -64,6 +64,6 @@
 		}
 	}
 	if retries < 3 || retries > 7 {
-		t.Errorf("%d retries for 40 requests, want 3 to 7", retries)
+		t.Errorf("%d retries sent for 40 requests, want 3 to 7", retries)
 	}
 }
--- a/internal/scheduler/settings_test.go
+++ b/internal/scheduler/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no classes":             func(s *Settings) { s.Classes = nil },
 		"no gateways":            func(s *Settings) { s.Gateways = 0 },
 		"no attempts":            func(s *Settings) { s.MaxAttempts = 0 },
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
-			spoil(&settings)
+			invalidate(&settings)
 			if _, err := New(settings, 1); err == nil {
 				t.Error("accepted")
 			}
@@ -30,7 +30,7 @@
 	}
 }
 
-// Settings that are absent or as small as they can be must not make a decision senseless.
+// Requests are sent, and no internal value is NaN, if optional settings are absent or as small as possible.
 func TestOptionalSettingsMayBeAbsent(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"initial capacity": func(s *Settings) { s.InitialCapacity = 0 },
@@ -52,19 +52,19 @@
 		t.Run(name, func(t *testing.T) {
 			gateway := newTestGateway(t, change)
 			if sends := serveStartingServer(gateway); sends < 2 {
-				t.Errorf("%d of 100 sent", sends)
+				t.Errorf("%d of 100 requests sent, want at least 2", sends)
 			}
 			shard := gateway.scheduler.shards[0]
 			for _, volume := range gateway.scheduler.volumes {
 				if len(shard.flowsByVolume) > 0 && math.IsNaN(shard.virtualTime+volume.reserve.tokens) {
-					t.Error("a tag or a level is no number")
+					t.Error("the virtual time or the level of a reserve is NaN")
 				}
 			}
 		})
 	}
 }
 
-// serveStartingServer sends a hundred requests of several volumes to a server that has just started and returns how many were sent.
+// serveStartingServer lets 100 requests of several volumes arrive for a server that has just started. It returns how many were sent.
 func serveStartingServer(gateway *testGateway) (sends int) {
 	gateway.step(EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 9, Shard: 0, StartedAt: gateway.now}}})
 	for range 100 {
@@ -77,7 +77,7 @@
 	return sends
 }
 
-// Without a MaxPollInterval, first polls are spread over as long as those of all gateways take.
+// Without a MaxPollInterval, the first polls of all gateways are spread over about the time that discovery needs for them.
 func TestFirstPollWithoutMaxPollInterval(t *testing.T) {
 	seconds := map[time.Duration]bool{}
 	for seed := range uint64(20) {
@@ -88,17 +88,17 @@
 		seconds[(scheduler.poller.nextPollAt - time.Hour).Round(time.Second)] = true
 	}
 	if len(seconds) < 8 {
-		t.Errorf("20 gateways of 300 poll within %d different seconds", len(seconds))
+		t.Errorf("20 of 300 gateways poll within %d different seconds, want at least 8", len(seconds))
 	}
 }
 
-// A deployment with more than maxShards shards has all of them served.
+// Settings with more than maxShards shards allow requests to all of them.
 func TestMoreShardsThanMaxShards(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Shards = 6000 })
 	gateway.step(EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 9, Shard: 5999}, {ID: 10, Shard: 6000}}})
 	arrival := gateway.newArrival("read", "gold", 1, 2, 1)
 	arrival.Shard = 5999
 	if sent := sentIDs(gateway.step(arrival)); len(sent) != 1 || len(gateway.scheduler.shards) != 6000 {
-		t.Errorf("sent %v, %d shards", sent, len(gateway.scheduler.shards))
+		t.Errorf("sent requests %v with %d shards, want 1 request and 6000 shards", sent, len(gateway.scheduler.shards))
 	}
 }
--- a/internal/scheduler/tokenbucket_test.go
+++ b/internal/scheduler/tokenbucket_test.go
@@ -12,7 +12,7 @@
 	checkAvailable := func(at time.Duration, want float64) {
 		t.Helper()
 		if got := bucket.available(at); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v available, want %v", got, want)
+			t.Errorf("%v units available, want %v", got, want)
 		}
 	}
 	checkAvailable(now, 0)
@@ -20,7 +20,7 @@
 	checkAvailable(now+time.Minute, 25)
 	bucket.consume(now+time.Minute, 40)
 	checkAvailable(now+time.Minute, -15)
-	bucket.setRate(now+time.Minute+time.Second, 20) // at -5
+	bucket.setRate(now+time.Minute+time.Second, 20) // the level is -5
 	checkAvailable(now+time.Minute+2*time.Second, 15)
 	bucket.resize(now+time.Minute+2*time.Second, 1, 8)
 	checkAvailable(now+time.Minute+2*time.Second, 8)
@@ -33,6 +33,6 @@
 	sum.add(time.Hour, time.Second, 4)
 	sum.add(time.Hour+time.Second, time.Second, 1)
 	if got, want := sum.value(time.Hour+2*time.Second, time.Second), 4/(math.E*math.E)+1/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("sum is %v, want %v", got, want)
 	}
 }
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -11,36 +11,36 @@
 func TestLimitIsEmptyAfterStart(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	var events []Event
-	for k := range 12 {
-		events = append(events, gateway.newArrival("bulk", "capped", 1, 6, uint64(k)))
+	for key := range 12 {
+		events = append(events, gateway.newArrival("bulk", "capped", 1, 6, uint64(key)))
 	}
 	if sent := sentIDs(gateway.step(events...)); len(sent) != 0 {
-		t.Errorf("sent %v from a bucket that a predecessor may have emptied", sent)
+		t.Errorf("sent requests %v right after the start, want none: a previous process may have emptied the bucket", sent)
 	}
 	if sent := sentIDs(gateway.advance(1000 * ms)); len(sent) != 3 { // 20 units per second: 6 at 0.3, 0.6 and 0.9 s
-		t.Errorf("sent %d in a second, want 3", len(sent))
+		t.Errorf("sent %d requests in a second, want 3", len(sent))
 	}
 }
 
-// A gateway that carries all requests of a volume may use all of its reserve; absurd and absent reports leave the even part.
-func TestReservePartFollowsForeignUnits(t *testing.T) {
+// A gateway that receives all requests of a volume may use most of its reserve. Implausible reports leave the equal share in force.
+func TestReserveShareFollowsForeignUnits(t *testing.T) {
 	for name, test := range map[string]struct {
 		foreignUnits float64
 		min, max     float64
 	}{
-		"alone":    {0, 60, 100},
-		"a part":   {18, 5, 30},
-		"absurd":   {1e300, 24, 26},
-		"nan":      {math.NaN(), 24, 26},
-		"negative": {-5, 24, 26},
+		"alone":      {0, 60, 100},
+		"small part": {18, 5, 30},
+		"absurd":     {1e300, 24, 26},
+		"nan":        {math.NaN(), 24, 26},
+		"negative":   {-5, 24, 26},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gateway := newTestGateway(t, func(s *Settings) { s.ReportsForeignUnits, s.Gateways = true, 8 })
-			for k := range 40 {
-				arrival := gateway.newArrival("read", "reserved", 3, 2, uint64(k))
+			for key := range 40 {
+				arrival := gateway.newArrival("read", "reserved", 3, 2, uint64(key))
 				arrival.Gateways = 4
 				if len(sentIDs(gateway.step(arrival))) == 0 {
-					t.Fatal("not sent")
+					t.Fatal("request within the reserve was not sent")
 				}
 				gateway.now += 20 * ms
 				end := attemptServed(arrival.ID, 20*ms)
@@ -48,30 +48,31 @@
 				gateway.step(end)
 			}
 			if rate := gateway.scheduler.volumes[3].reserve.rate; !(rate >= test.min && rate <= test.max) {
-				t.Errorf("reserve of this gateway is %.1f of 100, want %v to %v", rate, test.min, test.max)
+				t.Errorf("this gateway has %.1f of the reserve of 100 units per second, want %v to %v", rate, test.min, test.max)
 			}
 		})
 	}
 }
 
-// A volume whose requests come through more gateways than first known has a smaller part of its limit in each.
+// If a volume's requests come through more gateways than known at first, each gateway gets a smaller share of the limit. The share
+// does not grow back if a later request names fewer gateways.
 func TestLimitFollowsGatewayCount(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	arrival, plan := gateway.newArrival("read", "capped", 1, 1, 1), gateway.scheduler.plans["capped"]
 	volume := gateway.scheduler.volumeFor(&arrival, plan)
 	arrival.Gateways = 2
 	if gateway.scheduler.volumeFor(&arrival, plan); volume.limit.rate != 10 || volume.limit.capacity != 12 {
-		t.Errorf("two gateways: rate %v, capacity %v", volume.limit.rate, volume.limit.capacity)
+		t.Errorf("limit of one of two gateways: rate %v, capacity %v, want 10 and 12", volume.limit.rate, volume.limit.capacity)
 	}
 	arrival.Gateways = 1
 	if gateway.scheduler.volumeFor(&arrival, plan); volume.limit.rate != 10 {
-		t.Errorf("one again: rate %v", volume.limit.rate)
+		t.Errorf("limit after a request that names one gateway: rate %v, want 10", volume.limit.rate)
 	}
 }
 
-// The requests of a volume come unevenly through one to three of 300 gateways and ask for three times its limit. Together the
-// gateways keep the limit's bucket above -LimitOverdraft and send most of what the limit allows.
-func TestLimitOverFewOfManyGateways(t *testing.T) {
+// The requests of a volume come through one to three of 300 gateways at random and exceed its limit threefold. Together, the gateways
+// keep the level of the limit's bucket at -LimitOverdraft or above and send most of what the limit allows.
+func TestLimitAcrossFewOfManyGateways(t *testing.T) {
 	for gateways := 1; gateways <= 3; gateways++ {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			simulation := newLimitSimulation(t, gateways)
@@ -80,7 +81,7 @@
 	}
 }
 
-// limitSimulation is a fleet through which a volume asks for three times its limit.
+// limitSimulation is a fleet that receives three times as many units of a volume as the volume's limit allows.
 type limitSimulation struct {
 	*simulatedFleet
 	plan      Plan
@@ -88,11 +89,11 @@
 	random    *rand.Rand
 	lastID    RequestID
 	units     map[RequestID]float64
-	bucket    tokenBucket // the whole limit of the volume
+	bucket    tokenBucket // bucket of the volume's whole limit
 	sentUnits float64
 }
 
-// newLimitSimulation returns a simulation of a volume whose requests come through the given number of gateways.
+// newLimitSimulation returns a simulation in which the given number of gateways receive requests of the volume.
 func newLimitSimulation(t *testing.T, gateways int) *limitSimulation {
 	t.Helper()
 	settings := testSettings()
@@ -111,11 +112,11 @@
 	return simulation
 }
 
-// run simulates a period and checks the use of the limit.
+// run simulates a period. It checks the level of the bucket after each step and the units sent at the end.
 func (s *limitSimulation) run(period time.Duration) {
 	s.t.Helper()
 	for ; s.now < time.Hour+period; s.now += 5 * ms {
-		if s.random.Float64() < 3*s.plan.Limit/3.5*0.005 { // requests of 1 to 6 units
+		if s.random.Float64() < 3*s.plan.Limit/3.5*0.005 { // a request has 1 to 6 units, 3.5 in the mean
 			s.drawArrival()
 		}
 		for gateway, scheduler := range s.schedulers {
@@ -126,11 +127,12 @@
 			}
 		}
 		if s.bucket.tokens < -s.plan.LimitOverdraft {
-			s.t.Fatalf("the limit's bucket is at %.1f, %v after the start", s.bucket.tokens, s.now-time.Hour)
+			s.t.Fatalf("the level of the limit's bucket is %.1f at %v after the start, want at least -LimitOverdraft",
+				s.bucket.tokens, s.now-time.Hour)
 		}
 	}
 	if limit := s.plan.Limit * period.Seconds(); s.sentUnits < 0.8*limit {
-		s.t.Errorf("%.0f units sent in %v, want most of %.0f", s.sentUnits, period, limit)
+		s.t.Errorf("%.0f units sent in %v, want at least 80 percent of %.0f", s.sentUnits, period, limit)
 	}
 }
 
@@ -144,55 +146,57 @@
 		Remaining: time.Second, Units: units, Shard: s.random.IntN(s.shards), Gateways: gateways})
 }
 
-// requestQuota sends a request of volume 7 and returns the demands that follow.
-func (g *testGateway) requestQuota(units float64) []QuotaDemand {
+// demandsAfterArrival lets a request of volume 7 arrive and returns the demands that the scheduler emits within 10 ms.
+func (g *testGateway) demandsAfterArrival(units float64) []QuotaDemand {
 	arrival := g.newArrival("read", "capped", 7, units, 1)
 	arrival.Gateways = 2
 	return actionsOf[QuotaDemand](append(g.step(arrival), g.advance(10*ms)...))
 }
 
-// A volume starts with the part of its limit that no gateway leases out, reports its demand and keeps to the shares it gets.
+// A gateway starts with the part of a volume's limit that no gateway leases to others. It reports its demand, and the shares that it
+// receives replace its part of the limit.
 func TestQuotaLeases(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.QuotaLeases, s.InitialQuotaShare = true, 0.5 })
-	first := gateway.requestQuota(1)
+	first := gateway.demandsAfterArrival(1)
 	if len(first) != 1 || !first[0].First || first[0].Volume != 7 || first[0].Gateways != 2 {
-		t.Fatalf("demand %+v of a new volume", first)
+		t.Fatalf("demands %+v for a new volume, want one with First set, volume 7 and 2 gateways", first)
 	}
 	volume := gateway.scheduler.volumes[7]
-	if volume.limit.rate != 5 || volume.limit.capacity != 6 { // half of an even part of 20 and 24
-		t.Errorf("starts with %v units per second, up to %v", volume.limit.rate, volume.limit.capacity)
+	if volume.limit.rate != 5 || volume.limit.capacity != 6 { // half of the equal share, which is 10 and 12
+		t.Errorf("limit at the start: %v units per second with a capacity of %v, want 5 and 6", volume.limit.rate, volume.limit.capacity)
 	}
 	demands := 0
-	for range 100 { // a second at 100 units per second, five times the limit
-		for _, demand := range gateway.requestQuota(1) {
+	for range 100 { // 1 s at 100 units per second, which is five times the limit
+		for _, demand := range gateway.demandsAfterArrival(1) {
 			if demands++; demand.First {
-				t.Error("a further demand is marked as the first")
+				t.Error("a later demand has First set")
 			}
 		}
 	}
 	if demands < 5 || demands > 11 {
-		t.Errorf("%d demands in a second", demands)
+		t.Errorf("%d demands in a second, want 5 to 11", demands)
 	}
 	if share := volume.quotaDemand(7).Share; share < 2 || share > 5 {
-		t.Errorf("demand for %.2f of the limit, want about 3", share)
+		t.Errorf("demand is %.2f times the limit, want 2 to 5", share)
 	}
 	gateway.step(QuotaShare{Volume: 7, Share: 0.9}, QuotaShare{Volume: 99, Share: 1})
 	if volume.limit.rate != 18 || volume.limit.capacity != 24*0.9 {
-		t.Errorf("with a share of nine tenths: %v units per second, up to %v", volume.limit.rate, volume.limit.capacity)
+		t.Errorf("limit with a share of 0.9: %v units per second with a capacity of %v, want 18 and 21.6",
+			volume.limit.rate, volume.limit.capacity)
 	}
 	gateway.advance(3 * time.Second)
 	if gateway.step(QuotaShare{Volume: 7, Share: 0.1}); volume.limit.available(gateway.now) > 2.4+1e-9 {
-		t.Errorf("%v units are left of a share whose bucket holds 2.4", volume.limit.tokens)
+		t.Errorf("limit with a share of 0.1: %v units are available, want at most the capacity of 2.4", volume.limit.tokens)
 	}
 }
 
-// Without quota leases there is no demand, and the even part of the limit is in force from the start.
+// Without quota leases the scheduler reports no demand, and the gateway's equal share of the limit is in force from the start.
 func TestNoQuotaLeases(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.InitialQuotaShare = 0.5 })
 	if demands := actionsOf[QuotaDemand](gateway.step(gateway.newArrival("read", "capped", 7, 1, 1))); len(demands) != 0 {
-		t.Errorf("demands %v", demands)
+		t.Errorf("demands %v without quota leases, want none", demands)
 	}
 	if limit := gateway.scheduler.volumes[7].limit; limit.rate != 20 || limit.capacity != 24 {
-		t.Errorf("%v units per second, up to %v", limit.rate, limit.capacity)
+		t.Errorf("limit: %v units per second with a capacity of %v, want 20 and 24", limit.rate, limit.capacity)
 	}
 }
