--- a/internal/scheduler/ordering_test.go
+++ b/internal/scheduler/ordering_test.go
@@ -59,7 +59,7 @@
 		}
 		order.remove(now, first)
 		if order.allows(now+orderCooldown-1, second) || !order.allows(now+orderCooldown, second) {
-			t.Error("the second request is not allowed exactly from the end of the cooldown on")
+			t.Error("want the second request allowed from the end of the cooldown on, and not before")
 		}
 	})
 	t.Run("idle queues are dropped after their cooldown", func(t *testing.T) {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// errorCooldown is the time after an error response in which a server gets no new objects.
+	// errorCooldown is the time after an error response during which a server gets no new objects.
 	errorCooldown = 4 * time.Second
 	// minKnownServers is the number of known servers from which on a gateway prefers them to other servers for new objects.
 	minKnownServers = 8
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -14,8 +14,8 @@
 }
 
 // retryStartDeadline returns the clock time before which the first byte of a retry must be sent, or 0 if there is none. Servers drop
-// duplicates only during the DedupWindow that begins with the first attempt that may have been executed, and a retry that is sent in
-// time may still have to wait for its connection.
+// duplicates only during the DedupWindow, which begins with the first attempt that may have been executed. The limit applies to the
+// first byte, because a retry may have to wait for its connection.
 func (r *request) retryStartDeadline() time.Duration {
 	if !r.mayHaveExecuted || r.class.Idempotency != IdempotentWithKey {
 		return 0
--- a/internal/scheduler/retrybudget_test.go
+++ b/internal/scheduler/retrybudget_test.go
@@ -36,12 +36,12 @@
 		budget := retryBudget{window: 5 * time.Second, minimum: 0, ratio: 1}
 		budget.recordArrival(now)
 		if !budget.allowsRetry(now+5*time.Second-1) || budget.allowsRetry(now+5*time.Second) {
-			t.Error("an arrival does not count exactly until its age is that of the window")
+			t.Error("want an arrival to count until its age reaches the window, and no longer")
 		}
 		budget = retryBudget{window: 5 * time.Second, minimum: 1}
 		budget.recordRetry(now)
 		if budget.allowsRetry(now+5*time.Second) || !budget.allowsRetry(now+5*time.Second+1) {
-			t.Error("a retry does not count exactly until its age exceeds the window")
+			t.Error("want a retry to count until its age exceeds the window, and no longer")
 		}
 	})
 }
--- a/internal/scheduler/tokenbucket.go
+++ b/internal/scheduler/tokenbucket.go
@@ -7,7 +7,7 @@
 
 // tokenBucket is filled with units at a constant rate up to a capacity. Its level may fall below zero.
 type tokenBucket struct {
-	rate, capacity, tokens float64 // units per second, most units, and units at updatedAt
+	rate, capacity, tokens float64 // rate in units per second; tokens is the level at updatedAt
 	updatedAt              time.Duration
 }
 
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -12,7 +12,7 @@
 	demandTimeConstant = time.Second
 	// usageHalfLife is the half-life of the recorded usage of a volume through this gateway and through other gateways.
 	usageHalfLife = 2 * latencyHalfLife
-	// unitsBound is the exclusive upper bound of plausible unit counts. Larger values are rejected or ignored.
+	// unitsBound is the number of units from which on a value is not plausible. Such values are rejected or ignored.
 	unitsBound = 1e9
 )
 
