--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -74,7 +74,7 @@
 	Volume   VolumeID
 	Gateways int     // number of gateways that receive requests of the volume
 	Share    float64 // demand as a fraction of the whole limit; may exceed 1
-	First    bool    // whether this is the first demand for the volume: the scheduler needs its first QuotaShare
+	First    bool    // whether the scheduler has no QuotaShare of the volume yet and needs one
 }
 
 // SetTimer asks for a TimerFired at the given clock time or soon after. While a timer is pending, the scheduler sets only timers
