--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -15,7 +15,7 @@
 	return settings
 }
 
-// BenchmarkFleetList measures updates of the endpoint list: all servers, and one of them.
+// BenchmarkFleetList measures an endpoint update with all servers and one with a single server.
 func BenchmarkFleetList(b *testing.B) {
 	for name, servers := range map[string]int{"whole": benchmarkServers, "change": 1} {
 		b.Run(name, func(b *testing.B) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkFleetRequest measures a request from its arrival to its response.
+// BenchmarkFleetRequest measures a request from its arrival to its response, for requests that name a shard and for new objects.
 func BenchmarkFleetRequest(b *testing.B) {
 	for name, shard := range map[string]int{"named": 0, "new": -1} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -7,7 +7,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// A gateway feeds what happens to Step and carries out the actions it returns.
+// A gateway passes events to Step and carries out the actions that Step returns.
 func Example() {
 	settings := scheduler.Settings{
 		Gateways: 1, Shards: 1, MeanUnits: 2, MaxUnits: 6, MaxAttempts: 3, MinStepInterval: 2 * time.Millisecond,
--- a/internal/scheduler/goldenscenarios_test.go
+++ b/internal/scheduler/goldenscenarios_test.go
@@ -6,11 +6,11 @@
 type goldenScenario struct {
 	name     string
 	settings Settings
-	// polls is set where the endpoint list is polled by the gateway; otherwise it is pushed.
+	// polls is set if the gateway polls for the endpoint list; otherwise the list is pushed.
 	polls bool
-	// quota is set where peers move parts of limits and share latencies and ejections.
+	// quota is set if gateways lease shares of volume limits to each other and report latencies and ejections.
 	quota bool
-	// outage is set where most polls of the endpoint list fail and the list expires.
+	// outage is set if most polls of the endpoint list fail and the list expires.
 	outage bool
 }
 
@@ -25,14 +25,15 @@
 	}
 }
 
-// goldenPolledSettings has idempotent and keyed classes, a retry budget and slow start over many gateways.
+// goldenPolledSettings returns settings with a class of each kind of idempotency, a retry budget and slow start over many gateways.
 func goldenPolledSettings() Settings {
 	return Settings{
 		Gateways: 40, Shards: 12, MeanUnits: 2, MaxUnits: 8, FairShareWeight: 0.35, SurplusWeight: 0.08,
 		PollEndpoints: true, MaxPollInterval: 8 * time.Second, MaxAttempts: 3, AllowCancel: true, MaxRetryAfter: 900 * ms,
 		ResponseGrace: 30 * ms, DrainGrace: 300 * ms, InitialCapacity: 0.25, SlowStartDuration: 15 * time.Second,
 		OverloadMultiple: 2.5, OverloadWindow: time.Second, SlowStartUnits: 30, KeyCooldown: 200 * ms,
-		RetryBudgetMin: 3, RetryBudgetRatio: 0.15, RetryBudgetWindow: 10 * time.Second, UsagePeriod: time.Second, ReportsForeignUnits: true, MinStepInterval: 2 * ms,
+		RetryBudgetMin: 3, RetryBudgetRatio: 0.15, RetryBudgetWindow: 10 * time.Second, UsagePeriod: time.Second,
+		ReportsForeignUnits: true, MinStepInterval: 2 * ms,
 		Classes: []Class{
 			{Name: "read", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, LateFraction: 0.2},
 			{Name: "write", LatencyObjective: 900 * ms, Deadline: 4 * time.Second, PriorityWeight: 3,
@@ -49,7 +50,7 @@
 	}
 }
 
-// goldenPushedSettings has few gateways, no retry budget, no cancels and keys dropped inside a zone.
+// goldenPushedSettings returns settings with few gateways, no retry budget, no cancellation and deduplication within a zone.
 func goldenPushedSettings() Settings {
 	settings := goldenPolledSettings()
 	settings.Gateways, settings.Shards = 4, 8
@@ -61,7 +62,7 @@
 	return settings
 }
 
-// goldenOrderedSettings has per-key order and keys dropped everywhere.
+// goldenOrderedSettings returns settings with per-key order and deduplication at all servers.
 func goldenOrderedSettings() Settings {
 	settings := goldenPolledSettings()
 	settings.Gateways, settings.MaxPollInterval = 3, 2*time.Second
@@ -71,14 +72,14 @@
 	return settings
 }
 
-// goldenQuotaSettings has parts of limits that move between gateways.
+// goldenQuotaSettings returns settings in which gateways lease shares of volume limits to each other.
 func goldenQuotaSettings() Settings {
 	settings := goldenPushedSettings()
 	settings.QuotaLeases, settings.InitialQuotaShare = true, 0.5
 	return settings
 }
 
-// goldenOutageSettings has so many gateways that discovery cannot respond to all of them in time.
+// goldenOutageSettings returns settings with so many gateways that discovery cannot respond to all of them in time.
 func goldenOutageSettings() Settings {
 	settings := goldenPolledSettings()
 	settings.Gateways, settings.MeanUnits = 300, 0
--- a/internal/scheduler/names_test.go
+++ b/internal/scheduler/names_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// checkNames fails the test unless each value up to the last has a name of its own and the value behind it has none.
+// checkNames checks that each value up to last has a distinct name and that the next value has none.
 func checkNames[E interface {
 	~uint8
 	fmt.Stringer
@@ -14,7 +14,7 @@
 	seen := map[string]bool{}
 	for value := E(0); value <= last; value++ {
 		if name := value.String(); name == "" || name == "unknown" || seen[name] {
-			t.Errorf("%T %d is named %q", last, uint8(value), name)
+			t.Errorf("%T %d is named %q, want a distinct name", last, uint8(value), name)
 		} else {
 			seen[name] = true
 		}
@@ -34,7 +34,7 @@
 	checkNames(t, trialDue)
 }
 
-// Names of statuses are parts of counters' names, which operators' dashboards know.
+// The names of statuses are parts of the names of counters, which operators' dashboards use.
 func TestStatusNames(t *testing.T) {
 	for status, want := range map[Status]string{
 		StatusOK: "ok", StatusError: "error", StatusOverloaded: "overloaded", StatusTimedOut: "timed_out",
--- a/internal/scheduler/outcomes_test.go
+++ b/internal/scheduler/outcomes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The outstanding attempts of a request whose client no longer waits are canceled once, where that is allowed.
+// The outstanding attempts of a request whose client no longer waits are canceled once if the settings allow it.
 func TestCancelAttemptsOfCanceledRequest(t *testing.T) {
 	for name, allowed := range map[string]bool{"allowed": true, "not allowed": false} {
 		t.Run(name, func(t *testing.T) {
@@ -24,27 +24,28 @@
 			}
 			gateway.step(AttemptEnded{ID: open.ID, Server: 1, Status: StatusCanceled, Latency: 9 * ms, RequestDone: true})
 			if len(gateway.scheduler.requests) != 0 || gateway.server(1).inFlight != 0 {
-				t.Errorf("%d requests kept, %d in flight", len(gateway.scheduler.requests), gateway.server(1).inFlight)
+				t.Errorf("%d requests are kept and %d attempts are in flight after the end, want none",
+					len(gateway.scheduler.requests), gateway.server(1).inFlight)
 			}
 		})
 	}
 }
 
-// A request ends at the client's deadline whatever becomes of its attempt.
+// A request ends at the client's deadline even if its attempt is still in flight.
 func TestRequestExpiresWhileAttemptInFlight(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	unsafe, idempotent := gateway.newArrival("once", "gold", 1, 2, 5), gateway.newArrival("read", "gold", 1, 2, 6)
 	if len(sentIDs(gateway.step(unsafe, idempotent))) != 2 {
-		t.Fatal("not sent")
+		t.Fatal("the two requests were not sent")
 	}
 	actions := gateway.advance(2900 * ms)
 	if len(failedIDs(actions))+len(rejectedIDs(actions)) != 0 {
-		t.Errorf("ended early: %v", actions)
+		t.Errorf("actions before the deadline are %v, want neither a Fail nor a Reject", actions)
 	}
 	actions = gateway.advance(105 * ms)
 	failed, rejected := failedIDs(actions), rejectedIDs(actions)
 	if len(failed) != 1 || failed[0] != unsafe.ID || len(rejected) != 1 || rejected[0] != idempotent.ID {
-		t.Errorf("failed %v, rejected %v; want %d failed, as it may have been executed, and %d rejected",
+		t.Errorf("failed %v and rejected %v, want request %d failed, since it may have been executed, and request %d rejected",
 			failed, rejected, unsafe.ID, idempotent.ID)
 	}
 }
@@ -55,7 +56,7 @@
 		StatusConnectFailed: true, StatusConnectionReset: false, StatusCanceled: false, StatusNotSent: true,
 	} {
 		if got := status.ProvesNotExecuted(); got != want {
-			t.Errorf("%v proves that the attempt was not executed: %t, want %t", status, got, want)
+			t.Errorf("status %v proves that the attempt was not executed: %t, want %t", status, got, want)
 		}
 	}
 }
--- a/internal/scheduler/polling_fleet_test.go
+++ b/internal/scheduler/polling_fleet_test.go
@@ -28,27 +28,28 @@
 type simulatedPoll struct {
 	gateway     int
 	startedAt   time.Duration
-	respondedAt time.Duration
-	done        bool
+	respondedAt time.Duration // time at which discovery has finished the work for the poll
+	done        bool          // whether the poll has got its response or has timed out
 }
 
-// wastefulDiscovery responds to polls one by one. It works also on those that have timed out.
-type wastefulDiscovery struct {
+// overloadableDiscovery responds to polls one by one. It spends time on polls that have timed out, too, so that it can stay
+// overloaded.
+type overloadableDiscovery struct {
 	fleet     *simulatedFleet
-	cost      time.Duration // of one poll
-	idleAt    time.Duration // when all polls so far have been worked on
+	cost      time.Duration // time spent on one poll
+	idleAt    time.Duration // time at which the work for all polls so far is finished
 	polls     []*simulatedPoll
-	snapshots int // gateways that got a list
+	snapshots int // number of gateways that got a list
 }
 
-// poll takes in a poll.
-func (d *wastefulDiscovery) poll(gateway int) {
+// poll adds a poll.
+func (d *overloadableDiscovery) poll(gateway int) {
 	d.idleAt = max(d.idleAt, d.fleet.now) + d.cost
 	d.polls = append(d.polls, &simulatedPoll{gateway: gateway, startedAt: d.fleet.now, respondedAt: d.idleAt})
 }
 
 // respondToPolls delivers the responses and the timeouts that are due.
-func (d *wastefulDiscovery) respondToPolls() {
+func (d *overloadableDiscovery) respondToPolls() {
 	for _, poll := range d.polls {
 		timesOutAt := poll.startedAt + pollTimeout
 		switch {
@@ -64,14 +65,14 @@
 	}
 }
 
-// All gateways start at once, and discovery responds to their polls one by one. It abandons polls that have waited 2 s but does their
-// work all the same, so polls that come together, fail together and are repeated together would keep it busy for good. Where it is
-// fast, a large fleet must not wait as long as a slow one would take.
+// All gateways start at once, and discovery responds to their polls one by one. Polls time out after 2 s, but discovery still
+// spends the time for them, so polls that start, fail and are repeated at the same time would keep it overloaded forever. If
+// discovery is fast, a large fleet must not wait as long as a slow discovery would need.
 func TestFleetGetsFirstSnapshots(t *testing.T) {
 	for _, test := range []struct {
 		gateways     int
 		cost, within time.Duration
-		maxPolls     int // for each gateway
+		maxPolls     int // mean number of polls per gateway that is allowed
 	}{
 		{80, 100 * ms, 30 * time.Second, 2},
 		{300, 10 * ms, 5500 * ms, 1},
@@ -79,7 +80,7 @@
 	} {
 		t.Run(fmt.Sprint(test.gateways, "x", test.cost), func(t *testing.T) {
 			fleet := newPollingFleet(t, test.gateways, Server{ID: 1}, Server{ID: 2, Shard: 1})
-			discovery := &wastefulDiscovery{fleet: fleet, cost: test.cost, idleAt: fleet.now}
+			discovery := &overloadableDiscovery{fleet: fleet, cost: test.cost, idleAt: fleet.now}
 			for end := fleet.now + test.within; fleet.now < end; fleet.now += 10 * ms {
 				discovery.respondToPolls()
 				for gateway := range fleet.schedulers {
@@ -89,29 +90,29 @@
 				}
 			}
 			if discovery.snapshots != test.gateways || len(discovery.polls) > test.maxPolls*test.gateways {
-				t.Errorf("%d of %d gateways got a snapshot in %v, by %d polls",
+				t.Errorf("%d of %d gateways got a snapshot within %v, with %d polls; want all, with at most maxPolls per gateway",
 					discovery.snapshots, test.gateways, test.within, len(discovery.polls))
 			}
 		})
 	}
 }
 
-// failingDiscovery responds to polls one by one while it is up. Polls time out while they wait.
+// failingDiscovery responds to polls one by one while it is up. Polls that wait too long time out.
 type failingDiscovery struct {
 	fleet     *simulatedFleet
 	up        bool
-	cost      time.Duration // of one poll
-	idleAt    time.Duration
+	cost      time.Duration // time spent on one poll
+	idleAt    time.Duration // time at which the current poll is finished
 	waiting   []simulatedPoll
-	polling   []bool // by gateway: a poll is in flight
-	watching  []bool // by gateway: a watch is open
-	snapshots int    // gateways that got a list since the last start
+	polling   []bool // whether a poll is in flight, by gateway
+	watching  []bool // whether a watch is open, by gateway
+	snapshots int    // number of gateways that got a list since discovery last came up
 }
 
 // outageStep is the time between two steps of the simulation of an outage.
 const outageStep = 2 * ms
 
-// timeOutPolls ends the polls that have waited too long.
+// timeOutPolls fails the polls that have waited for pollTimeout.
 func (d *failingDiscovery) timeOutPolls() {
 	for len(d.waiting) > 0 && d.fleet.now >= d.waiting[0].startedAt+pollTimeout {
 		gateway := d.waiting[0].gateway
@@ -121,7 +122,7 @@
 	}
 }
 
-// respondToPolls responds to polls as far as there is time.
+// respondToPolls responds to as many polls as the time since the last step allows.
 func (d *failingDiscovery) respondToPolls() {
 	for d.up && len(d.waiting) > 0 && d.idleAt <= d.fleet.now {
 		d.idleAt = max(d.idleAt, d.fleet.now-outageStep) + d.cost
@@ -132,16 +133,16 @@
 	}
 }
 
-// poll takes in a poll.
+// poll adds a poll.
 func (d *failingDiscovery) poll(gateway int) {
 	if d.watching[gateway] || d.polling[gateway] {
-		d.fleet.t.Fatalf("gateway %d polls twice", gateway)
+		d.fleet.t.Fatalf("gateway %d polls while it has a poll in flight or an open watch", gateway)
 	}
 	d.polling[gateway] = true
 	d.waiting = append(d.waiting, simulatedPoll{gateway: gateway, startedAt: d.fleet.now})
 }
 
-// run simulates a period; while discovery is up it ends early once each gateway has got a list.
+// run simulates a period. If discovery is up, it returns as soon as each gateway has got a list.
 func (d *failingDiscovery) run(period time.Duration) {
 	gateways := len(d.fleet.schedulers)
 	for end := d.fleet.now + period; d.fleet.now < end && (!d.up || d.snapshots < gateways); d.fleet.now += outageStep {
@@ -161,9 +162,9 @@
 	d.fleet.deliverAll(EndpointUpdate{Kind: WatchClosed})
 }
 
-// After an outage of discovery, which ends all watches, every gateway gets a snapshot in time: a change that is made as discovery
-// comes back counts as notified 6 s later and binds after a grace of 1 s. Polls wait 2 s before they fail, in the outage and under
-// overload.
+// After an outage of discovery, which ends all watches, every gateway must get a snapshot within 7 s: a gateway is treated as
+// having been notified of a change 6 s after the change, and must comply with it after a grace of 1 s. The change may be made as
+// soon as discovery is available again. Polls time out after 2 s, during the outage and under overload.
 func TestFleetGetsSnapshotsAfterOutage(t *testing.T) {
 	const snapshotsWithin = 7 * time.Second
 	for _, test := range []struct {
@@ -183,7 +184,7 @@
 				polling: make([]bool, test.gateways), watching: make([]bool, test.gateways)}
 			discovery.run(15 * time.Second)
 			if discovery.snapshots != test.gateways {
-				t.Fatalf("%d of %d gateways got a first snapshot", discovery.snapshots, test.gateways)
+				t.Fatalf("%d of %d gateways got a first snapshot, want all", discovery.snapshots, test.gateways)
 			}
 			fleet.now += time.Minute
 			discovery.up = false
@@ -193,9 +194,10 @@
 			back := fleet.now
 			discovery.run(snapshotsWithin)
 			if discovery.snapshots != test.gateways {
-				t.Errorf("%d of %d gateways got a snapshot within %v of discovery's return", discovery.snapshots, test.gateways, snapshotsWithin)
+				t.Errorf("%d of %d gateways got a snapshot within %v after the outage, want all",
+					discovery.snapshots, test.gateways, snapshotsWithin)
 			}
-			t.Logf("all gateways had a snapshot %v after discovery's return", fleet.now-back)
+			t.Logf("all gateways had a snapshot %v after the outage", fleet.now-back)
 		})
 	}
 }
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// ruleChecker follows one gateway from outside and checks the rules on every action:
+// ruleChecker observes the events and the actions of one gateway and checks each action against these rules:
 //
 //  1. Every request ends exactly once, by its deadline.
-//  2. A request that may have been executed is only sent again, or rejected, where that has no further effect.
-//  3. A server that drains or is removed gets nothing once its grace is over.
+//  2. A request that may have been executed is retried or rejected only if another execution has no further effect.
+//  3. A server that drains or is removed gets no requests after DrainGrace.
 //  4. A starting server is not overloaded.
 //  5. Ordered requests of one key run one at a time, in order of arrival.
 //  6. Retries stay within their budget.
 //  7. Volumes stay within their limits.
 //
-// Of limits and starting servers it checks this gateway's equal share, which is all that one gateway can be held to alone; but see
-// maxSlowStartUnits.
+// Limits and slow start apply to all gateways together. The checker sees only one gateway, so it checks that gateway's equal
+// share; see maxSlowStartUnits for slow start.
 type ruleChecker struct {
 	t        *testing.T
 	settings Settings
@@ -25,12 +25,12 @@
 	plans    map[string]Plan
 	now      time.Duration
 	requests map[RequestID]*checkedRequest
-	order    []*checkedRequest // since the gateway's last start
+	arrivals []*checkedRequest // requests in order of arrival, since the gateway's last start
 	servers  map[ServerID]*checkedServer
-	limits   map[VolumeID]*checkedBucket // they outlive the gateway
-	admitted []time.Duration
-	retries  []time.Duration
-	// maxSlowStartUnits is the most units that a starting server may get in an OverloadWindow.
+	limits   map[VolumeID]*checkedBucket // buckets of the volumes; kept when the gateway restarts
+	admitted []time.Duration             // times of the requests since the gateway's last start
+	retries  []time.Duration             // times of the retries since the gateway's last start
+	// maxSlowStartUnits is the largest number of units that this gateway may send to a starting server in an OverloadWindow.
 	maxSlowStartUnits float64
 }
 
@@ -47,23 +47,23 @@
 	for _, plan := range settings.Plans {
 		checker.plans[plan.Name] = plan
 	}
-	// Half of what overloads a server of 200 units per second with its full capacity: this gateway never gets more.
+	// Half of the units that overload a server with a full capacity of 200 units per second. This gateway never sends more.
 	overload := settings.OverloadMultiple / 2 * 200 * settings.OverloadWindow.Seconds()
 	checker.maxSlowStartUnits = max(settings.SlowStartUnits/float64(settings.Gateways), overload)
 	return checker
 }
 
-// checkedRequest is a request as seen from outside.
+// checkedRequest is the checker's record of a request.
 type checkedRequest struct {
 	arrival       RequestArrived
 	class         Class
 	expiresAt     time.Duration
 	finished      bool
 	attempts      []*checkedAttempt
-	cooldownUntil time.Duration // of its key
+	cooldownUntil time.Duration // end of the cooldown of its key that its attempts have caused
 }
 
-// checkedAttempt is an attempt as seen from outside.
+// checkedAttempt is the checker's record of an attempt.
 type checkedAttempt struct {
 	server *checkedServer
 	sentAt time.Duration
@@ -76,10 +76,10 @@
 	return !a.ended || a.status != StatusOverloaded && a.status != StatusConnectFailed && a.status != StatusNotSent
 }
 
-// checkedServer is a server as seen from outside.
+// checkedServer is the checker's record of a server.
 type checkedServer struct {
 	Server
-	outOfServiceAt time.Duration // when it was last reported to drain or to be removed
+	outOfServiceAt time.Duration // time at which it was last reported to drain or to be removed
 	outOfService   bool
 	slowStartSends []sentUnits
 }
@@ -96,12 +96,12 @@
 	c.t.Fatalf("at %v: "+format, append([]any{c.now}, args...)...)
 }
 
-// restart forgets the requests of a gateway that was killed.
+// restart clears the requests, because the gateway was killed.
 func (c *ruleChecker) restart() {
-	c.requests, c.order, c.admitted, c.retries = map[RequestID]*checkedRequest{}, nil, nil, nil
+	c.requests, c.arrivals, c.admitted, c.retries = map[RequestID]*checkedRequest{}, nil, nil, nil
 }
 
-// applyUpdate takes in an endpoint update that the gateway gets.
+// applyUpdate records an endpoint update that the gateway gets.
 func (c *ruleChecker) applyUpdate(update EndpointUpdate) {
 	if update.Kind == WatchFailed {
 		return
@@ -126,7 +126,7 @@
 	}
 }
 
-// setOutOfService notes whether a server is known to drain or to be removed.
+// setOutOfService records whether a server has been reported to drain or to be removed.
 func (c *ruleChecker) setOutOfService(server *checkedServer, outOfService bool) {
 	if outOfService && !server.outOfService {
 		server.outOfServiceAt = c.now
@@ -134,15 +134,15 @@
 	server.outOfService = outOfService
 }
 
-// recordArrival takes in a request that the gateway gets.
+// recordArrival records a request that the gateway gets.
 func (c *ruleChecker) recordArrival(arrival RequestArrived) {
 	request := &checkedRequest{arrival: arrival, class: c.classes[arrival.Class], expiresAt: c.now + arrival.Remaining}
 	c.requests[arrival.ID] = request
-	c.order = append(c.order, request)
+	c.arrivals = append(c.arrivals, request)
 	c.admitted = append(c.admitted, c.now)
 }
 
-// recordAttemptEnd takes in the end of an attempt.
+// recordAttemptEnd records the end of an attempt.
 func (c *ruleChecker) recordAttemptEnd(ended AttemptEnded) {
 	request := c.requests[ended.ID]
 	attempt := request.attempts[ended.Attempt]
@@ -160,20 +160,20 @@
 func (c *ruleChecker) checkSend(send Send) *checkedAttempt {
 	request, server := c.requests[send.ID], c.servers[send.Server]
 	if request == nil || server == nil {
-		c.fatalf("send of an unknown request or server: %+v", send)
+		c.fatalf("sent an unknown request or to an unknown server: %+v", send)
 	}
 	if request.finished {
-		c.fatalf("rule 1: sent %d after its end", send.ID)
+		c.fatalf("rule 1: request %d was sent after its end", send.ID)
 	}
 	if request.arrival.Shard >= 0 && server.Shard != request.arrival.Shard {
-		c.fatalf("sent %d to shard %d, its data is on %d", send.ID, server.Shard, request.arrival.Shard)
+		c.fatalf("request %d was sent to shard %d, but its data is on shard %d", send.ID, server.Shard, request.arrival.Shard)
 	}
 	if len(request.attempts) >= c.settings.MaxAttempts {
-		c.fatalf("more attempts than allowed for %d", send.ID)
+		c.fatalf("request %d was sent more often than MaxAttempts allows", send.ID)
 	}
 	c.checkEarlierAttempts(request, server)
 	if server.outOfService && c.now-server.outOfServiceAt > c.settings.DrainGrace {
-		c.fatalf("rule 3: sent to server %d, out of service since %v", server.ID, server.outOfServiceAt)
+		c.fatalf("rule 3: sent a request to server %d, which has been out of service since %v", server.ID, server.outOfServiceAt)
 	}
 	c.checkSlowStart(request, server)
 	c.checkKeyOrder(request)
@@ -184,32 +184,32 @@
 	return attempt
 }
 
-// checkEarlierAttempts checks rule 2.
+// checkEarlierAttempts checks that the earlier attempts of a request allow another one (rule 2).
 func (c *ruleChecker) checkEarlierAttempts(request *checkedRequest, server *checkedServer) {
 	c.t.Helper()
 	id, class := request.arrival.ID, request.class
 	for _, attempt := range request.attempts {
 		if !attempt.ended && !c.settings.AllowHedging {
-			c.fatalf("rule 2: two attempts of %d at once", id)
+			c.fatalf("rule 2: request %d has two attempts in flight without hedging", id)
 		}
 		if !attempt.mayHaveExecuted() {
 			continue
 		}
 		switch class.Idempotency {
 		case NotIdempotent:
-			c.fatalf("rule 2: %d may have been executed and is sent again", id)
+			c.fatalf("rule 2: request %d is not idempotent, may have been executed and was sent again", id)
 		case IdempotentWithKey:
 			sameScope := class.DedupScope == DedupAll ||
 				class.DedupScope == DedupZone && attempt.server.Zone == server.Zone ||
 				class.DedupScope == DedupShard && attempt.server.Shard == server.Shard
 			if !sameScope || c.now-attempt.sentAt > class.DedupWindow {
-				c.fatalf("rule 2: retry of %d outside its scope or window", id)
+				c.fatalf("rule 2: request %d was retried outside its deduplication scope or window", id)
 			}
 		}
 	}
 }
 
-// checkSlowStart checks rule 4.
+// checkSlowStart checks that a starting server is not overloaded (rule 4).
 func (c *ruleChecker) checkSlowStart(request *checkedRequest, server *checkedServer) {
 	c.t.Helper()
 	if server.StartedAt <= 0 || c.now-server.StartedAt >= c.settings.SlowStartDuration {
@@ -223,17 +223,18 @@
 		}
 	}
 	if sum > c.maxSlowStartUnits {
-		c.fatalf("rule 4: %.1f units to starting server %d within %v", sum, server.ID, c.settings.OverloadWindow)
+		c.fatalf("rule 4: sent %.1f units to starting server %d within %v, more than this gateway may",
+			sum, server.ID, c.settings.OverloadWindow)
 	}
 }
 
-// checkKeyOrder checks rule 5.
+// checkKeyOrder checks that all earlier requests of the same key have ended (rule 5).
 func (c *ruleChecker) checkKeyOrder(request *checkedRequest) {
 	c.t.Helper()
 	if !request.class.OrderedByKey || request.arrival.Key == NoKey {
 		return
 	}
-	for _, earlier := range c.order {
+	for _, earlier := range c.arrivals {
 		if earlier == request {
 			return
 		}
@@ -242,12 +243,13 @@
 		}
 		open := slices.ContainsFunc(earlier.attempts, func(attempt *checkedAttempt) bool { return !attempt.ended })
 		if !earlier.finished || open || len(request.attempts) == 0 && c.now < earlier.cooldownUntil {
-			c.fatalf("rule 5: %d sent too early after %d", request.arrival.ID, earlier.arrival.ID)
+			c.fatalf("rule 5: request %d was sent before request %d with the same key had ended and cooled down",
+				request.arrival.ID, earlier.arrival.ID)
 		}
 	}
 }
 
-// checkRetryBudget checks rule 6.
+// checkRetryBudget checks that the retries stay within their budget (rule 6).
 func (c *ruleChecker) checkRetryBudget(request *checkedRequest) {
 	c.t.Helper()
 	if len(request.attempts) == 0 || c.settings.RetryBudgetWindow == 0 {
@@ -256,11 +258,11 @@
 	c.retries = append(c.retries, c.now)
 	retries, admitted := c.countInWindow(c.retries), c.countInWindow(c.admitted)
 	if float64(retries) > c.settings.RetryBudgetMin+c.settings.RetryBudgetRatio*float64(admitted)+1e-9 {
-		c.fatalf("rule 6: %d retries for %d requests", retries, admitted)
+		c.fatalf("rule 6: %d retries for %d requests in the window exceed the retry budget", retries, admitted)
 	}
 }
 
-// countInWindow returns how many times are in the window of the retry budget that ends now.
+// countInWindow returns how many of the times lie in the window of the retry budget that ends now.
 func (c *ruleChecker) countInWindow(times []time.Duration) (count int) {
 	for _, at := range times {
 		if c.now-at < c.settings.RetryBudgetWindow {
@@ -270,7 +272,7 @@
 	return count
 }
 
-// checkLimit checks rule 7.
+// checkLimit checks that a volume stays within its limit (rule 7).
 func (c *ruleChecker) checkLimit(request *checkedRequest) {
 	c.t.Helper()
 	arrival, plan := request.arrival, c.plans[request.arrival.Plan]
@@ -287,30 +289,30 @@
 	bucket.tokens = min(plan.LimitBurst/gateways, filled) - arrival.Units
 	bucket.updatedAt = c.now
 	if bucket.tokens < -1e-6 {
-		c.fatalf("rule 7: volume %d is %.2f units beyond its even part", arrival.Volume, -bucket.tokens)
+		c.fatalf("rule 7: volume %d is %.2f units beyond this gateway's equal share of its limit", arrival.Volume, -bucket.tokens)
 	}
 }
 
-// checkReject checks a Reject.
+// checkReject checks that a rejected request has not ended yet and that a retry by its client is harmless (rules 1 and 2).
 func (c *ruleChecker) checkReject(reject Reject) {
 	request := c.finish(reject.ID)
 	mayHaveExecuted := slices.ContainsFunc(request.attempts, (*checkedAttempt).mayHaveExecuted)
 	class := request.class
 	unsafe := class.Idempotency == NotIdempotent || class.Idempotency == IdempotentWithKey && class.DedupScope != DedupAll
 	if mayHaveExecuted && unsafe {
-		c.fatalf("rule 2: rejected %d, which may have been executed", reject.ID)
+		c.fatalf("rule 2: request %d was rejected although it may have been executed and a retry is not harmless", reject.ID)
 	}
 }
 
-// checkFail checks a Fail.
+// checkFail checks that a failed request has not ended yet (rule 1).
 func (c *ruleChecker) checkFail(fail Fail) { c.finish(fail.ID) }
 
-// finish checks that a request has not ended yet and ends it.
+// finish checks that a request has not ended yet and marks it as ended.
 func (c *ruleChecker) finish(id RequestID) *checkedRequest {
 	c.t.Helper()
 	request := c.requests[id]
 	if request == nil || request.finished {
-		c.fatalf("rule 1: second response for %d", id)
+		c.fatalf("rule 1: request %d is unknown or got a second response", id)
 	}
 	request.finished = true
 	return request
@@ -320,16 +322,16 @@
 func (c *ruleChecker) checkDeadlines() {
 	for _, request := range c.requests {
 		if !request.finished && c.now > request.expiresAt+c.settings.ResponseGrace {
-			c.fatalf("rule 1: %d never got a response (expired at %v)", request.arrival.ID, request.expiresAt)
+			c.fatalf("rule 1: request %d got no response by its deadline at %v", request.arrival.ID, request.expiresAt)
 		}
 	}
 }
 
-// checkAllFinished checks that no request is open.
+// checkAllFinished checks that every request has ended.
 func (c *ruleChecker) checkAllFinished() {
 	for _, request := range c.requests {
 		if !request.finished {
-			c.fatalf("rule 1: %d is open at the end", request.arrival.ID)
+			c.fatalf("rule 1: request %d has not ended at the end of the test", request.arrival.ID)
 		}
 	}
 }
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// propertySettings returns settings by the number of a scenario.
+// propertySettings returns the settings of the scenario with the given number.
 func propertySettings(scenario int) Settings {
 	settings := Settings{
 		Gateways: 3, Shards: 4, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.4, SurplusWeight: 0.1,
@@ -41,7 +41,7 @@
 	return settings
 }
 
-// Random legal events, ends of attempts and restarts must keep the rules.
+// No sequence of valid events, attempt results and restarts of the gateway may lead to an action that violates a rule.
 func TestRulesHoldOverArbitraryEvents(t *testing.T) {
 	for scenario := range 24 {
 		t.Run(fmt.Sprint(scenario), func(t *testing.T) {
@@ -49,14 +49,15 @@
 			simulation.run()
 			simulation.checker.checkAllFinished()
 			if simulation.sends < 120 || simulation.responses < 1000 {
-				t.Fatalf("the scenario exercised too little: %d sends, %d responses", simulation.sends, simulation.responses)
+				t.Fatalf("the scenario has only %d sends and %d responses, want at least 120 and 1000",
+					simulation.sends, simulation.responses)
 			}
 			t.Logf("%d sends, %d responses", simulation.sends, simulation.responses)
 		})
 	}
 }
 
-// ruleSimulation is a gateway that gets random events under the eyes of a ruleChecker.
+// ruleSimulation passes random events to the scheduler of one gateway and has a ruleChecker check its actions.
 type ruleSimulation struct {
 	t         *testing.T
 	settings  Settings
@@ -64,12 +65,12 @@
 	checker   *ruleChecker
 	scheduler *Scheduler
 
-	servers      []Server
-	nextServer   ServerID
-	nextRequest  RequestID
-	disturbUntil time.Duration // requests arrive and servers change until then
-	pending      []pendingEnd
-	timers       []time.Duration
+	servers     []Server
+	nextServer  ServerID
+	nextRequest RequestID
+	activeUntil time.Duration // time until which requests arrive, servers change and the gateway restarts
+	pending     []pendingEnd
+	timers      []time.Duration
 
 	sends, responses int
 }
@@ -84,23 +85,23 @@
 	for shard := range settings.Shards {
 		simulation.servers = append(simulation.servers, Server{ID: ServerID(100 + shard), Shard: shard, Zone: "za", Size: 1})
 	}
-	simulation.disturbUntil = simulation.checker.now + 20*time.Second
+	simulation.activeUntil = simulation.checker.now + 20*time.Second
 	simulation.step([]Event{simulation.start()})
 	return simulation
 }
 
-// run simulates 20 s of disturbances and 5 s in which all requests end.
+// run simulates 20 s with requests, changes of servers and restarts of the gateway, and 5 s in which all requests end.
 func (s *ruleSimulation) run() {
-	for s.checker.now < s.disturbUntil+5*time.Second {
+	for s.checker.now < s.activeUntil+5*time.Second {
 		s.checker.now += 2 * ms
 		var events []Event
-		if s.random.IntN(2000) == 0 && s.disturbed() { // killed and started again
+		if s.random.IntN(2000) == 0 && s.active() { // the gateway is killed and started again
 			events = append(events, s.start())
 		}
-		if i := s.random.IntN(len(s.servers)); s.random.IntN(700) == 0 && s.disturbed() {
+		if i := s.random.IntN(len(s.servers)); s.random.IntN(700) == 0 && s.active() {
 			events = append(events, s.changeServer(i)...)
 		}
-		for s.random.IntN(3) == 0 && s.disturbed() {
+		for s.random.IntN(3) == 0 && s.active() {
 			events = append(events, s.drawArrival())
 		}
 		events = append(events, s.dueEnds()...)
@@ -111,8 +112,8 @@
 	}
 }
 
-// disturbed reports whether requests arrive and servers change.
-func (s *ruleSimulation) disturbed() bool { return s.checker.now < s.disturbUntil }
+// active reports whether requests still arrive, servers still change and the gateway still restarts.
+func (s *ruleSimulation) active() bool { return s.checker.now < s.activeUntil }
 
 // start replaces the scheduler by a new one and returns its first event.
 func (s *ruleSimulation) start() Event {
@@ -122,7 +123,7 @@
 	return s.update(CachedSnapshot, slices.Clone(s.servers)...)
 }
 
-// update returns an endpoint update that the checker has seen.
+// update returns an endpoint update after passing it to the checker.
 func (s *ruleSimulation) update(kind UpdateKind, servers ...Server) Event {
 	update := EndpointUpdate{Kind: kind, Servers: servers}
 	s.checker.applyUpdate(update)
@@ -168,7 +169,7 @@
 	return arrival
 }
 
-// dueEnds returns the ends of attempts that are due, and some cancels of requests that have ended.
+// dueEnds returns the ends of attempts that are due, and cancellations of some requests that have ended.
 func (s *ruleSimulation) dueEnds() (events []Event) {
 	s.pending = slices.DeleteFunc(s.pending, func(pending pendingEnd) bool {
 		if pending.at > s.checker.now {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -13,36 +13,36 @@
 		TimerFired{})
 	arrival := gateway.newArrival("read", "gold", 1, 2, 5)
 	if sent := sentIDs(gateway.step(arrival, arrival)); len(sent) != 1 {
-		t.Errorf("a repeated ID was sent %d times", len(sent))
+		t.Errorf("two requests with the same ID were sent %d times, want once", len(sent))
 	}
 	gateway.step(AttemptEnded{ID: arrival.ID, Attempt: 3, Status: StatusOK}, AttemptEnded{ID: arrival.ID, Attempt: -1, Status: StatusOK})
-	for name, spoil := range map[string]func(*RequestArrived){
-		"class":         func(a *RequestArrived) { a.Class = "none" },
-		"plan":          func(a *RequestArrived) { a.Plan = "none" },
-		"shard above":   func(a *RequestArrived) { a.Shard = 7 },
-		"shard below":   func(a *RequestArrived) { a.Shard = -2 },
-		"no time left":  func(a *RequestArrived) { a.Remaining = 0 },
-		"link in past":  func(a *RequestArrived) { a.ClientDelay = -1 },
-		"units too big": func(a *RequestArrived) { a.Units = unitsBound },
+	for name, invalidate := range map[string]func(*RequestArrived){
+		"class":                 func(a *RequestArrived) { a.Class = "none" },
+		"plan":                  func(a *RequestArrived) { a.Plan = "none" },
+		"shard above":           func(a *RequestArrived) { a.Shard = 7 },
+		"shard below":           func(a *RequestArrived) { a.Shard = -2 },
+		"no time left":          func(a *RequestArrived) { a.Remaining = 0 },
+		"negative client delay": func(a *RequestArrived) { a.ClientDelay = -1 },
+		"too many units":        func(a *RequestArrived) { a.Units = unitsBound },
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrival := gateway.newArrival("read", "gold", 1, 2, 5)
-			spoil(&arrival)
+			invalidate(&arrival)
 			if rejected := rejectedIDs(gateway.step(arrival)); len(rejected) != 1 || rejected[0] != arrival.ID {
-				t.Errorf("%+v: rejected %v", arrival, rejected)
+				t.Errorf("after the arrival of %+v the rejected requests are %v, want that request", arrival, rejected)
 			}
 		})
 	}
 	gateway.now -= time.Second
-	gateway.step(TimerFired{}) // a clock that slips must not panic
+	gateway.step(TimerFired{}) // must not panic if the clock runs backwards
 }
 
-// Values that are out of range must not panic, and requests with such values are rejected.
+// Values that are out of range must not cause a panic, and requests with such values are rejected.
 func TestInvalidValues(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.ReportsForeignUnits, s.UsagePeriod = true, time.Second })
 	for _, units := range []float64{math.NaN(), -1, 1e300} {
 		if rejected := rejectedIDs(gateway.step(gateway.newArrival("read", "capped", 1, units, 5))); len(rejected) != 1 {
-			t.Errorf("%v units: rejected %v", units, rejected)
+			t.Errorf("after a request of %v units the rejected requests are %v, want that request", units, rejected)
 		}
 	}
 	for _, gateways := range []int{0, -3, 99} {
@@ -50,7 +50,7 @@
 		arrival.Gateways = gateways
 		gateway.step(arrival)
 		if got := gateway.scheduler.volumes[arrival.Volume].gateways; got != 2 {
-			t.Errorf("%d gateways count as %v, want all", gateways, got)
+			t.Errorf("a volume with %d gateways is treated as having %v, want all gateways", gateways, got)
 		}
 	}
 	arrival := gateway.newArrival("read", "gold", 1, 2, 5)
@@ -64,11 +64,12 @@
 	gateway.now += time.Hour
 	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5), TimerFired{})
 	if latency := gateway.server(1).congestion.latency; latency <= 0 {
-		t.Errorf("latency is %v", latency)
+		t.Errorf("latency is %v, want a positive value", latency)
 	}
 }
 
-// A server hangs under load while polls of discovery fail, and the gateway itself has just started.
+// A server hangs under load while polls of discovery fail and the gateway has just started. Requests must end in time, and the
+// server must get few of them.
 func TestUnresponsiveServerWhileDiscoveryFails(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
 	gateway.step(EndpointUpdate{Kind: WatchFailed})
@@ -80,11 +81,11 @@
 		}
 	}
 	if overdue != 0 || sends > 30 {
-		t.Errorf("%d requests overdue, %d sent to an unresponsive server", overdue, sends)
+		t.Errorf("%d requests are overdue and %d were sent to an unresponsive server, want none and at most 30", overdue, sends)
 	}
 }
 
-// Removed servers, idle flows and idle volumes are dropped, and idle shards are not visited.
+// Removed servers, idle flows and idle volumes are dropped, and shards without flows are not kept among the active ones.
 func TestEvictIdleState(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	scheduler := gateway.scheduler
@@ -101,12 +102,13 @@
 	servers, flows := len(scheduler.servers), len(scheduler.shards[0].flows)
 	active, requests := len(scheduler.activeShards), len(scheduler.requests)
 	if servers != 2 || flows != 0 || active != 0 || requests != 0 {
-		t.Errorf("%d servers, %d flows, %d active shards, %d requests kept", servers, flows, active, requests)
+		t.Errorf("%d servers, %d flows, %d active shards and %d requests are kept, want 2 servers and nothing else",
+			servers, flows, active, requests)
 	}
 	if len(scheduler.volumes) != 200 {
-		t.Errorf("%d volumes are kept, want 200 with requests a while ago", len(scheduler.volumes))
+		t.Errorf("%d volumes are kept, want the 200 whose last request is less than volumeIdleTimeout ago", len(scheduler.volumes))
 	}
-	// The state of a volume whose limit is not full must stay: with new state it could ask for more.
+	// The state of a volume whose limit is not full must be kept: new state would allow it more than its limit.
 	gateway.step(gateway.newArrival("bulk", "capped", 999, 20, 1))
 	gateway.now += volumeIdleTimeout + time.Second
 	limit := &scheduler.volumes[999].limit
@@ -117,8 +119,8 @@
 	}
 }
 
-// Forty minutes with a new volume, server and key every 100 ms: the state is bounded by what is outstanding and by what the last
-// minute and a quarter has used.
+// With a new volume, server and key every 100 ms for 40 minutes, the state must stay bounded: it may hold only what is outstanding
+// and what was used within the last 75 s (volumeIdleTimeout and evictionInterval).
 func TestStateIsBoundedOverLongRun(t *testing.T) {
 	settings := testSettings()
 	scheduler := newScheduler(t, settings, 1)
@@ -145,11 +147,12 @@
 		scheduler.Step(now+time.Duration(k)*time.Second, []Event{TimerFired{}})
 	}
 	if len(scheduler.requests) != 0 || len(scheduler.deadlines.entries) != 0 {
-		t.Errorf("%d requests, %d deadlines at the end", len(scheduler.requests), len(scheduler.deadlines.entries))
+		t.Errorf("%d requests and %d deadlines are kept at the end, want none",
+			len(scheduler.requests), len(scheduler.deadlines.entries))
 	}
 }
 
-// replaceServer returns an update in which the k-th server takes the place of the one before it.
+// replaceServer returns an update in which the k-th server replaces the one before it.
 func replaceServer(k int) EndpointUpdate {
 	next, last := ServerID(10+k), ServerID(10+k-1)
 	if k == 0 {
@@ -165,7 +168,7 @@
 		Remaining: time.Second, Units: 2, Shard: k % 2, Gateways: 1}
 }
 
-// checkStateSize checks that the state is small in a run with a new volume every 100 ms.
+// checkStateSize checks that the state is bounded in a run with a new volume every 100 ms.
 func checkStateSize(t *testing.T, scheduler *Scheduler, now time.Duration) {
 	t.Helper()
 	flows := 0
@@ -176,7 +179,7 @@
 	volumes, servers, requests := len(scheduler.volumes), len(scheduler.servers), len(scheduler.requests)
 	deadlines, keys := len(scheduler.deadlines.entries), len(scheduler.keyOrder.queues)
 	if volumes > maxVolumes || servers > 4 || requests > 20 || deadlines > 20 || flows > 100 || keys > 100 {
-		t.Fatalf("after %v: %d volumes, %d servers, %d requests, %d deadlines, %d flows, %d keys", now-time.Hour,
+		t.Fatalf("state is too large after %v: %d volumes, %d servers, %d requests, %d deadlines, %d flows, %d keys", now-time.Hour,
 			volumes, servers, requests, deadlines, flows, keys)
 	}
 }
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -7,7 +7,7 @@
 
 func TestResponsiveness(t *testing.T) {
 	const now, threshold = time.Hour, 60 * ms
-	const overdue = unresponsiveFactor * threshold // at a latency of the threshold
+	const overdue = unresponsiveFactor * threshold // age from which on an attempt is overdue if the latency equals the threshold
 	newServer := func(sentAt time.Duration) *serverEntry {
 		server := &serverEntry{}
 		server.congestion.reset(threshold, 1)
@@ -47,10 +47,10 @@
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK)
 	if sends := gateway.serveReads(3*time.Second, 10*ms, time.Hour, StatusOK); sends > 35 { // no request gets a response
-		t.Errorf("%d requests sent to an unresponsive server", sends)
+		t.Errorf("%d requests were sent to an unresponsive server, want at most 35", sends)
 	}
 	if sends := gateway.serveReads(2*time.Second, 10*ms, 30*ms, StatusOK); sends < 60 {
-		t.Errorf("only %d sent after it responds again", sends)
+		t.Errorf("%d requests were sent after the server responded again, want at least 60", sends)
 	}
 }
 
@@ -58,14 +58,14 @@
 	gateway := newTestGateway(t, nil)
 	gateway.server(1).congestion.window = 1
 	if len(sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)))) != 1 {
-		t.Fatal("not sent")
+		t.Fatal("the first request was not sent")
 	}
 	if sends := gateway.serveReads(3*time.Second, 20*ms, 30*ms, StatusOK); sends < 50 {
-		t.Errorf("%d sent beside a lost response", sends)
+		t.Errorf("%d requests were sent after a lost response, want at least 50", sends)
 	}
 }
 
-// A reset leads to a backoff only if the server has not responded to other requests lately.
+// A connection reset causes a backoff only if the server has not responded to other requests lately.
 func TestConnectionResetBacksOffOnlyUnresponsiveServer(t *testing.T) {
 	for name, otherResponded := range map[string]bool{"responds to others": true, "sends no response": false} {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 			other, reset := gateway.newArrival("read", "gold", 1, 2, 1), gateway.newArrival("read", "gold", 2, 2, 2)
 			next := gateway.newArrival("read", "gold", 3, 2, 3)
 			if sent := sentIDs(gateway.step(other, reset)); len(sent) != 2 {
-				t.Fatalf("sent %v", sent)
+				t.Fatalf("sent %v, want two requests", sent)
 			}
 			if otherResponded {
 				gateway.now += 5 * ms
@@ -82,13 +82,14 @@
 			gateway.now += 5 * ms
 			gateway.step(AttemptEnded{ID: reset.ID, Server: 1, Status: StatusConnectionReset, RequestDone: true})
 			if sent := sentIDs(gateway.step(next)); (len(sent) == 1) != otherResponded {
-				t.Errorf("sent %v", sent)
+				t.Errorf("sent %v after a connection reset, want a request only if the server responds to others", sent)
 			}
 		})
 	}
 }
 
-// rejectAll lets server 1 reject every attempt of the actions and of what follows from them, and returns their number.
+// rejectAll lets server 1 reject every attempt among the actions, and all attempts that follow from these, and returns their
+// number.
 func (g *testGateway) rejectAll(actions []Action) (sends int) {
 	for len(sentIDs(actions)) > 0 {
 		var ends []Event
@@ -105,8 +106,8 @@
 	return sends
 }
 
-// The endpoint list is late to report a drain. New objects go to other servers, also those that the server has just rejected, and
-// requests for its own data do not use up their attempts at once.
+// A draining server may reject requests before the endpoint list reports the drain. New objects, including those that the server
+// has just rejected, must go to other servers. Requests for data of the server must not use up their attempts at once.
 func TestBackoffFromRejectingServer(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	newObject := func() RequestArrived {
@@ -116,18 +117,18 @@
 	}
 	busy := gateway.newArrival("read", "gold", int(gateway.lastID), 2, 1)
 	busy.Shard = 1
-	gateway.step(busy) // so that server 1 has less to do
+	gateway.step(busy) // makes server 1 the less loaded one
 	first := newObject()
 	if sends := gateway.rejectAll(gateway.step(first)); sends != 1 {
-		t.Errorf("a new object was sent %d times to the rejecting server", sends)
+		t.Errorf("a new object was sent %d times to the rejecting server, want once", sends)
 	}
 	gateway.advance(20 * ms)
 	if attempts := gateway.scheduler.requests[first.ID].attempts; len(attempts) != 2 || attempts[1].server.ID != 2 {
-		t.Errorf("it was not sent elsewhere: %d attempts", len(attempts))
+		t.Errorf("the rejected new object has %d attempts, want a second one at server 2", len(attempts))
 	}
 	for range 5 {
 		if sends := gateway.rejectAll(gateway.step(newObject())); sends != 0 {
-			t.Errorf("another new object went to the rejecting server")
+			t.Errorf("another new object was sent to the rejecting server")
 		}
 	}
 	const requests = 40
@@ -137,11 +138,12 @@
 		sends += gateway.rejectAll(append(gateway.step(arrival), gateway.advance(5*ms)...))
 	}
 	if sends < 2 || sends > requests/2 {
-		t.Errorf("%d attempts of %d requests in 200 ms", sends, requests)
+		t.Errorf("%d attempts of %d requests within 200 ms at a rejecting server, want at least 2 and at most half as many",
+			sends, requests)
 	}
 }
 
-// Failed connects to the old process do not delay requests to the new one.
+// Failed connects to the previous process of a server must not delay requests to the new process.
 func TestRestartClearsBackoff(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.advance(2 * time.Second)
@@ -153,34 +155,36 @@
 	}
 	server := gateway.server(1)
 	if server.connectFailures == 0 || server.backoffUntil <= gateway.now {
-		t.Fatalf("no backoff after failed connects")
+		t.Fatalf("the server has no backoff after failed connects")
 	}
 	gateway.restartServer()
 	if server.connectFailures != 0 || server.backoffUntil > gateway.now {
-		t.Errorf("%d failures, backoff until %v, after its restart", server.connectFailures, server.backoffUntil)
+		t.Errorf("%d connect failures and a backoff until %v after the restart, want none",
+			server.connectFailures, server.backoffUntil)
 	}
 }
 
-// An ejected server gets one request per interval and no new objects, for as long as the ejection is repeated.
+// An ejected server gets one request per interval and no new objects as long as the ejection is repeated.
 func TestEjectedServerGetsFewRequests(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	const interval = 400 * ms
 	ejections := []Event{EjectServer{Server: 1, MinInterval: interval}, EjectServer{Server: 99, MinInterval: interval}}
 	if sends := gateway.serveBothShards(2 * time.Second); sends[1] < 50 || sends[2] < 50 {
-		t.Fatalf("before the ejection: %v", sends)
+		t.Fatalf("sends by server before the ejection are %v, want at least 50 each", sends)
 	}
 	sends := gateway.serveBothShards(4*time.Second, ejections...)
 	if sends[1] < 5 || sends[1] > int(4*time.Second/interval)+2 || sends[2] < 150 {
-		t.Errorf("ejected: %v", sends)
+		t.Errorf("sends by server during the ejection are %v, want about one per interval to server 1 and at least 150 to server 2",
+			sends)
 	}
 	gateway.advance(interval)
 	if sends := gateway.serveBothShards(2 * time.Second); sends[1] < 50 {
-		t.Errorf("after the ejection: %v", sends)
+		t.Errorf("sends by server after the ejection are %v, want at least 50 to server 1", sends)
 	}
 }
 
-// serveBothShards lets a read for one of the shards, or a new object, arrive every 10 ms for a period, together with other events. It
-// responds to every attempt at once and returns the sends by server.
+// serveBothShards delivers a read for one of the shards, or a new object, every 10 ms for a period, together with other events. It
+// responds to every attempt at once and returns the number of sends by server.
 func (g *testGateway) serveBothShards(period time.Duration, others ...Event) map[ServerID]int {
 	sends := map[ServerID]int{}
 	for end := g.now + period; g.now < end; g.now += 10 * ms {
--- a/internal/scheduler/simulatedfleet_test.go
+++ b/internal/scheduler/simulatedfleet_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// simulatedGateways is the number of gateways in the tests of a whole fleet.
+// simulatedGateways is the number of gateways in the tests of a large fleet.
 const simulatedGateways = 300
 
-// simulatedFleet holds the schedulers of several gateways on one clock, and the events that each gets in its next step.
+// simulatedFleet holds the schedulers of several gateways, which share a clock, and the events that each gets in its next step.
 type simulatedFleet struct {
 	t          *testing.T
 	schedulers []*Scheduler
@@ -16,7 +16,7 @@
 	now        time.Duration
 }
 
-// newSimulatedFleet returns a fleet at an hour on the clock. seed returns the seed of a gateway.
+// newSimulatedFleet returns a fleet whose clock shows one hour. seed returns the seed of a gateway.
 func newSimulatedFleet(t *testing.T, gateways int, settings Settings, seed func(gateway int) uint64) *simulatedFleet {
 	t.Helper()
 	fleet := &simulatedFleet{t: t, schedulers: make([]*Scheduler, gateways), events: make([][]Event, gateways), now: time.Hour}
@@ -38,20 +38,20 @@
 	}
 }
 
-// step runs the next step of a gateway, with its timer fired.
+// step runs the next step of a gateway with the delivered events and a TimerFired.
 func (f *simulatedFleet) step(gateway int) []Action {
 	events := append(f.events[gateway], TimerFired{})
 	f.events[gateway] = nil
 	return f.schedulers[gateway].Step(f.now, events)
 }
 
-// pendingEnd is the end of an attempt that is due at a time.
+// pendingEnd is the end of an attempt that is to be delivered at a time.
 type pendingEnd struct {
 	at  time.Duration
 	end AttemptEnded
 }
 
-// sentUnits are units sent at a time.
+// sentUnits is an amount of units that was sent at a time.
 type sentUnits struct {
 	at    time.Duration
 	units float64
@@ -63,7 +63,7 @@
 	sends  []sentUnits
 }
 
-// add adds units and returns the sum over the window that ends now. What is as old as the window counts.
+// add adds units and returns the sum over the window that ends now. Units exactly as old as the window are included.
 func (w *unitsWindow) add(now time.Duration, units float64) (sum float64) {
 	w.sends = append(w.sends, sentUnits{now, units})
 	for now-w.sends[0].at > w.length {
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// All gateways together keep the bound of a starting server, however many they are and however demand arrives; with ordinary demand
-// they use what it bears.
+// All gateways together stay within the bound on what a starting server may be sent, for any number of gateways and any arrival
+// pattern. With ordinary demand they also use a good part of its allowance.
 func TestSlowStartBound(t *testing.T) {
 	for _, gateways := range []int{1, 3, 10, 80} {
 		for _, tolerance := range []float64{2, 10, 51, 400} {
@@ -42,52 +42,54 @@
 	slowStartRequestUnits = 2
 )
 
-// slowStartScenario is a shard whose server restarts, with requests through many gateways that do not coordinate.
+// slowStartScenario is a shard whose server restarts, with requests through many gateways that do not coordinate. The names of the
+// fields are part of the names of the subtests.
 type slowStartScenario struct {
 	gateways       int
-	tolerance      float64       // Settings.SlowStartUnits
+	tolerance      float64       // allowance of the server at its start: Settings.SlowStartUnits
 	demand         float64       // units per second over all gateways
-	latency        time.Duration // of responses
-	bursts         bool          // demand comes in bursts at all gateways at one moment
-	delayedUpdates bool          // gateways learn of the restart up to 3 s late
+	latency        time.Duration // latency of all responses
+	bursts         bool          // whether requests arrive in bursts at all gateways at once
+	delayedUpdates bool          // whether the gateways get the update that reports the restart up to 3 s late
 }
 
-// check simulates 20 s after the restart.
+// check simulates the scenario and checks the bound and, with ordinary demand, the use of the allowance.
 func (s slowStartScenario) check(t *testing.T, seed uint64) {
 	t.Helper()
 	simulation := newSlowStartSimulation(t, s, seed)
 	simulation.run()
 	worst, units := simulation.worst, simulation.units
-	t.Logf("seed %d: %.2f of the bound, %.0f units", seed, worst, units)
+	t.Logf("seed %d: the largest window has %.2f of the bound, %.0f units were sent", seed, worst, units)
 	if worst > 1 {
-		t.Errorf("seed %d: %.2f of the bound", seed, worst)
+		t.Errorf("seed %d: the largest window has %.2f of the bound, want at most 1", seed, worst)
 	}
 	ordinary := s.tolerance > 50 && !s.bursts && !s.delayedUpdates && s.demand > 1.9*s.tolerance
 	if ordinary && units < 2*s.tolerance {
-		t.Errorf("seed %d: only %.0f units of some %.0f that the server bears", seed, units, 12*s.tolerance)
+		t.Errorf("seed %d: %.0f units were sent, want at least a sixth of the about %.0f that are allowed",
+			seed, units, 12*s.tolerance)
 	}
 }
 
-// gatewayEnd is the end of an attempt of a gateway that is due at a time.
+// gatewayEnd is the end of an attempt that is to be delivered to a gateway at a time.
 type gatewayEnd struct {
 	gateway int
 	pendingEnd
 }
 
-// slowStartSimulation plays a scenario.
+// slowStartSimulation simulates a scenario.
 type slowStartSimulation struct {
 	*simulatedFleet
 	slowStartScenario
 	settings   Settings
 	random     *rand.Rand
 	restartAt  time.Duration
-	informedAt []time.Duration // by gateway: when it learns of the restart; 0: it has
+	informedAt []time.Duration // time at which a gateway will get the update that reports the restart; 0: it has got it
 	pending    []gatewayEnd
 	nextID     RequestID
 
 	window unitsWindow
-	units  float64 // sent by gateways that know of the restart
-	worst  float64 // the largest sum over a window, as a fraction of the bound
+	units  float64 // units sent by gateways that have been informed of the restart
+	worst  float64 // largest sum over a window, as a fraction of the bound
 }
 
 // newSlowStartSimulation returns a simulation at the time of the restart.
@@ -100,7 +102,7 @@
 	simulation := &slowStartSimulation{
 		slowStartScenario: scenario, settings: settings, random: rand.New(rand.NewPCG(seed, 77)),
 		restartAt: time.Hour + 5*time.Second, informedAt: make([]time.Duration, scenario.gateways),
-		window: unitsWindow{length: settings.OverloadWindow - 1}, // what is as old as the rule's window does not count
+		window: unitsWindow{length: settings.OverloadWindow - 1}, // units exactly as old as OverloadWindow are not included
 	}
 	simulation.simulatedFleet = newSimulatedFleet(t, scenario.gateways, settings, simulation.drawGateway)
 	for _, scheduler := range simulation.schedulers {
@@ -110,7 +112,7 @@
 	return simulation
 }
 
-// drawGateway draws a gateway's seed and when it learns of the restart.
+// drawGateway draws a gateway's seed and the time at which it is informed of the restart.
 func (s *slowStartSimulation) drawGateway(gateway int) (seed uint64) {
 	seed = s.random.Uint64()
 	s.informedAt[gateway] = s.restartAt
@@ -120,7 +122,7 @@
 	return seed
 }
 
-// run simulates 20 s.
+// run simulates 20 s after the restart.
 func (s *slowStartSimulation) run() {
 	for ; s.now < s.restartAt+20*time.Second; s.now += slowStartStep {
 		for len(s.pending) > 0 && s.pending[0].at <= s.now {
@@ -166,8 +168,8 @@
 	})
 }
 
-// serve responds to an attempt after the latency and compares what was sent with the bound. A gateway that does not know of the restart
-// is not bound.
+// serve responds to an attempt after the latency and compares the units sent with the bound. The bound does not apply to a gateway
+// that has not been informed of the restart.
 func (s *slowStartSimulation) serve(gateway int, send Send) {
 	s.pending = append(s.pending, gatewayEnd{gateway, pendingEnd{s.now + s.latency, attemptServed(send.ID, s.latency)}})
 	age := s.now - s.restartAt
@@ -177,6 +179,6 @@
 	s.units += slowStartRequestUnits
 	sum := s.window.add(s.now, slowStartRequestUnits)
 	growth := 1 + (1/s.settings.InitialCapacity-1)*float64(age)/float64(s.settings.SlowStartDuration)
-	tolerated := s.tolerance / s.settings.MeanUnits * growth // requests of mean size
-	s.worst = max(s.worst, sum/s.settings.MeanUnits/(tolerated+slowStartSlack(tolerated)))
+	allowance := s.tolerance / s.settings.MeanUnits * growth // allowance in requests of mean size
+	s.worst = max(s.worst, sum/s.settings.MeanUnits/(allowance+slowStartSlack(allowance)))
 }
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Gateways that do not coordinate send requests to a server that restarts, under a backlog and with some of them stalled; what all
-// of them send it in any OverloadWindow must not overload it. The server does 80 units per second and starts at InitialCapacity,
-// the worst case that the settings allow.
+// Gateways that do not coordinate must not overload a server that restarts, in any OverloadWindow, even with a backlog of requests
+// and with some gateways stalled. The server executes 80 units per second and starts at InitialCapacity, the worst case that the
+// settings allow.
 func TestGatewaysDoNotOverloadStartingServer(t *testing.T) {
 	for gateways, seeds := range map[int]uint64{1: 40, 5: 40, 120: 40, 300: 10} {
 		for seed := range seeds {
 			t.Run(fmt.Sprintf("%d/%d", gateways, seed), func(t *testing.T) {
 				simulation := newOverloadSimulation(t, gateways, seed)
 				simulation.run()
-				simulation.checkUse()
+				simulation.checkUtilization()
 			})
 		}
 	}
@@ -30,7 +30,8 @@
 	overloadVolumes = 8
 	// overloadMeanUnits is the mean size of a request.
 	overloadMeanUnits = 3.5
-	overloadStep      = 4 * ms
+	// overloadStep is the time between two steps of the simulation.
+	overloadStep = 4 * ms
 )
 
 // overloadSimulation is a fleet with one server that restarts.
@@ -39,16 +40,16 @@
 	settings     Settings
 	random       *rand.Rand
 	restartAt    time.Duration
-	stalledUntil []time.Duration // by gateway
-	pending      [][]pendingEnd  // by gateway
+	stalledUntil []time.Duration // time at which the last stall of a gateway ends, by gateway
+	pending      [][]pendingEnd  // pending ends of attempts, by gateway
 
-	nextID     RequestID
-	units      map[RequestID]float64
-	serverIdle time.Duration // when the server has worked off what it has
-	window     unitsWindow   // sent since the restart
+	nextID       RequestID
+	units        map[RequestID]float64 // size of each request
+	serverIdleAt time.Duration         // time at which the server has executed all attempts sent so far
+	window       unitsWindow           // units sent since the restart
 
-	runningUnits, startingUnits float64 // sent before and after the restart
-	toleratedUnits              float64 // that the settings let the server bear after the restart
+	unitsBeforeRestart, unitsAfterRestart float64 // units sent by all gateways
+	allowedUnits                          float64 // sum of the slow-start allowance since the restart
 }
 
 // newOverloadSimulation returns a simulation before the restart.
@@ -57,7 +58,7 @@
 	settings := propertySettings(1)
 	settings.Gateways, settings.Shards, settings.PollEndpoints = gateways, 1, false
 	settings.OverloadWindow, settings.SlowStartUnits = time.Second, 12
-	settings.Plans[1].Rate = 0.6 * overloadCapacity / overloadVolumes // the load of a usual day
+	settings.Plans[1].Rate = 0.6 * overloadCapacity / overloadVolumes // a normal load of 60% of the capacity
 	random := rand.New(rand.NewPCG(seed, 11))
 	fleet := newSimulatedFleet(t, gateways, settings, func(int) uint64 { return random.Uint64() })
 	fleet.deliverAll(EndpointUpdate{Kind: CachedSnapshot, Servers: []Server{{ID: 1, Shard: 0}}})
@@ -70,7 +71,7 @@
 		pending:        make([][]pendingEnd, gateways),
 		nextID:         1,
 		units:          map[RequestID]float64{},
-		serverIdle:     fleet.now,
+		serverIdleAt:   fleet.now,
 		window:         unitsWindow{length: settings.OverloadWindow},
 	}
 }
@@ -98,26 +99,26 @@
 	}
 }
 
-// starting reports whether the server has restarted.
-func (s *overloadSimulation) starting() bool { return s.now >= s.restartAt }
+// restarted reports whether the server has restarted.
+func (s *overloadSimulation) restarted() bool { return s.now >= s.restartAt }
 
-// capacity returns the server's capacity now in units per second, and counts what it tolerates in this step.
+// capacity returns the server's current capacity in units per second and adds this step's allowance to allowedUnits.
 func (s *overloadSimulation) capacity() float64 {
 	rate := overloadCapacity
-	if s.starting() {
+	if s.restarted() {
 		age := float64(s.now-s.restartAt) / float64(s.settings.SlowStartDuration)
 		rate *= s.settings.InitialCapacity + (1-s.settings.InitialCapacity)*age
-		tolerated := s.settings.SlowStartUnits * (1 + (1/s.settings.InitialCapacity-1)*age)
-		s.toleratedUnits += tolerated * overloadStep.Seconds() / s.settings.OverloadWindow.Seconds()
+		allowance := s.settings.SlowStartUnits * (1 + (1/s.settings.InitialCapacity-1)*age)
+		s.allowedUnits += allowance * overloadStep.Seconds() / s.settings.OverloadWindow.Seconds()
 	}
 	return rate
 }
 
-// drawArrivals draws the requests of a step: of a usual day, and of a backlog of retries after the restart. A volume comes through
-// its own gateways and no others.
+// drawArrivals draws the requests of a step: the normal load, and after the restart a backlog of retries at twice the server's full
+// capacity. The requests of a volume arrive at a fixed group of gateways.
 func (s *overloadSimulation) drawArrivals() {
 	load := 0.6
-	if s.starting() {
+	if s.restarted() {
 		load = 2
 	}
 	gateways := len(s.schedulers)
@@ -150,30 +151,32 @@
 // serve queues an attempt at the server and checks that the server is not overloaded.
 func (s *overloadSimulation) serve(gateway int, send Send, capacity float64) {
 	units := s.units[send.ID]
-	s.serverIdle = max(s.serverIdle, s.now) + time.Duration(units/capacity*float64(time.Second))
-	s.pending[gateway] = append(s.pending[gateway], pendingEnd{s.serverIdle, attemptServed(send.ID, s.serverIdle-s.now)})
-	if !s.starting() {
-		s.runningUnits += units
+	s.serverIdleAt = max(s.serverIdleAt, s.now) + time.Duration(units/capacity*float64(time.Second))
+	s.pending[gateway] = append(s.pending[gateway], pendingEnd{s.serverIdleAt, attemptServed(send.ID, s.serverIdleAt-s.now)})
+	if !s.restarted() {
+		s.unitsBeforeRestart += units
 		return
 	}
-	s.startingUnits += units
+	s.unitsAfterRestart += units
 	bound := s.settings.OverloadMultiple * capacity * s.settings.OverloadWindow.Seconds()
 	if sum := s.window.add(s.now, units); sum > bound {
-		s.t.Fatalf("rule 4: %.0f units within %v, %v after its start; it fails at %.0f",
+		s.t.Fatalf("rule 4: %.0f units were sent within %v, %v after the server's start, want at most %.0f",
 			sum, s.settings.OverloadWindow, s.now-s.restartAt, bound)
 	}
 }
 
-// checkUse checks that the server is not left idle: each gateway uses its equal share of what the server tolerates as far as it has
-// requests just then.
-func (s *overloadSimulation) checkUse() {
+// checkUtilization checks that the server is not left idle: each gateway uses its equal share of the allowance as far as it has
+// requests at that time.
+func (s *overloadSimulation) checkUtilization() {
 	s.t.Helper()
 	usedFraction := 0.15
 	if len(s.schedulers) == 300 {
-		usedFraction = 0.06 // each gateway has a request in seven windows
+		usedFraction = 0.06 // a gateway has only one request every seven windows
 	}
-	if s.runningUnits < 0.4*overloadCapacity*30 || s.startingUnits < usedFraction*s.toleratedUnits {
-		s.t.Errorf("%.0f units before the restart, %.0f of %.0f after it: too little", s.runningUnits, s.startingUnits, s.toleratedUnits)
+	if s.unitsBeforeRestart < 0.4*overloadCapacity*30 || s.unitsAfterRestart < usedFraction*s.allowedUnits {
+		s.t.Errorf("%.0f units were sent before the restart and %.0f of %.0f allowed ones after it, want more",
+			s.unitsBeforeRestart, s.unitsAfterRestart, s.allowedUnits)
 	}
-	s.t.Logf("%.0f units before the restart, %.0f of %.0f after it", s.runningUnits, s.startingUnits, s.toleratedUnits)
+	s.t.Logf("%.0f units were sent before the restart and %.0f of %.0f allowed ones after it",
+		s.unitsBeforeRestart, s.unitsAfterRestart, s.allowedUnits)
 }
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -11,7 +11,7 @@
 	checkLevel := func(t *testing.T, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("level %v, want %v", got, want)
+			t.Errorf("level is %v, want %v", got, want)
 		}
 	}
 	t.Run("bucket fills up to its capacity", func(t *testing.T) {
@@ -21,7 +21,7 @@
 		checkLevel(t, budget.replenish(now+time.Second, 2, 5), -1)
 		checkLevel(t, budget.replenish(now+time.Minute, 2, 5), 5)
 	})
-	t.Run("first token comes by the phase", func(t *testing.T) {
+	t.Run("phase sets the time of the first token", func(t *testing.T) {
 		budget := slowStartBudget{phase: 0.75, updatedAt: now}
 		checkLevel(t, budget.replenishTokens(now, 1, 2, 0.5), 0.5-1.5)
 		checkLevel(t, budget.replenishTokens(now+time.Second, 1, 2, 0.5), 0)
@@ -31,7 +31,7 @@
 		checkLevel(t, budget.replenishTokens(now+500*ms, 1, 2, 0.5), 0.5)
 		checkLevel(t, budget.replenishTokens(now+600*ms, 1, 2, 0.5), 0.6-2)
 	})
-	t.Run("tokens that live long accumulate", func(t *testing.T) {
+	t.Run("tokens with a long lifetime accumulate", func(t *testing.T) {
 		budget := slowStartBudget{updatedAt: now}
 		checkLevel(t, budget.replenishTokens(now+time.Minute, 1, 2, 6), 6)
 	})
@@ -42,7 +42,7 @@
 	for _, demand := range []float64{0, 0.1, 1, 10, 100} {
 		lifetime := slowStartTokenLifetime(demand, 0.1)
 		if lifetime > last || lifetime < minTokenLifetime {
-			t.Errorf("lifetime %v at a demand of %v, %v at a lower one", lifetime, demand, last)
+			t.Errorf("token lifetime is %v at a demand of %v and %v at a lower demand, want it no longer", lifetime, demand, last)
 		}
 		last = lifetime
 	}
@@ -50,11 +50,11 @@
 
 func TestReplacementKeepsRunningServerInUse(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	gateway.advance(2 * time.Second) // the starting server could take the request by now
+	gateway.advance(2 * time.Second) // after this, slow start would let the starting server take the request
 	gateway.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 3, Shard: 0, StartedAt: gateway.now}}})
 	for _, send := range actionsOf[Send](gateway.step(gateway.newArrival("read", "gold", 1, 2, 5))) {
 		if send.Server != 1 {
-			t.Errorf("sent to the starting server %d", send.Server)
+			t.Errorf("request was sent to the starting server %d, want server 1", send.Server)
 		}
 	}
 }
@@ -64,38 +64,40 @@
 		gateway := newTestGateway(t, nil)
 		gateway.restartServer()
 		if sent := sentIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 5))); len(sent) != 0 {
-			t.Errorf("sent %v", sent)
+			t.Errorf("sent %v right after the start, want none", sent)
 		}
 	})
-	t.Run("a gateway with a low baseline sends its even part, one request at a time", func(t *testing.T) {
+	t.Run("a gateway with a low baseline sends its equal share, one request at a time", func(t *testing.T) {
 		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 0.1 })
 		gateway.advance(2 * time.Second)
 		gateway.restartServer()
 		sends, units := 0, 0.0
-		for k := range 400 { // 4 s with more than it may send, queued long enough
+		for k := range 400 { // 4 s with more requests than it may send; they stay queued long enough
 			gateway.now += 10 * ms
 			for _, id := range sentIDs(gateway.step(gateway.newArrival("bulk", "gold", 1, 2, uint64(k)))) {
 				sends, units = sends+1, units+2
 				gateway.step(attemptServed(id, 5*ms))
 			}
 		}
-		// Half of 12 units per second at the start, twice that after 4 s, and a burst.
+		// The equal share is half of 12 units per second at the start and twice that after 4 s. A burst is allowed in addition.
 		if units < 18 || units > 42 {
-			t.Errorf("%d requests, %.0f units in 4 s, want about 6 units per second growing slowly", sends, units)
+			t.Errorf("%d requests with %.0f units were sent within 4 s, want about 6 units per second, growing slowly",
+				sends, units)
 		}
 	})
 	t.Run("neither earlier sends nor fast responses widen the bound", func(t *testing.T) {
 		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 100 })
 		gateway.serveReads(20*time.Second, 20*ms, 30*ms, StatusOK)
 		gateway.restartServer()
-		if sends := gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK); sends < 2 || sends > 4 { // half of 12 units, and a burst
-			t.Errorf("%d sent in the first second", sends)
+		if sends := gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK); sends < 2 || sends > 4 { // a share of 6 units, plus a burst
+			t.Errorf("%d requests were sent in the first second, want 2 to 4", sends)
 		}
 	})
-	t.Run("one of many gateways sends its even part, however fast the responses are", func(t *testing.T) {
-		fast, slow := serveStartingServerOfMany(t, 5*ms), serveStartingServerOfMany(t, 100*ms)
+	t.Run("one of many gateways sends its equal share, however fast the responses are", func(t *testing.T) {
+		fast, slow := sendToStartingServer(t, 5*ms), sendToStartingServer(t, 100*ms)
 		if fast < 1 || fast > 3 || slow < 1 || slow > fast {
-			t.Errorf("of 24 requests %d were sent with responses of 5 ms, %d with responses of 100 ms", fast, slow)
+			t.Errorf("%d and %d of 24 requests were sent with responses of 5 ms and 100 ms, want 1 to 3 and no more for 100 ms",
+				fast, slow)
 		}
 	})
 	t.Run("a surge does not raise the bound", func(t *testing.T) {
@@ -103,14 +105,14 @@
 		gateway.restartServer()
 		sends := gateway.serveReads(4*time.Second, 10*ms, 500*ms, StatusOK) // 200 units per second
 		if units := 2 * sends; units > 30 {
-			t.Errorf("%d units sent in 4 s", units)
+			t.Errorf("%d units were sent within 4 s, want at most 30", units)
 		}
 	})
 }
 
-// serveStartingServerOfMany simulates 12 s with a request of 2 units every 500 ms for a server that has just started, at one of 80
-// gateways, whose equal share is 0.11 to 0.5 units per second. It returns the number of sends.
-func serveStartingServerOfMany(t *testing.T, latency time.Duration) (sends int) {
+// sendToStartingServer simulates one of 80 gateways for 12 s with a request of 2 units every 500 ms for a server that has just
+// started. The equal share of the gateway is 0.11 to 0.5 units per second. It returns the number of sends.
+func sendToStartingServer(t *testing.T, latency time.Duration) (sends int) {
 	t.Helper()
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 80 })
 	gateway.restartServer()
--- a/internal/scheduler/testgateway_test.go
+++ b/internal/scheduler/testgateway_test.go
@@ -8,7 +8,7 @@
 // ms is the unit of most times in the tests.
 const ms = time.Millisecond
 
-// testSettings returns settings for two gateways and two shards, with a class and a plan for each subject.
+// testSettings returns settings for two gateways and two shards, with classes and plans for the different rules under test.
 func testSettings() Settings {
 	return Settings{
 		Gateways: 2, Shards: 2, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.4, SurplusWeight: 0.1,
@@ -40,7 +40,7 @@
 	return scheduler
 }
 
-// testGateway drives a scheduler with a clock and request IDs of its own.
+// testGateway drives a scheduler. It has its own clock and request IDs.
 type testGateway struct {
 	t         *testing.T
 	scheduler *Scheduler
@@ -48,7 +48,7 @@
 	lastID    RequestID
 }
 
-// newTestGateway returns a gateway whose scheduler knows server 1 of shard 0 and server 2 of shard 1. change may be nil.
+// newTestGateway returns a gateway with server 1 in shard 0 and server 2 in shard 1. change modifies the settings; it may be nil.
 func newTestGateway(t *testing.T, change func(*Settings)) *testGateway {
 	t.Helper()
 	settings := testSettings()
@@ -63,7 +63,7 @@
 // step passes events to the scheduler at the current time.
 func (g *testGateway) step(events ...Event) []Action { return g.scheduler.Step(g.now, events) }
 
-// advance lets time pass in steps of 5 ms and returns the actions of all of them.
+// advance moves the clock forward in steps of 5 ms and returns the actions of all steps.
 func (g *testGateway) advance(period time.Duration) (all []Action) {
 	for end := g.now + period; g.now < end; {
 		g.now += 5 * ms
@@ -72,7 +72,7 @@
 	return all
 }
 
-// newArrival returns a request with a new ID for shard 0.
+// newArrival returns a request for shard 0 with a new ID and the deadline of its class.
 func (g *testGateway) newArrival(class, plan string, volume int, units float64, key uint64) RequestArrived {
 	g.lastID++
 	remaining := g.scheduler.classes[class].Deadline
@@ -81,18 +81,18 @@
 	}
 }
 
-// nextVolume returns one of seven volumes by the last ID.
+// nextVolume returns one of seven volumes in turn, selected by the last ID.
 func (g *testGateway) nextVolume() int { return int(g.lastID % 7) }
 
 // server returns the state of a server.
 func (g *testGateway) server(id ServerID) *serverEntry { return g.scheduler.servers[id] }
 
-// restartServer reports a restart of server 1 at the current time.
+// restartServer delivers an update that reports a restart of server 1 at the current time.
 func (g *testGateway) restartServer() {
 	g.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, StartedAt: g.now}}})
 }
 
-// serveReads lets a read arrive in every interval for a period and ends each attempt after a latency with a status. It returns the
+// serveReads delivers a read every interval for a period and ends each attempt with the status after the latency. It returns the
 // number of sends.
 func (g *testGateway) serveReads(period, interval, latency time.Duration, status Status) (sends int) {
 	g.t.Helper()
@@ -141,7 +141,7 @@
 	return found
 }
 
-// sentIDs returns the requests that are sent.
+// sentIDs returns the IDs of the requests that the actions send.
 func sentIDs(actions []Action) (ids []RequestID) {
 	for _, send := range actionsOf[Send](actions) {
 		ids = append(ids, send.ID)
@@ -149,7 +149,7 @@
 	return ids
 }
 
-// rejectedIDs returns the requests that are rejected.
+// rejectedIDs returns the IDs of the requests that the actions reject.
 func rejectedIDs(actions []Action) (ids []RequestID) {
 	for _, reject := range actionsOf[Reject](actions) {
 		ids = append(ids, reject.ID)
@@ -157,7 +157,7 @@
 	return ids
 }
 
-// failedIDs returns the requests that fail.
+// failedIDs returns the IDs of the requests that the actions fail.
 func failedIDs(actions []Action) (ids []RequestID) {
 	for _, fail := range actionsOf[Fail](actions) {
 		ids = append(ids, fail.ID)
@@ -165,7 +165,7 @@
 	return ids
 }
 
-// endpointList returns a list of servers 1 to n, one for each shard.
+// endpointList returns an update with servers 1 to n, one for each shard.
 func endpointList(n int) EndpointUpdate {
 	update := EndpointUpdate{Kind: CachedSnapshot}
 	for i := range n {
