--- a/internal/scheduler/authorization.go
+++ b/internal/scheduler/authorization.go
@@ -33,8 +33,9 @@
 	return s.mayRetry(request) && s.retryBudget.allowsRetry(s.now) && request.isWithinDedupScope(server)
 }
 
-// isWithinDedupScope reports whether a retry at a server stays within the deduplication scope of the request. Only DedupZone needs
-// a check: a request that may have been executed is never moved to another shard, which satisfies DedupShard.
+// isWithinDedupScope reports whether a retry at a server stays within the deduplication scope of the request, if the retry depends
+// on deduplication. Only DedupZone needs a check: a request that may have been executed is never moved to another shard, which
+// satisfies DedupShard.
 func (r *request) isWithinDedupScope(server *serverEntry) bool {
 	zoneOnly := r.mayHaveExecuted && r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupZone
 	return !zoneOnly || server.Zone == r.executionZone
--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -99,7 +99,7 @@
 
 // idleLatency returns the expected latency while nothing is in flight. The excess of the smoothed latency over the threshold decays
 // with latencyHalfLife. Without the decay, a gateway with few responses would reject requests for seconds after the end of an
-// overload. Because of it, a request is occasionally sent to a server that is still slow.
+// overload. Because of the decay, a request is occasionally sent to a server that is still slow.
 func (c *congestionControl) idleLatency(now, threshold time.Duration) time.Duration {
 	age := float64(now-c.latencyUpdatedAt) / float64(latencyHalfLife)
 	excess := float64(max(0, c.latency-threshold))
@@ -117,8 +117,8 @@
 }
 
 // targetQueue returns PARDA's β for a server, in requests: the sum of the contributions of all flows, each proportional to the
-// weight of the flow. The contribution of a flow that uses only a fraction of its share of the window is reduced to that fraction.
-// weights is the sum of the weights of all flows that are not idle.
+// weight of the flow. If a flow has no queued requests and uses only a fraction of its share of the window, its contribution is
+// reduced to that fraction. weights is the sum of the weights of all flows that are not idle.
 func (s *Scheduler) targetQueue(shard *shard, server *serverEntry, weights float64) (targetQueue float64) {
 	for _, flow := range shard.flows {
 		if flow.isIdle() {
@@ -153,8 +153,8 @@
 // equalShare returns this gateway's equal share of an amount that applies to all gateways together.
 func (s *Scheduler) equalShare(total float64) float64 { return total / float64(s.settings.Gateways) }
 
-// hasCapacity reports whether a server's window has room for a request. After a failed connect, only one request
-// at a time may be in flight until the server responds. An unresponsive server gets one request whenever a trial is due.
+// hasCapacity reports whether a server's window has room for a request. After a failed connect, only one request at a time may be
+// in flight until the server responds. An unresponsive server gets one request whenever a trial is due.
 func (s *Scheduler) hasCapacity(server *serverEntry, request *request) bool {
 	if s.now < server.backoffUntil || server.connectFailures > 0 && server.inFlight > 0 {
 		return false
--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -38,7 +38,7 @@
 	// estimatedCycleMinFailures is the number of consecutive failed polls from which on the estimated cycle grows.
 	estimatedCycleMinFailures = 2
 
-	// watchedPollInterval is the time to the next poll while a watch is open. A later event of the watch sets an earlier time.
+	// watchedPollInterval is the time to the next poll while a watch is open. The end of the watch schedules an earlier poll.
 	watchedPollInterval = time.Hour
 	// minPollTimeout is the shortest time after which a poll in flight is repeated.
 	minPollTimeout = time.Second
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -81,9 +81,10 @@
 	return e.outstanding[0]
 }
 
-// responsiveness returns whether the server responds. It is unresponsive if attempts are in flight and it has sent no response for
-// longer than a pause or a large request explains. The time between trials grows with the time without a response. Hangs, broken
-// links and lost responses cannot be distinguished here. During a long stall of the server, the trials add to its queue.
+// responsiveness returns whether the server responds and, if it does not, whether a trial is due. A server is unresponsive if attempts
+// are in flight and it has sent no response for longer than a pause or a large request explains. The time between trials grows with
+// the time without a response. Hangs, broken links and lost responses cannot be distinguished here. During a long stall of the
+// server, the trials add to its queue.
 func (e *serverEntry) responsiveness(now, threshold time.Duration) responsiveness {
 	oldest := e.oldestAttempt()
 	if oldest == nil {
@@ -100,9 +101,9 @@
 	return unresponsive
 }
 
-// detectLostAttempts marks overdue attempts as lost and releases their slots if an attempt that was sent clearly later has
-// succeeded. This covers lost responses, broken links and stuck requests. An attempt is wrongly marked if the server executes
-// requests out of order and is still working on it. meanUnits is the mean size of a request.
+// detectLostAttempts marks overdue attempts as lost and releases their slots if an attempt that was sent at least one smoothed
+// latency later has succeeded. This covers lost responses, broken links and stuck requests. An attempt is wrongly marked if the
+// server executes requests out of order and is still working on it. meanUnits is the mean size of a request.
 func (e *serverEntry) detectLostAttempts(now, threshold time.Duration, meanUnits float64) {
 	for _, attempt := range e.outstanding {
 		age := now - attempt.sentAt
