--- a/internal/gateway/announcer.go
+++ b/internal/gateway/announcer.go
@@ -6,14 +6,14 @@
 	"gaugerelay/internal/bgp"
 )
 
-// announcer announces the service's addresses by BGP while the gateway is ready, until its shutdown begins.
+// announcer announces the service's addresses by BGP from when the gateway is ready until its shutdown begins.
 type announcer struct {
 	noopComponent
 	speaker *bgp.Speaker
 	cancel  func()
 }
 
-// newAnnouncer builds the BGP speaker, which opens no connection before start.
+// newAnnouncer builds the BGP speaker. It opens no connection.
 func newAnnouncer(g *Gateway, options *bgp.Options) *announcer {
 	return &announcer{speaker: bgp.New(*options, g.Clock, g.Metrics)}
 }
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -13,18 +13,18 @@
 	"gaugerelay/internal/upstream/httpclient"
 )
 
-// reuseDelayMs is how long a connection to a server is not used again after a response, since the platform's servers may send
-// a duplicate response some milliseconds late. It is short compared with latency objectives, which are a hundred milliseconds
-// or more.
+// reuseDelayMs is the time after a response during which its connection to a server is not reused, because the platform's
+// servers may send a duplicate response some milliseconds late. It is short compared with latency objectives, which are
+// 100 ms or more.
 const reuseDelayMs = 5
 
-// maxNotificationDelayMs is how long it takes at most until every gateway counts as notified of a change of the endpoint list, from
-// the moment at which discovery has the change and can be reached.
+// maxNotificationDelayMs is the time after which every gateway is treated as having been notified of a change of the endpoint
+// list, at the latest. It begins when discovery has the change and is reachable.
 const maxNotificationDelayMs = 6000
 
-// New builds a gateway. Only its pause detector runs before Start. The configuration must not be changed afterwards.
+// New builds a gateway. Before Start only its pause detector runs. The caller must not change the configuration afterwards.
 func New(cfg *config.Config, edge *config.Edge, c clock.Clock, network Network) (*Gateway, error) {
-	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, network: network, failures: make(chan error, maxFailures),
+	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, network: network, failures: make(chan error, maxPendingFailures),
 		pauseDetector: clock.StartPauseDetector(c)}
 	var fleet *fleetMember
 	if edge.Fleet != nil {
@@ -51,13 +51,13 @@
 	g.upstream = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
 		ReuseDelayMs: reuseDelayMs, MaxConns: maxUpstreamConns(cfg), LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
-	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.KnownEndpoints, Clock: c, Metrics: g.Metrics,
-		Notify: g.loop.UpdateEndpoints, Dial: network.Dial})
+	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.KnownEndpoints, Clock: c,
+		Metrics: g.Metrics, Notify: g.loop.UpdateEndpoints, Dial: network.Dial})
 	g.components = newComponents(g, edge, fleet, gatewayName)
 	return g, nil
 }
 
-// newScheduler returns the scheduler. A gateway in a fleet starts with the quota that no other gateway is ever granted.
+// newScheduler returns the scheduler. In a fleet, it starts with a share of the quota that no other gateway is ever granted.
 func newScheduler(cfg *config.Config, fleet *fleetMember) (*scheduler.Scheduler, error) {
 	settings := cfg.Settings
 	if fleet != nil {
@@ -66,7 +66,7 @@
 	return scheduler.New(settings, cfg.Seed)
 }
 
-// setDeadlines finds the longest and the shortest deadline of the classes; there is at least one.
+// setDeadlines sets the longest and the shortest deadline of all classes. There is at least one class.
 func (g *Gateway) setDeadlines() {
 	classes := g.cfg.Settings.Classes
 	g.shortestDeadline = classes[0].Deadline
@@ -76,8 +76,8 @@
 	}
 }
 
-// loopOptions returns the event loop's options without its deduplicator. Their functions are called once the loop runs, and
-// use what New builds after the loop.
+// loopOptions returns the options of the event loop, except its deduplicator. The functions in them use parts that New builds
+// after the loop; the loop calls them only once it runs.
 func (g *Gateway) loopOptions(scheduler *scheduler.Scheduler, fleet *fleetMember) eventloop.Options {
 	options := eventloop.Options{Scheduler: scheduler, Clock: g.Clock, Metrics: g.Metrics,
 		Authorizer: lifecycle.NewAuthorizer(lifecycle.AuthorizerOptions{
@@ -86,7 +86,8 @@
 		ProbeServer:    func(server *lifecycle.Server) { g.upstream.Probe(server) },
 		OnReady:        g.notifyReady}
 	if g.cfg.Settings.PollEndpoints {
-		// A pushed list needs no lease: what this machine's agent has counts as notified, and it can always be asked.
+		// Only a polled list needs a lease. Where the list is pushed, the gateway is treated as having been notified of a
+		// change once this machine's agent has it, and the gateway can reach the agent at any time.
 		options.EndpointLease = endpointlease.New(endpointlease.Settings{MaxNotificationDelayMs: maxNotificationDelayMs,
 			DrainGraceMs: clock.Ms(g.cfg.Settings.DrainGrace), SendDelayMarginMs: lifecycle.SendDelayMarginMs}, g.Clock.NowMs())
 	}
@@ -96,8 +97,8 @@
 	return options
 }
 
-// newComponents returns the components in the order of their start. The fleet comes first, so that quota is known sooner
-// and is returned later.
+// newComponents returns the components in start order. The fleet member is started first and closed last, so that its quota
+// is known as early, and returned as late, as possible.
 func newComponents(g *Gateway, edge *config.Edge, fleet *fleetMember, gatewayName string) []component {
 	var components []component
 	clients := newClientFrontend(g)
@@ -118,20 +119,20 @@
 	return components
 }
 
-// notifyReady is called on the event loop's goroutine once requests can be served.
+// notifyReady informs all components that requests can be served. The event loop calls it once, on its goroutine.
 func (g *Gateway) notifyReady() {
 	for _, c := range g.components {
 		c.ready()
 	}
 }
 
-// countDenied counts an attempt that was not authorized to start.
+// countDenied counts an attempt whose authorization was denied, by reason.
 func (g *Gateway) countDenied(_ *lifecycle.Attempt, reason permission.Denial) {
-	g.Metrics.Add(attemptsDeniedPrefix+reason.String(), 1)
+	g.Metrics.Add(counterAttemptsDeniedPrefix+reason.String(), 1)
 }
 
-// waitForEndpointUpdates waits for a bounded time until the updates that have arrived on the watch are applied, and reports
-// whether they are.
+// waitForEndpointUpdates waits for a bounded time until all updates that have arrived on the watch are applied. It reports
+// whether they have been applied.
 func (g *Gateway) waitForEndpointUpdates() (applied bool) {
 	result := g.watcher.AwaitPendingUpdates()
 	if result == discovery.Delivered {
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -10,18 +10,18 @@
 	"gaugerelay/internal/logevent"
 )
 
-// Timeouts of clients. Those of a request count from the connection's start, or from the first byte of a further request.
-// A client that takes longer is not on a slow link but occupies a connection that another could use.
+// Timeouts of client connections. Those for reading a request begin when the connection is opened, or with the first byte of a
+// further request. A client that exceeds them is not on a slow link: it occupies a connection that another client could use.
 const (
 	readHeaderTimeout = 2700 * time.Millisecond
-	readTimeout       = 2700 * time.Millisecond // of the whole request
-	writeGrace        = 2 * time.Second         // to read a response after the longest deadline
+	readTimeout       = 2700 * time.Millisecond // for the whole request
+	writeGrace        = 2 * time.Second         // for the client to read a response that is written at the longest deadline
 	idleConnTimeout   = 30 * time.Second
 )
 
-// pipelinedFraction is the fraction of the memory limit that pipelined requests may hold. It is small because open requests
-// and their responses, of up to 64 KiB each on all connections, need most of the memory.
-const pipelinedFraction = 1.0 / 16
+// pipelinedMemoryFraction is the fraction of the memory limit that pipelined bytes may take. It is small because open requests
+// and their responses, which take up to 64 KiB each on every connection, need most of the memory.
+const pipelinedMemoryFraction = 1.0 / 16
 
 // clientFrontend serves the platform's clients over HTTP.
 type clientFrontend struct {
@@ -31,13 +31,13 @@
 	handler  *httpserver.Handler
 	conns    *httpserver.ConnTracker
 	server   *http.Server
-	after    func(ms float64) <-chan time.Time // after, except in tests
+	after    func(ms float64) <-chan time.Time // the function after; replaced in tests
 }
 
-// newClientFrontend builds the frontend without opening its listener.
+// newClientFrontend builds the frontend. It opens no listener.
 func newClientFrontend(g *Gateway) *clientFrontend {
 	conns := &httpserver.ConnTracker{MaxOpen: sheddingThreshold(maxClientConns(g.cfg)), Clock: g.Clock, Metrics: g.Metrics,
-		MaxPipelinedBytes: int(g.cfg.MemoryMB * pipelinedFraction * (1 << 20))}
+		MaxPipelinedBytes: int(g.cfg.MemoryMB * pipelinedMemoryFraction * (1 << 20))}
 	handler := &httpserver.Handler{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
 		Settings: &g.cfg.Settings, Conns: conns, PauseDetector: g.pauseDetector}
 	return &clientFrontend{gateway: g, conns: conns, handler: handler, after: after}
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// beginShutdown makes requests that arrive from now on end in time.
+// beginShutdown makes requests that arrive from now on get their response by the time that the shutdown leaves them.
 func (f *clientFrontend) beginShutdown(times shutdownTimes) {
 	f.handler.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 }
 
-// drain closes connections late: clients that are not notified of the shutdown go on using the connections that they have,
-// and without those they would have no gateway until the next start.
+// drain closes connections as late as possible. Clients that have not been notified of the shutdown keep using their open
+// connections; if these were closed, they could reach no gateway until the next start.
 func (f *clientFrontend) drain(times shutdownTimes) {
 	<-f.after(times.acceptUntilMs)
 	f.listener.Close()
@@ -89,6 +89,6 @@
 
 // close closes the listener and all connections.
 func (f *clientFrontend) close() {
-	f.listener.Close() // the server may not have begun to serve it
+	f.listener.Close() // the server closes it only if it has begun to serve it
 	f.server.Close()
 }
--- a/internal/gateway/clientfrontend_test.go
+++ b/internal/gateway/clientfrontend_test.go
@@ -13,7 +13,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// readyLoop is an event loop that is ready and is not asked for more.
+// readyLoop is an event loop that is ready and accepts no requests.
 type readyLoop struct{}
 
 func (readyLoop) Submit(*lifecycle.Request) bool                           { return false }
@@ -32,8 +32,8 @@
 	return err
 }
 
-// waitForIdle waits until one connection is open and idle: the server continues with a connection after the last byte of a
-// response has been sent.
+// waitForIdle waits until one connection is open and idle. The server updates the state of a connection only after it has sent
+// the last byte of a response.
 func waitForIdle(conns *httpserver.ConnTracker) {
 	for {
 		if open, busy := conns.Count(); open == 1 && busy == 0 {
@@ -43,15 +43,15 @@
 	}
 }
 
-// The steps of a drain, each a wait of the frontend.
+// The steps of a drain, in order. Each corresponds to one wait of the frontend.
 const (
-	accepting = iota + 1
-	reusing
-	closing
+	stepAccepting = iota + 1
+	stepReusing
+	stepClosing
 )
 
-// While the frontend drains it accepts new connections at first, and serves the connections that it has nearly to the end;
-// then each response closes its own.
+// While the frontend drains, it accepts new connections only at first. It serves open connections until shortly before the end;
+// from then on each response closes its connection.
 func TestClientFrontendServesWhileDraining(t *testing.T) {
 	listener := testbed.Listen(t)
 	frontend := &clientFrontend{
@@ -73,20 +73,20 @@
 		step++
 		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		keptErr, freshErr := get(t, kept, url), get(t, fresh, url)
-		if step == closing { // the last response has just closed the connection
+		if step == stepClosing { // the previous response closed the connection
 			if keptErr == nil {
-				t.Error("a kept connection is open after the end")
+				t.Error("the kept connection is still open after its last response")
 			}
 			return nil
 		}
 		waitForIdle(frontend.conns)
-		if keptErr != nil || (freshErr == nil) != (step == accepting) {
-			t.Errorf("step %d: a kept connection: %v, a new one: %v", step, keptErr, freshErr)
+		if keptErr != nil || (freshErr == nil) != (step == stepAccepting) {
+			t.Errorf("step %d: request on the kept connection: error %v; request on a new connection: error %v", step, keptErr, freshErr)
 		}
 		return elapsed
 	}
 	frontend.drain(newShutdownTimes(3000))
-	if step != closing {
-		t.Errorf("%d steps", step)
+	if step != stepClosing {
+		t.Errorf("drain ended after %d steps, want 3", step)
 	}
 }
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -15,22 +15,23 @@
 	"gaugerelay/internal/logevent"
 )
 
-// component is a part of the gateway with the common life cycle.
+// component is a part of the gateway that is started and shut down together with it.
 type component interface {
-	// start opens what clients can reach. An error ends the gateway. ctx is done when the gateway closes.
+	// start opens the component's sockets and starts its goroutines. If it fails, the gateway does not start. ctx is done
+	// when the gateway closes.
 	start(ctx context.Context) error
 	// ready is called once, on the event loop's goroutine, when requests can be served.
 	ready()
 	// beginShutdown is called for all components before the first drain. It does not block.
 	beginShutdown(times shutdownTimes)
-	// drain returns once every accepted request has its response, or when the time to exit has come. It is called for all
-	// components at once, each in a goroutine of its own.
+	// drain returns once every accepted request has its response, or at the time at which the program has to exit. It is
+	// called for all components at once, each in its own goroutine.
 	drain(times shutdownTimes)
-	// close releases everything at once. It is called after a successful start only.
+	// close releases all resources without waiting for open requests. It is called only after a successful start.
 	close()
 }
 
-// noopComponent implements component with methods that do nothing, to be embedded.
+// noopComponent implements component with methods that do nothing. Components embed it.
 type noopComponent struct{}
 
 func (noopComponent) start(context.Context) error { return nil }
@@ -39,22 +40,22 @@
 func (noopComponent) drain(shutdownTimes)         {}
 func (noopComponent) close()                      {}
 
-// The frontends and the upstreams share the sockets that the process may have open.
+// The following limits divide the sockets that the process may have open between frontends and upstreams.
 
-// maxClientConns returns the limit of HTTP connections from the platform's clients.
+// maxClientConns returns the limit on HTTP connections from the platform's clients.
 func maxClientConns(cfg *config.Config) int { return max(1, cfg.MaxSockets*3/8) }
 
-// maxUpstreamConns returns the limit of HTTP connections to servers.
+// maxUpstreamConns returns the limit on HTTP connections to servers.
 func maxUpstreamConns(cfg *config.Config) int { return cfg.MaxSockets / 2 }
 
-// maxSFTPSessions returns the limit of SFTP connections to servers.
+// maxSFTPSessions returns the limit on SFTP connections to servers.
 func maxSFTPSessions(cfg *config.Config) int { return max(1, cfg.MaxSockets/16) }
 
-// sheddingThreshold is the number of open connections above which idle ones are closed, so that a client with a request
-// always finds a free one.
+// sheddingThreshold returns the number of open connections above which idle ones are closed, so that a client with a request
+// can always open a connection.
 func sheddingThreshold(maxConns int) int { return max(1, maxConns*15/16) }
 
-// listen opens an address for clients. The listener's Accept fails only once it is closed.
+// listen opens a listener for clients. Its Accept fails only after the listener was closed.
 func (g *Gateway) listen(addr string) (net.Listener, error) {
 	listener, err := g.network.Listen(addr)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return accept.Wrap(listener, g.Clock, g.Metrics, clock.Ms(g.shortestDeadline), g.pauseDetector.RecordStall), nil
 }
 
-// serve runs a server in a goroutine of its own, which ends when the server's listener is closed. Any other end is a
+// serve runs a server in its own goroutine, which ends when the server's listener is closed. Any other error is reported as a
 // failure of the gateway.
 func (g *Gateway) serve(name string, run func() error) {
 	go func() {
@@ -72,21 +73,21 @@
 			return
 		}
 		select {
-		case g.failures <- fmt.Errorf("%s: %w", name, err):
+		case g.failures <- fmt.Errorf("serving %s: %w", name, err):
 		default:
 		}
 	}()
 }
 
-// logListening logs that an address is open, and whom it serves.
+// logListening logs that a listener has been opened, and for whom.
 func (g *Gateway) logListening(purpose, addr string) {
 	slog.Info(logevent.ListenerStarted, logevent.Name, g.cfg.Name, logevent.Purpose, purpose, logevent.Address, addr)
 }
 
-// after returns a channel that receives once ms milliseconds have passed.
+// after returns a channel that receives the time after ms milliseconds.
 func after(ms float64) <-chan time.Time { return time.After(clock.Duration(ms)) }
 
-// runWithin calls f in a goroutine of its own and returns when f does, or after ms milliseconds.
+// runWithin calls f in its own goroutine and waits until f returns, for ms milliseconds at most.
 func runWithin(ms float64, f func()) {
 	done := make(chan struct{})
 	go func() { f(); close(done) }()
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -19,22 +19,23 @@
 	"gaugerelay/internal/logevent"
 )
 
-// deviceFrontend serves devices on poor links, over CoAP or HTTP or both. Their requests share the deduplicator.
+// deviceFrontend serves devices on unreliable links over CoAP, HTTP or both, with one deduplicator for all their requests.
 type deviceFrontend struct {
 	noopComponent
 	gateway    *Gateway
 	options    *config.Devices
 	coap       *coapserver.Server      // nil if disabled
 	http       *httpserver.Handler     // nil if disabled
-	conns      *httpserver.ConnTracker // of http
-	httpServer *http.Server            // of http, once it is started
+	conns      *httpserver.ConnTracker // tracks the connections of http; nil if that is disabled
+	httpServer *http.Server            // serves http; nil until it is started
 	listeners  []net.Listener
 }
 
-// newDeduplicator returns the deduplicator of the requests of devices, and the id by which devices know this gateway. The
+// newDeduplicator returns the deduplicator for requests of devices, and the name by which devices identify this gateway. The
 // deduplicator's functions use g.loop, which is built after it.
 func newDeduplicator(g *Gateway, options *config.Devices) (deduplicator *dedup.Coordinator, gatewayName string, err error) {
-	// Servers know runs of requests by this name, so no other gateway and no earlier start may have the same.
+	// The name begins the ids by which servers identify executions of requests, so it must differ from those of other gateways
+	// and of earlier starts.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gatewayName = strconv.FormatUint(xxhash.Sum64String(name), 16)
 	deduplicator, err = dedup.New(dedup.Options{Settings: options.Exchanges, Classes: g.cfg.Settings.Classes,
@@ -44,7 +45,7 @@
 	return deduplicator, gatewayName, err
 }
 
-// newDeviceFrontend builds the servers that the options enable, without opening their listeners.
+// newDeviceFrontend builds the servers that the options enable. It opens no listener.
 func newDeviceFrontend(g *Gateway, options *config.Devices, gatewayName string) *deviceFrontend {
 	f := &deviceFrontend{gateway: g, options: options}
 	if options.CoAP != "" {
@@ -70,7 +71,7 @@
 	return f
 }
 
-// start opens and serves the listeners. After an error none is open.
+// start opens the listeners and serves them. If it fails, it leaves no listener open.
 func (f *deviceFrontend) start(context.Context) error {
 	if f.coap != nil {
 		if err := f.startCoAP(); err != nil {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// listen opens an address, which close closes.
+// listen opens a listener, which closeListeners closes.
 func (f *deviceFrontend) listen(addr string) (net.Listener, error) {
 	listener, err := f.gateway.listen(addr)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return listener, nil
 }
 
-// startCoAP opens the listener for CoAP and serves it.
+// startCoAP opens the CoAP listener and serves it.
 func (f *deviceFrontend) startCoAP() error {
 	listener, err := f.listen(f.options.CoAP)
 	if err != nil {
@@ -107,19 +108,19 @@
 	return nil
 }
 
-// startHTTP opens the listener for HTTP and serves it.
+// startHTTP opens the HTTP listener and serves it.
 func (f *deviceFrontend) startHTTP() error {
 	listener, err := f.listen(f.options.HTTP)
 	if err != nil {
 		return err
 	}
-	first, longest := f.options.FirstMessageTimeout, f.gateway.longestDeadline
+	firstMessageTimeout, longestDeadline := f.options.FirstMessageTimeout, f.gateway.longestDeadline
 	f.httpServer = &http.Server{
 		Handler:           f.http,
-		ReadHeaderTimeout: first,
-		// A body may take as long as the longest deadline; so may its response.
-		ReadTimeout:    2*longest + first,
-		WriteTimeout:   4*longest + first,
+		ReadHeaderTimeout: firstMessageTimeout,
+		// Reading the body may take as long as the longest deadline, and so may the response.
+		ReadTimeout:    2*longestDeadline + firstMessageTimeout,
+		WriteTimeout:   4*longestDeadline + firstMessageTimeout,
 		IdleTimeout:    f.options.IdleTimeout,
 		MaxHeaderBytes: httpserver.MaxHeaderBytes,
 		ConnState:      f.conns.ConnState,
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// beginShutdown makes requests that arrive from now on end in time.
+// beginShutdown makes requests that arrive from now on get their response by the time that the shutdown leaves them.
 func (f *deviceFrontend) beginShutdown(times shutdownTimes) {
 	if f.coap != nil {
 		f.coap.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
@@ -145,8 +146,8 @@
 	}
 }
 
-// drain accepts new exchanges until all clients can know of the shutdown. After that, devices that have lost their connection
-// may still connect and fetch their responses while the platform leaves time.
+// drain accepts new exchanges until all clients can have been notified of the shutdown. After that, devices that have lost
+// their connection can still connect and fetch their responses, for as long as the platform's time for a shutdown permits.
 func (f *deviceFrontend) drain(times shutdownTimes) {
 	<-after(times.acceptUntilMs)
 	f.gateway.loop.DrainDeduplicator()
@@ -155,24 +156,24 @@
 	}
 	<-after(times.reuseUntilMs - times.acceptUntilMs)
 	f.closeListeners()
-	leftMs := times.exitByMs - times.reuseUntilMs
+	remainingMs := times.exitByMs - times.reuseUntilMs
 	var draining sync.WaitGroup
 	if f.coap != nil {
-		draining.Go(func() { runWithin(leftMs, f.coap.Shutdown) })
+		draining.Go(func() { runWithin(remainingMs, f.coap.Shutdown) })
 	}
 	if f.http != nil {
 		f.http.DisableKeepAlives()
 		draining.Go(func() {
 			select {
 			case <-f.conns.Drain():
-			case <-after(leftMs):
+			case <-after(remainingMs):
 			}
 		})
 	}
 	draining.Wait()
 }
 
-// closeListeners closes the listeners. Connections stay open.
+// closeListeners closes the listeners and leaves connections open.
 func (f *deviceFrontend) closeListeners() {
 	for _, listener := range f.listeners {
 		listener.Close()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway builds one gateway from its parts and gives them one life cycle: Start opens them, the frontends last;
-// Shutdown drains them from the clients' side in; Close ends them at once.
+// Package gateway builds one gateway from its components and manages their life cycle: Start opens them, the frontends after
+// the exchange with other gateways; Shutdown lets them complete the open requests and then closes them; Close ends them at once.
 //
-// It owns the components that clients and other gateways reach, the event loop with the request state and the scheduler
-// behind it, the client of the servers and the watch of the endpoint list. Which component is there follows from the
-// configuration alone: what it does not name is never built. Start starts the goroutine of the event loop and one for each
-// listener; the components start further ones. All of them end with Close.
+// A Gateway owns the components that clients and other gateways connect to, the event loop with the request state and the
+// scheduler, the client of the servers, and the watch of the endpoint list. The configuration alone determines which
+// components are built. Start starts the goroutine of the event loop and one for each listener; the components start further
+// ones. All of them end with Close.
 package gateway
 
 import (
@@ -28,16 +28,17 @@
 
 // Names of counters.
 const (
-	attemptsDeniedPrefix = "attempts_denied_" // the reason of the denial follows
-	invalidKnownEntries  = "discovery_bad_entries"
-	reloads              = "reloads"
-	reloadsFailed        = "reloads_failed"
+	counterAttemptsDeniedPrefix = "attempts_denied_" // followed by the reason of the denial
+	counterInvalidEntries       = "discovery_bad_entries"
+	counterReloads              = "reloads"
+	counterReloadsFailed        = "reloads_failed"
 )
 
-// maxFailures is how many failures of components Failed holds; further ones are dropped.
-const maxFailures = 8
+// maxPendingFailures is the capacity of the channel that Failed returns. While it is full, further failures are dropped.
+const maxPendingFailures = 8
 
-// Gateway is one gateway. Its methods are called from one goroutine, except UpdateEndpoints, which any may call.
+// Gateway is one gateway. Its methods must be called from one goroutine, except UpdateEndpoints, which is safe for concurrent
+// use.
 type Gateway struct {
 	Clock   clock.Clock
 	Metrics *metrics.Registry
@@ -48,28 +49,28 @@
 	upstream      *httpclient.Client
 	watcher       *discovery.Watcher
 	pauseDetector *clock.PauseDetector
-	components    []component // in the order of their start
-	failures      chan error
+	components    []component // in start order
+	failures      chan error  // errors of components that have ended unexpectedly
 
-	longestDeadline, shortestDeadline time.Duration // of the classes
+	longestDeadline, shortestDeadline time.Duration // of all classes
 
-	// ctx is done once Close is called. It is the context of the gateway's whole life and not of a call, so it is a field;
+	// ctx is done once Close is called. It is a field because it belongs to the whole life of the gateway, not to one call.
 	// Start sets it.
 	ctx    context.Context
 	cancel func()
 }
 
-// Start starts the event loop and all components. It returns the first error of a component, for instance an address that
-// cannot be listened on, after ending those that it has started.
+// Start starts the event loop and all components. If a component cannot start, for example because its address is in use,
+// Start ends those that it has started and returns the error.
 func (g *Gateway) Start() error {
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	go g.loop.Run(g.ctx)
 	g.watcher.NormalizeStartTimes(g.cfg.KnownEndpoints)
 	g.loop.UpdateEndpoints(g.cfg.KnownEndpoints)
-	if !g.cfg.Settings.PollEndpoints { // the scheduler opens a watch only where the list is polled
+	if !g.cfg.Settings.PollEndpoints { // if the list is polled, the scheduler opens the watch
 		g.watcher.KeepOpen(g.ctx)
 	}
-	g.Metrics.Add(invalidKnownEntries, int64(g.cfg.InvalidKnownEntries))
+	g.Metrics.Add(counterInvalidEntries, int64(g.cfg.InvalidKnownEntries))
 	for i, c := range g.components {
 		if err := c.start(g.ctx); err != nil {
 			for _, started := range g.components[:i] {
@@ -83,14 +84,14 @@
 	return nil
 }
 
-// Failed returns the channel of errors of components that have ended by themselves, which none should.
+// Failed returns a channel that receives the errors of components that have ended unexpectedly.
 func (g *Gateway) Failed() <-chan error { return g.failures }
 
-// UpdateEndpoints applies an update of the endpoint list from another source than discovery.
+// UpdateEndpoints applies an update of the endpoint list that does not come from discovery.
 func (g *Gateway) UpdateEndpoints(update lifecycle.EndpointUpdate) { g.loop.UpdateEndpoints(update) }
 
-// Shutdown drains the gateway and closes it. It returns within the time that the platform leaves a program after SIGTERM;
-// by then every accepted request has its response.
+// Shutdown drains the gateway and closes it. When it returns, every accepted request has its response. It returns before the
+// platform kills the program, counted from SIGTERM.
 func (g *Gateway) Shutdown() {
 	slog.Info(logevent.ShutdownStarted, logevent.Name, g.cfg.Name)
 	times := newShutdownTimes(clock.Ms(g.longestDeadline))
@@ -106,7 +107,7 @@
 	g.Close()
 }
 
-// Close ends the gateway at once, without responses to open requests. Start must have been called and succeeded.
+// Close ends the gateway at once, without responses to open requests. It must be called only after a successful Start.
 func (g *Gateway) Close() {
 	for i := len(g.components) - 1; i >= 0; i-- {
 		g.components[i].close()
@@ -116,19 +117,19 @@
 	g.pauseDetector.Close()
 }
 
-// Reload reads the configuration again and applies what can change without a restart: discovery's address. An invalid
-// configuration is logged and changes nothing, because a gateway that serves must not end over a bad file.
+// Reload reads the configuration again and applies the part that can change without a restart: the address of discovery. An
+// invalid configuration is logged and changes nothing, because a serving gateway must not end because of an invalid file.
 func (g *Gateway) Reload() {
 	next, err := g.cfg.Reload(os.Getenv)
 	if err == nil {
-		_, err = scheduler.New(next.Settings, next.Seed) // a restart with these settings would fail as well
+		_, err = scheduler.New(next.Settings, next.Seed) // rejects settings with which a restart would fail
 	}
 	if err != nil {
-		g.Metrics.Add(reloadsFailed, 1)
+		g.Metrics.Add(counterReloadsFailed, 1)
 		slog.Error(logevent.ReloadFailed, logevent.Error, err)
 		return
 	}
-	g.Metrics.Add(reloads, 1)
+	g.Metrics.Add(counterReloads, 1)
 	if names := g.cfg.RestartRequired(next); len(names) > 0 {
 		slog.Warn(logevent.ReloadRestartRequired, logevent.Changed, strings.Join(names, ", "))
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,26 +17,26 @@
 	"gaugerelay/internal/testbed/testsettings"
 )
 
-// testConfig is a configuration that listens on 127.0.0.1:1.
+// testConfig returns the configuration of a gateway that listens on 127.0.0.1:1.
 func testConfig() *config.Config {
 	return &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", MaxSockets: 64,
 		Settings: testsettings.Settings(2), KnownEndpoints: lifecycle.EndpointUpdate{}}
 }
 
-// bubbleGoroutines returns the number of goroutines of the test's bubble. Other goroutines of the process do not count, such
-// as those of earlier bubbles that are still ending.
+// bubbleGoroutines returns the number of goroutines in the synctest bubble of the test. It does not count other goroutines of
+// the process, such as those of earlier bubbles that are still ending.
 func bubbleGoroutines(t *testing.T) (count int) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
 	size := runtime.Stack(stacks, true)
 	if size == len(stacks) {
-		t.Fatal("the stacks of all goroutines do not fit")
+		t.Fatal("the stack traces of all goroutines do not fit into the buffer")
 	}
-	bubble := bubbleName.FindSubmatch(stacks[:size]) // the calling goroutine comes first
+	bubble := bubbleHeader.FindSubmatch(stacks[:size]) // the first trace is that of the calling goroutine
 	if bubble == nil {
-		t.Fatal("not called in a bubble")
+		t.Fatal("the calling goroutine is not in a synctest bubble")
 	}
-	for _, other := range bubbleName.FindAllSubmatch(stacks[:size], -1) {
+	for _, other := range bubbleHeader.FindAllSubmatch(stacks[:size], -1) {
 		if string(other[1]) == string(bubble[1]) {
 			count++
 		}
@@ -44,11 +44,11 @@
 	return count
 }
 
-// bubbleName matches the first line of a goroutine of a bubble in a stack trace.
-var bubbleName = regexp.MustCompile(`(?m)^goroutine \d+ \[[^\]]*synctest bubble (\d+)[^\]]*\]:`)
+// bubbleHeader matches the first line of the stack trace of a goroutine in a bubble, and captures the number of the bubble.
+var bubbleHeader = regexp.MustCompile(`(?m)^goroutine \d+ \[[^\]]*synctest bubble (\d+)[^\]]*\]:`)
 
-// A gateway without an operator's file opens its one listener and has no deduplicator. With the file it has the frontends that
-// the file names, and no others.
+// A gateway without an operator's file opens a single listener and has no deduplicator. With the file it has exactly the
+// frontends that the file names.
 func TestOnlyConfiguredComponentsAreBuilt(t *testing.T) {
 	exchanges := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxStoredBytes: 1 << 20,
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
@@ -84,18 +84,18 @@
 				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
 			}
 			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
-				t.Errorf("%s: a deduplicator: %v", name, got)
+				t.Errorf("%s: gateway has a deduplicator: %v, want the opposite", name, got)
 			}
 			g.Shutdown()
 			time.Sleep(time.Minute)
 		})
 	}
 	if goroutines["clients"] >= goroutines["CoAP"] {
-		t.Errorf("goroutines: %v", goroutines)
+		t.Errorf("goroutines by test case %v, want fewer for clients than for CoAP", goroutines)
 	}
 }
 
-// A component that cannot listen fails the start, and the listeners that were opened before it are closed.
+// If a component cannot listen, Start fails and closes the listeners that it has opened before.
 func TestFailedStartClosesListeners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &memnet.Net{}
@@ -113,13 +113,13 @@
 			t.Fatal(err)
 		}
 		if err := g.Start(); err == nil {
-			t.Error("started on an address that is in use")
+			t.Error("Start succeeded with an address that is in use")
 		}
-		again, err := network.Listen("127.0.0.1:1")
+		reopened, err := network.Listen("127.0.0.1:1")
 		if err != nil {
-			t.Errorf("left open: %v", err)
+			t.Errorf("listener of the clients was left open: %v", err)
 		} else {
-			again.Close()
+			reopened.Close()
 		}
 		synctest.Wait()
 	})
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -19,7 +19,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// gatedConn leaves what arrives unread in its socket while the test holds the lock.
+// gatedConn leaves bytes that arrive unread in its socket while the test holds the write lock.
 type gatedConn struct {
 	*net.TCPConn
 	lock *sync.RWMutex
@@ -30,7 +30,7 @@
 	if err != nil {
 		return 0, err
 	}
-	err = raw.Read(func(fd uintptr) bool { // until something has arrived
+	err = raw.Read(func(fd uintptr) bool { // returns once a byte has arrived
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return err != syscall.EAGAIN
 	})
@@ -42,13 +42,14 @@
 	return c.TCPConn.Read(p)
 }
 
-// drainingDiscovery is a discovery service with one server, which it reports as draining once drain receives.
+// drainingDiscovery is a discovery service with one server. On a value from drain it reports the server as draining.
 type drainingDiscovery struct {
 	addr    string
 	drain   chan bool
-	drained chan bool // receives when that is written, once for each watch
+	drained chan bool // receives a value for each watch on which the report has been written
 }
 
+// startDrainingDiscovery starts the service for a server at an address.
 func startDrainingDiscovery(t *testing.T, serverAddr net.Addr) *drainingDiscovery {
 	t.Helper()
 	d := &drainingDiscovery{drain: make(chan bool), drained: make(chan bool, 64)}
@@ -69,8 +70,9 @@
 	return d
 }
 
-// An update that is unread in the watch's socket, as after a pause of the whole process, applies before the first byte of
-// an attempt that was decided without it: a server that it reports as draining gets nothing.
+// An update that has arrived but is unread in the socket of the watch, for example after a pause of the whole process, is
+// applied before the first byte of an attempt that was decided without it. If it reports the server as draining, the server
+// gets no request.
 func TestPendingEndpointUpdateAppliesBeforeFirstByte(t *testing.T) {
 	serverRequests := make(chan bool, 4)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -91,7 +93,7 @@
 			return gatedConn{conn.(*net.TCPConn), &watchGate}, nil
 		}
 		if attempts++; attempts == 1 {
-			<-connected // the drain is reported while the connection is established
+			<-connected // the server is reported as draining while the connection is being established
 		}
 		return conn, nil
 	}
@@ -101,7 +103,7 @@
 	request := newRequest(t, "GET", addr, "pull", 1500*time.Millisecond)
 	response := make(chan int, 1)
 	go func() {
-		status, _ := send(http.DefaultClient, request) // 0 is an error
+		status, _ := send(http.DefaultClient, request) // the status is 0 after an error
 		response <- status
 	}()
 	for g.Metrics.Get("attempts_started") == 0 {
@@ -112,7 +114,7 @@
 	<-discovery.drained
 	connected <- true
 	for g.Metrics.Get("attempts_delayed_by_endpoint_update") == 0 && len(serverRequests) == 0 && len(response) == 0 {
-		g.loop.Sync() // an attempt that does not wait for the update reaches the server
+		g.loop.Sync() // an attempt that did not wait for the update would reach the server
 	}
 	watchGate.Unlock()
 	for g.Metrics.Get("attempts_connect_failed") == 0 && len(serverRequests) == 0 {
@@ -123,11 +125,11 @@
 		g.loop.Sync()
 	}
 	if status := <-response; status == http.StatusOK || len(serverRequests) != 0 {
-		t.Errorf("status %d, the server had %d requests", status, len(serverRequests))
+		t.Errorf("status %d and %d requests to the server, want an error and no request", status, len(serverRequests))
 	}
 }
 
-// startWatching starts a gateway that watches a pushed endpoint list, and returns it once it is ready.
+// startWatching starts a gateway that watches a pushed endpoint list. It returns the gateway and its address once it is ready.
 func startWatching(t *testing.T, discovery string, now clock.Clock,
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) (g *Gateway, addr string) {
 	t.Helper()
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newRequest returns a request of a class to a gateway.
+// newRequest returns a request of a class to the gateway at an address.
 func newRequest(t *testing.T, method, addr, class string, timeLeft time.Duration) *http.Request {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/"+class+"/00000000000000aa", nil)
@@ -30,6 +30,6 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status counts, whatever becomes of the body
+	_, _ = io.Copy(io.Discard, response.Body) // only the status matters, even if the body cannot be read
 	return response.StatusCode, nil
 }
--- a/internal/gateway/sftpfrontend.go
+++ b/internal/gateway/sftpfrontend.go
@@ -10,7 +10,7 @@
 	"gaugerelay/internal/upstream/sftpclient"
 )
 
-// sftpFrontend serves file commands, with a client of its own for the servers.
+// sftpFrontend serves file commands. It has its own client for the servers.
 type sftpFrontend struct {
 	noopComponent
 	gateway  *Gateway
@@ -20,7 +20,7 @@
 	upstream *sftpclient.Client
 }
 
-// newSFTPFrontend returns the frontend. devices is nil if the gateway serves none; then there is no exchange store.
+// newSFTPFrontend builds the frontend. devices is nil if the gateway serves no devices and therefore has no exchange store.
 func newSFTPFrontend(g *Gateway, options *config.SFTP, devices *config.Devices) *sftpFrontend {
 	f := &sftpFrontend{gateway: g, addr: options.Listen}
 	f.upstream = sftpclient.New(sftpclient.Options{ConnectTimeoutMs: g.cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: g.cfg.IdleConnTimeoutMs,
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// drain is bounded because a client may leave its response unread.
+// drain waits for a bounded time, because a client may never read its response.
 func (f *sftpFrontend) drain(times shutdownTimes) {
 	<-after(times.acceptUntilMs)
 	f.listener.Close()
 	runWithin(times.exitByMs-times.acceptUntilMs, f.server.Shutdown)
 }
 
-// close closes the listener, all connections of clients and the idle ones to servers.
+// close closes the listener, all connections of clients, and idle connections to servers.
 func (f *sftpFrontend) close() {
 	f.listener.Close()
 	f.server.Close()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -16,8 +16,8 @@
 	"gaugerelay/internal/testbed/testsettings"
 )
 
-// Requests that were accepted before the shutdown, and have more time than the platform leaves the program, get their
-// response before it exits: a read is rejected, and a write that may have been executed fails.
+// Requests that are open when the shutdown begins get their response before the program exits, even if their deadline is later:
+// a read is rejected, and a write that may have been executed fails.
 func TestShutdownRespondsToOpenRequests(t *testing.T) {
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, time.Second, 5 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -28,10 +28,11 @@
 
 // completion is how and when a request ended.
 type completion struct {
-	what string // class and status, or class and error
-	at   time.Time
+	outcome string    // class and status, or class and error
+	at      time.Time // when the client got the response or the error
 }
 
+// shutDownWithOpenRequests checks the shutdown of a gateway whose classes have a deadline.
 func shutDownWithOpenRequests(t *testing.T, deadline time.Duration) {
 	killedAfter := min(deadline, 3*time.Second) + 700*time.Millisecond
 	network := &memnet.Net{}
@@ -44,11 +45,11 @@
 		request.Header.Set("Idempotency-Key", "k")
 		go func() {
 			status, err := send(client, request)
-			what := fmt.Sprint(class, " ", status)
+			outcome := fmt.Sprint(class, " ", status)
 			if err != nil {
-				what = fmt.Sprint(class, " ", err)
+				outcome = fmt.Sprint(class, " ", err)
 			}
-			completions <- completion{what, time.Now()}
+			completions <- completion{outcome, time.Now()}
 		}()
 	}
 	incomplete, err := network.Dial(t.Context(), "tcp", "127.0.0.1:1") // a client that never sends the rest of its request
@@ -59,27 +60,27 @@
 	go func() { _, _ = io.WriteString(incomplete, "GET /bulk") }()
 	time.Sleep(deadline / 25)
 	if started := g.Metrics.Get("attempts_started"); started != 2 {
-		t.Fatalf("%d attempts are open, want 2", started)
+		t.Fatalf("%d attempts started, want 2", started)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	g.Shutdown()
-	ended := time.Now()
-	if took := ended.Sub(begun); took >= killedAfter {
-		t.Errorf("ended after %v, killed after %v", took, killedAfter)
+	endedAt := time.Now()
+	if took := endedAt.Sub(startedAt); took >= killedAfter {
+		t.Errorf("shutdown took %v, want less than %v, when the platform kills the program", took, killedAfter)
 	}
 	for range 2 {
 		c := <-completions
-		if c.what != "bulk-read 503" && c.what != "push 502" {
-			t.Errorf("a response of %q", c.what)
+		if c.outcome != "bulk-read 503" && c.outcome != "push 502" {
+			t.Errorf("outcome of a request is %q, want status 503 of bulk-read or 502 of push", c.outcome)
 		}
-		if took := c.at.Sub(begun); took >= killedAfter || c.at.After(ended) {
-			t.Errorf("%q ended after %v, the gateway ended after %v", c.what, took, ended.Sub(begun))
+		if took := c.at.Sub(startedAt); took >= killedAfter || c.at.After(endedAt) {
+			t.Errorf("response %q came after %v, want it before the gateway ended after %v", c.outcome, took, endedAt.Sub(startedAt))
 		}
 	}
 	time.Sleep(time.Minute)
 }
 
-// listenWithoutResponding opens a server that reads everything and sends nothing.
+// listenWithoutResponding starts a server that reads everything and never responds.
 func listenWithoutResponding(t *testing.T, network *memnet.Net, addr string) {
 	t.Helper()
 	listener, err := network.Listen(addr)
@@ -98,7 +99,8 @@
 	}()
 }
 
-// startWithDeadline starts a gateway on 127.0.0.1:1 with one server, 127.0.0.2:1, whose classes have a deadline.
+// startWithDeadline starts a gateway on 127.0.0.1:1 with one server, 127.0.0.2:1. All classes of the gateway have the given
+// deadline.
 func startWithDeadline(t *testing.T, network *memnet.Net, deadline time.Duration) *Gateway {
 	t.Helper()
 	cfg := &config.Config{Name: "gw", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:9", MaxSockets: 64, ConnectTimeoutMs: 250,
--- a/internal/gateway/shutdowntimes.go
+++ b/internal/gateway/shutdowntimes.go
@@ -1,38 +1,40 @@
 package gateway
 
-// The platform's times of a shutdown, in milliseconds.
+// Times of a shutdown that the platform sets, in milliseconds.
 const (
-	// newConnsMs is how long after SIGTERM new connections still arrive, because clients learn of the shutdown with a delay.
-	newConnsMs = 400
-	// killGraceMs is how long the platform waits, after the longest deadline, before it kills the program.
+	// newConnArrivalMs is the time after SIGTERM during which new connections still arrive, because clients are notified of
+	// the shutdown with a delay.
+	newConnArrivalMs = 400
+	// killGraceMs is the time that the platform waits after the longest deadline before it kills the program.
 	killGraceMs = 700
-	// maxKillDeadlineMs bounds the longest deadline that the platform waits for.
-	maxKillDeadlineMs = 3000
+	// maxAwaitedDeadlineMs is the limit up to which the platform waits for the longest deadline.
+	maxAwaitedDeadlineMs = 3000
 )
 
 const (
-	// acceptMs is how long new connections are accepted, with a margin.
-	acceptMs = 1.5 * newConnsMs
-	// exitMarginMs is the time between the exit and the kill, and also between the last response and the exit, in which
-	// clients read it.
+	// acceptMs is the time during which new connections are accepted: newConnArrivalMs and a margin.
+	acceptMs = 1.5 * newConnArrivalMs
+	// exitMarginMs is the time between the exit and the kill. It is also the time between the last response and the exit,
+	// during which clients read that response.
 	exitMarginMs = 75
-	// lastRequestsMs is left for the requests that are open when connections begin to close. Where deadlines are long it is
-	// nearly always enough.
+	// lastRequestsMs is the time for requests that are open when connections begin to close. If deadlines are longer, it is
+	// still nearly always enough.
 	lastRequestsMs = 350
 )
 
-// shutdownTimes are the times of a shutdown in milliseconds since its start, in ascending order. They follow from the
-// longest deadline alone: constant ones would add up to more than there is where all deadlines are short.
+// shutdownTimes are the times at which the phases of a shutdown end, in milliseconds since its start and in ascending order.
+// They are derived from the longest deadline: with constant times, the phases would take longer than the platform waits if all
+// deadlines are short.
 type shutdownTimes struct {
-	acceptUntilMs float64 // new connections are accepted
-	reuseUntilMs  float64 // clients go on using their connections; after that each response is the last of its connection
-	respondByMs   float64 // every request has its response
-	exitByMs      float64 // the program has exited
+	acceptUntilMs float64 // until then new connections are accepted
+	reuseUntilMs  float64 // until then clients may reuse connections; each later response is the last on its connection
+	respondByMs   float64 // by then every request has its response
+	exitByMs      float64 // by then the program has exited
 }
 
 // newShutdownTimes returns the times for a gateway whose longest deadline is given in milliseconds.
 func newShutdownTimes(longestDeadlineMs float64) shutdownTimes {
-	killMs := min(longestDeadlineMs, maxKillDeadlineMs) + killGraceMs
+	killMs := min(longestDeadlineMs, maxAwaitedDeadlineMs) + killGraceMs
 	times := shutdownTimes{exitByMs: killMs - exitMarginMs, respondByMs: killMs - 2*exitMarginMs}
 	times.reuseUntilMs = times.respondByMs - min(longestDeadlineMs, lastRequestsMs)
 	times.acceptUntilMs = min(acceptMs, times.reuseUntilMs)
