--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// handleHeartbeat records that the list is complete as of a time, and reports so where the list is polled. A pushed list
-// needs no lease.
+// handleHeartbeat records that the list was complete when a heartbeat was received, unless the session is not confirmed yet.
+// It reports the heartbeat only if the list is polled, because a pushed list has no lease to renew.
 func (w *Watcher) handleHeartbeat(session *watchSession, receivedMs float64) {
 	if !session.confirmed(receivedMs) {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// handleObject decodes an object and reports what of it applies.
+// handleObject decodes an object and reports the part of its update that applies.
 func (w *Watcher) handleObject(session *watchSession, object []byte, receivedMs float64) error {
 	message, err := decodeMessage(&session.parser, object)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// decide records the version of a message and decides what of it applies. A message without a version counts as one of the
+// decide records the version of a message and decides which of its entries apply. A message without a version is given the
 // current version, because messages of one watch arrive in order. The error is errAddressChanged or errVersionReset.
 func (w *Watcher) decide(message *watchMessage) (endpoints.Decision, error) {
 	w.mu.Lock()
@@ -73,7 +73,7 @@
 	return decision, nil
 }
 
-// trackerUpdate returns an update in the form that the endpoint tracker decides on.
+// trackerUpdate converts an update to the form that endpoints.Tracker uses.
 func trackerUpdate(update lifecycle.EndpointUpdate) endpoints.Update {
 	converted := endpoints.Update{
 		Version:   update.Version,
@@ -104,15 +104,15 @@
 	return accepted
 }
 
-// markComplete records that the reported list is complete as of a time.
+// markComplete records that the reported list contains all changes that were made before a time.
 func (w *Watcher) markComplete(atMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.incarnations.MarkComplete(atMs)
 }
 
-// NormalizeStartTimes converts the start times of an update's servers to this gateway's clock, in place. The Watcher does so
-// for the updates that it reports; the caller does it for the list that was known before the start.
+// NormalizeStartTimes converts the start times of an update's servers to this gateway's clock, in place. The Watcher calls it
+// for the updates that it reports. For Options.CachedEndpoints, the owner of the Watcher has to call it.
 func (w *Watcher) NormalizeStartTimes(update lifecycle.EndpointUpdate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -10,19 +10,19 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// maxStartedMs bounds the absolute value of a start time. Entries beyond it are invalid.
+// maxStartedMs bounds the absolute value of a start time, in milliseconds. Entries that exceed it are invalid.
 const maxStartedMs = 1e15
 
-// serverStates are the states of the wire protocol. Its keys for servers are id and cell, where this program says name and
-// shard.
+// serverStates maps the states of the wire protocol to those of the scheduler. Note that the protocol's keys id and cell are
+// the name and the shard of a server in this program.
 var serverStates = map[string]scheduler.ServerState{
 	"Ready":       scheduler.Ready,
 	"Terminating": scheduler.Draining,
 	"Gone":        scheduler.Removed,
 }
 
-// Decode reads a snapshot or a delta of the endpoint list. Invalid entries are left out, and their number is returned. A
-// state that is unknown, as of a later protocol, is read as draining: the server is listed, and no request is sent to it.
+// Decode decodes a snapshot or a delta of the endpoint list. It omits invalid entries and returns their number. An unknown
+// state, which a later version of the protocol may add, is read as draining: the server is listed, but gets no requests.
 func Decode(value *fastjson.Value) (update lifecycle.EndpointUpdate, invalidEntries int) {
 	update.Version, update.Kind = value.GetUint64("version"), scheduler.Delta
 	if value.GetBool("full") {
@@ -39,7 +39,7 @@
 	return update, invalidEntries
 }
 
-// decodeServer reads one entry, in which missing fields count as zero.
+// decodeServer decodes one entry. A missing state is read as draining, and any other missing field as its zero value.
 func decodeServer(entry *fastjson.Value) *lifecycle.Server {
 	state, known := serverStates[string(entry.GetStringBytes("state"))]
 	if !known {
@@ -57,7 +57,7 @@
 	}
 }
 
-// isValid reports whether the entry of a server can be used. A removed server needs no address.
+// isValid reports whether the entry of a server is valid. The entry of a removed server may lack an address.
 func isValid(server *lifecycle.Server) bool {
 	if server.Name == "" || server.Shard < 0 || math.Abs(server.StartedMs) > maxStartedMs {
 		return false
@@ -69,12 +69,12 @@
 // watchMessage is one object of a watch.
 type watchMessage struct {
 	update         lifecycle.EndpointUpdate
-	versioned      bool // it names its version
+	versioned      bool // whether the object contains a version
 	invalidEntries int
 }
 
-// decodeMessage reads one object of a watch. A snapshot without a list of servers is an error: taken for an empty one, it
-// would empty the list.
+// decodeMessage decodes one object of a watch. A snapshot without an array of servers is an error: if it were read as an
+// empty snapshot, all servers would be removed.
 func decodeMessage(parser *fastjson.Parser, object []byte) (watchMessage, error) {
 	value, err := parser.ParseBytes(object)
 	if err != nil || value.Type() != fastjson.TypeObject {
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -8,34 +8,34 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// The reasons for which this package ends a watch itself.
+// Reasons for which this package, and not discovery, ends a watch.
 var (
 	// errWatchIdle reports that discovery did not respond within responseTimeoutMs, or sent neither a complete object nor a
 	// heartbeat within idleTimeoutMs.
-	errWatchIdle = errors.New("discovery: watch idle past its timeout")
-	// errUnexpectedStatus reports a response with another status than 200.
-	errUnexpectedStatus = errors.New("discovery: unexpected status")
-	// errNotAnObject reports bytes on a watch that belong to no JSON object.
-	errNotAnObject = errors.New("discovery: not a JSON object")
-	// errObjectTooLarge reports an object, or blanks between objects, of more than maxObjectBytes.
-	errObjectTooLarge = errors.New("discovery: object too large")
-	// errInvalidMessage reports an object that is no message of discovery. Its content is lost, so the list is out of date
-	// until the response to a new request.
-	errInvalidMessage = errors.New("discovery: invalid message")
-	// errVersionReset reports that the version numbers of the source have restarted.
-	errVersionReset = errors.New("discovery: versions numbered anew")
+	errWatchIdle = errors.New("discovery: no complete message arrived on the watch before its timeout")
+	// errUnexpectedStatus reports a response with a status other than 200.
+	errUnexpectedStatus = errors.New("discovery: response status is not 200")
+	// errNotAnObject reports bytes on a watch that are not part of a complete JSON object.
+	errNotAnObject = errors.New("discovery: watch contains bytes that are not part of a complete JSON object")
+	// errObjectTooLarge reports an object, or whitespace between objects, that is longer than maxObjectBytes.
+	errObjectTooLarge = errors.New("discovery: JSON object, or whitespace between objects, exceeds the size limit")
+	// errInvalidMessage reports an object that is not a valid message. Its content is lost, so the list is out of date until
+	// discovery has responded to a new request.
+	errInvalidMessage = errors.New("discovery: message is not valid JSON, or is a snapshot without an array of servers")
+	// errVersionReset reports that discovery has restarted its version numbers, so that a new snapshot is needed.
+	errVersionReset = errors.New("discovery: version numbers have restarted")
 	// errAddressChanged reports that SwitchAddress is ending the watch.
-	errAddressChanged = errors.New("discovery: address changed")
+	errAddressChanged = errors.New("discovery: address of discovery is being changed")
 )
 
-// localErrors are the errors of a connect that fails for lack of a resource or permission on this machine. They prove
-// nothing about discovery.
+// localErrors are errors of a connect that fails because this machine lacks a resource or a permission. They prove nothing
+// about the state of discovery.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 	syscall.EAGAIN, syscall.EINTR, syscall.EACCES, syscall.EPERM,
 }
 
-// callFailure returns what the failure of a call by an error proves.
+// callFailure classifies the error of a failed call by what it proves about discovery.
 func callFailure(err error) lifecycle.CallFailure {
 	if errors.Is(err, errWatchIdle) || errors.Is(err, errVersionReset) {
 		return lifecycle.CallInconclusive
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -13,6 +13,7 @@
 	"gaugerelay/internal/lifecycle"
 )
 
+// TestCallFailure checks the classification of errors by what they prove about discovery.
 func TestCallFailure(t *testing.T) {
 	dialError := func(errno syscall.Errno) error {
 		return &url.Error{Op: "Get", Err: &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}}
@@ -34,7 +35,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := callFailure(test.err); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("failure is %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -17,7 +17,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// readHeader reads the bytes of a request without a body.
+// readHeader reads a request without a body and returns its bytes.
 func readHeader(conn net.Conn) []byte {
 	var header []byte
 	next := make([]byte, 1)
@@ -30,8 +30,8 @@
 	return header
 }
 
-// TestGoldenRequests compares consecutive requests with golden files: the first one, and those after a failure, a snapshot,
-// a delta, and a delta without a version.
+// TestGoldenRequests compares the requests of consecutive watches with golden files: the first request, and those that follow
+// a failed call, a snapshot, a delta, and a delta without a version.
 func TestGoldenRequests(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
 	delta := `"servers":[` + entry("Ready") + `]}`
@@ -42,7 +42,7 @@
 		header + `{` + delta + "\n",
 		"",
 	}
-	for name, known := range map[string]uint64{"empty-start": 0, "known-start": 41} {
+	for name, cachedVersion := range map[string]uint64{"empty-start": 0, "known-start": 41} {
 		t.Run(name, func(t *testing.T) {
 			next := make(chan string, 1)
 			requests := make(chan []byte, 1)
@@ -52,11 +52,11 @@
 			})
 			updates := make(chan lifecycle.EndpointUpdate, 16)
 			watcher := New(Options{
-				Addr:    addr,
-				Known:   lifecycle.EndpointUpdate{Version: known},
-				Clock:   clock.NewManual(1e12),
-				Metrics: metrics.New(),
-				Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+				Addr:            addr,
+				CachedEndpoints: lifecycle.EndpointUpdate{Version: cachedVersion},
+				Clock:           clock.NewManual(1e12),
+				Metrics:         metrics.New(),
+				Notify:          func(update lifecycle.EndpointUpdate) { updates <- update },
 			})
 			var wire []byte
 			for _, response := range responses {
@@ -75,17 +75,17 @@
 	}
 }
 
-// TestGoldenRequestAfterSwitch compares the first request at another address, which is for a snapshot.
+// TestGoldenRequestAfterSwitch compares the first request after SwitchAddress, which is for a snapshot, with a golden file.
 func TestGoldenRequestAfterSwitch(t *testing.T) {
 	requests := make(chan []byte, 1)
 	addr := testbed.Serve(t, func(conn net.Conn) { requests <- readHeader(conn) })
 	updates := make(chan lifecycle.EndpointUpdate, 16)
 	watcher := New(Options{
-		Addr:    "127.0.0.1:1",
-		Known:   lifecycle.EndpointUpdate{Version: 41},
-		Clock:   clock.NewManual(1e12),
-		Metrics: metrics.New(),
-		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+		Addr:            "127.0.0.1:1",
+		CachedEndpoints: lifecycle.EndpointUpdate{Version: 41},
+		Clock:           clock.NewManual(1e12),
+		Metrics:         metrics.New(),
+		Notify:          func(update lifecycle.EndpointUpdate) { updates <- update },
 	})
 	watcher.SwitchAddress(context.Background(), addr)
 	wire := bytes.ReplaceAll(<-requests, []byte(addr), []byte("ADDRESS"))
@@ -93,7 +93,7 @@
 	testbed.CompareGolden(t, "calls-after-move", testbed.QuoteLines(wire))
 }
 
-// describeUpdate returns the values of an update as text, one server a line.
+// describeUpdate formats an update as text, with one line for each server.
 func describeUpdate(update lifecycle.EndpointUpdate, invalidEntries int) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "version %d, whole list %t, entries left out %d\n",
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -25,18 +25,18 @@
 	snapshotLine   = `{"version":43,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:7070","cell":3,"state":"Ready"}]}` + "\n"
 )
 
-// responseTest is a response of discovery and what is expected of its watch.
+// responseTest is a response of discovery and the expected result of its watch.
 type responseTest struct {
 	response        string
-	staysOpen       bool // the connection is left open without another byte
-	updates         int
-	invalidMessages int64
-	endsAfterMs     float64
-	end             scheduler.UpdateKind // WatchFailed if left out
+	staysOpen       bool                 // whether the connection stays open, without another byte, after the response
+	updates         int                  // number of updates that apply
+	invalidMessages int64                // number of messages that are counted as invalid
+	endsAfterMs     float64              // time from the start of the watch to its end
+	end             scheduler.UpdateKind // kind of update that reports the end; the zero value stands for WatchFailed
 }
 
-// TestInvalidResponses checks that a bad response, or none, ends the call in a bounded time, is counted, and leaves the list
-// as it was: updates before the fault apply, and nothing that could be read into the fault does.
+// TestInvalidResponses checks that an invalid or missing response ends the call within a bounded time, is counted, and does
+// not damage the list: updates before the fault apply, and no part of the faulty data does.
 func TestInvalidResponses(t *testing.T) {
 	tests := map[string]responseTest{
 		"error status":   {response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkResponse runs one watch of a service with the response of a test.
+// checkResponse runs one watch of a service that sends the response of a test, and checks the result.
 func checkResponse(t *testing.T, test responseTest) {
 	t.Helper()
 	network := &memnet.Net{}
@@ -91,31 +91,31 @@
 	go serveOnce(listener, func(conn net.Conn) {
 		testbed.TryWrite(conn, test.response)
 		if test.staysOpen {
-			_, _ = io.Copy(io.Discard, conn) // until the watch ends
+			_, _ = io.Copy(io.Discard, conn) // returns when the watch ends
 		}
 	})
 	counters, startedAt := metrics.New(), time.Now()
 	updates, ended := 0, make(chan float64, 2)
 	watcher := New(Options{
-		Addr:    "127.0.0.1:1",
-		Known:   lifecycle.EndpointUpdate{Version: 41},
-		Clock:   clock.NewSystem(),
-		Metrics: counters,
+		Addr:            "127.0.0.1:1",
+		CachedEndpoints: lifecycle.EndpointUpdate{Version: 41},
+		Clock:           clock.NewSystem(),
+		Metrics:         counters,
 		Notify: func(update lifecycle.EndpointUpdate) {
 			switch {
 			case update.Kind == scheduler.Heartbeat:
 				if updates == 0 || update.CompleteAsOfMs == 0 {
-					t.Errorf("a heartbeat before any update shows nothing yet: %+v", update)
+					t.Errorf("heartbeat %+v is reported before any update, or without CompleteAsOfMs", update)
 				}
 			case update.Kind >= scheduler.WatchFailed:
 				if update.Kind != test.end {
-					t.Errorf("the end is reported as %v, want %v", update.Kind, test.end)
+					t.Errorf("end of the watch is reported as %v, want %v", update.Kind, test.end)
 				}
 				ended <- clock.Ms(time.Since(startedAt))
 			default:
 				updates++
 				if update.Kind == scheduler.Snapshot && len(update.Servers) == 0 {
-					t.Error("the list is emptied")
+					t.Error("an empty snapshot is reported, which removes all servers")
 				}
 			}
 		},
@@ -123,22 +123,22 @@
 	})
 	watcher.Open(context.Background())
 	if afterMs := <-ended; afterMs != test.endsAfterMs {
-		t.Errorf("ended after %v ms, want %v", afterMs, test.endsAfterMs)
+		t.Errorf("watch ended after %v ms, want %v", afterMs, test.endsAfterMs)
 	}
 	if updates != test.updates {
-		t.Errorf("%d updates, want %d", updates, test.updates)
+		t.Errorf("%d updates reported, want %d", updates, test.updates)
 	}
 	if got := counters.Get("discovery_bad_messages"); got != test.invalidMessages {
-		t.Errorf("%d invalid messages, want %d", got, test.invalidMessages)
+		t.Errorf("%d invalid messages counted, want %d", got, test.invalidMessages)
 	}
 	if got := counters.Get("discovery_watches_failed"); got != 1 {
-		t.Errorf("%d watches failed, want 1", got)
+		t.Errorf("%d failed watches counted, want 1", got)
 	}
 	listener.Close()
 	synctest.Wait()
 }
 
-// listen opens the address of the discovery service.
+// listen listens on the address of the discovery service.
 func listen(t *testing.T, network *memnet.Net) net.Listener {
 	t.Helper()
 	listener, err := network.Listen("127.0.0.1:1")
@@ -148,8 +148,8 @@
 	return listener
 }
 
-// serveOnce accepts one connection, reads the header of its request, and closes it after respond returns. A response to no
-// request would end the connection.
+// serveOnce accepts one connection, reads the header of its request, calls respond and then closes the connection. It reads
+// the request first because the client closes a connection on which it gets a response without having sent a request.
 func serveOnce(listener net.Listener, respond func(net.Conn)) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -163,7 +163,7 @@
 	respond(conn)
 }
 
-// indent returns a JSON text over many lines.
+// indent formats a JSON text over several lines.
 func indent(t *testing.T, text string) string {
 	t.Helper()
 	var indented bytes.Buffer
@@ -173,8 +173,8 @@
 	return indented.String()
 }
 
-// TestEndlessObjectIsIdle checks that a watch that sends an object byte by byte and never ends it is idle, while one that
-// sends heartbeats is not.
+// TestEndlessObjectIsIdle checks that heartbeats keep a watch open, and that an object that arrives byte by byte and never
+// ends does not.
 func TestEndlessObjectIsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &memnet.Net{}
@@ -187,10 +187,10 @@
 		}()
 		ended, heartbeats := make(chan scheduler.UpdateKind, 1), 0
 		watcher := New(Options{
-			Addr:    "127.0.0.1:1",
-			Known:   lifecycle.EndpointUpdate{Version: 41},
-			Clock:   clock.NewSystem(),
-			Metrics: metrics.New(),
+			Addr:            "127.0.0.1:1",
+			CachedEndpoints: lifecycle.EndpointUpdate{Version: 41},
+			Clock:           clock.NewSystem(),
+			Metrics:         metrics.New(),
 			Notify: func(update lifecycle.EndpointUpdate) {
 				if update.Kind == scheduler.Heartbeat {
 					heartbeats++
@@ -204,16 +204,16 @@
 		watcher.Open(context.Background())
 		kind, afterMs := <-ended, clock.Ms(time.Since(startedAt))
 		if kind != scheduler.WatchIdle || afterMs != 5*heartbeatIntervalMs+idleTimeoutMs {
-			t.Errorf("ended as %v after %v ms", kind, afterMs)
+			t.Errorf("watch ended as %v after %v ms, want WatchIdle one idle timeout after the last of five heartbeats", kind, afterMs)
 		}
-		if heartbeats != 4 { // the first of five is too early to confirm that discovery serves the watch
+		if heartbeats != 4 { // the first of the five arrives before confirmationDelayMs
 			t.Errorf("%d heartbeats reported, want 4", heartbeats)
 		}
 		<-served
 	})
 }
 
-// sendEndlessObject sends five heartbeats, then blanks of an object until the connection is closed.
+// sendEndlessObject sends five heartbeats, then the start of an object and whitespace until the connection is closed.
 func sendEndlessObject(conn net.Conn) {
 	testbed.TryWrite(conn, "HTTP/1.1 200 OK\r\n\r\n")
 	for range 5 {
--- a/internal/discovery/objectreader.go
+++ b/internal/discovery/objectreader.go
@@ -6,15 +6,16 @@
 	"io"
 )
 
-// maxObjectBytes bounds one object of a watch. The full list of the largest deployment takes some ten KiB.
+// maxObjectBytes bounds the size of one object of a watch. The complete list of the largest deployment takes about 10 KiB.
 const maxObjectBytes = 1 << 20
 
-// objectReader splits the body of a watch into JSON objects, whose layout is free, and the empty lines between them, which
-// are heartbeats. It finds the ends of objects only; whether an object is valid JSON is left to its decoder.
+// objectReader splits the body of a watch into JSON objects and heartbeats. An object may span several lines or share a line
+// with others; an empty line between objects is a heartbeat. The reader only finds where objects end: it does not check that
+// they are valid JSON, which the decoder does.
 type objectReader struct {
 	reader      *bufio.Reader
-	buffer      []byte // the object, reused by each call of next
-	afterObject bool   // an object has ended and its line has not
+	buffer      []byte // bytes of the current object; reused by each call of next
+	afterObject bool   // whether the end of an object has been read, but not yet the end of its line
 }
 
 // newObjectReader returns a reader of the body of a watch.
@@ -22,20 +23,20 @@
 	return &objectReader{reader: bufio.NewReader(body)}
 }
 
-// next returns the next object, which is valid until the next call, or nil for a heartbeat. An object is read to its end
-// before it is returned: one that arrives byte by byte does not keep a watch alive.
+// next returns the next object, or nil for a heartbeat. The object is valid until the next call. next returns only after the
+// end of an object, so that an object that arrives byte by byte does not keep a watch alive.
 func (r *objectReader) next() ([]byte, error) {
-	first, err := r.skipBlanks()
+	first, err := r.skipWhitespace()
 	if err != nil || first == '\n' {
 		return nil, err
 	}
 	return r.readObject(first)
 }
 
-// skipBlanks reads up to the first byte of an object, or the end of an empty line, and returns that byte. The end of an
-// object's own line is skipped.
-func (r *objectReader) skipBlanks() (byte, error) {
-	blanks := 0
+// skipWhitespace reads up to and including the first byte of an object or the newline of an empty line, and returns that
+// byte. It skips the newline at the end of a line that contains an object.
+func (r *objectReader) skipWhitespace() (byte, error) {
+	skipped := 0
 	for {
 		next, err := r.reader.ReadByte()
 		if err != nil {
@@ -48,7 +49,7 @@
 			}
 			r.afterObject = false
 		case ' ', '\t', '\r':
-			if blanks++; blanks > maxObjectBytes {
+			if skipped++; skipped > maxObjectBytes {
 				return 0, errObjectTooLarge
 			}
 		case '{':
@@ -60,7 +61,7 @@
 	}
 }
 
-// readObject reads the rest of an object whose first byte is given.
+// readObject reads and returns an object whose first byte has already been read.
 func (r *objectReader) readObject(first byte) ([]byte, error) {
 	r.buffer = append(r.buffer[:0], first)
 	scanner := objectScanner{depth: 1}
@@ -79,14 +80,14 @@
 	return r.buffer, nil
 }
 
-// objectScanner follows the nesting of a JSON text.
+// objectScanner tracks the nesting depth of a JSON text.
 type objectScanner struct {
-	depth    int // open objects and arrays
+	depth    int // number of objects and arrays that are open
 	inString bool
-	escaped  bool // the last byte was a backslash in a string
+	escaped  bool // whether the previous byte was a backslash that escapes the next byte of a string
 }
 
-// scan takes the next byte.
+// scan updates the state by the next byte of the text.
 func (s *objectScanner) scan(next byte) {
 	switch {
 	case s.escaped:
--- a/internal/discovery/objectreader_test.go
+++ b/internal/discovery/objectreader_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// jsonObjects returns the leading objects of a text as encoding/json reads them, and whether the text consists of objects
-// only.
-func jsonObjects(text string) (objects []string, sound bool) {
+// jsonObjects returns the objects at the start of a text as encoding/json reads them, and whether the text contains nothing
+// else.
+func jsonObjects(text string) (objects []string, onlyObjects bool) {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	for {
 		var raw json.RawMessage
@@ -25,22 +25,22 @@
 	}
 }
 
-// FuzzObjectReader checks that a sequence of JSON objects is read as just these objects, and that reading any other text
-// comes to an end.
+// FuzzObjectReader checks that a sequence of JSON objects is read as exactly these objects, and that reading any other text
+// terminates.
 func FuzzObjectReader(f *testing.F) {
 	f.Add("{\"a\":[1,{\"b\":\"}\\\"\"}]}\n\n {\n \"c\" : \"\\\\\" }{}\r\n")
 	f.Add("{\"a\":\"]\"} x")
 	f.Add("{[}]")
 	f.Fuzz(func(t *testing.T, text string) {
-		want, sound := jsonObjects(text)
+		want, onlyObjects := jsonObjects(text)
 		reader := newObjectReader(strings.NewReader(text))
 		var got []string
 		for {
 			object, err := reader.next()
 			if err != nil {
-				// A truncated object, too, is reported with io.EOF.
-				if sound && (!errors.Is(err, io.EOF) || errors.Is(err, errNotAnObject)) {
-					t.Fatalf("%q: %v", text, err)
+				// The error of a truncated object is both errNotAnObject and io.EOF.
+				if onlyObjects && (!errors.Is(err, io.EOF) || errors.Is(err, errNotAnObject)) {
+					t.Fatalf("%q: reading failed with %v, want io.EOF after the last object", text, err)
 				}
 				break
 			}
@@ -48,7 +48,7 @@
 				got = append(got, string(object))
 			}
 		}
-		if sound && !slices.Equal(got, want) || !sound && len(got) < len(want) {
+		if onlyObjects && !slices.Equal(got, want) || !onlyObjects && len(got) < len(want) {
 			t.Fatalf("%q: read %q, want %q", text, got, want)
 		}
 	})
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// maxPendingWaitMs bounds AwaitPendingUpdates: half of the 50 ms that the platform's rules tolerate.
+	// maxPendingWaitMs bounds the wait of AwaitPendingUpdates. It is half of the delay that the platform's rules allow, 50 ms.
 	maxPendingWaitMs = 25
 
-	// readTimeoutMs is the interval at which a blocked read is restarted. Bytes that it returns have arrived since its last
-	// start, however long the process was paused meanwhile.
+	// readTimeoutMs is the interval at which a blocked read is restarted. The bytes that a read returns have arrived since its
+	// latest restart, even if the process was paused in the meantime.
 	readTimeoutMs = 250
 )
 
-// receiveTracker follows whether everything that has arrived on the connection of the latest watch was processed. It is
+// receiveTracker tracks whether all bytes that have arrived on the connection of the latest watch have been processed. It is
 // safe for concurrent use.
 type receiveTracker struct {
 	clock clock.Clock
 
 	mu sync.Mutex
-	// readStartedMs is when the latest read that has returned was started. None of its bytes had arrived then.
+	// readStartedMs is the time at which the latest completed read was started. All of its bytes arrived after that.
 	readStartedMs float64
-	conn          *trackedConn  // the latest watch's; nil: none
-	processing    bool          // bytes read from conn are being processed
-	processed     chan struct{} // closed when they have been; nil: nobody waits
+	conn          *trackedConn  // connection of the latest watch; nil if it has none
+	processing    bool          // whether bytes that were read from conn are being processed
+	processed     chan struct{} // closed when these bytes have been processed; nil if no goroutine waits for it
 }
 
-// trackedConn is the connection of a watch. Its reader has processed everything that it read before it reads again.
+// trackedConn is the connection of a watch. Its reader calls Read only after it has processed all bytes of the previous call.
 type trackedConn struct {
 	net.Conn
 	tracker *receiveTracker
 }
 
-// trackDial returns a dial function whose connections are tracked, each in place of the one before.
+// trackDial returns a dial function whose connections are tracked. Each connection replaces the previous one.
 func (t *receiveTracker) trackDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialed, err := dial(ctx, network, addr)
@@ -56,7 +56,8 @@
 	}
 }
 
-// setProcessing records whether bytes read from a connection are being processed. It ignores all but the latest one.
+// setProcessing records whether bytes read from a connection are being processed. It ignores connections that have been
+// replaced.
 func (t *receiveTracker) setProcessing(conn *trackedConn, processing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// setProcessingLocked does the same for the latest connection. The caller holds mu.
+// setProcessingLocked records whether bytes read from the latest connection are being processed. The caller holds mu.
 func (t *receiveTracker) setProcessingLocked(processing bool) {
 	t.processing = processing
 	if !processing && t.processed != nil {
@@ -74,22 +75,22 @@
 	}
 }
 
-// setReadStarted records when the read that returns now was started.
+// setReadStarted records the time at which a read that is about to return was started.
 func (t *receiveTracker) setReadStarted(startedMs float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.readStartedMs = startedMs
 }
 
-// lastReadStartedMs returns when the latest read that has returned was started. None of its bytes had arrived then.
+// lastReadStartedMs returns the time at which the latest completed read was started. All of its bytes arrived after that.
 func (t *receiveTracker) lastReadStartedMs() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readStartedMs
 }
 
-// forget stops tracking a connection, if it is the latest one.
-func (t *receiveTracker) forget(conn *trackedConn) {
+// untrack stops tracking a connection, if it is the latest one.
+func (t *receiveTracker) untrack(conn *trackedConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conn == conn {
@@ -98,7 +99,7 @@
 	}
 }
 
-// pending returns a channel that is closed when the bytes that have arrived were processed, or nil if there are none.
+// pending returns a channel that is closed when all bytes that have arrived are processed, or nil if they already are.
 func (t *receiveTracker) pending() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,23 +134,23 @@
 
 // Close implements net.Conn.
 func (c *trackedConn) Close() error {
-	c.tracker.forget(c)
+	c.tracker.untrack(c)
 	return c.Conn.Close()
 }
 
-// PendingUpdates is what AwaitPendingUpdates found of updates that have arrived on the watch.
+// PendingUpdates is the result of AwaitPendingUpdates: what became of the updates that had arrived on the watch.
 type PendingUpdates uint8
 
 const (
-	// NoneArrived means that there was nothing to wait for.
+	// NoneArrived means that no update was waiting to be passed to the notify function.
 	NoneArrived PendingUpdates = iota
-	// Delivered means that all were passed to the notify function during the wait.
+	// Delivered means that all updates were passed to the notify function during the wait.
 	Delivered
-	// StillPending means that some had not been passed to the notify function when the wait ended.
+	// StillPending means that some updates had not been passed to the notify function when the wait ended.
 	StillPending
 )
 
-// String returns the result in lower case.
+// String returns a description of the result.
 func (p PendingUpdates) String() string {
 	switch p {
 	case NoneArrived:
@@ -160,12 +161,12 @@
 	return "still pending"
 }
 
-// AwaitPendingUpdates waits until the updates that have arrived on the watch were passed to the notify function, for
+// AwaitPendingUpdates waits until the updates that have arrived on the watch have been passed to the notify function, for
 // maxPendingWaitMs at most.
 //
-// It guards against a process that was stopped, or had no processor, for longer than the grace of drains: without it, an
-// attempt that was decided before could be sent in the moment in which the update that forbids it can be read. It may be
-// called from any goroutine but that of the notify function.
+// It guards against a pause of the process, or a lack of processor time, that is longer than the grace period of drains.
+// Without it, an attempt that was decided before the pause could be sent although an update that forbids it had already
+// arrived and was still unread. It may be called from any goroutine except that of the notify function.
 func (w *Watcher) AwaitPendingUpdates() PendingUpdates {
 	processed := w.received.pending()
 	if processed == nil {
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -7,18 +7,18 @@
 	"gaugerelay/internal/logevent"
 )
 
-// A continuous watch that has ended is opened again after a delay that doubles between these bounds, or at once if it lasted
-// for maxReconnectDelayMs. That bound is short compared with the grace period of drains, which starts when the agent is
-// notified.
+// Bounds of the delay before a continuous watch that has ended is reopened. The delay doubles from one reconnect to the next.
+// A watch that lasted for maxReconnectDelayMs or longer is reopened at once. The upper bound is short compared with the grace
+// period of drains, which starts when the agent is notified.
 const (
 	minReconnectDelayMs = 10
 	maxReconnectDelayMs = 160
 )
 
-// backoff is the delay before the next reconnect. Its zero value has no delay yet.
+// backoff computes the delays between reconnects. Its zero value begins with the shortest delay.
 type backoff struct{ delayMs float64 }
 
-// next returns the delay before the next reconnect.
+// next returns the delay before the next reconnect, in milliseconds.
 func (b *backoff) next() float64 {
 	b.delayMs = min(max(2*b.delayMs, minReconnectDelayMs), maxReconnectDelayMs)
 	return b.delayMs
@@ -27,11 +27,11 @@
 // reset makes the next delay the shortest one.
 func (b *backoff) reset() { b.delayMs = 0 }
 
-// availability logs when this machine's agent becomes unavailable and when it recovers, one record for each. Its zero value
-// stands for an agent that is available.
+// availability logs one record when this machine's agent becomes unavailable and one when it recovers. Its zero value means
+// that the agent is available.
 type availability struct{ unavailable bool }
 
-// recordFailure records that a watch has ended by an error.
+// recordFailure records that a watch has failed with an error.
 func (a *availability) recordFailure(err error) {
 	if !a.unavailable {
 		a.unavailable = true
@@ -47,8 +47,8 @@
 	}
 }
 
-// runContinuously keeps a watch open until ctx is done. The delays keep the calls few while the agent is unavailable or ends
-// each watch as soon as it is open.
+// runContinuously keeps a watch open until ctx is done. The delays limit the rate of calls while the agent is unavailable or
+// ends each watch as soon as it is open.
 func (w *Watcher) runContinuously(ctx context.Context) {
 	defer w.setClosed(ctx)
 	var agent availability
@@ -69,7 +69,7 @@
 	}
 }
 
-// sleep returns after a delay or when ctx is done.
+// sleep returns after a delay or when ctx is done, whichever comes first.
 func (w *Watcher) sleep(ctx context.Context, delayMs float64) {
 	elapsed := make(chan struct{})
 	stop := w.clock.AfterFunc(delayMs, func() { close(elapsed) })
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -20,17 +20,17 @@
 	"gaugerelay/internal/testbed/memnet"
 )
 
-// fakeAgent is this machine's agent. It sends the lines that the test feeds on the open watch.
+// fakeAgent is a fake of this machine's discovery agent. It sends the lines of feed on the open watch.
 type fakeAgent struct {
 	server *http.Server
 	feed   chan string
 
 	mu        sync.Mutex
-	requests  []string // the version of each and its time since startedAt
+	requests  []string // for each request, its version and the milliseconds since startedAt
 	startedAt time.Time
 }
 
-// newFakeAgent starts an agent at an address of a network.
+// newFakeAgent starts a fake agent at an address of a network.
 func newFakeAgent(t *testing.T, network *memnet.Net, addr string) *fakeAgent {
 	t.Helper()
 	listener, err := network.Listen(addr)
@@ -60,31 +60,32 @@
 	}
 }
 
-// send sends a line and waits until its immediate effects are over.
+// send sends a line on the open watch and waits until all goroutines of the test are blocked again.
 func (a *fakeAgent) send(line string) {
 	a.feed <- line
 	synctest.Wait()
 }
 
-// expectRequests checks the requests since the last call, or since the start.
+// expectRequests checks the requests since its previous call, or since the agent was started.
 func (a *fakeAgent) expectRequests(t *testing.T, want ...string) {
 	t.Helper()
 	synctest.Wait()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !slices.Equal(a.requests, want) {
-		t.Errorf("requested %q, want %q", a.requests, want)
+		t.Errorf("requests %q, want %q", a.requests, want)
 	}
 	a.requests, a.startedAt = nil, time.Now()
 }
 
-// updateRecorder records updates as text. It is safe for concurrent use.
+// updateRecorder records updates as text: version, number of servers, and whether the update is a snapshot. It is safe for
+// concurrent use.
 type updateRecorder struct {
 	mu      sync.Mutex
 	updates []string
 }
 
-// record is the notify function of a Watcher.
+// record records an update. It is used as the notify function of a Watcher.
 func (r *updateRecorder) record(update lifecycle.EndpointUpdate) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +93,7 @@
 		fmt.Sprintf("%d: %d, snapshot %v", update.Version, len(update.Servers), update.Kind == scheduler.Snapshot))
 }
 
-// expect checks all updates so far.
+// expect checks all updates that have been recorded.
 func (r *updateRecorder) expect(t *testing.T, want ...string) {
 	t.Helper()
 	r.mu.Lock()
@@ -102,11 +103,11 @@
 	}
 }
 
-// idleTime is just longer than the idle timeout.
+// idleTime is a duration just longer than the idle timeout.
 const idleTime = idleTimeoutMs*time.Millisecond + 1
 
-// TestKeepOpen checks that the watch of this machine's agent is opened again without a request of the scheduler: when the
-// agent is not there yet, ends a watch, is idle, sends nonsense, restarts with an older list, and after a change of address.
+// TestKeepOpen checks that the watch of this machine's agent is reopened without a call by the scheduler: before the agent is
+// running, and after the agent ends a watch, is idle, sends invalid data, restarts with an older list or gets another address.
 // None of these is reported as a failed watch.
 func TestKeepOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -114,13 +115,13 @@
 		network := &memnet.Net{}
 		counters := metrics.New()
 		var recorder updateRecorder
-		known := lifecycle.EndpointUpdate{Version: 41, Kind: scheduler.CachedSnapshot,
+		cached := lifecycle.EndpointUpdate{Version: 41, Kind: scheduler.CachedSnapshot,
 			Servers: []*lifecycle.Server{{Name: "s-1"}, {Name: "s-2"}}}
 		watcher := New(Options{
-			Addr: "127.0.0.1:1", Known: known, Clock: clock.NewSystem(), Metrics: counters, Dial: network.Dial,
+			Addr: "127.0.0.1:1", CachedEndpoints: cached, Clock: clock.NewSystem(), Metrics: counters, Dial: network.Dial,
 			Notify: func(update lifecycle.EndpointUpdate) {
 				if update.Kind == scheduler.WatchFailed {
-					t.Error("a failed watch is reported")
+					t.Error("WatchFailed is reported for a continuous watch")
 				}
 				recorder.record(update)
 			},
@@ -167,8 +168,8 @@
 	})
 }
 
-// TestReconnectBacksOff checks that calls of an unavailable agent are 10, 20, 40, 80 and then 160 ms apart, also where it
-// accepts connections and closes them.
+// TestReconnectBacksOff checks that calls to an unavailable agent are 10, 20, 40, 80 and then 160 ms apart, whether it refuses
+// connections or accepts and closes them.
 func TestReconnectBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -188,7 +189,7 @@
 			Addr:    "127.0.0.1:1",
 			Clock:   clock.NewSystem(),
 			Metrics: metrics.New(),
-			Notify:  func(lifecycle.EndpointUpdate) { t.Error("an update is reported") },
+			Notify:  func(lifecycle.EndpointUpdate) { t.Error("an update is reported, want none") },
 			Dial:    dial,
 		})
 		watcher.KeepOpen(ctx)
@@ -196,7 +197,7 @@
 		cancel()
 		synctest.Wait()
 		if want := []int64{0, 10, 20, 40, 80, 160, 160, 160}; !slices.Equal(intervalsMs, want) {
-			t.Errorf("calls %v ms apart, want %v", intervalsMs, want)
+			t.Errorf("intervals between calls are %v ms, want %v", intervalsMs, want)
 		}
 	})
 }
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	// responseTimeoutMs is the time after which a call without a response has failed.
+	// responseTimeoutMs is the time after which a call without a response fails.
 	responseTimeoutMs = 3000
 
-	// heartbeatIntervalMs is the longest time between two messages of a sound watch, which sends an empty line if there is
-	// nothing else.
+	// heartbeatIntervalMs is the longest time between two messages on a healthy watch. Discovery sends an empty line if it has
+	// nothing else to send.
 	heartbeatIntervalMs = 2000
 
-	// idleTimeoutMs is the time after which a watch without a message has failed: one and a half heartbeat intervals. The
-	// platform regards changes that such a watch misses as notified 6 s after its last message. By then another watch must be
-	// open and have sent a list. The remaining 3 s are for the delays of calls, which are spread over 2 s at most, and for
-	// their responses.
+	// idleTimeoutMs is the time without a message after which a watch fails: one and a half heartbeat intervals. The platform
+	// treats the gateway as having been notified, 6 s after the last message at the latest, of every change that such a watch
+	// misses. By then another watch must be open and have sent a list. The remaining 3 s are for the delays of calls, which
+	// are spread over 2 s at most, and for their responses.
 	idleTimeoutMs = 1.5 * heartbeatIntervalMs
 
-	// confirmationDelayMs after its request an open watch counts as one that discovery serves, even without an update. Before
-	// that discovery may still end it because of too many calls.
+	// confirmationDelayMs is the time after its request from which an open watch is confirmed, even if no update has arrived:
+	// discovery serves it. Before that, discovery may still end it because there are too many calls.
 	confirmationDelayMs = 1.25 * heartbeatIntervalMs
 )
 
-// watchSession is one watch, from its request to its end. It belongs to the goroutine of the watch.
+// watchSession is the state of one watch, from its request to its end. Only the goroutine of the watch uses it.
 type watchSession struct {
 	mode      watchMode
-	onMessage func() // called for each object and heartbeat
+	onMessage func() // called for each object and each heartbeat
 
-	startedMs float64 // when the request was sent
-	responded bool    // a response with status 200 has begun
-	updated   bool    // an update has applied, if only an empty snapshot
+	startedMs float64 // time at which the request was sent
+	responded bool    // whether a response with status 200 has begun
+	updated   bool    // whether an update has applied, which may be an empty snapshot
 	parser    fastjson.Parser
 }
 
-// confirmed reports whether a message that is received at a time shows that no change from before it is missing.
+// confirmed reports whether a message that is received at a time proves that no change made before that time is missing.
 func (s *watchSession) confirmed(atMs float64) bool {
 	return s.updated || atMs-s.startedMs >= confirmationDelayMs
 }
 
-// recordUpdate records that an update of the session has applied. It returns how long the call took if this is the first
-// one, and 0 otherwise.
+// recordUpdate records that an update of the session has applied. It returns the duration of the call in milliseconds if
+// this is the first update, and 0 otherwise.
 func (s *watchSession) recordUpdate(nowMs float64) float64 {
 	if s.updated {
 		return 0
@@ -61,7 +61,7 @@
 	return nowMs - s.startedMs
 }
 
-// endUpdate returns the update that reports the end of the session by an error.
+// endUpdate returns the update that reports that the session has ended with an error.
 func (s *watchSession) endUpdate(nowMs float64, err error) lifecycle.EndpointUpdate {
 	switch {
 	case s.responded && errors.Is(err, errWatchIdle):
@@ -72,7 +72,7 @@
 	return lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed, CompleteAsOfMs: s.startedMs, Failure: callFailure(err)}
 }
 
-// logEnd logs why a call failed, or why the watch that it opened has ended.
+// logEnd logs the error with which a call failed, or with which the watch that it opened has ended.
 func (w *Watcher) logEnd(session *watchSession, err error) {
 	w.mu.Lock()
 	version := w.version
@@ -81,11 +81,11 @@
 		"answered", session.responded, logevent.Version, version)
 }
 
-// idleTimer cancels a watch that is idle for too long. clock and cancel must be set.
+// idleTimer cancels a watch on which no message arrives before a timeout. clock and cancel must be set.
 type idleTimer struct {
 	clock  clock.Clock
 	cancel context.CancelCauseFunc
-	stop   func() // of the running timer; nil: none
+	stop   func() // stops the running timer; nil if none was started
 }
 
 // reset restarts the timer with the given timeout.
@@ -101,8 +101,8 @@
 	}
 }
 
-// watch runs one session until it fails, which every session does in the end. The error is errWatchIdle if the session was
-// idle for too long.
+// watch runs one session until it ends, and returns the reason as an error, which is never nil. The error is errWatchIdle if
+// no message arrived before the timeout.
 func (w *Watcher) watch(ctx context.Context, session *watchSession) error {
 	w.mu.Lock()
 	addr, version := w.addr, w.version
@@ -137,7 +137,7 @@
 	return http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 }
 
-// receive handles the messages of a session until it fails.
+// receive handles the messages of a session until one of them cannot be read or handled.
 func (w *Watcher) receive(ctx context.Context, session *watchSession, body io.Reader, idle *idleTimer) error {
 	idle.reset(idleTimeoutMs)
 	reader := newObjectReader(body)
@@ -159,8 +159,8 @@
 	}
 }
 
-// readError returns why reading the body of a watch has failed. The cause of a canceled context takes precedence over the read
-// error that it leads to.
+// readError returns the reason why the body of a watch could not be read. If the context was canceled, that is its cause,
+// because the read error is only a consequence of the cancellation.
 func (w *Watcher) readError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/discovery/switchaddress_test.go
+++ b/internal/discovery/switchaddress_test.go
@@ -13,15 +13,15 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// watchServer is a discovery service that responds at once and sends the lines of its feed on each watch.
+// watchServer is a discovery service that responds to each watch at once and then sends the lines of its feed on it.
 type watchServer struct {
 	addr    string
 	feed    chan string
-	queries chan string   // of the requests
-	ended   chan struct{} // one value for each watch that was ended
+	queries chan string   // receives the query of each request
+	ended   chan struct{} // receives a value for each watch that the client has ended
 }
 
-// newWatchServer starts a service that ends with the test.
+// newWatchServer starts a service that is closed at the end of the test.
 func newWatchServer(t *testing.T) *watchServer {
 	t.Helper()
 	s := &watchServer{feed: make(chan string), queries: make(chan string, 4), ended: make(chan struct{}, 4)}
@@ -46,24 +46,25 @@
 	}
 }
 
-// TestSwitchAddress checks that the new address is asked for a snapshot, that the old watch is ended and reports nothing
-// more, and that its end is not reported as a failure: the scheduler would open another watch.
+// TestSwitchAddress checks that SwitchAddress ends the old watch, requests a snapshot from the new address, and delivers
+// nothing more from the old one. The end of the old watch must not be reported as a failure, because the scheduler would open
+// another watch.
 func TestSwitchAddress(t *testing.T) {
 	previous, next := newWatchServer(t), newWatchServer(t)
 	updates := make(chan lifecycle.EndpointUpdate, 10)
 	counters := metrics.New()
 	watcher := New(Options{
-		Addr:    previous.addr,
-		Known:   lifecycle.EndpointUpdate{Version: 41},
-		Clock:   clock.NewManual(1e12),
-		Metrics: counters,
-		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+		Addr:            previous.addr,
+		CachedEndpoints: lifecycle.EndpointUpdate{Version: 41},
+		Clock:           clock.NewManual(1e12),
+		Metrics:         counters,
+		Notify:          func(update lifecycle.EndpointUpdate) { updates <- update },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watcher.Open(ctx)
 	if query := <-previous.queries; query != "watch=1&after=41" {
-		t.Errorf("requested %q", query)
+		t.Errorf("query of the first request is %q, want all changes after version 41", query)
 	}
 	previous.feed <- `{"version":43,"servers":[]}`
 	if update := <-updates; update.Version != 43 {
@@ -72,21 +73,21 @@
 	watcher.SwitchAddress(ctx, next.addr)
 	<-previous.ended
 	if query := <-next.queries; query != "watch=1&after=0" {
-		t.Errorf("requested %q at the new address", query)
+		t.Errorf("query at the new address is %q, want a snapshot, after=0", query)
 	}
-	watcher.Open(ctx)                     // a watch is open
-	watcher.SwitchAddress(ctx, next.addr) // the address is the current one
+	watcher.Open(ctx)                     // has no effect, because a watch is open
+	watcher.SwitchAddress(ctx, next.addr) // has no effect, because the address is the current one
 	next.feed <- `{"version":2,"full":true,"servers":[]}`
 	if update := <-updates; update.Version != 2 || update.Kind != scheduler.Snapshot {
 		t.Errorf("%+v", update)
 	}
 	if failed := counters.Get("discovery_watches_failed"); len(updates) != 0 || len(next.queries) != 0 || failed != 0 {
-		t.Errorf("%d more updates, %d more requests, %d watches failed", len(updates), len(next.queries), failed)
+		t.Errorf("%d more updates, %d more requests, %d failed watches, want none of them", len(updates), len(next.queries), failed)
 	}
 }
 
-// TestSwitchAddressWaitsForNotify checks that no update of the old address is delivered after the new list, even one whose
-// delivery has already begun.
+// TestSwitchAddressWaitsForNotify checks that an update of the old address whose delivery has begun before SwitchAddress is
+// delivered before the new list.
 func TestSwitchAddressWaitsForNotify(t *testing.T) {
 	previous, next := newWatchServer(t), newWatchServer(t)
 	notifying, release, versions := make(chan bool), make(chan bool), make(chan uint64, 4)
@@ -113,7 +114,7 @@
 		watcher.SwitchAddress(ctx, next.addr)
 	}()
 	if len(next.queries) != 0 {
-		t.Error("the new watch began before the old one had ended")
+		t.Error("request sent to the new address before the notify function returned for the old one")
 	}
 	close(release)
 	<-switched
@@ -128,16 +129,16 @@
 func TestSwitchAddressWithoutWatch(t *testing.T) {
 	server := newWatchServer(t)
 	watcher := New(Options{
-		Addr:    "127.0.0.1:1",
-		Known:   lifecycle.EndpointUpdate{Version: 5},
-		Clock:   clock.NewManual(1e12),
-		Metrics: metrics.New(),
-		Notify:  func(lifecycle.EndpointUpdate) {},
+		Addr:            "127.0.0.1:1",
+		CachedEndpoints: lifecycle.EndpointUpdate{Version: 5},
+		Clock:           clock.NewManual(1e12),
+		Metrics:         metrics.New(),
+		Notify:          func(lifecycle.EndpointUpdate) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	watcher.SwitchAddress(ctx, server.addr)
 	if query := <-server.queries; query != "watch=1&after=0" {
-		t.Errorf("requested %q", query)
+		t.Errorf("query is %q, want a snapshot, after=0", query)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// connectTimeout bounds a connect by the default dial function.
+	// connectTimeout bounds the time in which the default dial function connects.
 	connectTimeout = 2 * time.Second
 
-	// maxResponseHeaderBytes bounds the header of a response.
+	// maxResponseHeaderBytes bounds the size of the header of a response.
 	maxResponseHeaderBytes = 16 << 10
 )
 
@@ -35,13 +35,13 @@
 // DialFunc connects to an address, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// watchMode says who opens the next watch when one has ended.
+// watchMode determines who opens the next watch after one has ended.
 type watchMode uint8
 
 const (
-	// modeOnDemand leaves it to the scheduler, which calls Open.
+	// modeOnDemand means that the scheduler opens it, by a call of Open.
 	modeOnDemand watchMode = iota
-	// modeContinuous makes the Watcher do so itself.
+	// modeContinuous means that the Watcher opens it without being asked.
 	modeContinuous
 )
 
@@ -61,7 +61,7 @@
 	stateClosed watchState = iota
 	// stateOpen means that a watch is open or being opened.
 	stateOpen
-	// stateSwitching means that SwitchAddress ends the watch, if any, and is going to open the next one.
+	// stateSwitching means that SwitchAddress is ending the open watch, if any, and will then open the next one.
 	stateSwitching
 )
 
@@ -76,8 +76,8 @@
 	return "closed"
 }
 
-// Watcher holds the watch of the endpoint list: at most one at a time. Create one with New. Its methods are safe for
-// concurrent use, except where they say otherwise.
+// Watcher maintains the watch of the endpoint list. It has at most one watch open at a time. Create a Watcher with New. Its
+// methods are safe for concurrent use unless their comments say otherwise.
 type Watcher struct {
 	clock    clock.Clock
 	metrics  *metrics.Registry
@@ -87,32 +87,35 @@
 
 	mu           sync.Mutex
 	addr         string
-	version      uint64 // the last one received from addr; 0: none
+	version      uint64 // latest version received from addr; 0 if there is none
 	tracker      *endpoints.Tracker
 	incarnations incarnation.Tracker
 	mode         watchMode
 	state        watchState
-	cancel       context.CancelFunc // ends the latest watch; nil: there was none
-	done         chan struct{}      // closed when the latest watch has ended and called notify for the last time
+	cancel       context.CancelFunc // ends the latest watch; nil if there has been none
+	done         chan struct{}      // closed after the last notify call of the latest watch; nil if there has been none
 }
 
-// Options are the settings and collaborators of a Watcher. All but Known and Dial are required.
+// Options are the settings and dependencies of a Watcher. All fields but CachedEndpoints and Dial are required.
 type Options struct {
 	// Addr is the host and port of the discovery service, or of this machine's agent.
 	Addr string
-	// Known is the list that was known before the start. The first watch resumes after its version. The zero value stands
-	// for no known list.
-	Known   lifecycle.EndpointUpdate
-	Clock   clock.Clock
-	Metrics *metrics.Registry
-	// Notify is called for each update that applies, with Heartbeat for a heartbeat of a polled list, and when a polled
-	// watch ends other than by SwitchAddress or its context: with WatchFailed if it never provided a list, with WatchIdle if
-	// it responded and then sent nothing, with WatchClosed otherwise. When to open the next one is not decided here.
+	// CachedEndpoints is the endpoint list that was known before the gateway started. The first watch resumes after its
+	// version. The zero value means that no list was known.
+	CachedEndpoints lifecycle.EndpointUpdate
+	Clock           clock.Clock
+	Metrics         *metrics.Registry
+	// Notify is called for each update that applies. If the list is polled, it is also called with scheduler.Heartbeat for a
+	// heartbeat, and with one of these kinds when a watch ends, unless SwitchAddress or its context ended it:
 	//
-	// It is called from the goroutine of the watch, one call at a time. It must not call SwitchAddress or
-	// AwaitPendingUpdates.
+	//   - scheduler.WatchFailed if the watch never provided a list,
+	//   - scheduler.WatchIdle if discovery responded and then stopped sending,
+	//   - scheduler.WatchClosed otherwise.
+	//
+	// The receiver decides when to open the next watch. Notify is called from the goroutine of the watch, one call at a time.
+	// It must not call SwitchAddress or AwaitPendingUpdates.
 	Notify func(lifecycle.EndpointUpdate)
-	// Dial is used for connections. nil stands for a net.Dialer.
+	// Dial opens connections. If it is nil, a net.Dialer is used.
 	Dial DialFunc
 }
 
@@ -128,8 +131,8 @@
 		notify:   options.Notify,
 		received: receiveTracker{clock: options.Clock},
 		addr:     options.Addr,
-		version:  options.Known.Version,
-		tracker:  endpoints.NewTracker(trackerUpdate(options.Known)),
+		version:  options.CachedEndpoints.Version,
+		tracker:  endpoints.NewTracker(trackerUpdate(options.CachedEndpoints)),
 	}
 	w.client = &http.Client{
 		CheckRedirect: refuseRedirect,
@@ -143,11 +146,11 @@
 	return w
 }
 
-// refuseRedirect makes a redirect a failed call: discovery is at the address of the settings and nowhere else.
+// refuseRedirect makes a call that is redirected fail, because the address of discovery is set by the configuration only.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// KeepOpen opens the watch and opens it again whenever it ends, also after SwitchAddress, until ctx is done. It returns at
-// once. It is called at most once, before Open.
+// KeepOpen opens the watch and reopens it whenever it ends, including after SwitchAddress, until ctx is done. It returns at
+// once. It must be called at most once, and before Open.
 func (w *Watcher) KeepOpen(ctx context.Context) {
 	w.mu.Lock()
 	w.mode = modeContinuous
@@ -155,8 +158,8 @@
 	w.Open(ctx)
 }
 
-// Open opens the watch, until ctx is done, unless one is open or being opened. It returns at once; the result is reported
-// to the notify function.
+// Open opens a watch that lasts until ctx is done, unless one is open or being opened. It returns at once; the result is
+// reported to the notify function.
 func (w *Watcher) Open(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,9 +169,9 @@
 }
 
 // SwitchAddress ends the open watch, if any, and opens one at another address. It does nothing if the address is the
-// current one. It waits until the notify function was called for the last time for the old address, so nothing from there
-// is delivered after the new list; it must therefore not be called from the notify function, nor by two goroutines at once.
-// The new watch requests a snapshot, because versions of one address mean nothing at another.
+// current one. It waits for the last call of the notify function for the old address, so that no update of the old address
+// is delivered after the new list. It must therefore not be called from the notify function, nor by two goroutines at once.
+// The new watch requests a snapshot, because version numbers of one address are meaningless at another.
 func (w *Watcher) SwitchAddress(ctx context.Context, addr string) {
 	w.mu.Lock()
 	if w.addr == addr {
@@ -210,7 +213,7 @@
 	}()
 }
 
-// runOnce runs one watch to its end and reports how it ended, unless it was ended on purpose.
+// runOnce runs one watch until it ends, and reports how it ended unless it was canceled.
 func (w *Watcher) runOnce(ctx context.Context) {
 	session := watchSession{mode: modeOnDemand, onMessage: func() {}}
 	err := w.watch(ctx, &session)
@@ -222,8 +225,8 @@
 	w.notify(session.endUpdate(w.clock.NowMs(), err))
 }
 
-// setClosed records that the watch of ctx has ended, and reports whether that was on purpose. While the address is switched,
-// the state stays as it is.
+// setClosed records that the watch of ctx has ended, and reports whether it was canceled. While SwitchAddress is running, the
+// state remains stateSwitching.
 func (w *Watcher) setClosed(ctx context.Context) (canceled bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,11 +14,11 @@
 	"gaugerelay/internal/testbed"
 )
 
-// endResponse ends the response of a lineServer.
+// endResponse is a line that ends the response of a service of newLineServer.
 const endResponse = "end"
 
-// newLineServer returns a discovery service that reports the query of each request and sends the lines that the test
-// feeds. Its response begins with the first line.
+// newLineServer starts a discovery service that puts the query of each request into queries and responds with the lines of
+// feed. A response begins with the first line.
 func newLineServer(t *testing.T) (addr string, feed, queries chan string) {
 	t.Helper()
 	feed, queries = make(chan string), make(chan string, 10)
@@ -36,31 +36,31 @@
 	return strings.TrimPrefix(server.URL, "http://"), feed, queries
 }
 
-// sendLine sends a line of a watch at once.
+// sendLine sends a line on a watch without buffering.
 func sendLine(w http.ResponseWriter, line string) {
 	testbed.TryWrite(w, line+"\n")
 	w.(http.Flusher).Flush()
 }
 
-// TestWatch checks that a watch reports each update, resumes after the last version that it received, reports its end, and
-// is not opened twice.
+// TestWatch checks that a watch reports each update, resumes after the last received version, reports its end, and is not
+// opened twice.
 func TestWatch(t *testing.T) {
 	addr, feed, queries := newLineServer(t)
 	updates := make(chan lifecycle.EndpointUpdate, 10)
 	counters, now := metrics.New(), clock.NewManual(1e12)
 	watcher := New(Options{
-		Addr:    addr,
-		Known:   lifecycle.EndpointUpdate{Version: 41},
-		Clock:   now,
-		Metrics: counters,
-		Notify:  func(update lifecycle.EndpointUpdate) { updates <- update },
+		Addr:            addr,
+		CachedEndpoints: lifecycle.EndpointUpdate{Version: 41},
+		Clock:           now,
+		Metrics:         counters,
+		Notify:          func(update lifecycle.EndpointUpdate) { updates <- update },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	expectUpdate := func(event string, kind scheduler.UpdateKind, version uint64) {
 		t.Helper()
 		if update := <-updates; update.Kind != kind || update.Version != version {
-			t.Errorf("%s: %+v", event, update)
+			t.Errorf("%s: unexpected update %+v", event, update)
 		}
 	}
 	expectRequest := func(want string) {
@@ -94,7 +94,7 @@
 	expectUpdate("idle", scheduler.WatchIdle, 0)
 	feed <- endResponse
 	if len(queries) != 0 {
-		t.Errorf("%d more requests", len(queries))
+		t.Errorf("%d more requests, want none", len(queries))
 	}
 	if failed, invalid := counters.Get("discovery_watches_failed"), counters.Get("discovery_bad_messages"); failed != 4 || invalid != 1 {
 		t.Errorf("%d watches failed, %d invalid messages, want 4 and 1", failed, invalid)
@@ -114,7 +114,7 @@
 	for _, call := range []string{"error status", "connection refused"} {
 		watcher.Open(context.Background())
 		if update := <-updates; update.Kind != scheduler.WatchFailed {
-			t.Errorf("%s: %+v", call, update)
+			t.Errorf("%s: update %+v, want kind WatchFailed", call, update)
 		}
 		server.Close()
 	}
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -51,7 +51,7 @@
 	g.upstream = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
 		ReuseDelayMs: reuseDelayMs, MaxConns: maxUpstreamConns(cfg), LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
 		c, g.Metrics, g.loop)
-	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.KnownEndpoints, Clock: c,
+	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, CachedEndpoints: cfg.KnownEndpoints, Clock: c,
 		Metrics: g.Metrics, Notify: g.loop.UpdateEndpoints, Dial: network.Dial})
 	g.components = newComponents(g, edge, fleet, gatewayName)
 	return g, nil
