--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -13,8 +13,8 @@
 // maxStartedMs bounds the absolute value of a start time, in milliseconds. Entries that exceed it are invalid.
 const maxStartedMs = 1e15
 
-// serverStates maps the states of the wire protocol to those of the scheduler. Note that the protocol's keys id and cell are
-// the name and the shard of a server in this program.
+// serverStates maps the states of the wire protocol to those of the scheduler. The keys id and cell of the protocol are the
+// name and the shard of a server in this program.
 var serverStates = map[string]scheduler.ServerState{
 	"Ready":       scheduler.Ready,
 	"Terminating": scheduler.Draining,
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -12,7 +12,7 @@
 var (
 	// errWatchIdle reports that discovery did not respond within responseTimeoutMs, or sent neither a complete object nor a
 	// heartbeat within idleTimeoutMs.
-	errWatchIdle = errors.New("discovery: no complete message arrived on the watch before its timeout")
+	errWatchIdle = errors.New("discovery: no response or complete message arrived before the timeout")
 	// errUnexpectedStatus reports a response with a status other than 200.
 	errUnexpectedStatus = errors.New("discovery: response status is not 200")
 	// errNotAnObject reports bytes on a watch that are not part of a complete JSON object.
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -29,7 +29,7 @@
 	mu sync.Mutex
 	// readStartedMs is the time at which the latest completed read was started. All of its bytes arrived after that.
 	readStartedMs float64
-	conn          *trackedConn  // connection of the latest watch; nil if it has none
+	conn          *trackedConn  // connection of the latest watch; nil if there is none
 	processing    bool          // whether bytes that were read from conn are being processed
 	processed     chan struct{} // closed when these bytes have been processed; nil if no goroutine waits for it
 }
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -30,8 +30,8 @@
 	// are spread over 2 s at most, and for their responses.
 	idleTimeoutMs = 1.5 * heartbeatIntervalMs
 
-	// confirmationDelayMs is the time after its request from which an open watch is confirmed, even if no update has arrived:
-	// discovery serves it. Before that, discovery may still end it because there are too many calls.
+	// confirmationDelayMs is the time after its request from which an open watch is treated as confirmed even if no update has
+	// arrived. Before that, discovery may still end the watch because there are too many calls.
 	confirmationDelayMs = 1.25 * heartbeatIntervalMs
 )
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -112,7 +112,7 @@
 	//   - scheduler.WatchIdle if discovery responded and then stopped sending,
 	//   - scheduler.WatchClosed otherwise.
 	//
-	// The receiver decides when to open the next watch. Notify is called from the goroutine of the watch, one call at a time.
+	// The callee decides when to open the next watch. Notify is called from the goroutine of the watch, one call at a time.
 	// It must not call SwitchAddress or AwaitPendingUpdates.
 	Notify func(lifecycle.EndpointUpdate)
 	// Dial opens connections. If it is nil, a net.Dialer is used.
@@ -169,9 +169,9 @@
 }
 
 // SwitchAddress ends the open watch, if any, and opens one at another address. It does nothing if the address is the
-// current one. It waits for the last call of the notify function for the old address, so that no update of the old address
-// is delivered after the new list. It must therefore not be called from the notify function, nor by two goroutines at once.
-// The new watch requests a snapshot, because version numbers of one address are meaningless at another.
+// current one. It waits until the last call of the notify function for the old address has returned, so that no update of
+// that address is delivered after the new list. It must therefore not be called from the notify function, nor by two
+// goroutines at once. The new watch requests a snapshot, because version numbers of one address are meaningless at another.
 func (w *Watcher) SwitchAddress(ctx context.Context, addr string) {
 	w.mu.Lock()
 	if w.addr == addr {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -47,11 +47,11 @@
 func TestWatch(t *testing.T) {
 	addr, feed, queries := newLineServer(t)
 	updates := make(chan lifecycle.EndpointUpdate, 10)
-	counters, now := metrics.New(), clock.NewManual(1e12)
+	counters, manualClock := metrics.New(), clock.NewManual(1e12)
 	watcher := New(Options{
 		Addr:            addr,
 		CachedEndpoints: lifecycle.EndpointUpdate{Version: 41},
-		Clock:           now,
+		Clock:           manualClock,
 		Metrics:         counters,
 		Notify:          func(update lifecycle.EndpointUpdate) { updates <- update },
 	})
@@ -84,13 +84,13 @@
 	expectUpdate("invalid message", scheduler.WatchFailed, 0)
 	feed <- endResponse
 	expectRequest("watch=1&after=44")
-	now.Advance(responseTimeoutMs + 1)
+	manualClock.Advance(responseTimeoutMs + 1)
 	expectUpdate("no response in time", scheduler.WatchFailed, 0)
 	feed <- endResponse
 	expectRequest("watch=1&after=44")
 	feed <- `{"version":45,"servers":[]}`
 	expectUpdate("delta", scheduler.Delta, 45)
-	now.Advance(idleTimeoutMs + 1)
+	manualClock.Advance(idleTimeoutMs + 1)
 	expectUpdate("idle", scheduler.WatchIdle, 0)
 	feed <- endResponse
 	if len(queries) != 0 {
--- a/internal/gateway/build.go
+++ b/internal/gateway/build.go
@@ -23,9 +23,9 @@
 const maxNotificationDelayMs = 6000
 
 // New builds a gateway. Before Start only its pause detector runs. The caller must not change the configuration afterwards.
-func New(cfg *config.Config, edge *config.Edge, c clock.Clock, network Network) (*Gateway, error) {
-	g := &Gateway{Clock: c, Metrics: metrics.New(), cfg: cfg, network: network, failures: make(chan error, maxPendingFailures),
-		pauseDetector: clock.StartPauseDetector(c)}
+func New(cfg *config.Config, edge *config.Edge, gatewayClock clock.Clock, network Network) (*Gateway, error) {
+	g := &Gateway{Clock: gatewayClock, Metrics: metrics.New(), cfg: cfg, network: network,
+		failures: make(chan error, maxPendingFailures), pauseDetector: clock.StartPauseDetector(gatewayClock)}
 	var fleet *fleetMember
 	if edge.Fleet != nil {
 		var err error
@@ -50,8 +50,8 @@
 	g.loop = eventloop.New(options)
 	g.upstream = httpclient.New(httpclient.Options{ConnectTimeoutMs: cfg.ConnectTimeoutMs, ConnIdleTimeoutMs: cfg.IdleConnTimeoutMs,
 		ReuseDelayMs: reuseDelayMs, MaxConns: maxUpstreamConns(cfg), LoadReportFields: cfg.Settings.LoadReportFields, Dial: network.Dial},
-		c, g.Metrics, g.loop)
-	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, CachedEndpoints: cfg.KnownEndpoints, Clock: c,
+		gatewayClock, g.Metrics, g.loop)
+	g.watcher = discovery.New(discovery.Options{Addr: cfg.Discovery, CachedEndpoints: cfg.KnownEndpoints, Clock: gatewayClock,
 		Metrics: g.Metrics, Notify: g.loop.UpdateEndpoints, Dial: network.Dial})
 	g.components = newComponents(g, edge, fleet, gatewayName)
 	return g, nil
@@ -77,7 +77,7 @@
 }
 
 // loopOptions returns the options of the event loop, except its deduplicator. The functions in them use parts that New builds
-// after the loop; the loop calls them only once it runs.
+// after the loop. The loop calls them only after it has been started.
 func (g *Gateway) loopOptions(scheduler *scheduler.Scheduler, fleet *fleetMember) eventloop.Options {
 	options := eventloop.Options{Scheduler: scheduler, Clock: g.Clock, Metrics: g.Metrics,
 		Authorizer: lifecycle.NewAuthorizer(lifecycle.AuthorizerOptions{
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// beginShutdown makes requests that arrive from now on get their response by the time that the shutdown leaves them.
+// beginShutdown sets the time by which requests that arrive from now on must have their responses.
 func (f *clientFrontend) beginShutdown(times shutdownTimes) {
 	f.handler.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 }
 
 // drain closes connections as late as possible. Clients that have not been notified of the shutdown keep using their open
-// connections; if these were closed, they could reach no gateway until the next start.
+// connections. If these were closed earlier, the clients could reach no gateway until the next start.
 func (f *clientFrontend) drain(times shutdownTimes) {
 	<-f.after(times.acceptUntilMs)
 	f.listener.Close()
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -24,9 +24,9 @@
 	noopComponent
 	gateway    *Gateway
 	options    *config.Devices
-	coap       *coapserver.Server      // nil if disabled
-	http       *httpserver.Handler     // nil if disabled
-	conns      *httpserver.ConnTracker // tracks the connections of http; nil if that is disabled
+	coap       *coapserver.Server      // serves devices over CoAP; nil if disabled
+	http       *httpserver.Handler     // handles requests of devices over HTTP; nil if disabled
+	conns      *httpserver.ConnTracker // tracks the connections of http; nil if http is nil
 	httpServer *http.Server            // serves http; nil until it is started
 	listeners  []net.Listener
 }
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// beginShutdown makes requests that arrive from now on get their response by the time that the shutdown leaves them.
+// beginShutdown sets the time by which requests that arrive from now on must have their responses.
 func (f *deviceFrontend) beginShutdown(times shutdownTimes) {
 	if f.coap != nil {
 		f.coap.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 	components    []component // in start order
 	failures      chan error  // errors of components that have ended unexpectedly
 
-	longestDeadline, shortestDeadline time.Duration // of all classes
+	longestDeadline, shortestDeadline time.Duration // longest and shortest deadline of all classes
 
 	// ctx is done once Close is called. It is a field because it belongs to the whole life of the gateway, not to one call.
 	// Start sets it.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
 		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
 	goroutines := map[string]int{}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		edge *config.Edge
 		want []string
 	}{
@@ -71,7 +71,7 @@
 				return memory.Listen(addr)
 			}}
 			before := bubbleGoroutines(t)
-			g, err := New(testConfig(), c.edge, clock.NewSystem(), network)
+			g, err := New(testConfig(), test.edge, clock.NewSystem(), network)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -80,10 +80,10 @@
 			}
 			synctest.Wait()
 			goroutines[name] = bubbleGoroutines(t) - before
-			if !slices.Equal(opened, c.want) {
-				t.Errorf("%s: opened %v, want %v", name, opened, c.want)
+			if !slices.Equal(opened, test.want) {
+				t.Errorf("%s: opened %v, want %v", name, opened, test.want)
 			}
-			if got := g.loop.Deduplicator() != nil; got != (c.edge.Devices != nil) {
+			if got := g.loop.Deduplicator() != nil; got != (test.edge.Devices != nil) {
 				t.Errorf("%s: gateway has a deduplicator: %v, want the opposite", name, got)
 			}
 			g.Shutdown()
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -97,8 +97,8 @@
 		}
 		return conn, nil
 	}
-	now := clock.NewManual(1e12)
-	g, addr := startWatching(t, discovery.addr, now, dial)
+	manualClock := clock.NewManual(1e12)
+	g, addr := startWatching(t, discovery.addr, manualClock, dial)
 
 	request := newRequest(t, "GET", addr, "pull", 1500*time.Millisecond)
 	response := make(chan int, 1)
@@ -121,7 +121,7 @@
 		g.loop.Sync()
 	}
 	for len(response) == 0 {
-		now.Advance(5)
+		manualClock.Advance(5)
 		g.loop.Sync()
 	}
 	if status := <-response; status == http.StatusOK || len(serverRequests) != 0 {
@@ -130,7 +130,7 @@
 }
 
 // startWatching starts a gateway that watches a pushed endpoint list. It returns the gateway and its address once it is ready.
-func startWatching(t *testing.T, discovery string, now clock.Clock,
+func startWatching(t *testing.T, discovery string, gatewayClock clock.Clock,
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) (g *Gateway, addr string) {
 	t.Helper()
 	listener := testbed.Listen(t)
@@ -139,7 +139,7 @@
 	cfg.Settings.PollEndpoints = false
 	cfg.KnownEndpoints = lifecycle.EndpointUpdate{Kind: scheduler.CachedSnapshot}
 	listen := func(string) (net.Listener, error) { return listener, nil }
-	g, err := New(cfg, &config.Edge{}, now, Network{Listen: listen, Dial: dial})
+	g, err := New(cfg, &config.Edge{}, gatewayClock, Network{Listen: listen, Dial: dial})
 	if err != nil {
 		t.Fatal(err)
 	}
