--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -12,9 +12,9 @@
 var (
 	// errWatchIdle reports that discovery did not respond within responseTimeoutMs, or sent neither a complete object nor a
 	// heartbeat within idleTimeoutMs.
-	errWatchIdle = errors.New("discovery: no response or complete message arrived before the timeout")
+	errWatchIdle = errors.New("discovery: watch idle past its timeout")
 	// errUnexpectedStatus reports a response with a status other than 200.
-	errUnexpectedStatus = errors.New("discovery: response status is not 200")
+	errUnexpectedStatus = errors.New("discovery: unexpected status")
 	// errNotAnObject reports bytes on a watch that are not part of a complete JSON object.
 	errNotAnObject = errors.New("discovery: watch contains bytes that are not part of a complete JSON object")
 	// errObjectTooLarge reports an object, or whitespace between objects, that is longer than maxObjectBytes.
