--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// broadcast is the state of a member that is still to be gossiped.
+// broadcast is a pending gossip transmission of a member's state.
 type broadcast struct {
 	member        uint16
-	transmissions int
+	transmissions int // number of messages that have carried the state
 }
 
 // enqueueBroadcast schedules the current state of a member for gossip. It replaces an earlier broadcast of that member.
-func (l *Memberlist) enqueueBroadcast(number uint16) {
-	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(b broadcast) bool { return b.member == number })
-	l.broadcasts = append(l.broadcasts, broadcast{member: number})
+func (l *Memberlist) enqueueBroadcast(index uint16) {
+	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(b broadcast) bool { return b.member == index })
+	l.broadcasts = append(l.broadcasts, broadcast{member: index})
 }
 
-// send adds updates to a message and queues it. The updates are the state of this member, that of the receiver unless it
-// is alive, so that it can refute it, and the broadcasts with the fewest transmissions.
+// send adds updates to a message and queues it. The updates are the state of this member, the state of the receiver if it
+// is not alive, which the receiver can then refute, and the broadcasts with the fewest transmissions.
 func (l *Memberlist) send(m Message) {
 	m.Updates = append(m.Updates, l.updateFor(l.settings.Self))
 	if l.members[m.Peer].state != Alive {
@@ -39,8 +39,8 @@
 	l.outgoing = append(l.outgoing, m)
 }
 
-// dropFinishedBroadcasts removes broadcasts that were sent often enough, and that of this member, whose state is part of
-// every message.
+// dropFinishedBroadcasts removes broadcasts that were sent often enough. It also removes the broadcast of this member,
+// because every message carries the state of its sender.
 func (l *Memberlist) dropFinishedBroadcasts() {
 	limit := int(math.Ceil(l.settings.RetransmitFactor * math.Log10(float64(len(l.members)+1))))
 	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(b broadcast) bool {
@@ -49,9 +49,9 @@
 }
 
 // updateFor returns an update with the current state of a member. For a suspect it names a random member that suspects it.
-func (l *Memberlist) updateFor(number uint16) Update {
-	m := &l.members[number]
-	u := Update{Member: number, State: m.state, Incarnation: m.incarnation, ProcessIncarnation: m.processIncarnation}
+func (l *Memberlist) updateFor(index uint16) Update {
+	m := &l.members[index]
+	u := Update{Member: index, State: m.state, Incarnation: m.incarnation, ProcessIncarnation: m.processIncarnation}
 	if m.state == Suspect && len(m.suspectedBy) > 0 {
 		u.SuspectedBy = m.suspectedBy[l.random.IntN(len(m.suspectedBy))]
 	}
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -19,21 +19,21 @@
 type Memberlist struct {
 	settings Settings
 	random   *rand.Rand
-	members  []member // by member number
+	members  []member // by member index
 	leaving  bool
 
 	started     bool
 	lastStepMs  float64
 	nextProbeMs float64
 	probeCount  int
-	probeOrder  []uint16 // members still to probe in this round, the next one last
+	probeOrder  []uint16 // members still to be probed in this round; the last element is probed next
 	probe       probe
 	relays      []relay
 	lastSeq     uint32
 	healthScore int // 0 is healthy; see Settings.MaxHealthScore
 
 	broadcasts []broadcast // at most one for each member
-	outgoing   []Message   // of the current step
+	outgoing   []Message   // messages to send in the current step
 	changes    []StateChange
 }
 
@@ -52,10 +52,10 @@
 	return l, nil
 }
 
-// State returns the state of the member with the given number, which must be less than Settings.MemberCount.
-func (l *Memberlist) State(number uint16) State { return l.members[number].state }
+// State returns the state of the member with the given index, which must be less than Settings.MemberCount.
+func (l *Memberlist) State(index uint16) State { return l.members[index].state }
 
-// AliveMembers returns the numbers of the other members that are alive or suspect, in ascending order.
+// AliveMembers returns the indexes of the other members that are alive or suspect, in ascending order.
 func (l *Memberlist) AliveMembers() (alive []uint16) {
 	for i, m := range l.members {
 		if uint16(i) != l.settings.Self && m.state <= Suspect {
@@ -65,7 +65,7 @@
 	return alive
 }
 
-// NextStepMs returns the time by which Step must be called again. A time in the past means at once.
+// NextStepMs returns the time by which Step must be called again. If that time has passed, Step must be called immediately.
 func (l *Memberlist) NextStepMs() float64 {
 	next := l.nextProbeMs
 	if l.leaving {
@@ -86,7 +86,7 @@
 }
 
 // Step processes the messages that were received until nowMs and all timers that have expired. It returns the messages
-// to send and the state changes that result. nowMs must not decrease from call to call.
+// to send and the resulting state changes. nowMs must not decrease from call to call.
 func (l *Memberlist) Step(nowMs float64, received []Message) (outgoing []Message, changes []StateChange) {
 	l.outgoing, l.changes = nil, nil
 	switch {
@@ -104,8 +104,8 @@
 	return l.outgoing, l.changes
 }
 
-// resumeAfterPause handles a pause of this process. Since nothing was received meanwhile, silence is no evidence against
-// other members: suspicion timeouts are extended by the pause and pending probes are dropped.
+// resumeAfterPause handles a pause of this process. The process received nothing during the pause, so a missing message does
+// not show that another member has failed. It therefore extends suspicion timeouts by the pause and drops pending probes.
 func (l *Memberlist) resumeAfterPause(nowMs, pauseMs float64) {
 	for i := range l.members {
 		l.members[i].suspectedAtMs += pauseMs
@@ -116,8 +116,8 @@
 	l.raiseHealthScore(1)
 }
 
-// Leave announces with the next messages that this member shuts down. From then on it neither probes nor declares other
-// members dead.
+// Leave announces with the next messages that this member shuts down. The member then stops probing other members and
+// declaring them dead.
 func (l *Memberlist) Leave() {
 	l.leaving = true
 	l.members[l.settings.Self].state = Left
@@ -141,7 +141,7 @@
 	l.startProbe(nowMs)
 }
 
-// scaled returns a probe time multiplied according to the health score.
+// scaled returns a probe period or timeout, lengthened according to the health score.
 func (l *Memberlist) scaled(ms float64) float64 { return ms * float64(1+l.healthScore) }
 
 func (l *Memberlist) raiseHealthScore(by int) {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -11,7 +11,7 @@
 	Alive State = iota
 	Suspect
 	Dead
-	Left // announced its own shutdown
+	Left // the member has announced its own shutdown
 )
 
 // String returns the lower-case name of the state.
@@ -30,7 +30,7 @@
 	}
 }
 
-// Update is a gossiped statement about a member.
+// Update is the state of a member, as sent by gossip.
 type Update struct {
 	Member      uint16
 	State       State
@@ -81,12 +81,12 @@
 	Updates []Update
 }
 
-// StateChange reports that the state or the process of a member has changed.
+// StateChange reports that a member has another state, or is another process than before.
 type StateChange struct {
 	Member             uint16
 	State              State
 	ProcessIncarnation uint32
-	// IdentityConflict reports that another process uses the number of this member. Member is then this member and
-	// ProcessIncarnation the other process.
+	// IdentityConflict reports that another process uses the index of this member. Member is then this member, and
+	// ProcessIncarnation identifies the other process.
 	IdentityConflict bool
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// maxRelays bounds the pings that this member sends on behalf of others at the same time.
+// maxRelays bounds the unanswered pings that this member has sent on behalf of others.
 const maxRelays = 64
 
-// probePhase is how far a probe has come.
+// probePhase is the progress of a probe.
 type probePhase uint8
 
 const (
-	probeFinished probePhase = iota // acknowledged, ended with its period, or there was none yet
-	probeDirect                     // the target was pinged
-	probeIndirect                   // other members were asked to ping the target
+	probeFinished probePhase = iota // acknowledged, timed out at the end of its period, or not started yet
+	probeDirect                     // the target has been pinged
+	probeIndirect                   // other members have been asked to ping the target
 )
 
 // String returns the lower-case name of the phase.
@@ -31,19 +31,19 @@
 	}
 }
 
-// probe is the latest probe of this member.
+// probe is the latest probe that this member has started.
 type probe struct {
 	phase         probePhase
 	target        uint16
 	seq           uint32
 	startMs       float64
-	expectedNacks int // of the members that were asked to ping the target
+	expectedNacks int // number of members that were asked to ping the target and have not sent a Nack
 }
 
-// pending reports whether an acknowledgement would still end the probe.
+// pending reports whether the probe still waits for an acknowledgement.
 func (p *probe) pending() bool { return p.phase != probeFinished }
 
-// relay is a ping on behalf of another member.
+// relay is a ping that this member sends on behalf of another member.
 type relay struct {
 	requester    uint16
 	target       uint16
@@ -52,7 +52,7 @@
 	deadlineMs   float64
 }
 
-// indirectProbeAtMs returns when other members are to be asked to ping the target of the pending probe.
+// indirectProbeAtMs returns the time at which other members are asked to ping the target of the pending probe.
 func (l *Memberlist) indirectProbeAtMs() float64 {
 	return l.probe.startMs + l.scaled(l.settings.ProbeTimeoutMs)
 }
@@ -64,22 +64,22 @@
 		return
 	}
 	p.phase = probeIndirect
-	for _, peer := range l.drawRelays(p.target) {
+	for _, peer := range l.selectRelays(p.target) {
 		p.expectedNacks++
 		l.send(Message{Kind: PingRequest, Peer: peer, Seq: p.seq, Target: p.target})
 	}
 }
 
-// drawRelays returns up to IndirectProbes random members that are alive, without the target.
-func (l *Memberlist) drawRelays(target uint16) []uint16 {
-	relays := slices.DeleteFunc(l.AliveMembers(), func(number uint16) bool {
-		return number == target || l.members[number].state != Alive
+// selectRelays returns up to IndirectProbes random members that are alive and not the target.
+func (l *Memberlist) selectRelays(target uint16) []uint16 {
+	relays := slices.DeleteFunc(l.AliveMembers(), func(index uint16) bool {
+		return index == target || l.members[index].state != Alive
 	})
 	l.shuffle(relays)
 	return relays[:min(l.settings.IndirectProbes, len(relays))]
 }
 
-// finishProbe suspects the target of a probe that is still pending at the end of its period.
+// finishProbe ends the probe at the end of its period. If the probe is still pending, its target becomes suspect.
 func (l *Memberlist) finishProbe(nowMs float64) {
 	p := &l.probe
 	if !p.pending() {
@@ -92,11 +92,11 @@
 		Incarnation: l.members[p.target].incarnation,
 		SuspectedBy: l.settings.Self,
 	})
-	// A healthy relay sends a Nack. A missing Nack is evidence against the links of this member.
+	// A relay sends a Nack if the target does not acknowledge. A missing Nack suggests that the links of this member fail.
 	l.raiseHealthScore(p.expectedNacks)
 }
 
-// startProbe pings the next member, if there is one.
+// startProbe pings the next member to probe, if there is one.
 func (l *Memberlist) startProbe(nowMs float64) {
 	target, ok := l.nextProbeTarget()
 	if !ok {
@@ -106,8 +106,8 @@
 	l.send(Message{Kind: Ping, Peer: target, Seq: l.probe.seq, Target: target})
 }
 
-// nextProbeTarget returns the next member of the current round or, for every DeadProbeEvery-th probe, a random member that
-// is dead or has left. It returns false if there is no member to probe.
+// nextProbeTarget returns the next member of the current round. For every DeadProbeEvery-th probe it returns a random member
+// that is dead or has left, if there is one. It returns false if there is no member to probe.
 func (l *Memberlist) nextProbeTarget() (uint16, bool) {
 	l.probeCount++
 	if l.probeCount%l.settings.DeadProbeEvery == 0 {
@@ -126,14 +126,15 @@
 	return 0, false
 }
 
-// popProbeOrder removes members from the current round until it finds one that is alive or suspect.
+// popProbeOrder removes members from the current round until it finds one that is alive or suspect, and returns that one.
+// It returns false if there is none.
 func (l *Memberlist) popProbeOrder() (uint16, bool) {
 	for len(l.probeOrder) > 0 {
 		last := len(l.probeOrder) - 1
-		number := l.probeOrder[last]
+		index := l.probeOrder[last]
 		l.probeOrder = l.probeOrder[:last]
-		if l.members[number].state <= Suspect {
-			return number, true
+		if l.members[index].state <= Suspect {
+			return index, true
 		}
 	}
 	return 0, false
@@ -149,11 +150,11 @@
 	return dead
 }
 
-func (l *Memberlist) shuffle(numbers []uint16) {
-	l.random.Shuffle(len(numbers), func(i, j int) { numbers[i], numbers[j] = numbers[j], numbers[i] })
+func (l *Memberlist) shuffle(indexes []uint16) {
+	l.random.Shuffle(len(indexes), func(i, j int) { indexes[i], indexes[j] = indexes[j], indexes[i] })
 }
 
-// startRelay pings the target of a PingRequest. Requests beyond maxRelays are dropped.
+// startRelay pings the target of a PingRequest. It drops the request if there are already maxRelays relays.
 func (l *Memberlist) startRelay(nowMs float64, request Message) {
 	if request.Target == l.settings.Self || len(l.relays) >= maxRelays {
 		return
@@ -174,7 +175,7 @@
 	l.finishRelays(Nack, func(r relay) bool { return nowMs >= r.deadlineMs })
 }
 
-// finishRelays removes the selected relays and answers their requesters.
+// finishRelays removes the selected relays and sends an answer to each of their requesters.
 func (l *Memberlist) finishRelays(answer MessageKind, selected func(relay) bool) {
 	l.relays = slices.DeleteFunc(l.relays, func(r relay) bool {
 		if !selected(r) {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// selfAndReceiver is the number of updates that a sender may add to MaxUpdatesPerMessage: its own state and that of the
-// receiver.
-const selfAndReceiver = 2
+// mandatoryUpdates is the number of updates that a sender adds regardless of MaxUpdatesPerMessage: its own state and the
+// state of the receiver.
+const mandatoryUpdates = 2
 
 // receive processes one message. Messages from or about unknown members are dropped.
 func (l *Memberlist) receive(nowMs float64, m Message) {
 	if int(m.Peer) >= len(l.members) || m.Peer == l.settings.Self || int(m.Target) >= len(l.members) {
 		return
 	}
-	for _, u := range m.Updates[:min(len(m.Updates), l.settings.MaxUpdatesPerMessage+selfAndReceiver)] {
+	for _, u := range m.Updates[:min(len(m.Updates), l.settings.MaxUpdatesPerMessage+mandatoryUpdates)] {
 		l.applyUpdate(nowMs, u)
 	}
 	switch m.Kind {
@@ -45,8 +45,8 @@
 	}
 }
 
-// applyUpdate merges an update into the view of this member. An update for an unknown member or with an unknown state is
-// dropped.
+// applyUpdate merges an update into the view of this member. It drops an update that is about an unknown member or has an
+// unknown state.
 func (l *Memberlist) applyUpdate(nowMs float64, u Update) {
 	if int(u.Member) >= len(l.members) || u.State > Left {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// confirmSuspicion records a further member that suspects a suspect.
+// confirmSuspicion records that a further member suspects a suspect.
 func (l *Memberlist) confirmSuspicion(suspect *member, u Update) {
 	if len(suspect.suspectedBy) > l.settings.ExpectedConfirmations || slices.Contains(suspect.suspectedBy, u.SuspectedBy) {
 		return
@@ -80,7 +80,7 @@
 	if outdated || u.State == self.state && u.Incarnation == self.incarnation && u.State != Alive {
 		return
 	}
-	if u.State == Alive { // another process uses the number of this member, or an earlier process did
+	if u.State == Alive { // another process uses the index of this member, or an earlier process used it
 		l.changes = append(l.changes, StateChange{
 			Member:             l.settings.Self,
 			State:              Alive,
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -15,12 +15,12 @@
 	return list
 }
 
-// supersedes reports whether the first pair of incarnation and state is greater than the second one.
+// supersedes reports whether an update with the first incarnation and state wins over one with the other two.
 func supersedes(incarnation uint64, state State, otherIncarnation uint64, otherState State) bool {
 	return cmp.Or(cmp.Compare(incarnation, otherIncarnation), cmp.Compare(state, otherState)) > 0
 }
 
-// randomUpdates returns updates about members 1 to 3 and the greatest one for each of them.
+// randomUpdates returns updates about members 1 to 3, and the greatest update about each of them.
 func randomUpdates(random *rand.Rand) (updates []Update, greatest map[uint16]Update) {
 	greatest = map[uint16]Update{}
 	for range 30 {
@@ -38,8 +38,8 @@
 	return updates, greatest
 }
 
-// TestUpdateOrderAndDuplicatesDoNotMatter checks that the final state of a member is the greatest update, independent
-// of the order of updates and of duplicates.
+// TestUpdateOrderAndDuplicatesDoNotMatter checks that the final state of a member is that of the greatest update, whatever
+// the order of the updates and however often they are repeated.
 func TestUpdateOrderAndDuplicatesDoNotMatter(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -53,20 +53,20 @@
 					list.Step(0, []Message{{Kind: Nack, Peer: 2, Updates: []Update{u}}})
 				}
 			}
-			for number, want := range greatest {
-				got := list.members[number]
+			for index, want := range greatest {
+				got := list.members[index]
 				same := got.incarnation == want.Incarnation && got.state == want.State
 				if !same && (want.Incarnation > 0 || want.State > Alive) {
-					t.Fatalf("seed %d: member %d is %v with incarnation %d, greatest update %+v",
-						seed, number, got.state, got.incarnation, want)
+					t.Fatalf("seed %d: member %d is %v with incarnation %d, want the state of the greatest update %+v",
+						seed, index, got.state, got.incarnation, want)
 				}
 			}
 		}
 	}
 }
 
-// TestRefutesUpdatesAboutItself checks that a member refutes a false update about itself with a greater incarnation,
-// and reports another process with its number.
+// TestRefutesUpdatesAboutItself checks that a member refutes a false update about itself with a greater incarnation, and
+// that it reports another process with its index.
 func TestRefutesUpdatesAboutItself(t *testing.T) {
 	list := newMemberlist(t, 3, 1)
 	list.Step(0, nil)
@@ -74,12 +74,12 @@
 		Updates: []Update{{Member: 0, State: Dead, Incarnation: 7}}}})
 	refutation := Update{Member: 0, State: Alive, Incarnation: 8, ProcessIncarnation: 9}
 	if len(outgoing) != 1 || outgoing[0].Kind != Ack || outgoing[0].Updates[0] != refutation {
-		t.Errorf("answered %+v", outgoing)
+		t.Errorf("ping with a false update about the receiver answered with %+v, want one Ack with the refutation first", outgoing)
 	}
 	_, changes := list.Step(2, []Message{{Kind: Nack, Peer: 1,
 		Updates: []Update{{Member: 0, State: Alive, Incarnation: 8, ProcessIncarnation: 77}}}})
 	if len(changes) != 1 || !changes[0].IdentityConflict || changes[0].ProcessIncarnation != 77 {
-		t.Errorf("changes %+v after an update by another process with this number", changes)
+		t.Errorf("state changes %+v after an update from another process with this index, want one identity conflict", changes)
 	}
 }
 
@@ -92,36 +92,40 @@
 		list := newMemberlist(t, 5, 1)
 		nowMs := 0.0
 		for len(input) >= 8 {
-			x := input[:8]
+			record := input[:8]
 			input = input[8:]
-			nowMs += float64(x[7]) * 10
-			outgoing, changes := list.Step(nowMs, []Message{fuzzMessage(x)})
+			nowMs += float64(record[7]) * 10
+			outgoing, changes := list.Step(nowMs, []Message{fuzzMessage(record)})
 			for _, m := range outgoing {
 				if int(m.Peer) >= 5 || m.Peer == 0 || len(m.Updates) > list.settings.MaxUpdatesPerMessage || m.Updates[0].Member != 0 {
-					t.Fatalf("sends %+v", m)
+					t.Fatalf("sent %+v, want a message to an existing peer with a bounded number of updates, its own first", m)
 				}
 			}
 			for _, c := range changes {
 				if int(c.Member) >= 5 || c.Member == 0 && !c.IdentityConflict {
-					t.Fatalf("reports %+v", c)
+					t.Fatalf("reported state change %+v, want an existing other member or an identity conflict", c)
 				}
 			}
 			if len(list.broadcasts) > 5 || len(list.relays) > maxRelays || list.healthScore > list.settings.MaxHealthScore {
-				t.Fatalf("%d broadcasts, %d relays, health score %d", len(list.broadcasts), len(list.relays), list.healthScore)
+				t.Fatalf("state exceeds its bounds: %d broadcasts, %d relays, health score %d",
+					len(list.broadcasts), len(list.relays), list.healthScore)
 			}
 		}
 	})
 }
 
-// fuzzMessage returns a message with one update that is made of eight bytes.
-func fuzzMessage(x []byte) Message {
+// fuzzMessage returns a message with one update, made from the first seven bytes of a record.
+func fuzzMessage(record []byte) Message {
 	return Message{
-		Kind:   MessageKind(x[0]),
-		Peer:   uint16(x[1]),
-		Seq:    uint32(x[2]),
-		Target: uint16(x[3]),
+		Kind:   MessageKind(record[0]),
+		Peer:   uint16(record[1]),
+		Seq:    uint32(record[2]),
+		Target: uint16(record[3]),
 		Updates: []Update{
-			{Member: uint16(x[4]), State: State(x[5]), Incarnation: uint64(x[6]), SuspectedBy: uint16(x[1])},
+			{
+				Member: uint16(record[4]), State: State(record[5]), Incarnation: uint64(record[6]),
+				SuspectedBy: uint16(record[1]),
+			},
 		},
 	}
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -9,31 +9,31 @@
 // ErrInvalidSettings is wrapped by the errors of New.
 var ErrInvalidSettings = errors.New("membership: invalid settings")
 
-// maxMembers is the number of members that a 16-bit number can tell apart.
+// maxMembers is the number of members that a 16-bit index can distinguish.
 const maxMembers = 1 << 16
 
 // Settings configure a Memberlist.
 type Settings struct {
-	// Self is the number of this member, from 0 to MemberCount-1.
+	// Self is the index of this member, from 0 to MemberCount-1.
 	Self        uint16
 	MemberCount int
-	// ProcessIncarnation distinguishes this process from other processes that run, or ran, under the same number.
+	// ProcessIncarnation distinguishes this process from other processes that run, or ran, with the same index.
 	ProcessIncarnation uint32
 	// Seed initializes the random number generator.
 	Seed uint64
 
 	// ProbePeriodMs is the time between two probes.
 	ProbePeriodMs float64
-	// ProbeTimeoutMs is the time after which an unanswered probe is repeated through other members. It is at most half
-	// of ProbePeriodMs.
+	// ProbeTimeoutMs is the time after which other members are asked to repeat an unanswered probe. It is at most half of
+	// ProbePeriodMs.
 	ProbeTimeoutMs float64
 	// IndirectProbes is the number of members that are asked to repeat an unanswered probe.
 	IndirectProbes int
 
-	// MinSuspicionPeriods is the shortest suspicion timeout in probe periods. It is multiplied by the decimal logarithm of
-	// MemberCount, where that exceeds 1.
+	// MinSuspicionPeriods is the shortest suspicion timeout in probe periods for up to 10 members. For larger fleets it is
+	// multiplied by the decimal logarithm of MemberCount.
 	MinSuspicionPeriods float64
-	// MaxSuspicionFactor is the ratio of the longest suspicion timeout, without any confirmation, to the shortest one.
+	// MaxSuspicionFactor is the longest suspicion timeout, which applies without confirmations, as a multiple of the shortest.
 	MaxSuspicionFactor float64
 	// ExpectedConfirmations is the number of further members that must confirm a suspicion to reach the shortest timeout.
 	ExpectedConfirmations int
@@ -42,14 +42,14 @@
 
 	// MaxUpdatesPerMessage bounds the updates that one message carries.
 	MaxUpdatesPerMessage int
-	// RetransmitFactor determines how often each update is sent: this factor times the decimal logarithm of MemberCount+1.
+	// RetransmitFactor times the decimal logarithm of MemberCount+1 is the number of times that each update is sent, rounded up.
 	RetransmitFactor float64
-	// DeadProbeEvery makes every nth probe go to a dead member, so that the parts of a partitioned fleet find each other
-	// again.
+	// DeadProbeEvery is the interval, in probes, at which a dead member is probed, so that the parts of a partitioned fleet
+	// find each other again.
 	DeadProbeEvery int
 }
 
-// DefaultSettings returns settings for a fleet on one site.
+// DefaultSettings returns settings for a fleet at one site.
 func DefaultSettings(self uint16, memberCount int, processIncarnation uint32, seed uint64) Settings {
 	return Settings{
 		Self:                  self,
@@ -72,16 +72,17 @@
 // validate returns an error that wraps ErrInvalidSettings if the settings cannot be used.
 func (s Settings) validate() error {
 	if s.MemberCount < 1 || s.MemberCount > maxMembers || int(s.Self) >= s.MemberCount {
-		return fmt.Errorf("%w: number %d of %d members", ErrInvalidSettings, s.Self, s.MemberCount)
+		return fmt.Errorf("%w: member index is %d of %d members, want an index below the member count, at most 65536 members",
+			ErrInvalidSettings, s.Self, s.MemberCount)
 	}
 	if !s.probesInRange() || !s.suspicionInRange() || !s.gossipInRange() {
-		return fmt.Errorf("%w: probe period of %v ms with a timeout of %v ms, or other settings out of range",
+		return fmt.Errorf("%w: probe period of %v ms is not at least twice the timeout of %v ms, or another setting is out of range",
 			ErrInvalidSettings, s.ProbePeriodMs, s.ProbeTimeoutMs)
 	}
 	return nil
 }
 
-// The comparisons below are written so that NaN is out of range.
+// The comparisons in the following methods are written so that NaN is out of range.
 
 func (s Settings) probesInRange() bool {
 	return s.ProbePeriodMs > 0 && s.ProbeTimeoutMs > 0 && s.ProbeTimeoutMs <= s.ProbePeriodMs/2 &&
@@ -96,15 +97,15 @@
 	return s.MaxUpdatesPerMessage >= 1 && s.RetransmitFactor > 0
 }
 
-// SuspicionBoundsMs returns the suspicion timeout with all expected confirmations and the one without any.
+// SuspicionBoundsMs returns the shortest suspicion timeout, with all expected confirmations, and the longest, without any.
 func (s Settings) SuspicionBoundsMs() (shortest, longest float64) {
 	shortest = s.MinSuspicionPeriods * max(1, math.Log10(float64(s.MemberCount))) * s.ProbePeriodMs
 	return shortest, s.MaxSuspicionFactor * shortest
 }
 
-// DetectionBoundMs bounds the time from the death of a member until another member with working links declares it dead.
-// It covers the round in which the dead member has just been probed, the following round, both with every DeadProbeEvery-th
-// probe going to a dead member, and the longest suspicion timeout.
+// DetectionBoundMs returns the longest time from the death of a member until another member with working links declares it
+// dead. It covers the round in which the member was probed just before it died, the following round and the longest
+// suspicion timeout. In both rounds every DeadProbeEvery-th probe goes to a dead member.
 func (s Settings) DetectionBoundMs() float64 {
 	_, longest := s.SuspicionBoundsMs()
 	probes := 2 * float64(s.MemberCount-1) * float64(s.DeadProbeEvery+1) / float64(s.DeadProbeEvery)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -2,11 +2,13 @@
 
 import "math"
 
-// maxDirectPings is the number of times that a suspect is pinged directly: after a half, three quarters and so on of its
-// suspicion timeout. With message loss the gossiped refutation of a suspect always misses some member.
+// maxDirectPings is the number of times that a suspect is pinged directly: after 1/2, 3/4, 7/8 and 15/16 of its suspicion
+// timeout. With message loss, the gossiped refutation of a suspect always misses some member; a direct ping lets the
+// suspect refute the suspicion to that member itself.
 const maxDirectPings = 4
 
-// suspicionTimeoutMs returns how long a suspect has to refute its suspicion, given the members that confirm it.
+// suspicionTimeoutMs returns the time that a suspect has to refute the suspicion. The more members suspect it, the shorter
+// the time.
 func (l *Memberlist) suspicionTimeoutMs(suspect *member) float64 {
 	shortest, longest := l.settings.SuspicionBoundsMs()
 	if l.settings.ExpectedConfirmations == 0 {
@@ -16,7 +18,7 @@
 	return max(shortest, longest-(longest-shortest)*confirmed)
 }
 
-// suspectActionAtMs returns when a suspect is to be pinged directly again or, after the last ping, declared dead.
+// suspectActionAtMs returns the time at which a suspect is pinged directly again or, after the last ping, declared dead.
 func (l *Memberlist) suspectActionAtMs(suspect *member) float64 {
 	timeoutMs := l.suspicionTimeoutMs(suspect)
 	if suspect.directPings < maxDirectPings {
@@ -28,14 +30,14 @@
 // checkSuspects pings suspects directly and declares those dead whose suspicion timeout has expired.
 func (l *Memberlist) checkSuspects(nowMs float64) {
 	for i := range l.members {
-		number, m := uint16(i), &l.members[i]
+		index, m := uint16(i), &l.members[i]
 		for m.state == Suspect && nowMs >= l.suspectActionAtMs(m) && !l.leaving {
 			if m.directPings >= maxDirectPings {
-				l.setState(nowMs, Update{Member: number, State: Dead, Incarnation: m.incarnation})
+				l.setState(nowMs, Update{Member: index, State: Dead, Incarnation: m.incarnation})
 				break
 			}
 			m.directPings++
-			l.send(Message{Kind: Ping, Peer: number, Seq: l.nextSeq(), Target: number})
+			l.send(Message{Kind: Ping, Peer: index, Seq: l.nextSeq(), Target: index})
 		}
 	}
 }
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestConfirmationsShortenSuspicion checks that confirmations by further members shorten a suspicion, and each member
-// counts once.
+// TestConfirmationsShortenSuspicion checks that confirmations by further members shorten the suspicion timeout, and that
+// each member counts once.
 func TestConfirmationsShortenSuspicion(t *testing.T) {
 	settings := DefaultSettings(0, 10, 9, 1)
 	shortest, longest := settings.SuspicionBoundsMs()
@@ -16,11 +16,12 @@
 		}
 		got := list.suspicionTimeoutMs(&list.members[5])
 		if i <= uint16(settings.ExpectedConfirmations) && got >= previous || got < shortest {
-			t.Errorf("suspected by %d: %v ms, before %v, shortest %v", i+1, got, previous, shortest)
+			t.Errorf("suspicion timeout with %d suspecting members is %v ms, want less than the previous %v ms and at least %v ms",
+				i+1, got, previous, shortest)
 		}
 		previous = got
 	}
 	if previous != shortest {
-		t.Errorf("finally %v ms, shortest %v", previous, shortest)
+		t.Errorf("suspicion timeout with all confirmations is %v ms, want %v ms", previous, shortest)
 	}
 }
