--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// minPercentChange is by how many percentage points an observation has to change to be reported before the interval ends.
+// minPercentChange is the change of an observation, in percentage points, that is reported before the report interval ends.
 const minPercentChange = 20
 
-// Detector is what one gateway knows of the condition of servers. It is not safe for concurrent use.
+// Detector holds what one gateway knows about the condition of servers. It is not safe for concurrent use.
 type Detector struct {
 	settings      Settings
 	servers       map[uint64]*server
-	order         []uint64 // keys of servers as listed
+	order         []uint64 // keys of servers, in the order of SetServers
 	aliveGateways int
-	lastVersion   uint64 // of this gateway's reports; 0 before the first one
+	lastVersion   uint64 // version of this gateway's latest report, or 0 before the first one
 	ejections     []Ejection
 }
 
@@ -27,8 +27,9 @@
 	return &Detector{settings: settings, servers: map[uint64]*server{}, aliveGateways: 1}, nil
 }
 
-// SetServers replaces the list of servers by this gateway's endpoint list. None of them is withdrawn until MarkWithdrawn
-// says so. The detector forgets servers that are not listed and ignores reports of them.
+// SetServers replaces the list of servers by the first MaxServers of ids, which come from this gateway's endpoint list. It
+// undoes earlier calls of MarkWithdrawn. The detector removes the state of servers that are not listed, and ignores reports
+// about them.
 func (d *Detector) SetServers(ids []uint64) {
 	d.order = nil
 	listed := map[uint64]*server{}
@@ -47,8 +48,8 @@
 	d.servers = listed
 }
 
-// SetAliveGateways sets how many gateways are alive, this one included.
-func (d *Detector) SetAliveGateways(n int) { d.aliveGateways = n }
+// SetAliveGateways sets the number of gateways that are alive, including this one.
+func (d *Detector) SetAliveGateways(count int) { d.aliveGateways = count }
 
 // RecordAttempt records the end of an attempt at a server.
 func (d *Detector) RecordAttempt(nowMs float64, id uint64, failed bool) {
@@ -60,20 +61,20 @@
 	s.recordAttempt(failed, d.settings.MaxAttemptWeight)
 }
 
-// MarkWithdrawn records that a server drains or was removed, by this gateway's endpoint list.
+// MarkWithdrawn records that, according to this gateway's endpoint list, a server drains or was removed.
 func (d *Detector) MarkWithdrawn(id uint64) {
 	if s := d.servers[id]; s != nil {
 		s.withdrawn = true
 	}
 }
 
-// Quorum returns how many gateways have to report the same condition now.
+// Quorum returns the number of gateways that must currently report the same condition of a server to eject it.
 func (d *Detector) Quorum() int {
 	return max(d.settings.MinQuorum, int(math.Ceil(d.settings.QuorumFraction*float64(d.aliveGateways))))
 }
 
-// Step applies the reports of peers and returns the reports to send to all peers and the servers that are ejected now.
-// nowMs must not decrease from call to call.
+// Step applies the reports of peers. It returns the reports to send to all peers and the servers that are ejected now. nowMs
+// must not decrease from call to call.
 func (d *Detector) Step(nowMs float64, received []Report) (outgoing []Report, ejections []Ejection) {
 	for _, report := range received {
 		d.receive(nowMs, report)
@@ -108,7 +109,7 @@
 		version: report.Version, observedAtMs: nowMs - report.AgeMs}, &d.settings)
 }
 
-// isReportDue reports whether an observation differs enough from the last report, or that report has to be repeated.
+// isReportDue reports whether an observation differs enough from the last report, or the last report must be repeated.
 func (d *Detector) isReportDue(nowMs float64, last storedReport, percent uint8) bool {
 	if last.percent != percent {
 		if percent == 0 || last.percent == 0 || absDiff(last.percent, percent) >= minPercentChange {
@@ -120,10 +121,10 @@
 
 func absDiff(a, b uint8) uint8 { return max(a, b) - min(a, b) }
 
-// newReport returns the next report of this gateway on a condition, and remembers it.
+// newReport returns the next report of this gateway about a condition, and stores it.
 func (d *Detector) newReport(nowMs float64, s *server, condition Condition, percent uint8) Report {
 	if d.lastVersion == 0 {
-		// Versions of an earlier incarnation are smaller, unless the clock was set back.
+		// Versions start at the current time, so that those of an earlier incarnation are smaller unless the clock was set back.
 		d.lastVersion = uint64(max(0, nowMs))
 	}
 	d.lastVersion++
@@ -131,7 +132,7 @@
 	return Report{Server: s.id, Condition: condition, Percent: percent, Version: d.lastVersion}
 }
 
-// evaluate returns an ejection if a quorum reports the same condition of a server. ownPercent is this gateway's own
+// evaluate returns an ejection and true if a quorum reports the given condition of a server. ownPercent is this gateway's own
 // observation.
 func (d *Detector) evaluate(nowMs float64, s *server, condition Condition, ownPercent uint8) (Ejection, bool) {
 	if condition == Failing && s.isHealthy(d.settings.MinFailures) {
@@ -157,8 +158,8 @@
 		Reporters: len(observedAtMs)}, true
 }
 
-// selectEjections returns as many candidates as may be ejected at once, each server once: those with the most reporters,
-// and among equals those listed first. It reorders the candidates.
+// selectEjections returns as many candidates as may be ejected at once, with each server at most once. It prefers the
+// candidates with the most reporters and, among equals, those listed first. It reorders the candidates.
 func (d *Detector) selectEjections(candidates []Ejection) (selected []Ejection) {
 	slices.SortStableFunc(candidates, func(x, y Ejection) int { return cmp.Compare(y.Reporters, x.Reporters) })
 	limit := int(d.settings.MaxEjectedFraction * float64(len(d.order)))
@@ -173,7 +174,7 @@
 	return selected
 }
 
-// NextStepMs returns the time by which Step is to be called again, because a report has to be repeated or expires.
+// NextStepMs returns the time by which Step must be called again, because a report must be repeated or expires.
 // It is +Inf if nothing is pending.
 func (d *Detector) NextStepMs(nowMs float64) float64 {
 	next := math.Inf(1)
@@ -190,5 +191,5 @@
 	return next
 }
 
-// Ejections returns the servers that the latest Step ejected. The caller must not modify the slice.
+// Ejections returns the ejections of the latest Step. The caller must not modify the slice.
 func (d *Detector) Ejections() []Ejection { return d.ejections }
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -13,7 +13,7 @@
 		ReportIntervalMs: 1000, MinQuorum: 2, QuorumFraction: 0.34, MaxEjectedFraction: 0.34, MaxServers: 50, MaxPeers: 8}
 }
 
-// newTestDetector returns a detector of one of four gateways.
+// newTestDetector returns a detector of a gateway in a fleet of four gateways.
 func newTestDetector(t testing.TB, servers ...uint64) *Detector {
 	t.Helper()
 	d, err := New(testSettings())
@@ -36,7 +36,7 @@
 	return Report{Peer: peer, Server: server, Condition: Failing, Percent: percent, Version: version}
 }
 
-// wantEjected checks which servers a step has ejected, in order.
+// wantEjected checks that a step has ejected the wanted servers, in this order.
 func wantEjected(t *testing.T, ejections []Ejection, want ...uint64) {
 	t.Helper()
 	if got := ejectedServers(ejections); !slices.Equal(got, want) {
@@ -44,15 +44,15 @@
 	}
 }
 
-// wantOneReport checks that a step reports one observation and no other.
+// wantOneReport checks that a step has returned one report with the wanted contents and no other report.
 func wantOneReport(t *testing.T, reports []Report, server uint64, condition Condition, percent uint8) {
 	t.Helper()
 	if len(reports) != 1 {
-		t.Errorf("reports %+v, want one", reports)
+		t.Errorf("got reports %+v, want one", reports)
 		return
 	}
 	if got := reports[0]; got.Server != server || got.Condition != condition || got.Percent != percent {
-		t.Errorf("report %+v, want server %d, condition %v, %d percent", got, server, condition, percent)
+		t.Errorf("got report %+v, want server %d, condition %v, %d percent", got, server, condition, percent)
 	}
 }
 
@@ -63,8 +63,8 @@
 	for _, test := range []struct {
 		name          string
 		aliveGateways int
-		batches       [][]Report // of one step each
-		want          []uint64   // ejected by the last step
+		batches       [][]Report // reports received by each step
+		want          []uint64   // servers ejected by the last step
 	}{
 		{"one gateway alone", 4, [][]Report{repeatedByOne}, nil},
 		{"two gateways", 4, [][]Report{repeatedByOne, {second}}, []uint64{1}},
@@ -80,13 +80,13 @@
 			}
 			wantEjected(t, ejections, test.want...)
 			if len(ejections) > 0 && ejections[0].Reporters != 2 {
-				t.Errorf("%d reporters, want 2", ejections[0].Reporters)
+				t.Errorf("ejection has %d reporters, want 2", ejections[0].Reporters)
 			}
 		})
 	}
 }
 
-// TestOwnObservations follows the reports of one gateway on a server that fails and recovers, and on one that is
+// TestOwnObservations checks the reports of one gateway about a server that fails and recovers, and about one that is
 // withdrawn and listed again.
 func TestOwnObservations(t *testing.T) {
 	d := newTestDetector(t, 1, 2, 3)
@@ -98,16 +98,16 @@
 	wantEjected(t, ejections)
 
 	if reports, _ = d.Step(10, nil); len(reports) > 0 {
-		t.Errorf("reports %+v again before the interval ends", reports)
+		t.Errorf("got reports %+v before the report interval ended, want none", reports)
 	}
 
-	// The report is repeated while it holds, and makes a quorum with another gateway's.
+	// The report is repeated while the server fails, and forms a quorum with the report of another gateway.
 	d.RecordAttempt(900, 1, true)
 	reports, ejections = d.Step(1000, []Report{failingReport(5, 1, 100, 1)})
 	wantOneReport(t, reports, 1, Failing, 100)
 	wantEjected(t, ejections, 1)
 
-	// A gateway that the server serves well does not eject it, whatever others report.
+	// A gateway whose own attempts at the server succeed does not eject it, whatever others report.
 	for range 60 {
 		d.RecordAttempt(1500, 1, false)
 	}
@@ -127,8 +127,8 @@
 	wantOneReport(t, reports, 2, Withdrawn, 0)
 }
 
-// TestFailingObservationEnds checks that a server that has failed for long is not reported as failing for longer than the
-// bound, and for less if attempts succeed.
+// TestFailingObservationEnds checks that, after a long failure, a server is reported as failing for no longer than
+// FailureDecayBoundMs, and for a shorter time if attempts succeed.
 func TestFailingObservationEnds(t *testing.T) {
 	const (
 		lastFailureMs = 10_000
@@ -159,7 +159,7 @@
 				}
 			}
 			if took := nowMs - lastFailureMs; took < test.fromMs || took > test.withinMs {
-				t.Errorf("ends after %.0f ms, want from %.0f to %.0f", took, test.fromMs, test.withinMs)
+				t.Errorf("failing observation ended after %.0f ms, want from %.0f to %.0f ms", took, test.fromMs, test.withinMs)
 			}
 		})
 	}
@@ -185,12 +185,12 @@
 	_, ejections := d.Step(maxAgeMs, nil)
 	wantEjected(t, ejections, 1, 2)
 	if len(ejections) > 0 && ejections[0].AgeMs != maxAgeMs {
-		t.Errorf("age %v ms, want %v", ejections[0].AgeMs, maxAgeMs)
+		t.Errorf("ejection has an age of %v ms, want %v ms", ejections[0].AgeMs, maxAgeMs)
 	}
 	_, ejections = d.Step(maxAgeMs+1, nil)
 	wantEjected(t, ejections)
 
-	// A quorum lasts until its oldest report expires.
+	// A quorum ends when its oldest report expires.
 	old := failingReport(1, 1, 100, 9)
 	old.AgeMs = 2900
 	_, ejections = d.Step(5000, []Report{old, failingReport(2, 1, 100, 9)})
@@ -198,12 +198,13 @@
 	_, ejections = d.Step(5200, nil)
 	wantEjected(t, ejections)
 
-	// Earlier versions that arrive after the later ones have expired do not count.
+	// Earlier versions do not count, even if they arrive after the later ones have expired.
 	_, ejections = d.Step(9000, []Report{failingReport(1, 1, 100, 8), failingReport(2, 1, 100, 8)})
 	wantEjected(t, ejections)
 }
 
-// TestRepeatedReportKeepsOlderAge checks that a delayed copy of a report, with a smaller age, does not extend its life.
+// TestRepeatedReportKeepsOlderAge checks that a delayed duplicate of a report, with a smaller age, does not postpone its
+// expiry.
 func TestRepeatedReportKeepsOlderAge(t *testing.T) {
 	d := newTestDetector(t, 1, 2, 3)
 	first, second := failingReport(5, 1, 100, 1), failingReport(6, 1, 100, 1)
@@ -219,15 +220,16 @@
 	wantEjected(t, ejections)
 }
 
-// TestOrderAndRepetitionOfReportsChangeNothing applies the same reports in several orders, once and twice.
-func TestOrderAndRepetitionOfReportsChangeNothing(t *testing.T) {
+// TestEjectionsIgnoreOrderAndDuplicatesOfReports checks that the same reports lead to the same ejections in several orders,
+// and if each report arrives twice.
+func TestEjectionsIgnoreOrderAndDuplicatesOfReports(t *testing.T) {
 	const orders = 6
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		var reports []Report
 		for range 40 {
 			peer, server, version := uint16(random.IntN(5)), uint64(1+random.IntN(4)), uint64(random.IntN(6))
-			percent := uint8((version*37 + uint64(peer)*11 + server) % 3 * 50) // the same for the same version
+			percent := uint8((version*37 + uint64(peer)*11 + server) % 3 * 50) // same percentage for the same peer, server and version
 			reports = append(reports, failingReport(peer, server, percent, version))
 		}
 		var want []uint64
@@ -242,15 +244,15 @@
 			if got := ejectedServers(ejections); order == 0 {
 				want = got
 			} else if !slices.Equal(got, want) {
-				t.Fatalf("seed %d: ejected %v, in another order %v", seed, want, got)
+				t.Fatalf("seed %d: ejected servers %v, but %v with the reports in another order", seed, want, got)
 			}
 			random.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
 		}
 	}
 }
 
-// FuzzSingleReporter lets one gateway report anything, in every field: alone it ejects nothing, and the state stays
-// bounded.
+// FuzzSingleReporter checks that one gateway alone ejects no server and does not grow the state beyond its bounds, whatever it
+// reports.
 func FuzzSingleReporter(f *testing.F) {
 	const (
 		reportBytes = 5
@@ -269,11 +271,11 @@
 			report := Report{Peer: 5, Server: uint64(input[0]), Condition: Condition(input[1]), Percent: input[2],
 				Version: uint64(input[3]) << 56, AgeMs: ageMs}
 			if _, ejections := d.Step(nowMs, []Report{report}); len(ejections) > 0 {
-				t.Fatalf("one gateway alone ejects %v", ejections)
+				t.Fatalf("reports of one gateway ejected %v, want no ejection", ejections)
 			}
 			for _, s := range d.servers {
 				if len(s.peerReports) > len(conditions) || len(d.servers) > 3 {
-					t.Fatalf("%d reports, %d servers", len(s.peerReports), len(d.servers))
+					t.Fatalf("server has %d peer reports and detector has %d servers, more than allowed", len(s.peerReports), len(d.servers))
 				}
 			}
 		}
@@ -285,15 +287,15 @@
 		name   string
 		change func(*Settings)
 	}{
-		{"no decay", func(s *Settings) { s.DecayMs = math.NaN() }},
-		{"no failure needed", func(s *Settings) { s.MinFailures = 0 }},
-		{"failures beyond the weight of attempts", func(s *Settings) { s.MinFailures = s.MaxAttemptWeight }},
-		{"healthy servers fail", func(s *Settings) { s.MinFailureRatio = maxHealthyFailureRatio }},
-		{"reports expire at once", func(s *Settings) { s.MaxReportAgeMs = 0 }},
+		{"decay time is NaN", func(s *Settings) { s.DecayMs = math.NaN() }},
+		{"minimum of failures is zero", func(s *Settings) { s.MinFailures = 0 }},
+		{"minimum of failures reaches the maximum attempt weight", func(s *Settings) { s.MinFailures = s.MaxAttemptWeight }},
+		{"failure ratio of a healthy server", func(s *Settings) { s.MinFailureRatio = maxHealthyFailureRatio }},
+		{"reports expire immediately", func(s *Settings) { s.MaxReportAgeMs = 0 }},
 		{"reports expire before they are repeated", func(s *Settings) { s.ReportIntervalMs = s.MaxReportAgeMs }},
 		{"quorum of one", func(s *Settings) { s.MinQuorum = 1 }},
-		{"quorum of more than all", func(s *Settings) { s.QuorumFraction = 1.1 }},
-		{"all ejected", func(s *Settings) { s.MaxEjectedFraction = 1 }},
+		{"quorum of more than all gateways", func(s *Settings) { s.QuorumFraction = 1.1 }},
+		{"all servers may be ejected", func(s *Settings) { s.MaxEjectedFraction = 1 }},
 		{"no servers", func(s *Settings) { s.MaxServers = 0 }},
 		{"no peers", func(s *Settings) { s.MaxPeers = 0 }},
 	} {
@@ -301,7 +303,7 @@
 			settings := testSettings()
 			test.change(&settings)
 			if _, err := New(settings); !errors.Is(err, ErrInvalidSettings) {
-				t.Errorf("New(%+v) returned %v, want ErrInvalidSettings", settings, err)
+				t.Errorf("New(%+v) returned error %v, want ErrInvalidSettings", settings, err)
 			}
 		})
 	}
--- a/internal/outlier/doc.go
+++ b/internal/outlier/doc.go
@@ -1,18 +1,18 @@
-// Package outlier decides which servers a gateway ejects, that is, sends almost nothing to, because a quorum of gateways
-// reports that they fail or that they were withdrawn from the endpoint list.
+// Package outlier decides which servers a gateway ejects, because a quorum of gateways reports that they fail or that they
+// were withdrawn from the endpoint list. A gateway sends only a few attempts to an ejected server.
 //
 // # Invariants
 //
-// A report counts only from the gateway that observed the condition, only in its latest version, and only until it has
-// reached [Settings.MaxReportAgeMs]. Lost, reordered and repeated reports therefore change no decision, and the reports of
-// a gateway that crashes or is partitioned expire.
+// A report counts only if it comes from the gateway that observed the condition, is the latest version of that gateway and
+// is not older than [Settings.MaxReportAgeMs]. Lost, reordered and repeated reports therefore do not change a decision,
+// and the reports of a gateway that crashes or is partitioned expire.
 //
-// No single gateway, with a bad link or with false reports, ejects a server for all: a quorum has to report the same
-// condition, at most [Settings.MaxEjectedFraction] of the listed servers is ejected at once, and a gateway that a server
-// serves well keeps using it whatever others report of failures. Ejected servers still receive a few attempts, so a wrong
-// ejection ends when these succeed, or when the reports expire.
+// A single gateway that has a bad link or sends false reports cannot eject a server at all gateways. A quorum must report the
+// same condition, and at most [Settings.MaxEjectedFraction] of the listed servers is ejected at once. A gateway whose own
+// attempts at a server succeed keeps using the server, whatever failures others report. Ejected servers still receive a
+// few attempts, so a wrong ejection ends when these succeed or when the reports expire.
 //
-// While all links to its peers fail, a gateway ejects nothing once the reports that it has received have expired.
+// While all links to its peers fail, a gateway ejects no server once the reports that it has received have expired.
 //
 // # Concurrency
 //
--- a/internal/outlier/server.go
+++ b/internal/outlier/server.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// maxHealthyFailureRatio is the ratio of failures to attempts up to which a server serves this gateway well.
+// maxHealthyFailureRatio is the largest ratio of failures to attempts at which a server counts as healthy.
 const maxHealthyFailureRatio = 0.1
 
 // server is the state of one listed server.
 type server struct {
 	id          uint64
-	attempts    float64 // weight, decayed until decayedAtMs
-	failures    float64 // weight, decayed until decayedAtMs
+	attempts    float64 // exponentially decayed weight of all attempts as of decayedAtMs
+	failures    float64 // exponentially decayed weight of failed attempts as of decayedAtMs
 	decayedAtMs float64
 	withdrawn   bool
 
-	ownReports  [conditionsEnd]storedReport // latest sent, indexed by condition
-	peerReports []storedReport              // one for each peer and condition
+	ownReports  [conditionArraySize]storedReport // latest report that this gateway has sent, by condition
+	peerReports []storedReport                   // at most one for each peer and condition
 }
 
-// decay reduces the weight of attempts by the time that has passed.
+// decay reduces the weights of attempts and failures according to the time that has passed.
 func (s *server) decay(nowMs, decayMs float64) {
 	elapsedMs := nowMs - s.decayedAtMs
 	if elapsedMs <= 0 {
@@ -30,7 +30,7 @@
 	s.attempts, s.failures, s.decayedAtMs = s.attempts*factor, s.failures*factor, nowMs
 }
 
-// recordAttempt adds an attempt. The weights must have been decayed.
+// recordAttempt adds an attempt. The caller must have called decay.
 func (s *server) recordAttempt(failed bool, maxWeight float64) {
 	s.attempts++
 	if failed {
@@ -41,7 +41,7 @@
 	}
 }
 
-// observedPercent returns the percentage that this gateway would report of a condition, or 0 if it does not observe it.
+// observedPercent returns the percentage that this gateway reports for a condition, or 0 if it does not observe the condition.
 func (s *server) observedPercent(condition Condition, settings *Settings) uint8 {
 	switch {
 	case condition == Withdrawn && s.withdrawn:
@@ -52,13 +52,13 @@
 	return 0
 }
 
-// isHealthy reports whether the server serves this gateway well.
+// isHealthy reports whether enough attempts of this gateway at the server have been made and nearly all have succeeded.
 func (s *server) isHealthy(minAttempts float64) bool {
 	return s.attempts >= minAttempts && s.failures <= maxHealthyFailureRatio*s.attempts
 }
 
-// storePeerReport keeps the latest version of a report, and the older age of one that arrived twice. Expired reports are
-// kept while there is room: a delayed earlier version must not replace them.
+// storePeerReport keeps the latest version of a report. If the same version arrives twice, it keeps the earlier observation
+// time. Expired reports are kept while there is room, so that a delayed earlier version cannot replace them.
 func (s *server) storePeerReport(nowMs float64, report storedReport, settings *Settings) {
 	i := slices.IndexFunc(s.peerReports, func(other storedReport) bool {
 		return other.peer == report.peer && other.condition == report.condition
@@ -76,7 +76,7 @@
 	}
 }
 
-// addPeerReport adds a report if there is room, or else replaces an expired one of another peer.
+// addPeerReport adds a report if there is room. Otherwise it replaces an expired report, or drops the new one.
 func (s *server) addPeerReport(nowMs float64, report storedReport, settings *Settings) {
 	if len(s.peerReports) < len(conditions)*settings.MaxPeers {
 		s.peerReports = append(s.peerReports, report)
--- a/internal/outlier/settings.go
+++ b/internal/outlier/settings.go
@@ -11,37 +11,37 @@
 
 // Settings configure a Detector.
 type Settings struct {
-	// DecayMs is the time after which an attempt's weight has decayed to 1/e.
+	// DecayMs is the time after which the weight of an attempt has decayed to 1/e.
 	DecayMs float64
-	// MinFailures is the weight of failures from which on a server may be failing, as observed by this gateway. It is
-	// also the weight of attempts from which on it may be healthy.
+	// MinFailures is the smallest weight of failures at which this gateway observes a server as failing. It is also the
+	// smallest weight of attempts at which this gateway regards a server as healthy.
 	MinFailures float64
-	// MinFailureRatio is the ratio of failures to attempts from which on a server may be failing.
+	// MinFailureRatio is the smallest ratio of failures to attempts at which this gateway observes a server as failing.
 	MinFailureRatio float64
-	// MaxAttemptWeight bounds the weight of the attempts at a server, so that a long failure has no longer effect than a
-	// short one.
+	// MaxAttemptWeight bounds the weight of the attempts at a server, so that a long failure does not take longer to decay
+	// than a short one.
 	MaxAttemptWeight float64
 
 	// MaxReportAgeMs is the age beyond which a report does not count.
 	MaxReportAgeMs float64
-	// ReportIntervalMs is how often this gateway repeats a report that still holds.
+	// ReportIntervalMs is the interval at which this gateway repeats a report whose condition persists.
 	ReportIntervalMs float64
 
-	// MinQuorum is how many gateways at least have to report the same condition.
+	// MinQuorum is the smallest number of gateways that must report the same condition.
 	MinQuorum int
-	// QuorumFraction is the fraction of the gateways alive that have to report the same condition.
+	// QuorumFraction is the fraction of the alive gateways that must report the same condition.
 	QuorumFraction float64
 	// MaxEjectedFraction is the fraction of the listed servers that may be ejected at once.
 	MaxEjectedFraction float64
 
-	// MaxServers bounds the servers with state; reports of others are ignored.
+	// MaxServers bounds the servers with state. Reports about other servers are ignored.
 	MaxServers int
-	// MaxPeers bounds the gateways whose reports of one server are kept.
+	// MaxPeers bounds the gateways whose reports about one server are kept.
 	MaxPeers int
 }
 
-// FailureDecayBoundMs returns how long after the last failure this gateway reports a server as failing at most: without
-// any successful attempt, the failures have decayed by then.
+// FailureDecayBoundMs returns the longest time after the last failure for which this gateway reports a server as failing. By
+// then the weight of the failures has decayed to MinFailures, even if there was no successful attempt.
 func (s Settings) FailureDecayBoundMs() float64 {
 	return s.DecayMs * math.Log(s.MaxAttemptWeight/s.MinFailures)
 }
@@ -51,24 +51,26 @@
 func (s Settings) validate() error {
 	switch {
 	case !(s.DecayMs > 0):
-		return fmt.Errorf("%w: decay in %v ms", ErrInvalidSettings, s.DecayMs)
+		return fmt.Errorf("%w: decay time is %v ms, want more than 0", ErrInvalidSettings, s.DecayMs)
 	case !(s.MinFailures >= 1) || !(s.MaxAttemptWeight > s.MinFailures):
-		return fmt.Errorf("%w: at least %v failures of at most %v attempts", ErrInvalidSettings, s.MinFailures,
-			s.MaxAttemptWeight)
+		return fmt.Errorf("%w: minimum of failures is %v and maximum attempt weight %v, want at least 1 and a larger weight",
+			ErrInvalidSettings, s.MinFailures, s.MaxAttemptWeight)
 	case !(s.MinFailureRatio > maxHealthyFailureRatio && s.MinFailureRatio <= 1):
-		return fmt.Errorf("%w: failure ratio of %v", ErrInvalidSettings, s.MinFailureRatio)
+		return fmt.Errorf("%w: minimum failure ratio is %v, want more than 0.1 and at most 1", ErrInvalidSettings, s.MinFailureRatio)
 	case !(s.MaxReportAgeMs > 0):
-		return fmt.Errorf("%w: report age of at most %v ms", ErrInvalidSettings, s.MaxReportAgeMs)
+		return fmt.Errorf("%w: maximum report age is %v ms, want more than 0", ErrInvalidSettings, s.MaxReportAgeMs)
 	case !(s.ReportIntervalMs > 0 && s.ReportIntervalMs <= s.MaxReportAgeMs/2):
-		return fmt.Errorf("%w: report interval of %v ms at a report age of at most %v ms", ErrInvalidSettings,
-			s.ReportIntervalMs, s.MaxReportAgeMs)
+		return fmt.Errorf("%w: report interval is %v ms, want more than 0 and at most half of the maximum report age of %v ms",
+			ErrInvalidSettings, s.ReportIntervalMs, s.MaxReportAgeMs)
 	case s.MinQuorum < 2 || !(s.QuorumFraction >= 0 && s.QuorumFraction <= 1):
-		return fmt.Errorf("%w: quorum of at least %d gateways and %v of those alive", ErrInvalidSettings, s.MinQuorum,
-			s.QuorumFraction)
+		return fmt.Errorf("%w: minimum quorum is %d gateways and quorum fraction %v, want at least 2 and a fraction from 0 to 1",
+			ErrInvalidSettings, s.MinQuorum, s.QuorumFraction)
 	case !(s.MaxEjectedFraction >= 0 && s.MaxEjectedFraction < 1):
-		return fmt.Errorf("%w: ejected fraction of at most %v", ErrInvalidSettings, s.MaxEjectedFraction)
+		return fmt.Errorf("%w: maximum ejected fraction is %v, want at least 0 and less than 1", ErrInvalidSettings,
+			s.MaxEjectedFraction)
 	case s.MaxServers < 1 || s.MaxPeers < 1:
-		return fmt.Errorf("%w: at most %d servers and %d peers", ErrInvalidSettings, s.MaxServers, s.MaxPeers)
+		return fmt.Errorf("%w: maximum is %d servers and %d peers, want at least 1 of each", ErrInvalidSettings,
+			s.MaxServers, s.MaxPeers)
 	}
 	return nil
 }
