--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Aggregator collects own measurements and the reports of peers. It is not safe for concurrent use.
+// Aggregator collects the latencies that this gateway measures and the reports of peers. It is not safe for concurrent use.
 type Aggregator struct {
 	settings     Settings
 	servers      map[uint64]*server
 	order        []uint64 // keys of servers in the order of SetServers
-	lastReportMs float64
+	lastReportMs float64  // time of the last round of reports
 }
 
 // New returns an Aggregator without servers, or an error that wraps ErrInvalidSettings.
@@ -21,8 +21,8 @@
 	return &Aggregator{settings: settings, servers: map[uint64]*server{}, lastReportMs: math.Inf(-1)}, nil
 }
 
-// SetServers replaces the servers of which latencies are kept by the first MaxServers of ids. Measurements and reports of
-// other servers are dropped.
+// SetServers sets the servers for which latencies are kept to the first MaxServers of ids. It drops the measurements of other
+// servers and the reports about them.
 func (a *Aggregator) SetServers(ids []uint64) {
 	servers := map[uint64]*server{}
 	a.order = nil
@@ -38,7 +38,8 @@
 	a.servers = servers
 }
 
-// Observe records the latency of an own response. Unknown servers and latencies out of range are ignored.
+// Observe records the latency of a response that this gateway has received. It ignores unknown servers and latencies out of
+// range.
 func (a *Aggregator) Observe(nowMs float64, id uint64, latencyMs float64) {
 	s := a.servers[id]
 	if s == nil || !validLatency(latencyMs) {
@@ -47,8 +48,8 @@
 	s.observe(nowMs, latencyMs, a.settings.DecayMs)
 }
 
-// Step processes the reports of peers. It returns the own reports to send to all peers, if a round of reports is due, and
-// the estimates that have changed. nowMs must not decrease from call to call.
+// Step processes the reports of peers. It returns the reports of this gateway to send to all peers, if a round of reports is
+// due, and the estimates that have changed. nowMs must not decrease from call to call.
 func (a *Aggregator) Step(nowMs float64, received []Report) (outgoing []Report, estimates []Estimate) {
 	for _, r := range received {
 		a.receive(nowMs, r)
@@ -62,7 +63,7 @@
 	return a.ownReports(nowMs), estimates
 }
 
-// NextReportMs returns when the next round of reports is due, or positive infinity if there is nothing to report.
+// NextReportMs returns the time at which the next round of reports is due, or +Inf if there is nothing to report.
 func (a *Aggregator) NextReportMs(nowMs float64) float64 {
 	for _, id := range a.order {
 		if a.servers[id].unreported > 0 {
@@ -72,7 +73,7 @@
 	return math.Inf(1)
 }
 
-// receive records a report of a peer. Reports that are invalid, too old or about unknown servers are ignored.
+// receive records a report of a peer. It ignores reports that are invalid, too old or about unknown servers.
 func (a *Aggregator) receive(nowMs float64, r Report) {
 	s := a.servers[r.Server]
 	if s == nil || !validLatency(r.LatencyMs) || !(r.AgeMs >= 0 && r.AgeMs <= a.settings.MaxAgeMs) {
@@ -82,7 +83,7 @@
 	s.record(peerReport{peer: r.Peer, latencyMs: r.LatencyMs, measuredAtMs: nowMs - r.AgeMs}, a.settings.MaxPeers)
 }
 
-// updatedEstimates returns the estimates of the servers with new reports.
+// updatedEstimates returns the estimates for the servers with new reports.
 func (a *Aggregator) updatedEstimates(nowMs float64) (estimates []Estimate) {
 	for _, id := range a.order {
 		s := a.servers[id]
@@ -97,7 +98,8 @@
 	return estimates
 }
 
-// ownReports returns a round of reports and starts the interval until the next one if there is anything to report.
+// ownReports returns a round of reports of this gateway. If there is anything to report, it starts the interval until the next
+// round.
 func (a *Aggregator) ownReports(nowMs float64) (reports []Report) {
 	var pending []*server
 	for _, id := range a.order {
--- a/internal/peerlatency/aggregator_test.go
+++ b/internal/peerlatency/aggregator_test.go
@@ -25,8 +25,8 @@
 	return a
 }
 
-// TestReportsOwnMeasurements checks that own measurements are reported once, servers with the most responses first, and
-// not more often than the interval allows.
+// TestReportsOwnMeasurements checks that the gateway reports its own measurements once, servers with the most responses first,
+// and not more often than the interval allows.
 func TestReportsOwnMeasurements(t *testing.T) {
 	a := newAggregator(t, 1, 2, 3)
 	a.Observe(0, 1, 10)
@@ -39,49 +39,50 @@
 	reports, _ := a.Step(100, nil)
 	want := []Report{{Server: 2, LatencyMs: 50, AgeMs: 100}, {Server: 1, LatencyMs: 20, AgeMs: 100}}
 	if !reflect.DeepEqual(reports, want) {
-		t.Errorf("reports %+v, want %+v", reports, want)
+		t.Errorf("got reports %+v, want %+v", reports, want)
 	}
 	if reports, _ = a.Step(200, nil); len(reports) > 0 || a.NextReportMs(200) != 300 {
-		t.Errorf("reports %+v too early, next at %v", reports, a.NextReportMs(200))
+		t.Errorf("got reports %+v at 200 ms and the next ones due at %v ms, want none before 300 ms", reports, a.NextReportMs(200))
 	}
 	if reports, _ = a.Step(300, nil); len(reports) != 1 || reports[0].Server != 3 || !math.IsInf(a.NextReportMs(300), 1) {
-		t.Errorf("reports %+v, next at %v", reports, a.NextReportMs(300))
+		t.Errorf("got reports %+v at 300 ms and the next ones due at %v ms, want one about server 3 and then none",
+			reports, a.NextReportMs(300))
 	}
 }
 
-// TestEstimateIsLowerMedianOfPeers checks that the estimate is the lower median of at least two peers, and reports
-// expire.
+// TestEstimateIsLowerMedianOfPeers checks that the estimate is the lower median of the reports of at least two peers, and
+// that reports expire.
 func TestEstimateIsLowerMedianOfPeers(t *testing.T) {
 	a := newAggregator(t, 1)
 	if _, e := a.Step(0, []Report{{Peer: 1, Server: 1, LatencyMs: 9000}}); len(e) > 0 {
-		t.Errorf("one peer yields %+v", e)
+		t.Errorf("estimates with the report of one peer are %+v, want none", e)
 	}
 	if _, e := a.Step(10, []Report{{Peer: 2, Server: 1, LatencyMs: 40}}); len(e) != 1 || e[0].LatencyMs != 40 {
-		t.Errorf("two peers yield %+v", e)
+		t.Errorf("estimates with the reports of two peers are %+v, want 40 ms", e)
 	}
 	_, e := a.Step(20, []Report{{Peer: 3, Server: 1, LatencyMs: 60}, {Peer: 1, Server: 1, LatencyMs: 9500}})
 	if len(e) != 1 || e[0].LatencyMs != 60 || e[0].PeerCount != 3 {
-		t.Errorf("three peers yield %+v", e)
+		t.Errorf("estimates with the reports of three peers are %+v, want 60 ms from 3 peers", e)
 	}
 	if _, e := a.Step(1015, []Report{{Peer: 3, Server: 1, LatencyMs: 80}}); len(e) != 1 || e[0].PeerCount != 2 {
-		t.Errorf("with one report expired %+v", e)
+		t.Errorf("estimates after one of three reports has expired are %+v, want one from 2 peers", e)
 	}
 	_, e = a.Step(3000, []Report{{Peer: 3, Server: 1, LatencyMs: 80}, {Peer: 2, Server: 1, LatencyMs: 80, AgeMs: 1001}})
 	if len(e) > 0 {
-		t.Errorf("with all but one expired %+v", e)
+		t.Errorf("estimates after all but one report have expired are %+v, want none", e)
 	}
 }
 
 // TestEstimateIgnoresOrderDuplicatesAndOutliers checks that the estimate does not depend on the order of reports or on
-// duplicates, and a peer that reports wrong values cannot move it beyond a value that another peer has measured.
+// duplicates, and that a peer that reports wrong values cannot move it beyond a value that another peer has measured.
 func TestEstimateIgnoresOrderDuplicatesAndOutliers(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 6))
 		var reports []Report
-		honest := []float64{}
+		measured := []float64{}
 		for peer := range uint16(3) {
 			latencyMs := 20 + 20*random.Float64()
-			honest = append(honest, latencyMs)
+			measured = append(measured, latencyMs)
 			reports = append(reports,
 				Report{Peer: peer, Server: 1, LatencyMs: latencyMs, AgeMs: 10},
 				Report{Peer: peer, Server: 1, LatencyMs: 999, AgeMs: 500})
@@ -96,11 +97,11 @@
 				}
 			}
 			got, ok := a.servers[1].estimate(0, a.settings.MaxAgeMs)
-			if !ok || got.LatencyMs < slices.Min(honest) || got.LatencyMs > slices.Max(honest) {
-				t.Fatalf("seed %d: %+v from %v", seed, got, honest)
+			if !ok || got.LatencyMs < slices.Min(measured) || got.LatencyMs > slices.Max(measured) {
+				t.Fatalf("seed %d: got estimate %+v, want one in the range of the correct reports %v", seed, got, measured)
 			}
 			if round > 0 && got.LatencyMs != want {
-				t.Fatalf("seed %d: %v, in another order %v", seed, want, got.LatencyMs)
+				t.Fatalf("seed %d: estimate is %v ms, but %v ms with the reports in another order", seed, want, got.LatencyMs)
 			}
 			want = got.LatencyMs
 			random.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
@@ -116,17 +117,19 @@
 		a := newAggregator(t, 1, 2)
 		nowMs := 0.0
 		for len(input) >= 4 {
-			x := input[:4]
+			record := input[:4]
 			input = input[4:]
-			nowMs += float64(x[3])
-			r := Report{Peer: uint16(x[0]), Server: uint64(x[1]), LatencyMs: float64(x[2]), AgeMs: float64(x[3])}
-			if x[2] == 255 {
+			nowMs += float64(record[3])
+			r := Report{
+				Peer: uint16(record[0]), Server: uint64(record[1]), LatencyMs: float64(record[2]), AgeMs: float64(record[3]),
+			}
+			if record[2] == 255 {
 				r.LatencyMs = math.NaN()
 			}
 			_, estimates := a.Step(nowMs, []Report{r})
 			for _, s := range a.servers {
 				if len(s.reports) > 4 || len(a.servers) > 2 {
-					t.Fatalf("%d reports, %d servers", len(s.reports), len(a.servers))
+					t.Fatalf("server has %d reports and aggregator has %d servers, want at most 4 and 2", len(s.reports), len(a.servers))
 				}
 			}
 			for _, e := range estimates {
--- a/internal/peerlatency/doc.go
+++ b/internal/peerlatency/doc.go
@@ -1,15 +1,15 @@
 // Package peerlatency combines the server latencies that several gateways measure. A gateway that receives few responses
-// from a server learns late that the server has become slow or fast again; other gateways may already know.
+// from a server detects late that the server has become slow, or fast again. Other gateways may already have measured it.
 //
-// Each gateway reports the mean latency of its own responses only. The combined estimate for a server is the lower median
-// of the recent reports of at least two other gateways, so that a single gateway that reports wrong values, or has a slow
-// link to the server, cannot move the estimate beyond a value that another gateway has measured. Reports expire, and a
-// gateway that receives none relies on its own measurements.
+// Each gateway reports only the mean latency of the responses that it has received itself. The combined estimate for a server
+// is the lower median of the recent reports of at least two other gateways. A single gateway that reports wrong values, or
+// has a slow link to the server, therefore cannot move the estimate beyond a value that another gateway has measured.
+// Reports expire, and a gateway that receives none relies on its own measurements.
 //
 // # Invariants
 //
-//   - Of each peer the most recent report about a server is kept. Reordering and duplication of reports do not affect the
-//     estimates.
+//   - Only the most recent report of each peer about a server is kept. Reordering and duplication of reports therefore do
+//     not affect the estimates.
 //   - The size of an [Aggregator] is bounded by MaxServers and MaxPeers of its [Settings].
 //
 // # Concurrency
--- a/internal/peerlatency/report.go
+++ b/internal/peerlatency/report.go
@@ -1,6 +1,6 @@
 package peerlatency
 
-// maxLatencyMs bounds the latencies that are accepted.
+// maxLatencyMs is the latency from which on measurements and reports are rejected as invalid.
 const maxLatencyMs = 1e9
 
 // Report is the latency of a server as one gateway has measured it.
@@ -13,10 +13,10 @@
 	AgeMs float64
 }
 
-// validLatency reports whether a latency can have been measured. It is false for NaN.
+// validLatency reports whether a latency is in the accepted range. It returns false for NaN.
 func validLatency(latencyMs float64) bool { return latencyMs >= 0 && latencyMs < maxLatencyMs }
 
-// Estimate is the latency of a server that the reports of several peers yield.
+// Estimate is the latency of a server as estimated from the reports of several peers.
 type Estimate struct {
 	Server    uint64
 	LatencyMs float64
--- a/internal/peerlatency/server.go
+++ b/internal/peerlatency/server.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// minReports is the number of peers that must have reported on a server for an estimate.
+// minReports is the smallest number of peers with a valid report about a server that allows an estimate.
 const minReports = 2
 
-// server is what an Aggregator knows about one server.
+// server is the state that an Aggregator has for one server.
 type server struct {
 	id uint64
 
-	// latencySum and weight are exponentially decayed sums over own responses as of observedAtMs.
+	// latencySum and weight are exponentially decayed sums over the responses to this gateway, as of observedAtMs.
 	latencySum, weight float64
 	observedAtMs       float64
-	unreported         int // own responses since the last own report
+	unreported         int // number of responses to this gateway since its last report
 
 	reports       []peerReport // at most one for each peer
-	hasNewReports bool         // since the last estimate
+	hasNewReports bool         // whether reports have changed since the last estimate
 }
 
 // peerReport is the most recent report of one peer.
@@ -28,7 +28,7 @@
 	measuredAtMs float64
 }
 
-// observe adds the latency of an own response to the decayed mean.
+// observe adds the latency of a response to the decayed sums.
 func (s *server) observe(nowMs, latencyMs, decayMs float64) {
 	decay := math.Exp(-max(0, nowMs-s.observedAtMs) / decayMs)
 	s.latencySum = s.latencySum*decay + latencyMs
@@ -37,7 +37,7 @@
 	s.unreported++
 }
 
-// report returns the own report on the server.
+// report returns this gateway's report about the server.
 func (s *server) report(nowMs float64) Report {
 	s.unreported = 0
 	return Report{Server: s.id, LatencyMs: s.latencySum / s.weight, AgeMs: nowMs - s.observedAtMs}
@@ -48,9 +48,10 @@
 	s.reports = slices.DeleteFunc(s.reports, func(r peerReport) bool { return nowMs-r.measuredAtMs > maxAgeMs })
 }
 
-// record keeps a report if it is the first one of its peer, unless maxPeers have reported, or supersedes the kept one.
+// record stores a report if it supersedes the stored report of the same peer. A report of a peer without a stored report is
+// stored if fewer than maxPeers reports are.
 func (s *server) record(r peerReport, maxPeers int) {
-	i := slices.IndexFunc(s.reports, func(kept peerReport) bool { return kept.peer == r.peer })
+	i := slices.IndexFunc(s.reports, func(stored peerReport) bool { return stored.peer == r.peer })
 	switch {
 	case i < 0 && len(s.reports) < maxPeers:
 		s.reports = append(s.reports, r)
@@ -68,7 +69,7 @@
 	return r.measuredAtMs > other.measuredAtMs || r.measuredAtMs == other.measuredAtMs && r.latencyMs < other.latencyMs
 }
 
-// estimate returns the lower median of the reports that have not expired. It returns false for fewer than minReports.
+// estimate returns the lower median of the reports that have not expired. It returns false if there are fewer than minReports.
 func (s *server) estimate(nowMs, maxAgeMs float64) (Estimate, bool) {
 	var latencies []float64
 	for _, r := range s.reports {
--- a/internal/peerlatency/settings.go
+++ b/internal/peerlatency/settings.go
@@ -10,27 +10,28 @@
 
 // Settings configure an Aggregator.
 type Settings struct {
-	// DecayMs is the age at which the weight of an own response has fallen to 1/e.
+	// DecayMs is the age at which the weight of a measured latency has decayed to 1/e.
 	DecayMs float64
 	// MaxAgeMs is the age beyond which reports of peers are ignored.
 	MaxAgeMs float64
 	// ReportIntervalMs is the shortest time between two rounds of reports. It is less than MaxAgeMs.
 	ReportIntervalMs float64
-	// MaxServersPerReport bounds the servers in one round of reports. Those with the most responses since their last
-	// report come first.
+	// MaxServersPerReport bounds the servers in one round of reports. Servers with the most responses since their last
+	// report are included first.
 	MaxServersPerReport int
-	// MaxServers bounds the servers of which latencies are kept.
+	// MaxServers bounds the servers for which latencies are kept.
 	MaxServers int
 	// MaxPeers bounds the peers whose reports are kept for each server. It is at least 2.
 	MaxPeers int
 }
 
-// validate returns an error that wraps ErrInvalidSettings if the settings cannot be used. Its comparisons are written so that NaN is out of range.
+// validate returns an error that wraps ErrInvalidSettings if the settings cannot be used. Its comparisons are written so that
+// NaN is out of range.
 func (s Settings) validate() error {
 	timesInRange := s.DecayMs > 0 && s.MaxAgeMs > 0 && s.ReportIntervalMs > 0 && s.ReportIntervalMs < s.MaxAgeMs
 	boundsInRange := s.MaxServersPerReport >= 1 && s.MaxServers >= 1 && s.MaxPeers >= minReports
 	if !timesInRange || !boundsInRange {
-		return fmt.Errorf("%w: reports every %v ms that expire after %v ms, of at most %d servers by %d peers",
+		return fmt.Errorf("%w: report interval %v ms, maximum age %v ms, maximum of %d servers or %d peers, or another setting is out of range",
 			ErrInvalidSettings, s.ReportIntervalMs, s.MaxAgeMs, s.MaxServers, s.MaxPeers)
 	}
 	return nil
