--- a/internal/peer/datagram/codec.go
+++ b/internal/peer/datagram/codec.go
@@ -14,11 +14,11 @@
 	key []byte
 }
 
-// NewCodec returns a Codec that authenticates datagrams with a key, of which it keeps a copy. Without a key the checksum
-// only detects damage, and anyone who can send to the gateway's address is accepted.
+// NewCodec returns a Codec that authenticates datagrams with a copy of a key. Without a key, the checksum only detects damage,
+// and datagrams from anyone who can reach the gateway's address are accepted.
 func NewCodec(key []byte) *Codec { return &Codec{key: bytes.Clone(key)} }
 
-// checksum returns the checksum of the bytes that precede it in a datagram.
+// checksum returns the checksum of b, which is the part of a datagram that precedes the checksum.
 func (c *Codec) checksum(b []byte) (sum [checksumSize]byte) {
 	if len(c.key) == 0 {
 		binary.BigEndian.PutUint64(sum[:], xxhash.Sum64(b))
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -38,32 +38,32 @@
 
 func TestRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "of this fleet"} {
-		var number uint64
+		var lastSeq uint64
 		codec := NewCodec([]byte(key))
-		datagrams := codec.Encode(samplePacket(), &number)
+		datagrams := codec.Encode(samplePacket(), &lastSeq)
 		if len(datagrams) != 1 {
-			t.Fatalf("%d datagrams", len(datagrams))
+			t.Fatalf("packet encoded as %d datagrams, want 1", len(datagrams))
 		}
 		want := samplePacket()
-		want.Number = 1
+		want.SequenceNumber = 1
 		if got, err := codec.Decode(datagrams[0]); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("key %q: %+v, %v", key, got, err)
+			t.Errorf("with key %q: decoded %+v and error %v, want the encoded packet", key, got, err)
 		}
 		if _, err := NewCodec([]byte("another")).Decode(datagrams[0]); !errors.Is(err, ErrChecksum) {
-			t.Errorf("with another key: %v", err)
+			t.Errorf("decoded with another key: error %v, want ErrChecksum", err)
 		}
 		for bit := range 8 * len(datagrams[0]) {
 			damaged := bytes.Clone(datagrams[0])
 			damaged[bit/8] ^= 1 << (bit % 8)
 			if got, err := codec.Decode(damaged); err == nil {
-				t.Fatalf("with bit %d flipped: decoded %+v", bit, got)
+				t.Fatalf("datagram with bit %d flipped decoded as %+v, want an error", bit, got)
 			}
 		}
 	}
 }
 
 // TestLargePacketIsSplit checks that a large packet is split into datagrams of the allowed size without losing quota
-// messages, and the rounding of fractions never lets a lender record less than its borrower holds.
+// messages, and that fractions are rounded so that a lender never records less than its borrower holds.
 func TestLargePacketIsSplit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	packet := samplePacket()
@@ -79,83 +79,85 @@
 	for range 40 {
 		packet.Membership[0].Updates = append(packet.Membership[0].Updates, membership.Update{Member: 1})
 	}
-	var number uint64
+	var lastSeq uint64
 	codec := NewCodec(nil)
 	var received []quota.Message
-	for i, b := range codec.Encode(packet, &number) {
+	for i, b := range codec.Encode(packet, &lastSeq) {
 		if len(b) > MaxSize {
-			t.Errorf("%d bytes", len(b))
+			t.Errorf("datagram has %d bytes, more than MaxSize", len(b))
 		}
 		decoded, err := codec.Decode(b)
-		if err != nil || decoded.Number != uint64(i+1) {
-			t.Fatalf("datagram %d: %v, number %d", i, err, decoded.Number)
+		if err != nil || decoded.SequenceNumber != uint64(i+1) {
+			t.Fatalf("datagram %d decoded with error %v and sequence number %d, want no error and successive numbers from 1",
+				i, err, decoded.SequenceNumber)
 		}
 		received = append(received, decoded.Quota...)
 	}
 	if len(received) != len(packet.Quota) {
-		t.Fatalf("%d messages of %d", len(received), len(packet.Quota))
+		t.Fatalf("received %d quota messages, want %d", len(received), len(packet.Quota))
 	}
 	for i, m := range received {
 		requireSafeRounding(t, m, packet.Quota[i].Fraction)
 	}
 }
 
-// requireSafeRounding reports an error if a received fraction is rounded by too much or in the wrong direction.
+// requireSafeRounding reports a test error if a received fraction is rounded by too much or in the wrong direction.
 func requireSafeRounding(t *testing.T, m quota.Message, sent float64) {
 	t.Helper()
 	wrongDirection := m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent
 	if wrongDirection || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
-		t.Errorf("message %d of kind %v: %v became %v", m.Seq, m.Kind, sent, m.Fraction)
+		t.Errorf("message %d of kind %v: fraction %v was rounded to %v, too far or in the wrong direction",
+			m.Seq, m.Kind, sent, m.Fraction)
 	}
 }
 
-// TestForwardCompatibility checks that unknown item types and the end of longer bodies are skipped, and another version
-// is rejected.
+// TestForwardCompatibility checks that unknown item types and the end of longer bodies are skipped, and that a datagram of
+// another version is rejected.
 func TestForwardCompatibility(t *testing.T) {
 	codec := NewCodec(nil)
-	var number uint64
-	b := codec.Encode(samplePacket(), &number)[0]
+	var lastSeq uint64
+	b := codec.Encode(samplePacket(), &lastSeq)[0]
 	body := bytes.Clone(b[:len(b)-checksumSize])
-	body = append(body, 200, 3, 1, 2, 3) // an unknown item
+	body = append(body, 200, 3, 1, 2, 3) // item of an unknown type
 	body = append(body, byte(itemMembershipMessage), membershipMessageSize+2)
 	body = append(body, byte(membership.Ping), 0, 0, 0, 9, 0, 2)
-	body = append(body, 42, 43) // more than this version expects
+	body = append(body, 42, 43) // two bytes more than this version expects
 	packet, err := codec.Decode(seal(codec, body))
 	if err != nil || len(packet.Membership) != 2 || packet.Membership[1].Seq != 9 || len(packet.Quota) != 1 {
-		t.Errorf("%+v, %v", packet, err)
+		t.Errorf("decoded %+v and error %v, want the known items without the additional bytes", packet, err)
 	}
 	b[versionOffset]++
 	if _, err := codec.Decode(b); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("datagram of another version: error %v, want ErrVersion", err)
 	}
 }
 
-// FuzzDecode checks that arbitrary items either are rejected or yield a packet that can be encoded and decoded again.
+// FuzzDecode checks that arbitrary items are either rejected or decoded into a packet that can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	codec := NewCodec(nil)
-	var number uint64
-	f.Add(codec.Encode(samplePacket(), &number)[0])
+	var lastSeq uint64
+	f.Add(codec.Encode(samplePacket(), &lastSeq)[0])
 	f.Add([]byte("GR\x01\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > checksumSize { // a valid checksum lets the decoder reach the items
+		if len(b) > checksumSize { // replace the checksum by a valid one, so that the items are decoded
 			b = seal(codec, b[:len(b)-checksumSize])
 		}
 		packet, err := codec.Decode(b)
 		if err != nil {
 			if !reflect.DeepEqual(packet, Packet{}) {
-				t.Fatalf("%v, but packet %+v", err, packet)
+				t.Fatalf("error %v with packet %+v, want the zero packet", err, packet)
 			}
 			return
 		}
-		number := packet.Number - 1
+		lastSeq := packet.SequenceNumber - 1
 		for _, m := range packet.Quota {
 			if !(m.Fraction >= 0 && m.Fraction <= 1) {
-				t.Fatalf("fraction %v", m.Fraction)
+				t.Fatalf("decoded fraction %v, want 0 to 1", m.Fraction)
 			}
 		}
-		for _, again := range codec.Encode(packet, &number) {
-			if _, err := codec.Decode(again); err != nil {
-				t.Fatalf("encoded again: %v", err)
+		for _, encoded := range codec.Encode(packet, &lastSeq) {
+			if _, err := codec.Decode(encoded); err != nil {
+				t.Fatalf("decoding the packet after encoding it again: %v", err)
 			}
 		}
 	})
--- a/internal/peer/datagram/decode.go
+++ b/internal/peer/datagram/decode.go
@@ -10,16 +10,17 @@
 	"gaugerelay/internal/quota"
 )
 
-// Decode returns the packet of a datagram. If it returns an error, the packet is zero. The packet does not refer to b.
+// Decode returns the packet that a datagram carries. If it returns an error, the packet is the zero value. The packet does
+// not share memory with b.
 func (c *Codec) Decode(b []byte) (Packet, error) {
 	items, err := c.verify(b)
 	if err != nil {
 		return Packet{}, err
 	}
 	d := decoder{packet: Packet{
-		From:        binary.BigEndian.Uint16(b[fromOffset:]),
-		Incarnation: binary.BigEndian.Uint32(b[incarnationOffset:]),
-		Number:      binary.BigEndian.Uint64(b[numberOffset:]),
+		From:           binary.BigEndian.Uint16(b[fromOffset:]),
+		Incarnation:    binary.BigEndian.Uint32(b[incarnationOffset:]),
+		SequenceNumber: binary.BigEndian.Uint64(b[seqOffset:]),
 	}}
 	if err := d.readItems(items); err != nil {
 		return Packet{}, err
@@ -27,13 +28,13 @@
 	return d.packet, nil
 }
 
-// verify checks the frame of a datagram and returns its items.
+// verify checks the length, header and checksum of a datagram. It returns the bytes of its items.
 func (c *Codec) verify(b []byte) (items []byte, err error) {
 	if len(b) < headerSize+checksumSize || len(b) > MaxSize || string(b[:len(magic)]) != magic {
 		return nil, ErrFormat
 	}
 	if b[versionOffset] != version {
-		return nil, ErrVersion // another version may compute the checksum in another way
+		return nil, ErrVersion // checked before the checksum, which another version may compute differently
 	}
 	end := len(b) - checksumSize
 	if sum := c.checksum(b[:end]); !hmac.Equal(sum[:], b[end:]) {
@@ -45,7 +46,7 @@
 // decoder collects the contents of one datagram.
 type decoder struct {
 	packet  Packet
-	updates []membership.Update
+	updates []membership.Update // updates of all membership messages
 }
 
 func (d *decoder) readItems(items []byte) error {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// readItem adds the contents of one item. Items of unknown types are skipped.
+// readItem adds the contents of one item. It skips items of unknown types.
 func (d *decoder) readItem(t itemType, body []byte) error {
 	if int(t) < len(bodySizes) && len(body) < bodySizes[t] {
 		return ErrItem
--- a/internal/peer/datagram/encode.go
+++ b/internal/peer/datagram/encode.go
@@ -10,11 +10,11 @@
 	"gaugerelay/internal/quota"
 )
 
-// Encode returns the datagrams that carry a packet: one if everything fits, none if the packet is empty. It advances
-// *lastNumber by the number of datagrams, each of which gets a number of its own. Membership updates that do not fit into
-// the datagram of their message are omitted, since gossip repeats them.
-func (c *Codec) Encode(p Packet, lastNumber *uint64) [][]byte {
-	e := encoder{codec: c, from: p.From, incarnation: p.Incarnation, lastNumber: lastNumber}
+// Encode returns the datagrams that carry a packet: one if everything fits, none if the packet is empty. It gives them the
+// sequence numbers that follow *lastSeq, and sets *lastSeq to the last one. It omits membership updates that do not fit into
+// the datagram of their message, because gossip repeats them.
+func (c *Codec) Encode(p Packet, lastSeq *uint64) [][]byte {
+	e := encoder{codec: c, from: p.From, incarnation: p.Incarnation, lastSeq: lastSeq}
 	for _, m := range p.Quota {
 		e.addQuotaMessage(m)
 	}
@@ -38,21 +38,21 @@
 	codec       *Codec
 	from        uint16
 	incarnation uint32
-	lastNumber  *uint64
+	lastSeq     *uint64
 
-	items     []byte // of the datagram that is being filled
+	items     []byte // items of the datagram that is being filled
 	datagrams [][]byte
 }
 
 // flush completes the datagram that is being filled.
 func (e *encoder) flush() {
-	*e.lastNumber++
+	*e.lastSeq++
 	b := make([]byte, 0, headerSize+len(e.items)+checksumSize)
 	b = append(b, magic...)
 	b = append(b, version, 0)
 	b = binary.BigEndian.AppendUint16(b, e.from)
 	b = binary.BigEndian.AppendUint32(b, e.incarnation)
-	b = binary.BigEndian.AppendUint64(b, *e.lastNumber)
+	b = binary.BigEndian.AppendUint64(b, *e.lastSeq)
 	b = append(b, e.items...)
 	sum := e.codec.checksum(b)
 	e.datagrams = append(e.datagrams, append(b, sum[:]...))
@@ -64,7 +64,8 @@
 	return len(e.items)+itemHeaderSize+bodySize <= maxItemsSize
 }
 
-// beginItem appends the header of an item, in a new datagram if the item does not fit. The caller appends the body.
+// beginItem appends the header of an item. It begins a new datagram if the item does not fit into the current one. The
+// caller must append the body.
 func (e *encoder) beginItem(t itemType) {
 	size := bodySizes[t]
 	if !e.fits(size) {
@@ -82,7 +83,8 @@
 	e.items = binary.BigEndian.AppendUint32(b, fixedPointFraction(m))
 }
 
-// fixedPointFraction returns the fraction of a quota message, limited to the range from 0 to 1.
+// fixedPointFraction returns the fraction of a quota message as a fixed-point number, limited to the range from 0 to 1. It
+// rounds a grant down and any other fraction up.
 func fixedPointFraction(m quota.Message) uint32 {
 	scaled := max(0, min(1, m.Fraction)) * fixedPointOne
 	if m.Kind != quota.LeaseGrant {
--- a/internal/peer/datagram/format.go
+++ b/internal/peer/datagram/format.go
@@ -1,9 +1,9 @@
 package datagram
 
-// MaxSize is the length of the longest datagram in bytes.
+// MaxSize is the maximum length of a datagram in bytes.
 const MaxSize = 256
 
-// The header and the checksum. Offsets are from the start of a datagram.
+// Layout of the header and the checksum, in bytes. Offsets are relative to the start of a datagram.
 const (
 	magic   = "GR"
 	version = 1
@@ -11,14 +11,14 @@
 	versionOffset     = 2
 	fromOffset        = 4
 	incarnationOffset = 6
-	numberOffset      = 10
+	seqOffset         = 10
 
 	headerSize   = 18
 	checksumSize = 8
 	maxItemsSize = MaxSize - headerSize - checksumSize
 )
 
-// itemType is the first byte of an item.
+// itemType is the type of an item, which is its first byte.
 type itemType byte
 
 const (
@@ -29,7 +29,7 @@
 	itemLatencyReport
 )
 
-// Sizes of items and their bodies. A received body may be longer.
+// Sizes of the header and the bodies of items, in bytes. A received body may be longer.
 const (
 	itemHeaderSize = 2
 
@@ -40,7 +40,7 @@
 	latencyReportSize     = 12
 )
 
-// bodySizes holds the body size of each known item type, and 0 for type 0, which is not used.
+// bodySizes holds the body size of each known item type in bytes. Type 0 is not used.
 var bodySizes = [...]int{
 	itemMembershipMessage: membershipMessageSize,
 	itemMembershipUpdate:  membershipUpdateSize,
@@ -50,7 +50,7 @@
 }
 
 const (
-	// latencyStepMs is the resolution of latencies.
+	// latencyStepMs is the resolution of encoded latencies.
 	latencyStepMs = 0.125
 	// fixedPointOne is the fixed-point representation of the fraction 1.
 	fixedPointOne = 1 << 31
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -1,4 +1,4 @@
-// Golden tests of the datagrams between gateways: their bytes must not change.
+// Golden tests of the datagrams between gateways, whose bytes must not change.
 package datagram_test
 
 import (
@@ -41,7 +41,7 @@
 const (
 	sender            = 0x0304
 	senderIncarnation = 0x05060708
-	firstNumber       = 0x1112131415161718
+	firstSeq          = 0x1112131415161718
 	testKey           = "a key of this test"
 )
 
@@ -90,7 +90,7 @@
 	return p
 }
 
-// longPacket needs several datagrams.
+// longPacket returns a packet that does not fit into one datagram.
 func longPacket() datagram.Packet {
 	p := fullPacket()
 	for i := range 20 {
@@ -104,7 +104,7 @@
 var packetCases = []struct {
 	name   string
 	packet datagram.Packet
-	exact  bool // decoding gives back what was encoded, in one datagram
+	exact  bool // whether the packet fits into one datagram and is decoded without rounding
 }{
 	{"member ping", memberPacket(membership.Ping), true},
 	{"member ping by relay", memberPacket(membership.PingRequest), true},
@@ -134,8 +134,8 @@
 			var out strings.Builder
 			for _, c := range packetCases {
 				fmt.Fprintf(&out, "%s\n", c.name)
-				number := uint64(firstNumber - 1)
-				encoded := codec.Encode(c.packet, &number)
+				lastSeq := uint64(firstSeq - 1)
+				encoded := codec.Encode(c.packet, &lastSeq)
 				for _, b := range encoded {
 					decoded, err := codec.Decode(b)
 					fmt.Fprintf(&out, "  %s\n  %s %v\n", hex.EncodeToString(b), formatPlain(reflect.ValueOf(decoded)), err)
@@ -149,25 +149,25 @@
 	}
 }
 
-// requireSame fails the test unless the single datagram decodes to the packet.
+// requireSame fails the test unless encoded is a single datagram that decodes to want.
 func requireSame(t *testing.T, name string, codec *datagram.Codec, want datagram.Packet, encoded [][]byte) {
 	t.Helper()
 	if len(encoded) != 1 {
-		t.Fatalf("%s: %d datagrams", name, len(encoded))
+		t.Fatalf("%s: encoded as %d datagrams, want 1", name, len(encoded))
 	}
-	want.Number = firstNumber
+	want.SequenceNumber = firstSeq
 	if got, err := codec.Decode(encoded[0]); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: decoded %v, %v; want %v", name, got, err, want)
+		t.Errorf("%s: decoded %v with error %v, want %v", name, got, err, want)
 	}
 }
 
-// encodeOne returns the single datagram that holds the packet.
+// encodeOne returns the only datagram of a packet that fits into one.
 func encodeOne(t *testing.T, codec *datagram.Codec, p datagram.Packet) []byte {
 	t.Helper()
-	var number uint64
-	encoded := codec.Encode(p, &number)
+	var lastSeq uint64
+	encoded := codec.Encode(p, &lastSeq)
 	if len(encoded) != 1 {
-		t.Fatalf("%d datagrams", len(encoded))
+		t.Fatalf("packet encoded as %d datagrams, want 1", len(encoded))
 	}
 	return encoded[0]
 }
--- a/internal/peer/datagram/packet.go
+++ b/internal/peer/datagram/packet.go
@@ -9,16 +9,16 @@
 	"gaugerelay/internal/quota"
 )
 
-// Packet is what one gateway sends to another one. The fields Peer of its messages and reports are not part of the wire
+// Packet holds the messages and reports that one gateway sends to another one. Their Peer fields are not part of the wire
 // format: Decode sets them to From.
 type Packet struct {
-	// From is the number of the sending gateway.
+	// From is the index of the sending gateway.
 	From uint16
 	// Incarnation identifies the sending process.
 	Incarnation uint32
-	// Number counts the datagrams of the sending process. Encode ignores it.
-	Number uint64
-	// Membership holds membership messages. Decode assigns the updates of all of them to the first one.
+	// SequenceNumber is the position of the datagram among those of the sending process. Encode ignores it.
+	SequenceNumber uint64
+	// Membership holds membership messages. Decode assigns all updates of a datagram to the first message.
 	Membership     []membership.Message
 	Quota          []quota.Message
 	OutlierReports []outlier.Report
@@ -33,6 +33,6 @@
 	ErrVersion = errors.New("datagram: of another version")
 	// ErrChecksum reports a damaged datagram or one that was authenticated with another key.
 	ErrChecksum = errors.New("datagram: spoilt, or not with this fleet's key")
-	// ErrItem reports an item that is truncated or holds an impossible value.
-	ErrItem = errors.New("datagram: an item is cut off or cannot be")
+	// ErrItem reports an item that is truncated or invalid, or updates without a membership message.
+	ErrItem = errors.New("datagram: an item is truncated or invalid")
 )
--- a/internal/peer/datagram/replay.go
+++ b/internal/peer/datagram/replay.go
@@ -1,39 +1,39 @@
 package datagram
 
-// replayWindowSize is the number of datagrams before the latest one that a ReplayWindow distinguishes.
+// replayWindowSize is the number of sequence numbers before the latest one that a ReplayWindow remembers.
 const replayWindowSize = 64
 
-// ReplayWindow detects duplicates among the datagrams of one sender. Each message tolerates duplicates; detecting them
-// here avoids work and allows counting them. The zero value has seen no datagram. It is not safe for concurrent use.
+// ReplayWindow detects duplicates among the datagrams of one sender. Duplicate messages are harmless, but detecting them here
+// avoids work and allows counting them. The zero value is an empty window. It is not safe for concurrent use.
 type ReplayWindow struct {
 	incarnation uint32
-	latest      uint64
-	earlier     uint64 // bit i: datagram latest-1-i has been received
+	latest      uint64 // greatest sequence number received
+	earlier     uint64 // bit i is set if the datagram with sequence number latest-1-i has been received
 }
 
-// Replayed records the datagram with the given number and reports whether it was received before. Datagrams that are too
-// old for the window count as received. Another incarnation than before empties the window.
-func (w *ReplayWindow) Replayed(incarnation uint32, number uint64) bool {
+// Replayed records the datagram with the given sequence number and reports whether it was received before. It also returns
+// true for datagrams that are too old for the window. A datagram of another incarnation resets the window.
+func (w *ReplayWindow) Replayed(incarnation uint32, seq uint64) bool {
 	switch {
 	case incarnation != w.incarnation:
-		*w = ReplayWindow{incarnation: incarnation, latest: number}
+		*w = ReplayWindow{incarnation: incarnation, latest: seq}
 		return false
-	case number > w.latest:
-		w.advance(number)
+	case seq > w.latest:
+		w.advance(seq)
 		return false
-	case number == w.latest || w.latest-number > replayWindowSize:
+	case seq == w.latest || w.latest-seq > replayWindowSize:
 		return true
 	}
-	bit := uint64(1) << (w.latest - number - 1)
+	bit := uint64(1) << (w.latest - seq - 1)
 	replayed := w.earlier&bit != 0
 	w.earlier |= bit
 	return replayed
 }
 
-// advance moves the window to a new latest datagram.
-func (w *ReplayWindow) advance(number uint64) {
-	distance := number - w.latest
-	w.latest = number
+// advance moves the window to a new greatest sequence number.
+func (w *ReplayWindow) advance(seq uint64) {
+	distance := seq - w.latest
+	w.latest = seq
 	if distance > replayWindowSize {
 		w.earlier = 0
 		return
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -36,8 +36,8 @@
 	datagram []byte
 }
 
-// Open starts to send and receive on a connection, which it owns from then on. One goroutine calls receive with each
-// datagram in turn; the slice is valid until receive returns.
+// Open starts to send and receive on a connection, which the returned Socket owns. One goroutine calls receive with each
+// datagram in turn. The slice is only valid until receive returns.
 func Open(conn net.PacketConn, counters *metrics.Registry, receive func(datagram []byte)) *Socket {
 	s := &Socket{
 		conn:    conn,
@@ -52,13 +52,13 @@
 
 // readLoop receives datagrams until the connection is closed.
 func (s *Socket) readLoop(receive func(datagram []byte)) {
-	buffer := make([]byte, 2*MaxSize) // larger than MaxSize, so that longer datagrams can be rejected
+	buffer := make([]byte, 2*MaxSize) // larger than MaxSize, so that a longer datagram is rejected instead of truncated to MaxSize
 	for {
 		n, _, err := s.conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // for instance an ICMP error in response to an earlier write
+		if err != nil { // for example an ICMP error in response to an earlier write
 			s.metrics.Add(counterReadErrors, 1)
 			continue
 		}
@@ -66,7 +66,7 @@
 	}
 }
 
-// writeLoop sends queued datagrams until the socket is closed.
+// writeLoop writes queued datagrams until the socket is closed.
 func (s *Socket) writeLoop() {
 	for {
 		select {
@@ -96,8 +96,8 @@
 	}
 }
 
-// Close closes the connection and waits for the goroutines of the socket. Queued datagrams are dropped. It must be called
-// only once.
+// Close closes the connection, drops queued datagrams and waits for the goroutines of the socket. It must be called only
+// once.
 func (s *Socket) Close() {
 	close(s.closed)
 	s.conn.Close()
--- a/internal/peer/fakes_test.go
+++ b/internal/peer/fakes_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// memoryNetwork delivers datagrams in memory. A datagram is available to its receiver before WriteTo returns.
+// memoryNetwork is a fake network that delivers datagrams in memory. A datagram is available to its receiver before WriteTo
+// returns.
 type memoryNetwork struct {
 	mu     sync.Mutex
 	queues map[string]chan []byte // by address of the receiver
@@ -44,7 +45,7 @@
 	defer c.network.mu.Unlock()
 	queue := c.network.queues[to.String()]
 	if queue == nil {
-		return 0, errors.New("no such address")
+		return 0, errors.New("no connection listens on the receiver address")
 	}
 	queue <- append([]byte(nil), p...)
 	return len(p), nil
--- a/internal/peer/inbox.go
+++ b/internal/peer/inbox.go
@@ -8,11 +8,11 @@
 	"gaugerelay/internal/quota"
 )
 
-// maxPending bounds the messages and the demands that wait for the next step. Since datagrams may be lost, messages beyond
-// it may be dropped.
+// maxPending bounds the messages, and separately the demands, that wait for the next step. Packets beyond the bound are
+// dropped, which is safe because the protocols allow for lost datagrams.
 const maxPending = 1024
 
-// messages are messages of all protocols, received or to be sent.
+// messages holds messages of all protocols that were received or are to be sent.
 type messages struct {
 	membership     []membership.Message
 	quota          []quota.Message
@@ -42,15 +42,15 @@
 	s.loop.Post(func(float64) { s.enqueue(packet) })
 }
 
-// isPeer reports whether a number belongs to another gateway of the fleet.
-func (s *Service) isPeer(number uint16) bool {
-	return int(number) < len(s.options.Peers) && number != s.options.Self
+// isPeer reports whether an index belongs to another gateway of the fleet.
+func (s *Service) isPeer(index uint16) bool {
+	return int(index) < len(s.options.Peers) && index != s.options.Self
 }
 
-// enqueue adds a packet to the input of the next step, which is then due at once. It drops duplicates, and packets that
-// arrive while the inbox is full.
+// enqueue adds a packet to the input of the next step and makes this step due immediately. It drops duplicates, and packets
+// that arrive while the inbox is full.
 func (s *Service) enqueue(packet datagram.Packet) {
-	if s.replayWindows[packet.From].Replayed(packet.Incarnation, packet.Number) {
+	if s.replayWindows[packet.From].Replayed(packet.Incarnation, packet.SequenceNumber) {
 		s.metrics.Add(counterDatagramsDuplicate, 1)
 		return
 	}
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -13,13 +13,13 @@
 
 // Options configure a Service.
 type Options struct {
-	// Self is the number of this gateway.
+	// Self is the index of this gateway in Peers.
 	Self uint16
-	// Peers are the addresses of all gateways, including this one, by number.
+	// Peers are the addresses of all gateways, including this one.
 	Peers []netip.AddrPort
-	// Key authenticates datagrams. Without a key anyone who reaches the address of the gateway is accepted.
+	// Key authenticates datagrams. Without a key, the gateway accepts datagrams from anyone who can reach its address.
 	Key []byte
-	// Incarnation distinguishes this process from other processes that run, or ran, under the same number.
+	// Incarnation distinguishes this process from other processes that run, or ran, with the same index.
 	Incarnation uint32
 	// Seed initializes the random number generator of the membership protocol.
 	Seed uint64
@@ -36,21 +36,22 @@
 	MaxVolumes int
 }
 
-// Settings of the state machines that operators cannot change.
+// Settings of the state machines that operators cannot configure.
 const (
 	// maxReportingPeers bounds the gateways whose state is kept for each server and volume.
 	maxReportingPeers = 64
-	// maxServers bounds the servers on which gateways report.
+	// maxServers bounds the servers about which gateways report.
 	maxServers = 4096
 
-	// requestsPerLease is how often a quota lease may be requested during its duration.
+	// requestsPerLease is the number of times that a quota lease may be requested during its duration.
 	requestsPerLease = 10
-	// quotaIdleTimeoutMs is how long a gateway grants leases of a volume's quota after its last request for the volume.
+	// quotaIdleTimeoutMs is the time after the last demand for a volume during which a gateway grants leases of the volume's
+	// quota.
 	quotaIdleTimeoutMs = 60_000
 
 	// outlierReportAgeMs is the age beyond which an outlier report is ignored.
 	outlierReportAgeMs = 3000
-	// outlierReportIntervalMs is the interval at which valid outlier reports are repeated.
+	// outlierReportIntervalMs is the interval at which an outlier report is repeated while its condition persists.
 	outlierReportIntervalMs = 1000
 	outlierDecayMs          = 2000
 	// outlierQuorumFraction is the fraction of the alive gateways that must report a server to eject it.
@@ -62,7 +63,7 @@
 	latencyReportAgeMs      = 1000
 	latencyReportIntervalMs = 200
 	latencyDecayMs          = 500
-	// maxLatencyReports bounds the latency reports of one round. They fit into one datagram.
+	// maxLatencyReports bounds the latency reports of one round, so that they fit into one datagram.
 	maxLatencyReports = 14
 )
 
@@ -113,23 +114,23 @@
 	}
 }
 
-// Bounds are the times in milliseconds that follow from Options.
+// Bounds are times in milliseconds that result from Options.
 type Bounds struct {
 	// FailureDetectionMs bounds the time until a gateway that died is declared dead.
 	FailureDetectionMs float64
-	// QuotaReturnMs bounds the time until the leases of a dead gateway have expired.
+	// QuotaReturnMs bounds the time until the quota that a dead gateway had borrowed has returned to its lenders.
 	QuotaReturnMs float64
-	// StartupHoldMs is the time after its start in which a gateway does not use the part of its share that an earlier
+	// StartupHoldMs is the time after its start during which a gateway does not use the part of its share that an earlier
 	// process may have granted.
 	StartupHoldMs float64
 	// ReportAgeMs is the age beyond which an outlier report is ignored.
 	ReportAgeMs float64
-	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. It is ReportAgeMs longer
-	// if a datagram is lost.
+	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. The bound is ReportAgeMs
+	// longer if a datagram is lost.
 	EjectionMs float64
 }
 
-// Bounds returns the bounds that these options lead to.
+// Bounds returns the bounds that result from these options.
 func (o Options) Bounds() Bounds {
 	return Bounds{
 		FailureDetectionMs: o.membershipSettings().DetectionBoundMs(),
@@ -146,10 +147,10 @@
 	for _, text := range texts {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("peer %q is not an address and a port", text)
+			return nil, fmt.Errorf("peer %q is not an IP address with a port", text)
 		}
 		if slices.Contains(addrs, addr) {
-			return nil, fmt.Errorf("peer %q is there twice", text)
+			return nil, fmt.Errorf("peer %q is listed more than once", text)
 		}
 		addrs = append(addrs, addr)
 	}
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -6,10 +6,10 @@
 	"gaugerelay/internal/peer/datagram"
 )
 
-// maxReportRecipients bounds the gateways to which one round of reports is sent.
+// maxReportRecipients bounds the recipients of one round of reports.
 const maxReportRecipients = 16
 
-// send sends membership and quota messages to the gateways that they name, and reports to reportRecipients.
+// send sends each membership and quota message to its recipient, and the reports to reportRecipients.
 func (s *Service) send(outbox messages) {
 	if s.socket == nil {
 		return
@@ -36,13 +36,13 @@
 	s.sendPackets(packets)
 }
 
-// sendPackets encodes and sends packets. Packets to gateways that do not exist are dropped.
+// sendPackets encodes and sends packets. It drops packets to gateways that do not exist.
 func (s *Service) sendPackets(packets packetSet) {
 	for i, peer := range packets.recipients {
 		if int(peer) >= len(s.options.Peers) {
 			continue
 		}
-		for _, b := range s.codec.Encode(*packets.packets[i], &s.lastDatagramNumber) {
+		for _, b := range s.codec.Encode(*packets.packets[i], &s.lastDatagramSeq) {
 			s.socket.Send(s.options.Peers[peer], b)
 		}
 	}
@@ -63,14 +63,14 @@
 	return recipients
 }
 
-// packetSet holds one packet for each recipient, in the order in which the recipients were first named.
+// packetSet holds one packet for each recipient, in the order in which packetFor was first called for the recipients.
 type packetSet struct {
-	template   datagram.Packet // header of each packet
+	template   datagram.Packet // new packets are copies of it
 	recipients []uint16
 	packets    []*datagram.Packet // parallel to recipients
 }
 
-// packetFor returns the packet for a recipient.
+// packetFor returns the packet for a recipient, which it adds if necessary.
 func (s *packetSet) packetFor(peer uint16) *datagram.Packet {
 	if i := slices.Index(s.recipients, peer); i >= 0 {
 		return s.packets[i]
--- a/internal/peer/servers.go
+++ b/internal/peer/servers.go
@@ -10,29 +10,30 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// removedServerRetentionMs is how long this gateway reports a removed server as withdrawn. It is longer than endpoint
-// updates take to reach all gateways.
+// removedServerRetentionMs is the time for which this gateway reports a removed server as withdrawn. It is longer than
+// endpoint updates take to reach all gateways.
 const removedServerRetentionMs = 10_000
 
-// ServerKey returns the number by which all gateways identify one run of a server: its identifier and start time.
+// ServerKey returns the key by which all gateways identify one process of a server: a hash of the server's identifier and its
+// start time.
 func ServerKey(id string, startedMs float64) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s %.0f", id, startedMs))
 }
 
 func serverKey(server *lifecycle.Server) uint64 { return ServerKey(server.Name, server.StartedMs) }
 
-// serverTable holds the servers of the current endpoint list, and those that were removed recently.
+// serverTable holds the servers of the current endpoint list and the servers that were removed recently.
 type serverTable struct {
 	listed    map[uint64]*lifecycle.Server // by serverKey
-	removedAt map[uint64]float64           // by serverKey, in ms
+	removedAt map[uint64]float64           // time of removal in ms, by serverKey
 }
 
 func newServerTable() serverTable {
 	return serverTable{listed: map[uint64]*lifecycle.Server{}, removedAt: map[uint64]float64{}}
 }
 
-// update replaces the listed servers. It returns the keys of the listed servers in their order, and the sorted keys of the
-// servers that are withdrawn: not ready, or removed recently.
+// update replaces the listed servers. It returns the keys of the listed servers in the given order, and the sorted keys of the
+// withdrawn servers, which are those that are not ready or were removed recently.
 func (t *serverTable) update(nowMs float64, servers, removed []*lifecycle.Server) (listed, withdrawn []uint64) {
 	for _, server := range removed {
 		t.removedAt[serverKey(server)] = nowMs
@@ -68,7 +69,7 @@
 	s.stepBy(nowMs, nowMs+batchDelayMs)
 }
 
-// AttemptEnded implements lifecycle.Peers. Statuses that do not show whether the server works are ignored.
+// AttemptEnded implements lifecycle.Peers. It ignores statuses that do not show whether the server works.
 func (s *Service) AttemptEnded(nowMs float64, server *lifecycle.Server, status scheduler.Status, latencyMs float64) {
 	key := serverKey(server)
 	switch status {
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -23,18 +23,18 @@
 	AfterFunc(ms float64, f func(nowMs float64)) (stop func())
 }
 
-// Service exchanges state with the other gateways. Its methods must be called on the goroutine of the event loop, except
-// Start and Close, and InitialQuotaShare, which any goroutine may call.
+// Service exchanges state with the other gateways. Its methods must be called on the goroutine of the event loop, with these
+// exceptions: Start and Close need not, and InitialQuotaShare may be called from any goroutine at any time.
 type Service struct {
 	options Options
 	metrics *metrics.Registry
 	log     *slog.Logger
 	loop    EventLoop // nil before Start
 
-	codec              *datagram.Codec
-	socket             *datagram.Socket        // nil before Start
-	replayWindows      []datagram.ReplayWindow // by the number of the sender
-	lastDatagramNumber uint64
+	codec           *datagram.Codec
+	socket          *datagram.Socket        // nil before Start
+	replayWindows   []datagram.ReplayWindow // by the index of the sender
+	lastDatagramSeq uint64                  // sequence number of the last datagram that was sent
 
 	members   *membership.Memberlist
 	quotas    *quota.Allocator
@@ -47,10 +47,10 @@
 	inbox   messages
 	demands []quota.Demand
 
-	nextRecipient   int     // rotates the recipients of reports
-	nextEjectionsMs float64 // when ejections are next passed to the scheduler
-	nextStepMs      float64
-	stopTimer       func() // cancels the timer for nextStepMs
+	nextRecipient   int     // rotating index of the next recipient of reports among the alive gateways
+	nextEjectionsMs float64 // time from which ejections may be passed to the scheduler again
+	nextStepMs      float64 // time from which BeginStep performs the next step
+	stopTimer       func()  // cancels the timer for nextStepMs
 }
 
 var _ lifecycle.Peers = (*Service)(nil)
@@ -84,12 +84,12 @@
 	return s, nil
 }
 
-// InitialQuotaShare returns the fraction of its own share of a quota that the gateway may use until it has received
-// messages of other gateways.
+// InitialQuotaShare returns the fraction of its own share of a volume's quota that the gateway may use before the first
+// QuotaShare event for the volume. An earlier process may have granted the rest to other gateways.
 func (s *Service) InitialQuotaShare() float64 { return 1 - s.options.MaxGrantedFraction }
 
-// Start begins to exchange datagrams over a connection, which the service owns from then on. It must be called once,
-// before the event loop calls other methods of the service.
+// Start starts to exchange datagrams over a connection, which the service owns from then on. It must be called once, before
+// the event loop calls other methods of the service.
 func (s *Service) Start(conn net.PacketConn, loop EventLoop) {
 	s.loop = loop
 	s.socket = datagram.Open(conn, s.metrics, s.receive)
@@ -103,13 +103,13 @@
 	}
 }
 
-// Leave implements lifecycle.Peers. It makes the service announce with the next step that this gateway shuts down.
+// Leave makes the service announce in the next step, which is due immediately, that this gateway shuts down.
 func (s *Service) Leave(float64) {
 	s.members.Leave()
 	s.nextStepMs = 0
 }
 
-// ReportDemand implements lifecycle.Peers. It drops the demand if too many wait for the next step.
+// ReportDemand implements lifecycle.Peers. It drops the demand if maxPending demands wait for the next step.
 func (s *Service) ReportDemand(nowMs float64, demand scheduler.QuotaDemand) {
 	if len(s.demands) < maxPending {
 		s.demands = append(s.demands, quota.Demand{
@@ -127,11 +127,11 @@
 	return s.quotas.FirstLeaseExpiryMs(uint64(volume))
 }
 
-// stepBy schedules the next step for atMs unless an earlier one is scheduled.
+// stepBy schedules the next step for atMs unless it is already scheduled for an earlier time.
 func (s *Service) stepBy(nowMs, atMs float64) { s.scheduleStep(nowMs, min(s.nextStepMs, atMs)) }
 
-// scheduleStep schedules the next step for atMs unless one at the same time or earlier is scheduled in the future. An
-// infinite time schedules no step.
+// scheduleStep schedules the next step for atMs unless it is already scheduled for a time between nowMs and atMs. If atMs is
+// +Inf, no step is scheduled.
 func (s *Service) scheduleStep(nowMs, atMs float64) {
 	if atMs >= s.nextStepMs && s.nextStepMs > nowMs {
 		return
@@ -139,7 +139,7 @@
 	s.stopTimer()
 	s.nextStepMs = atMs
 	if s.loop != nil && !math.IsInf(atMs, 1) {
-		// The loop calls BeginStep after each function that it runs, so the function itself has nothing to do.
+		// The event loop calls BeginStep after each function that it runs, so the function of the timer does nothing.
 		s.stopTimer = s.loop.AfterFunc(max(minTimerMs, atMs-nowMs), func(float64) {})
 	}
 }
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -17,12 +17,12 @@
 	testVolume   = 7
 )
 
-// testGateway is a Service with what the test observes of it.
+// testGateway is a Service with the state that the test observes.
 type testGateway struct {
 	service  *Service
 	loop     *manualLoop
 	counters *metrics.Registry
-	share    float64 // latest share of testVolume; negative before the first one
+	share    float64 // latest share of testVolume; negative before the first share event
 }
 
 func startGateway(t *testing.T, network *memoryNetwork, number int, key string) *testGateway {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestQuotaLeaseByDatagrams checks that a busy gateway obtains a lease of quota that another gateway does not use.
-// Datagrams with another key are ignored.
+// TestQuotaLeaseByDatagrams checks that a busy gateway obtains a lease of quota that another gateway does not use, and that
+// datagrams with another key are ignored.
 func TestQuotaLeaseByDatagrams(t *testing.T) {
 	const (
 		ownShare    = 1.0 / testGateways
@@ -79,39 +79,41 @@
 	)
 	var network memoryNetwork
 	busy, idle := startGateway(t, &network, 0, "k"), startGateway(t, &network, 1, "k")
-	stranger := startGateway(t, &network, 2, "another")
+	otherKey := startGateway(t, &network, 2, "another")
 	for nowMs := 0.0; busy.share < leasedShare && nowMs < 1e6; nowMs += 10 {
 		busy.step(nowMs, 0.9)
 		idle.step(nowMs, 0.01)
-		stranger.step(nowMs, 0.01)
+		otherKey.step(nowMs, 0.01)
 		runtime.Gosched() // lets the sockets' goroutines deliver datagrams
 	}
 	if busy.share < leasedShare {
-		t.Fatalf("the busy gateway holds %.3f", busy.share)
+		t.Fatalf("busy gateway has a share of %.3f, want a lease in addition to its own share", busy.share)
 	}
-	if idle.share > ownShare/2+0.01 || stranger.share >= 0 && stranger.share < ownShare/2-0.01 {
-		t.Errorf("the idle gateway holds %.3f, the stranger %.3f", idle.share, stranger.share)
+	if idle.share > ownShare/2+0.01 || otherKey.share >= 0 && otherKey.share < ownShare/2-0.01 {
+		t.Errorf("idle gateway has a share of %.3f and the one with another key %.3f, want at most and at least half of 1/3",
+			idle.share, otherKey.share)
 	}
 	expiryMs := busy.service.QuotaExpiresMs(testVolume)
 	if expiryMs == 0 || idle.service.QuotaExpiresMs(testVolume) != 0 || busy.service.QuotaExpiresMs(testVolume+1) != 0 {
-		t.Errorf("leases expire at %v, %v", expiryMs, idle.service.QuotaExpiresMs(testVolume))
+		t.Errorf("leases of the busy and the idle gateway expire at %v and %v ms, want a lease only for volume 7 at the busy one",
+			expiryMs, idle.service.QuotaExpiresMs(testVolume))
 	}
 	invalid, received := busy.counters.Get(counterDatagramsInvalid), busy.counters.Get(counterDatagramsReceived)
 	if invalid == 0 || received == 0 {
-		t.Errorf("%d datagrams invalid, %d received", invalid, received)
+		t.Errorf("busy gateway counted %d invalid and %d received datagrams, want some of each", invalid, received)
 	}
 	requireStatus(t, busy.service,
 		"bound part_back_ms 1020", "bound start_hold_ms 1020", "member 2", "volume 0000000000000007 held")
 }
 
-// requireStatus reports an error for each text that the status does not contain.
+// requireStatus reports a test error for each text that is missing in the status of the service.
 func requireStatus(t *testing.T, service *Service, texts ...string) {
 	t.Helper()
 	var status strings.Builder
 	service.WriteStatus(&status, 0)
 	for _, text := range texts {
 		if !strings.Contains(status.String(), text) {
-			t.Errorf("%q is not in\n%s", text, status.String())
+			t.Errorf("status does not contain %q:\n%s", text, status.String())
 		}
 	}
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -7,8 +7,8 @@
 	"gaugerelay/internal/outlier"
 )
 
-// WriteStatus appends the state of the service to text, in a form for operators that docs/operators/fleet.md documents.
-// It is called on the event loop's goroutine.
+// WriteStatus appends the state of the service to text, in the format for operators that docs/operators/fleet.md describes.
+// It must be called on the goroutine of the event loop.
 func (s *Service) WriteStatus(text *strings.Builder, nowMs float64) {
 	s.writeBounds(text)
 	for i, addr := range s.options.Peers {
@@ -44,7 +44,7 @@
 	}
 }
 
-// conditionLabel returns the word for a condition in the status text, which stays the same between versions.
+// conditionLabel returns the name of a condition in the status text, which is the same in all versions of the program.
 func conditionLabel(condition outlier.Condition) string {
 	switch condition {
 	case outlier.Failing:
--- a/internal/peer/step.go
+++ b/internal/peer/step.go
@@ -22,7 +22,7 @@
 
 	// ejectedRequestIntervalMs is the interval at which each gateway may still send one request to an ejected server.
 	ejectedRequestIntervalMs = 400
-	// ejectionIntervalMs is the interval at which lasting ejections are passed to the scheduler.
+	// ejectionIntervalMs is the interval at which ejections are passed to the scheduler again while they last.
 	ejectionIntervalMs = 100
 )
 
@@ -50,7 +50,7 @@
 	return events
 }
 
-// nextTimerMs returns when the first of the state machines has to be called again.
+// nextTimerMs returns the time by which the first of the state machines must be called again.
 func (s *Service) nextTimerMs(nowMs float64) float64 {
 	next := min(s.members.NextStepMs(), s.quotas.NextStepMs(nowMs), s.outliers.NextStepMs(nowMs),
 		s.latencies.NextReportMs(nowMs))
@@ -84,7 +84,7 @@
 		logevent.Member, change.Member, logevent.State, change.State.String(), logevent.Incarnation, change.ProcessIncarnation)
 }
 
-// stepOutliers runs outlier detection. It returns events for ejected servers once in ejectionIntervalMs.
+// stepOutliers runs outlier detection. It returns events for ejected servers at most once per ejectionIntervalMs.
 func (s *Service) stepOutliers(
 	nowMs float64, received []outlier.Report,
 ) (reports []outlier.Report, events []scheduler.Event) {
@@ -108,7 +108,7 @@
 	return reports, events
 }
 
-// stepLatencies combines latency reports. It returns events for servers whose estimate has changed.
+// stepLatencies runs the aggregation of latencies. It returns events for servers whose estimate has changed.
 func (s *Service) stepLatencies(
 	nowMs float64, received []peerlatency.Report,
 ) (reports []peerlatency.Report, events []scheduler.Event) {
