--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// member is what a Memberlist knows about one member.
+// member is the state that a Memberlist has for one member.
 type member struct {
 	state              State
 	incarnation        uint64
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -47,9 +47,9 @@
 // The kinds of messages.
 const (
 	Ping        MessageKind = iota + 1
-	PingRequest             // asks the receiver to ping Target
+	PingRequest             // request to ping Target on behalf of the sender
 	Ack
-	Nack // reports that the target of a PingRequest has not acknowledged yet
+	Nack // answer to a PingRequest whose target has not acknowledged in time
 )
 
 // String returns the lower-case name of the kind.
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -37,7 +37,8 @@
 	MaxSuspicionFactor float64
 	// ExpectedConfirmations is the number of further members that must confirm a suspicion to reach the shortest timeout.
 	ExpectedConfirmations int
-	// MaxHealthScore bounds the health score. A member with score n multiplies its probe timeouts and periods by n+1.
+	// MaxHealthScore bounds the health score. A member with score n multiplies its probe timeouts and periods by n+1; a score
+	// of 0 is healthy.
 	MaxHealthScore int
 
 	// MaxUpdatesPerMessage bounds the updates that one message carries.
--- a/internal/outlier/settings.go
+++ b/internal/outlier/settings.go
@@ -22,7 +22,7 @@
 	// than a short one.
 	MaxAttemptWeight float64
 
-	// MaxReportAgeMs is the age beyond which a report does not count.
+	// MaxReportAgeMs is the age beyond which a report is ignored.
 	MaxReportAgeMs float64
 	// ReportIntervalMs is the interval at which this gateway repeats a report whose condition persists.
 	ReportIntervalMs float64
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -1,6 +1,6 @@
 package peer
 
-// Names of counters.
+// Names of the counters of a Service.
 const (
 	counterDatagramsReceived  = "fleet_datagrams_received"
 	counterDatagramsInvalid   = "fleet_datagrams_invalid"
--- a/internal/peer/datagram/golden_test.go
+++ b/internal/peer/datagram/golden_test.go
@@ -17,7 +17,8 @@
 	"gaugerelay/internal/testbed"
 )
 
-// formatPlain formats a value like the verb %v, but without String methods: golden files hold enum values as numbers.
+// formatPlain formats a value like the verb %v, but without calling String methods, because the golden files contain enum
+// values as numbers.
 func formatPlain(v reflect.Value) string {
 	var elements []string
 	switch v.Kind() {
@@ -55,15 +56,15 @@
 
 func quotaPacket(kind quota.MessageKind, fraction float64) datagram.Packet {
 	p := packet()
-	p.Quota = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderIncarnation, RecipientIncarnation: 0x41424344,
-		Seq: 0x45464748, Fraction: fraction}}
+	p.Quota = []quota.Message{{Kind: kind, Pool: 0x3132333435363738, Peer: sender, SenderIncarnation: senderIncarnation,
+		RecipientIncarnation: 0x41424344, Seq: 0x45464748, Fraction: fraction}}
 	return p
 }
 
 func outlierPacket(condition outlier.Condition) datagram.Packet {
 	p := packet()
-	p.OutlierReports = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: condition, Percent: 80, Version: 0x6162636465666768,
-		AgeMs: 250}}
+	p.OutlierReports = []outlier.Report{{Peer: sender, Server: 0x5152535455565758, Condition: condition, Percent: 80,
+		Version: 0x6162636465666768, AgeMs: 250}}
 	return p
 }
 
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -12,7 +12,7 @@
 // maxQueued bounds the datagrams that wait to be written.
 const maxQueued = 256
 
-// Names of counters.
+// Names of the counters of a Socket.
 const (
 	counterReadErrors      = "fleet_read_errors"
 	counterWriteErrors     = "fleet_write_errors"
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -15,11 +15,11 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// EventLoop is what a Service needs of the event loop. Its methods may be called from any goroutine.
+// EventLoop is the part of the event loop that a Service uses. Its methods may be called from any goroutine.
 type EventLoop interface {
 	// Post calls f on the goroutine of the loop.
 	Post(f func(nowMs float64))
-	// AfterFunc calls f on the goroutine of the loop after ms milliseconds, unless stop is called before.
+	// AfterFunc calls f on the goroutine of the loop after ms milliseconds, unless stop is called first.
 	AfterFunc(ms float64, f func(nowMs float64)) (stop func())
 }
 
