--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -1,8 +1,8 @@
-// Package accept keeps listeners accepting. On Linux accept fails temporarily for many reasons: the connection broke before it
-// was accepted (ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ...), or a resource is exhausted (EMFILE, ENFILE, ENOBUFS,
-// ENOMEM). None of them ends a listener; only Close does.
+// Package accept provides a listener that retries failed accepts. On Linux accept fails temporarily for many reasons: the
+// connection broke before it was accepted (ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ...), or a resource is exhausted
+// (EMFILE, ENFILE, ENOBUFS, ENOMEM). The listener stays usable after all of them, until Close is called.
 //
-// The package starts no goroutine. A Listener's Accept may wait on the goroutine of its caller.
+// The package starts no goroutine. A Listener's Accept blocks its caller during the delay before a retry.
 package accept
 
 import (
@@ -18,18 +18,18 @@
 )
 
 const (
-	// minBackoffMs is the wait after the first failure.
+	// minBackoffMs is the delay before the first retry, in milliseconds.
 	minBackoffMs = 1.0
-	// maxBackoffMs bounds the waits after further ones.
+	// maxBackoffMs limits the delay before a retry, in milliseconds.
 	maxBackoffMs = 10.0
-	// maxBackoffFraction bounds them, too, as a part of the shortest deadline.
+	// maxBackoffFraction also limits the delay before a retry, as a fraction of the shortest request deadline.
 	maxBackoffFraction = 0.02
 )
 
-// acceptsFailedPrefix begins the names of counters of failures; the name of the error follows.
+// acceptsFailedPrefix is the first part of the names of failure counters. The name of the system error follows it.
 const acceptsFailedPrefix = "accepts_failed_"
 
-// Listener is a listener whose Accept fails only once it is closed.
+// Listener is a listener whose Accept returns an error only after Close.
 type Listener struct {
 	net.Listener
 	clock        clock.Clock
@@ -37,13 +37,13 @@
 	maxBackoffMs float64
 	onDelay      func(fromMs, toMs float64)
 
-	once   sync.Once
-	closed chan struct{}
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// Wrap returns a Listener that accepts from ln. Its waits after failures double up to a small part of the shortest deadline.
-// onDelay is called by Accept with each span of the clock in which accepts failed, once one has succeeded: what arrived
-// meanwhile has waited since.
+// Wrap returns a Listener that accepts from ln. The delay before a retry doubles with each failure, up to a small fraction of
+// shortestDeadlineMs. When an accept succeeds after failures, Accept calls onDelay with the start and the end of the period of
+// failures: a connection that arrived in it may have waited in the kernel's queue ever since.
 func Wrap(ln net.Listener, clk clock.Clock, registry *metrics.Registry, shortestDeadlineMs float64,
 	onDelay func(fromMs, toMs float64)) *Listener {
 	return &Listener{
@@ -71,8 +71,8 @@
 			return nil, net.ErrClosed
 		}
 		l.metrics.Add(acceptsFailedPrefix+errnoName(err), 1)
-		if isConnError(err) {
-			continue // the next connection is not affected
+		if isConnectionError(err) {
+			continue // accepting the next connection needs no delay
 		}
 		if failedSinceMs == 0 {
 			failedSinceMs = l.clock.NowMs()
@@ -82,13 +82,12 @@
 	}
 }
 
-// Close closes the listener and ends a wait of Accept. It may be called from any goroutine.
+// Close closes the listener and makes a blocked Accept return. It may be called from any goroutine.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// isClosed reports whether Close was called.
 func (l *Listener) isClosed() bool {
 	select {
 	case <-l.closed:
@@ -98,7 +97,7 @@
 	}
 }
 
-// wait returns after the given time, or when the listener is closed.
+// wait blocks for the given time, or until the listener is closed.
 func (l *Listener) wait(ms float64) {
 	elapsed, stop := clock.After(l.clock, ms)
 	defer stop()
@@ -108,12 +107,13 @@
 	}
 }
 
-// isConnError reports whether an accept failed because of the connection that it would have returned, or was interrupted.
-func isConnError(err error) bool {
+// isConnectionError reports whether accept failed only for the connection that it would have returned, or was interrupted by a
+// signal. It can then be retried without a delay.
+func isConnectionError(err error) bool {
 	return errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
 
-// errnoName returns the name of a system error, or "other" if it is none.
+// errnoName returns the name of a system error, such as EMFILE, or "other" for any other error.
 func errnoName(err error) string {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
--- a/internal/frontend/accept/accept_test.go
+++ b/internal/frontend/accept/accept_test.go
@@ -14,7 +14,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// failingListener is a listener whose accepts fail with a list of errors before they succeed.
+// failingListener is a listener whose accepts fail with errs, one after the other, and succeed from then on.
 type failingListener struct {
 	net.Listener
 	errs   []error
@@ -38,27 +38,28 @@
 
 func (f *failingListener) Close() error { close(f.closed); return nil }
 
-// No error of accept ends a listener, and its waits stay small compared with the shortest deadline.
+// Accept must retry after every error, and the total delay must stay small compared with the shortest deadline.
 func TestAcceptSurvivesErrors(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		errs []error
-		max  time.Duration
+		name     string
+		errs     []error
+		maxDelay time.Duration
 	}{
 		{"broken connections", []error{syscall.ECONNABORTED, syscall.EINTR, syscall.ECONNABORTED}, 0},
-		{"once each", []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM}, 25 * time.Millisecond},
+		{"each error once", []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM}, 25 * time.Millisecond},
 		{"descriptors exhausted, eight in a row", []error{syscall.ENFILE, syscall.ENFILE, syscall.ENFILE, syscall.ENFILE, syscall.EMFILE,
 			syscall.EMFILE, syscall.EMFILE, syscall.EMFILE}, 36 * time.Millisecond},
 		{"not a system error", []error{errors.New("odd")}, time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkSurvives(t, test.errs, test.max) })
+			synctest.Test(t, func(t *testing.T) { checkAcceptsAfterErrors(t, test.errs, test.maxDelay) })
 		})
 	}
 }
 
-// checkSurvives checks that a listener accepts after the errors, in the time that it may take, and reports the delay.
-func checkSurvives(t *testing.T, errs []error, maxDelay time.Duration) {
+// checkAcceptsAfterErrors checks that a listener accepts a connection after errs, within maxDelay, and that it reports the delay
+// and counts each error.
+func checkAcceptsAfterErrors(t *testing.T, errs []error, maxDelay time.Duration) {
 	t.Helper()
 	registry, delayMs := metrics.New(), 0.0
 	l := Wrap(&failingListener{errs: errs, closed: make(chan struct{})}, clock.NewSystem(), registry, 250,
@@ -71,18 +72,18 @@
 		t.Errorf("accepted after %v, want at most %v", took, maxDelay)
 	}
 	if took := time.Since(start); took != clock.Duration(delayMs) {
-		t.Errorf("accepted after %v, reported %v ms", took, delayMs)
+		t.Errorf("accepted after %v, but onDelay got %v ms", took, delayMs)
 	}
 	counted := 0
 	for _, n := range registry.Snapshot() {
 		counted += int(n)
 	}
 	if counted != len(errs) {
-		t.Errorf("%d failures counted of %d: %v", counted, len(errs), registry.Snapshot())
+		t.Errorf("counted %d failures, want %d; counters: %v", counted, len(errs), registry.Snapshot())
 	}
 }
 
-// Closing a listener while Accept waits ends Accept at once.
+// Closing a listener must make an Accept that waits for its next retry return at once.
 func TestCloseDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := make([]error, 1<<16)
@@ -96,7 +97,7 @@
 		closed := time.Now()
 		testbed.Close(t, l)
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(closed) != 0 {
-			t.Errorf("ended %v after the close: %v", time.Since(closed), err)
+			t.Errorf("Accept returned %v after Close with error %v, want net.ErrClosed at once", time.Since(closed), err)
 		}
 	})
 }
--- a/internal/frontend/requestparse/device.go
+++ b/internal/frontend/requestparse/device.go
@@ -12,27 +12,27 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// The exchanges of one device are named by their keys. The prefixes keep reads and writes apart.
+// A key identifies an exchange among those of one device. The prefix keeps the keys of reads and writes distinct.
 const (
 	readKeyPrefix  = "r\x00"
 	writeKeyPrefix = "w\x00"
 )
 
-// serverKeyBytes is how much of a digest becomes the idempotency key that servers get.
+// serverKeyBytes is the number of bytes of a digest that form the idempotency key that is sent to servers.
 const serverKeyBytes = 16
 
-// DeviceFields are what a device says about one copy of a request, beside Fields.
+// DeviceFields are the values that belong to one transmission of a device's request, in addition to Fields.
 type DeviceFields struct {
 	DeviceID        string
-	ReadID          string               // names the exchange of a read, which has no idempotency key
-	AgeMs           float64              // since the device first sent the request; below zero: unknown
-	PreviousGateway string               // the gateway that the device sent earlier copies to; empty: unknown
-	Link            lifecycle.LinkSample // what this copy measured of the device's link
+	ReadID          string               // identifies the exchange of a read, which has no idempotency key
+	AgeMs           float64              // time since the device first sent the request; negative if unknown
+	PreviousGateway string               // id of the gateway that received the earlier transmissions; empty if unknown
+	Link            lifecycle.LinkSample // measurements of the device's link made during this transmission
 }
 
-// MakeDeviceRequest makes a parsed request a copy of an exchange of a device. payload is the request to servers; each run of
-// the exchange gets a copy of it with its own header and body. The same request belongs to the same exchange whichever
-// frontend it arrived over. The caller sets the body of request.Device.
+// MakeDeviceRequest turns a parsed request into a transmission of a device's exchange by setting request.Device. The caller
+// sets the body of request.Device. payload is the request that is sent to servers: each execution of the exchange sends a
+// clone of it with its own header and body. The exchange of a request does not depend on the frontend that received it.
 func MakeDeviceRequest(request *lifecycle.Request, class *scheduler.Class, fields Fields, device DeviceFields, payload *httpmessage.Request) error {
 	if !IsIdentifier(device.DeviceID) {
 		return errors.New("the device's name is missing, too long or not plain text")
@@ -58,18 +58,18 @@
 		PreviousGateway: device.PreviousGateway,
 		Link:            device.Link,
 		BuildPayload: func(id string, body []byte) any {
-			return runPayload(payload, id, serverKey, body)
+			return executionPayload(payload, id, serverKey, body)
 		},
 	}
 	return nil
 }
 
-// exchangeKey returns the key by which a device names an exchange.
+// exchangeKey returns the key that a device has chosen for an exchange: the idempotency key of a write, or the id of a read.
 func exchangeKey(class *scheduler.Class, fields Fields, device DeviceFields) (string, error) {
 	key := fields.IdempotencyKey
 	if class.Idempotency == scheduler.Idempotent {
 		key = device.ReadID
-	} else if key == "" { // the class must not be executed twice
+	} else if key == "" { // without a key, a repeated transmission could be executed again
 		return "", fmt.Errorf("class %s needs an Idempotency-Key from a device", class.Name)
 	}
 	if !IsIdentifier(key) {
@@ -78,7 +78,7 @@
 	return key, nil
 }
 
-// headDigest returns the digest of a request without its body. Copies of one exchange have the same.
+// headDigest returns the digest of a request without its body. All transmissions of an exchange have the same digest.
 func headDigest(request *lifecycle.Request, fields Fields, payload *httpmessage.Request) [sha256.Size]byte {
 	var head []byte
 	for _, part := range []string{payload.Method, payload.Path, payload.RawPath, payload.RawQuery, fields.Class, fields.Plan,
@@ -89,22 +89,22 @@
 	return sha256.Sum256(head)
 }
 
-// serverIdempotencyKey returns the idempotency key of an exchange at servers. They recognize repeats by this key alone, and
-// two devices may well choose the same one.
+// serverIdempotencyKey returns the idempotency key that is sent to servers for an exchange. It depends on the device, because
+// servers recognize repeated requests by this key alone, and two devices may choose the same key.
 func serverIdempotencyKey(deviceID, key string) string {
 	digest := sha256.Sum256([]byte(deviceID + "\x00" + key))
 	return hex.EncodeToString(digest[:serverKeyBytes])
 }
 
-// runPayload returns the request to servers for one run of an exchange, which servers know by the id of the run. serverKey is
-// empty for a read.
-func runPayload(payload *httpmessage.Request, id, serverKey string, body []byte) *httpmessage.Request {
-	run := *payload
-	run.Header = payload.Header.Clone()
-	run.Header.Set("X-Correlation-Id", id)
+// executionPayload returns the request that is sent to servers for one execution of an exchange. id identifies the execution to
+// servers. serverKey is empty for a read.
+func executionPayload(payload *httpmessage.Request, id, serverKey string, body []byte) *httpmessage.Request {
+	clone := *payload
+	clone.Header = payload.Header.Clone()
+	clone.Header.Set("X-Correlation-Id", id)
 	if serverKey != "" {
-		run.Header.Set("Idempotency-Key", serverKey)
+		clone.Header.Set("Idempotency-Key", serverKey)
 	}
-	run.Body = body
-	return &run
+	clone.Body = body
+	return &clone
 }
--- a/internal/frontend/requestparse/iofields.go
+++ b/internal/frontend/requestparse/iofields.go
@@ -10,10 +10,11 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// ioFieldCount is how many fields X-IO must have.
+// ioFieldCount is the number of fields that X-IO must have.
 const ioFieldCount = 4
 
-// parseIO parses the fields of X-IO, which describe the volume that a request works on. Unknown names are ignored.
+// parseIO parses X-IO, the comma-separated list of name=value fields that describe the volume of a request. Fields with an
+// unknown name are ignored.
 func parseIO(request *lifecycle.Request, text string) error {
 	known := 0
 	for _, field := range strings.Split(text, ",") {
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// parseIOField sets what one field describes. It returns false for an unknown name.
+// parseIOField parses one field of X-IO into the request. It returns false for an unknown name.
 func parseIOField(request *lifecycle.Request, name, value string) (isKnown bool, err error) {
 	switch name {
 	case "volume":
--- a/internal/frontend/requestparse/request.go
+++ b/internal/frontend/requestparse/request.go
@@ -1,7 +1,7 @@
-// Package requestparse checks and converts the platform's form of a request, which is the same over all frontends. A malformed
-// request must never reach the scheduler.
+// Package requestparse validates the fields of a request, which are the same in all frontend protocols, and converts them to a
+// lifecycle.Request. A malformed request must never reach the scheduler.
 //
-// The package has no state and starts no goroutine. The texts of its errors are sent to clients.
+// The package has no state and starts no goroutine. Its error texts are sent to clients.
 package requestparse
 
 import (
@@ -17,25 +17,26 @@
 )
 
 const (
-	// maxIdentifierLength is the largest length of an identifier that clients choose.
+	// maxIdentifierLength is the maximum length, in bytes, of an identifier that a client chooses.
 	maxIdentifierLength = 128
-	// objectKeyDigits is the number of hex digits of an object's key.
+	// objectKeyDigits is the number of hexadecimal digits of an object key.
 	objectKeyDigits = 16
-	// maxDeadlineFactor bounds the time of a request, as a multiple of its class's deadline. A client may wait longer than
-	// that deadline, but the state of its request is kept as long.
+	// maxDeadlineFactor limits the remaining time of a request to a multiple of the deadline of its class. A client may wait
+	// longer than that deadline, but the gateway keeps the state of a request for as long as its client waits.
 	maxDeadlineFactor = 2
 )
 
-// Fields are the parts of a request as a client gave them.
+// Fields are the fields of a request as the client sent them.
 type Fields struct {
 	Method, Path, Class, Plan, IO string
 	CorrelationID                 string // empty if the request has none
 	IdempotencyKey                string // empty if the request has none
-	RemainingMs                   uint64 // how long the client still waits
-	IsRetry                       bool   // the client has sent the request before
+	RemainingMs                   uint64 // how much longer the client waits for the response
+	IsRetry                       bool   // whether the client has sent the request before
 }
 
-// Parse checks the fields of a request and returns it with its class. The caller sets the request's Upstream and Payload.
+// Parse validates the fields of a request and returns the request and its class. The caller sets the request's Upstream and
+// Payload.
 func Parse(settings *scheduler.Settings, fields Fields) (*lifecycle.Request, *scheduler.Class, error) {
 	class := findClass(settings, fields.Class)
 	path := strings.Split(strings.TrimPrefix(fields.Path, "/"), "/")
@@ -69,7 +70,7 @@
 	return request, class, nil
 }
 
-// parseObjectKey parses the last part of a path.
+// parseObjectKey parses the object key, which is the last part of a request's path.
 func parseObjectKey(text string) (uint64, error) {
 	key, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != objectKeyDigits {
@@ -78,7 +79,7 @@
 	return key, nil
 }
 
-// checkIdempotencyKey checks the key of a request, which may be empty unless its class needs one.
+// checkIdempotencyKey checks the idempotency key of a request. It may be empty unless the class requires one.
 func checkIdempotencyKey(class *scheduler.Class, key string) error {
 	if class.Idempotency == scheduler.IdempotentWithKey && key == "" {
 		return fmt.Errorf("class %s needs an Idempotency-Key", class.Name)
@@ -89,13 +90,14 @@
 	return nil
 }
 
-// IsIdentifier reports whether a text can identify a client, a device or a request: 1 to 128 characters of visible ASCII.
+// IsIdentifier reports whether text is a valid identifier of a client, a device or a request: 1 to 128 characters of visible
+// ASCII.
 func IsIdentifier(text string) bool {
 	isInvisible := func(r rune) bool { return r <= ' ' || r > '~' }
 	return text != "" && len(text) <= maxIdentifierLength && !strings.ContainsFunc(text, isInvisible)
 }
 
-// findClass returns the class of a name, or nil.
+// findClass returns the class with the given name, or nil if there is none.
 func findClass(settings *scheduler.Settings, name string) *scheduler.Class {
 	for i := range settings.Classes {
 		if settings.Classes[i].Name == name {
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// hasPlan reports whether there is a plan of that name. If no plans are set, any name will do.
+// hasPlan reports whether the settings have a plan with the given name. Every name is valid if they have no plans.
 func hasPlan(settings *scheduler.Settings, name string) bool {
 	return len(settings.Plans) == 0 ||
 		slices.ContainsFunc(settings.Plans, func(plan scheduler.Plan) bool { return plan.Name == name })
--- a/internal/httpmessage/request.go
+++ b/internal/httpmessage/request.go
@@ -1,14 +1,14 @@
-// Package httpmessage defines the HTTP request that frontends hand to the HTTP upstream. It has no state and starts no
-// goroutine; neither side knows the other.
+// Package httpmessage defines the HTTP request that frontends pass to the HTTP upstream, so that neither imports the other. It
+// has no state and starts no goroutine.
 package httpmessage
 
 import "net/http"
 
-// MaxBodyBytes is the largest body of a request or a response, in bytes.
+// MaxBodyBytes is the maximum size, in bytes, of the body of a request or a response.
 const MaxBodyBytes = 64 << 10
 
-// Request is the payload of a request that is sent to a storage server over HTTP. The payload of a response is its body, a
-// []byte. A Request must not be changed once it has been submitted: attempts may be reading it.
+// Request is the payload of a request that is sent to a storage server over HTTP. The payload of its response is the body as a
+// []byte. A Request must not be changed after it was submitted, because attempts may be reading it.
 type Request struct {
 	Method, Path, RawPath, RawQuery string
 	Header                          http.Header // forwarded unchanged
--- a/internal/socketstate/socketstate.go
+++ b/internal/socketstate/socketstate.go
@@ -1,7 +1,7 @@
 // Package socketstate asks the kernel about the state of a connection without reading from it.
 //
-// It knows nothing of connections that are not sockets, such as net.Pipe's: these have no unread data and are open. It
-// keeps no state, runs no goroutine, and its functions are safe for concurrent use.
+// A connection that is not a socket, such as one of net.Pipe, is reported as open and without unread data. The package has no
+// state and starts no goroutine, and its functions are safe for concurrent use.
 package socketstate
 
 import (
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasUnreadData reports whether bytes have arrived that nobody has read. If none have and none will, it returns io.EOF or
-// the error of the socket. It does not block.
+// HasUnreadData reports whether the connection has received bytes that have not been read yet. If there are none and no more
+// can arrive, it returns io.EOF or the error of the socket. It does not block.
 func HasUnreadData(conn net.Conn) (bool, error) {
 	var unread bool
 	var readErr error
@@ -24,38 +24,37 @@
 	return unread, readErr
 }
 
-// peek is HasUnreadData for the descriptor of a socket.
+// peek implements HasUnreadData for a socket's file descriptor.
 func peek(descriptor int) (unread bool, err error) {
-	n, _, err := unix.Recvfrom(descriptor, make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	count, _, err := unix.Recvfrom(descriptor, make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
 		return false, nil
 	case err != nil:
 		return false, err
-	case n == 0:
+	case count == 0:
 		return false, io.EOF
 	default:
 		return true, nil
 	}
 }
 
-// PeerClosed reports whether the peer has shut down its sending side or reset the connection, also if bytes are unread
-// before that: a reader that waits for something else first would notice too late. A connection that is closed on this
-// side counts as closed. PeerClosed does not block.
+// PeerClosed reports whether the peer has shut down its sending side or reset the connection. Unlike a read, it detects that
+// even while unread bytes precede the end. It returns true for a connection that is closed on this side. It does not block.
 func PeerClosed(conn net.Conn) bool {
 	closed := false
 	err := withDescriptor(conn, func(descriptor int) { closed = pollHangup(descriptor) })
 	return closed || err != nil
 }
 
-// pollHangup is PeerClosed for the descriptor of a socket.
+// pollHangup implements PeerClosed for a socket's file descriptor.
 func pollHangup(descriptor int) bool {
 	fds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(fds, 0)
-	return err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	ready, err := unix.Poll(fds, 0)
+	return err == nil && ready > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// withDescriptor calls use with the connection's descriptor, if it has one. It returns an error if the connection is
+// withDescriptor calls use with the file descriptor of the connection, if it has one. It returns an error if the connection is
 // closed.
 func withDescriptor(conn net.Conn, use func(descriptor int)) error {
 	socket, ok := conn.(syscall.Conn)
--- a/internal/socketstate/socketstate_test.go
+++ b/internal/socketstate/socketstate_test.go
@@ -9,9 +9,9 @@
 	"gaugerelay/internal/testbed"
 )
 
-// The state of a connection is known whether or not anything has been read from it.
+// HasUnreadData and PeerClosed must report what the peer has done, even if nothing has been read from the connection.
 func TestStateFollowsPeer(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		act           func(peer *net.TCPConn) error
 		unread, ended bool
 		peerClosed    bool
@@ -25,16 +25,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, peer := connect(t)
-			if err := c.act(peer); err != nil {
+			if err := test.act(peer); err != nil {
 				t.Fatal(err)
 			}
 			unread, err := HasUnreadData(conn)
-			if closed := PeerClosed(conn); unread != c.unread || (err != nil) != c.ended || closed != c.peerClosed {
-				t.Errorf("unread data %v, ended by %v, peer closed %v", unread, err, closed)
+			if closed := PeerClosed(conn); unread != test.unread || (err != nil) != test.ended || closed != test.peerClosed {
+				t.Errorf("HasUnreadData returned %v, %v and PeerClosed %v, want the values of the test case", unread, err, closed)
 			}
 			conn.Close()
 			if _, err := HasUnreadData(conn); err == nil || !PeerClosed(conn) {
-				t.Error("a closed connection counts as open")
+				t.Error("a connection that was closed on this side is reported as open")
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 	return err
 }
 
-// reset closes a connection with a reset in place of an orderly end.
+// reset closes a connection so that the peer receives a TCP reset.
 func reset(conn *net.TCPConn) error {
 	return errors.Join(conn.SetLinger(0), conn.Close())
 }
@@ -69,6 +69,6 @@
 func TestPipeHasNoState(t *testing.T) {
 	pipe, _ := net.Pipe()
 	if unread, err := HasUnreadData(pipe); unread || err != nil || PeerClosed(pipe) {
-		t.Error("a pipe's state is known")
+		t.Error("a connection of net.Pipe is not reported as open and without unread data")
 	}
 }
