--- a/internal/frontend/accept/accept_test.go
+++ b/internal/frontend/accept/accept_test.go
@@ -41,9 +41,9 @@
 // Accept must retry after every error, and the total delay must stay small compared with the shortest deadline.
 func TestAcceptSurvivesErrors(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		errs     []error
-		maxDelay time.Duration
+		name string
+		errs []error
+		max  time.Duration
 	}{
 		{"broken connections", []error{syscall.ECONNABORTED, syscall.EINTR, syscall.ECONNABORTED}, 0},
 		{"each error once", []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EPERM}, 25 * time.Millisecond},
@@ -52,7 +52,7 @@
 		{"not a system error", []error{errors.New("odd")}, time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkAcceptsAfterErrors(t, test.errs, test.maxDelay) })
+			synctest.Test(t, func(t *testing.T) { checkAcceptsAfterErrors(t, test.errs, test.max) })
 		})
 	}
 }
