--- a/internal/frontend/gracefulclose/gracefulclose.go
+++ b/internal/frontend/gracefulclose/gracefulclose.go
@@ -26,7 +26,7 @@
 func Close(conn net.Conn) {
 	if CloseWrite(conn) {
 		conn.SetReadDeadline(time.Now().Add(TimeoutMs * time.Millisecond))
-		_, _ = io.Copy(io.Discard, conn) // an error ends the wait, too: the connection is closed next
+		_, _ = io.Copy(io.Discard, conn) // an error ends the wait just as EOF does
 	}
 	conn.Close()
 }
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -14,77 +14,80 @@
 )
 
 const (
-	// MaxHeaderBytes is the limit of the head of a request, in bytes, for http.Server.MaxHeaderBytes.
+	// MaxHeaderBytes is the maximum size of a request's head, in bytes. It is meant for http.Server.MaxHeaderBytes.
 	MaxHeaderBytes = 16 << 10
-	// maxPipelinedBytes bounds what is buffered of the bytes that a client sends while its request is open: one more request
-	// of the largest size. What exceeds it is discarded, and the connection ends after the response.
+	// maxPipelinedBytes limits the pipelined bytes that are buffered for a connection to one request of the maximum size. Bytes
+	// beyond the limit are discarded, and the connection is closed after the response to the open request.
 	maxPipelinedBytes = MaxHeaderBytes + httpmessage.MaxBodyBytes
-	// maxDiscardBytes is how much of that excess is read.
+	// maxDiscardBytes limits how many bytes are read and discarded. After that the client's disconnect is no longer detected by
+	// reading.
 	maxDiscardBytes = 1 << 20
-	// discardBufferBytes is the size of reads while a request is open, after the first.
+	// discardBufferBytes is the size of the buffer for further reads while a request is open. The first read uses the one-byte
+	// buffer of net/http.
 	discardBufferBytes = 4 << 10
 )
 
-// closedWithoutResponse counts connections that this program closed under a request that was accepted and not answered, with
-// the client still there. It must stay 0.
+// closedWithoutResponse counts connections that the gateway closed without a response to an accepted request although the client
+// was still connected. It must stay 0.
 const closedWithoutResponse = "rule_violations_closed_without_response"
 
-var errTooMuchPipelined = errors.New("httpserver: more requests sent at once than are buffered")
+var errTooMuchPipelined = errors.New("httpserver: the client sent more pipelined bytes than the gateway buffers")
 
-// clientConn is a client's connection.
+// clientConn is a client's connection that a ConnTracker tracks.
 type clientConn struct {
 	net.Conn
 	tracker  *ConnTracker
-	onClosed func() // called once it is closed; may be nil
+	onClosed func() // called when the connection has been closed; may be nil
 
 	// Guarded by tracker.mu.
 
-	list           *list.List // the tracker's newConns or idleConns; nil if it is in neither
+	list           *list.List // tracker.newConns, tracker.idleConns, or nil if the connection is in neither
 	element        *list.Element
-	listedMs       float64 // when it entered the list
+	listedAtMs     float64 // time at which the connection was added to list
 	isShed         bool
-	closingElement *list.Element // in tracker.closingConns, once the sending side is closed
-	stopCloseTimer func()        // stops the timer that closes it
+	closingElement *list.Element // element of tracker.closingConns; nil while the sending side is open
+	stopCloseTimer func()        // stops the timer that closes the connection
 	closed         bool
-	bufferedBytes  int // its part of tracker.pipelinedBytes
+	bufferedBytes  int // part of tracker.pipelinedBytes that belongs to this connection
 
-	// Owned by the server's goroutines of this connection, of which one reads at a time.
+	// Used only by the server's goroutines of this connection, of which one reads at a time.
 
-	requestActive  bool   // a complete head has been read, and its request is not answered yet
-	pipelined      []byte // read while a request was open, and not passed to the server yet
-	discardedBytes int    // read in excess of maxPipelinedBytes
+	requestActive  bool   // whether a complete head has been read and the response has not been written yet
+	pipelined      []byte // bytes that were read while a request was open and have not been passed to the server yet
+	discardedBytes int    // number of pipelined bytes that were discarded instead of buffered
 
-	clientEnded     atomic.Bool // the client's end has been read
-	responsePending atomic.Bool // a request has been accepted and is not answered
-	discarding      atomic.Bool // what still arrives is being read and discarded
+	clientClosed    atomic.Bool // whether a read has returned the end of the client's data or a connection error
+	responsePending atomic.Bool // whether a request has been accepted and has no response yet
+	discardStarted  atomic.Bool // whether Close has started a goroutine that reads and discards
 }
 
-// trackResponse records that a request was accepted. The function that it returns must be deferred: when the handler returns,
-// the request has been answered, unless the handler panics while the client waits.
-func (c *clientConn) trackResponse(clientWaits func() bool) (handlerDone func()) {
+// trackResponse records that a request was accepted. The handler must defer the returned function, which records that the
+// response was written or that the client no longer waits for one. If the handler panics while clientWaiting returns true, the
+// response stays pending.
+func (c *clientConn) trackResponse(clientWaiting func() bool) (handlerDone func()) {
 	c.responsePending.Store(true)
 	return func() {
-		p := recover()
-		if p == nil || !clientWaits() {
+		panicValue := recover()
+		if panicValue == nil || !clientWaiting() {
 			c.responsePending.Store(false)
 		}
-		if p != nil {
-			panic(p)
+		if panicValue != nil {
+			panic(panicValue)
 		}
 	}
 }
 
-// wasShed reports whether the connection was shed before its request was accepted. The server may have read that request
-// together with the one before, without another call of Read.
+// wasShed reports whether the connection has been shed. The handler must check it before it accepts a request: the server may
+// have read the request together with the previous one, so that Read could not refuse it.
 func (c *clientConn) wasShed() bool {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	return c.isShed
 }
 
-// Read returns net.ErrClosed for a request that is read while its connection is shed: net/http calls a connection active only
-// once a complete head has arrived, so one that is being read looks idle. The client sees its connection closed and sends the
-// request again, so it must not be accepted here.
+// Read returns net.ErrClosed if the connection was shed while a request was being read from it. That can happen because net/http
+// reports a connection as active only when a complete head has arrived, so the connection still looks idle before. The client
+// sees the connection closed and sends the request again, so the request must not be accepted here.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.discardedBytes > 0 && !c.requestActive {
 		return 0, errTooMuchPipelined
@@ -94,7 +97,7 @@
 	}
 	n, err := c.readPipelined(p)
 	if n == 0 {
-		c.noteReadEnd(err)
+		c.recordClientClose(err)
 		return n, err
 	}
 	c.tracker.mu.Lock()
@@ -102,11 +105,11 @@
 	if c.isShed {
 		return 0, net.ErrClosed
 	}
-	c.unlist()
+	c.removeFromList()
 	return n, err
 }
 
-// readPipelined reads from the pipelined bytes, or from the connection if there are none.
+// readPipelined reads from the buffered pipelined bytes, or from the connection if none are buffered.
 func (c *clientConn) readPipelined(p []byte) (int, error) {
 	if len(c.pipelined) == 0 {
 		return c.Conn.Read(p)
@@ -121,10 +124,10 @@
 	return n, nil
 }
 
-// watchForDisconnect waits for the client to disconnect while its request is open. net/http reads one byte for that and stops
-// watching once it gets one. It would not notice a client that pipelines another request and then disconnects, and the open
-// request would be forwarded in vain. So what arrives is buffered for later reads, and the watch goes on until the client
-// disconnects, or until the deadline that net/http sets when the request has been answered.
+// watchForDisconnect reads until the client disconnects, or until the read deadline that net/http sets when the response has been
+// written. net/http calls Read with one byte while a request is open, to detect a disconnect, and stops when it gets that byte.
+// It would not detect that a client pipelines another request and then disconnects, and the open request would be forwarded in
+// vain. So watchForDisconnect buffers the bytes that it reads for later calls of Read, and returns none of them.
 func (c *clientConn) watchForDisconnect(p []byte) (int, error) {
 	for c.discardedBytes < maxDiscardBytes {
 		n, err := c.Conn.Read(p)
@@ -132,23 +135,23 @@
 		c.pipelined = append(c.pipelined, p[:kept]...)
 		c.discardedBytes += n - kept
 		if err != nil {
-			c.noteReadEnd(err)
+			c.recordClientClose(err)
 			return 0, err
 		}
 		if len(p) == 1 {
 			p = make([]byte, discardBufferBytes)
 		}
 	}
-	return 1, nil // the connection is neither watched nor read any more
+	return 1, nil // net/http stops watching, and Read returns errTooMuchPipelined after the response
 }
 
-// reserveBuffer adds n to the bytes that are buffered, as far as the limit allows, and returns how many it added. A negative
-// n releases bytes.
+// reserveBuffer adds n, or as much of it as tracker.MaxPipelinedBytes allows, to the counts of buffered bytes, and returns what it
+// added. A negative n releases bytes.
 func (c *clientConn) reserveBuffer(n int) int {
 	tracker := c.tracker
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
-	if c.closed { // all bytes have been released
+	if c.closed { // closeLocked has released all bytes of the connection
 		return 0
 	}
 	if tracker.MaxPipelinedBytes > 0 {
@@ -159,37 +162,37 @@
 	return n
 }
 
-// noteReadEnd records that the client has closed its side or reset the connection. A read that ends by its deadline does not
-// show that.
-func (c *clientConn) noteReadEnd(err error) {
+// recordClientClose records that the client has closed its side or reset the connection if the error of a read shows that. An
+// expired read deadline does not.
+func (c *clientConn) recordClientClose(err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.clientEnded.Store(true)
+		c.clientClosed.Store(true)
 	}
 }
 
-// Close closes the sending side, reads on until the client has closed its own, for gracefulclose.TimeoutMs at most, and
-// closes the connection. It does not wait for that. If the connection were closed over unread bytes it would be reset, and a
-// client that has not received the last response would lose it: bytes may arrive in that very moment, and often follow a
-// malformed request.
+// Close closes the sending side and returns. In the background, the connection is read until the client has closed its own side,
+// but for at most gracefulclose.TimeoutMs, and is then closed. The kernel resets a connection that is closed with unread bytes,
+// and a client that has not yet received the last response would lose it. Unread bytes often follow a malformed request, and
+// others may arrive at any moment.
 func (c *clientConn) Close() error {
 	c.tracker.mu.Lock()
 	c.closeWrite()
 	c.tracker.mu.Unlock()
-	if c.clientEnded.Load() {
+	if c.clientClosed.Load() {
 		c.finishClose()
-	} else if !c.discarding.Swap(true) {
-		// It ends with the connection, which the timer that closeWrite has set closes at the latest.
+	} else if !c.discardStarted.Swap(true) {
+		// The goroutine ends when the connection is closed, at the latest by the timer that closeWrite has set.
 		go func() {
 			c.SetReadDeadline(time.Time{})
-			_, _ = io.Copy(io.Discard, c.Conn) // any error ends the wait, as the client's end does
+			_, _ = io.Copy(io.Discard, c.Conn) // an error ends the wait just as EOF does
 			c.finishClose()
 		}()
 	}
 	return nil
 }
 
-// closeWrite closes the sending side and schedules the close of the connection. If too many connections wait for their clients
-// to close, it closes the oldest of them, unless all connections are being drained. The caller holds tracker.mu.
+// closeWrite closes the sending side and sets a timer that closes the connection. If too many connections wait for their clients
+// to close, it closes the oldest of them, unless the tracker is draining. The caller holds tracker.mu.
 func (c *clientConn) closeWrite() {
 	if c.closingElement != nil {
 		return
@@ -200,12 +203,12 @@
 	if !gracefulclose.CloseWrite(c.Conn) {
 		c.closeLocked()
 	}
-	if tracker.drained == nil && tracker.closingConns.Len() > max(1, tracker.MaxOpen/maxClosingDivisor) {
+	if tracker.drained == nil && tracker.closingConns.Len() > max(1, tracker.MaxOpen/closingLimitDivisor) {
 		oldest(&tracker.closingConns).closeLocked()
 	}
 }
 
-// finishClose closes the connection, after which others may have to be shed.
+// finishClose closes the connection and updates the tracker, which may shed others.
 func (c *clientConn) finishClose() {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -213,13 +216,14 @@
 	c.tracker.shedExcess()
 }
 
-// closeLocked closes the connection, once. Its sending side is closed already. The caller holds tracker.mu.
+// closeLocked closes a connection whose sending side is already closed. Further calls have no effect. The caller holds
+// tracker.mu.
 func (c *clientConn) closeLocked() {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if c.responsePending.Load() && !c.clientEnded.Load() {
+	if c.responsePending.Load() && !c.clientClosed.Load() {
 		c.tracker.Metrics.Add(closedWithoutResponse, 1)
 	}
 	c.tracker.pipelinedBytes -= c.bufferedBytes
@@ -231,16 +235,17 @@
 	}
 }
 
-// unlist removes the connection from the tracker's list that it is in, if any. The caller holds tracker.mu.
-func (c *clientConn) unlist() {
+// removeFromList removes the connection from tracker.newConns or tracker.idleConns, if it is in one of them. The caller holds
+// tracker.mu.
+func (c *clientConn) removeFromList() {
 	if c.list != nil {
 		c.list.Remove(c.element)
 		c.list, c.element = nil, nil
 	}
 }
 
-// enlist moves the connection to the end of one of the tracker's lists. The caller holds tracker.mu.
-func (c *clientConn) enlist(conns *list.List) {
-	c.unlist()
-	c.list, c.element, c.listedMs = conns, conns.PushBack(c), c.tracker.Clock.NowMs()
+// addToList moves the connection to the end of tracker.newConns or tracker.idleConns. The caller holds tracker.mu.
+func (c *clientConn) addToList(conns *list.List) {
+	c.removeFromList()
+	c.list, c.element, c.listedAtMs = conns, conns.PushBack(c), c.tracker.Clock.NowMs()
 }
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// idleTimeoutMs is the time after the last response on a connection after which the platform allows the gateway to close
-	// it. Some clients never close theirs, so idle connections are shed while more than half of MaxOpen are open.
+	// idleTimeoutMs is how long, in milliseconds, a connection must have been idle before the platform allows the gateway to
+	// close it. Some clients never close their connections, so connections that have been idle for this long are shed while
+	// more than half of MaxOpen are open.
 	idleTimeoutMs = 2000
-	// firstByteTimeoutMs is the time a new connection has to send something before it is closed in preference to idle ones.
+	// firstByteTimeoutMs is how long, in milliseconds, a new connection may send nothing before it is shed in preference to
+	// idle connections.
 	firstByteTimeoutMs = 500
-	// maxClosingDivisor bounds the closed connections whose clients have not closed their side yet to MaxOpen divided by it.
-	maxClosingDivisor = 16
+	// closingLimitDivisor limits the connections that wait for their clients to close to MaxOpen / closingLimitDivisor.
+	closingLimitDivisor = 16
 )
 
-// connectionsShed counts new and idle connections that were closed because of the limits or of a shutdown.
+// connectionsShed counts new and idle connections that were closed because of a limit or a shutdown.
 const connectionsShed = "client_connections_shed"
 
-// ConnTracker tracks the client connections of an http.Server and bounds their number. Over MaxOpen it sheds new and idle
-// connections, so that a client that sends a request finds its connection accepted and read. It sheds a connection only if
-// nothing has been read from it since its last response: a request that has been read is served, and its connection stays
-// until the response is written.
+// ConnTracker tracks the client connections of an http.Server and limits their number. While more than MaxOpen are open, it
+// sheds new and idle connections, so that the connections of clients that send requests can be accepted and read. It sheds a
+// connection only if nothing has been read from it since its last response: a request that has been read is served, and its
+// connection stays open until the response is written.
 //
 // The exported fields are set before use. The methods may be called from any goroutine.
 type ConnTracker struct {
-	// MaxOpen is the number of connections over which others are shed.
+	// MaxOpen is the number of open connections above which new and idle ones are shed.
 	MaxOpen int
-	// MaxPipelinedBytes bounds the bytes that are buffered of what clients send while their requests are open, over all
-	// connections. With 0 only the bound of each connection applies.
+	// MaxPipelinedBytes limits the pipelined bytes that are buffered for all connections together. 0 means that only the limit
+	// of each connection applies.
 	MaxPipelinedBytes int
 	Clock             clock.Clock
 	Metrics           *metrics.Registry
@@ -42,27 +44,27 @@
 	mu                sync.Mutex
 	open              int // connections that are neither closed nor shed
 	pipelinedBytes    int
-	newConns          list.List     // of *clientConn from which nothing has been read, oldest first
-	idleConns         list.List     // of *clientConn between requests, longest idle first
-	closingConns      list.List     // of *clientConn whose sending side is closed, oldest first; not in open once the server knows
-	sheddingScheduled bool          // a timer will call shedScheduled
-	drained           chan struct{} // not nil while draining; closed once no connection is left
+	newConns          list.List     // *clientConn from which nothing has been read, oldest first
+	idleConns         list.List     // *clientConn between two requests, longest idle first
+	closingConns      list.List     // *clientConn whose sending side is closed, oldest first; counted in open until StateClosed unless shed
+	sheddingScheduled bool          // whether a timer is set to call shedScheduled
+	drained           chan struct{} // nil unless draining; closed when no connection is left
 }
 
 type connContextKey struct{}
 
-// ConnContext makes the connection known to the Handler. It is for http.Server.ConnContext.
+// ConnContext passes the connection to the Handler in the context of its requests. It is meant for http.Server.ConnContext.
 func (t *ConnTracker) ConnContext(ctx context.Context, netConn net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, netConn)
 }
 
-// clientConnOf returns the connection of a request's context, or nil if it is not tracked.
+// clientConnOf returns the connection that ConnContext stored in a request's context, or nil if the connection is not tracked.
 func clientConnOf(ctx context.Context) *clientConn {
 	c, _ := ctx.Value(connContextKey{}).(*clientConn)
 	return c
 }
 
-// ConnState follows the states of connections. It is for http.Server.ConnState.
+// ConnState updates the state of a connection. It is meant for http.Server.ConnState.
 func (t *ConnTracker) ConnState(netConn net.Conn, state http.ConnState) {
 	conn, ok := netConn.(*clientConn)
 	if !ok {
@@ -73,35 +75,35 @@
 	switch state {
 	case http.StateNew:
 		t.open++
-		conn.enlist(&t.newConns)
+		conn.addToList(&t.newConns)
 	case http.StateIdle:
 		conn.requestActive = false
 		// A connection from which part of a further request has been read must not be shed.
 		if !conn.isShed && len(conn.pipelined) == 0 {
-			conn.enlist(&t.idleConns)
+			conn.addToList(&t.idleConns)
 		}
 	case http.StateActive:
 		conn.requestActive = true
-		conn.unlist()
+		conn.removeFromList()
 	case http.StateClosed, http.StateHijacked:
-		conn.unlist()
-		if !conn.isShed { // else it has been counted already
+		conn.removeFromList()
+		if !conn.isShed { // shed has already subtracted it from open
 			t.open--
 		}
 	}
 	t.shedExcess()
 }
 
-// Count returns how many connections are open, and how many of them have a request.
+// Count returns the number of open connections, and how many of them have a request.
 func (t *ConnTracker) Count() (open, busy int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open, t.open - t.idleConns.Len() - t.newConns.Len()
 }
 
-// Drain closes the connections that have no request, and from now on each other one after its response. The channel that it
-// returns is closed when none is left. http.Server's own Shutdown may close a connection from which a request has just been
-// read.
+// Drain closes the connections that have no request now, and each other connection after its response. It returns a channel
+// that is closed when no connection is left. http.Server.Shutdown can't replace it, because it may close a connection from which
+// a request has just been read.
 func (t *ConnTracker) Drain() (drained <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +112,8 @@
 	return t.drained
 }
 
-// shedExcess sheds connections until the limits are met, or all of them while draining. The caller holds t.mu.
+// shedExcess sheds connections until the limits are met. While draining, it sheds all that have no request. The caller holds
+// t.mu.
 func (t *ConnTracker) shedExcess() {
 	if t.drained != nil {
 		t.shedForDrain()
@@ -122,7 +125,7 @@
 	}
 }
 
-// shedForDrain sheds all connections without a request and reports when none is left. The caller holds t.mu.
+// shedForDrain sheds all connections without a request, and closes t.drained if no connection is left. The caller holds t.mu.
 func (t *ConnTracker) shedForDrain() {
 	for _, conns := range []*list.List{&t.newConns, &t.idleConns} {
 		for conns.Len() > 0 {
@@ -138,14 +141,14 @@
 	}
 }
 
-// shedOverLimit sheds connections down to MaxOpen: first new ones that have had time to send something, then idle ones, then
-// the other new ones. It returns false if the rest all have requests; the limit of the listener then keeps clients waiting.
-// The caller holds t.mu.
+// shedOverLimit sheds connections until no more than MaxOpen are open. It first sheds new connections whose firstByteTimeoutMs
+// has passed, then idle connections, then other new connections. It returns false if MaxOpen is still exceeded because all
+// other connections have requests. The listener's limit then makes new clients wait. The caller holds t.mu.
 func (t *ConnTracker) shedOverLimit(nowMs float64) bool {
 	for t.open > t.MaxOpen {
 		oldestNew, oldestIdle := oldest(&t.newConns), oldest(&t.idleConns)
 		switch {
-		case oldestNew != nil && (nowMs-oldestNew.listedMs >= firstByteTimeoutMs || oldestIdle == nil):
+		case oldestNew != nil && (nowMs-oldestNew.listedAtMs >= firstByteTimeoutMs || oldestIdle == nil):
 			t.shed(oldestNew)
 		case oldestIdle != nil:
 			t.shed(oldestIdle)
@@ -156,11 +159,11 @@
 	return true
 }
 
-// shedIdle sheds connections whose idle timeout has passed while more than half of MaxOpen are open. It schedules itself for
-// the next one. The caller holds t.mu.
+// shedIdle sheds connections whose idle timeout has passed while more than half of MaxOpen are open, and sets a timer for the
+// next idle timeout. The caller holds t.mu.
 func (t *ConnTracker) shedIdle(nowMs float64) {
 	for c := oldest(&t.idleConns); c != nil && t.open > t.MaxOpen/2; c = oldest(&t.idleConns) {
-		if leftMs := idleTimeoutMs - (nowMs - c.listedMs); leftMs > 0 {
+		if leftMs := idleTimeoutMs - (nowMs - c.listedAtMs); leftMs > 0 {
 			if !t.sheddingScheduled {
 				t.sheddingScheduled = true
 				t.Clock.AfterFunc(leftMs, t.shedScheduled)
@@ -171,7 +174,7 @@
 	}
 }
 
-// shedScheduled is called by the timer that shedIdle has set.
+// shedScheduled sheds connections when the timer of shedIdle fires.
 func (t *ConnTracker) shedScheduled() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,17 +182,17 @@
 	t.shedExcess()
 }
 
-// shed closes the sending side of a connection that has no request. The server closes it when its client sends or closes, and
-// after gracefulclose.TimeoutMs at the latest. The caller holds t.mu.
+// shed closes the sending side of a connection that has no request. The connection itself is closed when its client sends
+// something or closes its side, and after gracefulclose.TimeoutMs at the latest. The caller holds t.mu.
 func (t *ConnTracker) shed(c *clientConn) {
-	c.unlist()
+	c.removeFromList()
 	c.isShed = true
 	t.open--
 	t.Metrics.Add(connectionsShed, 1)
 	c.closeWrite()
 }
 
-// oldest returns the first connection of a list, or nil if it is empty.
+// oldest returns the first connection of a list, or nil if the list is empty.
 func oldest(conns *list.List) *clientConn {
 	if conns.Len() == 0 {
 		return nil
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -18,37 +18,39 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// This file holds what the frontend does differently for devices on poor links.
+// This file implements the parts of the frontend that are specific to devices on poor links. The headers of their protocol are:
 //
-//	X-Device-Id         the device's name, on every request
-//	Idempotency-Key     of a write, or X-Correlation-Id of a read: names the exchange, the same on every copy
-//	X-Repeat: 1         the request has been sent before, to its last byte
-//	X-Age-Ms            how long ago it was first sent
-//	X-Gateway           in responses: the gateway's id, another one after each start
-//	X-Sent-To           the X-Gateway that the device knew when it first sent the request; all copies went there
-//	X-Round-Trip-Ms     what the device has measured of its link: it can't be measured here
-//	ETag, Range, If-Range, 206  a response that was cut off continues where it stopped
+//	X-Device-Id         id of the device, on every request
+//	Idempotency-Key     key of the exchange of a write, the same on every transmission
+//	X-Correlation-Id    key of the exchange of a read, the same on every transmission
+//	X-Repeat: 1         set if the device has sent the request before, to its last byte
+//	X-Age-Ms            time since the device first sent the request
+//	X-Gateway           id of the gateway, on every response; it changes with each start
+//	X-Sent-To           the X-Gateway that the device knew when it first sent the request; all transmissions went to that gateway
+//	X-Round-Trip-Ms     round-trip time of the link, measured by the device because the gateway can't measure it
+//	ETag, Range, If-Range  with status 206, resume an interrupted response where it stopped
 
-// sentAfterKey is the context key of the earliest time at which the current request of a connection can have been sent, as bits
-// of a float64: when the connection was opened, or when the last response was written.
-type sentAfterKey struct{}
+// earliestSendKey is the context key of an *atomic.Uint64. It holds the earliest time in milliseconds, as the bits of a float64,
+// at which the device can have sent the current request of a connection: when the connection was opened, or when the last
+// response was written.
+type earliestSendKey struct{}
 
-// ConnContext prepares a connection of a device. It is for http.Server.ConnContext.
+// ConnContext records when a device's connection was opened. It is meant for http.Server.ConnContext.
 func (h *Handler) ConnContext(ctx context.Context, _ net.Conn) context.Context {
-	sentAfter := &atomic.Uint64{}
-	sentAfter.Store(math.Float64bits(h.Clock.NowMs()))
-	return context.WithValue(ctx, sentAfterKey{}, sentAfter)
+	earliestSend := &atomic.Uint64{}
+	earliestSend.Store(math.Float64bits(h.Clock.NowMs()))
+	return context.WithValue(ctx, earliestSendKey{}, earliestSend)
 }
 
-// sentAfter returns the time of sentAfterKey, or 0 if ConnContext did not prepare the connection.
-func (h *Handler) sentAfter(ctx context.Context) *atomic.Uint64 {
-	if sentAfter, ok := ctx.Value(sentAfterKey{}).(*atomic.Uint64); ok {
-		return sentAfter
+// earliestSend returns the value of earliestSendKey, or a new zero value if ConnContext was not called for the connection.
+func (h *Handler) earliestSend(ctx context.Context) *atomic.Uint64 {
+	if earliestSend, ok := ctx.Value(earliestSendKey{}).(*atomic.Uint64); ok {
+		return earliestSend
 	}
 	return &atomic.Uint64{}
 }
 
-// makeDeviceRequest makes a parsed request a copy of an exchange.
+// makeDeviceRequest turns a parsed request into a transmission of a device's exchange.
 func (h *Handler) makeDeviceRequest(parsed *parsedRequest, r *http.Request) error {
 	device := requestparse.DeviceFields{
 		DeviceID:        r.Header.Get("X-Device-Id"),
@@ -65,8 +67,8 @@
 			return err
 		}
 	}
-	if device.AgeMs >= 0 { // the device gives the age at sending; this adds the longest time for which it was on its way
-		device.AgeMs += h.Clock.NowMs() - math.Float64frombits(h.sentAfter(r.Context()).Load())
+	if device.AgeMs >= 0 { // X-Age-Ms is the age at the time of sending; this adds the longest possible time in transit
+		device.AgeMs += h.Clock.NowMs() - math.Float64frombits(h.earliestSend(r.Context()).Load())
 	}
 	if err := requestparse.MakeDeviceRequest(parsed.request, parsed.class, parsed.fields, device, parsed.payload); err != nil {
 		return err
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// parseMilliseconds reads a header, if it is present, as a whole number.
+// parseMilliseconds parses a header as a whole number into value. It leaves value unchanged if the header is absent.
 func parseMilliseconds(header http.Header, name string, value *float64) error {
 	text := header.Get(name)
 	if text == "" {
@@ -90,28 +92,29 @@
 	return nil
 }
 
-// writeDeviceResponse writes the response to a device, or the part of it that the device lacks, and reports to the loop
-// whether it was written.
+// writeDeviceResponse writes the response to a device, or only the byte range that the device asks for, and reports to the event
+// loop whether the response was written completely.
 func (h *Handler) writeDeviceResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, response lifecycle.Response) {
 	body := response.Body.([]byte)
 	startMs := h.Clock.NowMs()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("ETag", fmt.Sprintf(`"%016x"`, response.ETag))
 	out := &countingWriter{ResponseWriter: w}
-	// Each write may take as long as a usual stall of the link, not the whole response.
+	// The deadline allows a silence of IdleTimeoutMs, as a usual stall of the link causes, in addition to the time to transfer
+	// the body on the slowest supported link.
 	control := http.NewResponseController(w)
 	if response.IdleTimeoutMs > 0 {
 		deadline := time.Now().Add(clock.Duration(response.IdleTimeoutMs) + minTransferTime(len(body)))
-		_ = control.SetWriteDeadline(deadline) // without a deadline the response may only take longer
+		_ = control.SetWriteDeadline(deadline) // if it can't be set, a write may take longer, nothing else
 	}
 	if r.Method == http.MethodGet {
 		http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
 	} else {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		_, _ = out.Write(body) // out keeps the error
+		_, _ = out.Write(body) // the error is in out.err
 	}
 	if err := control.Flush(); out.err != nil || err != nil {
-		h.Loop.Cancel(request) // the response stays cached
+		h.Loop.Cancel(request) // the response stays cached for the next transmission
 		return
 	}
 	h.Loop.ResponseWritten(request, lifecycle.LinkSample{Bytes: out.bytes, TransferMs: h.Clock.NowMs() - startMs})
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -1,15 +1,15 @@
-// Package httpserver is the HTTP frontend: it parses clients' requests, submits them to the event loop, and writes the one
-// response to each. It makes no scheduling decisions.
+// Package httpserver is the HTTP frontend: it parses clients' requests, submits them to the event loop, and writes one response
+// to each. It makes no scheduling decisions.
 //
-// A Handler serves the requests. A ConnTracker owns the client connections below the http.Server. Its invariants:
+// A Handler serves the requests. A ConnTracker owns the client connections of the http.Server and keeps these invariants:
 //
 //   - A request that was accepted gets its response, unless its client disconnects first.
-//   - A connection is shed only while nothing of a request has been read from it.
-//   - A connection that has been closed is reset only if its client keeps sending for gracefulclose.TimeoutMs, or if too many
+//   - A connection is shed only if no part of a request has been read from it since its last response.
+//   - A connection that the gateway closes is reset only if its client keeps sending for gracefulclose.TimeoutMs, or if too many
 //     connections wait for their clients to close.
 //
-// Handlers run on the http.Server's goroutines, one for each connection. The package starts one goroutine of its own for each
-// connection that is closed before its client has ended it; that goroutine ends with the connection.
+// Handlers run on the http.Server's goroutines, one for each connection. The package starts a goroutine for each connection that
+// the gateway closes before the client has closed its side. The goroutine ends when the connection is closed.
 package httpserver
 
 import (
@@ -29,8 +29,8 @@
 	"gaugerelay/internal/socketstate"
 )
 
-// networkMarginMs is subtracted from the time that is left for a request, because the client counts that time from sending
-// the request to receiving the response.
+// networkMarginMs is the part of a request's remaining time, in milliseconds, that is reserved for the network: the client
+// measures that time from sending the request to receiving the response.
 const networkMarginMs = 10
 
 // Names of counters.
@@ -39,51 +39,54 @@
 	requestsRejectedShutdown = "requests_rejected_shutdown"
 )
 
-// Loop is the event loop as a Handler uses it. Its methods do not block.
+// Loop is the part of the event loop that a Handler uses. Its methods do not block.
 type Loop interface {
 	frontend.Loop
 	// Ready reports whether requests can be served.
 	Ready() bool
 }
 
-// Handler is the http.Handler of clients, or of devices on poor links. The exported fields are set before use. The methods
-// may be called from any goroutine.
+// Handler is the http.Handler that serves either clients or devices on poor links. The exported fields are set before use. The
+// methods may be called from any goroutine.
 type Handler struct {
 	Loop     Loop
 	Upstream lifecycle.Upstream
 	Clock    clock.Clock
 	Metrics  *metrics.Registry
 	Settings *scheduler.Settings
-	// ServesDevices makes each request a copy of an exchange of the device that X-Device-Id names.
+	// ServesDevices makes the handler treat each request as a transmission of an exchange of the device in X-Device-Id.
 	ServesDevices bool
-	// FleetStatus serves what this gateway knows of its fleet; nil if it is in none.
+	// FleetStatus serves this gateway's view of its fleet. It is nil if the gateway is not part of a fleet.
 	FleetStatus http.HandlerFunc
-	// GatewayName names this gateway to devices. It changes with each start.
+	// GatewayName identifies this gateway to devices. It changes with each start.
 	GatewayName string
-	// Conns, if not nil, makes the handler keep client connections free during a shutdown once no new ones are expected.
+	// Conns counts the open and the busy connections. If it is not nil, the handler rejects requests during a shutdown to keep a
+	// connection idle once no new connections are expected.
 	Conns *ConnTracker
-	// PauseDetector gives the earliest time at which a request that is read after a pause of this process may have arrived. A
-	// nil one reports no pause.
+	// PauseDetector estimates when a request arrived that was read after a pause of this process. If it is nil, no pause is
+	// assumed.
 	PauseDetector *clock.PauseDetector
 
 	pacerMu sync.Mutex
 	pacer   shutdown.AdmissionPacer
 
-	keepFreeFromMs     atomic.Uint64 // bits of the float64 time from which connections are kept free; 0 before a shutdown
-	respondByMs        atomic.Uint64 // bits of the float64 time by which the last response must be written; 0 before a shutdown
+	// Times of Clock in milliseconds, as the bits of a float64. They are 0 before a shutdown.
+	rejectFromMs atomic.Uint64 // from this time on, requests may be rejected to keep a connection idle
+	respondByMs  atomic.Uint64 // by this time, the last response must have been written
+
 	keepAlivesDisabled atomic.Bool
 }
 
-// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler, which closes the connection without a response, if
-// the client no longer waits for one.
+// ServeHTTP implements http.Handler. If the client no longer waits for a response, it panics with http.ErrAbortHandler, which
+// makes the server close the connection without a response.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedMs := h.PauseDetector.EarliestArrival(h.Clock.NowMs())
 	if conn := clientConnOf(r.Context()); conn != nil {
-		if conn.wasShed() { // the client sees its connection closed and sends the request again
+		if conn.wasShed() { // the client sees the connection closed and sends the request again
 			panic(http.ErrAbortHandler)
 		}
-		clientWaits := func() bool { return r.Context().Err() == nil && !socketstate.PeerClosed(conn.Conn) }
-		defer conn.trackResponse(clientWaits)()
+		clientWaiting := func() bool { return r.Context().Err() == nil && !socketstate.PeerClosed(conn.Conn) }
+		defer conn.trackResponse(clientWaiting)()
 	}
 	if h.keepAlivesDisabled.Load() {
 		w.Header().Set("Connection", "close")
@@ -94,12 +97,12 @@
 	}
 	if h.ServesDevices {
 		w.Header().Set("X-Gateway", h.GatewayName)
-		defer func() { h.sentAfter(r.Context()).Store(math.Float64bits(h.Clock.NowMs())) }()
+		defer func() { h.earliestSend(r.Context()).Store(math.Float64bits(h.Clock.NowMs())) }()
 	}
 	h.serveRequest(w, r, arrivedMs, respondByMs)
 }
 
-// serveStatus serves the paths that report the gateway's state. It returns false for other paths.
+// serveStatus serves the paths that report the gateway's state: /ready, /fleet and /metrics. It returns false for other paths.
 func (h *Handler) serveStatus(w http.ResponseWriter, r *http.Request, respondByMs float64) bool {
 	switch r.URL.Path {
 	case "/ready":
@@ -115,7 +118,7 @@
 			return true
 		}
 	case "/metrics":
-		if !h.ServesDevices { // counters are for operators
+		if !h.ServesDevices { // only operators may read the counters
 			h.Metrics.WriteText(w)
 			return true
 		}
@@ -130,22 +133,22 @@
 		h.rejectMalformed(w, err)
 		return
 	}
-	// The request has been read, so its read deadline is cleared: it would also end the server's watch for a disconnect, and
-	// thereby cancel a request that only waits for its response. The error is ignored: on a connection that is closed the
-	// request is canceled anyway, and a ResponseWriter without deadlines has none to clear.
+	// The request has been read, so the read deadline is cleared. If it expired, the server's read that detects a disconnect
+	// would fail, and the server would cancel a request that only waits for its response. The error is ignored: if the
+	// connection is closed, the request is canceled anyway, and a ResponseWriter without deadlines has none to clear.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	responses := make(chan lifecycle.Response, 1) // buffers the only response, so that the loop never waits
+	responses := make(chan lifecycle.Response, 1) // has room for the only response, so that the event loop never blocks
 	request.Respond = func(response lifecycle.Response) { responses <- response }
 	request.ClientDelayMs = h.Clock.NowMs() - arrivedMs
 	request.RemainingMs -= request.ClientDelayMs
-	if !h.ServesDevices { // the deduplicator knows the links of devices
+	if !h.ServesDevices { // for devices, the deduplicator subtracts the time that the link takes
 		request.RemainingMs -= networkMarginMs
 		h.watchDisconnect(r, request)
 	}
-	if respondByMs != 0 { // requests that are still open at that time are lost
+	if respondByMs != 0 { // requests that are still open at respondByMs would get no response
 		request.RemainingMs = min(request.RemainingMs, respondByMs-h.Clock.NowMs())
 	}
-	if h.rejectsForShutdown(arrivedMs, respondByMs) {
+	if h.shouldRejectForShutdown(arrivedMs, respondByMs) {
 		h.Metrics.Add(requestsRejectedShutdown, 1)
 		writeRejection(w, h.inboxRetryAfterMs())
 		return
@@ -158,8 +161,9 @@
 	h.awaitResponse(w, r, request, responses)
 }
 
-// watchDisconnect makes the client's disconnect known to the request. It aborts the handler if the client has already
-// disconnected: then the request was unread for longer than its client waited. Requests of devices go on without their clients.
+// watchDisconnect sets request.ClientDisconnected. If the client has already disconnected, because the request stayed unread for
+// longer than the client waited, it panics with http.ErrAbortHandler. It must not be called for requests of devices, which
+// continue after a disconnect.
 func (h *Handler) watchDisconnect(r *http.Request, request *lifecycle.Request) {
 	conn := clientConnOf(r.Context())
 	if conn == nil {
@@ -174,23 +178,24 @@
 
 // awaitResponse writes the response to a submitted request, unless its client disconnects first.
 func (h *Handler) awaitResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, responses <-chan lifecycle.Response) {
-	// A request that took all its time to get here is answered at once, and the guard must not race that.
-	overdue, stop := clock.After(h.Clock, max(0, request.RemainingMs)+frontend.ResponseGraceMs)
+	// The event loop responds at once to a request that has no time left. The grace time is added to 0 rather than to a negative
+	// remaining time, so that the response guard does not preempt that response.
+	guardExpired, stop := clock.After(h.Clock, max(0, request.RemainingMs)+frontend.ResponseGraceMs)
 	defer stop()
 	select {
 	case response := <-responses:
 		h.writeResponse(w, r, request, response)
 	case <-r.Context().Done():
 		h.Loop.Cancel(request)
-		panic(http.ErrAbortHandler) // returning would write an empty 200, which no server has sent
-	case <-overdue:
+		panic(http.ErrAbortHandler) // returning would write an empty 200 response, which no server has sent
+	case <-guardExpired:
 		select {
-		case response := <-responses: // it has arrived in this moment
+		case response := <-responses: // the response arrived at the same time
 			h.writeResponse(w, r, request, response)
 			return
 		default:
 		}
-		// The loop is stalled. It may have forwarded the request, so this is a failure, not a rejection.
+		// The event loop is stalled. It may have forwarded the request, so the request fails and is not rejected.
 		h.Metrics.Add(frontend.AnswersByGuard, 1)
 		h.Loop.Cancel(request)
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
--- a/internal/frontend/httpserver/link.go
+++ b/internal/frontend/httpserver/link.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// slowestLinkBytesPerSecond is the rate of the slowest link that is of use.
+	// slowestLinkBytesPerSecond is the rate of the slowest link that is supported.
 	slowestLinkBytesPerSecond = 1024
-	// minSampleMs is the shortest time over which a body's arrival measures the link. What arrives at once measures buffers.
+	// minSampleMs is the shortest transfer time of a body, in milliseconds, that yields a sample. A body that arrives at once
+	// was buffered, so its transfer time does not describe the link.
 	minSampleMs = 1
 )
 
-// timedReader measures how a body arrives. Times are in milliseconds.
+// timedReader measures the transfer time and the gaps of a body while the body is read. Times are in milliseconds.
 type timedReader struct {
 	reader io.Reader
 	clock  clock.Clock
 
-	startMs, lastMs float64 // of the first call of Read and of the last byte
+	startMs, lastMs float64 // times of the first call of Read and of the last read that returned bytes
 	bytes           int
-	maxGapMs        float64
-	spanMs          float64 // from startMs to the last byte
+	maxGapMs        float64 // longest time without a byte
+	spanMs          float64 // time from startMs to lastMs
 }
 
 // Read implements io.Reader.
@@ -42,7 +43,7 @@
 	return n, err
 }
 
-// sample returns what the body's arrival says about the link. It is zero if that is nothing.
+// sample returns the measurement of the link. It is zero if the body arrived in less than minSampleMs.
 func (t *timedReader) sample() lifecycle.LinkSample {
 	if t.spanMs < minSampleMs {
 		return lifecycle.LinkSample{}
@@ -50,12 +51,12 @@
 	return lifecycle.LinkSample{Bytes: t.bytes, TransferMs: t.spanMs, MaxGapMs: t.maxGapMs}
 }
 
-// minTransferTime returns the time that a body takes on the slowest link that is of use.
+// minTransferTime returns the time that a body of the given size takes on the slowest supported link.
 func minTransferTime(bytes int) time.Duration {
 	return time.Duration(bytes) * time.Second / slowestLinkBytesPerSecond
 }
 
-// countingWriter counts the bytes of a response's body and keeps the last error.
+// countingWriter counts the bytes of a response's body and records the last write error.
 type countingWriter struct {
 	http.ResponseWriter
 	bytes int
--- a/internal/frontend/httpserver/listener.go
+++ b/internal/frontend/httpserver/listener.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// LimitListener returns a listener that accepts at most maxOpen connections at once, including those whose last bytes are
-// still being read. The server must be given its connections for ConnState to know them. Unlike with
-// netutil.LimitListener, the sending side of a connection can be closed on its own.
+// LimitListener returns a listener that accepts a connection only while fewer than maxOpen of its connections are open, including
+// those that wait for their clients to close. The http.Server must serve this listener: ConnState ignores other connections.
+// Unlike those of netutil.LimitListener, its connections can close only their sending side.
 func (t *ConnTracker) LimitListener(ln net.Listener, maxOpen int) net.Listener {
 	return &limitListener{Listener: ln, tracker: t, slots: make(chan struct{}, maxOpen), closed: make(chan struct{})}
 }
 
-// limitListener accepts a connection when one of its slots is free.
+// limitListener is the listener that LimitListener returns.
 type limitListener struct {
 	net.Listener
 	tracker *ConnTracker
-	slots   chan struct{} // holds one element for each open connection
+	slots   chan struct{} // contains one element for each open connection; its capacity is the limit
 	once    sync.Once
 	closed  chan struct{}
 }
 
-// Accept waits for a free slot and for a connection. It returns net.ErrClosed once the listener is closed.
+// Accept waits for a free slot and then for a connection. It returns net.ErrClosed once the listener is closed.
 func (l *limitListener) Accept() (net.Conn, error) {
 	select {
 	case l.slots <- struct{}{}:
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -16,11 +16,11 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// uniqueHeaders must not be repeated: a server might read another value than this gateway.
+// uniqueHeaders are the headers that a request must not repeat, because a server might use a different value than the gateway.
 var uniqueHeaders = [...]string{"X-Correlation-Id", "X-Service-Class", "X-Plan", "X-Time-Left-Ms", "X-IO", "X-Repeat",
 	"Idempotency-Key", "Content-Type"}
 
-// malformedError rejects a request with another status than 400. Its text is sent to the client.
+// malformedError is an error of a malformed request whose response has a status other than 400. Its text is sent to the client.
 type malformedError struct {
 	status int
 	text   string
@@ -31,17 +31,17 @@
 
 var errBodyTooLarge = &malformedError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
 
-// parsedRequest is a request with the parts that only devices need.
+// parsedRequest is a parsed request with the values from which makeDeviceRequest sets its Device.
 type parsedRequest struct {
 	request *lifecycle.Request
 	class   *scheduler.Class
 	fields  requestparse.Fields
 	payload *httpmessage.Request
-	link    lifecycle.LinkSample // how the body arrived
+	link    lifecycle.LinkSample // measured while the body was read
 }
 
-// parseRequest reads a client's request. The text of its error is sent to the client, with status 400 unless the error is a
-// malformedError. A malformed request never reaches the scheduler.
+// parseRequest reads and parses a client's request. The text of its error is sent to the client, with status 400 unless the error
+// is a malformedError.
 func (h *Handler) parseRequest(r *http.Request) (*lifecycle.Request, error) {
 	if err := rejectAmbiguous(r); err != nil {
 		return nil, err
@@ -69,11 +69,12 @@
 	return parsed.request, nil
 }
 
-// rejectAmbiguous rejects a request whose framing, method, target or headers servers might read differently.
+// rejectAmbiguous returns an error for a request whose framing, method, target or headers a server might interpret differently
+// than the gateway.
 func rejectAmbiguous(r *http.Request) error {
-	// net/http drops a Content-Length that comes with a Transfer-Encoding, as RFC 9112 allows, so both together cannot be
-	// distinguished here from the latter alone. Readers that disagree on the end of the body would allow request smuggling, so
-	// a length is required.
+	// net/http drops a Content-Length that comes with a Transfer-Encoding, as RFC 9112 allows, so a request with both headers
+	// can't be told from one with a Transfer-Encoding only. Two readers that disagree on the end of the body would allow request
+	// smuggling, so a Content-Length is required.
 	if len(r.TransferEncoding) > 0 || r.ContentLength < 0 {
 		return &malformedError{http.StatusLengthRequired, "a Content-Length is required, and no Transfer-Encoding"}
 	}
@@ -115,13 +116,13 @@
 	return fields, nil
 }
 
-// readBody reads the body of a request and measures how it arrives.
+// readBody reads the body of a request and measures the link while the body arrives.
 func (h *Handler) readBody(r *http.Request) ([]byte, lifecycle.LinkSample, error) {
 	var link lifecycle.LinkSample
 	if r.Method == http.MethodGet && r.ContentLength > 0 {
 		return nil, link, errors.New("a read has no body")
 	}
-	if r.ContentLength > httpmessage.MaxBodyBytes { // none of it is read
+	if r.ContentLength > httpmessage.MaxBodyBytes { // the body is not read at all
 		return nil, link, errBodyTooLarge
 	}
 	reader := &timedReader{reader: r.Body, clock: h.Clock}
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -10,10 +10,10 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// writeResponse writes the final response to a request. It panics with http.ErrAbortHandler for a request that a newer
-// connection of its device has superseded.
+// writeResponse writes the final response to a request. If a transmission on a newer connection of the device has superseded
+// the request, it panics with http.ErrAbortHandler.
 func (h *Handler) writeResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, response lifecycle.Response) {
-	if h.keepAlivesDisabled.Load() { // also if that happened while the request was open
+	if h.keepAlivesDisabled.Load() { // they may have been disabled since ServeHTTP checked
 		w.Header().Set("Connection", "close")
 	}
 	switch response.Kind {
@@ -31,7 +31,7 @@
 	case lifecycle.Conflict:
 		http.Error(w, "another content than that of the exchange it names; nothing of it was done", http.StatusConflict)
 	case lifecycle.Superseded:
-		panic(http.ErrAbortHandler) // the device waits on newer connections
+		panic(http.ErrAbortHandler) // the device waits for the response on a newer connection
 	default:
 		writeFailure(w)
 	}
@@ -49,7 +49,7 @@
 	http.Error(w, "failed", http.StatusBadGateway)
 }
 
-// writeRejection writes the response to a request that was not executed. With retryAfterMs 0 it gives no advice when to retry.
+// writeRejection writes the response to a request that was not executed. If retryAfterMs is 0, it omits Retry-After.
 func writeRejection(w http.ResponseWriter, retryAfterMs float64) {
 	if retryAfterMs > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfterMs/1000, 'f', 3, 64))
@@ -57,8 +57,8 @@
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 }
 
-// rejectInboxFull answers a request that the loop did not accept. Nothing of it was executed, so a rejection is right for any
-// class, but an earlier copy of a device's write may have been.
+// rejectInboxFull responds to a request that the event loop did not accept. The request was not executed, so it is rejected,
+// whatever its class. A repeated transmission of a device's write fails instead, because an earlier one may have been executed.
 func (h *Handler) rejectInboxFull(w http.ResponseWriter, r *http.Request, request *lifecycle.Request) {
 	h.Metrics.Add(frontend.RequestsInboxFull, 1)
 	if request.Device != nil && request.IsRetry && r.Method != http.MethodGet {
@@ -68,13 +68,13 @@
 	writeRejection(w, h.inboxRetryAfterMs())
 }
 
-// inboxRetryAfterMs returns when to retry a request that was not submitted.
+// inboxRetryAfterMs returns the delay, in milliseconds, after which the client should retry a request that was not submitted.
 func (h *Handler) inboxRetryAfterMs() float64 {
 	return min(frontend.InboxFullRetryAfterMs, clock.Ms(h.Settings.MaxRetryAfter))
 }
 
-// rejectMalformed answers a request that parseRequest has rejected. The connection ends, since it is not known where the body
-// ends or what follows it.
+// rejectMalformed responds to a request for which parseRequest returned err. The server then closes the connection, because the
+// end of the body, and so the start of the next request, is unknown.
 func (h *Handler) rejectMalformed(w http.ResponseWriter, err error) {
 	h.Metrics.Add(frontend.RequestsMalformed, 1)
 	w.Header().Set("Connection", "close")
