--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -11,23 +11,24 @@
 	"gaugerelay/internal/testbed"
 )
 
-// addConn gives a tracker a connection in a state. The other end of its pipe is returned, too.
-func addConn(tracker *ConnTracker, state http.ConnState) (conn *clientConn, peer net.Conn) {
-	ours, theirs := net.Pipe()
-	conn = &clientConn{Conn: ours, tracker: tracker}
+// addConn adds a connection in the given state to a tracker. It returns the connection and the client's end of it.
+func addConn(tracker *ConnTracker, state http.ConnState) (conn *clientConn, client net.Conn) {
+	serverSide, clientSide := net.Pipe()
+	conn = &clientConn{Conn: serverSide, tracker: tracker}
 	tracker.ConnState(conn, http.StateNew)
 	if state != http.StateNew {
 		tracker.ConnState(conn, state)
 	}
-	return conn, theirs
+	return conn, clientSide
 }
 
-// writeInBackground writes to a pipe, where a write waits for its reader. It fails if the connection is shed instead.
-func writeInBackground(peer net.Conn, text string) {
-	go testbed.TryWrite(peer, text)
+// writeInBackground writes to a pipe, where a write blocks until the other end reads. Errors are ignored, because the connection
+// may be shed before it is read.
+func writeInBackground(client net.Conn, text string) {
+	go testbed.TryWrite(client, text)
 }
 
-// When draining, idle connections are closed at once, busy ones after their responses.
+// Drain must shed new and idle connections at once, and busy connections only after their responses.
 func TestConnTrackerDrain(t *testing.T) {
 	tracker := &ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
 	oldestNew, _ := addConn(tracker, http.StateNew)
@@ -35,44 +36,45 @@
 	busy, _ := addConn(tracker, http.StateActive)
 	drained := tracker.Drain()
 	if !oldestNew.isShed || !idle.isShed || busy.isShed {
-		t.Errorf("shed %v %v %v", oldestNew.isShed, idle.isShed, busy.isShed)
+		t.Errorf("shed: new %v, idle %v, busy %v; want true, true, false", oldestNew.isShed, idle.isShed, busy.isShed)
 	}
 	select {
 	case <-drained:
-		t.Error("drained with a request open")
+		t.Error("the tracker reported the end of draining while a request was open")
 	default:
 	}
 	tracker.ConnState(busy, http.StateIdle)
 	<-drained
 	if !busy.isShed {
-		t.Error("kept after its response")
+		t.Error("the busy connection was not shed after its response")
 	}
 }
 
-// connModel is a connection and the state that it must be in.
+// connModel is a connection and its expected state.
 type connModel struct {
-	conn  *clientConn
-	peer  net.Conn
-	state http.ConnState
+	conn   *clientConn
+	client net.Conn
+	state  http.ConnState
 }
 
-// trackerModel is a tracker with all its connections.
+// trackerModel is a tracker and the models of all its connections.
 type trackerModel struct {
-	t       *testing.T
-	now     *clock.Manual
-	tracker *ConnTracker
-	conns   []*connModel
+	t           *testing.T
+	manualClock *clock.Manual
+	tracker     *ConnTracker
+	conns       []*connModel
 }
 
-// FuzzConnTracker compares random steps with a model of each connection: new, busy, idle or closed. Over the limit the
-// connections that have been new or idle longest are shed; one from which a request has been read never is.
+// FuzzConnTracker compares a tracker with a model after each of a list of random steps. Above MaxOpen the tracker must shed new
+// and idle connections, and it must never shed a connection from which a request has been read.
 func FuzzConnTracker(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 9, 2, 10, 6, 0, 0})
 	f.Add([]byte{0, 1, 2, 0, 9, 10, 7, 0, 7, 0, 3, 11, 0, 7})
 	f.Add([]byte{0, 0, 0, 0, 1, 9, 17, 25, 0, 0, 2, 10, 7, 7, 7, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		now := clock.NewManual(1e12)
-		m := &trackerModel{t: t, now: now, tracker: &ConnTracker{MaxOpen: 3, Clock: now, Metrics: metrics.New()}}
+		manualClock := clock.NewManual(1e12)
+		m := &trackerModel{t: t, manualClock: manualClock,
+			tracker: &ConnTracker{MaxOpen: 3, Clock: manualClock, Metrics: metrics.New()}}
 		defer func() {
 			for _, c := range m.conns {
 				c.conn.Conn.Close()
@@ -85,11 +87,11 @@
 	})
 }
 
-// step takes one step: its lower three bits are what happens, the others choose the connection.
+// step runs one step: the lower three bits of the byte select the event, the others select the connection.
 func (m *trackerModel) step(i int, step byte) {
 	if step%8 == 0 || len(m.conns) == 0 {
-		conn, peer := addConn(m.tracker, http.StateNew)
-		m.conns = append(m.conns, &connModel{conn, peer, http.StateNew})
+		conn, client := addConn(m.tracker, http.StateNew)
+		m.conns = append(m.conns, &connModel{conn, client, http.StateNew})
 		return
 	}
 	c := m.conns[int(step>>3)%len(m.conns)]
@@ -102,28 +104,28 @@
 			m.tracker.ConnState(c.conn, http.StateIdle)
 			c.state = http.StateIdle
 		}
-	case 3: // the connection ends
+	case 3: // the connection is closed
 		if c.state != http.StateClosed {
 			m.tracker.ConnState(c.conn, http.StateClosed)
 			c.state = http.StateClosed
 		}
 	default:
-		m.now.Advance(400)
+		m.manualClock.Advance(400)
 	}
 }
 
-// clientSends reads a byte from a new or idle connection.
+// clientSends makes the client of a new or idle connection send a byte, and reads it.
 func (m *trackerModel) clientSends(i int, c *connModel) {
 	if c.state != http.StateNew && c.state != http.StateIdle {
 		return
 	}
-	writeInBackground(c.peer, "x")
+	writeInBackground(c.client, "x")
 	n, err := c.conn.Read(make([]byte, 1))
 	if (n == 1) == c.conn.isShed {
-		m.t.Fatalf("step %d: read %d, %v; shed: %v", i, n, err, c.conn.isShed)
+		m.t.Fatalf("step %d: Read returned %d, %v although isShed is %v", i, n, err, c.conn.isShed)
 	}
 	if n == 1 {
-		c.state = http.StateActive // in the model: the server has yet to notice
+		c.state = http.StateActive // only in the model: the server reports this state when the whole head has arrived
 	}
 }
 
@@ -132,7 +134,7 @@
 	open, sheddable := 0, 0
 	for j, c := range m.conns {
 		if c.conn.isShed && c.state == http.StateActive {
-			m.t.Fatalf("step %d: connection %d was shed with a request", i, j)
+			m.t.Fatalf("step %d: connection %d was shed although a request has been read from it", i, j)
 		}
 		if !c.conn.isShed && c.state != http.StateClosed {
 			open++
@@ -142,20 +144,21 @@
 		}
 	}
 	if open != m.tracker.open || open > m.tracker.MaxOpen && sheddable > 0 {
-		m.t.Fatalf("step %d: %d open, counted as %d, %d could be shed", i, open, m.tracker.open, sheddable)
+		m.t.Fatalf("step %d: %d connections are open, the tracker counts %d; %d could be shed", i, open, m.tracker.open, sheddable)
 	}
 }
 
-// A request read from a connection that is shed in that moment is not accepted: its client sends it again.
+// If a connection is shed while a request is being read from it, Read must return no part of the request, because the client
+// sends the request again.
 func TestReadWhileShedding(t *testing.T) {
 	tracker := &ConnTracker{MaxOpen: 1, Clock: clock.NewManual(0), Metrics: metrics.New()}
-	ours, theirs := net.Pipe()
+	serverSide, clientSide := net.Pipe()
 	conn := &clientConn{tracker: tracker}
-	conn.Conn = hookedConn{ours, func() { tracker.shed(conn) }}
+	conn.Conn = hookedConn{serverSide, func() { tracker.shed(conn) }}
 	tracker.ConnState(conn, http.StateNew)
-	writeInBackground(theirs, "GET")
+	writeInBackground(clientSide, "GET")
 	if n, err := conn.Read(make([]byte, 3)); n != 0 || err == nil {
-		t.Errorf("read %d, %v", n, err)
+		t.Errorf("Read returned %d, %v, want no bytes and an error", n, err)
 	}
 }
 
@@ -171,11 +174,11 @@
 	return n, err
 }
 
-// Idle connections are shed after the platform's two seconds while more than half of MaxOpen are open; a new one is shed
-// before them only if it has had time to send something.
-func TestIdleAndNewConnections(t *testing.T) {
-	now := clock.NewManual(0)
-	tracker := &ConnTracker{MaxOpen: 4, Clock: now, Metrics: metrics.New()}
+// Idle connections must be shed after idleTimeoutMs while more than half of MaxOpen are open. Above MaxOpen, a new connection must
+// be shed before an idle one only if it has sent nothing for firstByteTimeoutMs.
+func TestShedIdleAndNewConnections(t *testing.T) {
+	manualClock := clock.NewManual(0)
+	tracker := &ConnTracker{MaxOpen: 4, Clock: manualClock, Metrics: metrics.New()}
 	var conns []*clientConn
 	add := func(state http.ConnState) {
 		conn, _ := addConn(tracker, state)
@@ -185,25 +188,25 @@
 		t.Helper()
 		for i, conn := range conns {
 			if conn.isShed != slices.Contains(want, i) {
-				t.Errorf("%s: connection %d shed: %v", when, i, conn.isShed)
+				t.Errorf("%s: isShed of connection %d is %v, want the opposite", when, i, conn.isShed)
 			}
 		}
 	}
 	add(http.StateIdle)
 	add(http.StateIdle)
-	now.Advance(60_000)
-	checkShed("half taken")
+	manualClock.Advance(60_000)
+	checkShed("half of MaxOpen are open")
 	add(http.StateIdle)
-	checkShed("over half", 0)
+	checkShed("more than half are open", 0)
 	add(http.StateIdle)
-	checkShed("over half again", 0, 1)
+	checkShed("more than half are open again", 0, 1)
 	add(http.StateNew)
-	now.Advance(1999)
-	checkShed("just before", 0, 1)
-	now.Advance(1)
-	checkShed("after two seconds", 0, 1, 2)
+	manualClock.Advance(1999)
+	checkShed("1 ms before the idle timeout", 0, 1)
+	manualClock.Advance(1)
+	checkShed("at the idle timeout", 0, 1, 2)
 	add(http.StateNew)
 	tracker.MaxOpen = 1
 	tracker.ConnState(conns[5], http.StateActive)
-	checkShed("a silent one first", 0, 1, 2, 3, 4)
+	checkShed("above MaxOpen with a silent new connection", 0, 1, 2, 3, 4)
 }
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -10,7 +10,7 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// deviceRequest returns a valid write of a device that change, if not nil, has changed.
+// deviceRequest returns a valid write request of a device. If change is not nil, it is applied to the request.
 func deviceRequest(change func(*http.Request)) *http.Request {
 	return newRequest(func(r *http.Request) {
 		r.Header.Set("X-Device-Id", "dev")
@@ -20,7 +20,7 @@
 	})
 }
 
-// makeRead turns a valid write into a valid read.
+// makeRead turns a valid write request into a valid read request.
 func makeRead(r *http.Request) {
 	r.Method, r.URL.Path, r.RequestURI = "GET", "/pull/7f3a9c21e0b4d655", "/pull/7f3a9c21e0b4d655?x=%2F"
 	r.Body, r.ContentLength = http.NoBody, 0
@@ -33,7 +33,8 @@
 	return h
 }
 
-// A request from a device is a copy of an exchange; the request that servers get carries ids of the gateway's own.
+// Each request of a device must be assigned to its exchange, and the request that servers get must carry the id and the
+// idempotency key that the gateway has generated.
 func TestDeviceRequests(t *testing.T) {
 	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done"), ETag: 5}))
 	otherID := func(r *http.Request) { r.Header.Set("X-Correlation-Id", "other") }
@@ -43,24 +44,24 @@
 	for _, change := range []func(*http.Request){nil, otherID, otherBody, read, readOtherID} {
 		w := h.serve(deviceRequest(change))
 		if w.Code != 200 || w.Body.String() != "done" || w.Header().Get("ETag") != `"0000000000000005"` {
-			t.Errorf("%d %q %v", w.Code, w.Body, w.Header())
+			t.Errorf("got status %d, body %q and headers %v, want the response of the event loop", w.Code, w.Body, w.Header())
 		}
 	}
 	device := func(i int) *lifecycle.DeviceRequest { return h.loop.submitted[i].Device }
 	if device(0).Key != device(1).Key || device(0).HeadDigest != device(1).HeadDigest || device(0).BodyDigest != device(1).BodyDigest ||
 		device(0).Key != device(2).Key || device(0).BodyDigest == device(2).BodyDigest {
-		t.Error("copies of a write are identified by its key and its content, whatever their ids")
+		t.Error("a write's transmissions must have equal keys and digests whatever their ids, and another body another digest")
 	}
 	if device(3).Key == device(4).Key || device(3).Key == device(0).Key || device(3).HeadDigest == device(0).HeadDigest {
-		t.Error("reads are identified by their ids")
+		t.Error("two reads with different ids, or a read and a write, have the same key or digest")
 	}
 	payload := device(0).BuildPayload("run-1", []byte("body")).(*httpmessage.Request)
 	if payload.Header.Get("X-Correlation-Id") != "run-1" || payload.Header.Get("Idempotency-Key") == "k1" || string(payload.Body) != "body" ||
 		payload.Header.Get("X-Device-Id") != "" || payload.Path != "/push/7f3a9c21e0b4d655" || payload.RawQuery != "x=%2F" {
-		t.Errorf("forwarded as %+v", payload)
+		t.Errorf("the payload for servers is %+v, want its own id and key and no X-Device-Id", payload)
 	}
 	if len(h.loop.written) != 5 || h.loop.canceled != 0 {
-		t.Errorf("%d written, %d canceled", len(h.loop.written), h.loop.canceled)
+		t.Errorf("%d responses reported as written and %d requests canceled, want 5 and 0", len(h.loop.written), h.loop.canceled)
 	}
 }
 
@@ -79,16 +80,16 @@
 		t.Run(name, func(t *testing.T) {
 			w := h.serve(deviceRequest(change))
 			if w.Code != 400 || len(h.loop.submitted) != 0 {
-				t.Errorf("%d, %d submitted", w.Code, len(h.loop.submitted))
+				t.Errorf("got status %d and %d submitted requests, want 400 and 0", w.Code, len(h.loop.submitted))
 			}
 		})
 	}
-	if w := h.serve(newGet("/metrics")); w.Code == 200 {
-		t.Error("devices read the operators' counters")
+	if w := h.serve(newStatusRequest("/metrics")); w.Code == 200 {
+		t.Error("/metrics is served to devices, but only operators may read the counters")
 	}
 }
 
-// A response that was cut off continues where it stopped, if it is still the same one.
+// A device must be able to resume an interrupted response with Range, and must get the whole response if If-Range does not match.
 func TestRangeRequests(t *testing.T) {
 	body := strings.Repeat("0123456789", 500)
 	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte(body), ETag: 0xabc}))
@@ -113,19 +114,20 @@
 			}
 		}))
 		if w.Code != test.code || test.want != "" && w.Body.String() != test.want {
-			t.Errorf("%+v: %d, %d bytes", test, w.Code, w.Body.Len())
+			t.Errorf("test case %+v: got status %d and %d bytes", test, w.Code, w.Body.Len())
 		}
 	}
 	if len(h.loop.submitted) != 5 {
-		t.Errorf("%d submitted", len(h.loop.submitted))
+		t.Errorf("%d requests were submitted, want 5", len(h.loop.submitted))
 	}
 }
 
-// The responses that only devices get, and what a full inbox means to a copy that may have been executed.
+// Conflict and Superseded occur for devices only. If the inbox is full, a repeated write must fail, because an earlier
+// transmission may have been executed, while a first transmission must be rejected.
 func TestDeviceResponses(t *testing.T) {
 	h := newDeviceHandler(respondWith(lifecycle.Response{Kind: lifecycle.Conflict}))
 	if w := h.serve(deviceRequest(nil)); w.Code != 409 || w.Header().Get("Connection") == "close" {
-		t.Errorf("%d %v", w.Code, w.Header())
+		t.Errorf("for a conflict got status %d and headers %v, want 409 without Connection: close", w.Code, w.Header())
 	}
 	h = newDeviceHandler(respondWith(lifecycle.Response{Kind: lifecycle.Superseded}))
 	expectAbort(t, func() { h.serve(deviceRequest(nil)) })
@@ -134,25 +136,25 @@
 	for retry, want := range map[string]int{"": 503, "1": 502} {
 		w := h.serve(deviceRequest(func(r *http.Request) { r.Header.Set("X-Repeat", retry) }))
 		if w.Code != want {
-			t.Errorf("a full inbox, X-Repeat %q: %d", retry, w.Code)
+			t.Errorf("with a full inbox and X-Repeat %q got status %d", retry, w.Code)
 		}
 	}
 }
 
-// The age that a device gives grows by all the time in which the copy may have been on its way: since its connection was
-// opened, or since the last response.
-func TestAgeIncludesTimeOnTheWay(t *testing.T) {
+// The age of a request must include the longest possible time in transit, because X-Age-Ms is the age at the time of sending: the
+// time since the connection was opened, or since the last response on it was written.
+func TestAgeIncludesTransitTime(t *testing.T) {
 	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done")}))
 	ctx := h.ConnContext(t.Context(), nil)
 	for _, want := range []float64{100 + 700, 100 + 300} {
-		h.now.Advance(want - 100)
+		h.manualClock.Advance(want - 100)
 		h.serve(deviceRequest(func(r *http.Request) {
 			*r = *r.WithContext(ctx)
 			r.Header.Set("X-Repeat", "1")
 			r.Header.Set("X-Age-Ms", "100")
 		}))
 		if got := h.loop.submitted[len(h.loop.submitted)-1].Device.AgeMs; got != want {
-			t.Errorf("age %v, want %v", got, want)
+			t.Errorf("got age %v ms, want %v ms", got, want)
 		}
 	}
 }
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -23,8 +23,9 @@
 
 var dateHeader = regexp.MustCompile(`(?m)^Date: .*GMT`)
 
-// exchangeRaw writes a request to a server of the handler and returns all bytes of its response.
-func exchangeRaw(t *testing.T, h *Handler, request string) []byte {
+// roundTrip sends the text of a request to a server with the handler and returns all bytes that the server sends, with the values
+// of Date headers replaced.
+func roundTrip(t *testing.T, h *Handler, request string) []byte {
 	t.Helper()
 	ln := testbed.Listen(t)
 	tracker := &ConnTracker{MaxOpen: 9, Clock: h.Clock, Metrics: h.Metrics}
@@ -37,7 +38,7 @@
 	}
 	testbed.ServeHTTP(t, server, tracker.LimitListener(ln, 9))
 	client := testbed.Dial(t, ln.Addr().String())
-	// The second request ends the connection after the response to the first.
+	// The second request uses HTTP/1.0, so that the server closes the connection after the response to it.
 	testbed.Write(t, client, request+"GET /ready HTTP/1.0\r\n\r\n")
 	wire, err := io.ReadAll(client)
 	if err != nil {
@@ -62,7 +63,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(respondWith(test.response))
-			testbed.CompareGolden(t, "answer-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, test.request)))
+			testbed.CompareGolden(t, "answer-"+name, testbed.QuoteLines(roundTrip(t, h.Handler, test.request)))
 		})
 	}
 }
@@ -87,7 +88,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newDeviceHandler(respondWith(test.response))
 			h.GatewayName = "gateway-1"
-			testbed.CompareGolden(t, "device-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, test.request)))
+			testbed.CompareGolden(t, "device-"+name, testbed.QuoteLines(roundTrip(t, h.Handler, test.request)))
 		})
 	}
 }
@@ -111,7 +112,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(respondWith(lifecycle.Response{}))
 			request := strings.Replace(goldenWrite, test.old, test.new, 1)
-			testbed.CompareGolden(t, "malformed-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, request)))
+			testbed.CompareGolden(t, "malformed-"+name, testbed.QuoteLines(roundTrip(t, h.Handler, request)))
 		})
 	}
 }
@@ -131,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(nil)
 			test.change(h)
-			testbed.CompareGolden(t, "operator-"+name, testbed.QuoteLines(exchangeRaw(t, h.Handler, "GET "+test.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
+			testbed.CompareGolden(t, "operator-"+name, testbed.QuoteLines(roundTrip(t, h.Handler, "GET "+test.path+" HTTP/1.1\r\nHost: h\r\n\r\n")))
 		})
 	}
 }
@@ -139,5 +140,5 @@
 func TestGoldenFullInbox(t *testing.T) {
 	h := newTestHandler(nil)
 	h.loop.full = true
-	testbed.CompareGolden(t, "answer-full-inbox", testbed.QuoteLines(exchangeRaw(t, h.Handler, goldenWrite)))
+	testbed.CompareGolden(t, "answer-full-inbox", testbed.QuoteLines(roundTrip(t, h.Handler, goldenWrite)))
 }
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -15,7 +15,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// fakeLoop records requests and lets the test answer them.
+// fakeLoop is an event loop that records requests. onSubmit may respond to them.
 type fakeLoop struct {
 	full, unready bool
 	submitted     []*lifecycle.Request
@@ -41,28 +41,28 @@
 	l.written = append(l.written, r)
 }
 
-// testHandler is a handler with a fake loop, on a clock that the test moves.
+// testHandler is a handler with a fake event loop and a manual clock.
 type testHandler struct {
 	*Handler
-	loop *fakeLoop
-	now  *clock.Manual
+	loop        *fakeLoop
+	manualClock *clock.Manual
 }
 
 func newTestHandler(onSubmit func(*lifecycle.Request)) *testHandler {
 	settings := testbed.Settings(4)
-	h := &testHandler{loop: &fakeLoop{onSubmit: onSubmit}, now: clock.NewManual(1e12)}
-	h.Handler = &Handler{Loop: h.loop, Clock: h.now, Metrics: metrics.New(), Settings: &settings}
+	h := &testHandler{loop: &fakeLoop{onSubmit: onSubmit}, manualClock: clock.NewManual(1e12)}
+	h.Handler = &Handler{Loop: h.loop, Clock: h.manualClock, Metrics: metrics.New(), Settings: &settings}
 	return h
 }
 
-// serve passes a request to the handler and returns the response.
+// serve calls the handler with a request and returns the response.
 func (h *testHandler) serve(r *http.Request) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
 	return w
 }
 
-// newRequest returns a valid request that change, if not nil, has changed.
+// newRequest returns a valid write request. If change is not nil, it is applied to the request.
 func newRequest(change func(*http.Request)) *http.Request {
 	r := httptest.NewRequestWithContext(context.Background(), "PUT", "/push/7f3a9c21e0b4d655?x=%2F", strings.NewReader("data"))
 	for name, value := range map[string]string{"X-Correlation-Id": "9b1f03aa5c7e2d41", "X-Service-Class": "push",
@@ -76,25 +76,25 @@
 	return r
 }
 
-// newGet returns a request for a path that reports the gateway's state.
-func newGet(path string) *http.Request {
+// newStatusRequest returns a request for a path that reports the gateway's state.
+func newStatusRequest(path string) *http.Request {
 	return httptest.NewRequestWithContext(context.Background(), "GET", path, nil)
 }
 
-// expectAbort checks that a call panics with http.ErrAbortHandler, by which a handler closes the connection without a
+// expectAbort checks that a call panics with http.ErrAbortHandler, which makes the server close the connection without a
 // response.
 func expectAbort(t *testing.T, call func()) {
 	t.Helper()
 	defer func() {
 		t.Helper()
 		if r := recover(); r != http.ErrAbortHandler { //nolint:errorlint // net/http, too, compares the value itself
-			t.Errorf("ended by %v: the server would write a response of its own", r)
+			t.Errorf("the handler panicked with %v, want http.ErrAbortHandler: the server would write a response", r)
 		}
 	}()
 	call()
 }
 
-// respondWith returns a function that answers each request with a response.
+// respondWith returns an onSubmit function that responds to each request with the given response.
 func respondWith(response lifecycle.Response) func(*lifecycle.Request) {
 	return func(r *lifecycle.Request) { r.Respond(response) }
 }
@@ -105,39 +105,40 @@
 		code             int
 		body, retryAfter string
 	}{
-		"served":         {lifecycle.Response{Body: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
-		"rejected":       {lifecycle.Response{Kind: lifecycle.Rejected}, 503, "busy\n", ""},
-		"rejected, when": {lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 90}, 503, "busy\n", "0.090"},
-		"failed":         {lifecycle.Response{Kind: lifecycle.Failed}, 502, "failed\n", ""},
-		"duplicate id":   {lifecycle.Response{Kind: lifecycle.DuplicateID}, 409, "a request with this X-Correlation-Id is open\n", ""},
+		"served":                    {lifecycle.Response{Body: []byte("\x00raw\r\n")}, 200, "\x00raw\r\n", ""},
+		"rejected":                  {lifecycle.Response{Kind: lifecycle.Rejected}, 503, "busy\n", ""},
+		"rejected with retry delay": {lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: 90}, 503, "busy\n", "0.090"},
+		"failed":                    {lifecycle.Response{Kind: lifecycle.Failed}, 502, "failed\n", ""},
+		"duplicate id":              {lifecycle.Response{Kind: lifecycle.DuplicateID}, 409, "a request with this X-Correlation-Id is open\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newTestHandler(respondWith(test.response))
 			w := h.serve(newRequest(nil))
 			if w.Code != test.code || w.Body.String() != test.body || w.Header().Get("Retry-After") != test.retryAfter {
-				t.Errorf("%d %q, Retry-After %q", w.Code, w.Body, w.Header().Get("Retry-After"))
+				t.Errorf("got status %d, body %q, Retry-After %q; want the test case's", w.Code, w.Body, w.Header().Get("Retry-After"))
 			}
 			r := h.loop.submitted[0]
 			payload := r.Payload.(*httpmessage.Request)
 			if r.Key != 0x7f3a9c21e0b4d655 || r.Volume != 0x3b4d60021 || r.Units != 2 || r.Shard != 3 || r.Gateways != 2 ||
 				r.RemainingMs != 480-networkMarginMs || payload.RawQuery != "x=%2F" || string(payload.Body) != "data" ||
 				payload.Header.Get("Idempotency-Key") != "k1" || payload.Header.Get("X-Correlation-Id") != "9b1f03aa5c7e2d41" {
-				t.Errorf("parsed as %+v, %+v", r, payload)
+				t.Errorf("the request was parsed as %+v with payload %+v, want the values of newRequest", r, payload)
 			}
 		})
 	}
 }
 
-// A full inbox is answered, too, and the response says when to retry.
+// A request for which the inbox is full must get a response with Retry-After.
 func TestFullInbox(t *testing.T) {
 	h := newTestHandler(nil)
 	h.loop.full = true
 	if w := h.serve(newRequest(nil)); w.Code != 503 || w.Header().Get("Retry-After") == "" {
-		t.Errorf("%d %v", w.Code, w.Header())
+		t.Errorf("got status %d and headers %v, want 503 with Retry-After", w.Code, w.Header())
 	}
 }
 
-// If the loop gives no response the handler fails the request by itself: it may have been executed, so it is not rejected.
+// If the event loop does not respond, the response guard must fail the request. It must not reject it, because the request may
+// have been executed.
 func TestResponseGuard(t *testing.T) {
 	h := newTestHandler(func(*lifecycle.Request) {})
 	w := httptest.NewRecorder()
@@ -147,11 +148,11 @@
 		select {
 		case <-done:
 			if w.Code != 504 || h.loop.canceled != 1 {
-				t.Errorf("%d, canceled %d times", w.Code, h.loop.canceled)
+				t.Errorf("got status %d, request canceled %d times; want 504, once", w.Code, h.loop.canceled)
 			}
 			return
 		default:
-			h.now.Advance(1)
+			h.manualClock.Advance(1)
 			runtime.Gosched()
 		}
 	}
@@ -162,26 +163,26 @@
 	h := newTestHandler(func(*lifecycle.Request) { cancel() })
 	expectAbort(t, func() { h.serve(newRequest(nil).WithContext(ctx)) })
 	if h.loop.canceled != 1 {
-		t.Errorf("canceled %d times", h.loop.canceled)
+		t.Errorf("the request was canceled %d times, want once", h.loop.canceled)
 	}
 }
 
 func TestReadyAndMetrics(t *testing.T) {
 	h := newTestHandler(nil)
-	get := func(path string) *httptest.ResponseRecorder { return h.serve(newGet(path)) }
+	get := func(path string) *httptest.ResponseRecorder { return h.serve(newStatusRequest(path)) }
 	if code := get("/ready").Code; code != 200 {
-		t.Errorf("ready: %d", code)
+		t.Errorf("/ready returned status %d, want 200", code)
 	}
 	if h.loop.unready = true; get("/ready").Code != 503 {
-		t.Error("ready without a list")
+		t.Error("/ready did not return 503 while the event loop was not ready")
 	}
 	h.loop.unready = false
 	h.BeginShutdown(1e12 + 100)
 	if get("/ready").Code != 503 {
-		t.Error("ready during a shutdown")
+		t.Error("/ready did not return 503 during a shutdown")
 	}
 	h.Metrics.Add("requests_taken", 3)
 	if body := get("/metrics").Body.String(); body != "requests_taken 3\n" {
-		t.Errorf("metrics %q", body)
+		t.Errorf("/metrics returned %q, want the counter only", body)
 	}
 }
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -16,10 +16,10 @@
 	"gaugerelay/internal/testbed"
 )
 
-// This file forces orders of events that are rare on their own.
+// The tests in this file force event orders that seldom occur otherwise.
 
-// A client that sends more while its request is open and then disconnects is noticed: with part of a request, with complete ones,
-// with more than is buffered.
+// The disconnect of a client must be detected even if the client has pipelined bytes before it while its request is open: a part
+// of a request, complete requests, or more than maxPipelinedBytes.
 func TestDisconnectAfterPipelining(t *testing.T) {
 	for name, more := range map[string]string{
 		"nothing":        "",
@@ -36,17 +36,17 @@
 			testbed.Write(t, client, more)
 			testbed.Close(t, client)
 			if canceled := receive(t, "its cancellation", s.canceled); canceled != request {
-				t.Error("another request was canceled")
+				t.Error("a request other than the open one was canceled")
 			}
 			s.server.Close()
 			if len(s.submitted) != 0 {
-				t.Errorf("submitted for a client that has disconnected: %d more", len(s.submitted))
+				t.Errorf("after the disconnect %d more requests were submitted, want 0", len(s.submitted))
 			}
 		})
 	}
 }
 
-// The request of a client that disconnects before it has been read is not submitted at all.
+// A request must not be submitted if its client disconnects before the request is read.
 func TestDisconnectBeforeRead(t *testing.T) {
 	s, gate, closed := startGatedServer(t, http.StateClosed)
 	gate.mu.Lock()
@@ -54,34 +54,34 @@
 	testbed.Write(t, client, rawGet(1))
 	testbed.Close(t, client)
 	gate.mu.Unlock()
-	receive(t, "the connection's end", closed)
+	receive(t, "the closed connection", closed)
 	if len(s.submitted) != 0 {
-		t.Error("a request was submitted whose client had disconnected")
+		t.Error("a request was submitted although its client had disconnected")
 	}
 }
 
-// A client that has sent more than is read while its request is open, and disconnects after that, is noticed, too.
-func TestDisconnectAfterFlood(t *testing.T) {
+// The disconnect of a client must be detected even after the client has sent more bytes than are read while a request is open.
+func TestDisconnectAfterDiscardLimit(t *testing.T) {
 	s := startServer(t, nil)
 	client := s.dial(t)
 	testbed.Write(t, client, rawGet(1))
 	request := receive(t, "the request", s.submitted)
 	if request.Canceled() {
-		t.Fatal("canceled while the client is there")
+		t.Fatal("the request was canceled while the client was connected")
 	}
-	// What exceeds these bounds must fit into socket buffers, or the end of the connection does not get through.
+	// The bytes beyond the two limits must fit into the socket buffers. Otherwise the client's FIN does not reach the server.
 	testbed.Write(t, client, strings.Repeat("x", maxDiscardBytes+maxPipelinedBytes+8<<10))
 	testbed.Close(t, client)
 	for end := time.Now().Add(20 * time.Second); !request.Canceled(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatal("the disconnect was not noticed")
+			t.Fatal("the disconnect was not detected within 20 s")
 		}
 	}
 }
 
-// What is buffered of pipelined requests is bounded over all clients: beyond the bound a connection ends after the response
-// that is open, and a connection that is closed releases its buffered bytes.
-func TestPipelinedBytesAreBounded(t *testing.T) {
+// The pipelined bytes that are buffered for all connections together must not exceed ConnTracker.MaxPipelinedBytes, and closing a
+// connection must release its buffered bytes.
+func TestPipelinedBytesAreLimited(t *testing.T) {
 	const clients = 3
 	gate := &gatedListener{allRead: make(chan struct{}), bytesLeft: clients * (len(rawGet(1)) + maxPipelinedBytes)}
 	s := startServer(t, func(_ *testServer, ln net.Listener) net.Listener { gate.Listener = ln; return gate })
@@ -99,42 +99,42 @@
 		testbed.Write(t, client, strings.Repeat("x", maxPipelinedBytes))
 		conns = append(conns, client)
 	}
-	receive(t, "all that was sent", gate.allRead) // and all but the last pieces of it have been buffered, or discarded
-	if n := buffered(); n == 0 || n > s.tracker.MaxPipelinedBytes {
-		t.Errorf("%d bytes are buffered of %d at most", n, s.tracker.MaxPipelinedBytes)
+	receive(t, "all bytes sent", gate.allRead) // at most the results of the last reads are neither buffered nor discarded yet
+	if bytes := buffered(); bytes == 0 || bytes > s.tracker.MaxPipelinedBytes {
+		t.Errorf("%d bytes are buffered, want 1 to %d", bytes, s.tracker.MaxPipelinedBytes)
 	}
 	for _, client := range conns {
 		testbed.Close(t, client)
 		receive(t, "a canceled request", s.canceled)
 	}
-	for buffered() > 0 { // it is released when the server closes the connection
+	for buffered() > 0 { // the bytes are released when the server closes the connection
 		runtime.Gosched()
 	}
 }
 
-// Pipelined requests of a client that stays are answered one after the other. Those beyond what is buffered are not, and the
-// connection ends after the response that was open.
+// Pipelined requests must get their responses in order if the client stays connected. If they exceed maxPipelinedBytes, none of
+// them must be submitted, and the connection must be closed after the response to the open request.
 func TestPipelinedRequests(t *testing.T) {
 	gate := &gatedListener{allRead: make(chan struct{})}
 	s := startServer(t, func(_ *testServer, ln net.Listener) net.Listener { gate.Listener = ln; return gate })
 	client := s.dial(t)
 	reader := bufio.NewReader(client)
-	answer := func(what string) {
+	respond := func(content string) {
 		t.Helper()
-		receive(t, what, s.submitted).Respond(lifecycle.Response{Body: []byte(what)})
-		if body := readResponse(t, what, reader); body != what {
-			t.Errorf("answered %q, want %q", body, what)
+		receive(t, content, s.submitted).Respond(lifecycle.Response{Body: []byte(content)})
+		if body := readResponse(t, content, reader); body != content {
+			t.Errorf("got response body %q, want %q", body, content)
 		}
 	}
 	testbed.Write(t, client, rawGet(1))
-	request := receive(t, "the first", s.submitted)
+	request := receive(t, "the first request", s.submitted)
 	testbed.Write(t, client, rawGet(2)+rawGet(3)+rawGet(4))
 	s.submitted <- request
-	for _, what := range []string{"one", "two", "three", "four"} {
-		answer(what)
+	for _, content := range []string{"one", "two", "three", "four"} {
+		respond(content)
 	}
 	testbed.Write(t, client, rawGet(5))
-	request = receive(t, "the fifth", s.submitted)
+	request = receive(t, "the fifth request", s.submitted)
 	flood := strings.Repeat(rawGet(6), 1+maxPipelinedBytes/len(rawGet(6)))
 	gate.mu.Lock()
 	gate.bytesLeft = len(flood)
@@ -144,26 +144,26 @@
 		_, err := io.WriteString(client, flood)
 		sent <- err
 	}()
-	receive(t, "all read", gate.allRead)
+	receive(t, "all bytes sent", gate.allRead)
 	if err := receive(t, "the end of sending", sent); err != nil {
-		t.Errorf("cut off while sending: %v", err)
+		t.Errorf("sending the pipelined requests failed: %v", err)
 	}
 	s.submitted <- request
-	answer("five")
+	respond("five")
 	if err := client.CloseWrite(); err != nil {
 		t.Error(err)
 	}
 	if b, err := io.ReadAll(reader); len(b) != 0 || err != nil || len(s.submitted) != 0 {
-		t.Errorf("after a flood: received %q, %v; %d submitted", b, err, len(s.submitted))
+		t.Errorf("above the limit the client received %q, %v and %d requests were submitted; want EOF and 0", b, err, len(s.submitted))
 	}
 }
 
-// The last response on a connection reaches its client completely, and the connection is not reset, whatever the client has
-// sent meanwhile: after a malformed request, in a body that is rejected unread, after a response during a shutdown.
+// The last response on a connection must reach the client completely, and the connection must not be reset, even if the client
+// keeps sending: after a malformed request, in a body that is rejected without being read, or after a response during a shutdown.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
 	for name, test := range map[string]struct{ send, want string }{
-		"malformed head": {"nonsense\r\n\r\n", "HTTP/1.1 400"},
-		"malformed form": {strings.Replace(rawGet(1), "volume=1", "volume=z", 1), "HTTP/1.1 400"},
+		"malformed head":  {"nonsense\r\n\r\n", "HTTP/1.1 400"},
+		"malformed field": {strings.Replace(rawGet(1), "volume=1", "volume=z", 1), "HTTP/1.1 400"},
 		"too large": {strings.NewReplacer("GET /pull", "PUT /push", "Class: pull", "Class: push\r\nIdempotency-Key: k\r\n"+
 			"Content-Length: 9000000").Replace(rawGet(1)), "HTTP/1.1 413"},
 		"shutdown": {rawGet(1), "HTTP/1.1 200"},
@@ -181,24 +181,24 @@
 				receive(t, "the request", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
 			}
 			if err := receive(t, "the end of sending", sent); err != nil {
-				t.Errorf("cut off while sending: %v", err)
+				t.Errorf("sending failed: %v", err)
 			}
 			if b, err := io.ReadAll(client); err != nil || !strings.HasPrefix(string(b), test.want) {
-				t.Errorf("%q, %v", b, err)
+				t.Errorf("the client received %q, %v, want a complete response with the status of the test case", b, err)
 			}
 		})
 	}
 }
 
-// The number of closed connections whose clients do not close their side is bounded: the oldest are cut off.
-func TestClosingConnectionsAreBounded(t *testing.T) {
-	s := startServer(t, nil) // one sixteenth of nine connections, and at least one
+// The number of connections that wait for their clients to close must stay limited: above the limit the oldest must be closed.
+func TestClosingConnectionsAreLimited(t *testing.T) {
+	s := startServer(t, nil) // the limit is max(1, 9/closingLimitDivisor) = 1
 	var conns []*net.TCPConn
 	for range 3 {
 		client := s.dial(t)
 		testbed.Write(t, client, "nonsense\r\n\r\n")
 		if b, err := io.ReadAll(client); err != nil || !strings.Contains(string(b), " 400 ") {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("the client received %q, %v, want a complete response with status 400", b, err)
 		}
 		conns = append(conns, client)
 	}
@@ -206,9 +206,9 @@
 	n := s.tracker.closingConns.Len()
 	s.tracker.mu.Unlock()
 	if n != 1 {
-		t.Errorf("%d closing, want 1", n)
+		t.Errorf("%d connections wait for their clients to close, want 1", n)
 	}
-	s.clock.Advance(gracefulclose.TimeoutMs) // and none for longer than that
+	s.clock.Advance(gracefulclose.TimeoutMs) // then the last one must be closed, too
 	for _, client := range conns {
 		for _, err := io.WriteString(client, "more"); err == nil; _, err = io.WriteString(client, "more") {
 			runtime.Gosched()
@@ -216,41 +216,42 @@
 	}
 }
 
-// A request that arrives on an idle connection in the moment in which it is shed is not accepted, and its client sees the
-// connection end, not reset: it sends the request again.
+// A request that arrives on an idle connection while the connection is being shed must not be accepted. The client must see the
+// end of the connection, not a reset, so that it sends the request again.
 func TestRequestDuringShedding(t *testing.T) {
 	s, gate, idle := startGatedServer(t, http.StateIdle)
 	client := s.dial(t)
 	reader := bufio.NewReader(client)
 	testbed.Write(t, client, rawGet(1))
-	receive(t, "the first", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
-	readResponse(t, "the first", reader)
-	receive(t, "idle", idle) // the server finishes the response a little later than its client
+	receive(t, "the first request", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
+	readResponse(t, "to the first request", reader)
+	receive(t, "idle", idle) // the server may enter this state after the client has received the response
 	gate.mu.Lock()
 	testbed.Write(t, client, rawGet(2))
 	drained := s.tracker.Drain()
 	gate.mu.Unlock()
 	if b, err := io.ReadAll(reader); len(b) != 0 || err != nil {
-		t.Errorf("the client got %q, %v, want the end", b, err)
+		t.Errorf("the client received %q, %v, want no bytes and EOF", b, err)
 	}
 	select {
 	case <-drained:
-		t.Error("drained before the client has closed its connection")
+		t.Error("the tracker reported the end of draining before the client closed its connection")
 	default:
 	}
 	testbed.Close(t, client)
 	receive(t, "drained", drained)
 	if len(s.submitted) != 0 {
-		t.Error("a request was accepted from a connection that had been shed")
+		t.Error("a request was submitted although its connection had been shed")
 	}
 }
 
-// The same for a request that the server has read together with the one before, so that no further read shows it.
+// A request on a shed connection must not be accepted either if the server has read it together with the previous request, so that
+// clientConn.Read could not refuse it.
 func TestPipelinedRequestDuringShedding(t *testing.T) {
 	drains := make(chan (<-chan struct{}), 4)
 	s := startServer(t, func(s *testServer, ln net.Listener) net.Listener {
-		s.server.ConnState = func(nc net.Conn, at http.ConnState) {
-			if s.tracker.ConnState(nc, at); at == http.StateIdle {
+		s.server.ConnState = func(netConn net.Conn, state http.ConnState) {
+			if s.tracker.ConnState(netConn, state); state == http.StateIdle {
 				drains <- s.tracker.Drain()
 			}
 		}
@@ -258,15 +259,15 @@
 	})
 	client := s.dial(t)
 	testbed.Write(t, client, rawGet(1)+rawGet(2))
-	receive(t, "the first", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
+	receive(t, "the first request", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
 	drained := receive(t, "shed", drains)
 	b, err := io.ReadAll(client)
 	if err != nil || strings.Count(string(b), "HTTP/1.1 ") != 1 {
-		t.Errorf("the client got %q, %v, want one response and the end", b, err)
+		t.Errorf("the client received %q, %v, want one response and EOF", b, err)
 	}
 	testbed.Close(t, client)
 	receive(t, "drained", drained)
 	if len(s.submitted) != 0 {
-		t.Error("a request was submitted whose connection had been shed")
+		t.Error("the second request was submitted although its connection had been shed")
 	}
 }
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -9,22 +9,23 @@
 	"gaugerelay/internal/metrics"
 )
 
-// During a shutdown the request that takes the last free connection is rejected at once: the next one would find none, and its
-// clients would consider the gateway down. Before the shutdown, and while new connections may arrive, none is.
-func TestLastFreeConnectionIsKept(t *testing.T) {
+// During a shutdown, a request on the last idle connection must be rejected at once: otherwise the next request would find all
+// connections busy, and its client would regard the gateway as unavailable. Before the shutdown, and while new connections are
+// still expected, no request must be rejected.
+func TestShutdownKeepsConnectionIdle(t *testing.T) {
 	h := newTestHandler(nil)
-	h.Conns = &ConnTracker{MaxOpen: 9, Clock: h.now, Metrics: metrics.New()}
+	h.Conns = &ConnTracker{MaxOpen: 9, Clock: h.manualClock, Metrics: metrics.New()}
 	var conns []net.Conn
 	for range 4 {
-		ours, theirs := net.Pipe()
-		defer ours.Close()
-		defer theirs.Close()
-		conn := &clientConn{Conn: ours, tracker: h.Conns}
+		serverSide, clientSide := net.Pipe()
+		defer serverSide.Close()
+		defer clientSide.Close()
+		conn := &clientConn{Conn: serverSide, tracker: h.Conns}
 		h.Conns.ConnState(conn, http.StateNew)
 		conns = append(conns, conn)
 	}
-	h.loop.onSubmit = func(r *lifecycle.Request) { // 30 ms for each, a hundred requests a second
-		h.now.Advance(30)
+	h.loop.onSubmit = func(r *lifecycle.Request) { // each request takes 30 ms
+		h.manualClock.Advance(30)
 		r.Respond(lifecycle.Response{Body: []byte("data")})
 	}
 	rejected := func(busy int) int64 {
@@ -38,39 +39,41 @@
 		}
 		before := h.Metrics.Get(requestsRejectedShutdown)
 		code := h.serve(newRequest(nil)).Code
-		n := h.Metrics.Get(requestsRejectedShutdown) - before
-		if (code == http.StatusServiceUnavailable) != (n == 1) {
-			t.Fatalf("answered %d, %d rejected", code, n)
+		count := h.Metrics.Get(requestsRejectedShutdown) - before
+		if (code == http.StatusServiceUnavailable) != (count == 1) {
+			t.Fatalf("got status %d, but %d requests were counted as rejected", code, count)
 		}
-		return n
+		return count
 	}
 	for range 50 {
 		if rejected(4) != 0 {
-			t.Fatal("rejected before the shutdown")
+			t.Fatal("a request was rejected before the shutdown")
 		}
 	}
-	h.BeginShutdown(h.now.NowMs() + 3500)
+	h.BeginShutdown(h.manualClock.NowMs() + 3500)
 	if rejected(4) != 0 {
-		t.Error("rejected while new connections may arrive")
+		t.Error("a request was rejected while new connections are still expected")
 	}
-	h.now.Advance(newConnsExpectedMs)
+	h.manualClock.Advance(newConnsExpectedMs)
 	if submitted := len(h.loop.submitted); rejected(4) != 1 || len(h.loop.submitted) != submitted {
-		t.Error("the last free connection was taken")
+		t.Error("a request on the last idle connection was not rejected, or was submitted")
 	}
 	if rejected(1) != 0 {
-		t.Error("rejected though three connections are free")
+		t.Error("a request was rejected although three connections are idle")
 	}
 }
 
-// During a shutdown a request is answered before the program ends, and in the end its connection is closed.
-func TestDrain(t *testing.T) {
+// During a shutdown, the remaining time of a request must end when the gateway stops, and after DisableKeepAlives the response
+// must close the connection.
+func TestShutdownLimitsRemainingTime(t *testing.T) {
 	h := newTestHandler(respondWith(lifecycle.Response{Body: []byte("x")}))
-	h.BeginShutdown(h.now.NowMs() + 100)
+	h.BeginShutdown(h.manualClock.NowMs() + 100)
 	for _, connection := range []string{"", "close"} {
 		w := h.serve(newRequest(nil))
 		r := h.loop.submitted[len(h.loop.submitted)-1]
 		if r.RemainingMs != 100 || w.Code != 200 || w.Header().Get("Connection") != connection {
-			t.Errorf("%v left, %d, connection %q", r.RemainingMs, w.Code, w.Header().Get("Connection"))
+			t.Errorf("got remaining time %v ms, status %d, Connection %q; want 100 ms, status 200 and the header of the test case",
+				r.RemainingMs, w.Code, w.Header().Get("Connection"))
 		}
 		h.DisableKeepAlives()
 	}
--- a/internal/frontend/httpserver/testserver_test.go
+++ b/internal/frontend/httpserver/testserver_test.go
@@ -17,7 +17,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// pendingLoop is a loop that keeps requests until the test answers them, and passes on which are canceled.
+// pendingLoop is an event loop that passes submitted and canceled requests to the test, which responds to them.
 type pendingLoop struct{ submitted, canceled chan *lifecycle.Request }
 
 func (l pendingLoop) Submit(r *lifecycle.Request) bool                       { l.submitted <- r; return true }
@@ -25,7 +25,7 @@
 func (pendingLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 func (pendingLoop) Ready() bool                                              { return true }
 
-// testServer is a handler on a real listener.
+// testServer is an http.Server with a Handler and a ConnTracker on a TCP listener.
 type testServer struct {
 	pendingLoop
 	handler *Handler
@@ -35,7 +35,7 @@
 	addr    string
 }
 
-// startServer starts a server. change, if not nil, is called before that and returns the listener to use.
+// startServer starts a server. If change is not nil, it is called before the start and returns the listener to use.
 func startServer(t *testing.T, change func(*testServer, net.Listener) net.Listener) *testServer {
 	t.Helper()
 	ln, settings, counters := testbed.Listen(t), testbed.Settings(4), metrics.New()
@@ -54,52 +54,53 @@
 	return s
 }
 
-// dial connects to the server.
 func (s *testServer) dial(t *testing.T) *net.TCPConn {
 	t.Helper()
 	return testbed.Dial(t, s.addr)
 }
 
-// readResponse reads a response and returns its body. what names the response in errors.
-func readResponse(t *testing.T, what string, reader *bufio.Reader) string {
+// readResponse reads a response and returns its body. description identifies the response in failures.
+func readResponse(t *testing.T, description string, reader *bufio.Reader) string {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("reading the response %s: %v", description, err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Fatalf("%s: body %q, %v", what, body, err)
+		t.Fatalf("reading the body of the response %s: got %q and error %v", description, body, err)
 	}
 	return string(body)
 }
 
-// rawGet returns the bytes of a valid read.
+// rawGet returns the HTTP text of a valid read request.
 func rawGet(id int) string {
 	return fmt.Sprintf("GET /pull/00000000000000aa HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: id-%d\r\nX-Service-Class: pull\r\n"+
 		"X-Plan: basic\r\nX-Time-Left-Ms: 900\r\nX-IO: volume=1,units=1,shard=0,hosts=1\r\n\r\n", id)
 }
 
-// receive returns what arrives on a channel. It fails the test if nothing does.
-func receive[T any](t *testing.T, what string, c <-chan T) (value T) {
+// receive returns the next value of a channel. It fails the test if none arrives within 20 s. description identifies the value
+// in the failure.
+func receive[T any](t *testing.T, description string, values <-chan T) (value T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	select {
-	case value = <-c:
+	case value = <-values:
 	case <-ctx.Done():
-		t.Fatalf("%s: nothing", what)
+		t.Fatalf("timed out while waiting for %s", description)
 	}
 	return value
 }
 
-// gatedListener delays the results of its connections' reads while the test holds mu, and counts the bytes read.
+// gatedListener accepts connections whose reads return only while the test does not hold mu. It also reports when the server has
+// read a given number of bytes.
 type gatedListener struct {
 	net.Listener
 	mu        sync.Mutex
-	bytesLeft int           // bytes still to be read
-	allRead   chan struct{} // closed when they have been
+	bytesLeft int           // number of bytes to read until allRead is closed
+	allRead   chan struct{} // closed when bytesLeft has reached 0
 }
 
 // gatedConn is a connection of a gatedListener.
@@ -128,7 +129,7 @@
 	return n, err
 }
 
-// startGatedServer starts a server behind a gate. reached receives a value for each connection that gets to a state.
+// startGatedServer starts a server with a gatedListener. reached receives a value each time a connection enters the given state.
 func startGatedServer(t *testing.T, state http.ConnState) (s *testServer, gate *gatedListener, reached chan bool) {
 	t.Helper()
 	reached = make(chan bool, 4)
