--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -3,14 +3,14 @@
 //
 // A Client owns a pool of sessions. It guarantees:
 //
-//   - An attempt starts only if it is still authorized when its first packet can be written, and again when its READ or WRITE
-//     can be written after the OPEN.
-//   - The packet of a command is written at most once. An attempt whose packet was not written to its last byte has not
-//     executed and is reported as scheduler.StatusOverloaded.
+//   - The first packet of an attempt is written only if the attempt is still authorized once it has a session. The
+//     authorization is checked again after the OPEN, before the READ or WRITE is written.
+//   - The packet of a command is written at most once. An attempt whose packet was not written completely has not executed and
+//     is reported as scheduler.StatusOverloaded.
 //   - A session carries one attempt at a time. A session on which anything unexpected happens is not used again.
 //
-// Each attempt has a goroutine of its own. It ends after the attempt's deadline or cancellation at the latest, since either
-// closes the session.
+// Each attempt runs on its own goroutine. The goroutine ends at the latest when the attempt's deadline passes or the attempt is
+// canceled, because either closes the session.
 package sftpclient
 
 import (
@@ -27,7 +27,7 @@
 	"gaugerelay/internal/upstream"
 )
 
-// Names of counters.
+// Names of the metrics.
 const (
 	connectsFailed     = "file_connects_failed"
 	responsesMalformed = "file_responses_malformed"
@@ -35,15 +35,15 @@
 
 // Options are the limits of a Client. Times are in milliseconds.
 type Options struct {
-	// ConnectTimeoutMs bounds the time to connect. A Dial that is set ignores it.
+	// ConnectTimeoutMs bounds the time to connect. It has no effect if Dial is set.
 	ConnectTimeoutMs float64
 	// ConnIdleTimeoutMs is the time after which a server drops an idle connection.
 	ConnIdleTimeoutMs float64
-	// MaxSessions bounds the sessions that are open at once, to all servers together.
+	// MaxSessions bounds the sessions that are open at the same time, summed over all servers.
 	MaxSessions int
 	// Address returns the address of a server's SFTP port; ok is false if the server has none.
 	Address func(server *lifecycle.Server) (address string, ok bool)
-	// Dial opens connections; nil uses the network of this machine.
+	// Dial opens connections. If it is nil, the network of this machine is used.
 	Dial upstream.DialFunc
 }
 
@@ -81,9 +81,9 @@
 // Close closes the idle sessions. Sessions that carry an attempt stay open.
 func (c *Client) Close() { c.sessions.closeIdle() }
 
-// runAttempt runs an attempt to its end. An attempt that has not executed is reported as StatusOverloaded, also if the
-// connection failed: the SFTP port may be down while the server's other ports work, and StatusConnectFailed would make the
-// scheduler back off from the server for all protocols.
+// runAttempt sends the command of an attempt and reports the result. An attempt that has not executed is reported as
+// StatusOverloaded, even if the connection failed: the SFTP port may be down while the server's other ports work, and
+// StatusConnectFailed would make the scheduler back off from the server for all protocols.
 func (c *Client) runAttempt(ctx context.Context, attempt lifecycle.Attempt) {
 	address, ok := c.options.Address(attempt.Server)
 	if !ok || attempt.Server.Closed() {
@@ -96,18 +96,18 @@
 		c.complete(attempt, lifecycle.AttemptResult{Status: statusWithoutResponse(ctx, notExecuted)})
 		return
 	}
-	// The server may have started to drain, or the client may have disconnected, while the session was opened.
+	// The server may have started to drain, or the client may have disconnected, while the session was being opened.
 	remainingMs, denial := attempt.Authorize(c.clock)
 	if denial != permission.Allowed {
 		c.sessions.release(session)
 		c.complete(attempt, lifecycle.AttemptResult{Status: statusOfDenial(denial)})
 		return
 	}
-	// A blocked read or write ends only if the connection is closed.
+	// Closing the connection is the only way to end a blocked read or write.
 	stopCloser := context.AfterFunc(ctx, func() { session.Close() })
 	outcome := session.execute(attempt, remainingMs)
 	c.complete(attempt, c.result(ctx, outcome))
-	// The handle is closed after the result is reported, so that the client does not wait for it.
+	// The handle is closed after the result is reported, so that the client does not wait for the CLOSE.
 	err = outcome.err
 	if err == nil && outcome.handle != nil {
 		err = session.closeHandle(outcome.handle)
@@ -133,7 +133,7 @@
 	case reply.Code == sftpwire.StatusFailure || reply.Code == sftpwire.StatusBadMessage:
 		return lifecycle.AttemptResult{Status: scheduler.StatusError}
 	}
-	// The other codes, such as StatusNoSuchFile, are results of commands that the server has executed.
+	// With any other code, such as StatusNoSuchFile, the server has executed the command.
 	return lifecycle.AttemptResult{Status: scheduler.StatusOK, Body: reply}
 }
 
@@ -148,7 +148,7 @@
 	return scheduler.StatusOverloaded
 }
 
-// statusWithoutResponse returns the status of an attempt that has no response. ctx is the context of the attempt.
+// statusWithoutResponse returns the status of an attempt that got no response. ctx is the context of the attempt.
 func statusWithoutResponse(ctx context.Context, execution executionState) scheduler.Status {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -23,7 +23,7 @@
 	deadlineMs      = 2e12
 )
 
-// newTestClient returns a client whose servers all have the address, and the results of its attempts.
+// newTestClient returns a client that reaches every server at address, and a channel with the results of its attempts.
 func newTestClient(c clock.Clock, address string, maxSessions int) (*Client, <-chan lifecycle.AttemptResult) {
 	results := make(chan lifecycle.AttemptResult, 2)
 	client := New(Options{ConnectTimeoutMs: 5000, ConnIdleTimeoutMs: 30000, MaxSessions: maxSessions,
@@ -32,20 +32,20 @@
 	return client, results
 }
 
-// writePacket writes a packet of a fake server.
+// writePacket sends a packet from a fake server.
 func writePacket(t *testing.T, conn net.Conn, p packet) {
 	t.Helper()
 	if _, err := conn.Write(p.finish()); err != nil {
-		t.Errorf("fake server: %v", err)
+		t.Errorf("fake server could not write a packet: %v", err)
 	}
 }
 
-// readPacketOf reads a packet that a fake server expects, and returns its body.
-func readPacketOf(t *testing.T, conn net.Conn, packetType byte) []byte {
+// expectPacket reads a packet on a fake server, checks its type and returns its body.
+func expectPacket(t *testing.T, conn net.Conn, packetType byte) []byte {
 	t.Helper()
 	got, body, err := readPacket(conn)
 	if err != nil || got != packetType {
-		t.Errorf("fake server: packet of type %d, want %d: %v", got, packetType, err)
+		t.Errorf("fake server got a packet of type %d, want type %d; error: %v", got, packetType, err)
 	}
 	return body
 }
@@ -74,57 +74,57 @@
 	server.script <- respondOK
 	client.Start(attempt)
 	if result := <-results; result.Status != scheduler.StatusOK {
-		t.Fatalf("status %d", result.Status)
+		t.Fatalf("first attempt: got status %d, want StatusOK", result.Status)
 	}
 	first := waitIdle()
 	now.Advance(18001)
 	server.script <- respondOK
-	client.Start(attempt) // its READ waits for a response: the script has none yet
+	client.Start(attempt) // its READ gets no response until the script is extended below
 	for len(server.script) > 0 {
 		runtime.Gosched()
 	}
 	client.Start(attempt)
 	if result := <-results; result.Status != scheduler.StatusOverloaded {
-		t.Errorf("over the limit: status %d", result.Status)
+		t.Errorf("attempt above the session limit: got status %d, want StatusOverloaded", result.Status)
 	}
 	server.script <- respondOK
 	if result := <-results; result.Status != scheduler.StatusOK || waitIdle() == first {
-		t.Errorf("status %d, the expired session was used: %v", result.Status, waitIdle() == first)
+		t.Errorf("second attempt: got status %d, want StatusOK; expired session was reused: %v, want false", result.Status, waitIdle() == first)
 	}
 }
 
-// TestIncompleteWriteHasNotExecuted checks that a WRITE during which the server disconnects is reported as not executed,
-// and once.
+// TestIncompleteWriteHasNotExecuted checks that a WRITE is reported exactly once, as not executed, if the server disconnects
+// before it has received the whole packet.
 func TestIncompleteWriteHasNotExecuted(t *testing.T) {
 	address := testbed.Serve(t, func(conn net.Conn) {
-		readPacketOf(t, conn, typeInit)
+		expectPacket(t, conn, typeInit)
 		writePacket(t, conn, newPacket(typeVersion, protocolVersion))
-		body := readPacketOf(t, conn, typeOpen)
+		body := expectPacket(t, conn, typeOpen)
 		writePacket(t, conn, newPacket(typeHandle, binary.BigEndian.Uint32(body)).string("h"))
 		if _, err := conn.Read(make([]byte, 10)); err != nil {
-			t.Errorf("fake server: %v", err)
+			t.Errorf("fake server could not read the start of the WRITE: %v", err)
 		}
 	})
 	client, results := newTestClient(clock.NewManual(startMs), address, 1)
 	command := &sftpwire.Command{Op: sftpwire.OpWrite, Path: "/a", UploadKey: "k",
-		Data: make([]byte, 32<<20)} // more than the sockets buffer
+		Data: make([]byte, 32<<20)} // more than the socket buffers hold
 	client.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: command}, Server: &lifecycle.Server{},
 		DeadlineMs: deadlineMs})
 	if result := <-results; result.Status != scheduler.StatusOverloaded {
-		t.Errorf("status %d", result.Status)
+		t.Errorf("got status %d, want StatusOverloaded", result.Status)
 	}
-	for open := true; open; { // the attempt has ended when its session is discarded
+	for open := true; open; { // the goroutine of the attempt discards the session last
 		client.sessions.mu.Lock()
-		open = client.sessions.count > 0
+		open = client.sessions.openSessions > 0
 		client.sessions.mu.Unlock()
 	}
 	if len(results) != 0 {
-		t.Error("a second result")
+		t.Error("the attempt was reported twice, want once")
 	}
 }
 
-// TestAuthorizationIsCheckedAfterConnecting checks that nothing is sent if the client disconnects or the start deadline
-// passes while the session is opened, whatever the command.
+// TestAuthorizationIsCheckedAfterConnecting checks, for every command, that nothing is sent if the client disconnects or the
+// start deadline passes while the session is being opened.
 func TestAuthorizationIsCheckedAfterConnecting(t *testing.T) {
 	for name, c := range map[string]struct {
 		whileConnecting func(canceled, expired *atomic.Bool)
@@ -138,10 +138,10 @@
 				var canceled, expired atomic.Bool
 				received := make(chan int, 1)
 				address := testbed.Serve(t, func(conn net.Conn) {
-					readPacketOf(t, conn, typeInit)
+					expectPacket(t, conn, typeInit)
 					c.whileConnecting(&canceled, &expired)
 					writePacket(t, conn, newPacket(typeVersion, protocolVersion))
-					n, _ := conn.Read(make([]byte, 1)) // the connection ends without a byte
+					n, _ := conn.Read(make([]byte, 1)) // returns 0 bytes when the client closes the connection
 					received <- n
 				})
 				client, results := newTestClient(expiringClock{clock.NewManual(startMs), &expired}, address, 1)
@@ -153,11 +153,11 @@
 					StartDeadlineMs: startDeadlineMs,
 				})
 				if result := <-results; result.Status != c.want {
-					t.Errorf("status %v, want %v", result.Status, c.want)
+					t.Errorf("got status %v, want %v", result.Status, c.want)
 				}
 				client.Close()
 				if n := <-received; n != 0 {
-					t.Error("the server received a packet")
+					t.Error("the server received a packet, want none")
 				}
 			})
 		}
@@ -171,12 +171,12 @@
 			var expired atomic.Bool
 			received := make(chan int, 1)
 			address := testbed.Serve(t, func(conn net.Conn) {
-				readPacketOf(t, conn, typeInit)
+				expectPacket(t, conn, typeInit)
 				writePacket(t, conn, newPacket(typeVersion, protocolVersion))
-				body := readPacketOf(t, conn, typeOpen)
+				body := expectPacket(t, conn, typeOpen)
 				expired.Store(true)
 				writePacket(t, conn, newPacket(typeHandle, binary.BigEndian.Uint32(body)).string("h"))
-				n, _ := conn.Read(make([]byte, 1)) // the connection ends without a byte
+				n, _ := conn.Read(make([]byte, 1)) // returns 0 bytes when the client closes the connection
 				received <- n
 			})
 			client, results := newTestClient(expiringClock{clock.NewManual(startMs), &expired}, address, 1)
@@ -188,16 +188,17 @@
 				StartDeadlineMs: startDeadlineMs,
 			})
 			if result := <-results; result.Status != scheduler.StatusOverloaded {
-				t.Errorf("status %v", result.Status)
+				t.Errorf("got status %v, want StatusOverloaded", result.Status)
 			}
 			if n := <-received; n != 0 {
-				t.Error("the server received a packet after the OPEN")
+				t.Error("the server received a packet after the OPEN, want none")
 			}
 		})
 	}
 }
 
-// TestUnrequestedDataIsMalformed checks that data which a command did not request is not passed on.
+// TestUnrequestedDataIsMalformed checks that the attempt fails, without a body, if the server returns data to a WRITE or more
+// data than a READ requested.
 func TestUnrequestedDataIsMalformed(t *testing.T) {
 	for name, command := range map[string]*sftpwire.Command{
 		"read of fewer bytes": {Op: sftpwire.OpRead, Path: "/a", Length: 3},
@@ -210,13 +211,13 @@
 			client.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: command}, Server: &lifecycle.Server{},
 				DeadlineMs: deadlineMs})
 			if result := <-results; result.Status != scheduler.StatusError || result.Body != nil {
-				t.Errorf("status %v, body %v", result.Status, result.Body)
+				t.Errorf("got status %v, want StatusError; got body %v, want nil", result.Status, result.Body)
 			}
 		})
 	}
 }
 
-// expiringClock is a clock that jumps to the start deadline once expired is set.
+// expiringClock is a manual clock that shows the start deadline once expired is set.
 type expiringClock struct {
 	*clock.Manual
 	expired *atomic.Bool
--- a/internal/upstream/sftpclient/codec.go
+++ b/internal/upstream/sftpclient/codec.go
@@ -9,12 +9,12 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// The codec covers the client's side of draft-ietf-secsh-filexfer-02 (version 3) as far as the gateway uses it. The client of
-// github.com/pkg/sftp does not fit: its File.ReadAt answers a short READ by sending a second one, which the scheduler would
-// not know of; it sends no extended attributes and therefore no upload key; and it does not report whether a WRITE was
-// written to its last byte. TestLibraryClientSendsASecondRead checks the first of these.
+// The codec implements the part of the client's side of draft-ietf-secsh-filexfer-02 (version 3) that the gateway uses. The
+// client of github.com/pkg/sftp cannot be used, for three reasons. Its File.ReadAt sends a second READ after a short one, and
+// the scheduler would not know of that request (see TestLibraryClientSendsASecondRead). It sends no extended attributes and
+// therefore no upload key. It does not report whether a WRITE was written completely.
 
-// Types of packets.
+// Packet types.
 const (
 	typeInit    = 1
 	typeVersion = 2
@@ -29,7 +29,7 @@
 	typeAttrs   = 105
 )
 
-// Bits that say which attributes are present.
+// Flags of a file's attributes: each bit says that the attribute is present.
 const (
 	attrSize     = 1
 	attrIDs      = 2
@@ -40,20 +40,21 @@
 
 const (
 	protocolVersion = 3
-	// lengthSize is the size of the length before each packet, which does not count itself.
+	// lengthSize is the size, in bytes, of the length field before each packet. The length does not include the field itself.
 	lengthSize = 4
-	// maxMessageLength bounds what is kept of the message of a STATUS, in bytes.
+	// maxMessageLength is the number of bytes that are kept of the message in a STATUS.
 	maxMessageLength = 4096
-	// initialPacketCapacity holds most packets without data.
+	// initialPacketCapacity is enough, in bytes, for most packets without data.
 	initialPacketCapacity = 64
 )
 
 var errMalformed = errors.New("sftpclient: malformed packet")
 
-// packet is a packet that is being built. Its methods append a field and return the extended packet.
+// packet is a packet under construction. The methods uint32, uint64 and string append a field and return the
+// extended packet.
 type packet []byte
 
-// newPacket returns a packet of a type. The field after the type is the id, or the version in an INIT and a VERSION.
+// newPacket returns a packet of the given type. id is the request id; in INIT and VERSION it is the protocol version.
 func newPacket(packetType byte, id uint32) packet {
 	p := append(make(packet, lengthSize, initialPacketCapacity), packetType)
 	return p.uint32(id)
@@ -63,13 +64,13 @@
 func (p packet) uint64(v uint64) packet { return binary.BigEndian.AppendUint64(p, v) }
 func (p packet) string(s string) packet { return append(p.uint32(uint32(len(s))), s...) }
 
-// finish sets the length and returns the bytes of the packet.
+// finish sets the length field and returns the bytes of the packet.
 func (p packet) finish() []byte {
 	binary.BigEndian.PutUint32(p, uint32(len(p)-lengthSize))
 	return p
 }
 
-// readPacket reads a packet. The body begins after the type.
+// readPacket reads a packet. The returned body begins after the packet type.
 func readPacket(r io.Reader) (packetType byte, body []byte, err error) {
 	var header [lengthSize + 1]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -77,7 +78,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if length < 1 || length > sftpwire.MaxPacket {
-		return 0, nil, fmt.Errorf("%w: %d bytes", errMalformed, length)
+		return 0, nil, fmt.Errorf("%w: length of %d bytes is out of range", errMalformed, length)
 	}
 	body = make([]byte, length-1)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -86,8 +87,8 @@
 	return header[lengthSize], body, nil
 }
 
-// decoder reads the fields of a body in order. After the first field that does not fit, err is set and all further fields
-// are zero.
+// decoder reads the fields of a packet body in order. If a field extends past the end of the body, err is set, and this field
+// and all further ones are zero.
 type decoder struct {
 	remaining []byte
 	err       error
@@ -118,23 +119,23 @@
 	return 0
 }
 
-// bytes returns a string of the protocol. It is part of the body, not a copy.
+// bytes reads a string, which is a length and that many bytes. The result shares memory with the body.
 func (d *decoder) bytes() []byte { return d.next(int(d.uint32())) }
 
-// attrs returns the attributes of a file. Those that the gateway does not use are skipped.
+// attrs reads the attributes of a file. Attributes that the gateway does not use are skipped.
 func (d *decoder) attrs() (attrs sftpwire.Attrs) {
 	present := d.uint32()
 	if present&attrSize != 0 {
 		attrs.Size = d.uint64()
 	}
 	if present&attrIDs != 0 {
-		d.uint64() // the ids of the user and the group
+		d.uint64() // user id and group id
 	}
 	if present&attrMode != 0 {
 		attrs.Mode = d.uint32()
 	}
 	if present&attrTimes != 0 {
-		d.uint32() // the time of the last access
+		d.uint32() // time of the last access
 		attrs.Mtime = d.uint32()
 	}
 	return attrs
@@ -146,7 +147,7 @@
 	switch packetType {
 	case typeStatus:
 		reply.Code = sftpwire.StatusCode(body.uint32())
-		if len(body.remaining) > 0 { // some servers omit the message
+		if len(body.remaining) > 0 { // some servers send the code only
 			message := body.bytes()
 			reply.Message = string(message[:min(len(message), maxMessageLength)])
 		}
--- a/internal/upstream/sftpclient/fuzz_test.go
+++ b/internal/upstream/sftpclient/fuzz_test.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// Parts of a step of FuzzSession: which response the OPEN gets, which one the command gets, and whether it is a WRITE.
+// Bit fields of a step of FuzzSession: the response to the OPEN, the response to the command, and whether the command is a WRITE.
 const (
 	openShift   = 4
 	openMask    = 7
@@ -17,11 +17,11 @@
 	writeBit    = 128
 )
 
-// maxFuzzSteps bounds the steps of one input.
+// maxFuzzSteps bounds the steps that are taken from one input.
 const maxFuzzSteps = 12
 
-// statusOf is the status of an attempt whose command gets the response.
-var statusOf = [responseKinds]scheduler.Status{
+// statusAfterResponse is the status of an attempt, by the response to its command.
+var statusAfterResponse = [responseKinds]scheduler.Status{
 	respondOK:          scheduler.StatusOK,
 	respondFailure:     scheduler.StatusError,
 	respondUnprocessed: scheduler.StatusOverloaded,
@@ -31,8 +31,9 @@
 	respondOversized:   scheduler.StatusError,
 }
 
-// FuzzSession checks random responses of a server against a model of the session: the packet of the command is sent at most
-// once, and the attempt ends as not executed unless that packet was written to its last byte.
+// FuzzSession compares the client with a model of the session while a server responds at random. The model requires that the
+// packet of the command is sent at most once, and that the attempt is reported as not executed unless that packet was written
+// completely.
 func FuzzSession(f *testing.F) {
 	const open = 1 << openShift
 	f.Add([]byte{respondOK, respondOK, disconnect, open + respondOK, respondOK})
@@ -43,7 +44,8 @@
 		writeBit + respondUnprocessed})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		server, now := newScriptedServer(t), clock.NewManual(startMs)
-		// A session returns to the pool only when its handle is closed, after the result: there must be enough of them.
+		// A session returns to the pool when its handle is closed, which is after the result. Until then, the next
+		// attempt needs another session.
 		client, results := newTestClient(now, server.address, 100)
 		defer client.Close()
 		commands := int32(0)
@@ -54,26 +56,26 @@
 				command = &sftpwire.Command{Op: sftpwire.OpWrite, Path: "/a", Data: []byte("data"), UploadKey: "k"}
 			}
 			server.script <- onOpen
-			want := statusOf[onOpen]
+			want := statusAfterResponse[onOpen]
 			switch onOpen {
 			case respondOK:
 				server.script <- onCommand
-				want = statusOf[onCommand]
+				want = statusAfterResponse[onCommand]
 				commands++
 			case disconnect:
-				want = scheduler.StatusOverloaded // the command itself is never sent
+				want = scheduler.StatusOverloaded // the command itself was not sent
 			}
 			client.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: command}, Server: &lifecycle.Server{},
 				DeadlineMs: now.NowMs() + 1000})
 			if result := <-results; result.Status != want || server.commands.Load() != commands {
-				t.Fatalf("attempt %d (%d, %d): status %d, want %d; %d commands, want %d", i, onOpen, onCommand, result.Status,
-					want, server.commands.Load(), commands)
+				t.Fatalf("attempt %d (response %d to the OPEN, %d to the command): got status %d, want %d; server got %d commands, want %d",
+					i, onOpen, onCommand, result.Status, want, server.commands.Load(), commands)
 			}
 		}
 	})
 }
 
-// FuzzReply checks that the decoder rejects or bounds every response.
+// FuzzReply checks that the decoder either rejects a response or returns no more bytes than the response has.
 func FuzzReply(f *testing.F) {
 	f.Add(byte(typeStatus), []byte{0, 0, 0, 2, 0, 0, 0, 1, 'x'})
 	f.Add(byte(typeAttrs), []byte{0, 0, 0, 15, 0, 0, 0, 0, 0, 0, 0, 9})
@@ -81,7 +83,7 @@
 	f.Fuzz(func(t *testing.T, packetType byte, body []byte) {
 		reply, err := decodeReply(packetType, &decoder{remaining: body})
 		if err == nil && len(reply.Data)+len(reply.Message) > len(body) {
-			t.Errorf("%+v out of %d bytes", reply, len(body))
+			t.Errorf("decoded %+v from a body of %d bytes, want no more data than the body has", reply, len(body))
 		}
 	})
 }
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -16,7 +16,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// statusNames are the names of statuses in the golden files.
+// statusNames maps statuses to their names in the golden files.
 var statusNames = map[scheduler.Status]string{
 	scheduler.StatusOK:              "ok",
 	scheduler.StatusError:           "error",
@@ -43,8 +43,9 @@
 	return out
 }
 
-// recordPackets starts an SFTP port that sends the exact bytes of each packet to the channel. After VERSION it sends the
-// responses in order: the type in the first byte, then what follows the packet's id. After the last one it sends OK.
+// recordPackets starts an SFTP server that sends the exact bytes of each packet it receives to the channel. It answers INIT by
+// VERSION, the following packets by responses, in order, and all further packets by a STATUS with code OK. The first byte of
+// a response is the packet type; the rest is what follows the id.
 func recordPackets(t *testing.T, responses [][]byte) (address string, packets <-chan []byte) {
 	t.Helper()
 	recorded := make(chan []byte, 16)
@@ -69,7 +70,7 @@
 	return address, recorded
 }
 
-// frameResponse returns a response with its length and id.
+// frameResponse adds the length and the id to a response.
 func frameResponse(response, id []byte) []byte {
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(response)+len(id)))
 	out = append(out, response[0])
@@ -77,15 +78,15 @@
 	return append(out, response[1:]...)
 }
 
-// goldenExchange is a command with the responses to its packets. The golden file of its name holds the packets and the result.
+// goldenExchange is a command with the responses to its packets. Its golden file holds the packets and the result.
 type goldenExchange struct {
 	command   sftpwire.Command
 	responses []string
-	packets   int // INIT included
+	packets   int // number of packets that the client sends, including INIT
 }
 
 func goldenExchanges() map[string]goldenExchange {
-	// Responses of the server: the type in the first byte, then what follows the packet's id.
+	// Responses of the server. The first byte is the packet type; the rest is what follows the id.
 	const (
 		handle       = "66 00000002 6831"
 		data         = "67 00000004 64617461"
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -18,9 +18,9 @@
 	options Options
 	clock   clock.Clock
 
-	mu    sync.Mutex
-	idle  map[string][]*session // by address; the session that was used last is at the end
-	count int                   // sessions that are open or being opened
+	mu           sync.Mutex
+	idle         map[string][]*session // by address; the most recently used session is last
+	openSessions int                   // sessions that are open or being opened
 }
 
 func newSessionPool(options Options, c clock.Clock) *sessionPool {
@@ -36,38 +36,38 @@
 	return p.open(ctx, address)
 }
 
-// popIdleOrReserve returns an idle session to the address. If there is none, it counts a session that the caller opens, and
-// returns nil.
+// popIdleOrReserve removes an idle session to the address from the pool and returns it. If there is none, it returns nil and
+// counts a session that the caller must open.
 func (p *sessionPool) popIdleOrReserve(address string) (*session, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.NowMs()
 	for sessions := p.idle[address]; len(sessions) > 0; sessions = p.idle[address] {
-		last := sessions[len(sessions)-1]
+		session := sessions[len(sessions)-1]
 		p.idle[address] = sessions[:len(sessions)-1]
-		if now-last.idleSinceMs < p.options.ConnIdleTimeoutMs*upstream.IdleTimeoutFraction {
-			return last, nil
+		if now-session.idleSinceMs < p.options.ConnIdleTimeoutMs*upstream.IdleTimeoutFraction {
+			return session, nil
 		}
-		p.count--
-		last.Close()
+		p.openSessions--
+		session.Close()
 	}
-	if p.count >= p.options.MaxSessions {
-		p.evictLocked()
+	if p.openSessions >= p.options.MaxSessions {
+		p.evictIdleLocked()
 	}
-	if p.count >= p.options.MaxSessions {
+	if p.openSessions >= p.options.MaxSessions {
 		return nil, errTooManySessions
 	}
-	p.count++
+	p.openSessions++
 	return nil, nil
 }
 
-// open opens a session that is counted already.
+// open opens a session that popIdleOrReserve has counted.
 func (p *sessionPool) open(ctx context.Context, address string) (*session, error) {
 	dial := p.options.Dial.OrDefault(p.options.ConnectTimeoutMs)
 	conn, err := dial(ctx, "tcp", address)
 	if err != nil {
 		p.mu.Lock()
-		p.count--
+		p.openSessions--
 		p.mu.Unlock()
 		return nil, fmt.Errorf("sftpclient: connect: %w", err)
 	}
@@ -84,7 +84,7 @@
 	return opened, nil
 }
 
-// release returns a session to the pool.
+// release returns a session to the pool as idle.
 func (p *sessionPool) release(s *session) {
 	s.idleSinceMs = p.clock.NowMs()
 	p.mu.Lock()
@@ -92,34 +92,33 @@
 	p.mu.Unlock()
 }
 
-// discard closes a session that is not idle.
+// discard closes a session that is in use.
 func (p *sessionPool) discard(s *session) {
 	s.Close()
 	p.mu.Lock()
-	p.count--
+	p.openSessions--
 	p.mu.Unlock()
 }
 
-// evictLocked closes an idle session to any address, if there is one. The caller holds p.mu.
-func (p *sessionPool) evictLocked() {
+// evictIdleLocked closes one idle session, to whichever address, if there is one. The caller holds p.mu.
+func (p *sessionPool) evictIdleLocked() {
 	for address, sessions := range p.idle {
 		if len(sessions) > 0 {
 			sessions[0].Close()
 			p.idle[address] = sessions[1:]
-			p.count--
+			p.openSessions--
 			return
 		}
 	}
 }
 
-// closeIdle closes the idle sessions.
 func (p *sessionPool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, sessions := range p.idle {
 		for _, s := range sessions {
 			s.Close()
-			p.count--
+			p.openSessions--
 		}
 		delete(p.idle, address)
 	}
--- a/internal/upstream/sftpclient/scripted_server_test.go
+++ b/internal/upstream/sftpclient/scripted_server_test.go
@@ -23,11 +23,11 @@
 	responseKinds
 )
 
-// scriptedServer is an SFTP port that responds to each OPEN, READ and WRITE as the script says.
+// scriptedServer is an SFTP server that answers each OPEN, READ and WRITE with the next response of its script.
 type scriptedServer struct {
 	address  string
 	script   chan byte
-	commands atomic.Int32 // READs and WRITEs that were received to their last byte
+	commands atomic.Int32 // READs and WRITEs that were received completely
 }
 
 func newScriptedServer(t testing.TB) *scriptedServer {
@@ -60,7 +60,7 @@
 	}
 }
 
-// respond responds to a packet. It returns false if the connection ends.
+// respond responds to a packet. It returns false if the connection must be closed.
 func (s *scriptedServer) respond(conn net.Conn, kind, packetType byte, id uint32) bool {
 	var response packet
 	switch kind {
@@ -89,7 +89,7 @@
 	return newPacket(typeStatus, id).uint32(uint32(code)).string(message).string("")
 }
 
-// successPacket returns the response to a packet that succeeds.
+// successPacket returns the response to a request that succeeds.
 func successPacket(packetType byte, id uint32) packet {
 	switch packetType {
 	case typeInit:
--- a/internal/upstream/sftpclient/session.go
+++ b/internal/upstream/sftpclient/session.go
@@ -11,16 +11,16 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// maxHandleLength bounds the handles that servers issue, in bytes. The protocol sets the bound.
+// maxHandleLength is the maximum length of a file handle in bytes, as defined by the protocol.
 const maxHandleLength = 256
 
-var errNotAuthorized = errors.New("sftpclient: not authorized to send the command after its OPEN")
+var errNotAuthorized = errors.New("sftpclient: the attempt was no longer authorized after the OPEN; the READ or WRITE was not sent")
 
-// incompleteWriteError reports that the last byte of a packet was not written. The server cannot have executed the packet.
+// incompleteWriteError reports that a packet was not written completely. The server cannot have executed it.
 type incompleteWriteError struct{ err error }
 
 func (e *incompleteWriteError) Error() string {
-	return "sftpclient: incomplete write: " + e.err.Error()
+	return "sftpclient: packet was not written completely: " + e.err.Error()
 }
 func (e *incompleteWriteError) Unwrap() error { return e.err }
 
@@ -28,9 +28,9 @@
 type executionState uint8
 
 const (
-	// notExecuted means that the packet of the command was not written to its last byte.
+	// notExecuted means that the packet of the command was not written completely.
 	notExecuted executionState = iota
-	// mayHaveExecuted means that the packet was written, whatever became of its response.
+	// mayHaveExecuted means that the packet was written completely, with or without a response.
 	mayHaveExecuted
 )
 
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("executionState(%d)", uint8(s))
 }
 
-// executionAfter returns the state of a command whose own packet was sent by a round trip that returned err.
+// executionAfter returns the execution state of a command from the error of the round trip that sent its packet.
 func executionAfter(err error) executionState {
 	var incomplete *incompleteWriteError
 	if errors.As(err, &incomplete) {
@@ -54,13 +54,14 @@
 	return mayHaveExecuted
 }
 
-// commandOutcome is the end of a command on a session.
+// commandOutcome is the result of a command on a session.
 type commandOutcome struct {
 	// reply is valid if err is nil.
 	reply *sftpwire.Reply
 	// handle is a handle that is still open, or nil.
 	handle []byte
-	// execution does not count the OPEN before a READ or WRITE: it changes nothing.
+	// execution is the state of the command itself. The OPEN that precedes a READ or WRITE does not count, because it changes
+	// nothing on the server.
 	execution executionState
 	err       error
 }
@@ -70,11 +71,11 @@
 	net.Conn
 	address     string
 	clock       clock.Clock
-	lastID      uint32  // of the packet that was sent last
-	idleSinceMs float64 // valid while the session is idle
+	lastID      uint32  // id of the most recent request
+	idleSinceMs float64 // time at which the session became idle; valid only while it is idle
 }
 
-// negotiateVersion exchanges INIT and VERSION.
+// negotiateVersion sends INIT and reads the server's VERSION.
 func (s *session) negotiateVersion() error {
 	if _, err := s.Write(newPacket(typeInit, protocolVersion).finish()); err != nil {
 		return fmt.Errorf("sftpclient: write INIT: %w", err)
@@ -86,7 +87,7 @@
 	return err
 }
 
-// newRequest returns a packet with the next id.
+// newRequest returns a request packet with the next id.
 func (s *session) newRequest(packetType byte) packet {
 	s.lastID++
 	return newPacket(packetType, s.lastID)
@@ -103,13 +104,12 @@
 	}
 	body = &decoder{remaining: content}
 	if id := body.uint32(); body.err == nil && id != s.lastID {
-		return 0, nil, fmt.Errorf("%w: response to packet %d", errMalformed, id)
+		return 0, nil, fmt.Errorf("%w: response has the unexpected id %d", errMalformed, id)
 	}
 	return packetType, body, body.err
 }
 
-// execute sends the command of an attempt. remainingMs is the time until the client's deadline that is announced to the
-// server.
+// execute sends the command of an attempt. remainingMs is the time until the client's deadline, which is sent to the server.
 func (s *session) execute(attempt lifecycle.Attempt, remainingMs float64) commandOutcome {
 	command := attempt.Request.Payload.(*sftpwire.Command)
 	if command.Op == sftpwire.OpStat {
@@ -119,7 +119,7 @@
 	if opened.err != nil || opened.handle == nil || command.Op == sftpwire.OpOpen {
 		return opened
 	}
-	// The authorization may have ended during the round trip of the OPEN.
+	// The attempt may have lost its authorization during the round trip of the OPEN.
 	if _, denial := attempt.Authorize(s.clock); denial != permission.Allowed {
 		return commandOutcome{err: errNotAuthorized}
 	}
@@ -136,7 +136,7 @@
 	return outcome
 }
 
-// open sends an OPEN. The outcome has a handle if the server has opened the file.
+// open sends an OPEN. The outcome has a handle if the server opened the file.
 func (s *session) open(command *sftpwire.Command, remainingMs float64) commandOutcome {
 	packetType, body, err := s.roundTrip(s.openRequest(command, remainingMs))
 	outcome := commandOutcome{err: err}
@@ -149,7 +149,7 @@
 	if packetType != typeHandle {
 		outcome.reply, outcome.err = decodeReply(packetType, body)
 		if outcome.err == nil && outcome.reply.Code == sftpwire.StatusOK {
-			outcome.err = errMalformed // the response to an OPEN that succeeds is a HANDLE
+			outcome.err = errMalformed // a successful OPEN is answered by HANDLE, not by STATUS
 		}
 		return outcome
 	}
@@ -162,7 +162,7 @@
 	return outcome
 }
 
-// openRequest returns the OPEN of a command.
+// openRequest returns the OPEN packet of a command.
 func (s *session) openRequest(command *sftpwire.Command, remainingMs float64) packet {
 	flags := command.Flags
 	switch command.Op {
@@ -194,18 +194,18 @@
 		return outcome
 	}
 	outcome.reply, outcome.err = decodeReply(packetType, body)
-	if outcome.err == nil && packetType == typeData && !acceptsData(command, outcome.reply) {
+	if outcome.err == nil && packetType == typeData && !isRequestedData(command, outcome.reply) {
 		outcome.err = errMalformed
 	}
 	return outcome
 }
 
-// acceptsData reports whether the data of the reply was requested by the command.
-func acceptsData(command *sftpwire.Command, reply *sftpwire.Reply) bool {
+// isRequestedData reports whether the data in the reply is what the command asked for: at most the bytes of a READ.
+func isRequestedData(command *sftpwire.Command, reply *sftpwire.Reply) bool {
 	return command.Op == sftpwire.OpRead && len(reply.Data) <= int(command.Length)
 }
 
-// closeHandle sends a CLOSE and waits for the response, whatever its status.
+// closeHandle sends a CLOSE and waits for the response. It ignores the status in the response.
 func (s *session) closeHandle(handle []byte) error {
 	_, _, err := s.roundTrip(s.newRequest(typeClose).string(string(handle)))
 	return err
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream holds what the clients of storage servers share, whatever their protocol: how they connect, and how long they
-// keep a connection.
+// Package upstream holds what the clients of storage servers have in common for all protocols: how they connect, and how long
+// they keep an idle connection.
 //
 // The package has no state and starts no goroutine.
 package upstream
@@ -11,14 +11,15 @@
 	"gaugerelay/internal/clock"
 )
 
-// IdleTimeoutFraction is the fraction of the network's or the server's idle timeout for which a client keeps an idle connection.
-// It is below 1 because a request that is written to a connection which the other side has dropped ends as a reset.
+// IdleTimeoutFraction is how long a client keeps an idle connection, as a fraction of the idle timeout of the network or the
+// server. It is below 1 because a request on a connection that the other side has dropped fails with a connection reset.
 const IdleTimeoutFraction = 0.6
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// OrDefault returns dial, or for nil a DialFunc that uses the network of this machine and connects within connectTimeoutMs.
+// OrDefault returns dial. If dial is nil, it returns a DialFunc that uses the network of this machine and gives up after
+// connectTimeoutMs.
 func (dial DialFunc) OrDefault(connectTimeoutMs float64) DialFunc {
 	if dial != nil {
 		return dial
