--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -17,36 +17,36 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// timeLeftHeader tells a server how many milliseconds its client still waits.
+// timeLeftHeader carries the remaining time of the request, in milliseconds, to the server.
 const timeLeftHeader = "X-Time-Left-Ms"
 
-// unknownTimeLeft stands in a request's head for the time that is left. The attempt may have to wait for its connection, and
-// that time counts, so conn.Write replaces it when the head is written.
-const unknownTimeLeft = "?"
+// timeLeftPlaceholder is the value of timeLeftHeader until the head is written. An attempt may have to wait for its connection,
+// which reduces the remaining time. Therefore conn.Write inserts the value.
+const timeLeftPlaceholder = "?"
 
-var timeLeftPlaceholder = []byte("\r\n" + timeLeftHeader + ": " + unknownTimeLeft + "\r\n")
+var timeLeftPlaceholderLine = []byte("\r\n" + timeLeftHeader + ": " + timeLeftPlaceholder + "\r\n")
 
-// attemptState follows one attempt through the transport. The transport's goroutines and the attempt's own share it.
+// attemptState is the state of one attempt on one connection. The attempt's goroutine shares it with those of the transport.
 type attemptState struct {
 	lifecycle.Attempt
 	isCanceled func() bool // reports whether the attempt's context has ended
 
-	// These belong to the goroutine that writes the request.
+	// The following fields are used only by the goroutine that writes the request.
 
-	head        []byte            // buffered until its end is found; none of it is written before
+	head        []byte            // head of the request, buffered until it is complete; may be followed by a part of the body
 	bodyLeft    int               // bytes of the body still to be written
-	headWritten bool              // the end of the head was found
-	denial      permission.Denial // why the attempt did not start
+	headWritten bool              // the head is complete and the attempt was authorized to write it
+	denial      permission.Denial // reason why the attempt was not authorized to start
 
-	conn    *conn // the connection that the transport chose; nil before
-	started bool  // the first byte was handed to conn; guarded by conn.mu
+	conn    *conn // connection that the transport chose; nil before
+	started bool  // conn is about to write the first byte, or has written it; guarded by conn.mu
 
-	requestWritten atomic.Bool // the last byte was handed to conn
-	connStale      atomic.Bool // nothing was written, because the connection was no longer usable
+	requestWritten atomic.Bool // conn is about to write the last byte of the request, or has written it
+	connStale      atomic.Bool // nothing was written, because the connection could no longer be used
 	connBroken     atomic.Bool // the connection ended while the response was awaited
 }
 
-// run runs one attempt to its end.
+// run sends the request of an attempt and returns the result.
 func (c *Client) run(ctx context.Context, a lifecycle.Attempt) lifecycle.AttemptResult {
 	for {
 		attempt := &attemptState{
@@ -55,7 +55,7 @@
 			bodyLeft:   len(a.Request.Payload.(*httpmessage.Request).Body),
 		}
 		result := c.roundTrip(ctx, attempt)
-		// Nothing was written to a stale connection, so taking another one is not a retry.
+		// Nothing was written to a stale connection, so using another one is not a retry.
 		if !attempt.connStale.Load() || result.Status == scheduler.StatusOK || attempt.isCanceled() {
 			return result
 		}
@@ -88,9 +88,9 @@
 		URL: &url.URL{Scheme: "http", Host: attempt.Server.Addr, Path: payload.Path, RawPath: payload.RawPath,
 			RawQuery: payload.RawQuery},
 		Header: payload.Header.Clone(), Host: "api.internal",
-		// The transport resends on another connection what has no body or can rewind it (GetBody) and is a GET or
-		// carries an Idempotency-Key. The scheduler would not know of that attempt. So even an empty body is passed as
-		// a reader, which cannot be rewound.
+		// The transport resends a request on another connection if it is a GET or carries an Idempotency-Key, and has no body
+		// or one that can be rewound (GetBody). The scheduler would not know of that attempt. Therefore even an empty body is
+		// passed as a reader, which cannot be rewound.
 		Body: io.NopCloser(bytes.NewReader(payload.Body)), ContentLength: int64(len(payload.Body)),
 	}).WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -98,17 +98,17 @@
 			attempt.conn.attempt.Store(attempt)
 		},
 	}))
-	request.Header.Set(timeLeftHeader, unknownTimeLeft)
+	request.Header.Set(timeLeftHeader, timeLeftPlaceholder)
 	return request
 }
 
-// statusWithoutResponse returns the status of an attempt that got no response it could use.
+// statusWithoutResponse returns the status of an attempt that got no valid response.
 func (c *Client) statusWithoutResponse(ctx context.Context, attempt *attemptState) scheduler.Status {
 	written := attempt.requestWritten.Load()
 	switch cause := context.Cause(ctx); {
 	case !written && attempt.Request.Canceled(): // the server is not at fault
 		return scheduler.StatusCanceled
-	case !written && attempt.denial.IsIndependentOfServer(): // not executed, and no sign of the server's condition
+	case !written && attempt.denial.IsIndependentOfServer(): // not executed, for a reason that says nothing about the server
 		return scheduler.StatusNotSent
 	case !written && (cause == nil || !errors.Is(cause, context.Canceled)):
 		return scheduler.StatusConnectFailed
@@ -119,28 +119,29 @@
 	case attempt.connBroken.Load():
 		return scheduler.StatusConnectionReset
 	}
-	// The server responds, if badly, and its other connections are as good as before: it must not be treated as one that
-	// resets them.
+	// The server sent an invalid response, but its other connections still work. It must not be treated like a server that
+	// resets connections.
 	c.metrics.Add(serverResponsesInvalid, 1)
 	return scheduler.StatusError
 }
 
-// authorizeStart reports whether the attempt's first byte may be written now, and how many milliseconds its client still
-// waits. The transport may write a request that was canceled while it waited for its connection.
-func (a *attemptState) authorizeStart() (leftMs float64, ok bool) {
-	leftMs, a.denial = a.Authorize(a.conn.client.clock)
-	return leftMs, a.denial == permission.Allowed && !a.isCanceled()
+// authorizeStart reports whether the attempt's first byte may be written now, and returns the remaining time. It also checks for
+// cancellation, because the transport may write a request that was canceled while it waited for its connection.
+func (a *attemptState) authorizeStart() (remainingMs float64, ok bool) {
+	remainingMs, a.denial = a.Authorize(a.conn.client.clock)
+	return remainingMs, a.denial == permission.Allowed && !a.isCanceled()
 }
 
-// isOver reports whether the attempt must not start any more.
-func (a *attemptState) isOver() bool {
+// isCanceledOrExpired reports whether the attempt must not start any more.
+func (a *attemptState) isCanceledOrExpired() bool {
 	return a.isCanceled() || a.Expired(a.conn.client.clock.NowMs())
 }
 
-// markStaleBeforeStart reports whether a reused connection failed before any byte of the attempt was handed to it, and makes
-// sure that none is from now on. The transport drops a connection whose end it reads before it writes a waiting request.
+// markStaleBeforeStart reports whether a reused connection failed before any byte of the attempt was written. If so, it marks the
+// connection as unusable, so that none is written later. The transport drops a connection if it reads the connection's end
+// before it writes a waiting request.
 func (a *attemptState) markStaleBeforeStart() bool {
-	if a.conn == nil || a.isOver() {
+	if a.conn == nil || a.isCanceledOrExpired() {
 		return false
 	}
 	a.conn.mu.Lock()
@@ -152,25 +153,25 @@
 	return true
 }
 
-// countBodyBytes counts bytes of the body that are about to be written. It must be called before the write: a server may
-// respond or close the connection before the write returns. httptrace's WroteRequest comes too late for this: the transport
-// copies a body that follows its head to the connection directly, so the server may have executed the request before that
-// hook is called.
+// countBodyBytes counts bytes of the body that are about to be written. It must be called before the write, because a server may
+// respond or close the connection before the write returns. The hook WroteRequest of httptrace cannot be used, because it is
+// called too late: the transport copies a body that follows its head directly to the connection, so the server may have executed
+// the request before the hook is called.
 func (a *attemptState) countBodyBytes(bytes int) {
 	if a.bodyLeft -= bytes; a.bodyLeft <= 0 {
 		a.requestWritten.Store(true)
 	}
 }
 
-// insertTimeLeft replaces the placeholder in a head by the milliseconds that are left.
-func insertTimeLeft(head []byte, leftMs float64) []byte {
-	start := bytes.Index(head, timeLeftPlaceholder)
+// insertTimeLeft replaces the placeholder in a head by the remaining time in milliseconds.
+func insertTimeLeft(head []byte, remainingMs float64) []byte {
+	start := bytes.Index(head, timeLeftPlaceholderLine)
 	if start < 0 {
 		return head
 	}
-	value := start + len(timeLeftPlaceholder) - len(unknownTimeLeft+"\r\n")
+	value := start + len(timeLeftPlaceholderLine) - len(timeLeftPlaceholder+"\r\n")
 	out := make([]byte, 0, len(head)+16)
 	out = append(out, head[:value]...)
-	out = strconv.AppendInt(out, int64(leftMs), 10)
-	return append(out, head[value+len(unknownTimeLeft):]...)
+	out = strconv.AppendInt(out, int64(remainingMs), 10)
+	return append(out, head[value+len(timeLeftPlaceholder):]...)
 }
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -21,29 +21,29 @@
 	ln.Close()
 	c.Start(c.attemptAt(ln.Addr().String(), putRequest()))
 	if result := <-c.results.attempts; result.Status != scheduler.StatusConnectFailed {
-		t.Errorf("status %d", result.Status)
+		t.Errorf("attempt at a closed port: got status %d, want StatusConnectFailed", result.Status)
 	}
 }
 
-// What the server has read in part was not executed: the connection ends before the request's last byte is written.
+// A request that the server has read only in part was not executed: the connection ends before its last byte is written.
 func TestConnectionClosedBeforeLastByte(t *testing.T) {
 	addr := testbed.Serve(t, func(c net.Conn) {
-		_, _ = c.Read(make([]byte, 10)) // the connection ends either way
+		_, _ = c.Read(make([]byte, 10)) // the connection is closed afterwards, whether or not the read succeeds
 	})
 	c, request := newTestClient(), putRequest()
 	request.Payload.(*httpmessage.Request).Body = bytes.Repeat([]byte("x"), 32<<20) // more than the socket buffers hold
 	c.Start(c.attemptAt(addr, request))
 	if result := <-c.results.attempts; result.Status != scheduler.StatusConnectFailed {
-		t.Errorf("status %d", result.Status)
+		t.Errorf("attempt that was written in part: got status %d, want StatusConnectFailed", result.Status)
 	}
 }
 
 // An attempt writes nothing if its client disconnected, if it was canceled, or if its start deadline passed while it waited for
-// its connection, even if the scheduler has not canceled it. A disconnect does not count as a failure of the server.
+// its connection, even if the scheduler has not canceled it. A disconnect is not reported as a failure of the server.
 func TestAttemptIsNotStartedWhenOver(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// whileConnecting is called once the connection is up, before the attempt gets it.
+		// whileConnecting is called when the connection is established and the attempt has not received it yet.
 		whileConnecting func(w *connectingAttempt)
 		want            scheduler.Status
 	}{
@@ -61,7 +61,7 @@
 	}
 }
 
-// connectingAttempt is an attempt that waits for its connection.
+// connectingAttempt is an attempt that waits for its connection, with the means to end it.
 type connectingAttempt struct {
 	request      *lifecycle.Request
 	disconnected atomic.Bool
@@ -73,14 +73,15 @@
 	t.Helper()
 	received := make(chan string, 1)
 	addr := testbed.Serve(t, func(c net.Conn) {
-		b := make([]byte, 1) // the attempt ends with its first byte
+		b := make([]byte, 1)
 		n, _ := c.Read(b)
 		received <- string(b[:n])
 	})
 	c := newTestClient()
 	waiting := &connectingAttempt{request: putRequest(), now: c.now}
 	waiting.request.ClientDisconnected = waiting.disconnected.Load
-	a := lifecycle.Attempt{Request: waiting.request, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: 1e12 + 1000, StartDeadlineMs: 1e12 + 500}
+	a := lifecycle.Attempt{Request: waiting.request, Server: &lifecycle.Server{Addr: addr},
+		DeadlineMs: 1e12 + 1000, StartDeadlineMs: 1e12 + 500}
 	cancel := make(chan func(), 1)
 	c.options.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		netConn, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, addr)
@@ -90,32 +91,33 @@
 	}
 	cancel <- c.Start(a)
 	if result := <-c.results.attempts; result.Status != want {
-		t.Errorf("ended as %v", result.Status)
+		t.Errorf("the attempt ended with the unexpected status %v", result.Status)
 	}
-	for len(received) == 0 { // the connection may not have become idle yet
+	for len(received) == 0 { // Close has no effect before the connection is idle
 		c.Close()
 	}
 	if got := <-received; got != "" {
-		t.Fatalf("%d bytes were written", len(got))
+		t.Fatalf("the server received %d bytes, want none", len(got))
 	}
 }
 
-// A server that starts to drain while an attempt waits for its connection receives none of it.
+// A server that starts to drain while an attempt waits for its connection receives no byte of the attempt.
 func TestDrainWhileConnecting(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
 	manager := lifecycle.New(lifecycle.Options{})
 	listed := &lifecycle.Server{Name: "a", Addr: server.addr}
 	manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot, Servers: []*lifecycle.Server{listed}})
-	manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}) // the scheduler sent just before
+	manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot}) // the server is removed after the scheduler chose it
 	c.Start(lifecycle.Attempt{Request: getRequest(), Server: listed, DeadlineMs: c.now.NowMs() + 1000})
 	if result := <-c.results.attempts; result.Status != scheduler.StatusConnectFailed || server.requests.Load() != 0 {
-		t.Errorf("status %d, the server received %d", result.Status, server.requests.Load())
+		t.Errorf("got status %d, want StatusConnectFailed; the server received %d requests, want none", result.Status,
+			server.requests.Load())
 	}
 }
 
 func TestTimeoutCancelAndConnectionLimit(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
-	waitForRequests := func(n int32) { // the server holds the request, since it was given no behavior
+	waitForRequests := func(n int32) { // the server does not respond, because it has no behavior to follow
 		for server.requests.Load() < n {
 			runtime.Gosched()
 		}
@@ -125,17 +127,18 @@
 	waitForRequests(1)
 	c.now.Advance(1001)
 	if result := <-c.results.attempts; result.Status != scheduler.StatusTimedOut {
-		t.Errorf("timed out: status %d", result.Status)
+		t.Errorf("attempt past its deadline: got status %d, want StatusTimedOut", result.Status)
 	}
 	cancel := c.Start(c.attemptAt(server.addr, request))
 	waitForRequests(2)
 	cancel()
 	if result := <-c.results.attempts; result.Status != scheduler.StatusCanceled {
-		t.Errorf("canceled: status %d", result.Status)
+		t.Errorf("canceled attempt: got status %d, want StatusCanceled", result.Status)
 	}
 	c.options.MaxConns = 0
 	c.Start(c.attemptAt(server.addr, request))
 	if result := <-c.results.attempts; result.Status != scheduler.StatusConnectFailed || c.counters.Get(connectionsCapped) != 1 {
-		t.Errorf("over the limit: status %d, %d capped", result.Status, c.counters.Get(connectionsCapped))
+		t.Errorf("attempt above the connection limit: got status %d, want StatusConnectFailed; got %d refused connections, want 1",
+			result.Status, c.counters.Get(connectionsCapped))
 	}
 }
--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -1,16 +1,16 @@
 // Package httpclient sends attempts to storage servers over HTTP/1.1 and reports how each of them ended.
 //
-// A Client owns an http.Transport and the connections below it. The transport pools connections; the package's conn guards
-// what the transport does not:
+// A Client owns an http.Transport and the connections that the transport uses. The transport pools the connections. The type
+// conn wraps each connection to guarantee what the transport does not:
 //
 //   - An attempt starts only if it is still authorized when its first byte can be written.
-//   - An attempt is one request on the wire. The transport never resends it; only a request of which no byte was written is
-//     sent on another connection.
-//   - An attempt whose last byte was not written has not executed.
+//   - An attempt is one request on the wire. The transport never resends it. A request is sent on another connection only if
+//     no byte of it was written to the first one.
+//   - An attempt whose request was not written completely has not executed.
 //   - A response belongs to the request that awaits it. A connection on which anything else arrives is not used again.
 //
-// Each attempt and each probe has a goroutine of its own that ends with it: an attempt at its deadline or when it is
-// canceled, a probe after probeTimeout.
+// Each attempt and each probe runs on its own goroutine. An attempt ends at the latest at its deadline or when it is canceled, a
+// probe after probeTimeout.
 package httpclient
 
 import (
@@ -27,7 +27,7 @@
 	"gaugerelay/internal/upstream"
 )
 
-// Names of counters.
+// Names of the metrics.
 const (
 	connectionsOpened      = "connections_opened"
 	connectionsCapped      = "connections_capped"
@@ -38,34 +38,34 @@
 	ruleViolationsPrefix   = "rule_violations_"
 )
 
-// maxHeadBytes bounds the head of a response, including the heads of the interim responses before it.
+// maxHeadBytes bounds the size of the head of a response plus the heads of the interim responses before it.
 const maxHeadBytes = 16 << 10
 
 var errTooManyConns = errors.New("httpclient: connection limit reached")
 
 // Options are the limits of a Client. Times are in milliseconds.
 type Options struct {
-	// ConnectTimeoutMs bounds the time to connect. A Dial that is set ignores it.
+	// ConnectTimeoutMs bounds the time to connect. It has no effect if Dial is set.
 	ConnectTimeoutMs float64
 	// ConnIdleTimeoutMs is the time after which the network drops an idle connection.
 	ConnIdleTimeoutMs float64
-	// MaxConns bounds the connections that are open at once, to all servers together.
+	// MaxConns bounds the connections that are open at the same time, summed over all servers.
 	MaxConns int
 	// LoadReportFields names the fields of a load report in the order of lifecycle.AttemptResult.LoadReport. If it is
-	// empty, probes ask for the server's health only.
+	// empty, probes request the server's health and no load report.
 	LoadReportFields []string
-	// ReuseDelayMs is the time from the end of a response to the next request on its connection.
+	// ReuseDelayMs is the minimum time between the end of a response and the next request on the same connection.
 	ReuseDelayMs float64
-	// Dial opens connections; nil uses the network of this machine.
+	// Dial opens connections. If it is nil, the network of this machine is used.
 	Dial upstream.DialFunc
 }
 
-// ResultHandler receives the results of attempts and probes, each on the goroutine of that attempt or probe.
+// ResultHandler receives the results of attempts and probes. Its methods are called on the goroutine of the attempt or probe.
 type ResultHandler interface {
 	// Complete reports the end of an attempt. It is called once for each attempt.
 	Complete(lifecycle.Attempt, lifecycle.AttemptResult)
-	// ProbeEnded reports the end of a probe: its latency in milliseconds, its status, and the load report, which is nil if
-	// there is none.
+	// ProbeEnded reports the end of a probe: its latency in milliseconds, its status and the load report. The report is nil if
+	// the response has no valid one.
 	ProbeEnded(server *lifecycle.Server, latencyMs float64, status scheduler.Status, report []float64)
 }
 
@@ -84,7 +84,7 @@
 	c := &Client{options: options, clock: clk, metrics: registry, results: results}
 	c.transport = &http.Transport{
 		DialContext:            c.dial,
-		DisableCompression:     true, // the body must pass unchanged
+		DisableCompression:     true, // the body must be forwarded unchanged
 		MaxIdleConnsPerHost:    max(options.MaxConns, 1),
 		IdleConnTimeout:        clock.Duration(options.ConnIdleTimeoutMs * upstream.IdleTimeoutFraction),
 		MaxResponseHeaderBytes: maxHeadBytes,
@@ -95,17 +95,17 @@
 // Close closes the idle connections. It does not wait for attempts and probes.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Start sends an attempt whose payload is an *httpmessage.Request. It does not block and implements lifecycle.Upstream.
+// Start implements lifecycle.Upstream. It sends an attempt whose payload is an *httpmessage.Request, and does not block.
 func (c *Client) Start(a lifecycle.Attempt) (cancel func()) {
 	ctx, cancelCause := clock.WithDeadline(c.clock, a.DeadlineMs)
 	go func() {
-		defer cancelCause(nil) // the response body has been read by then
+		defer cancelCause(nil) // run has read the whole response body
 		c.results.Complete(a, c.run(ctx, a))
 	}()
 	return func() { cancelCause(context.Canceled) }
 }
 
-// dial opens a connection for the transport, or returns errTooManyConns.
+// dial opens a connection for the transport. It returns errTooManyConns if MaxConns are open.
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if c.openConns.Add(1) > int64(c.options.MaxConns) {
 		c.openConns.Add(-1)
--- a/internal/upstream/httpclient/client_test.go
+++ b/internal/upstream/httpclient/client_test.go
@@ -25,7 +25,7 @@
 	r.probes <- status
 }
 
-// testClient is a client on a clock that the test moves.
+// testClient is a client with a manual clock.
 type testClient struct {
 	*Client
 	results  *recordedResults
@@ -44,7 +44,7 @@
 	return c
 }
 
-// attemptAt returns an attempt at an address that has a second.
+// attemptAt returns an attempt at a server address with a deadline in one second.
 func (c *testClient) attemptAt(addr string, request *lifecycle.Request) lifecycle.Attempt {
 	return lifecycle.Attempt{Request: request, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + 1000}
 }
@@ -62,8 +62,9 @@
 		Header: http.Header{"Idempotency-Key": {"k"}}, Body: body}}
 }
 
-// FuzzAttempts compares attempts on reused connections with a model of random server behaviors: each attempt is one request
-// at the server, whatever http.Transport would resend, and ends as the protocol's table says.
+// FuzzAttempts compares attempts on reused connections with a model while the server behaves at random. The model requires that
+// the server receives one request for each attempt, even where http.Transport would resend it, and that the attempt ends as
+// expectedStatus says.
 func FuzzAttempts(f *testing.F) {
 	add := func(script ...behavior) {
 		bytes := make([]byte, len(script))
@@ -94,24 +95,24 @@
 			c.Start(lifecycle.Attempt{Request: request, Server: listed, DeadlineMs: c.now.NowMs() + 1000})
 			result := <-c.results.attempts
 			if result.Status != expectedStatus[b] || int(server.requests.Load()) != i+1 {
-				t.Fatalf("attempt %d, behavior %d: status %d, want %d; the server received %d requests", i, b, result.Status,
-					expectedStatus[b], server.requests.Load())
+				t.Fatalf("attempt %d, behavior %d: got status %d, want %d; the server received %d requests, want one for each attempt",
+					i, b, result.Status, expectedStatus[b], server.requests.Load())
 			}
 			checkResult(t, b, result, wantBody)
 		}
 	})
 }
 
-// checkResult checks what an attempt reports beside its status.
+// checkResult checks the parts of an attempt's result other than its status.
 func checkResult(t *testing.T, b behavior, result lifecycle.AttemptResult, wantBody string) {
 	t.Helper()
 	if result.Status == scheduler.StatusOK && string(result.Body.([]byte)) != wantBody {
-		t.Fatalf("body %q, want %q", result.Body, wantBody)
+		t.Fatalf("got body %q, want %q", result.Body, wantBody)
 	}
 	if b == respond && (result.VolumeUsage != 0.85 || !result.HasVolumeUsage || result.ForeignUnits != 3 || result.LoadReport[0] != 7) {
-		t.Fatalf("headers read as %+v", result)
+		t.Fatalf("result does not match the headers of the response: %+v", result)
 	}
 	if b == invalidHeaders && (result.HasVolumeUsage || result.ForeignUnits != 0 || result.LoadReport != nil) {
-		t.Fatalf("invalid headers read as %+v", result)
+		t.Fatalf("invalid headers were not ignored: %+v", result)
 	}
 }
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -14,38 +14,41 @@
 	"gaugerelay/internal/socketstate"
 )
 
-// responseTimeoutMs is the time from the first byte of a response to its last one. Servers send a response at once; without
-// this bound one that trickles, or that gives too large a length, would hold its request until the client's deadline.
+// responseTimeoutMs bounds the time from the first to the last byte of a response. Servers send a response without pauses.
+// Without this bound, a response that arrives slowly, or whose length is given too large, would hold its request until the
+// client's deadline.
 const responseTimeoutMs = 250
 
 var (
-	errAttemptOver     = errors.New("httpclient: attempt must not start any more")
-	errConnStale       = errors.New("httpclient: connection not usable any more")
+	errStartNotAllowed = errors.New("httpclient: the attempt is no longer allowed to start")
+	errConnStale       = errors.New("httpclient: the connection can no longer be used")
 	errInvalidResponse = errors.New("httpclient: invalid response")
 )
 
-// conn is a connection to a server. It carries one attempt or probe at a time, and passes on the response to that and nothing
-// else: the transport returns a connection to its pool before it looks at what follows a response (readLoop's tryPutIdleConn
-// comes before its next Peek), and would take a second copy, or noise, for the response to the next request.
+// conn is a connection to a server. It carries one attempt or probe at a time, and returns only the response to that one to the
+// transport. The transport puts a connection back into its pool before it checks what follows a response (in readLoop,
+// tryPutIdleConn comes before the next Peek). It would therefore take a duplicate response, or other unsolicited data, for the
+// response to the next request.
 //
-// The transport writes to it from one goroutine and reads from another.
+// The transport writes to the connection from one goroutine and reads from another.
 type conn struct {
 	net.Conn
 	client  *Client
-	attempt atomic.Pointer[attemptState] // nil for a probe
+	attempt atomic.Pointer[attemptState] // current attempt; nil for a probe
 	closed  atomic.Bool
 
 	mu             sync.Mutex
-	used           bool             // has carried a request
-	lastResponseMs float64          // when its last response was complete
-	response       *responseFraming // of the response being awaited; nil between requests
-	unusable       bool             // nothing is written or read any more
-	stopTimeout    func()           // stops the timer of a response that has begun; nil without one
+	used           bool             // the connection has carried a request
+	lastResponseMs float64          // time at which the last response was complete
+	response       *responseFraming // framing of the awaited response; nil if no response is awaited
+	unusable       bool             // no request is written and no data is returned any more
+	stopTimeout    func()           // stops the response timeout; nil unless a response has begun
 }
 
-// Write buffers the head of an attempt's request and writes it in one piece, so that the time left that it names is right for
-// its first byte. It enforces three rules: an attempt that waited for its connection starts only if it is still authorized, an
-// attempt whose last byte was not written has not executed, and no request is written where unsolicited data has arrived.
+// Write buffers the head of an attempt's request and writes it in one piece, so that the remaining time in the head is right when
+// its first byte is written. It enforces three rules: an attempt that waited for its connection starts only if it is still
+// authorized; an attempt whose request was not written completely has not executed; and no request is written to a connection on
+// which unsolicited data has arrived.
 func (c *conn) Write(p []byte) (int, error) {
 	attempt := c.attempt.Load()
 	if attempt == nil {
@@ -55,17 +58,17 @@
 		return c.writeRequest(attempt, p, len(p))
 	}
 	attempt.head = append(attempt.head, p...)
-	end := bytes.Index(attempt.head, headEnd)
+	end := bytes.Index(attempt.head, headTerminator)
 	if end < 0 {
 		return len(p), nil
 	}
-	if err := c.writeHead(attempt, end+len(headEnd)); err != nil {
+	if err := c.writeHead(attempt, end+len(headTerminator)); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// writeProbe writes bytes of a probe.
+// writeProbe writes bytes of the request of a probe.
 func (c *conn) writeProbe(p []byte) (int, error) {
 	c.waitReuseDelay()
 	if err := c.startRequest(nil); err != nil {
@@ -74,25 +77,26 @@
 	return c.Conn.Write(p)
 }
 
-// writeHead starts an attempt: it writes the head, of headLen bytes, and what is buffered of the body.
+// writeHead starts an attempt: it writes the buffered bytes, of which the first headLen are the head and the rest belongs to
+// the body.
 func (c *conn) writeHead(attempt *attemptState, headLen int) error {
 	c.waitReuseDelay()
-	leftMs, ok := attempt.authorizeStart()
+	remainingMs, ok := attempt.authorizeStart()
 	if !ok {
-		return errAttemptOver
+		return errStartNotAllowed
 	}
 	attempt.headWritten = true
-	out := append(insertTimeLeft(attempt.head[:headLen], leftMs), attempt.head[headLen:]...)
+	out := append(insertTimeLeft(attempt.head[:headLen], remainingMs), attempt.head[headLen:]...)
 	if _, err := c.writeRequest(attempt, out, len(attempt.head)-headLen); err != nil {
 		return err
 	}
-	if rule := attempt.CheckSent(c.client.clock.NowMs(), leftMs); rule != "" {
+	if rule := attempt.CheckSent(c.client.clock.NowMs(), remainingMs); rule != "" {
 		c.client.metrics.Add(ruleViolationsPrefix+rule, 1)
 	}
 	return nil
 }
 
-// writeRequest writes bytes of an attempt, of which the last bodyBytes belong to its body.
+// writeRequest writes bytes of an attempt's request, of which the last bodyBytes belong to the body.
 func (c *conn) writeRequest(attempt *attemptState, p []byte, bodyBytes int) (int, error) {
 	if err := c.startRequest(attempt); err != nil {
 		return 0, err
@@ -105,12 +109,12 @@
 	return n, err
 }
 
-// startRequest records that bytes of a request are about to be written, or returns errConnStale if the connection can't be
-// used for it any more. attempt is nil for a probe.
+// startRequest records that bytes of a request are about to be written. It returns errConnStale if the connection can no longer
+// carry the request. attempt is nil for a probe.
 func (c *conn) startRequest(attempt *attemptState) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// A server may respond before it has all of the request. The rest of the request starts nothing new.
+	// A server may respond before it has received the whole request. Writing the rest does not start another request.
 	continues := attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	if c.response == nil && !continues {
 		if c.unusable || c.used && c.hasUnreadInput() {
@@ -128,8 +132,8 @@
 	return nil
 }
 
-// waitReuseDelay waits until a second copy of the last response would have arrived: a server may send one some milliseconds
-// late, and after the next request it could not be distinguished from the response to that one.
+// waitReuseDelay waits until a duplicate of the last response would have arrived. A server may send a duplicate some milliseconds
+// later, and if it arrived after the next request, it would be taken for the response to that request.
 func (c *conn) waitReuseDelay() {
 	c.mu.Lock()
 	waitMs := 0.0
@@ -143,13 +147,13 @@
 	}
 }
 
-// hasUnreadInput reports whether something has arrived that has not been read: more than a response, or the connection's end.
+// hasUnreadInput reports whether unread data has arrived or the connection has ended.
 func (c *conn) hasUnreadInput() bool {
-	bytes, err := socketstate.HasUnreadData(c.Conn)
-	return bytes || err != nil
+	hasData, err := socketstate.HasUnreadData(c.Conn)
+	return hasData || err != nil
 }
 
-// Read passes on bytes of the response that is awaited.
+// Read returns bytes of the awaited response.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.readAndCheck(p)
 	c.mu.Lock()
@@ -174,7 +178,7 @@
 	return n, err
 }
 
-// consumeResponse returns how many of the bytes read belong to the response that is awaited. The caller holds c.mu.
+// consumeResponse returns how many of the bytes in p, which were just read, belong to the awaited response. The caller holds c.mu.
 func (c *conn) consumeResponse(attempt *attemptState, p []byte) (int, error) {
 	n, complete, err := c.response.feed(p)
 	switch {
@@ -188,7 +192,7 @@
 			c.client.metrics.Add(serverDataUnsolicited, 1)
 			c.unusable = true
 		}
-		// A request that was answered before it was written completely may be answered once more, so nothing may follow it.
+		// A request that was answered before it was written completely may be answered a second time. No other request may follow it.
 		c.unusable = c.unusable || attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	case c.stopTimeout == nil:
 		awaited := c.response
@@ -197,8 +201,8 @@
 	return n, nil
 }
 
-// readAndCheck reads from the connection and checks in the same moment, under c.mu, whether a request awaits what arrived. If
-// it checked a moment later, a request written in between would get what had arrived before it as its response.
+// readAndCheck reads from the connection and checks, under the same lock of c.mu, whether a request awaits the data. If it
+// checked later, a request that was written in between would get data that arrived before it as its response.
 func (c *conn) readAndCheck(p []byte) (n int, err error) {
 	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -227,7 +231,7 @@
 	return n, nil
 }
 
-// readRetryingEINTR is the system call read. Signals don't end it.
+// readRetryingEINTR calls read(2), and repeats the call if a signal interrupts it.
 func readRetryingEINTR(fd int, p []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Read(fd, p); err != syscall.EINTR {
@@ -236,7 +240,7 @@
 	}
 }
 
-// rejectUnsolicited makes a connection unusable if no request awaits what has arrived. The caller holds c.mu.
+// rejectUnsolicited marks the connection as unusable if data has arrived that no request awaits. The caller holds c.mu.
 func (c *conn) rejectUnsolicited() {
 	if c.response == nil && !c.unusable {
 		c.client.metrics.Add(serverDataUnsolicited, 1)
@@ -244,18 +248,18 @@
 	}
 }
 
-// timeOutResponse closes the connection if the response is still incomplete.
+// timeOutResponse closes the connection if the awaited response is still incomplete.
 func (c *conn) timeOutResponse(awaited *responseFraming) {
 	c.mu.Lock()
 	incomplete := c.response == awaited
 	c.unusable = c.unusable || incomplete
 	c.mu.Unlock()
 	if incomplete {
-		_ = c.Close() // the attempt ends by its read, whether or not closing succeeds
+		_ = c.Close() // the attempt's read ends with an error, whether or not Close returns one
 	}
 }
 
-// stopResponseTimeout stops the timer of a response, if there is one. The caller holds c.mu.
+// stopResponseTimeout stops the response timeout if it is running. The caller holds c.mu.
 func (c *conn) stopResponseTimeout() {
 	if c.stopTimeout != nil {
 		c.stopTimeout()
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	staleResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
+	oldResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	ownResponse   = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nits"
 )
 
-// Unsolicited data that arrives when http.Transport has returned the connection to its pool is seen before the next request
-// is written; the request takes another connection, within the same attempt.
+// If unsolicited data arrives after http.Transport has returned the connection to its pool, it is detected before the next request
+// is written. The request is then sent on another connection, within the same attempt.
 func TestUnsolicitedDataMakesConnectionStale(t *testing.T) {
 	var conns atomic.Int32
 	unsolicited := make(chan bool)
@@ -35,7 +35,7 @@
 			testbed.TryWrite(c, ownResponse)
 			if first {
 				<-unsolicited
-				testbed.TryWrite(c, staleResponse)
+				testbed.TryWrite(c, oldResponse)
 				unsolicited <- true
 			}
 		}
@@ -46,19 +46,20 @@
 	for i := range 2 {
 		c.Start(a)
 		if result := <-c.results.attempts; result.Status != scheduler.StatusOK || string(result.Body.([]byte)) != "its" {
-			t.Errorf("attempt %d: %+v", i, result)
+			t.Errorf("attempt %d: got %+v, want StatusOK and the body of its own response", i, result)
 		}
 		if i == 0 {
 			unsolicited <- true
-			<-unsolicited // written: it is in this machine's buffers, read or not
+			<-unsolicited // the data is written, so the client's socket has received it
 		}
 	}
 	if conns.Load() != 2 || c.counters.Get(serverDataUnsolicited)+c.counters.Get(connectionsStale) == 0 {
-		t.Errorf("%d connections, %d unsolicited", conns.Load(), c.counters.Get(serverDataUnsolicited))
+		t.Errorf("got %d connections, want 2; counted unsolicited data %d times, want at least once unless a connection was stale",
+			conns.Load(), c.counters.Get(serverDataUnsolicited))
 	}
 }
 
-// timerObserver is a clock that reports when a timer shorter than an attempt's is set.
+// timerObserver is a clock that reports when a timer is set that is shorter than those for deadlines.
 type timerObserver struct {
 	*clock.Manual
 	timerSet chan bool
@@ -72,11 +73,11 @@
 	return stop
 }
 
-// A second response that arrives when the next attempt already has the connection is not taken for the response to that
-// attempt: the attempt waits for the reuse delay first.
+// A duplicate response that arrives when the next attempt already has the connection is not taken for the response to that
+// attempt, because the attempt waits for the reuse delay before it writes its request.
 func TestReuseDelayExcludesDuplicateResponse(t *testing.T) {
 	var conns atomic.Int32
-	sendDuplicate := make(chan bool, 1) // the next attempt has arrived, or it waits
+	sendDuplicate := make(chan bool, 1) // signaled when the next request has arrived, or its attempt waits for the reuse delay
 	written := make(chan bool, 1)
 	addr := testbed.Serve(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -85,10 +86,10 @@
 		}
 		if conns.Add(1) > 1 {
 			testbed.TryWrite(c, ownResponse)
-			_, _ = io.Copy(io.Discard, in) // until the gateway closes
+			_, _ = io.Copy(io.Discard, in) // returns when the gateway closes the connection
 			return
 		}
-		testbed.TryWrite(c, staleResponse)
+		testbed.TryWrite(c, oldResponse)
 		peeked := make(chan bool)
 		go func() {
 			defer close(peeked)
@@ -97,7 +98,7 @@
 			}
 		}()
 		<-sendDuplicate
-		testbed.TryWrite(c, staleResponse)
+		testbed.TryWrite(c, oldResponse)
 		written <- true
 		<-peeked
 	})
@@ -107,18 +108,18 @@
 	a := c.attemptAt(addr, getRequest())
 	c.Start(a)
 	if result := <-c.results.attempts; result.Status != scheduler.StatusOK || string(result.Body.([]byte)) != "old" {
-		t.Fatalf("the first attempt: %+v", result)
+		t.Fatalf("the first attempt: got %+v, want StatusOK and the body of the first response", result)
 	}
 	c.Start(a)
 	<-written
 	c.now.Advance(5)
 	if result := <-c.results.attempts; result.Status != scheduler.StatusOK || string(result.Body.([]byte)) != "its" {
-		t.Errorf("the second attempt: %s", result.Body)
+		t.Errorf("the second attempt: got body %s, want the body of its own response", result.Body)
 	}
 }
 
-// A long request that is answered before it was written completely is the last one on its connection: a second response, to all
-// of it, would be taken for the next one's.
+// A request that is answered before it was written completely is the last one on its connection. The server may send a second
+// response when it has the whole request, and this would be taken for the response to the next request.
 func TestEarlyResponseEndsConnectionReuse(t *testing.T) {
 	received := make(chan string, 1)
 	addr := testbed.Serve(t, func(netConn net.Conn) {
@@ -149,19 +150,19 @@
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(c, "rest"); err != nil || !first.requestWritten.Load() {
-		t.Errorf("the rest of a request that has been answered: %v", err)
+		t.Errorf("writing the rest of a request that has been answered: got error %v, want none and a complete request", err)
 	}
 	second := startAttempt(8)
 	if _, err := io.WriteString(c, head); err == nil || !second.connStale.Load() {
-		t.Errorf("the next request: %v", err)
+		t.Errorf("writing the next request: got error %v, want one that marks the connection as stale", err)
 	}
 	testbed.Close(t, c)
 	if got := <-received; got != "halfrest" {
-		t.Errorf("the server received %q", got)
+		t.Errorf("got the body %q on the server, want both parts of it", got)
 	}
 }
 
-// A response that has begun and does not end fails the attempt long before the client's deadline.
+// A response that begins but does not end fails the attempt long before the client's deadline.
 func TestIncompleteResponseTimesOut(t *testing.T) {
 	for name, begin := range map[string]string{
 		"head": "HTTP/1.1 200 OK\r\nX-A: b\r\n", "body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
@@ -173,19 +174,20 @@
 					return
 				}
 				testbed.TryWrite(c, begin)
-				_, _ = c.Read(make([]byte, 1)) // until the gateway closes
+				_, _ = c.Read(make([]byte, 1)) // returns when the gateway closes the connection
 			})
 			c := newTestClient()
 			c.Start(lifecycle.Attempt{Request: putRequest(), Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + 1e9})
 			result := c.advanceUntilResult()
 			if result.Status != scheduler.StatusError || c.counters.Get(serverResponsesInvalid) != 1 {
-				t.Errorf("status %d, %d invalid", result.Status, c.counters.Get(serverResponsesInvalid))
+				t.Errorf("got status %d, want StatusError; got %d invalid responses, want 1", result.Status,
+					c.counters.Get(serverResponsesInvalid))
 			}
 		})
 	}
 }
 
-// advanceUntilResult moves the clock until an attempt ends.
+// advanceUntilResult advances the clock until an attempt ends.
 func (c *testClient) advanceUntilResult() lifecycle.AttemptResult {
 	for {
 		select {
--- a/internal/upstream/httpclient/fakeserver_test.go
+++ b/internal/upstream/httpclient/fakeserver_test.go
@@ -15,7 +15,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// behavior is what a fake server does with a request. The fuzz corpus holds the numbers.
+// behavior is what a fake server does with a request. The fuzz corpus stores the numeric values.
 type behavior byte
 
 const (
@@ -23,14 +23,14 @@
 	respondAndClose
 	internalError
 	rejectUnprocessed
-	rejectWithoutProof // that the request was not executed
+	rejectWithoutProof // without X-Unprocessed, which proves that the request was not executed
 	closeWithoutResponse
 	garbageAndClose
 	halfResponse
 	tooLargeBody
 	invalidHeaders
 
-	// These leave the connection open.
+	// After the following behaviors, the server leaves the connection open.
 
 	noise
 	hugeLength
@@ -40,7 +40,7 @@
 	duplicateResponse
 	noiseAfterResponse
 
-	// The end of the connection is the end of these responses; a reset is none.
+	// The following responses have no length: they end when the connection is closed. A reset does not end them.
 
 	noLength
 	noLengthReset
@@ -48,10 +48,10 @@
 	behaviorCount
 )
 
-// asPUT marks a behavior in a fuzz script whose request is a PUT.
+// asPUT is added to a behavior in a fuzz script if the request is a PUT; otherwise it is a GET.
 const asPUT behavior = 128
 
-// expectedStatus is how an attempt ends, by the behavior of its server.
+// expectedStatus is the status of an attempt, by the behavior of its server.
 var expectedStatus = [behaviorCount]scheduler.Status{
 	respond:              scheduler.StatusOK,
 	respondAndClose:      scheduler.StatusOK,
@@ -74,7 +74,7 @@
 	noLengthReset:        scheduler.StatusConnectionReset,
 }
 
-// fakeServer is a storage server that handles each request by the next behavior it is given.
+// fakeServer is a storage server that handles each request by the next behavior from a channel.
 type fakeServer struct {
 	addr      string
 	behaviors chan behavior
@@ -87,7 +87,7 @@
 	return s
 }
 
-// serve handles the requests of a connection until a behavior ends it.
+// serve handles the requests on a connection until a behavior closes it.
 func (s *fakeServer) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
@@ -107,7 +107,7 @@
 	}
 }
 
-// closesConnection reports whether a behavior ends the connection after the response.
+// closesConnection reports whether a behavior closes the connection after the response.
 func closesConnection(b behavior) bool {
 	switch b {
 	case respondAndClose, closeWithoutResponse, noLength, noLengthReset, garbageAndClose, halfResponse:
@@ -116,7 +116,7 @@
 	return false
 }
 
-// writeWithLength writes the response of a behavior that is well-formed. It returns false if it is not.
+// writeWithLength writes the response of a behavior if it is a complete response with a valid length. Otherwise it returns false.
 func writeWithLength(c net.Conn, b behavior, echo string) bool {
 	write := func(status string, body string, headers ...string) {
 		testbed.TryWrite(c, fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
@@ -146,14 +146,14 @@
 	return true
 }
 
-// writeRaw writes the bytes of a behavior whose response is malformed, cut off, or followed by more.
+// writeRaw writes the bytes of a behavior whose response has no length, is malformed, incomplete, or followed by other data.
 func writeRaw(c net.Conn, b behavior, echo string) {
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(echo), echo)
 	switch b {
 	case noLength, noLengthReset:
 		testbed.TryWrite(c, "HTTP/1.1 200 OK\r\n\r\n"+echo)
 		if b == noLengthReset {
-			_ = c.(*net.TCPConn).SetLinger(0) // if it fails there is no reset, and the attempt's status is wrong
+			_ = c.(*net.TCPConn).SetLinger(0) // if this fails, there is no reset, and the test fails on the attempt's status
 		}
 	case garbageAndClose:
 		testbed.TryWrite(c, "what?\r\n\r\n")
--- a/internal/upstream/httpclient/framing.go
+++ b/internal/upstream/httpclient/framing.go
@@ -9,30 +9,30 @@
 	"gaugerelay/internal/httpmessage"
 )
 
-// headEnd separates the head of a request or response from its body.
-var headEnd = []byte("\r\n\r\n")
+// headTerminator separates the head of a request or response from its body.
+var headTerminator = []byte("\r\n\r\n")
 
-// statusLinePrefix is what each response begins with.
+// statusLinePrefix begins the status line of every response.
 var statusLinePrefix = []byte("HTTP/1.")
 
-// unknownLength is the body length of a head that does not give one.
+// unknownLength is the value of bodyLeft for a head without Content-Length.
 const unknownLength = -1
 
-// responseFraming finds the end of the response to one request. The zero value awaits the first byte.
+// responseFraming finds the end of the response to one request. The zero value is ready for the first byte.
 type responseFraming struct {
-	head         []byte // the head so far; nil once complete
-	interimBytes int    // bytes of interim (1xx) heads before it
-	inBody       bool
-	bodyLeft     int  // bytes of the body still to come, once inBody
-	endUnknown   bool // the end cannot be found here, so no request may follow on the connection
+	head         []byte // bytes received of the head; nil once the head is complete
+	interimBytes int    // size of the heads of the interim (1xx) responses so far
+	inBody       bool   // the final head is complete
+	bodyLeft     int    // bytes of the body still to be received; valid if inBody is set
+	endUnknown   bool   // the end of the body cannot be found, so the connection must not carry another request
 }
 
-// feed takes the next bytes of a connection. It returns how many of them belong to the response and whether they complete
-// it, or errInvalidResponse.
-func (f *responseFraming) feed(p []byte) (n int, complete bool, err error) {
+// feed takes the next bytes that were read from a connection. It returns how many of them belong to the response, and whether
+// they complete it. The error is errInvalidResponse.
+func (f *responseFraming) feed(p []byte) (consumed int, complete bool, err error) {
 	for !f.inBody {
 		buffered := len(f.head)
-		f.head = append(f.head, p[n:]...)
+		f.head = append(f.head, p[consumed:]...)
 		end, err := f.findHeadEnd()
 		if err != nil {
 			return 0, false, err
@@ -40,7 +40,7 @@
 		if end < 0 {
 			return len(p), false, nil
 		}
-		n += end - buffered
+		consumed += end - buffered
 		if err := f.parseHead(f.head[:end]); err != nil {
 			return 0, false, err
 		}
@@ -49,23 +49,23 @@
 	if f.endUnknown {
 		return len(p), false, nil
 	}
-	bodyBytes := min(f.bodyLeft, len(p)-n)
+	bodyBytes := min(f.bodyLeft, len(p)-consumed)
 	f.bodyLeft -= bodyBytes
-	return n + bodyBytes, f.bodyLeft == 0, nil
+	return consumed + bodyBytes, f.bodyLeft == 0, nil
 }
 
-// findHeadEnd returns the length of the buffered head, or a negative number if it is incomplete.
+// findHeadEnd returns the length of the buffered head including its terminator, or a negative number if it is incomplete.
 func (f *responseFraming) findHeadEnd() (end int, err error) {
 	known := min(len(f.head), len(statusLinePrefix))
 	if !bytes.Equal(f.head[:known], statusLinePrefix[:known]) {
 		return 0, errInvalidResponse
 	}
-	if end = bytes.Index(f.head, headEnd); end >= 0 {
-		return end + len(headEnd), nil
+	if end = bytes.Index(f.head, headTerminator); end >= 0 {
+		return end + len(headTerminator), nil
 	}
-	bareHeadEnd := []byte("\n\n") // net/http accepts it, too
-	if end = bytes.Index(f.head, bareHeadEnd); end >= 0 {
-		return end + len(bareHeadEnd), nil
+	bareHeadTerminator := []byte("\n\n") // net/http accepts line feeds without carriage returns, too
+	if end = bytes.Index(f.head, bareHeadTerminator); end >= 0 {
+		return end + len(bareHeadTerminator), nil
 	}
 	if len(f.head)+f.interimBytes > maxHeadBytes {
 		return 0, errInvalidResponse
@@ -73,7 +73,8 @@
 	return -1, nil
 }
 
-// parseHead reads a complete head to find the end of its body. The transport parses it too and finds further faults.
+// parseHead parses a complete head to find the end of the body. Other errors in the head are left to the transport, which
+// parses it again.
 func (f *responseFraming) parseHead(head []byte) error {
 	lines := strings.Split(string(head), "\n")
 	code, err := statusCode(lines[0])
@@ -106,13 +107,13 @@
 		return 0, errInvalidResponse
 	}
 	code, err := strconv.Atoi(fields[1])
-	if err != nil || code == http.StatusSwitchingProtocols { // nobody asked for an upgrade
+	if err != nil || code == http.StatusSwitchingProtocols { // the client never requests an upgrade
 		return 0, errInvalidResponse
 	}
 	return code, nil
 }
 
-// parseHeader takes the length of the body from a header line. Other headers are ignored.
+// parseHeader reads how the body is delimited from a header line. Other headers are ignored.
 func (f *responseFraming) parseHeader(line string) error {
 	name, value, _ := strings.Cut(line, ":")
 	switch value = strings.TrimSpace(value); {
@@ -120,7 +121,7 @@
 		f.endUnknown = true
 	case strings.EqualFold(name, "Content-Length"):
 		length, err := strconv.ParseUint(value, 10, 63)
-		// A body that is too long is not worth reading at all.
+		// A body above the size limit is rejected before it is read.
 		if err != nil || f.bodyLeft >= 0 && f.bodyLeft != int(length) || length > httpmessage.MaxBodyBytes {
 			return errInvalidResponse
 		}
--- a/internal/upstream/httpclient/framing_test.go
+++ b/internal/upstream/httpclient/framing_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzResponseFraming: however a response is cut into pieces, its end is found at the same byte, and what follows the end is
-// never taken for part of it.
+// FuzzResponseFraming checks that the end of a response is found at the same byte, however the response is split into reads, and
+// that data after the end is not taken for a part of the response.
 func FuzzResponseFraming(f *testing.F) {
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 200 OK\r\n\r\n", byte(5))
 	f.Add("HTTP/1.1 503 no\r\ncontent-length:0\r\n\r\n", byte(1))
@@ -14,12 +14,13 @@
 		n, complete, err := feedInPieces(text, max(1, len(text)))
 		n2, complete2, err2 := feedInPieces(text, int(piece)+1)
 		if complete != complete2 || (err == nil) != (err2 == nil) || err == nil && n != n2 {
-			t.Errorf("%d %v %v in one piece, %d %v %v in pieces of %d", n, complete, err, n2, complete2, err2, int(piece)+1)
+			t.Errorf("got length %d, complete %v, error %v in one piece, but %d, %v, %v in pieces of %d bytes; want the same",
+				n, complete, err, n2, complete2, err2, int(piece)+1)
 		}
 	})
 }
 
-// feedInPieces feeds a text to a responseFraming until its end is found.
+// feedInPieces feeds a text to a responseFraming, size bytes at a time, until the end of the response is found.
 func feedInPieces(text string, size int) (n int, complete bool, err error) {
 	f := &responseFraming{}
 	for p := []byte(text); len(p) > 0 && !complete && err == nil; {
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -13,7 +13,8 @@
 	"gaugerelay/internal/testbed"
 )
 
-// recordRequests starts a server that answers each request with 200 and sends its exact bytes to the channel.
+// recordRequests starts a server that answers each request with status 200 and sends the exact bytes of the request to the
+// channel.
 func recordRequests(t *testing.T) (addr string, requests <-chan []byte) {
 	t.Helper()
 	recorded := make(chan []byte, 16)
@@ -65,7 +66,7 @@
 	}
 }
 
-// The second of two attempts on a connection is written like the first.
+// The second attempt on a connection is written in the same form as the first.
 func TestGoldenSecondAttemptOnConnection(t *testing.T) {
 	addr, requests := recordRequests(t)
 	c := newTestClient()
--- a/internal/upstream/httpclient/probe.go
+++ b/internal/upstream/httpclient/probe.go
@@ -17,8 +17,8 @@
 	loadReportPath = "/status/load"
 )
 
-// Probe asks a server for its load, or for its health if there are no load report fields. It does not block; the result goes
-// to the ResultHandler.
+// Probe requests the load report of a server, or its health if Options.LoadReportFields is empty. It does not block; the result
+// goes to the ResultHandler.
 func (c *Client) Probe(server *lifecycle.Server) {
 	path := healthPath
 	if len(c.options.LoadReportFields) > 0 {
@@ -31,7 +31,7 @@
 	}()
 }
 
-// probe sends a probe and waits for its response. The report is nil if there is none.
+// probe sends a probe and waits for its response. The report is nil if the response has no valid one.
 func (c *Client) probe(server *lifecycle.Server, path string) (status scheduler.Status, report []float64) {
 	if server.Closed() {
 		return scheduler.StatusConnectFailed, nil
--- a/internal/upstream/httpclient/probe_test.go
+++ b/internal/upstream/httpclient/probe_test.go
@@ -19,7 +19,7 @@
 	} {
 		server.behaviors <- test.behavior
 		if c.Probe(&lifecycle.Server{Addr: server.addr}); <-c.results.probes != test.want {
-			t.Errorf("behavior %d: not %d", test.behavior, test.want)
+			t.Errorf("probe of a server with behavior %d: the status is not the expected %d", test.behavior, test.want)
 		}
 	}
 }
--- a/internal/upstream/httpclient/response.go
+++ b/internal/upstream/httpclient/response.go
@@ -11,15 +11,15 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Headers of responses.
+// Names of response headers.
 const (
 	unprocessedHeader  = "X-Unprocessed"
-	volumeUsageHeader  = "X-Volume-Use"       // percent of the volume's rate
-	foreignUnitsHeader = "X-Served-Elsewhere" // units that other gateways were served
-	loadReportHeader   = "X-Backend-Load"     // a JSON object
+	volumeUsageHeader  = "X-Volume-Use"       // used part of the volume's rate, in percent
+	foreignUnitsHeader = "X-Served-Elsewhere" // units that the server served to other gateways
+	loadReportHeader   = "X-Backend-Load"     // load of the server, as a JSON object
 )
 
-// maxReportedNumber bounds the numbers that servers report.
+// maxReportedNumber bounds the numbers that servers may report.
 const maxReportedNumber = 1e9
 
 // readResult converts a response to the result of its attempt.
@@ -46,7 +46,7 @@
 		response.Header.Get(unprocessedHeader) == "1"
 }
 
-// readHeaders stores what a response's headers report. Headers that cannot be read are counted and ignored.
+// readHeaders stores the values of the response's headers in result. Invalid headers are counted and ignored.
 func (c *Client) readHeaders(result *lifecycle.AttemptResult, header http.Header) {
 	if percent, ok := c.parseNumber(header.Get(volumeUsageHeader)); ok {
 		result.VolumeUsage, result.HasVolumeUsage = percent/100, true
@@ -57,7 +57,7 @@
 	}
 }
 
-// parseNumber parses the number in a header. It returns false if the text is empty or, which is counted, invalid.
+// parseNumber parses the number in a header. It returns false if the text is empty or invalid, and counts invalid ones.
 func (c *Client) parseNumber(text string) (number float64, ok bool) {
 	if text == "" {
 		return 0, false
@@ -70,8 +70,8 @@
 	return number, true
 }
 
-// parseLoadReport returns the numbers of a load report in the order of Options.LoadReportFields, or nil, which is counted,
-// if one of them is missing or invalid: read as 0 it would report an idle server.
+// parseLoadReport returns the numbers of a load report in the order of Options.LoadReportFields. If one of them is missing or
+// invalid, it counts an invalid header and returns nil: a missing number that is read as 0 would report an idle server.
 func (c *Client) parseLoadReport(text string) []float64 {
 	object, err := fastjson.Parse(text)
 	if err != nil || object.Type() != fastjson.TypeObject {
@@ -90,7 +90,7 @@
 	return report
 }
 
-// numberField returns a number of a JSON object, or false if it is missing or invalid.
+// numberField returns the number in a field of a JSON object, or false if it is missing or invalid.
 func numberField(object *fastjson.Value, name string) (number float64, ok bool) {
 	value := object.Get(name)
 	if value == nil {
@@ -100,5 +100,5 @@
 	return number, err == nil && isReportable(number)
 }
 
-// isReportable reports whether a number is in the range that servers may report. NaN is not.
+// isReportable reports whether a number is in the range that servers may report. It returns false for NaN.
 func isReportable(number float64) bool { return number >= 0 && number < maxReportedNumber }
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -89,7 +89,8 @@
 	}
 	server.script <- respondOK
 	if result := <-results; result.Status != scheduler.StatusOK || waitIdle() == first {
-		t.Errorf("second attempt: got status %d, want StatusOK; expired session was reused: %v, want false", result.Status, waitIdle() == first)
+		t.Errorf("second attempt: got status %d, want StatusOK; expired session was reused: %v, want false", result.Status,
+			waitIdle() == first)
 	}
 }
 
