--- a/internal/coapwire/block.go
+++ b/internal/coapwire/block.go
@@ -2,10 +2,10 @@
 
 import "github.com/plgd-dev/go-coap/v3/message"
 
-// BERTBlockSize is the unit, in bytes, in which a Block option with BERT counts (RFC 8323, 6).
+// BERTBlockSize is the size, in bytes, of the blocks that a Block option with BERT counts (RFC 8323, section 6).
 const BERTBlockSize = 1024
 
-// The value of a Block option (RFC 7959, 2.2): the block number, the flag "more", and the size exponent.
+// Layout of the value of a Block option (RFC 7959, section 2.2): the block number, the flag "more", and the size exponent.
 const (
 	sizeExponentMask = 0x7
 	sizeExponentBERT = 7
@@ -13,18 +13,18 @@
 	numberShift      = 4
 	maxBlockNumber   = 1<<20 - 1
 	minBlockSize     = 16
-	maxBlockLength   = 3 // bytes of the value
+	maxBlockLength   = 3 // maximum length of the value in bytes
 )
 
-// Block is the value of a Block1 or Block2 option: which part of a body a message carries or asks for.
+// Block is the value of a Block1 or Block2 option. It says which part of a body a message carries or requests.
 type Block struct {
-	Offset int  // bytes before the part
-	Size   int  // bytes of the block; with BERT the unit, while the part may hold several
-	More   bool // further parts follow
-	BERT   bool
+	Offset int  // start of the part in the body, in bytes
+	Size   int  // block size in bytes; with BERT, a part may hold several blocks of this size
+	More   bool // further parts follow this one
+	BERT   bool // the part uses Block-wise Extension for Reliable Transport
 }
 
-// DecodeBlock decodes the value of a Block option. It returns false if the value is not one.
+// DecodeBlock decodes the value of a Block option. It returns false if the value is too long.
 func DecodeBlock(encoded []byte) (Block, bool) {
 	value, ok := DecodeUint(encoded)
 	if !ok || len(encoded) > maxBlockLength {
@@ -43,7 +43,7 @@
 	return block, true
 }
 
-// Option returns the block as an option with the ID of Block1 or Block2. Size must be a power of two from 16 to 1024.
+// Option encodes the block as an option with the given ID, which is Block1 or Block2. Size must be a power of two from 16 to 1024.
 func (b Block) Option(id message.OptionID) message.Option {
 	exponent := uint32(sizeExponentBERT)
 	if !b.BERT {
--- a/internal/coapwire/message.go
+++ b/internal/coapwire/message.go
@@ -1,8 +1,8 @@
 // Package coapwire encodes and decodes the messages of CoAP over TCP (RFC 8323) for both ends: the gateway's server and
-// the devices that tests connect to it. It adds to the message format of go-coap what that leaves out: the length of a
-// frame that has arrived in part, the values of Block options (RFC 7959) and the gateway's own option numbers.
+// the devices that tests connect to it. It adds what go-coap lacks: the length of a frame that has arrived only in part, the
+// values of Block options (RFC 7959), and the option numbers that the gateway defines.
 //
-// The package keeps no state and starts no goroutines; all its functions may be called from anywhere.
+// The package has no state and starts no goroutine. Its functions may be called from any goroutine.
 package coapwire
 
 import (
@@ -13,14 +13,15 @@
 	"github.com/plgd-dev/go-coap/v3/tcp/coder"
 )
 
-// DefaultMaxMessageSize is the largest message, in bytes, that a peer accepts until its CSM says otherwise (RFC 8323, 5.3.1).
+// DefaultMaxMessageSize is the largest message, in bytes, that a peer accepts until its CSM gives another limit (RFC 8323,
+// section 5.3.1).
 const DefaultMaxMessageSize = 1152
 
-// maxOptions is the number of options that Decode accepts in one message.
+// maxOptions is the maximum number of options that Decode accepts in one message.
 const maxOptions = 48
 
-// The first byte of a frame (RFC 8323, 3.2): the length of options and payload, or how many bytes follow to give it, and
-// the length of the token.
+// Layout of the first byte of a frame (RFC 8323, section 3.2). The upper half is the length of the options and the payload, or
+// one of the values below, which say that the length follows as a number of that size. The lower half is the token's length.
 const (
 	lengthShift     = 4
 	tokenLengthMask = 0x0f
@@ -30,11 +31,11 @@
 	length32Bit = 15
 )
 
-// ErrMalformed reports bytes that are not a message. Its text is sent to devices, so it has no package prefix.
+// ErrMalformed reports bytes that are not a valid message. Its text is sent to devices and therefore has no package prefix.
 var ErrMalformed = errors.New("malformed message")
 
-// FrameLength returns the length in bytes of the frame that buf begins with, or 0 if its header has not arrived
-// completely. The frame itself may be longer than buf. An error wraps ErrMalformed.
+// FrameLength returns the length in bytes of the frame at the start of buf, or 0 if buf does not contain the whole header of
+// the frame. The frame itself may be longer than buf. An error wraps ErrMalformed.
 func FrameLength(buf []byte) (int, error) {
 	if len(buf) == 0 {
 		return 0, nil
@@ -63,7 +64,7 @@
 }
 
 // Decode decodes exactly one frame. The options and the payload of the message share memory with frame. Unknown options
-// are kept: the caller decides which of them it must reject. An error wraps ErrMalformed.
+// are kept, so that the caller can decide which of them it must reject. An error wraps ErrMalformed.
 func Decode(frame []byte) (*message.Message, error) {
 	var header coder.MessageHeader
 	if _, err := coder.DefaultCoder.DecodeHeader(frame, &header); err != nil {
@@ -86,8 +87,8 @@
 	return decoded, nil
 }
 
-// Encode encodes a message as one frame. It panics if a token or an option cannot be encoded, which is a programming
-// error: neither is taken from a peer.
+// Encode encodes a message as one frame. It panics if the token or an option cannot be encoded. This is a programming error;
+// data from a peer cannot cause it.
 func Encode(m message.Message) []byte {
 	size, err := coder.DefaultCoder.Size(m)
 	if err != nil {
--- a/internal/coapwire/options.go
+++ b/internal/coapwire/options.go
@@ -6,25 +6,25 @@
 	"github.com/plgd-dev/go-coap/v3/message"
 )
 
-// Options of the gateway's own, from the range that RFC 7252 reserves for experiments. An option with an odd number is
-// critical: a receiver that does not know it must reject the request.
+// Numbers of the options that the gateway defines, from the range that RFC 7252 reserves for experiments. An option with an odd
+// number is critical: a receiver that does not know it must reject the request.
 const (
-	OptDevice          message.OptionID = 65001 // string: name of the device; applies to the rest of the connection
-	OptTimeLeft        message.OptionID = 65005 // uint: milliseconds that the device waits for the response, from its sending
-	OptIdempotencyKey  message.OptionID = 65009 // string: upload key of a write, request ID of a read
+	OptDevice          message.OptionID = 65001 // string: name of the device, also for all later requests on the connection
+	OptTimeLeft        message.OptionID = 65005 // uint: milliseconds from the sending of the request until the device stops waiting
+	OptIdempotencyKey  message.OptionID = 65009 // string: upload key of a write, or request ID of a read
 	OptPlan            message.OptionID = 65013 // string: plan of the volume
 	OptIO              message.OptionID = 65017 // string: volume, units, shard and hosts, as in the HTTP header X-IO
-	OptRetry           message.OptionID = 65021 // empty: the request has been sent before, to its last byte
+	OptRetry           message.OptionID = 65021 // empty: the request has been sent completely before
 	OptAge             message.OptionID = 65024 // uint: milliseconds since the request was first sent
 	OptBufferedBytes   message.OptionID = 65028 // uint, in 4.08: bytes of the upload that the gateway has buffered
-	OptGatewayName     message.OptionID = 65032 // string, in the gateway's CSM: name of this run of the gateway
-	OptPreviousGateway message.OptionID = 65036 // string: OptGatewayName of the gateway that all earlier copies were sent to
+	OptGatewayName     message.OptionID = 65032 // string, in the gateway's CSM: name of the gateway, which differs at each start
+	OptPreviousGateway message.OptionID = 65036 // string: OptGatewayName of the gateway that all earlier transmissions went to
 )
 
-// maxUintLength is the length in bytes of the longest uint option value (RFC 7252, 3.2).
+// maxUintLength is the maximum length of a uint option value in bytes (RFC 7252, section 3.2).
 const maxUintLength = 4
 
-// UintOption returns an option with a number as its value, in the fewest bytes: none for zero.
+// UintOption returns an option with a number as its value. The number is encoded in the fewest bytes possible; zero has none.
 func UintOption(id message.OptionID, value uint32) message.Option {
 	var encoded [maxUintLength]byte
 	binary.BigEndian.PutUint32(encoded[:], value)
@@ -35,7 +35,7 @@
 	return message.Option{ID: id, Value: encoded[first:]}
 }
 
-// DecodeUint decodes the value of a number option. It returns false if the value is too long to be one.
+// DecodeUint decodes the value of a uint option. It returns false if the value is too long.
 func DecodeUint(encoded []byte) (value uint32, ok bool) {
 	if len(encoded) > maxUintLength {
 		return 0, false
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -1,6 +1,6 @@
-// Package platformsettings translates the platform's settings into scheduler.Settings. The platform gives them in two forms,
-// as JSON in its configuration file and as pairs on the simulator's wire; the names of the settings are the same in both, and
-// this package alone translates them.
+// Package platformsettings translates the platform's settings into scheduler.Settings. The platform gives them in two formats: as
+// JSON in its configuration file, and as pairs of path and value on the simulator's wire. The settings have the same names in
+// both. No other package knows these names.
 //
 // The package has no state, does no I/O and starts no goroutine.
 package platformsettings
@@ -11,36 +11,36 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Source gives access to settings in one of their forms. A path has one name for each level. Absent settings are zero values;
-// invalid ones too, and the Source keeps the first error in the order of calls.
+// Source reads settings from one of the formats. A path has one name for each level. The methods return the zero value for a
+// setting that is absent or invalid. If settings are invalid, the Source keeps the error of the call that came first.
 type Source interface {
 	Bool(path ...string) bool
 	// Count returns a whole number.
 	Count(path ...string) int
-	// Ms returns the time in milliseconds whose last name has the suffix Ms.
+	// Ms returns a time. The setting is in milliseconds, and its name is the last name of the path with the suffix Ms.
 	Ms(path ...string) time.Duration
 	Number(path ...string) float64
 	Text(path ...string) string
 
-	// Bools returns a list of bools. An invalid one is false and no error.
+	// Bools returns a list of bools. An invalid element is read as false, without an error.
 	Bools(path ...string) []bool
-	// Texts returns a list of texts.
+	// Texts returns a list of strings.
 	Texts(path ...string) []string
-	// Objects returns a list of groups of settings.
+	// Objects returns a list of groups of settings, each as a Source of its own.
 	Objects(name string) []Source
 }
 
-// idempotencies translates the effects of repeated requests.
+// idempotencies maps the platform's names to kinds of idempotency.
 var idempotencies = map[string]scheduler.Idempotency{
 	"repeatable": scheduler.Idempotent, "by_key": scheduler.IdempotentWithKey, "once": scheduler.NotIdempotent,
 }
 
-// dedupScopes translates the groups of servers that share deduplication.
+// dedupScopes maps the platform's names to deduplication scopes.
 var dedupScopes = map[string]scheduler.DedupScope{
 	"all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupShard,
 }
 
-// Read reads all settings. Unknown ones are skipped. The order of reading is fixed, because it decides which of several
+// Read reads all settings and ignores unknown ones. The order of reading must not change, because it determines which of several
 // invalid settings is reported.
 func Read(source Source) scheduler.Settings {
 	var settings scheduler.Settings
@@ -79,10 +79,10 @@
 	}
 	var ok bool
 	if class.Idempotency, ok = idempotencies[lane.Text("Idempotency")]; !ok {
-		class.Idempotency = scheduler.NotIdempotent // an unknown one is read as the strictest
+		class.Idempotency = scheduler.NotIdempotent // an unknown name is read as the strictest kind
 	}
 	if class.DedupScope, ok = dedupScopes[lane.Text("KeyScope")]; !ok {
-		class.DedupScope = scheduler.DedupShard // an unknown one is read as the narrowest
+		class.DedupScope = scheduler.DedupShard // an unknown name is read as the narrowest scope
 	}
 	return class
 }
@@ -104,7 +104,8 @@
 	return plans
 }
 
-// readDeployment reads the sizes of the deployment and the weights of shared capacity.
+// readDeployment reads the size of the deployment, the sizes of requests, the weights of shared capacity, and how endpoint lists
+// arrive.
 func readDeployment(settings *scheduler.Settings, source Source) {
 	settings.Gateways = source.Count("Siblings")
 	settings.Shards = source.Count("FamilyInfo", "NShards")
@@ -116,7 +117,7 @@
 	settings.MaxPollInterval = source.Ms("Invariants", "AskWithin")
 }
 
-// readAttemptLimits reads the limits of attempts.
+// readAttemptLimits reads the limits of attempts, and the grace periods after a deadline and in a drain.
 func readAttemptLimits(settings *scheduler.Settings, source Source) {
 	settings.MaxAttempts = source.Count("Limits", "AttemptsCap")
 	settings.AllowHedging = source.Bool("Limits", "MayDuplicate")
@@ -129,7 +130,7 @@
 	settings.DrainGrace = source.Ms("Invariants", "DrainGrace")
 }
 
-// readServerLimits reads the limits of servers after a start and after failures.
+// readServerLimits reads the limits for servers in slow start, and the pause of an ordered key after a failed attempt.
 func readServerLimits(settings *scheduler.Settings, source Source) {
 	settings.InitialCapacity = source.Number("Invariants", "StartCapacity")
 	settings.SlowStartDuration = source.Ms("Invariants", "RampTime")
@@ -139,7 +140,7 @@
 	settings.KeyCooldown = source.Ms("Invariants", "KeyRest")
 }
 
-// readBudgets reads the retry budget, what servers report and how often the scheduler may run.
+// readBudgets reads the retry budget, what servers report, and the minimum time between two steps of the scheduler.
 func readBudgets(settings *scheduler.Settings, source Source) {
 	settings.RetryBudgetMin = source.Number("Invariants", "ExtraFloor")
 	settings.RetryBudgetRatio = source.Number("Invariants", "ExtraRatio")
--- a/internal/sftpwire/command.go
+++ b/internal/sftpwire/command.go
@@ -5,9 +5,9 @@
 // Op is the operation of a Command.
 type Op uint8
 
-// The operations.
+// Operations on files.
 const (
-	// OpOpen checks, creates or truncates a file. Its handle is closed again at once.
+	// OpOpen opens a file to check, create or truncate it. The handle is closed immediately.
 	OpOpen Op = iota
 	// OpRead reads a range of a file.
 	OpRead
@@ -17,7 +17,7 @@
 	OpStat
 )
 
-// String returns the name of the operation in the protocol's draft.
+// String returns the name of the operation's packet type in the protocol's draft.
 func (o Op) String() string {
 	switch o {
 	case OpOpen:
@@ -32,30 +32,30 @@
 	return fmt.Sprintf("Op(%d)", uint8(o))
 }
 
-// Command is the payload of a request that is sent to the SFTP port of a storage server. A Command names its file by path:
-// OpRead and OpWrite open a handle of their own.
+// Command is the payload of a request that is sent to the SFTP port of a storage server. A Command names its file by path, not by
+// handle: OpRead and OpWrite open and close the file themselves.
 type Command struct {
 	Op Op
-	// Path is absolute and clean.
+	// Path is absolute and normalized.
 	Path string
 	// Flags are the flags of an OpOpen.
 	Flags uint32
-	// Offset is where the range of an OpRead or OpWrite begins, in bytes.
+	// Offset is the start of the range of an OpRead or OpWrite, in bytes.
 	Offset uint64
-	// Length is the number of bytes of an OpRead.
+	// Length is the number of bytes that an OpRead requests.
 	Length uint32
-	// Data holds the bytes of an OpWrite.
+	// Data holds the bytes that an OpWrite writes.
 	Data []byte
-	// UploadKey is an idempotency key: the servers of one shard drop a repetition of a command with the same key. It is
-	// empty for commands that change nothing.
+	// UploadKey is an idempotency key: the servers of one shard drop a command whose key they have seen before. It is empty for
+	// commands that change nothing.
 	UploadKey string
 }
 
 // Reply is a server's response to a Command.
 type Reply struct {
-	// Code is StatusOK for a response that has no status code of its own.
+	// Code is StatusOK if the response has no status code, because it is not a STATUS packet.
 	Code StatusCode
-	// Message is the text of a STATUS packet.
+	// Message is the error message of a STATUS packet.
 	Message string
 	// Data holds the bytes that an OpRead returned.
 	Data []byte
@@ -68,10 +68,10 @@
 
 // Attrs are the attributes of a file.
 type Attrs struct {
-	// Size is in bytes.
+	// Size is the size of the file in bytes.
 	Size uint64
 	// Mode holds the permission bits and the type of the file, as in POSIX.
 	Mode uint32
-	// Mtime is the time of the last modification, in seconds since 1970.
+	// Mtime is the time of the last modification, in seconds since the start of 1970 UTC.
 	Mtime uint32
 }
--- a/internal/sftpwire/sftpwire.go
+++ b/internal/sftpwire/sftpwire.go
@@ -1,18 +1,18 @@
 // Package sftpwire defines what the SFTP frontend and the SFTP upstream share: commands, replies, and the constants of SFTP
-// version 3 (draft-ietf-secsh-filexfer-02).
+// version 3 (draft-ietf-secsh-filexfer-02). The frontend and the upstream do not import each other.
 //
-// The package has no state and starts no goroutine. The frontend and the upstream do not import each other.
+// The package has no state and starts no goroutine.
 package sftpwire
 
-// Limits of packets, in bytes.
+// Packet limits, in bytes.
 const (
 	// MaxData bounds the data of a READ or a WRITE.
 	MaxData = 64 << 10
-	// MaxPacket bounds a packet with its headers, but without the four bytes that hold its length.
+	// MaxPacket bounds a packet including its other fields, but excluding the four-byte length field.
 	MaxPacket = MaxData + 4<<10
 )
 
-// Flags of an OPEN, as the bits of Command.Flags.
+// Flags of an OPEN, which are the bits of Command.Flags.
 const (
 	FlagRead      = 1
 	FlagWrite     = 2
@@ -25,6 +25,6 @@
 const (
 	// AttrUploadKey names the attribute that holds Command.UploadKey.
 	AttrUploadKey = "upload-key@gaugerelay"
-	// AttrTimeLeft names the attribute that holds the milliseconds until the deadline, in decimal.
+	// AttrTimeLeft names the attribute that holds the remaining time, in milliseconds, as a decimal number.
 	AttrTimeLeft = "time-left-ms@gaugerelay"
 )
--- a/internal/sftpwire/status.go
+++ b/internal/sftpwire/status.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// StatusCode is the code of a STATUS packet. Servers may send codes that have no name here.
+// StatusCode is the code of a STATUS packet. Servers may send codes other than the constants below.
 type StatusCode uint32
 
 // The status codes of version 3 that the gateway sends or interprets.
@@ -16,11 +16,11 @@
 	StatusUnsupported      StatusCode = 8
 )
 
-// UnprocessedPrefix begins the message of a StatusFailure by which a server rejects a command that it has not executed.
-// Version 3 has no status code for that.
+// UnprocessedPrefix begins the message of a STATUS with StatusFailure if the server rejected the command without executing it.
+// SFTP version 3 has no status code for this case.
 const UnprocessedPrefix = "unprocessed"
 
-// String returns the name of the code in the protocol's draft, or its number if it has no name here.
+// String returns the name of the code in the protocol's draft, or its number if it is not one of the constants.
 func (c StatusCode) String() string {
 	switch c {
 	case StatusOK:
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -6,12 +6,12 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Lines that begin an item of a batch.
+// Names of the lines that begin an item of a batch.
 const (
 	lineInstanceOpened  = "OPEN_INSTANCE"
 	lineInstanceKilled  = "KILL"
 	lineEndpointUpdate  = "BACKENDS_CHANGED"
-	lineEndpoint        = "ITEM" // follows lineEndpointUpdate, once for each server
+	lineEndpoint        = "ITEM" // one for each server, after lineEndpointUpdate
 	lineRequestArrived  = "NEW_REQUEST"
 	lineTimerFired      = "REMINDER"
 	lineResponseStarted = "STREAMING"
@@ -20,26 +20,27 @@
 	lineAttemptEnded    = "CLOSED_ATTEMPT"
 )
 
-// statuses translates the wire's status codes.
+// statuses maps the status codes of the wire.
 var statuses = map[uint64]scheduler.Status{
 	10: scheduler.StatusOK, 20: scheduler.StatusError, 30: scheduler.StatusOverloaded, 40: scheduler.StatusTimedOut,
 	50: scheduler.StatusConnectFailed, 60: scheduler.StatusConnectionReset, 70: scheduler.StatusCanceled, 80: scheduler.StatusNotSent,
 }
 
-// updateKinds translates the wire's scopes of endpoint lists.
+// updateKinds maps the wire's scopes of endpoint lists.
 var updateKinds = map[string]scheduler.UpdateKind{
 	"patch": scheduler.Delta, "whole": scheduler.Snapshot, "stale_copy": scheduler.CachedSnapshot, "broken": scheduler.WatchFailed,
 }
 
-// serverStates translates the wire's states of servers.
+// serverStates maps the wire's names of server states.
 var serverStates = map[string]scheduler.ServerState{
 	"live": scheduler.Ready, "quiescing": scheduler.Draining, "dead": scheduler.Removed,
 }
 
-// retryOption is the bit of NEW_REQUEST's options that marks a retry of the client.
+// retryOption is the bit in the options of NEW_REQUEST that marks a retry by the client.
 const retryOption = 2
 
-// parseItem parses the item that begins with a line, and reads the lines that belong to it. Unknown items are not known.
+// parseItem parses the item that begins with the line, and reads the further lines that belong to it. known is false if the
+// item is of an unknown type.
 func (r *Reader) parseItem(line *fieldParser) (item Item, known bool, err error) {
 	switch line.name {
 	case lineInstanceOpened:
@@ -74,7 +75,7 @@
 	request := scheduler.RequestArrived{ID: parseRequestID(line), Class: line.text("TierClass"), Plan: line.optionalText(),
 		Key: scheduler.NoKey}
 	if key := line.optionalText(); key != "" {
-		line.err = nil // the wire's behaviour is fixed: a key hides errors of the values before it
+		line.err = nil // a key discards errors of the values before it; this is fixed behavior of the wire
 		request.Key = line.parseInteger("Region", key, wordBits)
 	}
 	request.Remaining = line.ms("TtlMs")
@@ -86,7 +87,7 @@
 	return request
 }
 
-// parseShard returns -1 for a request without a shard.
+// parseShard parses the shard of a request, and returns -1 if it has none.
 func parseShard(line *fieldParser) int {
 	shard := line.optionalText()
 	if shard == "" {
@@ -117,7 +118,7 @@
 func parseAttemptEnded(line *fieldParser) scheduler.AttemptEnded {
 	attempt := scheduler.AttemptEnded{ID: parseRequestID(line)}
 	attempt.Latency = line.optionalMs("LagMs")
-	if usage := line.optionalNumber("VolumeUse"); usage > 0 { // in percent, plus one: 0 is absent
+	if usage := line.optionalNumber("VolumeUse"); usage > 0 { // the value is the percentage plus 1, because 0 means that it is absent
 		attempt.VolumeUsage, attempt.HasVolumeUsage = (usage-1)/100, true
 	}
 	attempt.RequestDone = line.optionalText() == "1"
@@ -147,7 +148,7 @@
 	return status
 }
 
-// parseEndpointUpdate parses the values of lineEndpointUpdate, and the lines of its servers that follow it.
+// parseEndpointUpdate parses the values of lineEndpointUpdate, and reads the lines of its servers, which follow it.
 func (r *Reader) parseEndpointUpdate(line *fieldParser) (scheduler.Event, error) {
 	update := scheduler.EndpointUpdate{Version: line.optionalInteger("Epoch", wordBits)}
 	scope := line.text("Scope")
@@ -173,7 +174,7 @@
 	server := scheduler.Server{Size: line.optionalNumber("Share")}
 	state, ok := serverStates[line.text("Readiness")]
 	if !ok {
-		state = scheduler.Draining // a state of a later version: the server is known, and gets no new requests
+		state = scheduler.Draining // an unknown state of a later version: the server is listed, but gets no new requests
 	}
 	server.State = state
 	server.Kind = line.optionalText()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// absent stands for a value that is not there.
+// absent is the text of an absent value.
 const absent = "-"
 
 // Sizes of integers on the wire, in bits.
 const (
-	countBits   = 31 // of counts and numbers of instances and attempts
-	idBits      = 32 // of requests and servers
-	optionsBits = 63 // of bit sets and timers
-	wordBits    = 64 // of versions, volumes, keys and seeds
+	countBits   = 31 // counts, instance numbers and attempt numbers
+	idBits      = 32 // request IDs, server IDs and status codes
+	optionsBits = 63 // bit sets and timer keys
+	wordBits    = 64 // versions, volumes, ordering keys and seeds
 )
 
-// fieldParser consumes the values of one line from left to right. Its methods return zero values for what is absent or
-// malformed, and the first error is kept in err.
+// fieldParser consumes the values of one line from left to right. Its methods return the zero value for a value that is absent
+// or malformed, and keep the first error in err. Their parameter field names the value in that error.
 type fieldParser struct {
-	name   string // of the line
-	values []string
+	name   string   // name of the line
+	values []string // values that are not consumed yet
 	err    error
 }
 
-// fail records an error unless there already is one.
+// fail records an error unless an earlier one is recorded.
 func (p *fieldParser) fail(err error) {
 	if p.err == nil {
 		p.err = err
 	}
 }
 
-// optionalText consumes a value; "" stands for an absent one.
+// optionalText consumes an optional value and returns "" if it is absent.
 func (p *fieldParser) optionalText() string {
 	if len(p.values) == 0 {
 		return ""
@@ -47,7 +47,7 @@
 	return value
 }
 
-// text consumes a value that must be there. The field's name is for the error.
+// text consumes a required value.
 func (p *fieldParser) text(field string) string {
 	value := p.optionalText()
 	if value == "" {
@@ -56,55 +56,58 @@
 	return value
 }
 
-// number consumes a finite number that must be there.
+// number consumes a required finite number.
 func (p *fieldParser) number(field string) float64 { return p.parseNumber(field, p.text(field)) }
 
-// optionalNumber consumes a finite number; an absent one is 0.
+// optionalNumber consumes an optional finite number and returns 0 if it is absent.
 func (p *fieldParser) optionalNumber(field string) float64 {
 	return p.parseNumber(field, p.optionalText())
 }
 
-// parseNumber parses a value; "" is 0.
+// parseNumber parses a finite number and returns 0 for "".
 func (p *fieldParser) parseNumber(field, value string) float64 {
 	if value == "" {
 		return 0
 	}
-	x, err := strconv.ParseFloat(value, 64)
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
+	number, err := strconv.ParseFloat(value, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 		p.fail(fmt.Errorf("%s: %s is not a number: %q", p.name, field, value))
 	}
-	return x
+	return number
 }
 
-// integer consumes a whole number of some bits that must be there.
+// integer consumes a required whole number that fits into the given number of bits.
 func (p *fieldParser) integer(field string, bits int) uint64 {
 	return p.parseInteger(field, p.text(field), bits)
 }
 
-// optionalInteger consumes a whole number of some bits; an absent one is 0.
+// optionalInteger consumes an optional whole number that fits into the given number of bits, and returns 0 if it is absent.
 func (p *fieldParser) optionalInteger(field string, bits int) uint64 {
 	return p.parseInteger(field, p.optionalText(), bits)
 }
 
-// parseInteger parses a value; "" is 0.
+// parseInteger parses a whole number and returns 0 for "".
 func (p *fieldParser) parseInteger(field, value string, bits int) uint64 {
 	if value == "" {
 		return 0
 	}
-	x, err := strconv.ParseUint(value, 10, bits)
+	integer, err := strconv.ParseUint(value, 10, bits)
 	if err != nil {
 		p.fail(fmt.Errorf("%s: %s is not a whole number in range: %q", p.name, field, value))
 	}
-	return x
+	return integer
 }
 
-// ms consumes a time in milliseconds that must be there.
-func (p *fieldParser) ms(field string) time.Duration { return fromMs(p.number(field)) }
+// ms consumes a required time in milliseconds.
+func (p *fieldParser) ms(field string) time.Duration { return durationFromMs(p.number(field)) }
 
-// optionalMs consumes a time in milliseconds; an absent one is 0.
-func (p *fieldParser) optionalMs(field string) time.Duration { return fromMs(p.optionalNumber(field)) }
+// optionalMs consumes an optional time in milliseconds and returns 0 if it is absent.
+func (p *fieldParser) optionalMs(field string) time.Duration {
+	return durationFromMs(p.optionalNumber(field))
+}
 
-// numberList consumes numbers separated by commas, of which absent ones are 0. An absent list is nil.
+// numberList consumes an optional list of numbers that are separated by commas. It returns 0 for an absent number and nil for an
+// absent list.
 func (p *fieldParser) numberList(field string) []float64 {
 	value := p.optionalText()
 	if value == "" {
@@ -122,11 +125,11 @@
 
 const nanosPerMs = 1e6
 
-// fromMs converts milliseconds on the wire, rounded to nanoseconds.
-func fromMs(ms float64) time.Duration { return time.Duration(math.Round(ms * nanosPerMs)) }
+// durationFromMs converts a time in milliseconds from the wire, rounded to nanoseconds.
+func durationFromMs(ms float64) time.Duration { return time.Duration(math.Round(ms * nanosPerMs)) }
 
-// toMs formats a time in milliseconds; 0 is absent.
-func toMs(d time.Duration) string {
+// formatMs formats a time for the wire, in milliseconds; 0 is formatted as absent.
+func formatMs(d time.Duration) string {
 	if d == 0 {
 		return absent
 	}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-// Golden tests of the simulator's wire: parsed batches, printed replies and error texts must not change.
+// Golden tests of the simulator's wire: the parsed batches, the written replies and the error texts must not change.
 package simwire_test
 
 import (
@@ -18,7 +18,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// fullSettings names every setting that the adapter reads, with a value of its own.
+// fullSettings contains every setting that the adapter reads, each with a distinctive value.
 const fullSettings = "Unknown.Path=1 Siblings=3 Discovery=ask TickMs=2.5" +
 	" Lanes.count=3" +
 	" Lanes.0.Name=get Lanes.0.PromiseMs=110 Lanes.0.AimStretch=1.5 Lanes.0.DeadlineMs=900 Lanes.0.Idempotency=repeatable" +
@@ -40,7 +40,7 @@
 	" Invariants.CountedOverMs=9000 Invariants.ExtraFloor=10 Invariants.ExtraRatio=0.15" +
 	" Report.Fields=queue,util"
 
-// eventBatches holds every kind of event, with present, absent and unknown values.
+// eventBatches contains every kind of event, with present, absent and unknown values.
 const eventBatches = `CLOCK 1000.5 1
 END
 CLOCK 1002.75 2
@@ -81,7 +81,7 @@
 END
 `
 
-// formatValue formats a value like %v, except that enumerations are printed by their numbers and not by their names.
+// formatValue formats a value like %v, except that it prints enumerations as numbers instead of names.
 func formatValue(value reflect.Value) string {
 	var parts []string
 	switch value.Kind() {
@@ -104,11 +104,11 @@
 	}
 }
 
-// dump prints the values of a batch in the order of their declaration, without names.
-func dump(b *simwire.Batch) string {
+// formatBatch formats the fields of a batch and its items in the order of their declaration, without names.
+func formatBatch(batch *simwire.Batch) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "batch %q at %d\n", b.Seq, b.Now)
-	for _, item := range b.Items {
+	fmt.Fprintf(&out, "batch %q at %d\n", batch.Seq, batch.Now)
+	for _, item := range batch.Items {
 		if item.Kind == simwire.InstanceOpened {
 			fmt.Fprintf(&out, "%d %d seed %d %s\n", item.Kind, item.Instance, item.Seed,
 				formatValue(reflect.ValueOf(item.Settings)))
@@ -129,7 +129,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(dump(batch))
+		out.WriteString(formatBatch(batch))
 	}
 	testbed.CompareGolden(t, "events", out.String())
 }
@@ -151,7 +151,8 @@
 		{"bad setting", open + "OPEN_INSTANCE 5 Siblings=three\nEND\n"},
 		{"bad time setting", open + "OPEN_INSTANCE 5 TickMs=x\nEND\n"},
 		{"bad request id without key", open + "NEW_REQUEST 4294967296 get small - 1 1 1 0 1 0\nEND\n"},
-		{"bad request id with key", open + "NEW_REQUEST 4294967296 get small 1 1 1 1 0 1 0\nEND\n"}, // not refused: the key's result replaces the error
+		// The next batch is accepted, because parsing the key clears the error of the id.
+		{"bad request id with key", open + "NEW_REQUEST 4294967296 get small 1 1 1 1 0 1 0\nEND\n"},
 		{"missing class", open + "NEW_REQUEST 7\nEND\n"},
 		{"bad key", open + "NEW_REQUEST 7 get small k 1 1 1 0 1 0\nEND\n"},
 		{"missing patience", open + "NEW_REQUEST 7 get small 1\nEND\n"},
@@ -203,8 +204,8 @@
 	testbed.CompareGolden(t, "replies", out.String())
 }
 
-// roundsBatches are several rounds of two instances: requests, outcomes, a stream, a drain, a kill and a new start.
-// Some outcomes are of attempts that the scheduler never sent: they must not change anything either.
+// roundsBatches contains several rounds of two instances: requests, outcomes, a stream, a drain, a kill and a restart.
+// Some outcomes belong to attempts that the scheduler never sent. Such outcomes must not change anything.
 const roundsBatches = `CLOCK 500 1
 END
 CLOCK 1000 2
@@ -278,8 +279,8 @@
 END
 `
 
-// host answers batches as the simulator's adapter does.
-func host(t *testing.T, input string) string {
+// runBatches runs schedulers on the batches in input, as the simulator's adapter does, and returns the replies.
+func runBatches(t *testing.T, input string) string {
 	t.Helper()
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
@@ -295,13 +296,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer(t, w, schedulers, batch)
+		applyBatch(t, w, schedulers, batch)
 		simwire.WriteEnd(w, batch)
 	}
 }
 
-// answer gives each instance's run of events to its scheduler in one step.
-func answer(t *testing.T, w *bufio.Writer, schedulers map[int]*scheduler.Scheduler, batch *simwire.Batch) {
+// applyBatch applies the items of a batch and writes the actions. Consecutive events of an instance form one step.
+func applyBatch(t *testing.T, w *bufio.Writer, schedulers map[int]*scheduler.Scheduler, batch *simwire.Batch) {
 	t.Helper()
 	var events []scheduler.Event
 	for i, item := range batch.Items {
@@ -326,5 +327,5 @@
 }
 
 func TestGoldenRounds(t *testing.T) {
-	testbed.CompareGolden(t, "rounds", host(t, roundsBatches))
+	testbed.CompareGolden(t, "rounds", runBatches(t, roundsBatches))
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,11 +1,11 @@
-// Package simwire is the adapter between the scheduler and the simulator's text protocol: it parses batches of events and
-// writes replies. It decides nothing.
+// Package simwire is the adapter between the scheduler and the simulator's text protocol. It parses batches of events and
+// writes replies, and makes no decisions.
 //
-// A batch is a group of lines from CLOCK to END; each line is a name and values separated by single spaces, and "-" is an
-// absent value. Unknown lines, and further values of known ones, are those of a later version and are skipped. The names
-// on the wire are the simulator's; this package alone translates them.
+// A batch is a group of lines from CLOCK to END. Each line is a name and values, separated by single spaces; the value "-" is
+// absent. Unknown lines, and additional values of known lines, belong to a later version of the protocol and are skipped. The
+// names on the wire are those of the simulator. Apart from the names of settings, no other package knows them.
 //
-// The package runs no goroutine. Readers and the writer functions are not safe for concurrent use.
+// The package starts no goroutine. Readers and the writer functions are not safe for concurrent use.
 package simwire
 
 import (
@@ -19,7 +19,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Lines that delimit batches and select instances.
+// Names of the lines that delimit batches and select instances.
 const (
 	lineBatchStart     = "CLOCK"
 	lineBatchEnd       = "END"
@@ -29,20 +29,20 @@
 // bufferSize is the size of the reader's buffer in bytes.
 const bufferSize = 1 << 20
 
-// noInstance is the target of a batch's items before its first TARGET_INSTANCE.
+// noInstance is the instance number before the first TARGET_INSTANCE of a batch.
 const noInstance = -1
 
-// ItemKind says what an Item holds.
+// ItemKind is the type of an Item.
 type ItemKind uint8
 
 // The kinds of items.
 const (
 	EventOccurred  ItemKind = iota // an event for a running instance
-	InstanceOpened                 // an instance has started
-	InstanceKilled                 // an instance has ended
+	InstanceOpened                 // an instance starts
+	InstanceKilled                 // an instance ends
 )
 
-// String returns the kind's name.
+// String returns the kind in lower case, or "unknown".
 func (k ItemKind) String() string {
 	switch k {
 	case EventOccurred:
@@ -60,29 +60,29 @@
 type Item struct {
 	Kind     ItemKind
 	Instance int
-	Seed     uint64             // for InstanceOpened
-	Settings scheduler.Settings // for InstanceOpened
-	Event    scheduler.Event    // for EventOccurred
+	Seed     uint64             // set for InstanceOpened
+	Settings scheduler.Settings // set for InstanceOpened
+	Event    scheduler.Event    // set for EventOccurred
 }
 
-// Batch holds everything that happens at one moment, in the order of the wire.
+// Batch holds everything that happens at one time, in the order of the wire.
 type Batch struct {
-	Now   time.Duration // on the simulator's clock
-	Seq   string        // the batch's number, to be repeated by WriteEnd
+	Now   time.Duration // time on the simulator's clock
+	Seq   string        // number of the batch, which WriteEnd repeats in the reply
 	Items []Item
 }
 
 // Reader reads batches.
 type Reader struct {
 	in   *bufio.Reader
-	line int // number of the last line that was read
+	line int // number of the last line that was read, counted from 1
 }
 
 // NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, bufferSize)} }
 
-// Next reads a batch. It returns io.EOF if the input ends before the batch, and an error with the number of the line if
-// the batch is malformed or incomplete; the Reader must not be used after an error.
+// Next reads the next batch. It returns io.EOF if the input ends before the batch, and an error with the line number if the
+// batch is malformed or incomplete. The Reader must not be used after an error.
 func (r *Reader) Next() (*Batch, error) {
 	start, err := r.readLine()
 	if err != nil {
@@ -101,7 +101,7 @@
 	return batch, nil
 }
 
-// readItems reads a batch's lines up to its end.
+// readItems reads the lines of a batch up to lineBatchEnd.
 func (r *Reader) readItems(batch *Batch) error {
 	instance := noInstance
 	for {
@@ -126,8 +126,8 @@
 	}
 }
 
-// readItem adds the item that begins with a line to the batch, unless it is unknown or the line is malformed; in
-// the latter case line.err is set.
+// readItem adds the item that begins with the line to the batch. It skips an unknown item, and sets line.err if the line is
+// malformed.
 func (r *Reader) readItem(batch *Batch, instance int, line *fieldParser) error {
 	item, known, err := r.parseItem(line)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// readLine returns a parser of the next line's values.
+// readLine reads the next line and returns a parser of its values.
 func (r *Reader) readLine() (*fieldParser, error) {
 	text, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && text != "" {
@@ -159,5 +159,5 @@
 	return &fieldParser{name: fields[0], values: fields[1:]}, nil
 }
 
-// atLine adds the number of the last line to an error.
+// atLine prefixes an error with the number of the last line.
 func (r *Reader) atLine(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -11,7 +11,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// readBatch reads the first batch of a text.
+// readBatch reads the first batch from a text.
 func readBatch(t *testing.T, text string) *Batch {
 	t.Helper()
 	batch, err := NewReader(strings.NewReader(text)).Next()
@@ -49,7 +49,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			batch := readBatch(t, "CLOCK 8412.25 12\nTARGET_INSTANCE 3\n"+c.lines+"\nEND\n")
 			if len(batch.Items) != 1 || batch.Now != 8412250*time.Microsecond || batch.Seq != "12" || batch.Items[0].Instance != 3 {
-				t.Fatalf("batch %+v", batch)
+				t.Fatalf("got batch %+v, want one item of instance 3, time 8412.25 ms and number 12", batch)
 			}
 			if got := batch.Items[0].Event; !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got  %+v\nwant %+v", got, c.want)
@@ -61,7 +61,7 @@
 func TestReaderSkipsUnknownEvents(t *testing.T) {
 	batch := readBatch(t, "CLOCK 1 1\nTARGET_INSTANCE 3\nSOLAR_FLARE 1 2 x\nDROPPED 7\nEND\n")
 	if len(batch.Items) != 1 {
-		t.Fatalf("items %+v", batch.Items)
+		t.Fatalf("got items %+v, want one", batch.Items)
 	}
 }
 
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(text)).Next()
 			if err == nil || errors.Is(err, io.EOF) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want one of one line that is not io.EOF", err)
 			}
 		})
 	}
--- a/internal/simwire/replies.go
+++ b/internal/simwire/replies.go
@@ -8,7 +8,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// WriteActions writes the actions of one instance, in their order; with none it writes nothing. Errors of w remain in w.
+// WriteActions writes the actions of one instance in order. It writes nothing if there are none. w keeps its first error for
+// Flush.
 func WriteActions(w *bufio.Writer, instance int, actions []scheduler.Action) {
 	if len(actions) == 0 {
 		return
@@ -19,13 +20,13 @@
 	}
 }
 
-// writeAction writes one line, or nothing for an action that the simulator does not know.
+// writeAction writes one line, or nothing if the simulator does not know the action.
 func writeAction(w *bufio.Writer, action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Send:
-		writeLine(w, "FORWARD %d %s %d", a.ID, toMs(a.Timeout), a.Server)
+		writeLine(w, "FORWARD %d %s %d", a.ID, formatMs(a.Timeout), a.Server)
 	case scheduler.Reject:
-		writeLine(w, "NOT_NOW %d %s", a.ID, toMs(a.RetryAfter))
+		writeLine(w, "NOT_NOW %d %s", a.ID, formatMs(a.RetryAfter))
 	case scheduler.Fail:
 		writeLine(w, "END_FAILED %d", a.ID)
 	case scheduler.CancelAttempt:
@@ -35,13 +36,13 @@
 	case scheduler.ProbeServer:
 		writeLine(w, "PROBE %d", a.Server)
 	case scheduler.SetTimer:
-		writeLine(w, "SET_TIMER 1 %s", toMs(a.At))
+		writeLine(w, "SET_TIMER 1 %s", formatMs(a.At))
 	case scheduler.Log:
 		writeLine(w, "DEBUG %s", a.Text)
 	}
 }
 
-// WriteFailure writes that the scheduler of an instance has failed, for instance by a panic.
+// WriteFailure reports that the scheduler of an instance has failed, for example with a panic.
 func WriteFailure(w *bufio.Writer, instance int, reason string) {
 	writeInstance(w, instance)
 	writeLine(w, "GIVE_IN %s", strings.ReplaceAll(reason, "\n", " "))
@@ -49,10 +50,10 @@
 
 func writeInstance(w *bufio.Writer, instance int) { writeLine(w, "FOR %d", instance) }
 
-// WriteEnd ends the reply to a batch.
+// WriteEnd writes the end of the reply to a batch.
 func WriteEnd(w *bufio.Writer, batch *Batch) { writeLine(w, "FINISHED %s", batch.Seq) }
 
-// writeLine writes one line. The writer keeps the first error for its Flush.
+// writeLine writes one line. The writer keeps the first error for Flush.
 func writeLine(w *bufio.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(w, format+"\n", values...)
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -18,12 +18,15 @@
 	class := settings.Classes[0]
 	switch {
 	case item.Kind != InstanceOpened || item.Seed != 5:
-		t.Errorf("item %+v", item)
-	case class.Idempotency != scheduler.IdempotentWithKey || class.DedupScope != scheduler.DedupZone || !class.OrderedByKey || !class.Write || class.LatencyObjective != time.Second/2:
-		t.Errorf("class %+v", class)
-	case settings.Plans[0].Limit != 30 || settings.Gateways != 3 || !settings.PollEndpoints || settings.KeyCooldown != 200*time.Millisecond:
-		t.Errorf("settings %+v", settings)
-	case settings.SlowStartUnits != 12 || settings.RetryBudgetRatio != 0.15 || settings.MaxRetryAfter != 0 || len(settings.LoadReportFields) != 2:
-		t.Errorf("settings %+v", settings)
+		t.Errorf("got item %+v, want InstanceOpened with seed 5", item)
+	case class.Idempotency != scheduler.IdempotentWithKey || class.DedupScope != scheduler.DedupZone ||
+		!class.OrderedByKey || !class.Write || class.LatencyObjective != time.Second/2:
+		t.Errorf("class does not match the settings of the line: %+v", class)
+	case settings.Plans[0].Limit != 30 || settings.Gateways != 3 || !settings.PollEndpoints ||
+		settings.KeyCooldown != 200*time.Millisecond:
+		t.Errorf("settings do not match those of the line: %+v", settings)
+	case settings.SlowStartUnits != 12 || settings.RetryBudgetRatio != 0.15 ||
+		settings.MaxRetryAfter != 0 || len(settings.LoadReportFields) != 2:
+		t.Errorf("settings do not match those of the line: %+v", settings)
 	}
 }
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -17,7 +17,7 @@
 
 const (
 	oldResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
-	ownResponse   = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nits"
+	ownResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nits"
 )
 
 // If unsolicited data arrives after http.Transport has returned the connection to its pool, it is detected before the next request
--- a/internal/upstream/httpclient/response.go
+++ b/internal/upstream/httpclient/response.go
@@ -14,8 +14,8 @@
 // Names of response headers.
 const (
 	unprocessedHeader  = "X-Unprocessed"
-	volumeUsageHeader  = "X-Volume-Use"       // used part of the volume's rate, in percent
-	foreignUnitsHeader = "X-Served-Elsewhere" // units that the server served to other gateways
+	volumeUsageHeader  = "X-Volume-Use"       // usage of the volume on all servers, in percent of its rate
+	foreignUnitsHeader = "X-Served-Elsewhere" // units that the server served the volume through other gateways
 	loadReportHeader   = "X-Backend-Load"     // load of the server, as a JSON object
 )
 
