--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(text)).Next()
 			if err == nil || errors.Is(err, io.EOF) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got error %v, want one of one line that is not io.EOF", err)
+				t.Errorf("got error %v, want a single-line error other than io.EOF", err)
 			}
 		})
 	}
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -40,7 +40,7 @@
 
 // An attempt writes nothing if its client disconnected, if it was canceled, or if its start deadline passed while it waited for
 // its connection, even if the scheduler has not canceled it. A disconnect is not reported as a failure of the server.
-func TestAttemptIsNotStartedWhenOver(t *testing.T) {
+func TestCanceledOrExpiredAttemptIsNotStarted(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		// whileConnecting is called when the connection is established and the attempt has not received it yet.
@@ -50,7 +50,7 @@
 		{"request canceled", func(w *connectingAttempt) { w.request.Cancel() }, scheduler.StatusCanceled},
 		{"request and attempt canceled", func(w *connectingAttempt) { w.request.Cancel(); w.cancel() }, scheduler.StatusCanceled},
 		{"attempt canceled", func(w *connectingAttempt) { w.cancel() }, scheduler.StatusCanceled},
-		{"disconnected, unnoticed", func(w *connectingAttempt) { w.disconnected.Store(true) }, scheduler.StatusCanceled},
+		{"client disconnected, attempt not canceled", func(w *connectingAttempt) { w.disconnected.Store(true) }, scheduler.StatusCanceled},
 		{"start deadline passed", func(w *connectingAttempt) { w.now.Advance(500) }, scheduler.StatusConnectFailed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -117,8 +117,8 @@
 
 func TestTimeoutCancelAndConnectionLimit(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
-	waitForRequests := func(n int32) { // the server does not respond, because it has no behavior to follow
-		for server.requests.Load() < n {
+	waitForRequests := func(count int32) { // the server does not respond, because it has no behavior to follow
+		for server.requests.Load() < count {
 			runtime.Gosched()
 		}
 	}
--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -96,11 +96,11 @@
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Start implements lifecycle.Upstream. It sends an attempt whose payload is an *httpmessage.Request, and does not block.
-func (c *Client) Start(a lifecycle.Attempt) (cancel func()) {
-	ctx, cancelCause := clock.WithDeadline(c.clock, a.DeadlineMs)
+func (c *Client) Start(attempt lifecycle.Attempt) (cancel func()) {
+	ctx, cancelCause := clock.WithDeadline(c.clock, attempt.DeadlineMs)
 	go func() {
 		defer cancelCause(nil) // run has read the whole response body
-		c.results.Complete(a, c.run(ctx, a))
+		c.results.Complete(attempt, c.run(ctx, attempt))
 	}()
 	return func() { cancelCause(context.Canceled) }
 }
--- a/internal/upstream/httpclient/client_test.go
+++ b/internal/upstream/httpclient/client_test.go
@@ -11,31 +11,31 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// recordedResults receives the results of attempts and probes.
-type recordedResults struct {
+// resultRecorder is a ResultHandler that sends the results to channels.
+type resultRecorder struct {
 	attempts chan lifecycle.AttemptResult
 	probes   chan scheduler.Status
 }
 
-func (r *recordedResults) Complete(_ lifecycle.Attempt, result lifecycle.AttemptResult) {
+func (r *resultRecorder) Complete(_ lifecycle.Attempt, result lifecycle.AttemptResult) {
 	r.attempts <- result
 }
 
-func (r *recordedResults) ProbeEnded(_ *lifecycle.Server, _ float64, status scheduler.Status, _ []float64) {
+func (r *resultRecorder) ProbeEnded(_ *lifecycle.Server, _ float64, status scheduler.Status, _ []float64) {
 	r.probes <- status
 }
 
 // testClient is a client with a manual clock.
 type testClient struct {
 	*Client
-	results  *recordedResults
+	results  *resultRecorder
 	counters *metrics.Registry
 	now      *clock.Manual
 }
 
 func newTestClient() *testClient {
 	c := &testClient{
-		results:  &recordedResults{make(chan lifecycle.AttemptResult, 1), make(chan scheduler.Status, 1)},
+		results:  &resultRecorder{make(chan lifecycle.AttemptResult, 1), make(chan scheduler.Status, 1)},
 		counters: metrics.New(),
 		now:      clock.NewManual(1e12),
 	}
@@ -76,9 +76,9 @@
 	add(respond, respond, closeWithoutResponse, respond, closeWithoutResponse)
 	add(respond, asPUT+closeWithoutResponse, respond, asPUT+respond, closeWithoutResponse, garbageAndClose)
 	add(internalError, rejectUnprocessed, rejectWithoutProof, halfResponse, tooLargeBody, respond, invalidHeaders, asPUT+halfResponse)
-	add(duplicateResponse, respond, asPUT+duplicateResponse, noiseAfterResponse, respond, asPUT+noiseAfterResponse, respond,
+	add(duplicateResponse, respond, asPUT+duplicateResponse, garbageAfterResponse, respond, asPUT+garbageAfterResponse, respond,
 		interimResponses, respond)
-	add(noise, respond, hugeLength, asPUT+noise, conflictingLengths, longHead, asPUT+respond, interimResponses,
+	add(garbage, respond, hugeLength, asPUT+garbage, conflictingLengths, longHead, asPUT+respond, interimResponses,
 		asPUT+duplicateResponse, closeWithoutResponse)
 	add(noLength, respond, noLengthReset, asPUT+noLength, respond, asPUT+noLengthReset, respond)
 	add(respondAndClose, respond, garbageAndClose, respond, asPUT+garbageAndClose, asPUT+rejectUnprocessed, closeWithoutResponse)
@@ -86,9 +86,9 @@
 		server, c := newFakeServer(t), newTestClient()
 		defer c.Close()
 		listed := &lifecycle.Server{Addr: server.addr}
-		for i, x := range script[:min(len(script), 12)] {
-			b, request, wantBody := behavior(x&127)%behaviorCount, getRequest(), "GET/pull/1?a=%20b"
-			if behavior(x) >= asPUT {
+		for i, step := range script[:min(len(script), 12)] {
+			b, request, wantBody := behavior(step&127)%behaviorCount, getRequest(), "GET/pull/1?a=%20b"
+			if behavior(step) >= asPUT {
 				request, wantBody = putRequest(), "PUT/pull/1?a=%20bdata"
 			}
 			server.behaviors <- b
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -164,7 +164,7 @@
 
 // A response that begins but does not end fails the attempt long before the client's deadline.
 func TestIncompleteResponseTimesOut(t *testing.T) {
-	for name, begin := range map[string]string{
+	for name, responseStart := range map[string]string{
 		"head": "HTTP/1.1 200 OK\r\nX-A: b\r\n", "body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
 		"no length": "HTTP/1.1 200 OK\r\n\r\nabc",
 	} {
@@ -173,7 +173,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				testbed.TryWrite(c, begin)
+				testbed.TryWrite(c, responseStart)
 				_, _ = c.Read(make([]byte, 1)) // returns when the gateway closes the connection
 			})
 			c := newTestClient()
--- a/internal/upstream/httpclient/fakeserver_test.go
+++ b/internal/upstream/httpclient/fakeserver_test.go
@@ -32,13 +32,13 @@
 
 	// After the following behaviors, the server leaves the connection open.
 
-	noise
+	garbage
 	hugeLength
 	conflictingLengths
 	longHead
 	interimResponses
 	duplicateResponse
-	noiseAfterResponse
+	garbageAfterResponse
 
 	// The following responses have no length: they end when the connection is closed. A reset does not end them.
 
@@ -63,13 +63,13 @@
 	halfResponse:         scheduler.StatusConnectionReset,
 	tooLargeBody:         scheduler.StatusError,
 	invalidHeaders:       scheduler.StatusOK,
-	noise:                scheduler.StatusError,
+	garbage:              scheduler.StatusError,
 	hugeLength:           scheduler.StatusError,
 	conflictingLengths:   scheduler.StatusError,
 	longHead:             scheduler.StatusError,
 	interimResponses:     scheduler.StatusOK,
 	duplicateResponse:    scheduler.StatusOK,
-	noiseAfterResponse:   scheduler.StatusOK,
+	garbageAfterResponse: scheduler.StatusOK,
 	noLength:             scheduler.StatusOK,
 	noLengthReset:        scheduler.StatusConnectionReset,
 }
@@ -159,7 +159,7 @@
 		testbed.TryWrite(c, "what?\r\n\r\n")
 	case halfResponse:
 		testbed.TryWrite(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
-	case noise:
+	case garbage:
 		testbed.TryWrite(c, "\x00\x01\x02")
 	case hugeLength:
 		testbed.TryWrite(c, "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx")
@@ -169,7 +169,7 @@
 		testbed.TryWrite(c, "HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("x", maxHeadBytes))
 	case duplicateResponse:
 		testbed.TryWrite(c, response+strings.Replace(response, echo, strings.Repeat("?", len(echo)), 1))
-	case noiseAfterResponse:
+	case garbageAfterResponse:
 		testbed.TryWrite(c, response+"noise\r\n\r\n")
 	}
 }
--- a/internal/upstream/httpclient/framing_test.go
+++ b/internal/upstream/httpclient/framing_test.go
@@ -24,11 +24,11 @@
 func feedInPieces(text string, size int) (n int, complete bool, err error) {
 	f := &responseFraming{}
 	for p := []byte(text); len(p) > 0 && !complete && err == nil; {
-		k := min(size, len(p))
+		next := min(size, len(p))
 		var taken int
-		taken, complete, err = f.feed(p[:k])
+		taken, complete, err = f.feed(p[:next])
 		n += taken
-		p = p[k:]
+		p = p[next:]
 	}
 	return n, complete, err
 }
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -42,10 +42,14 @@
 		payload httpmessage.Request
 		leftMs  float64
 	}{
-		"read":                {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-1"}}}, 1000},
-		"read-query":          {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", RawQuery: "x=%2F&y=a+b", Header: http.Header{}}, 1000},
-		"read-escaped-path":   {httpmessage.Request{Method: "GET", Path: "/pull/a/b", RawPath: "/pull/a%2Fb", Header: http.Header{}}, 1000},
-		"read-short-deadline": {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", Header: http.Header{"X-Correlation-Id": {"id-2"}}}, 7.9},
+		"read": {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655",
+			Header: http.Header{"X-Correlation-Id": {"id-1"}}}, 1000},
+		"read-query": {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655", RawQuery: "x=%2F&y=a+b",
+			Header: http.Header{}}, 1000},
+		"read-escaped-path": {httpmessage.Request{Method: "GET", Path: "/pull/a/b", RawPath: "/pull/a%2Fb",
+			Header: http.Header{}}, 1000},
+		"read-short-deadline": {httpmessage.Request{Method: "GET", Path: "/pull/7f3a9c21e0b4d655",
+			Header: http.Header{"X-Correlation-Id": {"id-2"}}}, 7.9},
 		"write": {httpmessage.Request{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("\x00data\r\n\xff"),
 			Header: http.Header{"X-Correlation-Id": {"id-3"}, "Content-Type": {"text/plain"}}}, 480},
 		"write-key": {httpmessage.Request{Method: "PUT", Path: "/push/7f3a9c21e0b4d655", Body: []byte("data"),
@@ -59,7 +63,8 @@
 			addr, requests := recordRequests(t)
 			c := newTestClient()
 			defer c.Close()
-			c.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &test.payload}, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + test.leftMs})
+			c.Start(lifecycle.Attempt{Request: &lifecycle.Request{Payload: &test.payload},
+				Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + test.leftMs})
 			<-c.results.attempts
 			testbed.CompareGolden(t, "attempt-"+name, testbed.QuoteLines(<-requests))
 		})
@@ -73,7 +78,8 @@
 	defer c.Close()
 	var wire []byte
 	for n := range 2 {
-		c.Start(lifecycle.Attempt{Request: putRequest(), Number: n + 1, Server: &lifecycle.Server{Addr: addr}, DeadlineMs: c.now.NowMs() + 900})
+		c.Start(lifecycle.Attempt{Request: putRequest(), Number: n + 1, Server: &lifecycle.Server{Addr: addr},
+			DeadlineMs: c.now.NowMs() + 900})
 		<-c.results.attempts
 		wire = append(wire, <-requests...)
 		c.now.Advance(20)
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -59,7 +59,7 @@
 		Server:     &lifecycle.Server{},
 		DeadlineMs: deadlineMs,
 	}
-	waitIdle := func() *session {
+	waitForIdleSession := func() *session {
 		for {
 			client.sessions.mu.Lock()
 			idle := client.sessions.idle[server.address]
@@ -76,7 +76,7 @@
 	if result := <-results; result.Status != scheduler.StatusOK {
 		t.Fatalf("first attempt: got status %d, want StatusOK", result.Status)
 	}
-	first := waitIdle()
+	first := waitForIdleSession()
 	now.Advance(18001)
 	server.script <- respondOK
 	client.Start(attempt) // its READ gets no response until the script is extended below
@@ -88,9 +88,9 @@
 		t.Errorf("attempt above the session limit: got status %d, want StatusOverloaded", result.Status)
 	}
 	server.script <- respondOK
-	if result := <-results; result.Status != scheduler.StatusOK || waitIdle() == first {
+	if result := <-results; result.Status != scheduler.StatusOK || waitForIdleSession() == first {
 		t.Errorf("second attempt: got status %d, want StatusOK; expired session was reused: %v, want false", result.Status,
-			waitIdle() == first)
+			waitForIdleSession() == first)
 	}
 }
 
