--- a/internal/coapwire/options.go
+++ b/internal/coapwire/options.go
@@ -24,7 +24,7 @@
 // maxUintLength is the maximum length of a uint option value in bytes (RFC 7252, section 3.2).
 const maxUintLength = 4
 
-// UintOption returns an option with a number as its value. The number is encoded in the fewest bytes possible; zero has none.
+// UintOption returns an option with a number as its value. It uses the fewest bytes, which is none for zero.
 func UintOption(id message.OptionID, value uint32) message.Option {
 	var encoded [maxUintLength]byte
 	binary.BigEndian.PutUint32(encoded[:], value)
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -50,7 +50,7 @@
 		{"request canceled", func(w *connectingAttempt) { w.request.Cancel() }, scheduler.StatusCanceled},
 		{"request and attempt canceled", func(w *connectingAttempt) { w.request.Cancel(); w.cancel() }, scheduler.StatusCanceled},
 		{"attempt canceled", func(w *connectingAttempt) { w.cancel() }, scheduler.StatusCanceled},
-		{"client disconnected, attempt not canceled", func(w *connectingAttempt) { w.disconnected.Store(true) }, scheduler.StatusCanceled},
+		{"client disconnected, not canceled", func(w *connectingAttempt) { w.disconnected.Store(true) }, scheduler.StatusCanceled},
 		{"start deadline passed", func(w *connectingAttempt) { w.now.Advance(500) }, scheduler.StatusConnectFailed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	t.Helper()
 	received := make(chan string, 1)
 	addr := testbed.Serve(t, func(c net.Conn) {
-		b := make([]byte, 1)
+		b := make([]byte, 1) // one byte is enough to fail the test; the connection is closed after it
 		n, _ := c.Read(b)
 		received <- string(b[:n])
 	})
--- a/internal/upstream/sftpclient/session.go
+++ b/internal/upstream/sftpclient/session.go
@@ -14,7 +14,7 @@
 // maxHandleLength is the maximum length of a file handle in bytes, as defined by the protocol.
 const maxHandleLength = 256
 
-var errNotAuthorized = errors.New("sftpclient: the attempt was no longer authorized after the OPEN; the READ or WRITE was not sent")
+var errNotAuthorized = errors.New("sftpclient: the attempt is no longer authorized after the OPEN; its command was not sent")
 
 // incompleteWriteError reports that a packet was not written completely. The server cannot have executed it.
 type incompleteWriteError struct{ err error }
