--- a/internal/frontend/coapserver/blockwise.go
+++ b/internal/frontend/coapserver/blockwise.go
@@ -3,19 +3,19 @@
 import "gaugerelay/internal/coapwire"
 
 const (
-	maxResponseOverhead = 64 // bytes that a served response has beside its payload, at most
+	maxResponseOverhead = 64 // bytes; upper bound on the header and options of a served response
 	minBlockSize        = 16 // bytes (RFC 7959, 2.2)
 )
 
-// peerLimits is what a device can receive, and what suits its link.
+// peerLimits holds what a device can receive and which block size suits its link.
 type peerLimits struct {
 	maxPayload         int  // bytes
 	blockwise          bool // the device supports block-wise transfer
 	bert               bool // the device accepts several blocks of 1 KiB in a message (RFC 8323, 6)
-	preferredBlockSize int  // bytes; 0: not known
+	preferredBlockSize int  // bytes that suit the measured link; 0: not known
 }
 
-// peerLimits returns the present limits of the device.
+// peerLimits returns the current limits of the device.
 func (c *conn) peerLimits() peerLimits {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,8 +27,8 @@
 	}
 }
 
-// fitsInOneMessage reports whether a body of a length is sent in one message: if the device can receive it, and the link is
-// not better served with blocks.
+// fitsInOneMessage reports whether to send a body of the given length in one message. The device must be able to receive it,
+// and it must not exceed the preferred block size unless the device does not support block-wise transfer.
 func (l peerLimits) fitsInOneMessage(length int) bool {
 	if length > l.maxPayload {
 		return false
@@ -36,8 +36,8 @@
 	return l.preferredBlockSize == 0 || length <= l.preferredBlockSize || !l.blockwise
 }
 
-// responseBlock returns the block to send for the one that a request asks for, at the same offset, and how many bytes of
-// the body it may hold. The block's More is not set.
+// responseBlock returns the block to send for a requested one and how many bytes of the body it may hold. The block has the
+// requested offset and at most the requested size. The caller sets More.
 func (l peerLimits) responseBlock(requested coapwire.Block) (block coapwire.Block, length int) {
 	if requested.BERT && l.bert {
 		length = l.bertLength()
@@ -50,7 +50,7 @@
 	return coapwire.Block{Offset: requested.Offset, Size: size}, size
 }
 
-// bertLength returns how many bytes to send in a message with BERT: a multiple of its unit, and at least one.
+// bertLength returns how many payload bytes to send in one BERT message: a positive multiple of coapwire.BERTBlockSize.
 func (l peerLimits) bertLength() int {
 	length := l.maxPayload
 	if l.preferredBlockSize > 0 {
@@ -60,7 +60,7 @@
 	return max(1, units) * coapwire.BERTBlockSize
 }
 
-// isTooLarge reports whether a block of a size is more than the device can receive or the link is well served with.
+// isTooLarge reports whether a block size exceeds what the device can receive or the preferred block size.
 func (l peerLimits) isTooLarge(size int) bool {
 	return size > l.maxPayload || l.preferredBlockSize >= minBlockSize && size > l.preferredBlockSize
 }
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -13,39 +13,39 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// conn is the connection of a device. One goroutine runs serve; while messages are queued another one runs writeLoop.
+// conn is the connection of a device. One goroutine runs serve. A second one runs writeLoop while messages are queued.
 type conn struct {
 	server  *Server
 	netConn net.Conn
 
-	// These belong to the goroutine of serve.
+	// The fields of this block are used only by the goroutine that runs serve.
 	buf         []byte
-	buffered    int       // bytes in buf
-	frameStart  time.Time // when the present frame began to arrive; before the CSM: when the device connected
+	buffered    int       // number of bytes in buf that have been read
+	frameStart  time.Time // when the current frame began to arrive; until the CSM has arrived: when the device connected
 	csmReceived bool
-	device      string               // name of the device; "" until a request has given it
-	linkSample  lifecycle.LinkSample // measured since the last request
-	// sentAfter is a time before which no message that is still to be read can have been sent: when the device connected,
-	// or when the last Ping that it has answered was sent.
-	sentAfter time.Time
+	device      string               // name of the device; "" until a request has stated it
+	linkSample  lifecycle.LinkSample // measurements since the last request
+	// earliestSendTime is the earliest time at which the device can have sent a message that is not read yet: when the device
+	// connected, or when the server sent the last Ping that the device has answered.
+	earliestSendTime time.Time
 
 	mu                 sync.Mutex
-	queueShrunk        sync.Cond // on mu: queue has become shorter, or the connection is closed
+	queueShrunk        sync.Cond // uses mu; signaled when queue becomes shorter or the connection is closed
 	lastReadAt         time.Time
-	queue              []outgoing
-	writing            bool // writeLoop is running
+	queue              []outgoingMessage
+	writeLoopRunning   bool
 	closed             bool
-	released           bool // a Release has been sent
+	released           bool // a Release has been queued
 	closingWhenIdle    bool
 	pending            map[string]*pendingRequest // by token
-	pingSentAt         time.Time                  // of the Ping without a Pong yet; zero: there is none
-	peerMaxMessageSize int
-	peerBlockwise      bool // the device supports block-wise transfer
+	pingSentAt         time.Time                  // when the unanswered Ping was queued; zero: no Ping is unanswered
+	peerMaxMessageSize int                        // bytes; Max-Message-Size of the device
+	peerBlockwise      bool                       // the device supports block-wise transfer
 	idleTimeout        time.Duration
 	preferredBlockSize int // bytes that suit the measured link; 0: not known
 }
 
-// newConn returns a connection that serve has yet to be called for.
+// newConn returns a connection. The caller must run serve on it.
 func newConn(s *Server, netConn net.Conn) *conn {
 	now := time.Now()
 	c := &conn{
@@ -53,7 +53,7 @@
 		netConn:            netConn,
 		buf:                make([]byte, idleBufferSize),
 		frameStart:         now,
-		sentAfter:          now,
+		earliestSendTime:   now,
 		lastReadAt:         now,
 		pending:            map[string]*pendingRequest{},
 		peerMaxMessageSize: coapwire.DefaultMaxMessageSize,
@@ -63,7 +63,7 @@
 	return c
 }
 
-// sendCSM sends the first message of this side (RFC 8323, 5.3).
+// sendCSM sends the server's CSM, which must be its first message (RFC 8323, 5.3).
 func (c *conn) sendCSM() {
 	c.send(message.Message{Code: codes.CSM, Options: message.Options{
 		coapwire.UintOption(message.TCPMaxMessageSize, uint32(c.server.MaxMessageSize)),
@@ -72,7 +72,7 @@
 	}})
 }
 
-// release asks the device to use another gateway after its pending requests have their responses (RFC 8323, 5.5).
+// release asks the device to use another gateway once its pending requests have been answered (RFC 8323, 5.5).
 func (c *conn) release() {
 	c.mu.Lock()
 	alreadyReleased := c.released
@@ -86,7 +86,7 @@
 	}})
 }
 
-// closeWhenIdle closes the connection after its pending requests have their responses.
+// closeWhenIdle closes the connection once its pending requests have been answered.
 func (c *conn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,22 +94,23 @@
 	c.closeIfIdle()
 }
 
-// closeIfIdle closes the connection if closeWhenIdle has been called and nothing is left to do. The caller holds c.mu.
+// closeIfIdle closes the connection if closeWhenIdle has been called and no request or message is left. The caller holds c.mu.
 func (c *conn) closeIfIdle() {
-	if c.closingWhenIdle && len(c.pending) == 0 && len(c.queue) == 0 && !c.writing {
-		go c.close() // it locks c.mu
+	if c.closingWhenIdle && len(c.pending) == 0 && len(c.queue) == 0 && !c.writeLoopRunning {
+		go c.close() // close locks c.mu, which the caller holds
 	}
 }
 
-// idleSince returns when the last byte arrived, and whether the connection is open with nothing pending or queued.
+// idleSince returns when the last byte arrived and whether the connection is idle: open, without pending requests or queued
+// messages.
 func (c *conn) idleSince() (since time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastReadAt, len(c.pending) == 0 && len(c.queue) == 0 && !c.closed
 }
 
-// close ends the sending direction and leaves it to serve to end the connection. Pending requests and responses that
-// nobody can read any more are canceled. Calls after the first do nothing.
+// close shuts down the sending direction; serve then ends the connection. Pending requests and requests with a queued response
+// are canceled, since the device can no longer receive a response. Only the first call has an effect.
 func (c *conn) close() {
 	c.mu.Lock()
 	if c.closed {
--- a/internal/frontend/coapserver/parse.go
+++ b/internal/frontend/coapserver/parse.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	maxOptionLength = 1034 // bytes; RFC 7252 allows no more in any option that it defines
+	maxOptionLength = 1034 // bytes; the longest value that RFC 7252 allows in any option that it defines
 	maxPathSegments = 16
-	etagLength      = 8 // bytes of the ETags that composeServed makes
-	notGiven        = -1
+	etagLength      = 8  // bytes; length of the ETags that composeServed sends
+	notGiven        = -1 // value of a numeric field whose option is absent
 )
 
-// parsedRequest is what the options of a request say.
+// parsedRequest holds the values of a request's options.
 type parsedRequest struct {
 	fields          requestparse.Fields
 	device          string  // name of the device; "": not given
-	previousGateway string  // name of the gateway that earlier copies were sent to; "": not given
-	ageMs           float64 // since the request was first sent; below zero: not given
+	previousGateway string  // name of the gateway that received earlier transmissions; "": not given
+	ageMs           float64 // time since the device first sent the request; negative: not given
 	query           string
-	etags           string // ETags of the responses that the device has, one after the other
+	etags           string // concatenated ETags of the responses that the device has
 	requestTag      string
 	contentType     string
 	block1, block2  *coapwire.Block // nil: not given
-	totalSize       int             // bytes of the whole upload (Size1); below zero: not given
+	totalSize       int             // bytes of the whole upload (Size1); negative: not given
 }
 
-// requestError reports a malformed request. Its text is the payload of the response, so it has no package prefix.
+// requestError reports a malformed request. Its text is sent to the device as the payload of the response, so it has no package
+// prefix.
 type requestError struct {
 	code codes.Code
 	text string
@@ -77,7 +78,7 @@
 		return nil, err
 	}
 	if request.block2 != nil {
-		request.block2.More = false // it has no meaning in a request
+		request.block2.More = false // More of a Block2 option has no meaning in a request
 	}
 	return request, nil
 }
@@ -88,7 +89,7 @@
 		if isCritical(option.ID) {
 			return requestErrorf(codes.BadOption, "option %d is there more than once", option.ID)
 		}
-		return nil // RFC 7252, 5.4.5: further elective ones are ignored
+		return nil // further occurrences of an elective option are ignored (RFC 7252, 5.4.5)
 	}
 	p.seen[option.ID] = true
 	if len(option.Value) > maxOptionLength {
@@ -101,11 +102,11 @@
 	return id == message.URIPath || id == message.URIQuery || id == message.ETag
 }
 
-// parseOption parses the options that RFCs define, and leaves the others to parseGatewayOption.
+// parseOption parses the options that RFCs define and passes the others to parseGatewayOption.
 func (p *requestParser) parseOption(option message.Option) error {
 	switch option.ID {
 	case message.URIHost, message.URIPort:
-		return nil // there is one service, under any name
+		return nil // the server has one service, whatever host and port the request names
 	case message.IfNoneMatch:
 		return requestErrorf(codes.BadOption, "If-None-Match is not served")
 	case message.URIPath:
@@ -139,7 +140,8 @@
 	}
 }
 
-// parseGatewayOption parses the gateway's own options. Unknown options are ignored unless they are critical.
+// parseGatewayOption parses the options that the gateway defines. Unknown elective options are ignored; unknown critical
+// options are errors.
 func (p *requestParser) parseGatewayOption(option message.Option) error {
 	request := p.request
 	switch option.ID {
@@ -173,7 +175,7 @@
 	return nil
 }
 
-// addPathSegment adds a segment of the path, which must mean the same in an HTTP path.
+// addPathSegment adds a segment of the path. It must be usable unchanged in an HTTP path.
 func (p *requestParser) addPathSegment(segment string) error {
 	forbidden := func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune("/%?#", c) }
 	if segment == "" || segment == "." || segment == ".." || strings.ContainsFunc(segment, forbidden) {
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// addQueryPart adds a part of the query, which must mean the same in an HTTP query.
+// addQueryPart adds a part of the query. It must be usable unchanged in an HTTP query.
 func (p *requestParser) addQueryPart(part string) error {
 	forbidden := func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune("&#", c) }
 	if strings.ContainsFunc(part, forbidden) {
@@ -193,7 +195,7 @@
 	return nil
 }
 
-// parseContentFormat translates the number of a content format to a Content-Type.
+// parseContentFormat converts the number of a CoAP content format to a Content-Type.
 func (p *requestParser) parseContentFormat(option message.Option) error {
 	format, err := parseUint(option)
 	if err != nil {
@@ -206,7 +208,7 @@
 	return nil
 }
 
-// checkAccept returns an error unless the option accepts the one format of responses.
+// checkAccept returns an error unless the option accepts application/octet-stream, the format of all responses.
 func checkAccept(option message.Option) error {
 	format, err := parseUint(option)
 	if err == nil && format != uint32(message.AppOctets) {
@@ -225,7 +227,7 @@
 	return nil
 }
 
-// parseUint returns the number in an option.
+// parseUint returns the value of an option of format uint.
 func parseUint(option message.Option) (uint32, error) {
 	value, ok := coapwire.DecodeUint(option.Value)
 	if !ok {
@@ -234,7 +236,7 @@
 	return value, nil
 }
 
-// finish joins the path and the query and checks what every request needs.
+// finish joins the path and the query, and checks that the path and the remaining time are present.
 func (p *requestParser) finish() error {
 	if len(p.path) == 0 || len(p.path) > maxPathSegments {
 		return requestErrorf(codes.NotFound, "no such path")
@@ -248,7 +250,7 @@
 	return nil
 }
 
-// checkPayload checks a payload against the method and the Block1 option. block1 may be nil.
+// checkPayload checks the payload against the method and the Block1 option, which is nil if absent.
 func checkPayload(m *message.Message, block1 *coapwire.Block) error {
 	length := len(m.Payload)
 	if m.Code == codes.GET && (length > 0 || block1 != nil) {
@@ -257,7 +259,7 @@
 	if block1 == nil {
 		return nil
 	}
-	if block1.More && !isFull(*block1, length) {
+	if block1.More && !isFullBlock(*block1, length) {
 		return requestErrorf(codes.BadRequest, "a block that is not full")
 	}
 	if !block1.BERT && length > block1.Size {
@@ -266,8 +268,8 @@
 	return nil
 }
 
-// isFull reports whether a block has the length that all blocks but the last one must have.
-func isFull(block coapwire.Block, length int) bool {
+// isFullBlock reports whether a block has the length that is required of all blocks except the last one.
+func isFullBlock(block coapwire.Block, length int) bool {
 	if block.BERT {
 		return length > 0 && length%coapwire.BERTBlockSize == 0
 	}
--- a/internal/frontend/coapserver/read.go
+++ b/internal/frontend/coapserver/read.go
@@ -15,23 +15,23 @@
 
 const (
 	// idleBufferSize is the size in bytes of the read buffer of a connection without an incomplete frame. Only frames of
-	// at least this size measure the throughput of a link.
+	// at least this size are used to measure the throughput of a link.
 	idleBufferSize = 512
-	// requestCodesEnd is the first code that is not of a request (RFC 7252, 12.1).
-	requestCodesEnd codes.Code = 32
+	// firstNonRequestCode is the lowest message code above those of requests (RFC 7252, 12.1).
+	firstNonRequestCode codes.Code = 32
 )
 
-// Errors of the protocol. They are sent to devices in an Abort, so their texts have no package prefix.
+// Protocol errors. They are sent to devices in an Abort message, so their texts have no package prefix.
 var (
-	errMessageTooLarge = errors.New("a message over the size that this side told")
-	errNoCSM           = errors.New("the first message must be a CSM")
-	errResponse        = errors.New("a response to no request")
-	errTokenInUse      = errors.New("a token that is in use")
+	errMessageTooLarge    = errors.New("a message over the size that this side told")
+	errNoCSM              = errors.New("the first message must be a CSM")
+	errUnexpectedResponse = errors.New("a response to no request")
+	errTokenInUse         = errors.New("a token that is in use")
 )
 
 // serve reads and handles messages until the connection ends.
 func (c *conn) serve() {
-	// A close with unread bytes in the socket would reset the connection, and the device would lose the last message.
+	// A plain close with unread bytes in the socket would reset the connection, and the device could lose the last message.
 	defer gracefulclose.Close(c.netConn)
 	defer c.close()
 	for c.setReadDeadline() {
@@ -50,8 +50,8 @@
 	}
 }
 
-// handleReadError reports whether reading may go on after an error: it may if a deadline has passed and the device
-// does not count as lost.
+// handleReadError reports whether reading continues after an error. It does if the error is an expired deadline and the device
+// is not considered lost.
 func (c *conn) handleReadError(err error, now time.Time) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		if c.buffered > 0 {
@@ -76,11 +76,12 @@
 	return !c.closed
 }
 
-// readDeadline returns the time by which the next bytes must arrive; handleReadTimeout acts if they do not. The caller holds c.mu.
+// readDeadline returns the time by which the next bytes must arrive; otherwise handleReadTimeout is called. The caller holds
+// c.mu.
 func (c *conn) readDeadline() time.Time {
 	switch {
 	case !c.csmReceived:
-		return c.frameStart.Add(c.server.FirstMessageTimeout) // bytes that trickle in do not extend it
+		return c.frameStart.Add(c.server.FirstMessageTimeout) // a fixed deadline, which bytes that arrive one by one do not extend
 	case !c.pingSentAt.IsZero():
 		return c.pingSentAt.Add(c.idleTimeout)
 	case c.buffered > 0:
@@ -91,11 +92,11 @@
 	return c.lastReadAt.Add(c.server.KeepaliveTime)
 }
 
-// handleReadTimeout acts on a read deadline that has passed. It sends a Ping to a device that may be waiting, and returns ""
-// while the connection goes on. For a connection that counts as lost it returns the name of the counter to increment.
+// handleReadTimeout handles an expired read deadline. If the connection is considered lost, it returns the name of the counter
+// to increment. Otherwise it returns "", after sending a Ping unless the deadline has been extended in the meantime.
 func (c *conn) handleReadTimeout(now time.Time) (counter string) {
 	c.mu.Lock()
-	early := now.Before(c.readDeadline()) // the deadline has moved since it was set
+	early := now.Before(c.readDeadline()) // the deadline has been extended since it was set
 	pingPending := !c.pingSentAt.IsZero()
 	c.mu.Unlock()
 	switch {
@@ -110,7 +111,7 @@
 	return ""
 }
 
-// recordRead updates the buffer's length and the link measurements after count bytes have been read.
+// recordRead updates the number of buffered bytes and the link measurements after count bytes have been read.
 func (c *conn) recordRead(count int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +124,8 @@
 	c.lastReadAt = now
 }
 
-// handleFrames handles the complete frames in the buffer and keeps the incomplete one behind them. An error ends the
-// connection by an Abort.
+// handleFrames handles the complete frames in the buffer and keeps an incomplete one that follows them. If it returns an error,
+// the caller ends the connection with an Abort.
 func (c *conn) handleFrames(now time.Time) error {
 	offset := 0
 	for offset < c.buffered {
@@ -150,8 +151,8 @@
 	return nil
 }
 
-// keepIncompleteFrame moves the frame at offset to the start of the buffer. length is that of the frame when it is
-// complete, or 0 if that is not known yet.
+// keepIncompleteFrame moves the incomplete frame at offset to the start of the buffer. length is the length of the complete
+// frame, or 0 if it is not known yet.
 func (c *conn) keepIncompleteFrame(offset, length int, now time.Time) {
 	c.buffered = copy(c.buf, c.buf[offset:c.buffered])
 	c.resizeBuffer(length)
@@ -160,8 +161,8 @@
 	}
 }
 
-// resizeBuffer makes room for a frame of a length, or for more bytes if the length is 0, not known. It shrinks the
-// buffer of a connection that holds nothing.
+// resizeBuffer makes room for a frame of the given length. If the length is not known yet (0), it doubles a full buffer. It
+// shrinks the buffer when nothing is buffered.
 func (c *conn) resizeBuffer(frameLength int) {
 	size := idleBufferSize
 	if frameLength > size {
@@ -190,7 +191,7 @@
 	return c.handleMessage(m, now)
 }
 
-// handleMessage handles one message. An error ends the connection by an Abort.
+// handleMessage handles one message. If it returns an error, the caller ends the connection with an Abort.
 func (c *conn) handleMessage(m *message.Message, now time.Time) error {
 	if !c.csmReceived && m.Code != codes.CSM {
 		return errNoCSM
@@ -201,8 +202,8 @@
 	case codes.Empty:
 		return nil
 	}
-	if m.Code >= requestCodesEnd {
-		return errResponse
+	if m.Code >= firstNonRequestCode {
+		return errUnexpectedResponse
 	}
 	pendingCount, tokenInUse := c.awaitQueueSpace(m.Token)
 	if tokenInUse {
@@ -218,8 +219,8 @@
 	return nil
 }
 
-// awaitQueueSpace waits while too many messages are queued: a device that does not read may not send requests. It
-// returns the number of pending requests and whether one of them has the token.
+// awaitQueueSpace waits while too many messages are queued, so that a device that does not read its responses cannot send
+// more requests. It returns the number of pending requests and whether one of them has the token.
 func (c *conn) awaitQueueSpace(token message.Token) (pendingCount int, tokenInUse bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	maxDeviceNameLength = 64 // bytes
-	overLimitRetry      = 1  // seconds until a request beyond MaxPendingRequests may be retried
+	maxDeviceNameLength   = 64 // bytes
+	overLimitRetrySeconds = 1  // Max-Age of the response to a request beyond MaxPendingRequests
 )
 
 // pendingRequest is a request of a connection that has no response yet.
@@ -28,10 +28,10 @@
 	token     message.Token
 	parsed    *parsedRequest
 	request   *lifecycle.Request
-	stopTimer func() // of the timer that runs expire
+	stopTimer func() // stops the timer that calls expire
 }
 
-// handleRequest parses a request and hands it to the Loop. An error means that it is malformed.
+// handleRequest parses a request and submits it to the Loop. It returns an error if the request is malformed.
 func (c *conn) handleRequest(m *message.Message, now time.Time) error {
 	parsed, err := parseRequest(m)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err := setBody(request.Device, parsed, m.Payload); err != nil {
 		return err
 	}
-	c.setTimes(request, now)
+	c.setRemainingTime(request, now)
 	pending := &pendingRequest{token: m.Token, parsed: parsed, request: request}
 	if !c.addPending(pending) {
 		return nil
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// newRequest checks the fields of a request and makes the Loop's form of it, without body and times. It uses up the
-// link measurements.
+// newRequest checks the fields of a request and converts it to a lifecycle.Request without body and times. The request takes
+// the link measurements that have been collected since the last one.
 func (c *conn) newRequest(parsed *parsedRequest, now time.Time) (*lifecycle.Request, error) {
 	if parsed.device == "" {
 		parsed.device = c.device
@@ -76,17 +76,17 @@
 		payload.Header.Set("Content-Type", parsed.contentType)
 	}
 	if parsed.ageMs >= 0 {
-		// The age is that at sending. How long the message was on its way is not known, but it was at most this.
-		parsed.ageMs += clock.Ms(now.Sub(c.sentAfter))
+		// The device stated the age at the time of sending. The time in transit is unknown; this adds its upper bound.
+		parsed.ageMs += clock.Ms(now.Sub(c.earliestSendTime))
 	}
-	deviceCopy := requestparse.DeviceFields{
+	deviceFields := requestparse.DeviceFields{
 		DeviceID:        parsed.device,
 		ReadID:          parsed.fields.IdempotencyKey,
 		AgeMs:           parsed.ageMs,
 		PreviousGateway: parsed.previousGateway,
 		Link:            c.linkSample,
 	}
-	if err := requestparse.MakeDeviceRequest(request, class, parsed.fields, deviceCopy, payload); err != nil {
+	if err := requestparse.MakeDeviceRequest(request, class, parsed.fields, deviceFields, payload); err != nil {
 		return nil, err
 	}
 	c.device = parsed.device
@@ -95,7 +95,7 @@
 	return request, nil
 }
 
-// setBody stores a copy of the payload: a block of an upload or a complete body.
+// setBody stores a copy of the payload, which is either a block of an upload or a complete body.
 func setBody(device *lifecycle.DeviceRequest, parsed *parsedRequest, payload []byte) error {
 	device.Body = bytes.Clone(payload)
 	if block := parsed.block1; block != nil && (block.More || block.Offset > 0) {
@@ -114,8 +114,9 @@
 	return nil
 }
 
-// setTimes deducts what the message took to arrive from the time that is left for the request.
-func (c *conn) setTimes(request *lifecycle.Request, now time.Time) {
+// setRemainingTime subtracts the time that the message took to arrive from the remaining time of the request. During a
+// shutdown it also limits the remaining time to the response deadline.
+func (c *conn) setRemainingTime(request *lifecycle.Request, now time.Time) {
 	request.ClientDelayMs = clock.Ms(now.Sub(c.frameStart))
 	request.RemainingMs -= request.ClientDelayMs
 	if respondByMs, ok := c.server.responseDeadline(); ok {
@@ -123,7 +124,7 @@
 	}
 }
 
-// addPending makes a request pending and starts its timer. It returns false if the connection is closed.
+// addPending adds a request to the pending ones and starts its timer. It returns false if the connection is closed.
 func (c *conn) addPending(p *pendingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,14 +132,14 @@
 		return false
 	}
 	c.pending[string(p.token)] = p
-	// A copy whose time was up on arrival gets its response from the exchange store at once. The timer must not fire
-	// before that: a device whose write an earlier copy has confirmed would get the response that it failed.
+	// The exchange store answers a retransmission at once even if its remaining time was over on arrival. The timer must
+	// not fire before that: the device would receive a failure for a write that an earlier transmission has completed.
 	timeoutMs := max(0, p.request.RemainingMs) + frontend.ResponseGraceMs
 	p.stopTimer = c.server.Clock.AfterFunc(timeoutMs, func() { c.expire(p) })
 	return true
 }
 
-// removePending ends a request's being pending, and returns false if that has ended already. The caller holds c.mu.
+// removePending removes a request from the pending ones. It returns false if the request is not pending. The caller holds c.mu.
 func (c *conn) removePending(p *pendingRequest) bool {
 	if c.pending[string(p.token)] != p {
 		return false
@@ -147,7 +148,7 @@
 	return true
 }
 
-// submit hands a pending request to the Loop, or responds to it if the inbox is full.
+// submit submits a pending request to the Loop, or responds to it if the Loop's inbox is full.
 func (c *conn) submit(p *pendingRequest) {
 	p.request.Respond = func(response lifecycle.Response) { c.respond(p, response) }
 	if c.server.Loop.Submit(p.request) {
@@ -156,13 +157,13 @@
 	c.server.Metrics.Add(frontend.RequestsInboxFull, 1)
 	response := lifecycle.Response{Kind: lifecycle.Rejected, RetryAfterMs: frontend.InboxFullRetryAfterMs}
 	if p.request.IsRetry && p.parsed.fields.Method == http.MethodPut {
-		response.Kind = lifecycle.Failed // an earlier copy may have been executed
+		response.Kind = lifecycle.Failed // an earlier transmission may have been executed
 	}
 	c.respond(p, response)
 }
 
-// respond queues the response to a request, unless that is no longer pending. It does not block, and is called on the
-// Loop's goroutine or on that of serve.
+// respond queues the response to a request, unless the request is no longer pending. It does not block. It is called on the
+// goroutine of the Loop or of serve.
 func (c *conn) respond(p *pendingRequest, response lifecycle.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,13 +175,13 @@
 		c.preferredBlockSize = response.BlockSize
 	}
 	if c.closed || !c.removePending(p) {
-		return // the Loop knows by Cancel
+		return // expire or close has removed the request and calls Loop.Cancel for it
 	}
 	p.stopTimer()
-	c.enqueue(outgoing{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
+	c.enqueue(outgoingMessage{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
 }
 
-// expire responds to a request that the Loop has not responded to in time, which is a fault of the program.
+// expire responds to a request that the Loop has not responded to in time. This happens only because of a bug.
 func (c *conn) expire(p *pendingRequest) {
 	c.mu.Lock()
 	expired := c.removePending(p)
@@ -196,15 +197,15 @@
 // rejectOverLimit responds to a request beyond MaxPendingRequests.
 func (c *conn) rejectOverLimit(m *message.Message) {
 	c.server.Metrics.Add(requestsOverLimit, 1)
-	if m.Code == codes.PUT && m.Options.HasOption(coapwire.OptRetry) { // an earlier copy may have been executed
+	if m.Code == codes.PUT && m.Options.HasOption(coapwire.OptRetry) { // an earlier transmission may have been executed
 		c.sendText(m.Token, codes.BadGateway, textFailed)
 		return
 	}
 	c.sendText(m.Token, codes.TooManyRequests, "too many requests are open",
-		coapwire.UintOption(message.MaxAge, overLimitRetry))
+		coapwire.UintOption(message.MaxAge, overLimitRetrySeconds))
 }
 
-// rejectMalformed responds to a malformed request, with the code of a requestError or 4.00.
+// rejectMalformed responds to a malformed request with the code of the requestError, or with 4.00 for other errors.
 func (c *conn) rejectMalformed(token message.Token, err error) {
 	c.server.Metrics.Add(frontend.RequestsMalformed, 1)
 	code := codes.BadRequest
--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -17,13 +17,13 @@
 // textFailed is the payload of a response to a request that may have been executed.
 const textFailed = "failed, it may have been done"
 
-// textMessage returns a response whose payload is a text for whoever debugs a device.
+// textMessage returns a response whose payload is a diagnostic text (RFC 7252, 5.5.2).
 func textMessage(token message.Token, code codes.Code, text string, options ...message.Option) message.Message {
 	return message.Message{Token: token, Code: code, Payload: []byte(text), Options: options}
 }
 
-// composeResponse makes the message of a response. complete is set if it is a served one and the device then has all
-// of it.
+// composeResponse returns the message for a response. complete reports whether the response is a served one and the device has
+// all of it once it has received the message.
 func (c *conn) composeResponse(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
 	switch response.Kind {
 	case lifecycle.Served:
@@ -49,7 +49,7 @@
 	}
 }
 
-// composeContinue acknowledges a block of an upload, and advises a smaller size if the link does better with it.
+// composeContinue acknowledges a block of an upload. It requests a smaller block size if one is preferred for the link.
 func (c *conn) composeContinue(p *pendingRequest) message.Message {
 	block := *p.parsed.block1
 	if preferred := c.peerLimits().preferredBlockSize; preferred > 0 && preferred < block.Size {
@@ -62,8 +62,8 @@
 	}
 }
 
-// composeServed makes the message of a served response: all of it, the block that the request asks for, or that the
-// device has it already.
+// composeServed returns the message for a served response: the whole body, the requested or first block of it, or 2.03 (Valid)
+// if the device already has the body.
 func (c *conn) composeServed(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
 	body := response.Body.([]byte)
 	limits := c.peerLimits()
@@ -89,8 +89,8 @@
 	return composeBlock(p, m, body, limits, coapwire.Block{Size: coapwire.BERTBlockSize, BERT: limits.bert})
 }
 
-// composeBlock adds to m, which has the code and the ETag of a served response, the block of the body for the one requested.
-// complete is set if it is the last block.
+// composeBlock adds the requested block of the body to m, which already has the code and the ETag of the served response.
+// complete reports whether the block is the last one.
 func composeBlock(p *pendingRequest, m message.Message, body []byte, limits peerLimits,
 	requested coapwire.Block) (_ message.Message, complete bool) {
 	block, length := limits.responseBlock(requested)
@@ -105,7 +105,7 @@
 	return m, !block.More
 }
 
-// appendBlock1 appends the Block1 option that the response to a block of an upload repeats.
+// appendBlock1 appends the Block1 option of the request, which the response to a block of an upload must repeat.
 func appendBlock1(options message.Options, p *pendingRequest) message.Options {
 	if p.parsed.block1 == nil {
 		return options
@@ -113,5 +113,5 @@
 	return append(options, p.parsed.block1.Option(message.Block1))
 }
 
-// maxAgeSeconds returns a Max-Age in whole seconds. It is at least one, since zero would mean at once.
+// maxAgeSeconds rounds a delay up to whole seconds for Max-Age. The result is at least 1, since 0 would mean an immediate retry.
 func maxAgeSeconds(ms float64) uint32 { return uint32(max(1, math.Ceil(ms/1000))) }
--- a/internal/frontend/coapserver/server.go
+++ b/internal/frontend/coapserver/server.go
@@ -30,39 +30,40 @@
 
 // Options are the limits and timeouts of a Server. All must be set, and none may change while it serves.
 type Options struct {
-	// GatewayName identifies this run of the gateway to devices; it differs at each start.
+	// GatewayName identifies this process of the gateway to devices. It is different after each restart.
 	GatewayName string
 
-	MaxConns           int // connections at a time
-	MaxPendingRequests int // requests without a response on one connection
-	MaxMessageSize     int // bytes of a message from a device
+	MaxConns           int // maximum number of open connections
+	MaxPendingRequests int // maximum number of requests without a response on one connection
+	MaxMessageSize     int // bytes; maximum size of a message from a device
 
-	// FirstMessageTimeout is how long after connecting the device's CSM must have arrived.
+	// FirstMessageTimeout bounds the time from connecting until the CSM of the device has arrived.
 	FirstMessageTimeout time.Duration
-	// KeepaliveTime is how long nothing may arrive on an idle connection before the server sends a Ping.
+	// KeepaliveTime is how long an idle connection may be silent before the server sends a Ping.
 	KeepaliveTime time.Duration
-	// MinIdleTimeout and MaxIdleTimeout bound the silence after which a connection with an unanswered Ping, an incomplete
-	// message or a blocked write counts as lost. Within them the measured link decides; it starts at the maximum.
+	// MinIdleTimeout and MaxIdleTimeout bound the idle timeout of a connection: the silence after which a connection with an
+	// unanswered Ping, an incomplete message or a blocked write is considered lost. The idle timeout starts at the maximum and
+	// is then adapted to the measured link.
 	MinIdleTimeout time.Duration
 	MaxIdleTimeout time.Duration
 	// HoldOff is how long a device must wait before it connects again, as sent with Release (RFC 8323, 5.5).
 	HoldOff time.Duration
 }
 
-// Loop is the event loop as a Server uses it. Its methods do not block and may be called from any goroutine.
+// Loop is the event loop that a Server submits requests to. Its methods do not block and may be called from any goroutine.
 type Loop interface {
 	frontend.Loop
-	// LinkMeasured reports a measurement of a device's link that did not come with a request.
+	// LinkMeasured reports a measurement of a device's link that was made without a request.
 	LinkMeasured(device string, sample lifecycle.LinkSample)
 }
 
-// serverPhase says what a Server does with new connections. It only advances.
+// serverPhase determines what a Server does with new connections. It only advances to later phases.
 type serverPhase uint8
 
 const (
-	phaseServing      serverPhase = iota // they are served
-	phaseDraining                        // they are served, and get a Release at once
-	phaseShuttingDown                    // they are refused
+	phaseServing      serverPhase = iota // new connections are served
+	phaseDraining                        // new connections are served, and the server sends Release at once
+	phaseShuttingDown                    // new connections are refused
 )
 
 // String returns the name of the phase.
@@ -88,9 +89,9 @@
 	Metrics  *metrics.Registry
 	Settings *scheduler.Settings
 
-	// respondByMs holds the bits of the float64 that BeginShutdown has set; 0 before a shutdown.
+	// respondByMs holds the argument of BeginShutdown as float64 bits; 0 before a shutdown.
 	respondByMs atomic.Uint64
-	readers     sync.WaitGroup
+	readers     sync.WaitGroup // goroutines that run conn.serve
 
 	mu    sync.Mutex
 	conns map[*conn]bool
@@ -108,7 +109,8 @@
 	}
 }
 
-// StartConn serves a connection in goroutines of its own, or closes it if the server is at its limit or shutting down.
+// StartConn serves a connection in its own goroutines. It closes the connection instead if the server is shutting down, or is at
+// MaxConns without an idle connection to evict.
 func (s *Server) StartConn(netConn net.Conn) {
 	c := newConn(s, netConn)
 	s.mu.Lock()
@@ -139,8 +141,8 @@
 	}()
 }
 
-// evictIdle closes the connection that has been idle for the longest time. It returns false if none is idle. The caller
-// holds s.mu.
+// evictIdle closes the connection that has been idle the longest. It returns false if no connection is idle. The caller holds
+// s.mu.
 func (s *Server) evictIdle() bool {
 	var oldest *conn
 	var oldestSince time.Time
@@ -154,23 +156,23 @@
 	}
 	s.Metrics.Add(connectionsShed, 1)
 	delete(s.conns, oldest)
-	go oldest.closeNow() // closing may block, and s.mu is held
+	go oldest.closeNow() // in a goroutine, since closing may block and the caller holds s.mu
 	return true
 }
 
-// BeginShutdown makes the server respond to every request that arrives from now on before respondByMs, in milliseconds of
-// Clock.
+// BeginShutdown sets respondByMs, a time of Clock in milliseconds, as the response deadline of all requests that arrive from now
+// on.
 func (s *Server) BeginShutdown(respondByMs float64) {
 	s.respondByMs.Store(math.Float64bits(respondByMs))
 }
 
-// responseDeadline returns the time that BeginShutdown has set, if it has been called.
+// responseDeadline returns the time that BeginShutdown has set. ok is false before BeginShutdown.
 func (s *Server) responseDeadline() (respondByMs float64, ok bool) {
 	respondByMs = math.Float64frombits(s.respondByMs.Load())
 	return respondByMs, respondByMs != 0
 }
 
-// Drain asks devices to use another gateway. Connections are still accepted, for devices that come back for a response.
+// Drain asks devices to use another gateway. The server still accepts connections, so that devices can return for a response.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,8 +182,8 @@
 	}
 }
 
-// Shutdown refuses new connections, closes each one after its pending requests have their responses, and waits for that.
-// The listener must be closed before.
+// Shutdown refuses new connections, closes each existing one once its pending requests have been answered, and waits until all
+// are closed. The caller must close the listener first.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	s.phase = phaseShuttingDown
@@ -199,7 +201,7 @@
 	return len(s.conns)
 }
 
-// Close refuses new connections and closes all present ones at once; it does not wait for their goroutines.
+// Close refuses new connections and closes all existing ones at once. It does not wait for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.phase = phaseShuttingDown
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -15,20 +15,20 @@
 	"gaugerelay/internal/logevent"
 )
 
-// minPeerMessageSize is the smallest Max-Message-Size in bytes that a device may announce.
+// minPeerMessageSize is the smallest Max-Message-Size that a device may announce, in bytes.
 const minPeerMessageSize = 64
 
-// Errors of signaling. All but errAborted are sent to devices in an Abort, so their texts have no package prefix.
+// Signaling errors. All except errAborted are sent to devices in an Abort message, so their texts have no package prefix.
 var (
 	errCriticalSignalOption = errors.New("a critical option in a signaling message")
 	errBadMaxMessageSize    = errors.New("a Max-Message-Size that nothing fits into")
 	errAborted              = errors.New("aborted by the device")
 )
 
-// handleSignal handles the signaling messages (RFC 8323, 5). An error ends the connection.
+// handleSignal handles signaling messages (RFC 8323, 5). If it returns an error, the caller ends the connection.
 func (c *conn) handleSignal(m *message.Message, now time.Time) error {
 	for _, option := range m.Options {
-		if isCritical(option.ID) { // none that this server supports has been defined
+		if isCritical(option.ID) { // this server supports no critical signaling option
 			return errCriticalSignalOption
 		}
 	}
@@ -47,19 +47,20 @@
 	return nil
 }
 
-// handleCSM applies the device's capabilities and settings.
+// handleCSM applies a CSM of the device. After the first one it measures the round trip with a Ping.
 func (c *conn) handleCSM(m *message.Message, now time.Time) error {
 	first := !c.csmReceived
 	c.csmReceived = true
 	err := c.applyCSM(m.Options)
 	if first {
-		// The link's round trip must be known before the first response: a request's time counts from its sending.
+		// The round trip must be known before the first response, since the remaining time of a request counts from when the
+		// device sent it.
 		c.ping(now)
 	}
 	return err
 }
 
-// applyCSM stores the options of a CSM that this server uses.
+// applyCSM stores those options of a CSM that the server uses: Max-Message-Size and Block-Wise-Transfer.
 func (c *conn) applyCSM(options message.Options) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,17 +79,18 @@
 	return nil
 }
 
-// ping sends a Ping, which shows whether the device is there and measures the round trip, unless one is unanswered.
+// ping sends a Ping, which checks that the device is reachable and measures the round trip. It does nothing while an earlier
+// Ping is unanswered.
 func (c *conn) ping(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pingSentAt.IsZero() {
 		c.pingSentAt = now
-		c.enqueue(outgoing{encoded: coapwire.Encode(message.Message{Code: codes.Ping})})
+		c.enqueue(outgoingMessage{encoded: coapwire.Encode(message.Message{Code: codes.Ping})})
 	}
 }
 
-// sendPong answers a Ping, with Custody if that asks for it (RFC 8323, 5.4.1).
+// sendPong answers a Ping. The Pong has the Custody option if the Ping has it (RFC 8323, 5.4.1).
 func (c *conn) sendPong(ping *message.Message) {
 	pong := message.Message{Code: codes.Pong, Token: ping.Token}
 	if ping.Options.HasOption(message.TCPCustody) {
@@ -97,7 +99,7 @@
 	c.send(pong)
 }
 
-// handlePong ends the round trip of the Ping that is unanswered, if there is one.
+// handlePong records the round trip of the unanswered Ping. A Pong without such a Ping is ignored.
 func (c *conn) handlePong(now time.Time) {
 	c.mu.Lock()
 	sentAt := c.pingSentAt
@@ -106,18 +108,18 @@
 	if sentAt.IsZero() {
 		return
 	}
-	c.sentAfter = sentAt
+	c.earliestSendTime = sentAt
 	roundTripMs := clock.Ms(now.Sub(sentAt))
 	if c.device == "" {
-		c.linkSample.RoundTripMs = roundTripMs // until a request names the device
+		c.linkSample.RoundTripMs = roundTripMs // reported with the first request, which names the device
 		return
 	}
-	// Requests that wait already may have to be answered sooner because of it.
+	// Reported at once, since pending requests may have to be answered earlier with the new round trip.
 	c.server.Loop.LinkMeasured(c.device, lifecycle.LinkSample{RoundTripMs: roundTripMs})
 }
 
-// abort ends the connection because of a protocol error: it sends an Abort with the reason and waits until that has been
-// written or the connection is lost. An Abort from the device is not answered.
+// abort ends the connection because of a protocol error. It sends an Abort with the reason and waits until the Abort has been
+// written or the connection is lost. An Abort from the device is counted but not answered.
 func (c *conn) abort(err error) {
 	if errors.Is(err, errAborted) {
 		c.server.Metrics.Add(abortsReceived, 1)
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	maxQueuedMessages = 16      // no more requests are read while so many messages wait to be written
-	writeChunkSize    = 4 << 10 // bytes for each of which the device gets the idle timeout
+	maxQueuedMessages = 16      // no further requests are handled while this many messages are queued
+	writeChunkSize    = 4 << 10 // bytes; the idle timeout applies to each chunk
 )
 
-// outgoing is a message that waits to be written: an encoded one, or the response to a request, which is encoded when
-// its turn comes since that depends on what the device can receive then.
-type outgoing struct {
+// outgoingMessage is a queued message: either an encoded one or the response to a request. A response is encoded only when it
+// is written, since its form depends on what the device can receive at that time.
+type outgoingMessage struct {
 	encoded    []byte
-	pending    *pendingRequest // the request that response belongs to; nil: encoded is set
+	pending    *pendingRequest // request that response belongs to; nil: the message is in encoded
 	response   lifecycle.Response
-	closeAfter bool // the connection ends after this message
+	closeAfter bool // close the connection after this message
 }
 
 // send queues a message.
 func (c *conn) send(m message.Message) {
-	c.sendEncoded(outgoing{encoded: coapwire.Encode(m)})
+	c.sendEncoded(outgoingMessage{encoded: coapwire.Encode(m)})
 }
 
-// sendAndClose queues a message after which the connection ends.
+// sendAndClose queues a message and closes the connection once the message has been written.
 func (c *conn) sendAndClose(m message.Message) {
-	c.sendEncoded(outgoing{encoded: coapwire.Encode(m), closeAfter: true})
+	c.sendEncoded(outgoingMessage{encoded: coapwire.Encode(m), closeAfter: true})
 }
 
-func (c *conn) sendEncoded(item outgoing) {
+func (c *conn) sendEncoded(item outgoingMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.enqueue(item)
@@ -48,29 +48,29 @@
 }
 
 // enqueue appends a message to the queue and starts writeLoop if it is not running. The caller holds c.mu.
-func (c *conn) enqueue(item outgoing) {
+func (c *conn) enqueue(item outgoingMessage) {
 	if c.closed {
 		return
 	}
 	c.queue = append(c.queue, item)
-	if !c.writing {
-		c.writing = true
+	if !c.writeLoopRunning {
+		c.writeLoopRunning = true
 		go c.writeLoop()
 	}
 }
 
-// dequeue takes the first message of the queue. It returns false, and writing ends, if there is none or the connection
-// is closed.
-func (c *conn) dequeue() (item outgoing, idleTimeout time.Duration, ok bool) {
+// dequeue removes and returns the first message of the queue. It returns false if the queue is empty or the connection is
+// closed; writeLoop must then return.
+func (c *conn) dequeue() (item outgoingMessage, idleTimeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || len(c.queue) == 0 {
-		c.writing = false
+		c.writeLoopRunning = false
 		c.closeIfIdle()
-		return outgoing{}, 0, false
+		return outgoingMessage{}, 0, false
 	}
 	item = c.queue[0]
-	c.queue[0] = outgoing{} // so that its memory can be freed
+	c.queue[0] = outgoingMessage{} // releases the references, so that the memory can be freed
 	c.queue = c.queue[1:]
 	if len(c.queue) == 0 {
 		c.queue = nil
@@ -89,7 +89,7 @@
 		err := c.write(item, idleTimeout)
 		if err != nil || item.closeAfter {
 			c.mu.Lock()
-			c.writing = false
+			c.writeLoopRunning = false
 			c.mu.Unlock()
 			c.close()
 			return
@@ -97,8 +97,8 @@
 	}
 }
 
-// write writes one message and reports to the Loop what became of a served response.
-func (c *conn) write(item outgoing, idleTimeout time.Duration) error {
+// write writes one message. For a served response it reports to the Loop whether all of it has been written.
+func (c *conn) write(item outgoingMessage, idleTimeout time.Duration) error {
 	if item.pending == nil {
 		return c.writeBytes(item.encoded, idleTimeout)
 	}
@@ -110,12 +110,13 @@
 	if err == nil && complete {
 		c.server.Loop.ResponseWritten(item.pending.request, lifecycle.LinkSample{})
 	} else {
-		c.server.Loop.Cancel(item.pending.request) // the response stays cached: the device may ask for the rest of it
+		c.server.Loop.Cancel(item.pending.request) // the response stays cached, so that the device can request the rest
 	}
 	return err
 }
 
-// writeBytes writes bytes in chunks with a deadline for each, so that a slow link is served and a lost one is not.
+// writeBytes writes the bytes in chunks, each with its own deadline. A slow link thus gets enough time, while a lost connection
+// is detected soon.
 func (c *conn) writeBytes(remaining []byte, idleTimeout time.Duration) error {
 	for len(remaining) > 0 {
 		chunk := remaining[:min(len(remaining), writeChunkSize)]
