--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -13,27 +13,27 @@
 
 // Timeouts of a connection.
 const (
-	// firstPacketTimeout bounds the time from the connecting to the end of the first packet.
+	// firstPacketTimeout bounds the time from accepting the connection to the end of the first packet.
 	firstPacketTimeout = 2700 * time.Millisecond
 	// idleTimeout bounds the time between two packets.
 	idleTimeout = 5 * time.Minute
-	// packetTimeout bounds the time between two reads within a packet, and the time of a write.
+	// packetTimeout bounds the time between two reads within a packet, and the duration of a write.
 	packetTimeout = 10 * time.Second
 )
 
-// packetHeaderSize is the size of the length and the type at the start of a packet.
+// packetHeaderSize is the size in bytes of the length and the type at the start of a packet.
 const packetHeaderSize = 5
 
-var errOversizedPacket = errors.New("packet over the limit")
+var errPacketLength = errors.New("SFTP packet length is out of range")
 
-// packetTracker follows the packets in a stream of bytes.
+// packetTracker tracks the boundaries of packets in a byte stream.
 type packetTracker struct {
-	header    []byte // of the current packet, as far as it has arrived
-	remaining int    // bytes of the current packet that follow the header and have not arrived
-	packets   int    // packets that have arrived to their last byte
+	header          []byte // the part of the current packet's header that has arrived
+	remaining       int    // bytes after the header of the current packet that have not arrived yet
+	completePackets int    // number of packets that have arrived completely
 }
 
-// advance takes the next bytes of the stream. After an error, the tracker cannot be used any more.
+// advance processes the next bytes of the stream. The tracker must not be used after an error.
 func (t *packetTracker) advance(data []byte) error {
 	for len(data) > 0 {
 		if len(t.header) < packetHeaderSize {
@@ -49,7 +49,7 @@
 		}
 		if len(t.header) == packetHeaderSize && t.remaining == 0 {
 			t.header = t.header[:0]
-			t.packets++
+			t.completePackets++
 		}
 	}
 	return nil
@@ -62,13 +62,14 @@
 	}
 	length := binary.BigEndian.Uint32(t.header)
 	if length < 1 || length > sftpwire.MaxPacket {
-		return errOversizedPacket
+		return errPacketLength
 	}
 	t.remaining = int(length) - 1 // the type has arrived with the header
 	return nil
 }
 
-// truncated reports whether the stream so far ends inside a packet, and the type of that packet, or 0 if it has not arrived.
+// truncated reports whether the stream so far ends inside a packet. packetType is the type of that packet, or 0 if the type has
+// not arrived.
 func (t *packetTracker) truncated() (ok bool, packetType byte) {
 	if len(t.header) == packetHeaderSize {
 		return true, t.header[packetHeaderSize-1]
@@ -76,18 +77,18 @@
 	return len(t.header) > 0, 0
 }
 
-// conn is a client's connection. It enforces the timeouts and the limit of packets, counts the packets in both directions, and
-// reports at once when the client disconnects.
+// conn is a client's connection. It enforces the timeouts and the size limit of packets, counts the packets in both directions,
+// and reports a disconnect of the client at once.
 type conn struct {
 	net.Conn
 	onDisconnect func() // called with mu held, possibly more than once
 	acceptedAt   time.Time
-	received     packetTracker // belongs to the reading goroutine until that has ended
+	received     packetTracker // used only by the reading goroutine until that goroutine has ended
 
 	mu            sync.Mutex
-	changed       sync.Cond
+	changed       sync.Cond // uses mu; signaled after a write and when the client has disconnected
 	sent          packetTracker
-	receivedCount int // packets that were received to their last byte
+	receivedCount int // number of packets that were received completely
 	disconnected  bool
 	draining      bool
 }
@@ -107,8 +108,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.receivedCount = c.received.packets
-	// A client that closes its sending side counts as disconnected. During a drain, the error may be the server's own.
+	c.receivedCount = c.received.completePackets
+	// A client that closes its sending side is considered disconnected. During a drain, the error may result from the
+	// server's own read deadline.
 	if err != nil && !c.draining {
 		c.disconnectLocked()
 	}
@@ -122,7 +124,7 @@
 		timeout = packetTimeout
 	}
 	deadline := time.Now().Add(timeout)
-	if c.received.packets == 0 { // one deadline, so that single bytes do not extend it
+	if c.received.completePackets == 0 { // a fixed deadline, which bytes that arrive one by one do not extend
 		deadline = c.acceptedAt.Add(firstPacketTimeout)
 	}
 	c.mu.Lock()
@@ -138,7 +140,7 @@
 	n, err := c.Conn.Write(data)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.sent.advance(data[:n]) // the library writes no packets over the limit
+	_ = c.sent.advance(data[:n]) // cannot fail: the library writes only packets of a valid length
 	if err != nil {
 		c.disconnectLocked()
 	}
@@ -146,8 +148,8 @@
 	return n, err
 }
 
-// Close is called by the library when it reads no more. It closes the sending side only, where that is possible: serveConn
-// closes the connection.
+// Close is called by the library when it stops reading. It closes only the sending side if the connection supports that, since
+// serveConn closes the connection.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.disconnectLocked()
@@ -158,8 +160,8 @@
 	return c.SetReadDeadline(time.Now())
 }
 
-// abort closes the connection at once. It also reports the disconnect itself, since nobody may be reading: the library stops
-// reading while many commands wait.
+// abort closes the connection at once. It also reports the disconnect: no read may be in progress that would notice it, since the
+// library stops reading while many commands are waiting.
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.disconnectLocked()
@@ -167,15 +169,15 @@
 	c.Conn.Close()
 }
 
-// disconnectLocked records that no further response reaches the client. The caller holds c.mu.
+// disconnectLocked records that the client can receive no further response. The caller holds c.mu.
 func (c *conn) disconnectLocked() {
 	c.disconnected = true
 	c.onDisconnect()
 	c.changed.Broadcast()
 }
 
-// stopReading ends the reading. The commands that were received to their last byte are still answered, since RequestServer
-// waits for its workers.
+// stopReading ends reading from the client. Commands that were received completely are still answered, since RequestServer waits
+// for its workers.
 func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,12 +185,12 @@
 	c.SetReadDeadline(time.Now())
 }
 
-// waitForResponses waits until each packet that was received to its last byte has its response written, or the client has
-// disconnected. RequestServer returns when its workers have ended, while its writer may still hold their responses.
+// waitForResponses waits until the response to each completely received packet has been written, or the client has disconnected.
+// This is needed because RequestServer returns when its workers have ended, and its writer may still hold their responses.
 func (c *conn) waitForResponses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.disconnected && c.sent.packets < c.receivedCount {
+	for !c.disconnected && c.sent.completePackets < c.receivedCount {
 		c.changed.Wait()
 	}
 }
--- a/internal/frontend/sftpserver/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -61,10 +61,10 @@
 		length uint32
 		want   error
 	}{
-		"empty":      {0, errOversizedPacket},
+		"empty":      {0, errPacketLength},
 		"type alone": {1, nil},
 		"limit":      {sftpwire.MaxPacket, nil},
-		"over limit": {sftpwire.MaxPacket + 1, errOversizedPacket},
+		"over limit": {sftpwire.MaxPacket + 1, errPacketLength},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tracker packetTracker
--- a/internal/frontend/sftpserver/errors.go
+++ b/internal/frontend/sftpserver/errors.go
@@ -10,7 +10,8 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// Errors that clients receive. The library sends the text as the message of a STATUS, and the wrapped error as its code.
+// Errors that are sent to clients. The library sends the text as the message of a STATUS and derives the status code from the
+// wrapped error.
 var (
 	errNotSupported    = fmt.Errorf("not served here: %w", sftp.ErrSSHFxOpUnsupported)
 	errAppending       = fmt.Errorf("appending: %w", sftp.ErrSSHFxOpUnsupported)
@@ -22,26 +23,26 @@
 	errNotWritable     = fmt.Errorf("not open for writing: %w", sftp.ErrSSHFxPermissionDenied)
 )
 
-// busyError returns the error for a command that was rejected without effect and may be retried after the delay.
+// busyError returns the error for a command that was rejected, had no effect and may be retried after the delay.
 func busyError(retryAfterMs float64) error {
 	return fmt.Errorf("busy, nothing was done, retry after %.0f ms: %w", max(1, retryAfterMs), sftp.ErrSSHFxFailure)
 }
 
-// replyTo returns the storage server's reply in a response, and the error that the client receives or nil.
-func replyTo(response lifecycle.Response) (*sftpwire.Reply, error) {
+// replyFromResponse returns the storage server's reply that a response contains, and the error to send to the client or nil.
+func replyFromResponse(response lifecycle.Response) (*sftpwire.Reply, error) {
 	switch response.Kind {
 	case lifecycle.Rejected:
 		return nil, busyError(response.RetryAfterMs)
 	case lifecycle.Served:
 		reply := response.Body.(*sftpwire.Reply)
-		return reply, errorOfStatus(reply.Code)
+		return reply, errorFromStatus(reply.Code)
 	}
 	return nil, errMayHaveExecuted
 }
 
-// errorOfStatus returns the error that the library sends as the code, or nil for StatusOK. Codes that clients do not receive
-// from the gateway become a failure.
-func errorOfStatus(code sftpwire.StatusCode) error {
+// errorFromStatus returns the error that the library sends as the given status code, or nil for StatusOK. Codes that the gateway
+// does not pass on to clients become SSH_FX_FAILURE.
+func errorFromStatus(code sftpwire.StatusCode) error {
 	switch code {
 	case sftpwire.StatusOK:
 		return nil
--- a/internal/frontend/sftpserver/file.go
+++ b/internal/frontend/sftpserver/file.go
@@ -11,26 +11,26 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// maxFailedWrites bounds the failed writes that are remembered for each handle.
+// maxFailedWrites bounds the number of failed writes that are recorded for each handle.
 const maxFailedWrites = 64
 
-// notRetransmitted stands for the age of a command that is not a retransmission over another connection.
+// notRetransmitted is used in place of the age of a command that is not a retransmission over another connection.
 const notRetransmitted = -1
 
-// openFile is an open handle. Its methods may be called from any goroutine, several at once.
+// openFile is an open handle. Its methods may be called concurrently.
 type openFile struct {
 	handler  *handler
 	path     string
 	flags    uint32
 	openedMs float64
 
-	mu     sync.Mutex
-	failed map[int64]writeRecord // writes that failed and may have executed, by offset
+	mu           sync.Mutex
+	failedWrites map[int64]writeRecord // writes that failed and may have been executed, by offset
 }
 
-// newOpenFile returns a handle that is opened now.
+// newOpenFile returns a handle whose opening time is the current time.
 func newOpenFile(h *handler, path string, flags uint32) *openFile {
-	return &openFile{handler: h, path: path, flags: flags, openedMs: h.server.Clock.NowMs(), failed: map[int64]writeRecord{}}
+	return &openFile{handler: h, path: path, flags: flags, openedMs: h.server.Clock.NowMs(), failedWrites: map[int64]writeRecord{}}
 }
 
 // ReadAt implements io.ReaderAt. Each READ is one request.
@@ -45,7 +45,7 @@
 	}
 	n := copy(data, reply.Data)
 	if n < len(data) {
-		err = io.EOF // the library sends the data of a short read without the error
+		err = io.EOF // if there is data, the library sends the data and drops the error
 	}
 	return n, err
 }
@@ -55,22 +55,23 @@
 	if f.flags&sftpwire.FlagWrite == 0 {
 		return 0, errNotWritable
 	}
-	record, firstSentAgoMs := f.identifyWrite(data, offset)
+	record, ageMs := f.identifyWrite(data, offset)
 	command := &sftpwire.Command{Op: sftpwire.OpWrite, Offset: uint64(offset), Data: data, UploadKey: record.uploadKey}
-	_, err := f.handler.execute(f.path, command, firstSentAgoMs)
+	_, err := f.handler.execute(f.path, command, ageMs)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
-		delete(f.failed, offset)
+		delete(f.failedWrites, offset)
 		return len(data), nil
 	}
-	if len(f.failed) < maxFailedWrites {
-		f.failed[offset] = record
+	if len(f.failedWrites) < maxFailedWrites {
+		f.failedWrites[offset] = record
 	}
 	return 0, err
 }
 
-// Close implements io.Closer. The library also calls it for the handles that are open when a connection is lost.
+// Close implements io.Closer. The library also calls it for handles that are still open when their connection is lost; those are
+// not recorded as closed.
 func (f *openFile) Close() error {
 	server := f.handler.server
 	if server.RetentionMs > 0 && !f.handler.isDisconnected() {
@@ -79,23 +80,23 @@
 	return nil
 }
 
-// identifyWrite returns the record of a WRITE, with the upload key of an earlier WRITE that it repeats or with a new one.
-// firstSentAgoMs is the age of the earlier WRITE if that was sent on another handle, or notRetransmitted.
-func (f *openFile) identifyWrite(data []byte, offset int64) (record writeRecord, firstSentAgoMs float64) {
+// identifyWrite returns the record of a WRITE. Its upload key is that of the earlier WRITE that it retransmits, or a new one.
+// ageMs is the time since the earlier WRITE was first received if that was on another handle; otherwise it is notRetransmitted.
+func (f *openFile) identifyWrite(data []byte, offset int64) (record writeRecord, ageMs float64) {
 	server := f.handler.server
-	record = writeRecord{offset: offset, digest: sha256.Sum256(data), size: len(data), firstSentMs: server.Clock.NowMs()}
+	record = writeRecord{offset: offset, digest: sha256.Sum256(data), size: len(data), firstReceivedMs: server.Clock.NowMs()}
 	windowMs := clock.Ms(server.WriteClass.DedupWindow)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if failed, ok := f.failed[offset]; ok && failed.equals(&record) && record.firstSentMs-failed.firstSentMs < windowMs {
+	if failed, ok := f.failedWrites[offset]; ok && failed.equals(&record) && record.firstReceivedMs-failed.firstReceivedMs < windowMs {
 		return failed, notRetransmitted // the exchange store, if there is one, recognizes the upload key
 	}
-	f.forgetOverwritten(&record)
-	firstSentAgoMs = notRetransmitted
+	f.removeOverwritten(&record)
+	ageMs = notRetransmitted
 	if server.RetentionMs > 0 {
 		if earlier, ok := server.writes.find(f, &record, windowMs+server.RetentionMs); ok {
 			server.Metrics.Add(writesRejoined, 1)
-			firstSentAgoMs = record.firstSentMs - earlier.firstSentMs
+			ageMs = record.firstReceivedMs - earlier.firstReceivedMs
 			record = earlier
 		}
 	}
@@ -105,28 +106,28 @@
 	if server.RetentionMs > 0 {
 		server.writes.add(f, record)
 	}
-	return record, firstSentAgoMs
+	return record, ageMs
 }
 
-// forgetOverwritten removes the failed writes that a new one overwrites: one of them that is sent again must be executed
-// again. The caller holds f.mu.
-func (f *openFile) forgetOverwritten(record *writeRecord) {
-	for offset, failed := range f.failed {
+// removeOverwritten removes the failed writes that a new write overwrites. If the client sends one of them again, it must be
+// executed again. The caller holds f.mu.
+func (f *openFile) removeOverwritten(record *writeRecord) {
+	for offset, failed := range f.failedWrites {
 		if failed.overlaps(record) {
-			delete(f.failed, offset)
+			delete(f.failedWrites, offset)
 		}
 	}
 }
 
-// location identifies the client and the file.
-func (f *openFile) location() string { return f.handler.clientHost + " " + f.path }
+// clientAndPath returns a key that identifies the client and the file.
+func (f *openFile) clientAndPath() string { return f.handler.clientHost + " " + f.path }
 
-// attachExchange makes the request of a WRITE part of an exchange, which all its retransmissions share.
-func (h *handler) attachExchange(request *lifecycle.Request, command *sftpwire.Command, firstSentAgoMs float64) {
+// attachExchange makes the request of a WRITE part of an exchange, so that it shares one execution with its retransmissions.
+func (h *handler) attachExchange(request *lifecycle.Request, command *sftpwire.Command, ageMs float64) {
 	request.Device = &lifecycle.DeviceRequest{
 		ID:         "file " + h.clientHost,
 		Key:        "f" + command.UploadKey,
-		AgeMs:      firstSentAgoMs,
+		AgeMs:      ageMs,
 		HeadDigest: sha256.Sum256(fmt.Appendf(nil, "%d %s", command.Offset, command.Path)),
 		Body:       command.Data,
 		BodyDigest: sha256.Sum256(command.Data),
@@ -136,5 +137,5 @@
 			return &payload
 		},
 	}
-	request.IsRetry = firstSentAgoMs >= 0
+	request.IsRetry = ageMs >= 0
 }
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -14,18 +14,18 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// methodStat is the name that the library gives to a STAT.
+// methodStat is the library's method name for a STAT.
 const methodStat = "Stat"
 
-// handler handles the commands of one connection. The library calls it from several goroutines at once.
+// handler handles the commands of one connection. The library calls it concurrently from several goroutines.
 type handler struct {
 	server *Server
-	// clientHost identifies the client across its connections.
+	// clientHost is the host of the client's address. It identifies the client across its connections.
 	clientHost string
 	// disconnected is closed when the client has disconnected.
 	disconnected <-chan struct{}
-	// peerClosed reports whether the client has closed the connection, even if the end has not been read yet since commands
-	// precede it.
+	// peerClosed reports whether the client has closed the connection. It also detects a close that has not been read yet
+	// because unread commands precede it.
 	peerClosed func() bool
 }
 
@@ -54,7 +54,7 @@
 	return fileInfo{name: path.Base(r.Filepath), attrs: reply.Attrs}, nil
 }
 
-// Lstat implements sftp.LstatFileLister. It is the same as a STAT, since there are no links.
+// Lstat implements sftp.LstatFileLister. It is the same as a STAT, since symbolic links are not supported.
 func (h *handler) Lstat(r *sftp.Request) (sftp.ListerAt, error) {
 	r.Method = methodStat
 	return h.Filelist(r)
@@ -69,9 +69,9 @@
 // OpenFile implements sftp.OpenFileWriter.
 func (h *handler) OpenFile(r *sftp.Request) (sftp.WriterAtReaderAt, error) { return h.open(r) }
 
-// open opens a file at its storage server, so that the OPEN of a missing file fails.
+// open sends the OPEN to the storage server, so that opening a missing file fails.
 func (h *handler) open(r *sftp.Request) (*openFile, error) {
-	if r.Pflags().Append { // a retry would append twice, and no offset can prevent that
+	if r.Pflags().Append { // a retry could append the data twice, since an append has no offset
 		return nil, errAppending
 	}
 	command := &sftpwire.Command{Op: sftpwire.OpOpen, Flags: r.Flags}
@@ -84,9 +84,9 @@
 	return newOpenFile(h, r.Filepath, r.Flags), nil
 }
 
-// execute submits a command on a file and waits for its response. firstSentAgoMs is the age of the command if it is a
-// retransmission of one that was sent over another connection, or notRetransmitted.
-func (h *handler) execute(name string, command *sftpwire.Command, firstSentAgoMs float64) (*sftpwire.Reply, error) {
+// execute submits a command on a file and waits for its response. If the command is a retransmission of one that was sent over
+// another connection, ageMs is the time since the first transmission; otherwise it is notRetransmitted.
+func (h *handler) execute(name string, command *sftpwire.Command, ageMs float64) (*sftpwire.Reply, error) {
 	server := h.server
 	request, err := server.newRequest(name, command)
 	if err != nil {
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if command.Op == sftpwire.OpWrite && server.RetentionMs > 0 {
-		h.attachExchange(request, command, firstSentAgoMs)
+		h.attachExchange(request, command, ageMs)
 	} else {
 		request.ClientDisconnected = h.peerClosed
 	}
@@ -107,7 +107,8 @@
 	return h.waitForResponse(request, responses)
 }
 
-// waitForResponse waits until the request has its response, the client disconnects, or the response is overdue.
+// waitForResponse waits for the response to a request. It returns errMayHaveExecuted if the client disconnects or the response is
+// overdue.
 func (h *handler) waitForResponse(request *lifecycle.Request, responses <-chan lifecycle.Response) (*sftpwire.Reply, error) {
 	server := h.server
 	overdue, stopTimer := clock.After(server.Clock, request.RemainingMs+frontend.ResponseGraceMs)
@@ -115,18 +116,18 @@
 	select {
 	case response := <-responses:
 		if request.Device != nil && response.Kind == lifecycle.Served {
-			// The library writes the response next. If that fails, the exchange store still has it.
+			// The library has yet to write the response. If the write fails, the exchange store still has the response.
 			server.Loop.ResponseWritten(request, lifecycle.LinkSample{})
 		}
-		return replyTo(response)
+		return replyFromResponse(response)
 	case <-h.disconnected:
 		server.Loop.Cancel(request)
 		return nil, errMayHaveExecuted
 	case <-overdue:
 	}
 	select {
-	case response := <-responses: // it arrived at the same time
-		return replyTo(response)
+	case response := <-responses: // the response arrived at the same time as the timeout
+		return replyFromResponse(response)
 	default:
 	}
 	server.Metrics.Add(frontend.AnswersByGuard, 1)
@@ -134,7 +135,7 @@
 	return nil, errMayHaveExecuted
 }
 
-// fileInfo is the result of a STAT: a list of one entry.
+// fileInfo is the result of a STAT, in the form of a directory list with one entry.
 type fileInfo struct {
 	name  string
 	attrs sftpwire.Attrs
@@ -155,7 +156,7 @@
 // Size implements os.FileInfo.
 func (i fileInfo) Size() int64 { return int64(i.attrs.Size) }
 
-// Mode implements os.FileInfo. It has the permission bits alone.
+// Mode implements os.FileInfo. It returns only the permission bits.
 func (i fileInfo) Mode() os.FileMode { return os.FileMode(i.attrs.Mode & 0o777) }
 
 // ModTime implements os.FileInfo.
--- a/internal/frontend/sftpserver/request.go
+++ b/internal/frontend/sftpserver/request.go
@@ -15,13 +15,13 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// maxPathLength bounds the path of a command, in bytes.
+// maxPathLength is the maximum length of a command's path in bytes.
 const maxPathLength = 4096
 
-// newRequest returns the request for a command on a file, and sets the path of the command. A command without an upload key is
-// of the read class.
+// newRequest returns the request for a command on a file and sets the path of the command. A command with an upload key belongs
+// to the write class, any other command to the read class.
 func (s *Server) newRequest(name string, command *sftpwire.Command) (*lifecycle.Request, error) {
-	name = path.Clean("/" + name) // the library cleans paths too; this keeps them below the root in any case
+	name = path.Clean("/" + name) // the library cleans paths too, but staying below a root must not depend on that
 	root := s.findRoot(name)
 	switch {
 	case strings.ContainsRune(name, 0) || len(name) > maxPathLength:
@@ -52,13 +52,13 @@
 	}, nil
 }
 
-// units returns the size of a request.
+// units returns the size of a request in units.
 func (s *Server) units(command *sftpwire.Command) float64 {
 	units := math.Ceil(float64(len(command.Data)+int(command.Length)) / s.UnitBytes)
 	return min(max(1, units), max(1, s.MaxUnits))
 }
 
-// findRoot returns the longest root that contains the file, or nil.
+// findRoot returns the root with the longest path that contains the file, or nil.
 func (s *Server) findRoot(name string) *Root {
 	var longest *Root
 	for i := range s.Roots {
@@ -70,12 +70,12 @@
 	return longest
 }
 
-// contains reports whether a file is the root or below it.
+// contains reports whether the file is the root itself or below it.
 func (r *Root) contains(name string) bool {
 	return r.Path == "/" || name == r.Path || strings.HasPrefix(name, r.Path+"/")
 }
 
-// hashPath returns the key of a file.
+// hashPath returns the key of a file, which is a hash of its path.
 func hashPath(name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = io.WriteString(sum, name) // a hash never returns an error
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -1,19 +1,19 @@
 // Package sftpserver is the frontend for SFTP version 3 over plain TCP, without SSH. It submits each READ, WRITE, STAT and OPEN
-// to the event loop as a request of its own, and writes one response to each.
+// to the event loop as a separate request, and writes one response to each.
 //
-// A Server owns its connections: one goroutine serves each of them, and github.com/pkg/sftp's RequestServer, which parses the
-// packets, starts its workers below that. Shutdown and Close wait for all of them. A client that disconnects cancels its
-// requests; when the server shuts down, the commands that were received to their last byte are still answered.
+// A Server owns its connections. One goroutine serves each connection; it runs the RequestServer of github.com/pkg/sftp, which
+// parses the packets and starts worker goroutines. Shutdown and Close wait for all of these goroutines. When a client
+// disconnects, its requests are canceled. When the server shuts down, commands that were received completely are still answered.
 //
 // Responses are mapped to status codes as follows:
 //
 //	SSH_FX_OK, SSH_FX_EOF, SSH_FX_NO_SUCH_FILE,
 //	SSH_FX_PERMISSION_DENIED, SSH_FX_OP_UNSUPPORTED  the status of the storage server
-//	SSH_FX_NO_SUCH_FILE                              the path is below no root
-//	SSH_FX_FAILURE "busy, ... retry after N ms"      rejected: it has not taken effect
-//	SSH_FX_FAILURE "failed ..."                      failed, or no response in time: it may have taken effect
+//	SSH_FX_NO_SUCH_FILE                              the path is not below any root
+//	SSH_FX_FAILURE "busy, ... retry after N ms"      rejected: the command had no effect
+//	SSH_FX_FAILURE "failed ..."                      failed, or no response in time: the command may have taken effect
 //	SSH_FX_BAD_MESSAGE                               malformed: over 64 KiB, a negative offset, a NUL in a path
-//	SSH_FX_OP_UNSUPPORTED                            commands that are not supported, and appending
+//	SSH_FX_OP_UNSUPPORTED                            unsupported command, or an OPEN for appending
 package sftpserver
 
 import (
@@ -46,33 +46,33 @@
 	writesRejoined      = "file_writes_rejoined"
 )
 
-// Root maps a directory, with all that is below it, to the volume that its requests draw on.
+// Root assigns a directory and everything below it to a volume. The requests for its files count against that volume.
 type Root struct {
-	// Path is absolute and clean. Of several roots that contain a file, the longest counts.
+	// Path is absolute and clean. If several roots contain a file, the one with the longest path applies.
 	Path string
 	// Plan is the name of a plan from the scheduler's settings.
 	Plan   string
 	Volume uint64
-	// Gateways is the number of gateways through which the volume's requests come, by any protocol.
+	// Gateways is the number of gateways that receive requests for the volume, over any protocol.
 	Gateways int
 }
 
 // Options configure a Server.
 type Options struct {
-	// MaxConns bounds the connections that are served at once. Further clients wait to be accepted.
+	// MaxConns bounds the number of connections that are served at once. Further clients wait to be accepted.
 	MaxConns int
-	// UnitBytes is the amount of data that counts as one unit of a request's size.
+	// UnitBytes is the number of data bytes that count as one unit of a request's size.
 	UnitBytes float64
-	// ReadClass is the class of READ, STAT and of an OPEN that only reads; WriteClass is that of the other commands.
+	// ReadClass is the class of READ, STAT and OPEN for reading only. WriteClass is the class of the other commands.
 	ReadClass, WriteClass scheduler.Class
 	Roots                 []Root
-	// Shards is the number of shards that the files are distributed over, by path.
+	// Shards is the number of shards. Each file is assigned to a shard by a hash of its path.
 	Shards int
-	// MaxUnits bounds the size of a request.
+	// MaxUnits bounds the size of a request, in units.
 	MaxUnits float64
-	// RetentionMs is how long, after its deduplication window, a WRITE of a lost connection is recognized when it is sent
-	// again over a new connection. It then joins the exchange of the first one. 0 means that there is no exchange store and
-	// that such a WRITE counts as new.
+	// RetentionMs is how long after its deduplication window a WRITE can still be recognized as a retransmission when the
+	// client has lost the connection and sends the WRITE again over a new one. The retransmission joins the exchange of the
+	// first transmission. 0 means that there is no exchange store: such a WRITE is then treated as a new one.
 	RetentionMs float64
 }
 
@@ -85,7 +85,7 @@
 	Clock    clock.Clock
 	Metrics  *metrics.Registry
 
-	serving sync.WaitGroup // goroutines of connections
+	serving sync.WaitGroup // goroutines that run serveConn
 	writes  writeHistory
 
 	mu       sync.Mutex
@@ -95,8 +95,8 @@
 
 // Serve accepts connections until the listener is closed, and returns the listener's error.
 func (s *Server) Serve(listener net.Listener) error {
-	// netutil.LimitListener does not fit: it hides the methods of *net.TCPConn that close the sending side alone and that
-	// show whether the peer has closed its own.
+	// netutil.LimitListener is not suitable: it hides the methods of *net.TCPConn that are needed to close only the sending
+	// side and to detect that the client has closed the connection.
 	slots := make(chan struct{}, s.MaxConns)
 	for {
 		slots <- struct{}{}
@@ -112,12 +112,12 @@
 	}
 }
 
-// Shutdown closes the idle connections, lets the others finish the commands that they have received, and waits for them. The
-// listener must be closed before.
+// Shutdown closes idle connections, answers the commands that the other connections have received, and waits until all connections
+// have ended. The caller must close the listener first.
 func (s *Server) Shutdown() { s.endConns((*conn).stopReading) }
 
-// Close closes all connections at once, whatever they have received, and waits for their goroutines. A connection that is
-// accepted later is not read.
+// Close closes all connections at once, even if received commands are unanswered, and waits for their goroutines. Connections that
+// are accepted later are not read.
 func (s *Server) Close() { s.endConns((*conn).abort) }
 
 // endConns calls end for each connection and waits for their goroutines.
@@ -131,7 +131,7 @@
 	s.serving.Wait()
 }
 
-// serveConn serves a connection to its end.
+// serveConn serves a connection until it ends.
 func (s *Server) serveConn(accepted net.Conn) {
 	defer s.serving.Done()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -140,7 +140,7 @@
 	s.register(c)
 	defer s.closeAndUnregister(c)
 	s.Metrics.Add(connectionsAccepted, 1)
-	clientHost, _, _ := net.SplitHostPort(accepted.RemoteAddr().String()) // "" for a network without ports
+	clientHost, _, _ := net.SplitHostPort(accepted.RemoteAddr().String()) // "" if the address has no port
 	h := &handler{
 		server:       s,
 		clientHost:   clientHost,
@@ -150,10 +150,10 @@
 	err := sftp.NewRequestServer(c, sftp.Handlers{FileGet: h, FilePut: h, FileCmd: h, FileList: h},
 		sftp.WithRSMaxTxPacket(sftpwire.MaxData)).Serve()
 	c.waitForResponses()
-	s.reportEnd(c, err)
+	s.reportConnEnd(c, err)
 }
 
-// register adds a connection to those that Shutdown and Close end.
+// register adds a connection to s.conns, so that Shutdown and Close end it. During a shutdown it stops reading from it.
 func (s *Server) register(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// closeAndUnregister closes a connection. The client may have sent more than was read: a plain close would reset the
-// connection, and the client could lose its last response.
+// closeAndUnregister closes a connection gracefully. A plain close would reset the connection if the client has sent more than
+// was read, and the client could lose its last response.
 func (s *Server) closeAndUnregister(c *conn) {
 	gracefulclose.Close(c.Conn)
 	s.mu.Lock()
@@ -175,25 +175,26 @@
 	s.mu.Unlock()
 }
 
-// reportEnd logs the end of a connection unless it is an ordinary one. err is what the connection was served to.
-func (s *Server) reportEnd(c *conn, err error) {
+// reportConnEnd counts and logs a connection that ended inside a packet, and logs one that ended with an unexpected error. err is the
+// result of the library's Serve.
+func (s *Server) reportConnEnd(c *conn, err error) {
 	client := c.RemoteAddr().String()
 	if truncated, packetType := c.received.truncated(); truncated {
-		// The command never became a request, so nothing else counts it.
+		// The command was not submitted as a request, so no other counter includes it.
 		s.Metrics.Add(commandsTruncated, 1)
 		slog.Info(logevent.SFTPClientError, logevent.Client, client,
-			logevent.Reason, "cut off inside a packet", logevent.PacketType, packetType)
+			logevent.Reason, "connection ended inside a packet", logevent.PacketType, packetType)
 		return
 	}
-	if !isOrdinaryEnd(err) {
+	if !isNormalEnd(err) {
 		slog.Info(logevent.SFTPClientError, logevent.Client, client, logevent.Error, err)
 	}
 }
 
-// isOrdinaryEnd reports whether a connection was closed by its client or by the server's own shutdown.
-func isOrdinaryEnd(err error) bool {
+// isNormalEnd reports whether err shows that a connection was closed by its client or by the server's own shutdown.
+func isNormalEnd(err error) bool {
 	return errors.Is(err, io.EOF) ||
-		errors.Is(err, io.ErrUnexpectedEOF) || // the library's error if handles were open
+		errors.Is(err, io.ErrUnexpectedEOF) || // returned by the library if handles were still open
 		errors.Is(err, net.ErrClosed) ||
 		errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -6,69 +6,70 @@
 	"sync"
 )
 
-// The protocol has no identifier for a WRITE, so a retransmission is recognized by its location, its data and the fate of the
-// first transmission:
+// SFTP has no identifier for a WRITE. A WRITE is recognized as a retransmission if an earlier WRITE has the same client, path,
+// offset and data, and one of these conditions holds:
 //
-//   - A WRITE that failed and is sent again unchanged on the same handle is the same upload.
-//   - So is a WRITE that the same client has sent on another handle, unless that handle was closed in order, which the client
-//     does when it has all responses, before this one was opened.
+//   - The earlier WRITE was sent on the same handle and failed.
+//   - The earlier WRITE was sent on another handle, and the client did not close that handle before it opened this one. (A client
+//     closes a handle only after it has received all responses.)
 //
-// A WRITE whose range has been overwritten in between must be executed again: it gets a new upload key.
+// A retransmission has the upload key of the earlier WRITE. A WRITE whose range has been overwritten in between must be executed
+// again, so it gets a new upload key.
 
-// maxRememberedWrites bounds the writes that a writeHistory holds, of all clients.
-const maxRememberedWrites = 4096
+// maxRecordedWrites bounds the number of writes that a writeHistory holds for all clients together.
+const maxRecordedWrites = 4096
 
 // writeRecord describes a WRITE.
 type writeRecord struct {
-	offset      int64
-	digest      [sha256.Size]byte // of the data
-	size        int               // of the data, in bytes
-	uploadKey   string
-	firstSentMs float64 // when it was received for the first time
+	offset          int64
+	digest          [sha256.Size]byte // SHA-256 of the data
+	size            int               // length of the data in bytes
+	uploadKey       string
+	firstReceivedMs float64 // when the first transmission was received
 }
 
-// equals reports whether both write the same data to the same range.
+// equals reports whether both records write the same data to the same range.
 func (r *writeRecord) equals(other *writeRecord) bool {
 	return r.offset == other.offset && r.size == other.size && r.digest == other.digest
 }
 
-// overlaps reports whether the ranges have a byte in common.
+// overlaps reports whether the ranges of both records have a byte in common.
 func (r *writeRecord) overlaps(other *writeRecord) bool {
 	return r.offset < other.offset+int64(other.size) && other.offset < r.offset+int64(r.size)
 }
 
-// writeHistory holds the writes of recent handles. The connections of these may be lost, or seem to be open long after the
-// client has given them up. The zero value is empty. Its methods may be called from any goroutine.
+// writeHistory holds the recent writes of all handles. The connection of a handle may be lost, or may appear to be open long
+// after the client has abandoned it. The zero value is empty. Its methods may be called from any goroutine.
 type writeHistory struct {
-	mu         sync.Mutex
-	order      list.List // of *historyEntry, the oldest first
-	byLocation map[string][]*list.Element
+	mu              sync.Mutex
+	order           list.List // of *historyEntry, oldest first
+	byClientAndPath map[string][]*list.Element
 }
 
 // historyEntry is a WRITE that was received on a handle.
 type historyEntry struct {
 	writeRecord
-	location string
-	file     *openFile
-	closedMs float64 // when the handle was closed in order, or 0
+	clientAndPath string
+	file          *openFile
+	closedMs      float64 // when the client closed the handle; 0: not closed by the client
 }
 
-// mayRepeat reports whether a WRITE on the other handle can be a retransmission of the entry.
-func (e *historyEntry) mayRepeat(file *openFile) bool {
+// mayBeRetransmittedOn reports whether a WRITE on the given handle can be a retransmission of the entry.
+func (e *historyEntry) mayBeRetransmittedOn(file *openFile) bool {
 	return e.file != file && (e.closedMs == 0 || file.openedMs <= e.closedMs)
 }
 
-// add adds a WRITE. The oldest one is removed if there are more than maxRememberedWrites.
+// add adds a WRITE. It removes the oldest one if there are then more than maxRecordedWrites.
 func (h *writeHistory) add(file *openFile, record writeRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.byLocation == nil {
-		h.byLocation = map[string][]*list.Element{}
+	if h.byClientAndPath == nil {
+		h.byClientAndPath = map[string][]*list.Element{}
 	}
-	location := file.location()
-	element := h.order.PushBack(&historyEntry{writeRecord: record, location: location, file: file})
-	h.byLocation[location] = append(h.byLocation[location], element)
-	if h.order.Len() > maxRememberedWrites {
+	clientAndPath := file.clientAndPath()
+	element := h.order.PushBack(&historyEntry{writeRecord: record, clientAndPath: clientAndPath, file: file})
+	h.byClientAndPath[clientAndPath] = append(h.byClientAndPath[clientAndPath], element)
+	if h.order.Len() > maxRecordedWrites {
 		h.removeLocked(h.order.Front())
 	}
 }
@@ -76,28 +77,28 @@
 // removeLocked removes a WRITE. The caller holds h.mu.
 func (h *writeHistory) removeLocked(element *list.Element) {
 	removed := h.order.Remove(element).(*historyEntry)
-	remaining := h.byLocation[removed.location][:0]
-	for _, other := range h.byLocation[removed.location] {
+	remaining := h.byClientAndPath[removed.clientAndPath][:0]
+	for _, other := range h.byClientAndPath[removed.clientAndPath] {
 		if other != element {
 			remaining = append(remaining, other)
 		}
 	}
-	h.byLocation[removed.location] = remaining
+	h.byClientAndPath[removed.clientAndPath] = remaining
 	if len(remaining) == 0 {
-		delete(h.byLocation, removed.location)
+		delete(h.byClientAndPath, removed.clientAndPath)
 	}
 }
 
-// find returns the latest WRITE on another handle of which the record is a retransmission. It removes the writes that are
-// maxAgeMs old or older, and those that the record overwrites.
+// find returns the latest WRITE on another handle that the record retransmits. It also removes the writes that are at least
+// maxAgeMs old, and those that the record overwrites.
 func (h *writeHistory) find(file *openFile, record *writeRecord, maxAgeMs float64) (earlier writeRecord, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.removeExpiredLocked(record.firstSentMs, maxAgeMs)
-	elements := append([]*list.Element(nil), h.byLocation[file.location()]...) // a copy: the loop removes elements
+	h.removeExpiredLocked(record.firstReceivedMs, maxAgeMs)
+	elements := append([]*list.Element(nil), h.byClientAndPath[file.clientAndPath()]...) // a copy: the loop removes elements
 	for _, element := range elements {
 		entry := element.Value.(*historyEntry)
-		if entry.equals(record) && entry.mayRepeat(file) {
+		if entry.equals(record) && entry.mayBeRetransmittedOn(file) {
 			earlier, ok = entry.writeRecord, true
 		} else if entry.overlaps(record) {
 			h.removeLocked(element)
@@ -106,22 +107,22 @@
 	return earlier, ok
 }
 
-// removeExpiredLocked removes the writes that are maxAgeMs old or older. The caller holds h.mu.
+// removeExpiredLocked removes the writes that are at least maxAgeMs old. The caller holds h.mu.
 func (h *writeHistory) removeExpiredLocked(nowMs, maxAgeMs float64) {
 	for oldest := h.order.Front(); oldest != nil; oldest = h.order.Front() {
-		if nowMs-oldest.Value.(*historyEntry).firstSentMs < maxAgeMs {
+		if nowMs-oldest.Value.(*historyEntry).firstReceivedMs < maxAgeMs {
 			return
 		}
 		h.removeLocked(oldest)
 	}
 }
 
-// fileClosed records that a handle was closed in order, which means that its client has all responses. The same WRITE may
-// still arrive over an older connection, on a handle that was opened before.
+// fileClosed records that the client closed a handle, which means that it has received all responses. The writes are kept, since
+// another transmission may still arrive over an older connection, on a handle that was opened before this one was closed.
 func (h *writeHistory) fileClosed(file *openFile, nowMs float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, element := range h.byLocation[file.location()] {
+	for _, element := range h.byClientAndPath[file.clientAndPath()] {
 		if entry := element.Value.(*historyEntry); entry.file == file {
 			entry.closedMs = nowMs
 		}
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -177,18 +177,18 @@
 	for i := range 100 {
 		files[i] = fileAt(fmt.Sprint("p", i))
 	}
-	for i := range 3 * maxRememberedWrites {
-		history.add(files[i%100], writeRecord{offset: int64(i), size: 1, firstSentMs: float64(i)})
+	for i := range 3 * maxRecordedWrites {
+		history.add(files[i%100], writeRecord{offset: int64(i), size: 1, firstReceivedMs: float64(i)})
 	}
 	located := 0
-	for _, elements := range history.byLocation {
+	for _, elements := range history.byClientAndPath {
 		located += len(elements)
 	}
-	if located != maxRememberedWrites || history.order.Len() != maxRememberedWrites {
+	if located != maxRecordedWrites || history.order.Len() != maxRecordedWrites {
 		t.Errorf("%d and %d writes are held", located, history.order.Len())
 	}
-	_, found := history.find(fileAt("p0"), &writeRecord{offset: 1, size: 1, firstSentMs: 1e9}, 1000)
-	if found || history.order.Len() != 0 || len(history.byLocation) != 0 {
+	_, found := history.find(fileAt("p0"), &writeRecord{offset: 1, size: 1, firstReceivedMs: 1e9}, 1000)
+	if found || history.order.Len() != 0 || len(history.byClientAndPath) != 0 {
 		t.Errorf("%d writes are left when all have expired", history.order.Len())
 	}
 }
