--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -22,7 +22,7 @@
 	"gaugerelay/internal/testbed/testsettings"
 )
 
-// immediateLoop responds to a request in Submit, like an event loop that has nothing else to do.
+// immediateLoop responds to each request within Submit, like an otherwise idle event loop.
 type immediateLoop struct{ body []byte }
 
 func (l *immediateLoop) Submit(r *lifecycle.Request) bool {
@@ -34,8 +34,8 @@
 func (l *immediateLoop) Ready() bool                                              { return true }
 func (l *immediateLoop) LinkMeasured(string, lifecycle.LinkSample)                {}
 
-// BenchmarkRequest measures a write of 1 KiB with a short response over a loopback socket, one at a time: what a server
-// and a minimal client take together. Only the servers differ.
+// BenchmarkRequest measures sequential writes of 1 KiB with a short response over a loopback socket. The result includes a
+// minimal client; only the servers differ.
 func BenchmarkRequest(b *testing.B) {
 	body := bytes.Repeat([]byte("x"), 1024)
 	b.Run("coap", func(b *testing.B) { benchmarkCoAP(b, body) })
@@ -77,7 +77,7 @@
 	}
 }
 
-// readResponse returns the next message that is no signal, and answers Pings.
+// readResponse returns the next message that is not a signaling message. It answers Pings.
 func readResponse(b *testing.B, in *bufio.Reader, out io.Writer) *message.Message {
 	for {
 		m := readMessage(b, in)
@@ -151,7 +151,7 @@
 	}
 }
 
-// BenchmarkConnect measures connecting a device that sends its CSM and nothing more.
+// BenchmarkConnect measures the connection setup of a device that sends only its CSM.
 func BenchmarkConnect(b *testing.B) {
 	server := newTestServer(&fakeLoop{})
 	server.MaxConns = 1 << 20
@@ -160,7 +160,7 @@
 	for b.Loop() {
 		deviceEnd, serverEnd := net.Pipe()
 		server.StartConn(serverEnd)
-		go func() { _, _ = io.Copy(io.Discard, deviceEnd) }() // ends with the connection, in any way
+		go func() { _, _ = io.Copy(io.Discard, deviceEnd) }() // ends when the connection ends, with or without an error
 		mustWrite(b, deviceEnd, csm)
 	}
 	b.StopTimer()
@@ -168,8 +168,8 @@
 	server.Shutdown()
 }
 
-// BenchmarkMemoryPerDevice measures the bytes of heap and stacks for each connected device, idle or with a pending
-// request. The device's end of the pipe is counted too.
+// BenchmarkMemoryPerDevice measures the bytes of heap and stacks per connected device, idle or with a pending request. The
+// result includes the device's end of the pipe.
 func BenchmarkMemoryPerDevice(b *testing.B) {
 	for _, count := range []int{100, 1000, 10_000} {
 		for _, busy := range []bool{false, true} {
@@ -182,7 +182,7 @@
 	}
 }
 
-// measureMemory connects devices to a new server and reports how much more memory is in use for each.
+// measureMemory connects devices to a new server and reports the additional memory in use per device.
 func measureMemory(b *testing.B, count int, busy bool) {
 	server := newTestServer(&fakeLoop{})
 	server.MaxConns = count
@@ -217,7 +217,7 @@
 	server.StartConn(serverEnd)
 	mustWrite(b, deviceEnd, coapwire.Encode(message.Message{Code: codes.CSM}))
 	buf := make([]byte, 64)
-	for lastByte := byte(0); lastByte != byte(codes.Ping); { // the server's CSM, then its Ping
+	for lastByte := byte(0); lastByte != byte(codes.Ping); { // reads the server's CSM and its Ping
 		n, err := deviceEnd.Read(buf)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/frontend/coapserver/blockwise_test.go
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -14,8 +14,8 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// download reads the blocks after the first one and returns the body and the number of blocks. Each must give the size
-// of the whole body and the ETag.
+// download requests the blocks after the first one and returns the body and the number of blocks. Each block must carry the
+// given size of the whole body and the given ETag.
 func (d *testDevice) download(first *message.Message, wantSize uint32, wantETag uint64) (body []byte, blocks int) {
 	d.t.Helper()
 	m := first
@@ -25,7 +25,7 @@
 		block, _ := coapwire.DecodeBlock(value)
 		etag, _ := m.Options.GetBytes(message.ETag)
 		if size, _ := m.Options.GetUint32(message.Size2); size != wantSize || binary.BigEndian.Uint64(etag) != wantETag {
-			d.t.Fatalf("size %d, etag %x", size, etag)
+			d.t.Fatalf("block has Size2 %d and ETag %x, want those of the first response", size, etag)
 		}
 		if !block.More {
 			break
@@ -39,7 +39,7 @@
 	return body, blocks
 }
 
-// A response that is too large for the device, or for its link, is sent in blocks, each of which can be asked for.
+// A response that is too large for the device or its link is sent in blocks, and the device can request each of them.
 func TestBlockwiseResponse(t *testing.T) {
 	body := make([]byte, 5000)
 	for i := range body {
@@ -63,20 +63,21 @@
 				device.send(newRequest(codes.GET, 1, nil, nil))
 				first := device.expect(codes.Content)
 				if len(first.Payload) != c.firstLength {
-					t.Errorf("a first block of %d bytes", len(first.Payload))
+					t.Errorf("first block has %d bytes, not the wanted length", len(first.Payload))
 				}
 				got, blocks := device.download(first, 5000, 77)
 				synctest.Wait()
 				if _, canceled, written := loop.counts(); !bytes.Equal(got, body) || written != 1 || canceled != blocks-1 {
-					t.Errorf("%d bytes in %d blocks, %d written, %d canceled", len(got), blocks, written, canceled)
+					t.Errorf("got %d bytes in %d blocks, %d written, %d canceled; want the whole body, 1 written, the other blocks canceled",
+						len(got), blocks, written, canceled)
 				}
-				behindEnd := coapwire.Block{Offset: 8192, Size: 1024}
-				device.send(newRequest(codes.GET, 100, nil, withBlock(message.Block2, behindEnd)))
+				pastEnd := coapwire.Block{Offset: 8192, Size: 1024}
+				device.send(newRequest(codes.GET, 100, nil, withBlock(message.Block2, pastEnd)))
 				device.expect(codes.BadOption)
 				etag := message.Option{ID: message.ETag, Value: []byte{0, 0, 0, 0, 0, 0, 0, 77}}
 				device.send(newRequest(codes.GET, 101, nil, addOption(etag)))
 				if m := device.expect(codes.Valid); len(m.Payload) != 0 {
-					t.Errorf("the device has it, and got %d bytes", len(m.Payload))
+					t.Errorf("response to a request with the matching ETag has a payload of %d bytes, want none", len(m.Payload))
 				}
 			})
 		})
--- a/internal/frontend/coapserver/device_test.go
+++ b/internal/frontend/coapserver/device_test.go
@@ -29,10 +29,10 @@
 
 // fakeLoop records requests and lets the test respond to them.
 type fakeLoop struct {
-	onSubmit func(*lifecycle.Request) // called in a goroutine of its own; nil: requests stay pending
+	onSubmit func(*lifecycle.Request) // called in a new goroutine for each request; nil: requests stay pending
 
 	mu                           sync.Mutex
-	full                         bool // Submit returns false
+	full                         bool // if set, Submit returns false
 	submitted, canceled, written []*lifecycle.Request
 }
 
@@ -69,7 +69,7 @@
 	return len(l.submitted), len(l.canceled), len(l.written)
 }
 
-// respondWith returns an onSubmit that gives the same response to all requests.
+// respondWith returns an onSubmit function that gives the same response to all requests.
 func respondWith(response lifecycle.Response) func(*lifecycle.Request) {
 	return func(r *lifecycle.Request) { r.Respond(response) }
 }
@@ -99,7 +99,7 @@
 	t        *testing.T
 	netConn  net.Conn
 	received chan *message.Message
-	closed   chan bool // closed at the end of the connection
+	closed   chan bool // closed when the connection has ended
 }
 
 // connect connects a device to the server.
@@ -124,7 +124,7 @@
 	}
 }
 
-// decode passes on the complete messages in buf and returns the rest.
+// decode sends the complete messages in buf to d.received and returns the remaining bytes.
 func (d *testDevice) decode(buf []byte) []byte {
 	for {
 		length, err := coapwire.FrameLength(buf)
@@ -133,7 +133,7 @@
 		}
 		m, err := coapwire.Decode(bytes.Clone(buf[:length]))
 		if err != nil {
-			d.t.Errorf("the server sent %x: %v", buf[:length], err)
+			d.t.Errorf("server sent a malformed message %x: %v", buf[:length], err)
 		}
 		d.received <- m
 		buf = buf[length:]
@@ -175,13 +175,13 @@
 	d.send(message.Message{Code: codes.Pong})
 }
 
-// expect returns the next message and ends the test unless it has the code.
+// expect returns the next message. It ends the test if the message has another code or the connection ends.
 func (d *testDevice) expect(code codes.Code) *message.Message {
 	d.t.Helper()
 	select {
 	case m := <-d.received:
 		if m.Code != code {
-			d.t.Fatalf("got %v %q, want %v", m.Code, m.Payload, code)
+			d.t.Fatalf("got code %v with payload %q, want code %v", m.Code, m.Payload, code)
 		}
 		return m
 	case <-d.closed:
@@ -192,31 +192,33 @@
 			}
 		default:
 		}
-		d.t.Fatalf("the connection ended, want %v", code)
+		d.t.Fatalf("connection ended, want a message with code %v", code)
 	}
 	return nil
 }
 
-// change alters the options of a request.
-type change func(message.Options) message.Options
+// optionsModifier modifies the options of a request.
+type optionsModifier func(message.Options) message.Options
 
-func addOption(option message.Option) change {
+func addOption(option message.Option) optionsModifier {
 	return func(o message.Options) message.Options { return o.Add(option) }
 }
 
-func setOption(option message.Option) change {
+func setOption(option message.Option) optionsModifier {
 	return func(o message.Options) message.Options { return o.Set(option) }
 }
 
-func removeOption(id message.OptionID) change {
+func removeOption(id message.OptionID) optionsModifier {
 	return func(o message.Options) message.Options { return o.Remove(id) }
 }
 
 // withBlock adds a Block option.
-func withBlock(id message.OptionID, block coapwire.Block) change { return addOption(block.Option(id)) }
+func withBlock(id message.OptionID, block coapwire.Block) optionsModifier {
+	return addOption(block.Option(id))
+}
 
-// newRequest returns a valid request after a change of its options; nil changes nothing.
-func newRequest(code codes.Code, token byte, payload []byte, apply change) message.Message {
+// newRequest returns a request that is valid except for what modify changes in its options. modify may be nil.
+func newRequest(code codes.Code, token byte, payload []byte, modify optionsModifier) message.Message {
 	class := "push"
 	if code == codes.GET {
 		class = "pull"
@@ -230,8 +232,8 @@
 		{ID: coapwire.OptPlan, Value: []byte("basic")},
 		{ID: coapwire.OptIO, Value: []byte("volume=1,units=2,shard=3,hosts=1")},
 	}
-	if apply != nil {
-		options = apply(options)
+	if modify != nil {
+		options = modify(options)
 	}
 	return message.Message{Code: code, Token: message.Token{token}, Options: options, Payload: payload}
 }
--- a/internal/frontend/coapserver/fuzz_test.go
+++ b/internal/frontend/coapserver/fuzz_test.go
@@ -12,8 +12,8 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// FuzzConn sends arbitrary bytes, in writes of chunkSize+1. Each submitted request must be reported as written or
-// canceled at most once, the server must send only well-formed messages, and the limits must hold.
+// FuzzConn sends arbitrary bytes in writes of chunkSize+1 bytes. Each submitted request must be reported as written or
+// canceled at most once, the server must send only well-formed messages, and it must enforce its limits.
 func FuzzConn(f *testing.F) {
 	addFuzzSeeds(f)
 	f.Fuzz(func(t *testing.T, data []byte, chunkSize uint8) {
@@ -31,11 +31,11 @@
 		server.Shutdown()
 		checkRequestEnds(t, loop)
 		if count := server.ConnCount(); count != 0 {
-			t.Errorf("%d connections left", count)
+			t.Errorf("server has %d open connections after Shutdown, want 0", count)
 		}
 		for _, r := range loop.submitted {
 			if len(r.Device.Body) > server.MaxMessageSize || r.Device.ID == "" || r.Class == "" {
-				t.Errorf("submitted: %+v", r.Device)
+				t.Errorf("submitted request exceeds MaxMessageSize, or has no device or class: %+v", r.Device)
 			}
 		}
 	})
@@ -64,7 +64,7 @@
 	seed(get, csm)
 }
 
-// varyResponses returns an onSubmit that gives each kind of response in turn, beginning with the one at index first.
+// varyResponses returns an onSubmit function that gives each kind of response in turn, starting at index first.
 func varyResponses(first int) func(*lifecycle.Request) {
 	responses := []lifecycle.Response{
 		{Body: make([]byte, 3000), ETag: 5},
@@ -88,7 +88,7 @@
 	}
 }
 
-// sendInChunks writes data until it ends or the connection does.
+// sendInChunks writes data in chunks until all is written or the connection ends.
 func (d *testDevice) sendInChunks(data []byte, size int) {
 	for len(data) > 0 {
 		chunk := data[:min(len(data), size)]
@@ -99,7 +99,7 @@
 	}
 }
 
-// discardReceived takes messages until the connection ends.
+// discardReceived receives and discards messages until the connection ends.
 func (d *testDevice) discardReceived() {
 	for {
 		select {
@@ -110,7 +110,7 @@
 	}
 }
 
-// checkRequestEnds reports requests for which the server has called Cancel and ResponseWritten more than once in all.
+// checkRequestEnds reports requests for which the server has made more than one call of Cancel or ResponseWritten.
 func checkRequestEnds(t *testing.T, loop *fakeLoop) {
 	t.Helper()
 	loop.mu.Lock()
@@ -120,7 +120,7 @@
 		for _, r := range reported {
 			ends[r]++
 			if ends[r] > 1 {
-				t.Errorf("a request ended %d times", ends[r])
+				t.Errorf("request was reported as written or canceled %d times, want at most 1", ends[r])
 			}
 		}
 	}
--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -17,14 +17,14 @@
 	"gaugerelay/internal/testbed"
 )
 
-const hexLine = 32 // bytes on one line of a golden file
+const bytesPerHexLine = 32 // bytes of a message on one line of a golden file
 
 // recorder is a device's end of a connection that records the bytes that the server writes.
 type recorder struct {
 	t        *testing.T
 	netConn  net.Conn
-	response lifecycle.Response // to the next request
-	text     strings.Builder
+	response lifecycle.Response // response to the next request
+	text     strings.Builder    // recorded steps
 
 	mu       sync.Mutex
 	received []byte
@@ -51,7 +51,7 @@
 	}
 }
 
-// step writes bytes to the server and records in hex what it writes until nothing more happens.
+// step writes bytes to the server, waits until all goroutines are blocked, and records in hex what the server has sent.
 func (r *recorder) step(name string, written []byte) {
 	if len(written) > 0 {
 		mustWrite(r.t, r.netConn, written)
@@ -61,15 +61,15 @@
 	defer r.mu.Unlock()
 	fmt.Fprintf(&r.text, "%s:\n", name)
 	for rest := r.received; len(rest) > 0; {
-		n := min(len(rest), hexLine)
+		n := min(len(rest), bytesPerHexLine)
 		fmt.Fprintf(&r.text, "%x\n", rest[:n])
 		rest = rest[n:]
 	}
 	r.received = nil
 }
 
-// exchange sends a request that gets the response.
-func (r *recorder) exchange(name string, m message.Message, response lifecycle.Response) {
+// sendRequest sends a request, to which the Loop gives the response, and records what the server sends.
+func (r *recorder) sendRequest(name string, m message.Message, response lifecycle.Response) {
 	r.response = response
 	r.step(name, coapwire.Encode(m))
 }
@@ -81,7 +81,8 @@
 	r.step("after its pong", coapwire.Encode(message.Message{Code: codes.Pong}))
 }
 
-// recordSession runs a session with a server in a synctest bubble and compares all that the server wrote.
+// recordSession runs a session with a server in a synctest bubble and compares everything that the server sent with the golden
+// file.
 func recordSession(t *testing.T, name string, maxMessageSize uint32, session func(*Server, *recorder)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,11 +103,11 @@
 	recordSession(t, "push", 4096, func(_ *Server, r *recorder) {
 		first := coapwire.Block{Size: 1024, More: true}
 		last := coapwire.Block{Offset: 1024, Size: 1024}
-		r.exchange("first block held", newRequest(codes.PUT, 1, make([]byte, 1024), withBlock(message.Block1, first)),
+		r.sendRequest("first block held", newRequest(codes.PUT, 1, make([]byte, 1024), withBlock(message.Block1, first)),
 			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024})
-		r.exchange("last block, served", newRequest(codes.PUT, 2, []byte("rest"), withBlock(message.Block1, last)),
+		r.sendRequest("last block, served", newRequest(codes.PUT, 2, []byte("rest"), withBlock(message.Block1, last)),
 			lifecycle.Response{Body: []byte("done"), ETag: 0x0102})
-		r.exchange("smaller blocks advised", newRequest(codes.PUT, 3, make([]byte, 1024), withBlock(message.Block1, first)),
+		r.sendRequest("smaller blocks advised", newRequest(codes.PUT, 3, make([]byte, 1024), withBlock(message.Block1, first)),
 			lifecycle.Response{Kind: lifecycle.Continue, BufferedBytes: 1024, BlockSize: 256})
 	})
 }
@@ -126,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			recordSession(t, "response-"+name, 4096, func(_ *Server, r *recorder) {
-				r.exchange("a block of a push", newRequest(codes.PUT, 1, make([]byte, 1024), block), response)
+				r.sendRequest("a block of a push", newRequest(codes.PUT, 1, make([]byte, 1024), block), response)
 			})
 		})
 	}
@@ -144,12 +145,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			recordSession(t, "blocks-"+name, c.maxMessageSize, func(_ *Server, r *recorder) {
-				r.exchange("first block", newRequest(codes.GET, 1, nil, nil), response)
-				r.exchange("next block", newRequest(codes.GET, 2, nil, withBlock(message.Block2, c.next)), response)
+				r.sendRequest("first block", newRequest(codes.GET, 1, nil, nil), response)
+				r.sendRequest("next block", newRequest(codes.GET, 2, nil, withBlock(message.Block2, c.next)), response)
 				etag := message.Option{ID: message.ETag, Value: []byte{0, 0, 0, 0, 0, 0, 0, 77}}
-				behind := coapwire.Block{Offset: 8192, Size: 1024}
-				r.exchange("behind the end", newRequest(codes.GET, 3, nil, withBlock(message.Block2, behind)), response)
-				r.exchange("known already", newRequest(codes.GET, 4, nil, addOption(etag)), response)
+				pastEnd := coapwire.Block{Offset: 8192, Size: 1024}
+				r.sendRequest("behind the end", newRequest(codes.GET, 3, nil, withBlock(message.Block2, pastEnd)), response)
+				r.sendRequest("known already", newRequest(codes.GET, 4, nil, addOption(etag)), response)
 			})
 		})
 	}
@@ -158,9 +159,10 @@
 func TestGoldenSignals(t *testing.T) {
 	recordSession(t, "signals", 4096, func(server *Server, r *recorder) {
 		r.step("ping", coapwire.Encode(message.Message{Code: codes.Ping, Token: message.Token{9}}))
-		r.step("ping with custody", coapwire.Encode(message.Message{Code: codes.Ping, Options: message.Options{{ID: message.TCPCustody}}}))
-		r.exchange("malformed", newRequest(codes.DELETE, 1, nil, nil), lifecycle.Response{})
-		r.exchange("critical option", newRequest(codes.GET, 2, nil, addOption(message.Option{ID: 65101})), lifecycle.Response{})
+		r.step("ping with custody",
+			coapwire.Encode(message.Message{Code: codes.Ping, Options: message.Options{{ID: message.TCPCustody}}}))
+		r.sendRequest("malformed", newRequest(codes.DELETE, 1, nil, nil), lifecycle.Response{})
+		r.sendRequest("critical option", newRequest(codes.GET, 2, nil, addOption(message.Option{ID: 65101})), lifecycle.Response{})
 		server.Drain()
 		r.step("drain", nil)
 		r.step("response to no request", coapwire.Encode(message.Message{Code: codes.Content, Token: message.Token{1}}))
@@ -170,7 +172,8 @@
 func TestGoldenFullInbox(t *testing.T) {
 	recordSession(t, "full-inbox", 4096, func(server *Server, r *recorder) {
 		server.Loop.(*fakeLoop).full = true
-		r.exchange("push", newRequest(codes.PUT, 1, []byte("data"), nil), lifecycle.Response{})
-		r.exchange("repeated push", newRequest(codes.PUT, 2, []byte("data"), addOption(message.Option{ID: coapwire.OptRetry})), lifecycle.Response{})
+		r.sendRequest("push", newRequest(codes.PUT, 1, []byte("data"), nil), lifecycle.Response{})
+		r.sendRequest("repeated push",
+			newRequest(codes.PUT, 2, []byte("data"), addOption(message.Option{ID: coapwire.OptRetry})), lifecycle.Response{})
 	})
 }
--- a/internal/frontend/coapserver/parse_test.go
+++ b/internal/frontend/coapserver/parse_test.go
@@ -11,12 +11,12 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// A malformed request gets its code, is not submitted, and leaves the connection open.
+// A malformed request is answered with the matching code and not submitted, and the connection stays open.
 func TestMalformedRequests(t *testing.T) {
-	set := func(id message.OptionID, value string) change {
+	set := func(id message.OptionID, value string) optionsModifier {
 		return setOption(message.Option{ID: id, Value: []byte(value)})
 	}
-	add := func(id message.OptionID, value string) change {
+	add := func(id message.OptionID, value string) optionsModifier {
 		return addOption(message.Option{ID: id, Value: []byte(value)})
 	}
 	readPath := func(o message.Options) message.Options {
@@ -27,7 +27,7 @@
 	for name, c := range map[string]struct {
 		code    codes.Code
 		payload string
-		change  change
+		modify  optionsModifier
 		want    codes.Code
 	}{
 		"method DELETE":           {codes.DELETE, "", nil, codes.MethodNotAllowed},
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			response := lifecycle.Response{Body: []byte("fine")}
 			withDevice(t, 4096, respondWith(response), func(_ *Server, loop *fakeLoop, device *testDevice) {
-				device.send(newRequest(c.code, 1, []byte(c.payload), c.change))
+				device.send(newRequest(c.code, 1, []byte(c.payload), c.modify))
 				device.expect(c.want)
 				if submitted, _, _ := loop.counts(); submitted != 0 {
 					t.Error("submitted")
--- a/internal/frontend/coapserver/read_test.go
+++ b/internal/frontend/coapserver/read_test.go
@@ -13,7 +13,8 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// A device from which nothing arrives is sent a Ping while it has something pending, and its connection ends only if it does not answer.
+// A silent device with a pending request, or with an idle connection, is sent a Ping. Its connection ends only if the Ping is not
+// answered. A connection with an incomplete frame or without a CSM ends after its timeout.
 func TestIdleTimeouts(t *testing.T) {
 	t.Run("incomplete frame", func(t *testing.T) {
 		withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
@@ -22,7 +23,7 @@
 			<-device.closed
 			synctest.Wait()
 			if submitted, _, _ := loop.counts(); submitted != 0 || server.Metrics.Get("device_connections_idle_timeout") != 1 {
-				t.Errorf("%d submitted of an incomplete frame", submitted)
+				t.Errorf("submitted %d requests from an incomplete frame, want 0 and one counted idle timeout", submitted)
 			}
 		})
 	})
@@ -38,7 +39,7 @@
 			<-device.closed
 			synctest.Wait()
 			if submitted, canceled, _ := loop.counts(); submitted != 1 || canceled != 1 {
-				t.Errorf("%d submitted, %d canceled", submitted, canceled)
+				t.Errorf("%d requests submitted, %d canceled; want 1 of each", submitted, canceled)
 			}
 		})
 	})
@@ -47,13 +48,13 @@
 			start := time.Now()
 			device.expect(codes.Ping)
 			if elapsed := time.Since(start); elapsed < time.Minute/2 {
-				t.Errorf("Ping after %v", elapsed)
+				t.Errorf("idle device was sent a Ping after %v, want at least half a minute", elapsed)
 			}
 			device.send(message.Message{Code: codes.Pong})
 			synctest.Wait()
 			time.Sleep(30 * time.Second)
 			if server.ConnCount() != 1 {
-				t.Error("the connection of an idle device that answers was closed")
+				t.Error("connection of an idle device that answers Pings was closed")
 			}
 		})
 	})
@@ -63,14 +64,14 @@
 			device := connect(t, server)
 			<-device.closed
 			if server.Metrics.Get("device_connections_csm_timeout") != 1 {
-				t.Error("not counted")
+				t.Error("connection without a CSM was not counted once in device_connections_csm_timeout")
 			}
 			server.Shutdown()
 		})
 	})
 }
 
-// A device that does not read its response loses its connection, and the response is not reported as written.
+// The connection of a device that does not read its response is closed, and the response is not reported as written.
 func TestWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loop := &fakeLoop{onSubmit: respondWith(lifecycle.Response{Body: make([]byte, 3000)})}
@@ -84,7 +85,8 @@
 		synctest.Wait()
 		submitted, canceled, written := loop.counts()
 		if submitted != 1 || canceled != 1 || written != 0 || server.ConnCount() != 0 {
-			t.Errorf("%d submitted, %d canceled, %d written, %d connections", submitted, canceled, written, server.ConnCount())
+			t.Errorf("%d submitted, %d canceled, %d written, %d connections; want 1, 1, 0, 0",
+				submitted, canceled, written, server.ConnCount())
 		}
 		deviceEnd.Close()
 		server.Shutdown()
--- a/internal/frontend/coapserver/request_test.go
+++ b/internal/frontend/coapserver/request_test.go
@@ -12,8 +12,8 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// Requests beyond the limits are rejected, or fail if an earlier copy may have been executed; those that the Loop does
-// not respond to get a response when their time is up.
+// Requests beyond the limits are rejected, or fail if an earlier transmission may have been executed. Requests that the Loop
+// does not respond to are answered when their remaining time is over.
 func TestRejectedRequests(t *testing.T) {
 	retry := addOption(message.Option{ID: coapwire.OptRetry})
 	t.Run("too many pending", func(t *testing.T) {
@@ -22,7 +22,7 @@
 			device.send(newRequest(codes.GET, 2, nil, nil))
 			device.send(newRequest(codes.GET, 3, nil, nil))
 			if m := device.expect(codes.TooManyRequests); m.Token[0] != 3 {
-				t.Errorf("token %d", m.Token[0])
+				t.Errorf("rejected the request with token %d, want token 3", m.Token[0])
 			}
 			device.send(newRequest(codes.PUT, 4, []byte("x"), retry))
 			device.expect(codes.BadGateway)
@@ -33,7 +33,7 @@
 			device.expect(codes.GatewayTimeout)
 			synctest.Wait()
 			if _, canceled, _ := loop.counts(); canceled != 2 || time.Since(start) > 3*time.Second {
-				t.Errorf("%d canceled after %v", canceled, time.Since(start))
+				t.Errorf("%d requests canceled after %v, want 2 within 3 s", canceled, time.Since(start))
 			}
 		})
 	})
@@ -48,8 +48,8 @@
 	})
 }
 
-// A request whose last byte arrives when its time is up still gets the Loop's response, not the timer's: an earlier copy
-// may have been answered as served.
+// A request whose last byte arrives after its remaining time is over still gets the Loop's response instead of the timer's,
+// since an earlier transmission may have been answered as served.
 func TestResponseTimerWaitsForLoop(t *testing.T) {
 	slow := func(r *lifecycle.Request) {
 		time.Sleep(5 * time.Millisecond)
@@ -64,7 +64,7 @@
 		device.expect(codes.Changed)
 		synctest.Wait()
 		if _, canceled, _ := loop.counts(); canceled != 0 {
-			t.Errorf("%d requests expired", canceled)
+			t.Errorf("%d requests expired before the Loop responded, want 0", canceled)
 		}
 	})
 }
--- a/internal/frontend/coapserver/server_test.go
+++ b/internal/frontend/coapserver/server_test.go
@@ -16,7 +16,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// Drain asks devices to leave, also those that connect later; Shutdown waits for pending requests.
+// Drain sends Release to all devices, including those that connect later. Shutdown waits for pending requests.
 func TestDrain(t *testing.T) {
 	withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
 		device.send(newRequest(codes.GET, 1, nil, nil))
@@ -25,7 +25,7 @@
 		idle.handshake(4096)
 		server.Drain()
 		if holdOff, _ := device.expect(codes.Release).Options.GetUint32(message.TCPHoldOff); holdOff != 3 {
-			t.Errorf("hold off %d s", holdOff)
+			t.Errorf("Release has a Hold-Off of %d s, want 3 s", holdOff)
 		}
 		idle.expect(codes.Release)
 		connectedLater := connect(t, server)
@@ -37,7 +37,7 @@
 		synctest.Wait()
 		select {
 		case <-shutDown:
-			t.Error("ended with a request pending")
+			t.Error("Shutdown returned while a request was pending")
 		default:
 		}
 		loop.submitted[0].Respond(lifecycle.Response{Body: []byte("late")})
@@ -46,10 +46,10 @@
 	})
 }
 
-// A connection beyond MaxConns replaces the one that has been idle for the longest time.
+// A connection beyond MaxConns replaces the connection that has been idle the longest.
 func TestConnectionLimitEvictsIdle(t *testing.T) {
 	withDevice(t, 4096, nil, func(server *Server, _ *fakeLoop, device *testDevice) {
-		device.send(newRequest(codes.GET, 1, nil, nil)) // not idle, so it stays
+		device.send(newRequest(codes.GET, 1, nil, nil)) // a pending request: the connection is not idle and must stay open
 		var idle []*testDevice
 		for range 3 {
 			time.Sleep(time.Millisecond)
@@ -63,20 +63,20 @@
 		<-idle[0].closed
 		last.handshake(4096)
 		if count := server.ConnCount(); count != 4 {
-			t.Errorf("%d connections", count)
+			t.Errorf("server has %d open connections, want 4", count)
 		}
 	})
 }
 
-// serve runs the server on a listener until that is closed, and reports any other error.
+// serve runs the server until the listener is closed. It reports any other error.
 func serve(t testing.TB, server *Server, listener net.Listener) {
 	if err := server.Serve(listener); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Serve: %v", err)
 	}
 }
 
-// A device gets the last message of a connection, not a reset, though the server has not read all that it sent.
-func TestLastMessageOutlivesBytesNotRead(t *testing.T) {
+// A device receives the last message of a connection instead of a reset, even if the server has not read all that the device sent.
+func TestLastMessageSurvivesUnreadBytes(t *testing.T) {
 	listener := testbed.Listen(t)
 	server := newTestServer(&fakeLoop{})
 	go serve(t, server, listener)
@@ -86,10 +86,10 @@
 		t.Fatal(err)
 	}
 	defer netConn.Close()
-	// This is no CSM, and more than the server reads at once.
+	// The message is not a CSM, and it is longer than what the server reads at once.
 	mustWrite(t, netConn, append([]byte{0x00, byte(codes.GET)}, make([]byte, 64<<10)...))
 	got, err := io.ReadAll(netConn)
 	if err != nil || !bytes.Contains(got, []byte("the first message must be a CSM")) {
-		t.Errorf("%q, then %v", got, err)
+		t.Errorf("received %q, then error %v; want an Abort that asks for a CSM, then no error", got, err)
 	}
 }
--- a/internal/frontend/coapserver/signaling_test.go
+++ b/internal/frontend/coapserver/signaling_test.go
@@ -11,7 +11,7 @@
 	"gaugerelay/internal/coapwire"
 )
 
-// A protocol error ends the connection by an Abort, and its pending request is canceled.
+// After a protocol error the server sends an Abort, closes the connection and cancels its pending request.
 func TestProtocolErrorAbortsConnection(t *testing.T) {
 	csmWith := func(option message.Option) message.Message {
 		return message.Message{Code: codes.CSM, Options: message.Options{option}}
@@ -39,7 +39,8 @@
 				<-device.closed
 				synctest.Wait()
 				if submitted, canceled, _ := loop.counts(); submitted != 1 || canceled != 1 || server.ConnCount() != 0 {
-					t.Errorf("%d submitted, %d canceled, %d connections", submitted, canceled, server.ConnCount())
+					t.Errorf("%d requests submitted, %d canceled, %d connections open; want 1, 1, 0",
+						submitted, canceled, server.ConnCount())
 				}
 			})
 		})
