--- a/internal/frontend/coapserver/blockwise_test.go
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -68,7 +68,7 @@
 				got, blocks := device.download(first, 5000, 77)
 				synctest.Wait()
 				if _, canceled, written := loop.counts(); !bytes.Equal(got, body) || written != 1 || canceled != blocks-1 {
-					t.Errorf("got %d bytes in %d blocks, %d written, %d canceled; want the whole body, 1 written, the other blocks canceled",
+					t.Errorf("got %d bytes in %d blocks, %d written, %d canceled; want all bytes, 1 written, the other blocks canceled",
 						len(got), blocks, written, canceled)
 				}
 				pastEnd := coapwire.Block{Offset: 8192, Size: 1024}
--- a/internal/frontend/coapserver/parse_test.go
+++ b/internal/frontend/coapserver/parse_test.go
@@ -25,10 +25,10 @@
 		return o.Add(message.Option{ID: message.URIPath, Value: []byte("7f3a9c21e0b4d655")})
 	}
 	for name, c := range map[string]struct {
-		code    codes.Code
-		payload string
-		modify  optionsModifier
-		want    codes.Code
+		code            codes.Code
+		payload         string
+		optionsModifier optionsModifier
+		want            codes.Code
 	}{
 		"method DELETE":           {codes.DELETE, "", nil, codes.MethodNotAllowed},
 		"unknown critical option": {codes.GET, "", addOption(message.Option{ID: 65101}), codes.BadOption},
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			response := lifecycle.Response{Body: []byte("fine")}
 			withDevice(t, 4096, respondWith(response), func(_ *Server, loop *fakeLoop, device *testDevice) {
-				device.send(newRequest(c.code, 1, []byte(c.payload), c.modify))
+				device.send(newRequest(c.code, 1, []byte(c.payload), c.optionsModifier))
 				device.expect(c.want)
 				if submitted, _, _ := loop.counts(); submitted != 0 {
 					t.Error("submitted")
--- a/internal/frontend/sftpserver/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -11,10 +11,10 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// deadlineRecorder is a connection that records the deadline of each read.
+// deadlineRecorder is a fake connection that returns prepared reads and records the latest read deadline.
 type deadlineRecorder struct {
 	net.Conn
-	reads    []string // the data of each read
+	reads    []string // data that the next reads return
 	deadline time.Time
 }
 
@@ -32,8 +32,8 @@
 	return n, nil
 }
 
-// TestReadTimeouts checks the timeout of each phase of a connection. That of the first packet counts from the connecting: a
-// client that sends single bytes does not keep its connection longer than one that sends nothing.
+// TestReadTimeouts checks the timeout of each phase of a connection. The timeout of the first packet starts when the connection is
+// accepted, so a client that sends single bytes cannot keep its connection open longer than one that sends nothing.
 func TestReadTimeouts(t *testing.T) {
 	const sinceConnecting = -1
 	recorder := &deadlineRecorder{reads: []string{"\x00\x00", "\x00\x05\x01\x00\x00\x00\x03", "\x00\x00\x00", "\x02\x07\x00"}}
@@ -46,12 +46,13 @@
 		}
 		if want == sinceConnecting {
 			if !recorder.deadline.Equal(c.acceptedAt.Add(firstPacketTimeout)) {
-				t.Errorf("read %d: %v after the connecting", i, recorder.deadline.Sub(c.acceptedAt))
+				t.Errorf("read %d: deadline is %v after the connection was accepted, want firstPacketTimeout",
+					i, recorder.deadline.Sub(c.acceptedAt))
 			}
 			continue
 		}
 		if recorder.deadline.Before(before.Add(want)) || recorder.deadline.After(time.Now().Add(want)) {
-			t.Errorf("read %d: %v, want %v", i, recorder.deadline.Sub(before), want)
+			t.Errorf("read %d: deadline is %v after the read began, want %v", i, recorder.deadline.Sub(before), want)
 		}
 	}
 }
@@ -70,7 +71,7 @@
 			var tracker packetTracker
 			header := append(binary.BigEndian.AppendUint32(nil, c.length), 6)
 			if err := tracker.advance(header); !errors.Is(err, c.want) {
-				t.Errorf("length %d: %v, want %v", c.length, err, c.want)
+				t.Errorf("length %d: got error %v, want %v", c.length, err, c.want)
 			}
 		})
 	}
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -12,20 +12,20 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// TestOversizedPacketEndsConnection checks that a packet over the limit ends its connection, and no other one.
+// TestOversizedPacketEndsConnection checks that a packet over the size limit ends its own connection and no other one.
 func TestOversizedPacketEndsConnection(t *testing.T) {
 	g := newTestGateway(t)
 	conn := g.dial()
 	mustWrite(t, conn, append(binary.BigEndian.AppendUint32(nil, sftpwire.MaxPacket+1), packetWrite))
 	if n, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes received", n)
+		t.Errorf("received %d bytes on the connection with an oversized packet, want an error", n)
 	}
 	if _, err := g.client().Stat("/layers/none"); statusOf(err) != sftpwire.StatusNoSuchFile {
-		t.Errorf("another connection: %v", err)
+		t.Errorf("STAT of a missing file over another connection: got error %v, want NO_SUCH_FILE", err)
 	}
 }
 
-// TestTruncatedWriteIsNotSubmitted checks that a WRITE of which only a part arrives is counted once and is not submitted.
+// TestTruncatedWriteIsNotSubmitted checks that a WRITE that arrives only in part is counted once and not submitted.
 func TestTruncatedWriteIsNotSubmitted(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", []byte("old"))
@@ -34,14 +34,14 @@
 	conn.Close()
 	g.waitUntil(func() bool { return g.counters.Get("file_commands_truncated") > 0 })
 	if n := g.counters.Get("file_commands_truncated"); n != 1 {
-		t.Errorf("counted %d times", n)
+		t.Errorf("truncated command was counted %d times, want once", n)
 	}
 	if n := g.counters.Get("requests_accepted"); n != 0 || len(g.files.Commands()) != 0 || string(g.files.File("/layers/a")) != "old" {
-		t.Errorf("%d requests submitted, the file server received %v", n, g.files.Commands())
+		t.Errorf("%d requests submitted, the file server received %v; want none, and the file unchanged", n, g.files.Commands())
 	}
 }
 
-// TestDisconnectCancelsRequest checks that a READ whose client disconnects is canceled, once, and gets no response.
+// TestDisconnectCancelsRequest checks that a READ whose client disconnects is canceled exactly once and gets no response.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", []byte("data"))
@@ -58,12 +58,12 @@
 	g.waitCountedOnce("attempts_canceled")
 	close(release)
 	if served := g.counters.Get("answers_served"); served != 1 || g.loop.OpenRequests() != 0 {
-		t.Errorf("%d served, want the OPEN only; %d open", served, g.loop.OpenRequests())
+		t.Errorf("%d requests served, want only the OPEN; %d requests open, want 0", served, g.loop.OpenRequests())
 	}
 }
 
-// TestDisconnectBehindManyCommands checks that a client counts as disconnected even if its connection is not read to the end,
-// since many commands wait: attempts that wait for a connection to their server do not start.
+// TestDisconnectBehindManyCommands checks that a client is considered disconnected even if its connection is not read to the end
+// because many commands are waiting. Attempts that still wait for a connection to their server must then not start.
 func TestDisconnectBehindManyCommands(t *testing.T) {
 	g := newTestGateway(t)
 	requests := make(chan *lifecycle.Request, 64)
@@ -75,10 +75,10 @@
 	}
 	request := <-requests
 	if request.Canceled() {
-		t.Fatal("canceled while the client is connected")
+		t.Fatal("request was canceled while the client was connected")
 	}
 	conn.Close()
-	for !request.Canceled() { // on loopback, the system reports the end at once
+	for !request.Canceled() { // ends soon, since the system reports the close at once on loopback
 		runtime.Gosched()
 	}
 	g.server.Close()
@@ -105,13 +105,13 @@
 	ended := g.startShutdown()
 	close(release)
 	if err := <-read; err != nil {
-		t.Errorf("the READ that was in flight: %v", err)
+		t.Errorf("READ that was in flight at the shutdown failed: %v", err)
 	}
 	<-ended
 }
 
-// TestLastResponseSurvivesUnreadBytes checks that commands that arrive during a shutdown get no response, and that the
-// connection is not reset over them before the client has the last response.
+// TestLastResponseSurvivesUnreadBytes checks that commands that arrive during a shutdown get no response, and that they do not
+// cause a reset of the connection before the client has received the last response.
 func TestLastResponseSurvivesUnreadBytes(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", []byte("data"))
@@ -120,14 +120,14 @@
 	mustWrite(t, conn, append(bytes.Clone(initPacket), statPacket...))
 	<-reached
 	ended := g.startShutdown()
-	for !sftpserver.Draining(g.server) { // what arrives after that is not read
+	for !sftpserver.Draining(g.server) { // commands that arrive later are not read
 		runtime.Gosched()
 	}
 	mustWrite(t, conn, statPacket)
 	close(release)
 	received, err := io.ReadAll(conn)
 	if n := bytes.Count(received, []byte{packetAttrs, 0, 0, 0, 9}); n != 1 || err != nil {
-		t.Errorf("%d responses, then %v", n, err)
+		t.Errorf("received %d responses to STAT, then error %v; want 1 response, then no error", n, err)
 	}
 	conn.Close()
 	<-ended
--- a/internal/frontend/sftpserver/export_test.go
+++ b/internal/frontend/sftpserver/export_test.go
@@ -1,6 +1,6 @@
 package sftpserver
 
-// Draining reports whether a server shuts down and reads none of its connections any more.
+// Draining reports whether a server is shutting down and has stopped reading from all its connections.
 func Draining(s *Server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/sftpserver/fuzz_test.go
+++ b/internal/frontend/sftpserver/fuzz_test.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// maxFuzzSteps bounds the steps of one input.
+// maxFuzzSteps bounds the number of steps that are run for one input.
 const maxFuzzSteps = 24
 
 // fuzzStep is a step of FuzzConnection. Its bits choose the command and its arguments.
@@ -31,26 +31,27 @@
 func (s fuzzStep) handleIndex() int     { return int(s >> 4) }
 func (s fuzzStep) offset() uint64       { return uint64(s >> 5) }
 
-// Data of the WRITEs and length of the READs.
+// Data of each WRITE, and length of each READ in bytes.
 const (
 	fuzzData       = "xyz"
 	fuzzReadLength = 4
 )
 
-// connectionModel runs commands on a connection and checks their responses against what it knows: which handles are open, and
-// the content of the one file.
+// connectionModel runs commands on a connection and checks the responses against its own state: the open handles and the content
+// of the only file.
 type connectionModel struct {
 	t            *testing.T
 	conn         rawConn
-	id           uint32 // of the last packet
-	opens        uint32 // OPENs that were sent
+	id           uint32 // id of the last packet
+	opens        uint32 // number of OPENs that were sent
 	handles      []string
 	closedHandle string
 	exists       bool
 	content      []byte
 }
 
-// FuzzConnection checks random commands of a client against a model of its connection. Each command gets one response.
+// FuzzConnection checks the responses to random commands of a client against a model of its connection. Each command must get one
+// response, and each accepted request must be served.
 func FuzzConnection(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4})
 	f.Add([]byte{0, 0, 9, 17, 2, 1, 33, 5, 4, 3, 1})
@@ -65,7 +66,8 @@
 		g.loop.Sync()
 		accepted, served := g.counters.Get("requests_accepted"), g.counters.Get("answers_served")
 		if served != accepted || g.loop.OpenRequests() != 0 {
-			t.Fatalf("%d accepted, %d served, %d open", accepted, served, g.loop.OpenRequests())
+			t.Fatalf("%d requests accepted, %d served, %d open; want all served and none open",
+				accepted, served, g.loop.OpenRequests())
 		}
 	})
 }
@@ -93,15 +95,15 @@
 	m.conn.send(packetType, append(binary.BigEndian.AppendUint32(nil, m.id), fields...))
 }
 
-// wantStatus receives the response to a command that has no other result.
+// wantStatus receives the response to the current command, which must be a STATUS with the given code.
 func (m *connectionModel) wantStatus(step fuzzStep, want sftpwire.StatusCode) {
 	m.t.Helper()
 	if got := m.conn.receiveStatus(m.id); got != want {
-		m.t.Fatalf("step %d (%d): code %d, want %d", m.id, step, got, want)
+		m.t.Fatalf("step %d (%d): got status code %d, want %d", m.id, step, got, want)
 	}
 }
 
-// handle returns the handle that a step uses, and whether it is open.
+// handle returns the handle that a step uses and whether the handle is open.
 func (m *connectionModel) handle(step fuzzStep) (handle string, isOpen bool) {
 	if len(m.handles) == 0 || !step.usesOpenHandle() {
 		return m.closedHandle, false
@@ -168,7 +170,7 @@
 	default:
 		want := m.content[offset:min(len(m.content), offset+fuzzReadLength)]
 		if got := m.conn.receive(packetData, m.id); string(got[4:]) != string(want) {
-			m.t.Fatalf("read %q, want %q at %d", got[4:], want, offset)
+			m.t.Fatalf("READ returned %q, want %q at offset %d", got[4:], want, offset)
 		}
 	}
 }
@@ -181,6 +183,6 @@
 		return
 	}
 	if got := m.conn.receive(packetAttrs, m.id); binary.BigEndian.Uint64(got[4:]) != uint64(len(m.content)) {
-		m.t.Fatalf("size in %x, want %d", got, len(m.content))
+		m.t.Fatalf("STAT returned attributes %x, want size %d", got, len(m.content))
 	}
 }
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -15,9 +15,9 @@
 	"gaugerelay/internal/testbed"
 )
 
-// cannedLoop responds to each request at once. Its fields are changed between packets only.
+// cannedLoop gives the same response to each request at once. A test changes its fields only while no packet is being handled.
 type cannedLoop struct {
-	full     bool
+	full     bool // if set, Submit returns false
 	response lifecycle.Response
 }
 
@@ -47,7 +47,7 @@
 	serve(t, &sftpserver.Server{Loop: loop, Clock: clock.NewManual(startMs), Metrics: metrics.New(),
 		Options: serverOptions(testbed.Settings(1))}, listener)
 	s := &rawSession{t: t, loop: loop, conn: rawConn{t, dial(t, listener.Addr().String())}}
-	s.exchange("init", packetInit, binary.BigEndian.AppendUint32(nil, 3))
+	s.sendPacket("init", packetInit, binary.BigEndian.AppendUint32(nil, 3))
 	return s
 }
 
@@ -66,11 +66,11 @@
 			body = appendString(body, v)
 		}
 	}
-	s.exchange(name, packetType, body)
+	s.sendPacket(name, packetType, body)
 }
 
-// exchange sends a packet and records the response.
-func (s *rawSession) exchange(name string, packetType byte, body []byte) {
+// sendPacket sends a packet and records the response.
+func (s *rawSession) sendPacket(name string, packetType byte, body []byte) {
 	s.t.Helper()
 	s.conn.send(packetType, body)
 	response := make([]byte, 4)
@@ -108,7 +108,7 @@
 
 func TestGoldenStatuses(t *testing.T) {
 	reply := func(code sftpwire.StatusCode) lifecycle.Response {
-		return lifecycle.Response{Body: &sftpwire.Reply{Code: code, Message: "the node's own words"}}
+		return lifecycle.Response{Body: &sftpwire.Reply{Code: code, Message: "message of the storage server"}}
 	}
 	for name, response := range map[string]lifecycle.Response{
 		"end-of-file":   reply(sftpwire.StatusEOF),
--- a/internal/frontend/sftpserver/helper_test.go
+++ b/internal/frontend/sftpserver/helper_test.go
@@ -48,7 +48,7 @@
 // initPacket is an INIT of version 3.
 var initPacket = []byte{0, 0, 0, 5, packetInit, 0, 0, 0, 3}
 
-// startLoop starts an event loop with the settings. It ends with the test.
+// startLoop starts an event loop with the settings. The loop runs until the test ends.
 func startLoop(t *testing.T, settings scheduler.Settings, now clock.Clock, counters *metrics.Registry) *eventloop.Loop {
 	t.Helper()
 	decisions, err := scheduler.New(settings, 1)
@@ -72,7 +72,7 @@
 	}()
 }
 
-// dial connects to the listener. The connection is closed with the test.
+// dial connects to the address. The connection is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -84,7 +84,7 @@
 	return conn
 }
 
-// newClient returns a client of the library on the connection.
+// newClient returns an SFTP client of the library that uses the connection.
 func newClient(t *testing.T, conn net.Conn) *sftp.Client {
 	t.Helper()
 	client, err := sftp.NewClientPipe(conn, conn)
@@ -102,7 +102,7 @@
 	}
 }
 
-// testGateway is a gateway that serves SFTP, with one fake file server behind it.
+// testGateway is a gateway that serves SFTP and has one fake file server as its storage server.
 type testGateway struct {
 	t        *testing.T
 	clock    *clock.Manual
@@ -135,7 +135,7 @@
 		Roots: []sftpserver.Root{{Path: "/layers", Plan: "business", Volume: 7, Gateways: 1}}}
 }
 
-// setServerState applies an endpoint list with one server in the state.
+// setServerState applies an endpoint list with one server in the given state.
 func (g *testGateway) setServerState(state scheduler.ServerState) {
 	server := &lifecycle.Server{Name: "n0", Addr: "127.0.0.1:1", State: state}
 	g.loop.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Snapshot, Servers: []*lifecycle.Server{server}})
@@ -154,20 +154,20 @@
 	return newClient(g.t, g.dial())
 }
 
-// waitUntil waits for a condition that must become true; how soon is not checked.
+// waitUntil waits until a condition is true. It has no timeout of its own.
 func (g *testGateway) waitUntil(condition func() bool) {
 	for !condition() {
 		g.loop.Sync()
 	}
 }
 
-// waitCountedOnce waits until a counter is at 1.
+// waitCountedOnce waits until the counter is 1.
 func (g *testGateway) waitCountedOnce(name string) {
 	g.waitUntil(func() bool { return g.counters.Get(name) == 1 })
 }
 
-// advanceUntil advances the clock in small steps until done yields, but only while requests are queued: never while a request
-// or its response is on its way.
+// advanceUntil advances the clock in small steps until done has a value, which it returns. It advances the clock only while requests
+// are queued and no attempt is in flight.
 func (g *testGateway) advanceUntil(done chan error) error {
 	for {
 		select {
@@ -178,13 +178,13 @@
 		if queuedRequests(g.loop, g.counters) > 0 {
 			g.clock.Advance(5)
 		} else {
-			runtime.Gosched() // other goroutines may need this processor
+			runtime.Gosched() // lets other goroutines make progress
 		}
 	}
 }
 
-// blockCommand makes the file server block the first command of the kind until release is closed. reached is closed when the
-// command has arrived.
+// blockCommand makes the file server block the first command with the given op until release is closed. reached is closed when
+// that command has arrived.
 func (g *testGateway) blockCommand(op fakefileserver.Op) (reached <-chan struct{}, release chan struct{}) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	g.files.BeforeEffect = func(command fakefileserver.Command) error {
@@ -197,7 +197,7 @@
 	return arrived, release
 }
 
-// startShutdown closes the listener and shuts the server down. The channel is closed when that is done.
+// startShutdown closes the listener and starts to shut down the server. done is closed when the shutdown has finished.
 func (g *testGateway) startShutdown() (done <-chan struct{}) {
 	g.listener.Close()
 	ended := make(chan struct{})
@@ -225,7 +225,7 @@
 	return n
 }
 
-// statusOf returns the status code that a client has received, or StatusOK for other errors.
+// statusOf returns the status code in an error that the library's client has returned, or StatusOK if the error has none.
 func statusOf(err error) sftpwire.StatusCode {
 	var status *sftp.StatusError
 	switch {
@@ -239,28 +239,27 @@
 	return sftpwire.StatusOK
 }
 
-// errorOf returns the error of a call with two results.
+// errorOf returns the second result of a call with two results.
 func errorOf[T any](_ T, err error) error { return err }
 
-// rawConn is a client's connection on which packets are built by hand.
+// rawConn is a client's connection for packets that the test builds itself.
 type rawConn struct {
 	t *testing.T
 	net.Conn
 }
 
-// send sends a packet.
 func (c rawConn) send(packetType byte, body []byte) {
 	c.t.Helper()
 	packet := binary.BigEndian.AppendUint32(nil, uint32(len(body)+1))
 	mustWrite(c.t, c, append(append(packet, packetType), body...))
 }
 
-// receive receives a packet that must have the type and the id, and returns what follows the id.
+// receive receives a packet, which must have the given type and id, and returns the bytes after the id.
 func (c rawConn) receive(packetType byte, id uint32) []byte {
 	c.t.Helper()
 	var header [9]byte // length, type, id
 	if _, err := io.ReadFull(c, header[:]); err != nil || header[4] != packetType || binary.BigEndian.Uint32(header[5:]) != id {
-		c.t.Fatalf("header %x: %v; want type %d, id %d", header, err, packetType, id)
+		c.t.Fatalf("received header %x, error %v; want type %d, id %d", header, err, packetType, id)
 	}
 	body := make([]byte, binary.BigEndian.Uint32(header[:])-5)
 	if _, err := io.ReadFull(c, body); err != nil {
@@ -269,13 +268,13 @@
 	return body
 }
 
-// receiveStatus receives a STATUS that must have the id, and returns its code.
+// receiveStatus receives a STATUS, which must have the given id, and returns its code.
 func (c rawConn) receiveStatus(id uint32) sftpwire.StatusCode {
 	c.t.Helper()
 	return sftpwire.StatusCode(binary.BigEndian.Uint32(c.receive(packetStatus, id)))
 }
 
-// appendString appends a string of the protocol.
+// appendString appends a string in the encoding of SFTP: its length, then its bytes.
 func appendString(b []byte, s string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...)
 }
--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -28,14 +28,14 @@
 	}
 	got := make([]byte, len(data))
 	if _, err := file.ReadAt(got, 3); err != nil || !bytes.Equal(got, data) {
-		t.Fatalf("read back %d bytes: %v", len(got), err)
+		t.Fatalf("READ of what was written returned %d bytes and error %v, want the same data", len(got), err)
 	}
 	if info, err := client.Stat("/layers/a.tar"); err != nil || info.Size() != 5003 {
-		t.Errorf("stat: %v %v", info, err)
+		t.Errorf("STAT returned %v and error %v, want size 5003", info, err)
 	}
 	accepted, served := g.counters.Get("requests_accepted"), g.counters.Get("answers_served")
 	if accepted != 4 || served != 4 {
-		t.Errorf("OPEN, WRITE, READ and STAT made %d requests, %d served", accepted, served)
+		t.Errorf("OPEN, WRITE, READ and STAT caused %d accepted and %d served requests, want 4 of each", accepted, served)
 	}
 }
 
@@ -56,7 +56,7 @@
 		done <- err
 	}()
 	if err := g.advanceUntil(done); err != nil || !bytes.Equal(g.files.File("/layers/big.tar"), data) {
-		t.Fatalf("upload: %v, %d bytes stored", err, len(g.files.File("/layers/big.tar")))
+		t.Fatalf("upload: error %v, %d bytes stored; want the whole file", err, len(g.files.File("/layers/big.tar")))
 	}
 	var got bytes.Buffer
 	go func() {
@@ -67,11 +67,11 @@
 		done <- err
 	}()
 	if err := g.advanceUntil(done); err != nil || !bytes.Equal(got.Bytes(), data) {
-		t.Errorf("download: %v, %d bytes", err, got.Len())
+		t.Errorf("download: error %v, got %d bytes; want the whole file", err, got.Len())
 	}
-	// READs behind the end of the file may still be in flight.
+	// READs past the end of the file may still be in flight.
 	if n := g.counters.Get("answers_rejected") + g.counters.Get("answers_failed"); n != 0 {
-		t.Errorf("%d requests not served", n)
+		t.Errorf("%d requests were rejected or failed, want 0", n)
 	}
 }
 
@@ -93,14 +93,14 @@
 		"rename":              {client.Rename("/layers/a", "/layers/b"), sftpwire.StatusUnsupported},
 	} {
 		if c.err == nil || statusOf(c.err) != c.want {
-			t.Errorf("%s: %v, want code %d", name, c.err, c.want)
+			t.Errorf("%s: got error %v, want status code %d", name, c.err, c.want)
 		}
 	}
 	if n := g.counters.Get("requests_accepted"); n != 0 {
-		t.Errorf("%d requests were submitted", n)
+		t.Errorf("%d requests were submitted for unsupported commands, want 0", n)
 	}
 	if _, err := client.Open("/layers/none"); statusOf(err) != sftpwire.StatusNoSuchFile {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("OPEN of a missing file: got error %v, want NO_SUCH_FILE", err)
 	}
 }
 
@@ -110,16 +110,16 @@
 	body := appendString(binary.BigEndian.AppendUint32(nil, 1), "99")
 	conn.send(packetRead, append(body, make([]byte, 12)...))
 	if got := conn.receiveStatus(1); got != sftpwire.StatusFailure {
-		t.Errorf("code %d", got)
+		t.Errorf("READ of an unknown handle: got status code %d, want FAILURE", got)
 	}
 	if n := g.counters.Get("requests_accepted"); n != 0 {
-		t.Errorf("%d requests were submitted", n)
+		t.Errorf("%d requests were submitted for an unknown handle, want 0", n)
 	}
 }
 
-// TestRetriedWriteKeepsUploadKey checks that the gateway's retry of a WRITE has the upload key of the first attempt, so that
-// the server applies it once; and that a client's retry of a failed WRITE has it too, unless the client has overwritten the
-// range in between.
+// TestRetriedWriteKeepsUploadKey checks that the gateway's retry of a WRITE has the upload key of the first attempt, so that the
+// server applies the WRITE once. A client's retry of a failed WRITE must also have that key, unless the client has overwritten
+// the range in between.
 func TestRetriedWriteKeepsUploadKey(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", nil)
@@ -144,20 +144,21 @@
 		t.Fatal(err)
 	}
 	if keys := writeKeys(g.files); len(keys) != 2 || keys[0] == "" || keys[0] != keys[1] {
-		t.Fatalf("retry of the gateway: keys %q", keys)
+		t.Fatalf("retry of the gateway: got upload keys %q, want the same key twice", keys)
 	}
 	if err := write("B", 3); err == nil || !strings.Contains(err.Error(), "may have taken effect") {
-		t.Fatalf("three failures: %v", err)
+		t.Fatalf("WRITE with three failed attempts: got error %v, want one that says it may have taken effect", err)
 	}
 	before := len(writeKeys(g.files))
 	if err := write("B", 0); err != nil {
 		t.Fatal(err)
 	}
 	if keys := writeKeys(g.files); keys[before] != keys[before-1] || string(g.files.File("/layers/a")) != "B" {
-		t.Errorf("retry of the client: keys %q, file %q", keys, g.files.File("/layers/a"))
+		t.Errorf("retry of the client: got upload keys %q and file content %q, want the key of the failed WRITE and content B",
+			keys, g.files.File("/layers/a"))
 	}
 	if err := write("A", 0); err != nil || string(g.files.File("/layers/a")) != "A" {
-		t.Errorf("written again after B: %q, %v", g.files.File("/layers/a"), err)
+		t.Errorf("WRITE of A again after B: got file content %q and error %v, want A", g.files.File("/layers/a"), err)
 	}
 }
 
@@ -171,7 +172,8 @@
 	return keys
 }
 
-// TestRejectionWhileServerDrains checks that a rejection has a delay for the retry, and that a draining server gets nothing.
+// TestRejectionWhileServerDrains checks that a rejection states the delay for the retry, and that a draining server receives no
+// command.
 func TestRejectionWhileServerDrains(t *testing.T) {
 	g := newTestGateway(t)
 	g.setServerState(scheduler.Draining)
@@ -184,12 +186,12 @@
 		t.Errorf("%v", err)
 	}
 	if commands := g.files.Commands(); len(commands) != 0 {
-		t.Errorf("the server received %v", commands)
+		t.Errorf("draining server received commands %v, want none", commands)
 	}
 }
 
-// TestDeadline checks that a WRITE fails at its deadline if the server does not respond, and that the client learns that it
-// may have taken effect.
+// TestDeadline checks that a WRITE fails at its deadline if the server does not respond, and that the error says that the WRITE may
+// have taken effect.
 func TestDeadline(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", nil)
@@ -217,8 +219,8 @@
 	g.waitCountedOnce("attempts_timed_out")
 }
 
-// TestLibraryClientSendsASecondRead checks that the library's client sends a second READ after a short one. This is why
-// sftpclient does not use it.
+// TestLibraryClientSendsASecondRead checks that the library's client sends a second READ after a short one. sftpclient does not use
+// the library's client because of this.
 func TestLibraryClientSendsASecondRead(t *testing.T) {
 	files := fakefileserver.New(t)
 	files.Put("/a", []byte("1234"))
@@ -226,7 +228,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = file.ReadAt(make([]byte, 10), 0) // the file is shorter
+	_, _ = file.ReadAt(make([]byte, 10), 0) // returns EOF, since the file is shorter
 	reads := 0
 	for _, command := range files.Commands() {
 		if command.Op == "read" {
@@ -234,6 +236,6 @@
 		}
 	}
 	if reads != 2 {
-		t.Errorf("%d READs: the library's client may be used", reads)
+		t.Errorf("library's client sent %d READs, want 2: if it now sends one, sftpclient may use it", reads)
 	}
 }
--- a/internal/frontend/sftpserver/traffic_test.go
+++ b/internal/frontend/sftpserver/traffic_test.go
@@ -32,31 +32,32 @@
 // Size of the traffic test.
 const (
 	trafficUnitBytes = 1000
-	trafficWorkers   = 4 // clients of each protocol and volume
+	trafficWorkers   = 4 // number of clients for each protocol and volume
 	trafficSteps     = 400
 	trafficShards    = 2
 	trafficVolumes   = 2
 )
 
-// limitMeter is the token bucket of each volume's limit, as the rule counts it at the storage servers.
+// limitMeter checks the traffic that arrives at the storage servers against each volume's limit, with one token bucket for each
+// volume.
 type limitMeter struct {
 	clock clock.Clock
 	plan  scheduler.Plan
 
-	mu       sync.Mutex
-	level    map[uint64]float64
-	updated  map[uint64]float64
-	units    map[string]float64 // by protocol
-	arrivals int64
-	lowest   float64 // level of any volume
+	mu          sync.Mutex
+	level       map[uint64]float64 // units in the token bucket, by volume; negative: overdrawn
+	updated     map[uint64]float64 // time of the last update of level in milliseconds, by volume
+	units       map[string]float64 // units of all requests that have arrived, by protocol
+	arrivals    int64              // number of requests that have arrived
+	lowestLevel float64            // lowest level that any volume has had
 }
 
 func newLimitMeter(c clock.Clock, plan scheduler.Plan) *limitMeter {
 	return &limitMeter{clock: c, plan: plan, level: map[uint64]float64{}, updated: map[uint64]float64{}, units: map[string]float64{}}
 }
 
-// take counts a request that has arrived at a storage server.
-func (m *limitMeter) take(protocol string, volume uint64, units float64) {
+// recordArrival records a request that has arrived at a storage server.
+func (m *limitMeter) recordArrival(protocol string, volume uint64, units float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.NowMs()
@@ -65,12 +66,12 @@
 	}
 	m.level[volume] = min(m.plan.LimitBurst, m.level[volume]+m.plan.Limit*(now-m.updated[volume])/1000) - units
 	m.updated[volume] = now
-	m.lowest = min(m.lowest, m.level[volume])
+	m.lowestLevel = min(m.lowestLevel, m.level[volume])
 	m.units[protocol] += units
 	m.arrivals++
 }
 
-// serveHTTP is a storage server for HTTP.
+// serveHTTP handles the requests of the HTTP storage servers.
 func (m *limitMeter) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	volume, volumeErr := strconv.ParseUint(query.Get("volume"), 10, 64)
@@ -79,11 +80,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	m.take("http", volume, units)
+	m.recordArrival("http", volume, units)
 	_, _ = io.WriteString(w, "data") // the gateway may have canceled the attempt
 }
 
-// countCommand is the answer of a file server to a command.
+// countCommand records a command that has arrived at a file server.
 func (m *limitMeter) countCommand(command fakefileserver.Command) error {
 	volume, err := strconv.ParseUint(strings.Split(command.Path, "/")[1], 10, 64)
 	if err != nil {
@@ -91,17 +92,17 @@
 	}
 	switch {
 	case command.Op != "open":
-		m.take("file", volume, max(1, float64((command.Bytes+trafficUnitBytes-1)/trafficUnitBytes)))
-	case command.Flags&sftpwire.FlagCreate != 0: // a client's own OPEN; the others belong to a READ or WRITE
-		m.take("file", volume, 1)
+		m.recordArrival("file", volume, max(1, float64((command.Bytes+trafficUnitBytes-1)/trafficUnitBytes)))
+	case command.Flags&sftpwire.FlagCreate != 0: // an OPEN of a client; the gateway's own OPENs for a READ or WRITE are not counted
+		m.recordArrival("file", volume, 1)
 	}
 	return nil
 }
 
-// trafficClient performs one request at a time, one for each number that it receives.
+// trafficClient performs one request at a time: one for each sequence number that it receives.
 type trafficClient struct{ requests chan int }
 
-// trafficTest is a gateway for HTTP and SFTP with its storage servers and clients.
+// trafficTest holds a gateway for HTTP and SFTP, its storage servers and its clients.
 type trafficTest struct {
 	t        *testing.T
 	settings scheduler.Settings
@@ -110,10 +111,10 @@
 	meter    *limitMeter
 	loop     *eventloop.Loop
 	httpURL  string
-	listener net.Listener // of the SFTP server
+	listener net.Listener // listener of the SFTP server
 
 	clients []trafficClient
-	busy    atomic.Int32 // clients that perform a request
+	busy    atomic.Int32 // number of clients that are performing a request
 	running sync.WaitGroup
 }
 
@@ -163,11 +164,13 @@
 	serve(test.t, &sftpserver.Server{Loop: test.loop, Clock: test.clock, Metrics: test.counters, Upstream: upstream,
 		Options: sftpserver.Options{MaxConns: 32, UnitBytes: trafficUnitBytes, ReadClass: test.settings.Classes[0],
 			WriteClass: test.settings.Classes[1], Shards: trafficShards, MaxUnits: 6,
-			Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Gateways: 1}, {Path: "/2", Plan: "basic", Volume: 2, Gateways: 1}}}},
+			Roots: []sftpserver.Root{{Path: "/1", Plan: "basic", Volume: 1, Gateways: 1},
+				{Path: "/2", Plan: "basic", Volume: 2, Gateways: 1}}}},
 		test.listener)
 }
 
-// fillBuckets lets the token buckets of a new gateway, which are empty, fill in steps small enough for its timers.
+// fillBuckets advances the clock until the token buckets of the new gateway, which start empty, are full. The steps are small enough
+// for the gateway's timers.
 func (test *trafficTest) fillBuckets() {
 	for range 300 {
 		test.clock.Advance(10)
@@ -175,49 +178,49 @@
 	}
 }
 
-// addClient starts a client that performs a request for each number.
-func (test *trafficTest) addClient(perform func(n int)) {
+// addClient starts a client that calls perform for each sequence number it receives.
+func (test *trafficTest) addClient(perform func(sequence int)) {
 	client := trafficClient{make(chan int)}
 	test.clients = append(test.clients, client)
 	test.running.Go(func() {
-		for n := range client.requests {
-			perform(n)
+		for sequence := range client.requests {
+			perform(sequence)
 			test.busy.Add(-1)
 		}
 	})
 }
 
 func (test *trafficTest) addHTTPClient(volume, worker int) {
-	test.addClient(func(n int) {
-		request, err := test.newHTTPRequest(volume, worker, n)
+	test.addClient(func(sequence int) {
+		request, err := test.newHTTPRequest(volume, worker, sequence)
 		if err != nil {
 			test.t.Error(err)
 			return
 		}
-		// Rejections and canceled requests count as well: the meter is what the test looks at.
+		// Rejected and canceled requests are ignored, since the test checks only the meter.
 		if response, err := http.DefaultClient.Do(request); err == nil {
 			response.Body.Close()
 		}
 	})
 }
 
-func (test *trafficTest) newHTTPRequest(volume, worker, n int) (*http.Request, error) {
-	method, class, units := http.MethodGet, "pull", 1+n%6
-	if n%3 == 0 {
+func (test *trafficTest) newHTTPRequest(volume, worker, sequence int) (*http.Request, error) {
+	method, class, units := http.MethodGet, "pull", 1+sequence%6
+	if sequence%3 == 0 {
 		method, class = http.MethodPut, "push"
 	}
-	url := fmt.Sprintf("%s/%s/%016x?volume=%d&units=%d", test.httpURL, class, n, volume, units)
+	url := fmt.Sprintf("%s/%s/%016x?volume=%d&units=%d", test.httpURL, class, sequence, volume, units)
 	request, err := http.NewRequestWithContext(test.t.Context(), method, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	for name, value := range map[string]string{
-		"X-Correlation-Id": fmt.Sprintf("%d-%d-%d", volume, worker, n), // two open requests with the same one get 409
+		"X-Correlation-Id": fmt.Sprintf("%d-%d-%d", volume, worker, sequence), // a second open request with the same ID gets 409
 		"X-Service-Class":  class,
 		"X-Plan":           "basic",
 		"X-Time-Left-Ms":   "1500",
 		"Idempotency-Key":  "k",
-		"X-IO":             fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=1", volume, units, n%trafficShards),
+		"X-IO":             fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=1", volume, units, sequence%trafficShards),
 	} {
 		request.Header.Set(name, value)
 	}
@@ -231,36 +234,36 @@
 	if err != nil {
 		test.t.Fatal(err)
 	}
-	test.addClient(func(n int) {
-		// Rejections are part of the traffic, so errors do not count.
-		if size := trafficUnitBytes * (1 + n%6); n%2 == 0 {
+	test.addClient(func(sequence int) {
+		// Errors are ignored, since rejections are expected.
+		if size := trafficUnitBytes * (1 + sequence%6); sequence%2 == 0 {
 			_, _ = file.WriteAt(make([]byte, size), 0)
 		} else {
-			// The library requests the rest of a short READ: no more than the file has.
+			// Reads no more than the file has, since the library sends another READ after a short one.
 			_, _ = file.ReadAt(make([]byte, min(size, trafficUnitBytes)), 0)
 		}
 	})
 }
 
-// waitSettled waits until each client is idle or has its request queued, and nothing is in flight.
+// waitSettled waits until each client is idle or has a queued request, and no attempt is in flight.
 func (test *trafficTest) waitSettled() {
 	for int32(queuedRequests(test.loop, test.counters)) != test.busy.Load() {
 		runtime.Gosched()
 	}
 }
 
-// startRequests starts a request at each client that is idle.
+// startRequests makes each idle client perform a request.
 func (test *trafficTest) startRequests(step int) {
 	for i, client := range test.clients {
 		select {
 		case client.requests <- step + i:
 			test.busy.Add(1)
-		default: // its request is queued
+		default: // the client is busy: its request is queued
 		}
 	}
 }
 
-// finish lets the clients finish their requests.
+// finish waits until the clients have finished their requests, and stops them.
 func (test *trafficTest) finish() {
 	for test.busy.Load() > 0 {
 		test.waitSettled()
@@ -272,9 +275,10 @@
 	test.running.Wait()
 }
 
-// TestMixedTrafficKeepsLimits has clients request far more than the limits of two volumes over HTTP and SFTP at once. What
-// arrives at the storage servers must stay within the limit of each volume plus its overdraft, and must be what the scheduler
-// has started: a frontend that bypassed the scheduler would fail both.
+// TestMixedTrafficKeepsLimits checks that HTTP and SFTP traffic together stays within the limits of two volumes although the
+// clients request far more. The requests that arrive at the storage servers must stay within the limit of each volume plus its
+// overdraft, and their number must be the number of attempts that the scheduler has started. A frontend that bypassed the
+// scheduler would fail both checks.
 func TestMixedTrafficKeepsLimits(t *testing.T) {
 	test := newTrafficTest(t)
 	test.fillBuckets()
@@ -295,15 +299,17 @@
 	meter.mu.Lock()
 	defer meter.mu.Unlock()
 	rejected := test.counters.Get("answers_rejected")
-	t.Logf("lowest level %.1f, units %v, rejected %d of %d", meter.lowest, meter.units, rejected, test.counters.Get("requests_accepted"))
-	if meter.lowest < -meter.plan.LimitOverdraft {
-		t.Errorf("a level fell to %.1f, the overdraft is %.1f", meter.lowest, meter.plan.LimitOverdraft)
+	t.Logf("lowest level %.1f, units by protocol %v, rejected %d of %d requests",
+		meter.lowestLevel, meter.units, rejected, test.counters.Get("requests_accepted"))
+	if meter.lowestLevel < -meter.plan.LimitOverdraft {
+		t.Errorf("token bucket of a volume fell to %.1f units, want no more than %.1f below 0",
+			meter.lowestLevel, meter.plan.LimitOverdraft)
 	}
 	if started := test.counters.Get("attempts_started"); meter.arrivals != started {
-		t.Errorf("%d requests arrived at the servers, %d were started", meter.arrivals, started)
+		t.Errorf("%d requests arrived at the storage servers, want the number of started attempts: %d", meter.arrivals, started)
 	}
-	// The test would prove nothing if a protocol were idle or the limits were not reached.
+	// The checks above prove nothing unless both protocols have traffic and the limits are reached.
 	if meter.units["http"] < 30 || meter.units["file"] < 30 || rejected == 0 {
-		t.Errorf("units %v, %d rejected", meter.units, rejected)
+		t.Errorf("units by protocol %v, %d requests rejected; want at least 30 units each and a rejection", meter.units, rejected)
 	}
 }
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -14,7 +14,7 @@
 	"gaugerelay/internal/sftpwire"
 )
 
-// recordingLoop records the requests and responds to each at once. It has no exchange store.
+// recordingLoop records the requests and gives the same response to each at once. It has no exchange store.
 type recordingLoop struct {
 	requests []*lifecycle.Request
 	response lifecycle.Response
@@ -28,10 +28,10 @@
 func (l *recordingLoop) Cancel(*lifecycle.Request)                                {}
 func (l *recordingLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 
-// ownKey stands for the upload key of a WRITE that repeats no other one.
-const ownKey = -1
+// newKey is the wantKey of a WRITE that is not a retransmission and so has a new upload key.
+const newKey = -1
 
-// stepKind is what happens in a writeStep.
+// stepKind is the action of a writeStep.
 type stepKind int
 
 const (
@@ -42,33 +42,33 @@
 	write
 )
 
-// writeStep is a step of a test of retransmissions. A handle is opened by the first step that names it.
+// writeStep is a step of a retransmission test. The first step that uses a handle opens it.
 type writeStep struct {
 	kind    stepKind
 	handle  int
 	offset  int64
 	data    string
-	wantKey int     // the WRITE, counted from 0, whose upload key this one has, or ownKey
-	ms      float64 // for advanceClock
+	wantKey int     // index of the WRITE, counted from 0, whose upload key this one must have, or newKey
+	ms      float64 // duration in milliseconds for advanceClock
 }
 
 func opens(handle int) writeStep  { return writeStep{kind: openHandle, handle: handle} }
 func closes(handle int) writeStep { return writeStep{kind: closeHandle, handle: handle} }
-func loses(handle int) writeStep  { return writeStep{kind: loseConnection, handle: handle} }
+func drops(handle int) writeStep  { return writeStep{kind: loseConnection, handle: handle} }
 func waits(ms float64) writeStep  { return writeStep{kind: advanceClock, ms: ms} }
 func writes(handle int, offset int64, data string, wantKey int) writeStep {
 	return writeStep{kind: write, handle: handle, offset: offset, data: data, wantKey: wantKey}
 }
 
-// writeClients runs writeSteps on handles that each have a connection of their own.
+// writeClients runs writeSteps. Each handle has a separate connection.
 type writeClients struct {
 	server      *Server
 	loop        *recordingLoop
 	clock       *clock.Manual
-	twoClients  bool // handles from 2 on are another client's
+	twoClients  bool // handle numbers above 1 belong to a second client
 	handles     map[int]*openFile
-	connections map[int]chan struct{} // by handle; closed when the connection is lost
-	keys        []string              // of the WRITEs
+	connections map[int]chan struct{} // by handle; a channel is closed when its connection is lost
+	keys        []string              // upload keys of the WRITEs, in order
 }
 
 func newWriteClients(twoClients bool) *writeClients {
@@ -82,18 +82,18 @@
 		handles: map[int]*openFile{}, connections: map[int]chan struct{}{}}
 }
 
-// handle returns a handle, which it opens if need be.
-func (c *writeClients) handle(n int) *openFile {
-	if c.handles[n] == nil {
+// handle returns the handle with the given number. It opens the handle on first use.
+func (c *writeClients) handle(number int) *openFile {
+	if c.handles[number] == nil {
 		host := "a"
-		if c.twoClients && n > 1 {
+		if c.twoClients && number > 1 {
 			host = "b"
 		}
-		c.connections[n] = make(chan struct{})
-		h := &handler{server: c.server, clientHost: host, disconnected: c.connections[n]}
-		c.handles[n] = newOpenFile(h, "/f", sftpwire.FlagWrite)
+		c.connections[number] = make(chan struct{})
+		h := &handler{server: c.server, clientHost: host, disconnected: c.connections[number]}
+		c.handles[number] = newOpenFile(h, "/f", sftpwire.FlagWrite)
 	}
-	return c.handles[n]
+	return c.handles[number]
 }
 
 func (c *writeClients) run(t *testing.T, step writeStep) {
@@ -128,38 +128,38 @@
 	}
 	request := c.loop.requests[len(c.loop.requests)-1]
 	device := request.Device
-	got := slices.Index(c.keys, device.Key) // -1, which is ownKey, if there is none
-	wantRetry := step.wantKey != ownKey
+	got := slices.Index(c.keys, device.Key) // -1, which equals newKey, if the key is new
+	wantRetry := step.wantKey != newKey
 	if got != step.wantKey || request.IsRetry != wantRetry || request.IsRetry != (device.AgeMs >= 0) {
-		t.Errorf("write %d has the key of write %d, want %d; retry %v, age %v", len(c.keys), got, step.wantKey,
-			request.IsRetry, device.AgeMs)
+		t.Errorf("write %d has the upload key of write %d, want %d; request has IsRetry %v and age %v",
+			len(c.keys), got, step.wantKey, request.IsRetry, device.AgeMs)
 	}
 	payload := device.BuildPayload("", device.Body).(*sftpwire.Command)
 	if device.BodyDigest != sha256.Sum256([]byte(step.data)) || !bytes.Equal(payload.Data, []byte(step.data)) {
-		t.Errorf("write %d submits other data", len(c.keys))
+		t.Errorf("write %d was submitted with other data", len(c.keys))
 	}
 	c.keys = append(c.keys, device.Key)
 }
 
-// TestRetransmittedWritesKeepUploadKey checks which WRITEs count as retransmissions.
+// TestRetransmittedWritesKeepUploadKey checks which WRITEs are recognized as retransmissions.
 func TestRetransmittedWritesKeepUploadKey(t *testing.T) {
 	for name, c := range map[string]struct {
 		twoClients bool
 		steps      []writeStep
 	}{
-		"after a lost connection":        {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "aa", 0)}},
-		"first connection seems open":    {false, []writeStep{writes(1, 0, "aa", ownKey), writes(2, 0, "aa", 0), writes(3, 0, "aa", 0)}},
-		"first arrives last":             {false, []writeStep{opens(1), writes(2, 0, "aa", ownKey), closes(2), writes(1, 0, "aa", 0)}},
-		"opened after an orderly close":  {false, []writeStep{writes(1, 0, "aa", ownKey), waits(1), closes(1), waits(1), writes(2, 0, "aa", ownKey)}},
-		"other data":                     {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "ab", ownKey)}},
-		"other offset":                   {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 2, "aa", ownKey)}},
-		"overwritten in between":         {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 1, "bb", ownKey), writes(2, 0, "aa", ownKey)}},
-		"adjacent write in between":      {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 2, "bb", ownKey), writes(2, 0, "aa", 0)}},
-		"same handle after success":      {false, []writeStep{writes(1, 0, "aa", ownKey), writes(1, 0, "aa", ownKey)}},
-		"other client":                   {true, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "aa", ownKey)}},
-		"after the retention":            {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), waits(9000), writes(2, 0, "aa", ownKey)}},
-		"after the deduplication window": {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), waits(5000), writes(2, 0, "aa", 0)}},
-		"latest write counts":            {false, []writeStep{writes(1, 0, "aa", ownKey), loses(1), writes(2, 0, "bb", ownKey), loses(2), writes(3, 0, "bb", 1), writes(4, 0, "aa", ownKey)}},
+		"after a lost connection":        {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 0, "aa", 0)}},
+		"first connection seems open":    {false, []writeStep{writes(1, 0, "aa", newKey), writes(2, 0, "aa", 0), writes(3, 0, "aa", 0)}},
+		"first arrives last":             {false, []writeStep{opens(1), writes(2, 0, "aa", newKey), closes(2), writes(1, 0, "aa", 0)}},
+		"opened after an orderly close":  {false, []writeStep{writes(1, 0, "aa", newKey), waits(1), closes(1), waits(1), writes(2, 0, "aa", newKey)}},
+		"other data":                     {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 0, "ab", newKey)}},
+		"other offset":                   {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 2, "aa", newKey)}},
+		"overwritten in between":         {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 1, "bb", newKey), writes(2, 0, "aa", newKey)}},
+		"adjacent write in between":      {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 2, "bb", newKey), writes(2, 0, "aa", 0)}},
+		"same handle after success":      {false, []writeStep{writes(1, 0, "aa", newKey), writes(1, 0, "aa", newKey)}},
+		"other client":                   {true, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 0, "aa", newKey)}},
+		"after the retention":            {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), waits(9000), writes(2, 0, "aa", newKey)}},
+		"after the deduplication window": {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), waits(5000), writes(2, 0, "aa", 0)}},
+		"latest write counts":            {false, []writeStep{writes(1, 0, "aa", newKey), drops(1), writes(2, 0, "bb", newKey), drops(2), writes(3, 0, "bb", 1), writes(4, 0, "aa", newKey)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clients := newWriteClients(c.twoClients)
@@ -180,21 +180,21 @@
 	for i := range 3 * maxRecordedWrites {
 		history.add(files[i%100], writeRecord{offset: int64(i), size: 1, firstReceivedMs: float64(i)})
 	}
-	located := 0
+	indexed := 0
 	for _, elements := range history.byClientAndPath {
-		located += len(elements)
+		indexed += len(elements)
 	}
-	if located != maxRecordedWrites || history.order.Len() != maxRecordedWrites {
-		t.Errorf("%d and %d writes are held", located, history.order.Len())
+	if indexed != maxRecordedWrites || history.order.Len() != maxRecordedWrites {
+		t.Errorf("history holds %d writes by client and path and %d in order, want maxRecordedWrites", indexed, history.order.Len())
 	}
 	_, found := history.find(fileAt("p0"), &writeRecord{offset: 1, size: 1, firstReceivedMs: 1e9}, 1000)
 	if found || history.order.Len() != 0 || len(history.byClientAndPath) != 0 {
-		t.Errorf("%d writes are left when all have expired", history.order.Len())
+		t.Errorf("history holds %d writes after all have expired, want an empty history and no match", history.order.Len())
 	}
 }
 
-// TestFailedWriteOnSameHandle checks that a failed WRITE that is sent again on its handle keeps its upload key, unless its range
-// has been overwritten in between.
+// TestFailedWriteOnSameHandle checks that a failed WRITE that is sent again on the same handle keeps its upload key, unless its
+// range has been overwritten in between.
 func TestFailedWriteOnSameHandle(t *testing.T) {
 	for name, c := range map[string]struct {
 		offsetBetween int64
@@ -220,7 +220,7 @@
 			}
 			first, last := clients.loop.requests[0].Device.Key, clients.loop.requests[2].Device.Key
 			if (first == last) != c.wantSameKey {
-				t.Errorf("keys %q and %q, want the same: %v", first, last, c.wantSameKey)
+				t.Errorf("first and last WRITE have upload keys %q and %q, want the same key: %v", first, last, c.wantSameKey)
 			}
 		})
 	}
