--- a/internal/frontend/coapserver/blockwise_test.go
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -25,7 +25,7 @@
 		block, _ := coapwire.DecodeBlock(value)
 		etag, _ := m.Options.GetBytes(message.ETag)
 		if size, _ := m.Options.GetUint32(message.Size2); size != wantSize || binary.BigEndian.Uint64(etag) != wantETag {
-			d.t.Fatalf("block has Size2 %d and ETag %x, want those of the first response", size, etag)
+			d.t.Fatalf("block has Size2 %d and ETag %x, want those of the whole body", size, etag)
 		}
 		if !block.More {
 			break
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -181,7 +181,7 @@
 	c.enqueue(outgoingMessage{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
 }
 
-// expire responds to a request that the Loop has not responded to in time. This happens only because of a bug.
+// expire responds to a request that the Loop has not responded to in time, which indicates a bug.
 func (c *conn) expire(p *pendingRequest) {
 	c.mu.Lock()
 	expired := c.removePending(p)
--- a/internal/frontend/coapserver/server_test.go
+++ b/internal/frontend/coapserver/server_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// A device receives the last message of a connection instead of a reset, even if the server has not read all that the device sent.
+// A device receives the last message of a connection instead of a reset, even if the server has not read all that it sent.
 func TestLastMessageSurvivesUnreadBytes(t *testing.T) {
 	listener := testbed.Listen(t)
 	server := newTestServer(&fakeLoop{})
--- a/internal/frontend/sftpserver/helper_test.go
+++ b/internal/frontend/sftpserver/helper_test.go
@@ -51,11 +51,11 @@
 // startLoop starts an event loop with the settings. The loop runs until the test ends.
 func startLoop(t *testing.T, settings scheduler.Settings, now clock.Clock, counters *metrics.Registry) *eventloop.Loop {
 	t.Helper()
-	decisions, err := scheduler.New(settings, 1)
+	sched, err := scheduler.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := eventloop.New(eventloop.Options{Scheduler: decisions, Clock: now, Metrics: counters})
+	loop := eventloop.New(eventloop.Options{Scheduler: sched, Clock: now, Metrics: counters})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go loop.Run(ctx)
--- a/internal/frontend/sftpserver/request.go
+++ b/internal/frontend/sftpserver/request.go
@@ -20,23 +20,23 @@
 
 // newRequest returns the request for a command on a file and sets the path of the command. A command with an upload key belongs
 // to the write class, any other command to the read class.
-func (s *Server) newRequest(name string, command *sftpwire.Command) (*lifecycle.Request, error) {
-	name = path.Clean("/" + name) // the library cleans paths too, but staying below a root must not depend on that
-	root := s.findRoot(name)
+func (s *Server) newRequest(filePath string, command *sftpwire.Command) (*lifecycle.Request, error) {
+	filePath = path.Clean("/" + filePath) // the library cleans paths too, but staying below a root must not depend on that
+	root := s.findRoot(filePath)
 	switch {
-	case strings.ContainsRune(name, 0) || len(name) > maxPathLength:
+	case strings.ContainsRune(filePath, 0) || len(filePath) > maxPathLength:
 		return nil, errBadPath
 	case root == nil:
 		return nil, errNoRoot
 	case len(command.Data) > sftpwire.MaxData || command.Offset > math.MaxInt64:
 		return nil, errBadRange
 	}
-	command.Path = name
+	command.Path = filePath
 	class := &s.ReadClass
 	if command.UploadKey != "" {
 		class = &s.WriteClass
 	}
-	key := hashPath(name)
+	key := hashPath(filePath)
 	return &lifecycle.Request{
 		Class:          class.Name,
 		Plan:           root.Plan,
@@ -59,11 +59,11 @@
 }
 
 // findRoot returns the root with the longest path that contains the file, or nil.
-func (s *Server) findRoot(name string) *Root {
+func (s *Server) findRoot(filePath string) *Root {
 	var longest *Root
 	for i := range s.Roots {
 		root := &s.Roots[i]
-		if root.contains(name) && (longest == nil || len(root.Path) > len(longest.Path)) {
+		if root.contains(filePath) && (longest == nil || len(root.Path) > len(longest.Path)) {
 			longest = root
 		}
 	}
@@ -71,14 +71,14 @@
 }
 
 // contains reports whether the file is the root itself or below it.
-func (r *Root) contains(name string) bool {
-	return r.Path == "/" || name == r.Path || strings.HasPrefix(name, r.Path+"/")
+func (r *Root) contains(filePath string) bool {
+	return r.Path == "/" || filePath == r.Path || strings.HasPrefix(filePath, r.Path+"/")
 }
 
 // hashPath returns the key of a file, which is a hash of its path.
-func hashPath(name string) uint64 {
+func hashPath(filePath string) uint64 {
 	sum := fnv.New64a()
-	_, _ = io.WriteString(sum, name) // a hash never returns an error
+	_, _ = io.WriteString(sum, filePath) // a hash never returns an error
 	return sum.Sum64()
 }
 
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -175,8 +175,8 @@
 	s.mu.Unlock()
 }
 
-// reportConnEnd counts and logs a connection that ended inside a packet, and logs one that ended with an unexpected error. err is the
-// result of the library's Serve.
+// reportConnEnd counts and logs a connection that ended inside a packet, and logs one that ended with an unexpected error. err
+// is the result of the library's Serve.
 func (s *Server) reportConnEnd(c *conn, err error) {
 	client := c.RemoteAddr().String()
 	if truncated, packetType := c.received.truncated(); truncated {
--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestDeadline checks that a WRITE fails at its deadline if the server does not respond, and that the error says that the WRITE may
-// have taken effect.
+// TestDeadline checks that a WRITE fails at its deadline if the server does not respond, and that the error says that the WRITE
+// may have taken effect.
 func TestDeadline(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", nil)
