--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// maxAnnouncedPrefixes fit in one UPDATE message.
+	// maxAnnouncedPrefixes is the largest number of prefixes. That many fit in one UPDATE message.
 	maxAnnouncedPrefixes = 256
 
-	// Hold times in milliseconds; 0 stands for none.
+	// Default and bounds of the hold time in milliseconds. A hold time of 0 is also valid: it disables the hold timer.
 	defaultHoldMs = 90_000
 	minHoldMs     = 3000
 	maxHoldMs     = 65_535_000
@@ -23,23 +23,23 @@
 
 // parseBGP parses and validates the key "bgp" of the operator's file.
 func parseBGP(object *fastjson.Value) (*bgp.Options, error) {
-	r := &valueReader{}
-	options := &bgp.Options{PeerAddress: r.text(object, "peer")}
+	reader := &valueReader{}
+	options := &bgp.Options{PeerAddress: reader.text(object, "peer")}
 	errs := []error{checkHostPort("peer", options.PeerAddress)}
 	var err error
-	options.LocalAS, err = r.autonomousSystem(object, "local_as")
+	options.LocalAS, err = reader.asNumber(object, "local_as")
 	errs = append(errs, err)
-	options.PeerAS, err = r.autonomousSystem(object, "peer_as")
+	options.PeerAS, err = reader.asNumber(object, "peer_as")
 	errs = append(errs, err)
-	options.HoldTimeMs = r.numberOr(defaultHoldMs, object, "hold_ms")
+	options.HoldTimeMs = reader.numberOr(defaultHoldMs, object, "hold_ms")
 	if options.HoldTimeMs != 0 && (options.HoldTimeMs < minHoldMs || options.HoldTimeMs > maxHoldMs) {
 		errs = append(errs, errors.New("hold_ms is neither 0 nor from 3000 to 65535000"))
 	}
-	options.RouterID, err = netip.ParseAddr(r.text(object, "router_id"))
+	options.RouterID, err = netip.ParseAddr(reader.text(object, "router_id"))
 	if err != nil || !options.RouterID.Is4() || options.RouterID.IsUnspecified() {
 		errs = append(errs, errors.New("router_id is not an IPv4 address"))
 	}
-	if nextHop := r.text(object, "next_hop"); nextHop != "" {
+	if nextHop := reader.text(object, "next_hop"); nextHop != "" {
 		if options.NextHop, err = netip.ParseAddr(nextHop); err != nil || !options.NextHop.Is4() {
 			errs = append(errs, errors.New("next_hop is not an IPv4 address"))
 		}
@@ -54,11 +54,11 @@
 	if n := len(options.Prefixes); n == 0 || n > maxAnnouncedPrefixes {
 		errs = append(errs, fmt.Errorf("announce: %d prefixes, wants 1 to %d", n, maxAnnouncedPrefixes))
 	}
-	return options, firstError(append(errs, r.err))
+	return options, firstError(append(errs, reader.err))
 }
 
-// autonomousSystem reads the number of an autonomous system.
-func (r *valueReader) autonomousSystem(object *fastjson.Value, name string) (uint32, error) {
+// asNumber reads an AS number: a whole number from 1 to 4294967295.
+func (r *valueReader) asNumber(object *fastjson.Value, name string) (uint32, error) {
 	n := r.number(object, name)
 	if n < 1 || n > math.MaxUint32 || n != math.Trunc(n) {
 		return uint32(n), fmt.Errorf("%s is not an AS number", name)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,9 @@
-// Package config reads the configuration of a gateway and validates it once into typed settings: from the platform, the
-// ROUTER_ variables with the JSON file that ROUTER_CONFIG names, and from the operator, the file of further frontends.
+// Package config reads and validates the configuration of a gateway, and converts it to typed settings. The platform's
+// configuration is the JSON file whose path is in ROUTER_CONFIG, and the other ROUTER_ variables, which override the file.
+// The operator's file is optional: it configures further frontends, communication between gateways and BGP announcements.
 //
-// Errors are one plain line that names the bad value. The package runs no goroutine, and what it returns is not changed
-// afterwards.
+// The text of an error is one line that names the invalid value. The package runs no goroutine, and does not modify what
+// it has returned.
 package config
 
 import (
@@ -16,15 +17,16 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Variables of the environment that the platform sets.
+// Environment variables that the platform sets.
 const (
-	variableConfig    = "ROUTER_CONFIG" // the configuration file's path
+	variableConfig    = "ROUTER_CONFIG" // path of the configuration file
 	variableName      = "ROUTER_NAME"
 	variableListen    = "ROUTER_LISTEN"
 	variableDiscovery = "ROUTER_DISCOVERY"
 )
 
-// Defaults of limits that the platform does not set. Without them package net would wait for and keep connections forever.
+// Defaults of limits that the platform does not set. Without the timeouts, package net would wait for a connection forever
+// and would never close an idle one.
 const (
 	defaultIdleConnTimeoutMs = 30_000
 	defaultConnectTimeoutMs  = 1_000
@@ -35,23 +37,23 @@
 type Config struct {
 	Name, Listen, Discovery string // Listen and Discovery are addresses, host:port
 	Seed                    uint64
-	Cores, MemoryMB         float64 // limits of the process; 0: none
+	Cores, MemoryMB         float64 // limits of the process; 0 means no limit
 	MaxSockets              int
-	// KnownEndpoints is the endpoint list as last seen before the start.
+	// KnownEndpoints is the last endpoint list that was received before the start.
 	KnownEndpoints lifecycle.EndpointUpdate
-	// InvalidKnownEntries is the number of its entries that could not be read.
+	// InvalidKnownEntries is the number of invalid entries that were left out of KnownEndpoints.
 	InvalidKnownEntries                 int
 	Settings                            scheduler.Settings
-	GatewayIndex                        int      // this gateway's number among Peers
-	PeerListen                          string   // the address for other gateways; "": none
-	Peers                               []string // the addresses of all gateways, this one included, by their numbers
-	IdleConnTimeoutMs, ConnectTimeoutMs float64  // of connections to servers
+	GatewayIndex                        int      // index of this gateway in Peers
+	PeerListen                          string   // address on which to receive datagrams of other gateways; "" means none
+	Peers                               []string // addresses of all gateways, including this one
+	IdleConnTimeoutMs, ConnectTimeoutMs float64  // timeouts of connections to servers
 
-	fileDiscovery string // Discovery as the file has it, without regard to the environment
+	fileDiscovery string // discovery address in the file, which ROUTER_DISCOVERY does not override
 }
 
-// Load reads the configuration that the environment names; getenv is os.Getenv except in tests. Variables override the
-// file.
+// Load reads the configuration file that ROUTER_CONFIG names, and overrides its values by the other variables that are
+// set. getenv is os.Getenv except in tests.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(variableConfig)
 	if path == "" {
@@ -75,7 +77,7 @@
 	return c, nil
 }
 
-// override applies the variables that are set.
+// override replaces values of the file by the variables that are set.
 func (c *Config) override(getenv func(string) string) {
 	for variable, field := range map[string]*string{
 		variableName: &c.Name, variableListen: &c.Listen, variableDiscovery: &c.Discovery,
@@ -86,8 +88,8 @@
 	}
 }
 
-// Reload reads the configuration again for a program that runs with c, which it does not change. The environment is as old
-// as the program, so a discovery address that has changed in the file overrides ROUTER_DISCOVERY.
+// Reload reads the configuration again. It does not change c, the configuration in use. The environment dates from the
+// start of the program, so a discovery address that has changed in the file overrides ROUTER_DISCOVERY.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := Load(getenv)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return next, nil
 }
 
-// checkAddress returns an error unless the address is host:port.
+// checkAddress returns an error unless the address has the form host:port.
 func checkAddress(name, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return fmt.Errorf("%s address %q: not host:port", name, address)
@@ -112,7 +114,7 @@
 	return nil
 }
 
-// RestartRequired names the parts that differ in next and that a reload does not apply.
+// RestartRequired returns the names of the parts that differ between c and next and that only a restart applies.
 func (c *Config) RestartRequired(next *Config) (names []string) {
 	for _, part := range []struct {
 		name string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// validConfig is a configuration file with every part that tests look at.
+// validConfig is the text of a valid configuration file. Tests check its values or replace some of them.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peers":["127.0.0.1:7946"],
  "known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.3:7070","cell":3,"state":"Ready"}]},
@@ -21,7 +21,7 @@
   "Invariants":{"AskWithinMs":10000,"DrainGraceMs":1000,"FallMs":3000,"RampTimeMs":15000},
   "Report":{"Fields":["queue"]},"TickMs":2}}`
 
-// environment returns a lookup of variables in place of os.Getenv.
+// environment returns a function that looks up variables, for use in place of os.Getenv.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
@@ -36,7 +36,7 @@
 	return path
 }
 
-// An invalid configuration is reported in one line.
+// The error of an invalid configuration must be a single line, since it is printed as one line of output.
 func TestLoadReportsInvalidConfigInOneLine(t *testing.T) {
 	for name, change := range map[string]struct{ old, new string }{
 		"not JSON":     {`"name":`, `name`},
@@ -53,12 +53,12 @@
 			path := writeConfig(t, strings.Replace(validConfig, change.old, change.new, 1))
 			_, err := Load(environment(map[string]string{variableConfig: path}))
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("Load returned the error %v, want an error of one line", err)
 			}
 		})
 	}
 	if _, err := Load(environment(nil)); err == nil {
-		t.Errorf("no error without %s", variableConfig)
+		t.Errorf("Load returned no error although %s is not set", variableConfig)
 	}
 }
 
@@ -66,12 +66,12 @@
 	c, err := Load(environment(map[string]string{variableConfig: writeConfig(t, validConfig),
 		variableListen: "127.0.0.9:1", variableName: "n9"}))
 	if err != nil || c.Listen != "127.0.0.9:1" || c.Name != "n9" || c.Discovery != "127.0.0.2:8500" {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("loaded %+v, error %v; want listen and name from the variables, discovery from the file", c, err)
 	}
 }
 
-// A reload prefers a discovery address that has changed in the file to the variable of the start, and names what only a
-// restart applies; an invalid file is an error.
+// On a reload, a discovery address that has changed in the file overrides ROUTER_DISCOVERY. Changes that only a restart
+// applies are reported by name. An invalid file is an error.
 func TestReload(t *testing.T) {
 	path := writeConfig(t, validConfig)
 	rewrite := func(text string) {
@@ -89,7 +89,7 @@
 		{"127.0.0.2:8500", "127.0.0.4:8500", "127.0.0.4:8500", ""},
 		{"127.0.0.2:8500", "127.0.0.4:8500", "127.0.0.4:8500", ""},
 		{`"Shares":1`, `"Shares":3`, "127.0.0.2:8500", "settings"},
-		{`"sockets":1024`, `"sockets":512`, "127.0.0.2:8500", "limits,settings"}, // against the step before
+		{`"sockets":1024`, `"sockets":512`, "127.0.0.2:8500", "limits,settings"}, // this step also reverts Shares
 	} {
 		rewrite(strings.Replace(validConfig, step.old, step.new, 1))
 		next, err := current.Reload(getenv)
@@ -98,14 +98,14 @@
 		}
 		restart := strings.Join(current.RestartRequired(next), ",")
 		if next.Discovery != step.discovery || restart != step.restart {
-			t.Errorf("%q: discovery %s, restart for %q", step.new, next.Discovery, restart)
+			t.Errorf("after the change to %q: discovery address %s, parts that require a restart %q", step.new, next.Discovery, restart)
 		}
 		current = next
 	}
 	for _, text := range []string{"", "{", strings.Replace(validConfig, "127.0.0.2:8500", "nowhere", 1)} {
 		rewrite(text)
 		if next, err := current.Reload(getenv); err == nil {
-			t.Errorf("%.20q: %+v", text, next)
+			t.Errorf("reload of the invalid file %.20q returned %+v, want an error", text, next)
 		}
 	}
 }
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -11,31 +11,33 @@
 	"gaugerelay/internal/dedup/exchange"
 )
 
-// Bounds of the exchange store that operators cannot choose.
+// Limits of the exchange store that operators cannot configure.
 const (
-	maxWaitingCopies = 4
-	maxBodyBytes     = 64 << 10
-	maxUploadBlocks  = 1024
+	// maxWaitingTransmissions bounds the transmissions of one exchange that wait for its response.
+	maxWaitingTransmissions = 4
+	maxBodyBytes            = 64 << 10
+	maxUploadBlocks         = 1024
 )
 
-// Devices sets up the frontends for devices on poor links. A frontend whose address is empty is disabled.
+// Devices configures the frontends for devices on poor links. A frontend whose address is empty is disabled.
 type Devices struct {
-	CoAP, HTTP string // addresses
-	// MaxConns bounds the connections of each frontend, MaxOpenRequests the requests open on one of them.
+	CoAP, HTTP string // addresses to listen on, host:port
+	// MaxConns bounds the connections of each frontend, MaxOpenRequests the open requests of one connection, and
+	// MaxMessageBytes the size of a CoAP message.
 	MaxConns, MaxOpenRequests, MaxMessageBytes int
-	// A connection's first message arrives within FirstMessageTimeout; one that is idle for IdleTimeout is pinged; HoldOff
-	// is CoAP's hold-off: when a device that is released may connect again.
+	// FirstMessageTimeout bounds the time until the first message of a connection. A connection that is idle for IdleTimeout
+	// is pinged. HoldOff is how long a device must wait before it connects again after CoAP's Release (RFC 8323, 5.5).
 	FirstMessageTimeout, IdleTimeout, HoldOff time.Duration
 	Exchanges                                 exchange.Settings
 }
 
 // parseDevices parses and validates the key "devices" of the operator's file.
 func parseDevices(object *fastjson.Value) (*Devices, error) {
-	r := &valueReader{}
-	d := readDevices(r, object)
-	errs := []error{r.err}
+	reader := &valueReader{}
+	d := readDevices(reader, object)
+	errs := []error{reader.err}
 	if d.CoAP == "" && d.HTTP == "" {
-		errs = append(errs, errors.New("neither coap nor http names an address"))
+		errs = append(errs, errors.New("coap and http are both empty: at least one must be an address"))
 	}
 	if d.CoAP != "" {
 		errs = append(errs, checkHostPort("coap", d.CoAP))
@@ -53,16 +55,16 @@
 	return d, firstError(errs)
 }
 
-// readDevices reads the values. Absent ones have the defaults that the example file shows.
-func readDevices(r *valueReader, object *fastjson.Value) *Devices {
-	number := func(name string, defaultValue float64) float64 { return r.numberOr(defaultValue, object, name) }
+// readDevices reads the values without validating them. Absent values get the defaults that the example file shows.
+func readDevices(reader *valueReader, object *fastjson.Value) *Devices {
+	number := func(name string, defaultValue float64) float64 { return reader.numberOr(defaultValue, object, name) }
 	integer := func(name string, defaultValue float64) int { return int(number(name, defaultValue)) }
 	duration := func(name string, defaultValue float64) time.Duration {
 		return clock.Duration(number(name, defaultValue))
 	}
 	return &Devices{
-		CoAP:                r.text(object, "coap"),
-		HTTP:                r.text(object, "http"),
+		CoAP:                reader.text(object, "coap"),
+		HTTP:                reader.text(object, "http"),
 		MaxConns:            integer("max_connections", 256),
 		MaxOpenRequests:     integer("max_open", 8),
 		MaxMessageBytes:     integer("max_message_bytes", 33<<10),
@@ -73,7 +75,7 @@
 			MaxExchanges:        integer("max_exchanges", 4096),
 			MaxDevices:          integer("max_devices", 4096),
 			MaxActivePerDevice:  integer("max_exchanges_per_device", 16),
-			MaxWaitingCopies:    maxWaitingCopies,
+			MaxWaitingCopies:    maxWaitingTransmissions,
 			MaxStoredBytes:      integer("max_held_bytes", 8<<20),
 			MaxBodyBytes:        maxBodyBytes,
 			MaxUploadBlocks:     maxUploadBlocks,
@@ -92,7 +94,8 @@
 	}
 }
 
-// checkRanges returns an error for the first value out of range, of those that exchange.New does not check more strictly.
+// checkRanges returns an error for the first value that is out of range. It omits the values that exchange.New checks more
+// strictly.
 func (d *Devices) checkRanges() error {
 	for _, value := range []struct {
 		name     string
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -12,7 +12,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Edge is what an operator sets up beside the platform's configuration. A nil part is disabled.
+// Edge is the configuration in the operator's file, which supplements the platform's. A part that is nil is disabled.
 type Edge struct {
 	SFTP    *SFTP
 	BGP     *bgp.Options
@@ -20,7 +20,7 @@
 	Fleet   *Fleet
 }
 
-// LoadEdge reads the operator's file. Names of classes and plans are looked up in settings, which are not changed.
+// LoadEdge reads the operator's file. It looks up the names of classes and plans in settings, which it does not modify.
 func LoadEdge(path string, settings *scheduler.Settings) (*Edge, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,14 +33,15 @@
 	return edge, nil
 }
 
-// ParseEdge is LoadEdge for the text of the file: JSON in which lines that begin with // are comments.
+// ParseEdge parses the text of the operator's file: JSON in which lines that begin with // are comments. It uses settings
+// as LoadEdge does.
 func ParseEdge(text []byte, settings *scheduler.Settings) (*Edge, error) {
 	object, err := fastjson.ParseBytes(withoutComments(text))
 	if err != nil {
 		return nil, fmt.Errorf("not JSON with // comments: %w", err)
 	}
 	if object.Type() != fastjson.TypeObject {
-		return nil, errors.New("not an object")
+		return nil, errors.New("the top-level value is not a JSON object")
 	}
 	edge := &Edge{}
 	for _, part := range []struct {
@@ -63,13 +64,13 @@
 	return edge, nil
 }
 
-// withoutComments drops the lines that begin with //.
+// withoutComments returns text without the lines that begin with //, possibly after white space.
 func withoutComments(text []byte) []byte {
-	var plain []byte
+	var uncommented []byte
 	for line := range bytes.Lines(text) {
 		if !bytes.HasPrefix(bytes.TrimSpace(line), []byte("//")) {
-			plain = append(plain, line...)
+			uncommented = append(uncommented, line...)
 		}
 	}
-	return plain
+	return uncommented
 }
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -24,22 +24,22 @@
 	if b := edge.BGP; b == nil || b.LocalAS != 65001 || b.HoldTimeMs != 90000 || len(b.Prefixes) != 1 || b.NextHop.IsValid() {
 		t.Errorf("%+v", b)
 	}
-	// The example shows the defaults: a part with its addresses alone is the same.
+	// The example shows the defaults, so a devices part that has only the addresses must be equal to it.
 	defaults, err := ParseEdge([]byte(`{"devices":{"coap":"127.0.0.1:5683","http":"127.0.0.1:8081"}}`), &settings)
 	if err != nil || edge.Devices == nil || *defaults.Devices != *edge.Devices {
-		t.Errorf("%+v, %+v, %v", edge.Devices, defaults, err)
+		t.Errorf("devices of the example are %+v, with defaults %+v, error %v; want equal devices", edge.Devices, defaults, err)
 	}
 	for _, c := range []struct{ server, serverAddr, want string }{
 		{"s-5be2a07c", "127.0.0.3:7070", "127.0.0.1:2201"},
 		{"s-2", "127.0.0.3:7070", "127.0.0.3:2222"},
 	} {
 		if addr, ok := sftp.BackendAddress(c.server, c.serverAddr); !ok || addr != c.want {
-			t.Errorf("%s: %s", c.server, addr)
+			t.Errorf("server %s has the address %s for file commands", c.server, addr)
 		}
 	}
 }
 
-// An invalid file is reported in one line.
+// The error of an invalid file must be a single line.
 func TestParseEdgeReportsInvalidFileInOneLine(t *testing.T) {
 	settings := testbed.Settings(4)
 	text, err := os.ReadFile(edgeExamplePath)
@@ -76,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseEdge([]byte(strings.Replace(string(text), change.old, change.new, 1)), &settings)
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("ParseEdge returned the error %v, want an error of one line", err)
 			}
 		})
 	}
@@ -86,6 +86,6 @@
 	settings := testbed.Settings(4)
 	edge, err := ParseEdge([]byte("{}"), &settings)
 	if err != nil || edge.SFTP != nil || edge.BGP != nil || edge.Devices != nil {
-		t.Errorf("an empty file turns something on: %+v, %v", edge, err)
+		t.Errorf("an empty file gives %+v, error %v; want all parts disabled", edge, err)
 	}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/peer"
 )
 
-// Defaults and bounds of the exchange between gateways.
+// Defaults and bounds of the communication between gateways. The names of times end in their unit.
 const (
 	defaultProbePeriodMs      = 500
 	defaultLeaseMs            = 2000
@@ -20,48 +20,50 @@
 	minProbePeriodMs, maxProbePeriodMs = 10, 60_000
 	minLeaseMs, maxLeaseMs             = 100, 60_000
 	maxClockDrift                      = 0.2
-	// maxGrantedFraction leaves a gateway half of its even share of a limit: that share's bucket holds two requests of the
-	// largest size, and with less than half of it the largest could never be sent.
+	// maxGrantedFraction is the largest part of its own share of a limit that a gateway may grant to others. The token bucket
+	// of a gateway's equal share holds two requests of the largest size. With less than half of the share, the bucket would be
+	// too small for even one such request, which could never be sent.
 	maxGrantedFraction = 0.5
 
-	// probeTimeoutFraction is the part of a probe period after which a probe has timed out.
+	// probeTimeoutFraction is the timeout of a probe as a fraction of the probe period.
 	probeTimeoutFraction = 0.3
-	// maxPeers is how many gateways have a number.
+	// maxPeers is the number of gateways that an index of 16 bits can tell apart.
 	maxPeers = 1 << 16
 )
 
-// platformIndex as a Fleet's GatewayIndex stands for the number in the platform's configuration.
+// platformIndex is a value of Fleet.GatewayIndex: the index comes from the platform's configuration.
 const platformIndex = -1
 
-// Fleet sets up the exchange between gateways. Values that are left out come from the platform's configuration.
+// Fleet configures the communication between gateways. Resolve takes the values that are left out from the platform's
+// configuration.
 type Fleet struct {
-	Listen       string // "": the platform's
-	GatewayIndex int    // below zero: the platform's
-	Peers        []string
-	Options      peer.Options // without Self, Peers, Incarnation and Seed
+	Listen       string       // address to listen on; "" means the platform's
+	GatewayIndex int          // index of this gateway in Peers; negative means the platform's index
+	Peers        []string     // addresses of all gateways; empty means the platform's
+	Options      peer.Options // all options except Self, Peers, Incarnation and Seed
 }
 
 // parseFleet parses and validates the key "fleet" of the operator's file.
 func parseFleet(object *fastjson.Value) (*Fleet, error) {
-	r := &valueReader{}
-	f := &Fleet{Listen: r.text(object, "listen"), GatewayIndex: platformIndex}
-	f.Options.Key = []byte(r.text(object, "key"))
+	reader := &valueReader{}
+	f := &Fleet{Listen: reader.text(object, "listen"), GatewayIndex: platformIndex}
+	f.Options.Key = []byte(reader.text(object, "key"))
 	if object.Exists("self") {
-		f.GatewayIndex = r.count(object, "self")
+		f.GatewayIndex = reader.count(object, "self")
 	}
 	for _, address := range object.GetArray("peers") {
 		f.Peers = append(f.Peers, string(address.GetStringBytes()))
 	}
-	f.Options.ProbePeriodMs = r.numberOr(defaultProbePeriodMs, object, "period_ms")
-	f.Options.LeaseMs = r.numberOr(defaultLeaseMs, object, "lease_ms")
-	f.Options.ClockDrift = r.numberOr(defaultClockDrift, object, "clock_drift")
-	f.Options.MaxGrantedFraction = r.numberOr(defaultMaxGrantedFraction, object, "lends")
+	f.Options.ProbePeriodMs = reader.numberOr(defaultProbePeriodMs, object, "period_ms")
+	f.Options.LeaseMs = reader.numberOr(defaultLeaseMs, object, "lease_ms")
+	f.Options.ClockDrift = reader.numberOr(defaultClockDrift, object, "clock_drift")
+	f.Options.MaxGrantedFraction = reader.numberOr(defaultMaxGrantedFraction, object, "lends")
 	f.Options.MaxVolumes = defaultMaxVolumes
 	if object.Exists("max_volumes") {
-		f.Options.MaxVolumes = r.count(object, "max_volumes")
+		f.Options.MaxVolumes = reader.count(object, "max_volumes")
 	}
 	f.Options.ProbeTimeoutMs = f.Options.ProbePeriodMs * probeTimeoutFraction
-	return f, firstError([]error{r.err, f.check()})
+	return f, firstError([]error{reader.err, f.check()})
 }
 
 // check returns an error for the first value out of range.
@@ -84,8 +86,9 @@
 	return nil
 }
 
-// Resolve fills in what comes from the platform's configuration. It returns the address to listen on for other gateways,
-// and the options of this gateway's side, of which Incarnation and Seed are still to be set.
+// Resolve replaces the values that were left out by those of the platform's configuration. It returns the address on which
+// to receive datagrams of other gateways, and the options of the peer service. The caller must still set the options
+// Incarnation and Seed.
 func (f *Fleet) Resolve(platform *Config) (listen string, options peer.Options, err error) {
 	listen, index, peers := f.Listen, f.GatewayIndex, f.Peers
 	if listen == "" {
@@ -102,7 +105,7 @@
 		return "", options, fmt.Errorf("fleet: %w", err)
 	}
 	if index >= len(options.Peers) || len(options.Peers) > maxPeers {
-		return "", options, fmt.Errorf("fleet: number %d of %d peers", index, len(options.Peers))
+		return "", options, fmt.Errorf("fleet: self is %d with %d peers: self must be less than the number of peers, which must be at most 65536", index, len(options.Peers))
 	}
 	options.Self = uint16(index)
 	return listen, options, checkHostPort("fleet: listen", listen)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,4 +1,4 @@
-// Golden tests of the configuration: loaded values and error texts must not change.
+// Golden tests of the configuration: the values that are loaded and the error texts must not change.
 package config_test
 
 import (
@@ -21,9 +21,9 @@
 	edgeExample = "../../deploy/edge.example.jsonc"
 )
 
-// dump prints one line for each value reached from root, in the order of declaration: an index path and the value
-// with its kind. It prints no names of fields and types, so that renaming them changes nothing, and skips unexported
-// fields.
+// dump returns one line for each value that is reachable from root, in the order of declaration. A line has the path of
+// the value, made of field indexes, and the value with its kind. It has no names of fields and types, so that renaming them
+// does not change the golden files. Unexported fields are skipped.
 func dump(root any) string {
 	var out strings.Builder
 	walk(&out, "", reflect.ValueOf(root))
@@ -69,7 +69,7 @@
 	}
 }
 
-// leaf prints a value that has no parts worth walking.
+// leaf returns the text of a value that is printed on one line. ok is false for a value whose parts are printed instead.
 func leaf(v reflect.Value) (text string, ok bool) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface, reflect.Func:
@@ -82,11 +82,11 @@
 	case reflect.String:
 		return fmt.Sprintf("%s %q", v.Kind(), v.String()), true
 	}
-	switch x := v.Interface().(type) {
+	switch value := v.Interface().(type) {
 	case time.Duration, netip.Addr, netip.AddrPort, netip.Prefix:
-		return fmt.Sprint(x), true
+		return fmt.Sprint(value), true
 	case []byte:
-		return fmt.Sprintf("bytes %q", x), true
+		return fmt.Sprintf("bytes %q", value), true
 	}
 	switch {
 	case v.CanInt():
@@ -97,7 +97,7 @@
 	return "", false
 }
 
-// environment returns a lookup of variables in place of os.Getenv.
+// environment returns a function that looks up variables, for use in place of os.Getenv.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-// The fleet's options come from the operator's file, or from the platform's where that says nothing.
+// The options of the fleet come from the operator's file, or from the platform's configuration if the file omits them.
 func TestGoldenFleetOptions(t *testing.T) {
 	platform := load(t)
 	for _, c := range []struct{ golden, text string }{
@@ -182,11 +182,11 @@
 	return string(text)
 }
 
-// replaced returns the text with one place changed.
+// replaced returns text with the first occurrence of old replaced by new. It fails the test if there is none.
 func replaced(t *testing.T, text, old, new string) string {
 	t.Helper()
 	if !strings.Contains(text, old) {
-		t.Fatalf("%q is not in the text", old)
+		t.Fatalf("the text to change does not contain %q", old)
 	}
 	return strings.Replace(text, old, new, 1)
 }
@@ -226,7 +226,7 @@
 	testbed.CompareGolden(t, "load-errors", strings.ReplaceAll(out.String(), path, "config.json"))
 }
 
-// The files of a site are the simulator's, not a gateway's: Load refuses them.
+// The files of a site configure the simulator and not a gateway, so Load must reject them.
 func TestGoldenSiteFiles(t *testing.T) {
 	var out strings.Builder
 	for _, site := range []string{"lists-asked", "lists-pushed"} {
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("%+v", settings)
 	}
 	if odd := settings.Classes[2]; odd.Idempotency != scheduler.NotIdempotent || odd.DedupScope != scheduler.DedupShard {
-		t.Errorf("unknown tokens are not read as the strictest: %+v", odd)
+		t.Errorf("class %+v: unknown idempotency and key scope must be read as the strictest values", odd)
 	}
 	if settings.Gateways != 3 || !settings.PollEndpoints || settings.Shards != 10 || !settings.ReportsForeignUnits || settings.MaxAttempts != 3 ||
 		settings.LoadReportFields[0] != "queue" ||
@@ -35,7 +35,8 @@
 	}
 }
 
-// Times may be as good as infinite; a count that no machine could hold is an error of one line.
+// Very large times are valid and cut to a bound, so that adding them to the current time does not overflow. A count that is
+// too large or not whole is an error of one line, which names the key.
 func TestParseBoundsLargeValues(t *testing.T) {
 	for _, c := range []struct{ old, new, invalid string }{
 		{`"DedupWindowMs":3000`, `"DedupWindowMs":1e300`, ""},
@@ -50,18 +51,18 @@
 			config, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
 			if c.invalid != "" {
 				if err == nil || !strings.Contains(err.Error(), c.invalid) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("error %v", err)
+					t.Errorf("Parse returned the error %v, want an error of one line that names the key", err)
 				}
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			const late = time.Duration(2e18) // an instant to which every time can still be added
+			const farFuture = time.Duration(2e18) // time since the epoch, 63 years; adding the settings must not overflow
 			settings := config.Settings
 			window := settings.Classes[1].DedupWindow
 			if window <= 0 || settings.MaxPollInterval <= 0 || config.IdleConnTimeoutMs > maxMs ||
-				late+window+settings.MaxPollInterval < late {
+				farFuture+window+settings.MaxPollInterval < farFuture {
 				t.Errorf("%+v", settings)
 			}
 		})
@@ -71,14 +72,14 @@
 func TestParseCountsInvalidKnownEntries(t *testing.T) {
 	c, err := Parse([]byte(strings.Replace(validConfig, `"servers":[`, `"servers":[{"id":"x","cell":-3},`, 1)))
 	if err != nil || c.InvalidKnownEntries != 1 || len(c.KnownEndpoints.Servers) != 1 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("parsed %+v, error %v; want one invalid entry and one server", c, err)
 	}
 }
 
-// Limits that are absent do not mean none.
+// Limits that are absent get defaults and are not read as unlimited.
 func TestParseDefaults(t *testing.T) {
 	c, err := Parse([]byte(`{"settings":{}}`))
 	if err != nil || c.ConnectTimeoutMs != defaultConnectTimeoutMs || c.IdleConnTimeoutMs != defaultIdleConnTimeoutMs || c.MaxSockets != defaultMaxSockets {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("parsed %+v, error %v; want the default limits", c, err)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/platformsettings"
 )
 
-// jsonSettings is the platformsettings.Source of a JSON object.
+// jsonSettings reads settings from a JSON object. It implements platformsettings.Source.
 type jsonSettings struct {
 	reader *valueReader
 	object *fastjson.Value
@@ -37,7 +37,7 @@
 	return values
 }
 
-// Texts implements platformsettings.Source. A value that is not a string is "".
+// Texts implements platformsettings.Source. A value that is not a string is read as "".
 func (s jsonSettings) Texts(path ...string) (texts []string) {
 	for _, value := range s.object.GetArray(path...) {
 		text, _ := value.StringBytes()
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -19,29 +19,30 @@
 	maxPort              = 65535
 )
 
-// SFTP sets up the frontend for file commands.
+// SFTP configures the frontend for file commands.
 type SFTP struct {
-	Listen      string
-	MaxConns    int
-	UnitBytes   float64 // bytes of data that count as one unit
-	ReadClass   scheduler.Class
-	WriteClass  scheduler.Class
-	Roots       []SFTPRoot
-	BackendPort int               // for file commands on the hosts of servers that Backends does not name; 0: none
-	Backends    map[string]string // addresses by server id
-	// LookupBackend, if it is not nil, finds the addresses of servers that Backends does not name.
+	Listen     string
+	MaxConns   int
+	UnitBytes  float64 // bytes of data that count as one unit
+	ReadClass  scheduler.Class
+	WriteClass scheduler.Class
+	Roots      []SFTPRoot
+	// BackendPort is the port for file commands on the hosts of servers that Backends does not list; 0 means none.
+	BackendPort int
+	Backends    map[string]string // addresses for file commands by server id
+	// LookupBackend, if not nil, replaces BackendPort: it returns the addresses of servers that Backends does not list.
 	LookupBackend func(server string) (addr string, ok bool)
 }
 
-// SFTPRoot is a part of the file tree, with the volume and the plan that its commands are charged to.
+// SFTPRoot is a subtree of the file tree. Its commands are charged to a volume and a plan.
 type SFTPRoot struct {
 	Path, Plan string
 	Volume     uint64
-	Gateways   int // gateways through which the volume's requests come
+	Gateways   int // number of gateways that receive requests for the volume
 }
 
-// BackendAddress returns the address at which a server takes file commands. serverAddr is the server's address for
-// requests. ok is false if the server takes none.
+// BackendAddress returns the address at which a server accepts file commands. serverAddr is the server's address for HTTP
+// requests. ok is false if the server accepts no file commands.
 func (s *SFTP) BackendAddress(server, serverAddr string) (addr string, ok bool) {
 	if addr, ok := s.Backends[server]; ok {
 		return addr, true
@@ -58,12 +59,12 @@
 
 // parseSFTP parses and validates the key "sftp" of the operator's file.
 func parseSFTP(object *fastjson.Value, settings *scheduler.Settings) (*SFTP, error) {
-	r := &valueReader{}
+	reader := &valueReader{}
 	s := &SFTP{
-		Listen:      r.text(object, "listen"),
-		MaxConns:    int(r.number(object, "max_connections")),
-		UnitBytes:   r.number(object, "unit_bytes"),
-		BackendPort: int(r.number(object, "backend_port")),
+		Listen:      reader.text(object, "listen"),
+		MaxConns:    int(reader.number(object, "max_connections")),
+		UnitBytes:   reader.number(object, "unit_bytes"),
+		BackendPort: int(reader.number(object, "backend_port")),
 		Backends:    map[string]string{},
 	}
 	if s.MaxConns == 0 {
@@ -73,22 +74,23 @@
 		s.UnitBytes = defaultSFTPUnitBytes
 	}
 	errs := []error{checkHostPort("listen", s.Listen)}
-	errs = append(errs, s.parseClasses(r, object, settings)...)
+	errs = append(errs, s.parseClasses(reader, object, settings)...)
 	if s.BackendPort > maxPort || s.MaxConns < 1 || s.MaxConns > maxSFTPMaxConns || s.UnitBytes < 1 {
 		errs = append(errs, errors.New("backend_port, max_connections or unit_bytes is out of range"))
 	}
-	errs = append(errs, s.parseRoots(r, object, settings)...)
+	errs = append(errs, s.parseRoots(reader, object, settings)...)
 	errs = append(errs, s.parseBackends(object)...)
-	return s, firstError(append(errs, r.err))
+	return s, firstError(append(errs, reader.err))
 }
 
-// parseClasses looks up the classes by their names, and checks that writes can be deduplicated.
-func (s *SFTP) parseClasses(r *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
+// parseClasses looks up the classes of reads and writes by their names. The class of writes must need a key to repeat a
+// request, so that writes are deduplicated.
+func (s *SFTP) parseClasses(reader *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
 	for _, class := range []struct {
 		key   string
 		field *scheduler.Class
 	}{{"read_class", &s.ReadClass}, {"write_class", &s.WriteClass}} {
-		name := r.text(object, class.key)
+		name := reader.text(object, class.key)
 		found := false
 		for _, candidate := range settings.Classes {
 			if candidate.Name == name {
@@ -105,26 +107,26 @@
 	return errs
 }
 
-// parseRoots parses the roots, of which there must be at least one.
-func (s *SFTP) parseRoots(r *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
+// parseRoots parses the roots. At least one is required.
+func (s *SFTP) parseRoots(reader *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
 	plans := map[string]bool{}
 	for _, plan := range settings.Plans {
 		plans[plan.Name] = true
 	}
 	for _, value := range object.GetArray("roots") {
-		root := SFTPRoot{Path: r.text(value, "path"), Plan: r.text(value, "plan"), Gateways: int(r.number(value, "hosts"))}
-		volume, err := strconv.ParseUint(r.text(value, "volume"), 16, 64)
+		root := SFTPRoot{Path: reader.text(value, "path"), Plan: reader.text(value, "plan"), Gateways: int(reader.number(value, "hosts"))}
+		volume, err := strconv.ParseUint(reader.text(value, "volume"), 16, 64)
 		root.Volume = volume
 		if err != nil || !plans[root.Plan] || root.Path != path.Clean(root.Path) || !path.IsAbs(root.Path) {
 			errs = append(errs, fmt.Errorf("root %q: wants a clean absolute path, a volume in hex and a known plan", root.Path))
 		}
 		if root.Gateways == 0 {
-			root.Gateways = max(1, settings.Gateways) // the conservative choice: the volume's limit is divided among all gateways
+			root.Gateways = max(1, settings.Gateways) // conservative: divides the volume's limit among all gateways
 		}
 		s.Roots = append(s.Roots, root)
 	}
 	if len(s.Roots) == 0 {
-		errs = append(errs, errors.New("no roots"))
+		errs = append(errs, errors.New("roots is empty: at least one root is required"))
 	}
 	return errs
 }
@@ -139,7 +141,7 @@
 		})
 	}
 	if s.BackendPort == 0 && len(s.Backends) == 0 {
-		errs = append(errs, errors.New("neither backend_port nor backends"))
+		errs = append(errs, errors.New("backend_port and backends are both missing: at least one is required"))
 	}
 	return errs
 }
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -11,17 +11,18 @@
 	"gaugerelay/internal/clock"
 )
 
-// Largest values. A time beyond 30 years stands for one that never ends; a count beyond a million would need more memory
-// than any machine has.
+// Upper bounds of values. A time of more than 30 years is as good as unlimited, and is cut to maxMs. A count of more than a
+// million would need more memory than a machine has, and is an error.
 const (
 	maxMs    = 1e12
 	maxCount = 1 << 20
 )
 
-// valueReader reads values of JSON objects by their path. Its methods return zero values for what is absent, null or
-// invalid, and the first invalid value is kept in err.
+// valueReader reads values of JSON objects by their path. Its methods return the zero value if the value is absent, null or
+// invalid. err is the error of the first invalid value.
 type valueReader struct{ err error }
 
+// fail records the error of an invalid value; want says what was expected. Only the first error is kept.
 func (r *valueReader) fail(path []string, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%q is not %s", path, want)
@@ -37,21 +38,21 @@
 	return value
 }
 
-// number reads a finite number from 0 up.
+// number reads a finite number that is not negative.
 func (r *valueReader) number(object *fastjson.Value, path ...string) float64 {
 	value := get(object, path)
 	if value == nil {
 		return 0
 	}
-	x, err := value.Float64()
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
+	parsed, err := value.Float64()
+	if err != nil || math.IsNaN(parsed) || math.IsInf(parsed, 0) || parsed < 0 {
 		r.fail(path, "a number from 0 up")
 		return 0
 	}
-	return x
+	return parsed
 }
 
-// numberOr reads a number; defaultValue stands for an absent one, but not for null.
+// numberOr reads a number, or returns defaultValue if it is absent. Null is read as 0.
 func (r *valueReader) numberOr(defaultValue float64, object *fastjson.Value, name string) float64 {
 	if !object.Exists(name) {
 		return defaultValue
@@ -59,7 +60,6 @@
 	return r.number(object, name)
 }
 
-// text reads a string.
 func (r *valueReader) text(object *fastjson.Value, path ...string) string {
 	value := get(object, path)
 	if value == nil {
@@ -72,20 +72,19 @@
 	return string(text)
 }
 
-// bool reads true or false.
 func (r *valueReader) bool(object *fastjson.Value, path ...string) bool {
 	value := get(object, path)
 	if value == nil {
 		return false
 	}
-	b, err := value.Bool()
+	parsed, err := value.Bool()
 	if err != nil {
 		r.fail(path, "true or false")
 	}
-	return b
+	return parsed
 }
 
-// ms reads the time in milliseconds at the path with the suffix Ms, at most maxMs.
+// ms reads a time in milliseconds, cut to maxMs. The last key of path is given without its suffix Ms.
 func (r *valueReader) ms(object *fastjson.Value, path ...string) time.Duration {
 	path[len(path)-1] += "Ms"
 	return clock.Duration(min(r.number(object, path...), maxMs))
@@ -101,7 +100,7 @@
 	return int(n)
 }
 
-// checkHostPort returns an error unless the address is host:port.
+// checkHostPort returns an error unless the address has the form host:port.
 func checkHostPort(name, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return fmt.Errorf("%s %q is not host:port", name, address)
@@ -109,7 +108,7 @@
 	return nil
 }
 
-// firstError returns the first error that is not nil: what is wrong is reported in one line.
+// firstError returns the first error that is not nil, so that invalid configuration is reported in one line.
 func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
