--- a/internal/bgp/announcement.go
+++ b/internal/bgp/announcement.go
@@ -6,10 +6,11 @@
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 )
 
-// localPreference is the LOCAL_PREF of announcements inside the AS.
+// localPreference is the LOCAL_PREF attribute of routes that are announced to a peer in the same AS.
 const localPreference = 100
 
-// setReady sets whether the prefixes are to be announced, and sends an UPDATE if that changes what the peer knows.
+// setReady sets whether the prefixes should be announced. If the session is established, it announces or withdraws them,
+// unless they are announced or withdrawn already.
 func (s *session) setReady(ready bool) {
 	s.ready = ready
 	if s.state != stateEstablished || s.ready == s.announced {
@@ -27,7 +28,7 @@
 	s.send(bgp.NewBGPUpdateMessage(nil, s.pathAttributes(), routes))
 }
 
-// pathAttributes returns the attributes of the announced routes (RFC 4271, 5.1).
+// pathAttributes returns the path attributes of the announced routes (RFC 4271, 5.1).
 func (s *session) pathAttributes() []bgp.PathAttributeInterface {
 	origin := bgp.NewPathAttributeOrigin(bgp.BGP_ORIGIN_ATTR_TYPE_IGP)
 	nextHop := bgp.NewPathAttributeNextHop(s.options.NextHop.String())
@@ -42,18 +43,18 @@
 	}
 	twoOctetPath := bgp.NewAsPathParam(bgp.BGP_ASPATH_ATTR_TYPE_SEQ, []uint16{twoOctetAS(localAS)})
 	attributes := []bgp.PathAttributeInterface{origin, asPath(twoOctetPath), nextHop}
-	if localAS > math.MaxUint16 { // RFC 6793, 4.2.2: the peer passes on the true path without reading it
+	if localAS > math.MaxUint16 { // RFC 6793, 4.2.2: the peer forwards the real path in AS4_PATH without interpreting it
 		attributes = append(attributes, bgp.NewPathAttributeAs4Path([]*bgp.As4PathParam{fourOctetPath}))
 	}
 	return attributes
 }
 
-// asPath returns an AS_PATH of one segment.
+// asPath returns an AS_PATH attribute with one segment.
 func asPath(segment bgp.AsPathParamInterface) bgp.PathAttributeInterface {
 	return bgp.NewPathAttributeAsPath([]bgp.AsPathParamInterface{segment})
 }
 
-// twoOctetAS returns an AS number as a peer without four-octet numbers sees it: AS_TRANS for large ones (RFC 6793).
+// twoOctetAS returns the AS number for a field of two octets: AS_TRANS if it does not fit (RFC 6793).
 func twoOctetAS(as uint32) uint16 {
 	if as > math.MaxUint16 {
 		return bgp.AS_TRANS
--- a/internal/bgp/connection.go
+++ b/internal/bgp/connection.go
@@ -14,15 +14,15 @@
 	"gaugerelay/internal/logevent"
 )
 
-// received is a message of the peer, or the error that ended its connection.
+// received is a message from the peer, or the error that ended reading from the connection.
 type received struct {
 	messageType uint8
 	body        []byte
 	err         error
 }
 
-// runSession runs a session on a connection to its end, and closes the connection. It returns whether the session was
-// established, and why it ended.
+// runSession runs a session on conn until the session ends, and closes conn. It returns whether the session was
+// established, and the reason for its end.
 func (s *Speaker) runSession(ctx context.Context, conn net.Conn) (established bool, err error) {
 	options := s.options
 	if local, err := netip.ParseAddrPort(conn.LocalAddr().String()); err == nil && !options.NextHop.IsValid() {
@@ -57,8 +57,8 @@
 	}
 }
 
-// startReading reads messages in a goroutine until the first error, which is passed on too. stop closes the connection
-// and waits for the goroutine.
+// startReading starts a goroutine that reads messages and sends them to the returned channel, up to and including the first
+// read error. stop closes the connection and waits for the goroutine.
 func startReading(conn net.Conn) (messages <-chan received, stop func()) {
 	channel, stopped := make(chan received), make(chan struct{})
 	var reader sync.WaitGroup
@@ -83,7 +83,7 @@
 	}
 }
 
-// handleReceived passes on to the session what has been read.
+// handleReceived passes a received message or a read error to the session.
 func (s *Speaker) handleReceived(session *session, message received) {
 	s.metrics.Add(messagesReceived, 1)
 	if message.err != nil {
@@ -93,7 +93,7 @@
 	session.handleMessage(s.clock.NowMs(), message.messageType, message.body)
 }
 
-// writeOutgoing writes the session's outgoing messages. A failure ends the session.
+// writeOutgoing writes the session's outgoing messages to conn. A write error ends the session.
 func (s *Speaker) writeOutgoing(conn net.Conn, session *session) {
 	for _, message := range session.outgoing {
 		if err := writeMessage(conn, message); err != nil {
@@ -119,8 +119,8 @@
 	return err
 }
 
-// startTimer returns a channel that is closed at a time of the clock. For atMs 0 it is nil, which never receives. stop must be
-// called.
+// startTimer returns a channel that is closed when the clock reaches atMs. If atMs is 0 the channel is nil, so that no
+// receive from it completes. The caller must call stop.
 func (s *Speaker) startTimer(atMs float64) (fired <-chan struct{}, stop func()) {
 	if atMs <= 0 {
 		return nil, func() {}
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -1,4 +1,4 @@
-// Golden tests of the speaker: every byte that it writes to a router must not change.
+// Golden tests of the speaker: the bytes that it writes to a router must not change.
 package bgp_test
 
 import (
@@ -20,7 +20,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// Types of messages by RFC 4271.
+// Message types (RFC 4271, 4.1).
 const (
 	typeOpen         = 1
 	typeUpdate       = 2
@@ -32,10 +32,10 @@
 	headerSize  = 19
 	readTimeout = 10 * time.Second
 	localAS     = 65001
-	largeAS     = 4200000001 // needs four octets
+	largeAS     = 4200000001 // AS number that needs four octets
 	routerAS    = 65000
 	holdTimeMs  = 90_000
-	startMs     = 1e12 // of the clock, which only Advance moves
+	startMs     = 1e12 // initial time of the clock, which only Advance moves
 )
 
 func options(as uint32) bgp.Options {
@@ -44,14 +44,14 @@
 		Prefixes: []netip.Prefix{netip.MustParsePrefix("192.0.2.7/32"), netip.MustParsePrefix("198.51.100.0/24")}}
 }
 
-// frame returns a message with a header.
+// frame returns an encoded message: the header and the given body.
 func frame(messageType byte, body ...byte) []byte {
-	b := []byte(strings.Repeat("\xff", 16))
-	b = binary.BigEndian.AppendUint16(b, uint16(headerSize+len(body)))
-	return append(append(b, messageType), body...)
+	encoded := []byte(strings.Repeat("\xff", 16))
+	encoded = binary.BigEndian.AppendUint16(encoded, uint16(headerSize+len(body)))
+	return append(append(encoded, messageType), body...)
 }
 
-// openFrame returns the router's OPEN, with the optional parameters given.
+// openFrame returns the router's OPEN with the given optional parameters. lastOctet is the last octet of its identifier.
 func openFrame(version byte, as, holdSeconds uint16, lastOctet byte, parameters ...byte) []byte {
 	body := binary.BigEndian.AppendUint16([]byte{version}, as)
 	body = binary.BigEndian.AppendUint16(body, holdSeconds)
@@ -64,7 +64,7 @@
 	return openFrame(4, routerAS, 90, 9, 2, 6, 65, 4, 0, 0, routerAS>>8, routerAS&0xff)
 }
 
-// router is the far end of a session with a running speaker; it records what the speaker writes.
+// router is the peer of a running speaker. It records the messages that the speaker writes.
 type router struct {
 	t       *testing.T
 	conn    net.Conn
@@ -74,8 +74,8 @@
 	record  strings.Builder
 }
 
-// armingClock is a manual clock that reports each timer that is set. While Advance runs, NowMs blocks: the speaker, which runs
-// in another goroutine, sees the time at the end of an advance and none in between.
+// armingClock is a manual clock that sends to armed when a timer is set. NowMs blocks while Advance runs. The speaker, which
+// runs in another goroutine, therefore reads the time at the end of an advance, and never a time in between.
 type armingClock struct {
 	*clock.Manual
 	advancing sync.RWMutex
@@ -89,7 +89,8 @@
 	return c.Manual.NowMs()
 }
 
-// Advance moves the clock forward by ms and runs the callbacks that become due. They must not read the clock.
+// Advance moves the clock forward by ms and runs the callbacks that become due. A callback must not read the clock, since
+// NowMs would block.
 func (c *armingClock) Advance(ms float64) {
 	c.advancing.Lock()
 	defer c.advancing.Unlock()
@@ -103,7 +104,7 @@
 	return stop
 }
 
-// connect starts a speaker and accepts its connection.
+// connect starts a speaker and accepts the connection that it opens.
 func connect(t *testing.T, o bgp.Options) *router {
 	t.Helper()
 	var listenConfig net.ListenConfig
@@ -130,33 +131,33 @@
 // read records the speaker's next message.
 func (r *router) read() {
 	r.t.Helper()
-	b := make([]byte, headerSize)
-	if _, err := io.ReadFull(r.conn, b); err != nil {
+	message := make([]byte, headerSize)
+	if _, err := io.ReadFull(r.conn, message); err != nil {
 		r.t.Fatal(err)
 	}
-	b = append(b, make([]byte, max(0, int(binary.BigEndian.Uint16(b[16:]))-headerSize))...)
-	if _, err := io.ReadFull(r.conn, b[headerSize:]); err != nil {
+	message = append(message, make([]byte, max(0, int(binary.BigEndian.Uint16(message[16:]))-headerSize))...)
+	if _, err := io.ReadFull(r.conn, message[headerSize:]); err != nil {
 		r.t.Fatal(err)
 	}
-	fmt.Fprintf(&r.record, "%s\n", hex.EncodeToString(b))
+	fmt.Fprintf(&r.record, "%s\n", hex.EncodeToString(message))
 }
 
-// readEnd fails the test if anything comes before the end of the connection.
+// readEnd fails the test unless the speaker closes the connection without writing more.
 func (r *router) readEnd() {
 	r.t.Helper()
 	if rest, err := io.ReadAll(r.conn); err != nil || len(rest) != 0 {
-		r.t.Errorf("after the last message: %x, %v", rest, err)
+		r.t.Errorf("after the last message the speaker wrote %x, error %v; want the end of the connection", rest, err)
 	}
 }
 
-func (r *router) write(b []byte) {
+func (r *router) write(message []byte) {
 	r.t.Helper()
-	if _, err := r.conn.Write(b); err != nil {
+	if _, err := r.conn.Write(message); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// A whole session: OPEN, KEEPALIVE, UPDATE that announces, UPDATE that withdraws, NOTIFICATION at the end.
+// The messages of a whole session: OPEN, KEEPALIVE, UPDATE that announces, UPDATE that withdraws, and NOTIFICATION.
 func TestGoldenSessions(t *testing.T) {
 	for _, c := range []struct {
 		golden  string
@@ -187,15 +188,16 @@
 	}
 }
 
-// What the speaker writes when its keepalive timer and then the hold timer runs out.
+// The messages when first the keepalive timer and then the hold timer expires.
 func TestGoldenTimers(t *testing.T) {
 	r := connect(t, options(localAS))
 	r.read()
-	<-r.clock.armed // the clock must not move between the speaker's reading it and its setting of the timer
+	<-r.clock.armed // the clock must not advance after the speaker has read it and before the speaker has set its timer
 	r.write(fourOctetOpen())
 	r.read()
-	// The keepalive timer has jitter, so it runs out before the end of a step. The speaker reads the clock at the step's end. The
-	// third step ends when the hold timer runs out, which comes before the keepalive that is due by then too.
+	// Each advance is as long as the keepalive interval without jitter, so the keepalive timer expires before its end. The
+	// speaker reads the time at the end of the advance. After the third one both timers have expired, and the speaker handles
+	// the hold timer first.
 	for range 2 {
 		<-r.clock.armed
 		r.clock.Advance(holdTimeMs / 3)
@@ -208,7 +210,7 @@
 	testbed.CompareGolden(t, "timers", r.record.String())
 }
 
-// What the speaker writes to a router that breaks the protocol, after the OPEN or in an established session.
+// The NOTIFICATION to a router that violates the protocol, after the speaker's OPEN or in an established session.
 func TestGoldenNotifications(t *testing.T) {
 	badMarker := frame(typeKeepalive)
 	badMarker[0] = 0
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -9,7 +9,8 @@
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 )
 
-// The header of a message (RFC 4271, 4.1): a marker of ones, the length of the message, and its type.
+// Layout of a message header, in octets (RFC 4271, 4.1): a marker whose bits are all 1, the length of the message, and its
+// type.
 const (
 	markerSize   = 16
 	markerOctet  = 0xff
@@ -18,8 +19,8 @@
 	headerSize   = 19
 )
 
-// minMessageSize returns the least length of a message of a type. It returns false for unknown types and for
-// ROUTE-REFRESH, which the OPEN does not offer.
+// minMessageSize returns the minimum length of a message of the given type. ok is false for unknown types and for
+// ROUTE-REFRESH, a capability that the speaker's OPEN does not advertise.
 func minMessageSize(messageType uint8) (size int, ok bool) {
 	switch messageType {
 	case bgp.BGP_MSG_OPEN:
@@ -34,8 +35,8 @@
 	return 0, false
 }
 
-// readMessage reads one message and checks its header. An error in the header is a *bgp.MessageError that names the
-// NOTIFICATION to send; other errors are those of reading.
+// readMessage reads one message and checks its header. For an invalid header the error is a *bgp.MessageError with the
+// code, subcode and data of the NOTIFICATION to send; other errors are read errors.
 func readMessage(r io.Reader) (messageType uint8, body []byte, err error) {
 	header := make([]byte, headerSize)
 	if _, err := io.ReadFull(r, header); err != nil {
@@ -51,10 +52,10 @@
 
 func messageSize(header []byte) int { return int(binary.BigEndian.Uint16(header[lengthOffset:])) }
 
-// checkHeader returns the error of a malformed header (RFC 4271, 6.1).
+// checkHeader returns a *bgp.MessageError if the header is malformed (RFC 4271, 6.1).
 func checkHeader(header []byte) error {
 	malformed := func(subcode uint8, data []byte) error {
-		return bgp.NewMessageError(bgp.BGP_ERROR_MESSAGE_HEADER_ERROR, subcode, data, fmt.Sprintf("bad header %x", header))
+		return bgp.NewMessageError(bgp.BGP_ERROR_MESSAGE_HEADER_ERROR, subcode, data, fmt.Sprintf("malformed message header %x", header))
 	}
 	encodedSize := header[lengthOffset:typeOffset]
 	size, messageType := messageSize(header), header[typeOffset]
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// parseMessage parses a message from the type in its header and its body.
+// parseMessage parses the body of a message of the given type.
 func parseMessage(messageType uint8, body []byte) (*bgp.BGPMessage, error) {
 	header := &bgp.BGPHeader{Type: messageType, Len: uint16(len(body) + headerSize)}
 	return bgp.ParseBGPBody(header, body)
--- a/internal/bgp/message_test.go
+++ b/internal/bgp/message_test.go
@@ -8,8 +8,8 @@
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 )
 
-// FuzzReadMessage checks that no bytes of a peer break the reader, and that each message that it accepts has a valid
-// header and can be handled in every state.
+// FuzzReadMessage checks that readMessage does not panic for any input, and that each message that it accepts has a valid
+// length and is handled in every state without a panic.
 func FuzzReadMessage(f *testing.F) {
 	keepalive, err := bgp.NewBGPKeepAliveMessage().Serialize()
 	if err != nil {
@@ -28,7 +28,7 @@
 		size := len(body) + headerSize
 		minSize, _ := minMessageSize(messageType)
 		if int(binary.BigEndian.Uint16(in[lengthOffset:])) != size || minSize > size {
-			t.Errorf("type %d with %d bytes out of %x", messageType, len(body), in[:headerSize])
+			t.Errorf("accepted a message of type %d with a body of %d bytes, which contradicts its header %x", messageType, len(body), in[:headerSize])
 		}
 		options := testOptions()
 		for _, state := range []sessionState{stateOpenSent, stateOpenConfirm, stateEstablished} {
--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -8,8 +8,9 @@
 	"github.com/osrg/gobgp/v3/pkg/packet/bgp"
 )
 
-// sessionState is a state of RFC 4271's finite state machine. Its numbers are also the subcodes of a NOTIFICATION about
-// an unexpected message (RFC 6608). The states Connect and Active are the Speaker's and not the session's.
+// sessionState is a state of the finite state machine of RFC 4271. Its values are also the subcodes of the NOTIFICATION
+// about an unexpected message (RFC 6608). There are no states Connect and Active, because Speaker opens the connection
+// before a session starts.
 type sessionState uint8
 
 // The states of a session.
@@ -20,7 +21,7 @@
 	stateEstablished
 )
 
-// String returns the RFC's name of the state.
+// String returns the name of the state in RFC 4271.
 func (s sessionState) String() string {
 	switch s {
 	case stateIdle:
@@ -38,34 +39,34 @@
 const (
 	bgpVersion = 4
 
-	// initialHoldTimeMs is the hold time until the peer's OPEN has arrived (RFC 4271, 8.2.2).
+	// initialHoldTimeMs is the hold time until the peer's OPEN arrives (RFC 4271, 8.2.2).
 	initialHoldTimeMs = 240_000
-	// keepalivesPerHoldTime is how often in a hold time the keepalive timer runs out (RFC 4271, 4.4).
+	// keepalivesPerHoldTime is the ratio of the hold time to the keepalive interval (RFC 4271, 4.4).
 	keepalivesPerHoldTime = 3
 )
 
-// Reasons why a session has ended. They are logged as they are.
+// Reasons for the end of a session, which are logged.
 var (
 	errHoldTimerExpired     = errors.New("hold timer expired")
 	errNotificationReceived = errors.New("the peer sent a NOTIFICATION")
 )
 
-// session is one session from its OPEN to its end. It does no I/O and reads no clock: messages to send collect in
-// outgoing, and callers pass the time in milliseconds.
+// session is the state machine of one session. It does no I/O and reads no clock: it appends the messages to send to
+// outgoing, and callers pass the current time in milliseconds.
 type session struct {
 	options          *Options
 	state            sessionState
-	ready            bool // the prefixes are to be announced while the session is established
-	announced        bool // they are announced
-	peerFourOctetAS  bool // the peer supports four-octet AS numbers (RFC 6793)
-	holdTimeMs       float64
-	holdTimerMs      float64 // when the hold timer runs out; 0: it is stopped
-	keepaliveTimerMs float64 // when the keepalive timer runs out; 0: it is stopped
+	ready            bool    // whether the prefixes should be announced while the session is established
+	announced        bool    // whether the prefixes are announced
+	peerFourOctetAS  bool    // whether the peer supports four-octet AS numbers (RFC 6793)
+	holdTimeMs       float64 // negotiated hold time; 0 disables the hold timer and keepalives
+	holdTimerMs      float64 // time at which the hold timer expires; 0 means that it is stopped
+	keepaliveTimerMs float64 // time at which the keepalive timer expires; 0 means that it is stopped
 	outgoing         []*bgp.BGPMessage
-	endReason        error // why the session has ended; nil before
+	endReason        error // reason for the end of the session; nil until it ends
 }
 
-// start sends the OPEN.
+// start sends the OPEN and starts the hold timer.
 func (s *session) start(nowMs float64) {
 	capabilities := bgp.NewOptionParameterCapability([]bgp.ParameterCapabilityInterface{
 		bgp.NewCapMultiProtocol(bgp.RF_IPv4_UC),
@@ -80,7 +81,7 @@
 
 func (s *session) send(message *bgp.BGPMessage) { s.outgoing = append(s.outgoing, message) }
 
-// end ends the session without a NOTIFICATION: the connection is lost, or the peer has ended it.
+// end ends the session without a NOTIFICATION, because the connection has failed or the peer has ended the session.
 func (s *session) end(reason error) {
 	if s.state == stateIdle {
 		return
@@ -98,7 +99,8 @@
 	s.end(reason)
 }
 
-// fail ends the session because of an error of the peer, with a NOTIFICATION if the error names one.
+// fail ends the session because of a read error or an invalid message. It sends a NOTIFICATION if err is a
+// *bgp.MessageError with an error code.
 func (s *session) fail(err error) {
 	var messageError *bgp.MessageError
 	if errors.As(err, &messageError) && messageError.TypeCode != 0 {
@@ -108,7 +110,7 @@
 	s.end(err)
 }
 
-// handleMessage handles a message of the peer, given by the type in its header and its body.
+// handleMessage handles a message from the peer, given as the type in its header and its body.
 func (s *session) handleMessage(nowMs float64, messageType uint8, body []byte) {
 	if s.state == stateIdle {
 		return
@@ -118,7 +120,7 @@
 		return
 	}
 	parsed, err := parseMessage(messageType, body)
-	if err != nil && !s.isTolerated(messageType, err) {
+	if err != nil && !s.isRecoverable(messageType, err) {
 		s.fail(err)
 		return
 	}
@@ -132,14 +134,14 @@
 	case s.state == stateEstablished && (messageType == bgp.BGP_MSG_KEEPALIVE || messageType == bgp.BGP_MSG_UPDATE):
 		s.restartHoldTimer(nowMs)
 	default:
-		reason := fmt.Errorf("message of type %d in state %d", messageType, uint8(s.state))
+		reason := fmt.Errorf("unexpected message of type %d in state %d", messageType, uint8(s.state))
 		s.endWithNotification(reason, bgp.BGP_ERROR_FSM_ERROR, uint8(s.state), nil)
 	}
 }
 
-// isTolerated reports whether an error in an UPDATE leaves the session open (RFC 7606). The routes in it are not kept
-// anyway.
-func (s *session) isTolerated(messageType uint8, err error) bool {
+// isRecoverable reports whether the session continues after an error in an UPDATE (RFC 7606). The error needs no handling,
+// since routes of the peer are not stored.
+func (s *session) isRecoverable(messageType uint8, err error) bool {
 	var messageError *bgp.MessageError
 	if messageType != bgp.BGP_MSG_UPDATE || s.state != stateEstablished || !errors.As(err, &messageError) {
 		return false
@@ -148,7 +150,8 @@
 		messageError.ErrorHandling != bgp.ERROR_HANDLING_NONE
 }
 
-// notificationError returns the reason for the end of a session that the peer has ended with a NOTIFICATION.
+// notificationError returns the reason for the end of a session that the peer has ended with a NOTIFICATION: an error that
+// names the code and the subcode in body.
 func notificationError(body []byte) error {
 	if len(body) < 2 {
 		return errNotificationReceived
@@ -156,7 +159,7 @@
 	return fmt.Errorf("the peer sent NOTIFICATION %d/%d", body[0], body[1])
 }
 
-// handleOpen validates the peer's OPEN and confirms it with a KEEPALIVE, or ends the session.
+// handleOpen validates the peer's OPEN. It confirms a valid one with a KEEPALIVE, and ends the session otherwise.
 func (s *session) handleOpen(nowMs float64, open *bgp.BGPOpen) {
 	routerID := net.IP(s.options.RouterID.AsSlice())
 	if _, err := bgp.ValidateOpenMsg(open, s.options.PeerAS, s.options.LocalAS, routerID); err != nil {
@@ -172,7 +175,8 @@
 	s.restartHoldTimer(nowMs)
 }
 
-// setOpenErrorData sets the data of the NOTIFICATION about an OPEN: the supported version if that is the error, else none.
+// setOpenErrorData sets the data of the NOTIFICATION about an invalid OPEN: the supported version if the peer's version is
+// not supported, and no data otherwise.
 func setOpenErrorData(err error, open *bgp.BGPOpen) {
 	var messageError *bgp.MessageError
 	if !errors.As(err, &messageError) {
@@ -184,7 +188,7 @@
 	}
 }
 
-// supportsFourOctetAS reports whether the peer's OPEN has the capability of four-octet AS numbers (RFC 6793).
+// supportsFourOctetAS reports whether an OPEN advertises support for four-octet AS numbers (RFC 6793).
 func supportsFourOctetAS(open *bgp.BGPOpen) bool {
 	for _, parameter := range open.OptParams {
 		capabilities, ok := parameter.(*bgp.OptionParameterCapability)
@@ -200,7 +204,7 @@
 	return false
 }
 
-// restartHoldTimer restarts the hold timer after a message of the peer. With a hold time of 0 it is stopped.
+// restartHoldTimer restarts the hold timer after a message from the peer. A hold time of 0 stops it.
 func (s *session) restartHoldTimer(nowMs float64) {
 	s.holdTimerMs = 0
 	if s.holdTimeMs > 0 {
@@ -208,7 +212,7 @@
 	}
 }
 
-// restartKeepaliveTimer restarts the keepalive timer. With a hold time of 0 it is stopped.
+// restartKeepaliveTimer restarts the keepalive timer. A hold time of 0 stops it.
 func (s *session) restartKeepaliveTimer(nowMs float64) {
 	s.keepaliveTimerMs = 0
 	if s.holdTimeMs > 0 {
@@ -216,7 +220,7 @@
 	}
 }
 
-// handleTimers acts on the timers that have run out.
+// handleTimers handles the timers that have expired at nowMs.
 func (s *session) handleTimers(nowMs float64) {
 	if s.holdTimerMs > 0 && nowMs >= s.holdTimerMs {
 		s.endWithNotification(errHoldTimerExpired, bgp.BGP_ERROR_HOLD_TIMER_EXPIRED, 0, nil)
@@ -227,7 +231,7 @@
 	}
 }
 
-// nextTimerMs returns when handleTimers is to be called next; 0: never.
+// nextTimerMs returns the time at which handleTimers must be called next, or 0 if no timer runs.
 func (s *session) nextTimerMs() float64 {
 	if s.keepaliveTimerMs > 0 && s.keepaliveTimerMs < s.holdTimerMs {
 		return s.keepaliveTimerMs
--- a/internal/bgp/session_test.go
+++ b/internal/bgp/session_test.go
@@ -25,7 +25,7 @@
 	return bgp.NewBGPOpenMessage(as, holdTimeSeconds, routerID, parameters)
 }
 
-// bodyOf returns the encoded message without its header.
+// bodyOf returns the encoded body of a message.
 func bodyOf(t testing.TB, message *bgp.BGPMessage) []byte {
 	t.Helper()
 	encoded, err := message.Serialize()
@@ -35,8 +35,9 @@
 	return encoded[headerSize:]
 }
 
-// FuzzSession checks random messages, times and changes of readiness against a model of RFC 4271's states: what is sent
-// in each, and that the prefixes are announced exactly while the session is established and ready.
+// FuzzSession compares a session with a model of the states of RFC 4271, under random messages, delays and changes of
+// readiness. It checks the state, the types of the messages that are sent, and that the prefixes are announced if and only
+// if the session is established and ready.
 func FuzzSession(f *testing.F) {
 	f.Add([]byte{0, 1, 4, 1, 5, 2, 1})
 	f.Add([]byte{4, 0, 1, 5, 4, 5, 6, 1, 7})
@@ -57,21 +58,21 @@
 		run.session.start(run.nowMs)
 		for i, step := range steps {
 			run.session.outgoing, run.model.sent = nil, nil
-			run.do(step)
+			run.apply(step)
 			if t.Failed() {
-				t.Fatalf("after step %d (%d)", i, step)
+				t.Fatalf("the session differs from the model after step %d (%d)", i, step)
 			}
 		}
 	})
 }
 
-// sessionModel is what a session should do.
+// sessionModel holds the expected state of a session.
 type sessionModel struct {
 	state            sessionState
 	ready, announced bool
 	lastMessageMs    float64
 	holdTimeMs       float64
-	sent             []uint8 // types of the messages that the present step sends
+	sent             []uint8 // types of the messages that the current step must send
 }
 
 func (m *sessionModel) endWithNotification() {
@@ -116,7 +117,7 @@
 	m.endWithNotification()
 }
 
-// modelRun does each step with the session and its model.
+// modelRun applies each step to a session and its model.
 type modelRun struct {
 	t       *testing.T
 	session *session
@@ -124,8 +125,8 @@
 	nowMs   float64
 }
 
-// do does one step and compares the session with the model.
-func (r *modelRun) do(step byte) {
+// apply applies one step and compares the session with the model.
+func (r *modelRun) apply(step byte) {
 	r.t.Helper()
 	switch step % 8 {
 	case 0:
@@ -146,18 +147,18 @@
 		r.session.setReady(ready)
 		r.model.ready = ready
 		r.model.announceIfDue()
-	case 6: // less than the least keepalive interval, or more
+	case 6: // up to 12.4 s: shorter or longer than the shortest keepalive interval, 7.5 s
 		r.advance(float64(step>>3) * 400)
 		return
-	case 7: // an UPDATE whose lengths do not add up
+	case 7: // an UPDATE whose length of withdrawn routes exceeds its body
 		r.session.handleMessage(r.nowMs, bgp.BGP_MSG_UPDATE, []byte{0, 9, 0, 0})
 		r.model.endWithNotification()
 	}
 	r.compare()
 }
 
-// advance moves the time and runs the timers. A session that goes on may have sent KEEPALIVEs, which the model does not
-// predict.
+// advance moves the time forward and handles the timers. The model does not predict KEEPALIVEs, whose interval is random, so
+// the messages of a session that has not ended are not compared with it.
 func (r *modelRun) advance(ms float64) {
 	r.t.Helper()
 	r.nowMs += ms
@@ -173,11 +174,11 @@
 	}
 	for _, message := range r.session.outgoing {
 		if message.Header.Type != bgp.BGP_MSG_KEEPALIVE {
-			r.t.Errorf("a timer sent type %d", message.Header.Type)
+			r.t.Errorf("a timer sent a message of type %d, want a KEEPALIVE", message.Header.Type)
 		}
 	}
 	if next := r.session.keepaliveTimerMs; next <= r.nowMs || next > r.nowMs+r.model.holdTimeMs/3 {
-		r.t.Errorf("the next KEEPALIVE is due in %v ms", next-r.nowMs)
+		r.t.Errorf("the next KEEPALIVE is due in %v ms, want more than 0 and at most a third of the hold time", next-r.nowMs)
 	}
 }
 
@@ -193,11 +194,11 @@
 			r.session.state, sent, r.session.announced, r.model.state, r.model.sent, r.model.announced)
 	}
 	if r.model.state == stateIdle && r.session.nextTimerMs() != 0 {
-		r.t.Error("an ended session has a timer")
+		r.t.Error("a timer is running in a session that has ended")
 	}
 }
 
-// An invalid OPEN gets the NOTIFICATION that RFC 4271, 6.2 names.
+// The response to an invalid OPEN must be the NOTIFICATION that RFC 4271, 6.2 specifies.
 func TestInvalidOpen(t *testing.T) {
 	oldVersion := newOpen(65000, 90, "127.0.0.3")
 	oldVersion.Body.(*bgp.BGPOpen).Version = 3
@@ -218,17 +219,18 @@
 			s.outgoing = nil
 			s.handleMessage(0, bgp.BGP_MSG_OPEN, bodyOf(t, c.open))
 			if len(s.outgoing) != 1 || s.state != stateIdle {
-				t.Fatalf("%d messages, state %v", len(s.outgoing), s.state)
+				t.Fatalf("the session sent %d messages and is in state %v, want one message and Idle", len(s.outgoing), s.state)
 			}
 			sent := s.outgoing[0].Body.(*bgp.BGPNotification)
 			if sent.ErrorCode != bgp.BGP_ERROR_OPEN_MESSAGE_ERROR || sent.ErrorSubcode != c.subcode {
-				t.Errorf("NOTIFICATION %d/%d", sent.ErrorCode, sent.ErrorSubcode)
+				t.Errorf("the session sent NOTIFICATION %d/%d, want code 2 with the subcode of this case", sent.ErrorCode, sent.ErrorSubcode)
 			}
 		})
 	}
 }
 
-// The path names the local AS to an external peer, in the width that it supports, and is empty to an internal one.
+// AS_PATH contains the local AS for an external peer, in the number of octets that the peer supports, and is empty for an
+// internal peer.
 func TestPathAttributes(t *testing.T) {
 	for name, c := range map[string]struct {
 		localAS, peerAS     uint32
@@ -259,7 +261,7 @@
 			if len(update.NLRI) != 2 || hasAS4Path != c.hasAS4Path || hasPref != c.hasPref ||
 				!strings.Contains(attributes[bgp.BGP_ATTR_TYPE_NEXT_HOP], "127.0.0.2") ||
 				!strings.Contains(attributes[bgp.BGP_ATTR_TYPE_AS_PATH], c.path) {
-				t.Errorf("%v, %v", attributes, update.NLRI)
+				t.Errorf("unexpected path attributes %v or routes %v", attributes, update.NLRI)
 			}
 		})
 	}
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -16,16 +16,17 @@
 	dialTimeout  = 5 * time.Second
 	writeTimeout = 5 * time.Second
 
-	// minRetryDelayMs is the delay before the next connection. It doubles, up to maxRetryDelayMs, after each connection on
-	// which no session was established.
+	// minRetryDelayMs is the delay before the next connection attempt. The delay doubles, up to maxRetryDelayMs, after each
+	// attempt that establishes no session.
 	minRetryDelayMs = 5_000
 	maxRetryDelayMs = 60_000
 
-	// minJitter is the least fraction of its time for which a timer runs; the fraction is random, up to 1 (RFC 4271, 10).
+	// minJitter is the smallest factor by which the duration of a timer is multiplied. The factor is random and at most 1
+	// (RFC 4271, 10).
 	minJitter = 0.75
 
-	// readinessQueue is the number of calls of SetReady that do not wait for Run.
-	readinessQueue = 16
+	// readinessQueueSize is the number of values of SetReady that Run may be behind before SetReady blocks.
+	readinessQueueSize = 16
 )
 
 // Names of counters.
@@ -36,26 +37,26 @@
 	sessionsEstablished = "bgp_sessions_established"
 )
 
-// Speaker keeps a session with the peer, and opens a new one when it ends.
+// Speaker maintains a session with the peer: it opens a new one when a session ends.
 type Speaker struct {
 	options   Options
 	clock     clock.Clock
 	metrics   *metrics.Registry
 	readiness chan bool
-	done      chan struct{} // closed when Run has returned
+	done      chan struct{} // closed when Run returns
 	dial      func(ctx context.Context) (net.Conn, error)
 
-	ready bool // the last value from readiness; only Run's goroutine uses it
+	ready bool // last value received from readiness; used only in Run's goroutine
 }
 
-// New returns a speaker that announces nothing until SetReady. Run must be called once.
+// New returns a speaker that announces nothing until SetReady(true) is called. Run must be called once.
 func New(options Options, clk clock.Clock, registry *metrics.Registry) *Speaker {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return &Speaker{
 		options:   options,
 		clock:     clk,
 		metrics:   registry,
-		readiness: make(chan bool, readinessQueue),
+		readiness: make(chan bool, readinessQueueSize),
 		done:      make(chan struct{}),
 		dial: func(ctx context.Context) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", options.PeerAddress)
@@ -63,8 +64,8 @@
 	}
 }
 
-// SetReady announces the prefixes if ready is set, and withdraws them otherwise. It may be called from any goroutine, and
-// does nothing after Run has returned.
+// SetReady announces the prefixes if ready is true, and withdraws them otherwise. It may be called from any goroutine. It
+// has no effect after Run has returned.
 func (s *Speaker) SetReady(ready bool) {
 	select {
 	case s.readiness <- ready:
@@ -72,7 +73,7 @@
 	}
 }
 
-// Run keeps a session with the peer until ctx ends; then it ends the session with a Cease and returns.
+// Run maintains a session with the peer until ctx is done. It then ends the session with a Cease NOTIFICATION and returns.
 func (s *Speaker) Run(ctx context.Context) {
 	defer close(s.done)
 	retryDelayMs := float64(minRetryDelayMs)
@@ -95,8 +96,8 @@
 // Wait returns after Run has returned.
 func (s *Speaker) Wait() { <-s.done }
 
-// connect opens a connection and runs a session on it to its end. It returns whether the session was established, and
-// why it ended.
+// connect opens a connection and runs a session on it until the session ends. It returns whether the session was
+// established, and the reason for its end.
 func (s *Speaker) connect(ctx context.Context) (established bool, err error) {
 	conn, err := s.dial(ctx)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return s.runSession(ctx, conn)
 }
 
-// waitForRetry waits for the delay with jitter, or until ctx ends.
+// waitForRetry waits for delayMs with jitter, or until ctx is done. Meanwhile it receives changes of readiness.
 func (s *Speaker) waitForRetry(ctx context.Context, delayMs float64) {
 	due, stop := clock.After(s.clock, withJitter(delayMs))
 	defer stop()
@@ -120,7 +121,7 @@
 	}
 }
 
-// withJitter returns a random time between minJitter*ms and ms.
+// withJitter returns a random duration between minJitter*ms and ms.
 func withJitter(ms float64) float64 {
 	return ms * (minJitter + (1-minJitter)*rand.Float64())
 }
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -23,12 +23,12 @@
 	net.Conn
 }
 
-// read returns the next message and ends the test unless it is of the type.
+// read returns the next message. It ends the test unless the message has the given type.
 func (r fakeRouter) read(messageType uint8) *bgp.BGPMessage {
 	r.t.Helper()
 	got, body, err := readMessage(r)
 	if err != nil || got != messageType {
-		r.t.Fatalf("type %d: %v; want type %d", got, err, messageType)
+		r.t.Fatalf("read a message of type %d, error %v; want type %d", got, err, messageType)
 	}
 	message, err := parseMessage(got, body)
 	if err != nil {
@@ -48,40 +48,41 @@
 	}
 }
 
-// handshake establishes a session as the passive side.
+// handshake establishes a session: it answers the speaker's OPEN and KEEPALIVE.
 func (r fakeRouter) handshake() {
 	r.t.Helper()
 	open := r.read(bgp.BGP_MSG_OPEN).Body.(*bgp.BGPOpen)
 	if open.MyAS != 65001 || open.HoldTime != 90 || open.ID.String() != "127.0.0.2" {
-		r.t.Errorf("OPEN %+v", open)
+		r.t.Errorf("unexpected OPEN %+v", open)
 	}
 	r.send(newOpen(65000, 90, "127.0.0.3", bgp.NewCapFourOctetASNumber(65000)))
 	r.read(bgp.BGP_MSG_KEEPALIVE)
 	r.send(bgp.NewBGPKeepAliveMessage())
 }
 
-// expectUpdate reads an UPDATE with so many announced and withdrawn routes.
+// expectUpdate reads an UPDATE and checks the numbers of announced and withdrawn routes in it.
 func (r fakeRouter) expectUpdate(announced, withdrawn int) {
 	r.t.Helper()
 	update := r.read(bgp.BGP_MSG_UPDATE).Body.(*bgp.BGPUpdate)
 	if len(update.NLRI) != announced || len(update.WithdrawnRoutes) != withdrawn {
-		r.t.Errorf("%d announced, %d withdrawn; want %d, %d", len(update.NLRI), len(update.WithdrawnRoutes), announced, withdrawn)
+		r.t.Errorf("the UPDATE announces %d and withdraws %d routes, want %d and %d", len(update.NLRI), len(update.WithdrawnRoutes), announced, withdrawn)
 	}
 }
 
-// expectCease reads a Cease and the end of the connection.
+// expectCease reads a Cease NOTIFICATION and the end of the connection.
 func (r fakeRouter) expectCease() {
 	r.t.Helper()
 	notification := r.read(bgp.BGP_MSG_NOTIFICATION).Body.(*bgp.BGPNotification)
 	if notification.ErrorCode != bgp.BGP_ERROR_CEASE {
-		r.t.Errorf("NOTIFICATION %d/%d", notification.ErrorCode, notification.ErrorSubcode)
+		r.t.Errorf("received NOTIFICATION %d/%d, want a Cease", notification.ErrorCode, notification.ErrorSubcode)
 	}
 	if _, err := r.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		r.t.Errorf("after the Cease: %v", err)
+		r.t.Errorf("reading after the Cease returned %v, want EOF", err)
 	}
 }
 
-// Over TCP the speaker announces once ready, withdraws on a drain, and ends the session with a Cease.
+// Over TCP the speaker announces the prefixes when it becomes ready, withdraws them when it is no longer ready, and ends the
+// session with a Cease.
 func TestSpeakerOverTCP(t *testing.T) {
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -104,7 +105,7 @@
 	router.handshake()
 	speaker.SetReady(true)
 	router.expectUpdate(2, 0)
-	speaker.SetReady(true) // changes nothing
+	speaker.SetReady(true) // already announced, so no UPDATE is sent
 	speaker.SetReady(false)
 	router.expectUpdate(0, 2)
 	cancel()
@@ -112,20 +113,20 @@
 	speaker.Wait()
 }
 
-// expectKeepalives answers KEEPALIVEs for far longer than the hold time, and checks the time between them.
+// expectKeepalives answers KEEPALIVEs for much longer than the hold time, and checks their interval.
 func (r fakeRouter) expectKeepalives(c clock.Clock) {
 	r.t.Helper()
 	for range 100 {
 		beforeMs := c.NowMs()
 		r.read(bgp.BGP_MSG_KEEPALIVE)
 		if elapsedMs := c.NowMs() - beforeMs; elapsedMs < 22_499 || elapsedMs > 30_001 {
-			r.t.Fatalf("a KEEPALIVE after %v ms", elapsedMs)
+			r.t.Fatalf("a KEEPALIVE arrived after %v ms, want 22.5 s to 30 s", elapsedMs)
 		}
 		r.send(bgp.NewBGPKeepAliveMessage())
 	}
 }
 
-// expectHoldTimerExpired sends nothing until the speaker ends the session.
+// expectHoldTimerExpired sends nothing until the speaker ends the session because its hold timer expires.
 func (r fakeRouter) expectHoldTimerExpired(c clock.Clock) {
 	r.t.Helper()
 	silentSinceMs, keepalives := c.NowMs(), 0
@@ -135,14 +136,16 @@
 		messageType, body, err = readMessage(r)
 	}
 	if messageType != bgp.BGP_MSG_NOTIFICATION || body[0] != bgp.BGP_ERROR_HOLD_TIMER_EXPIRED || keepalives < 2 || keepalives > 4 {
-		r.t.Fatalf("type %d: %x, %v, after %d KEEPALIVEs", messageType, body, err, keepalives)
+		r.t.Fatalf("read a message of type %d, body %x, error %v, after %d KEEPALIVEs; want a NOTIFICATION that the hold timer expired, after 2 to 4",
+			messageType, body, err, keepalives)
 	}
 	if elapsedMs := c.NowMs() - silentSinceMs; elapsedMs < 89_999 || elapsedMs > 90_001 {
-		r.t.Errorf("the hold timer expired after %v ms", elapsedMs)
+		r.t.Errorf("the hold timer expired after %v ms, want 90 s", elapsedMs)
 	}
 }
 
-// Over hours of a simulated clock a session is kept alive, ended when the router sends nothing more, and established anew.
+// With a simulated clock: KEEPALIVEs keep the session established, it ends when the router becomes silent, and a new session
+// is established after a time in which the router refuses connections.
 func TestSpeakerOverTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := testOptions()
@@ -170,10 +173,10 @@
 		router.expectHoldTimerExpired(systemClock)
 		refuse.Store(true)
 		synctest.Wait()
-		time.Sleep(10 * time.Minute) // of the bubble's clock
+		time.Sleep(10 * time.Minute) // simulated time
 		refuse.Store(false)
 		if ended := registry.Get("bgp_sessions_ended"); ended < 10 || ended > 25 {
-			t.Errorf("%d ends in ten minutes: the delays should grow to a minute", ended)
+			t.Errorf("%d sessions or connection attempts ended within ten minutes, want 10 to 25: the retry delay grows to a minute", ended)
 		}
 		router = fakeRouter{t, <-conns}
 		router.handshake()
