--- a/cmd/faultbench/chaos.go
+++ b/cmd/faultbench/chaos.go
@@ -8,23 +8,23 @@
 	"gaugerelay/internal/testbed/chaos"
 )
 
-// chaosCmd is the subcommand chaos.
+// chaosCmd holds the flags of the subcommand chaos.
 type chaosCmd struct {
 	Processes int     `default:"24" help:"Number of gateway processes."`
-	Siblings  int     `default:"0" help:"Number of gateways that the settings name; the number of processes if left out."`
+	Siblings  int     `default:"0" help:"Number of gateways in the settings; 0 means the number of processes."`
 	Shards    int     `default:"8" help:"Number of shards."`
-	Seconds   float64 `default:"60" help:"Duration of the run."`
-	Seed      uint64  `default:"1" help:"Seed of faults and traffic; the same seed draws the same schedule."`
+	Seconds   float64 `default:"60" help:"Duration of the run, in seconds."`
+	Seed      uint64  `default:"1" help:"Seed of faults and traffic; the same seed gives the same schedule."`
 	Rate      float64 `default:"12" help:"Requests per second to each gateway."`
-	Push      bool    `help:"Endpoint lists are pushed by an agent; otherwise the gateways poll for them."`
-	Faults    string  `help:"Names of the faults to inject, separated by commas; all if left out."`
-	Shims     bool    `help:"The program was built with the tag chaos: its system calls fail at random, its wall clock is off."`
-	Debug     bool    `help:"Gateways log each request."`
+	Push      bool    `help:"Push endpoint lists to the gateways by an agent; by default the gateways poll for them."`
+	Faults    string  `help:"Names of the faults to inject, separated by commas; all by default."`
+	Shims     bool    `help:"Make system calls fail at random and offset the wall clock; needs a gateway built with the tag chaos."`
+	Debug     bool    `help:"Log each request in the gateways."`
 	Verbose   bool    `help:"Show the logs of all processes if an invariant was violated."`
-	Binary    string  `help:"Path of the gateway; the file gaugerelay beside this program if left out."`
+	Binary    string  `help:"Path of the gateway program; by default the file gaugerelay in the directory of this program."`
 }
 
-// Run injects random overlapping faults. It returns an error if an invariant was violated.
+// Run runs gateways under random overlapping faults. It returns an error if an invariant was violated.
 func (c *chaosCmd) Run() error {
 	binary, err := gatewayBinary(c.Binary)
 	if err != nil {
--- a/cmd/faultbench/fleet.go
+++ b/cmd/faultbench/fleet.go
@@ -11,17 +11,17 @@
 // fleetShards is the number of shards of the fleet's storage servers.
 const fleetShards = 4
 
-// fleetCmd is the subcommand fleet.
+// fleetCmd holds the flags of the subcommand fleet.
 type fleetCmd struct {
 	Gateways int     `default:"6" help:"Number of gateway processes."`
-	Seconds  float64 `default:"0" help:"Duration of the run; each scenario once if left out."`
-	Seed     uint64  `default:"1" help:"Seed of faults and traffic; the same seed draws the same schedule." aliases:"replay"`
+	Seconds  float64 `default:"0" help:"Duration of the run, in seconds; 0 runs each scenario once."`
+	Seed     uint64  `default:"1" help:"Seed of faults and traffic; the same seed gives the same schedule." aliases:"replay"`
 	Hosts    int     `default:"3" help:"Number of gateways that receive the requests of a volume."`
-	Volumes  int     `default:"4" help:"Number of volumes, each with a limit and 1.4 times as much traffic."`
+	Volumes  int     `default:"4" help:"Number of volumes; the traffic of each is 1.4 times its limit."`
 	Lease    float64 `default:"1000" help:"Lifetime of a quota lease, in milliseconds."`
 	Only     string  `help:"Name of the only scenario to run."`
-	Without  bool    `help:"Gateways do not communicate with each other."`
-	Binary   string  `help:"Path of the gateway; the file gaugerelay beside this program if left out."`
+	Without  bool    `help:"Run without communication between gateways."`
+	Binary   string  `help:"Path of the gateway program; by default the file gaugerelay in the directory of this program."`
 }
 
 // Run runs the scenarios. It returns an error if an invariant was violated.
--- a/cmd/faultbench/main.go
+++ b/cmd/faultbench/main.go
@@ -1,5 +1,6 @@
-// Command faultbench tests the gateway under faults, against fakes of the outside systems on loopback. Each subcommand
-// prints a summary line and exits with status 1 if an invariant was violated. The fields of the subcommands are their flags.
+// Command faultbench tests the gateway under faults, with fakes of the external systems on loopback addresses. Each
+// subcommand prints a summary line and exits with status 1 if an invariant was violated. Each subcommand is a struct whose
+// fields are its flags.
 package main
 
 import (
@@ -12,7 +13,7 @@
 
 func main() {
 	var cli struct {
-		Fleet   fleetCmd   `cmd:"" help:"Run scenarios of faults in a fleet of gateway processes and between them."`
+		Fleet   fleetCmd   `cmd:"" help:"Run fault scenarios in a fleet of gateway processes and on the network between them."`
 		Chaos   chaosCmd   `cmd:"" help:"Inject random overlapping faults into gateway processes and check the invariants."`
 		Members membersCmd `cmd:"" help:"Simulate membership in fleets of 3 to 1,000 gateways, with lost datagrams and failing gateways."`
 		Soak    soakCmd    `cmd:"" help:"Run devices on poor links against a gateway whose servers fail, drain and restart."`
@@ -25,16 +26,16 @@
 	}
 }
 
-// gatewayBinary returns the path of the gateway program: the given one, or gaugerelay beside this program if it is empty.
+// gatewayBinary returns the path of the gateway program: path, or gaugerelay in the directory of this program if path is "".
 func gatewayBinary(path string) (string, error) {
 	if path != "" {
 		return path, nil
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("no path of this program: %w", err)
+		return "", fmt.Errorf("cannot find the path of this program: %w", err)
 	}
-	return filepath.Join(filepath.Dir(self), "gaugerelay"), nil
+	return filepath.Join(filepath.Dir(executable), "gaugerelay"), nil
 }
 
 // printViolations prints a line for each violation.
@@ -49,5 +50,5 @@
 	if count == 0 {
 		return nil
 	}
-	return fmt.Errorf("%d violations of invariants", count)
+	return fmt.Errorf("found %d violations of invariants", count)
 }
--- a/cmd/faultbench/members.go
+++ b/cmd/faultbench/members.go
@@ -6,14 +6,14 @@
 	"gaugerelay/internal/testbed/membershipsim"
 )
 
-// Figures of the simulated fleets.
+// Parameters of the simulated fleets.
 const (
-	minDelayMs = 1
-	jitterMs   = 12
-	deathCount = 5 // gateways that fail in each run
-	// fullTimeSize is the largest fleet that is simulated for the whole time; the time of larger ones shrinks with their
-	// size, since 1,000 gateways take a minute of the machine's time for each 10 s.
-	fullTimeSize = 200
+	minDelayMs   = 1  // shortest delay of a datagram
+	jitterMs     = 12 // range of the random part of the delay
+	failureCount = 5  // number of gateways that fail in each run
+	// fullDurationSize is the size of the largest fleet that is simulated for the full duration. The duration of larger fleets
+	// is shorter by the factor fullDurationSize/size, since 10 s of 1,000 gateways take a minute to simulate.
+	fullDurationSize = 200
 )
 
 var (
@@ -21,14 +21,15 @@
 	lossRates  = []float64{0, 0.05, 0.2}
 )
 
-// membersCmd is the subcommand members.
+// membersCmd holds the flags of the subcommand members.
 type membersCmd struct {
-	Seed    uint64  `default:"1" help:"Seed of losses, delays and failures."`
-	Seconds float64 `default:"60" help:"Simulated time of each fleet."`
+	Seed    uint64  `default:"1" help:"Seed of datagram losses, delays and failures."`
+	Seconds float64 `default:"60" help:"Simulated time of each fleet, in seconds; less for large fleets."`
 	Most    int     `default:"1000" help:"Size of the largest fleet."`
 }
 
-// Run simulates the fleets. It returns an error if the failure of a gateway was not detected within the bound.
+// Run simulates membership in fleets of several sizes. It returns an error if the failure of a gateway was not detected
+// within the bound.
 func (c *membersCmd) Run() error {
 	falseDeaths, undetected := 0, 0
 	for _, size := range fleetSizes {
@@ -36,9 +37,9 @@
 			continue
 		}
 		for _, lossRate := range lossRates {
-			durationMs := c.Seconds * 1000 * min(1, fullTimeSize/float64(size))
+			durationMs := c.Seconds * 1000 * min(1, fullDurationSize/float64(size))
 			report := membershipsim.Measure(membershipsim.Options{MemberCount: size, LossRate: lossRate, MinDelayMs: minDelayMs,
-				JitterMs: jitterMs, Seed: c.Seed}, durationMs, deathCount)
+				JitterMs: jitterMs, Seed: c.Seed}, durationMs, failureCount)
 			fmt.Printf("%4d gateways, %2.0f %% lost: %v\n", size, 100*lossRate, report)
 			falseDeaths, undetected = falseDeaths+report.FalseDeaths, undetected+report.Undetected
 		}
--- a/cmd/faultbench/soak.go
+++ b/cmd/faultbench/soak.go
@@ -17,17 +17,17 @@
 	"gaugerelay/internal/testbed/soak"
 )
 
-// Mean times between the faults of a soak.
+// Mean times between faults in a soak test.
 const (
-	restartInterval     = 45 * time.Second // of the gateway
-	replacementInterval = 8 * time.Second  // of a server
+	restartInterval     = 45 * time.Second // mean time between restarts of the gateway
+	replacementInterval = 8 * time.Second  // mean time between replacements of a server
 )
 
-// serverFaults are the faults of the storage servers in a soak.
+// serverFaults are the faults of the storage servers in a soak test: probabilities, and the delay of a slow response.
 var serverFaults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
 	SlowDelay: 700 * time.Millisecond}
 
-// linkProfiles are the kinds of links that the flag --links names.
+// linkProfiles maps the values of the flag --links to the profiles of the devices' links.
 var linkProfiles = map[string][]linkshaper.Profile{
 	"all":      {linkshaper.Good, linkshaper.Middling, linkshaper.Bad},
 	"good":     {linkshaper.Good},
@@ -35,20 +35,21 @@
 	"bad":      {linkshaper.Bad},
 }
 
-// soakCmd is the subcommand soak.
+// soakCmd holds the flags of the subcommand soak.
 type soakCmd struct {
-	Seconds  float64 `default:"60" help:"Duration of the run."`
-	Seed     uint64  `default:"1" help:"Seed of devices, links and faults; the same seed draws the same ones."`
+	Seconds  float64 `default:"60" help:"Duration of the run, in seconds."`
+	Seed     uint64  `default:"1" help:"Seed of devices, links and faults; the same seed gives the same ones."`
 	Devices  int     `default:"36" help:"Number of devices."`
-	Wires    string  `default:"chf" help:"Protocols that the devices use in turn: c CoAP, h HTTP, f file commands."`
-	Links    string  `default:"all" enum:"all,good,middling,bad" help:"Kinds of links: all, good, middling or bad."`
+	Wires    string  `default:"chf" help:"Protocols of the devices, assigned in turn: c for CoAP, h for HTTP, f for file commands."`
+	Links    string  `default:"all" enum:"all,good,middling,bad" help:"Quality of the devices' links: all, good, middling or bad."`
 	Odd      float64 `default:"0.15" help:"Fraction of the exchanges in which a device misbehaves."`
-	Calm     bool    `help:"No faults of servers, no drains, no restarts."`
-	Baseline bool    `default:"true" negatable:"" help:"Run the same once more without deduplication."`
+	Calm     bool    `help:"Run without server faults, drains and restarts."`
+	Baseline bool    `default:"true" negatable:"" help:"Also run the same load without deduplication, for comparison."`
 	Log      bool    `help:"Show the gateway's log."`
 }
 
-// Run runs the soak, and beside it the baseline. It returns an error if an invariant was violated.
+// Run runs the soak test and, unless the flags disable it, the baseline without deduplication. It returns an error if an
+// invariant was violated.
 func (c *soakCmd) Run() error {
 	if !c.Log {
 		logevent.Setup(io.Discard, slog.LevelError)
@@ -69,8 +70,8 @@
 	return violationError(report.ViolationCount())
 }
 
-// runWithBaseline runs the soak and the baseline at once, since they share nothing but the machine. The baseline is nil
-// if the flags leave it out.
+// runWithBaseline runs the soak test and the baseline concurrently, since they share no state. The baseline's report is nil
+// if the flags disable it.
 func (c *soakCmd) runWithBaseline() (report, baseline *soak.Report, err error) {
 	options := c.options()
 	var baselineErr error
--- a/cmd/gaugerelay/edge_test.go
+++ b/cmd/gaugerelay/edge_test.go
@@ -15,8 +15,8 @@
 	"gaugerelay/internal/testbed/fakefileserver"
 )
 
-// The operator's file enables file commands, which reach a server's file port, and announcements, which are withdrawn
-// before the program ends.
+// The operator's file enables file commands, which are forwarded to a server's address for file commands, and BGP
+// announcements, which are withdrawn before the program exits.
 func TestEdgeFileEnablesSFTPAndBGP(t *testing.T) {
 	files := fakefileserver.New(t)
 	files.Put("/layers/a", []byte("layer"))
@@ -27,25 +27,25 @@
 	 "bgp":{"peer":"%s","local_as":65001,"peer_as":65001,"router_id":"127.0.0.1","announce":["192.0.2.7/32"]}}`,
 		files.Addr, router.Addr()))
 	p := startProgram(t, settingsFor(unusedServer), "-edge", edge)
-	addr := p.waitForAddr(`for="file commands"`) // logged before the lines of the session
+	addr := p.waitForAddr(`for="file commands"`) // logged before the events of the BGP session
 	session := acceptBGP(t, router)
 	changeFirstByte(t, addr)
 	if got := string(files.File("/layers/a")); got != "Layer" {
-		t.Errorf("written %q", got)
+		t.Errorf("the file on the server contains %q, want the first byte changed", got)
 	}
 	p.waitForLog("announced=true")
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("announced=false")
 	p.waitForLog("answers_served 3")
 	p.wantExit()
-	cease := []byte{0, 21, 3, 6, 2} // the end of a NOTIFICATION, behind KEEPALIVE, the routes and their withdrawal
+	cease := []byte{0, 21, 3, 6, 2} // end of the NOTIFICATION, which follows a KEEPALIVE, the routes and their withdrawal
 	received, err := io.ReadAll(session)
 	if err != nil || !bytes.HasSuffix(received, cease) {
-		t.Errorf("%v: %x", err, received)
+		t.Errorf("reading the session returned error %v and %x, which must end with a Cease", err, received)
 	}
 }
 
-// acceptBGP establishes the session that the program opens, as its router.
+// acceptBGP acts as the program's router: it accepts the connection and establishes a BGP session.
 func acceptBGP(t *testing.T, router net.Listener) net.Conn {
 	t.Helper()
 	session, err := router.Accept()
@@ -53,13 +53,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { session.Close() })
-	const identifierEnd = 27 // the last byte of the identifier
+	const identifierEnd = 27 // offset of the last byte of the BGP identifier in an OPEN
 	open := make([]byte, 64)
 	n, err := session.Read(open)
 	if err != nil || n <= identifierEnd+1 {
-		t.Fatalf("OPEN of %d bytes: %v", n, err)
+		t.Fatalf("read an OPEN of %d bytes, error %v", n, err)
 	}
-	open[identifierEnd]++ // the router's OPEN is the program's with another identifier
+	open[identifierEnd]++ // the router's OPEN equals the program's except for the identifier
 	keepalive := append(bytes.Repeat([]byte{0xff}, 16), 0, 19, 4)
 	if _, err := session.Write(append(open[:n], keepalive...)); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	return session
 }
 
-// changeFirstByte reads the file /layers/a and writes its first byte.
+// changeFirstByte reads the file /layers/a through the gateway at addr and overwrites its first byte.
 func changeFirstByte(t *testing.T, addr string) {
 	t.Helper()
 	var dialer net.Dialer
@@ -86,9 +86,9 @@
 	}
 	content := make([]byte, 5)
 	if _, err := file.ReadAt(content, 0); err != nil || string(content) != "layer" {
-		t.Errorf("read %q: %v", content, err)
+		t.Errorf("the file read contains %q, error %v", content, err)
 	}
 	if _, err := file.WriteAt([]byte("L"), 0); err != nil {
-		t.Errorf("write: %v", err)
+		t.Errorf("writing the file: %v", err)
 	}
 }
--- a/cmd/gaugerelay/environment.go
+++ b/cmd/gaugerelay/environment.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/gateway"
 )
 
-// environment returns the clock and the network of the machine.
+// environment returns the system clock and the network of the operating system.
 func environment(*config.Config) (clock.Clock, gateway.Network, error) {
 	return clock.NewSystem(), gateway.SystemNetwork(), nil
 }
--- a/cmd/gaugerelay/environment_chaos.go
+++ b/cmd/gaugerelay/environment_chaos.go
@@ -11,11 +11,12 @@
 	"gaugerelay/internal/testbed/faultnet"
 )
 
-// faultsVariable names the faults to inject, in faultnet's form. Without it nothing is injected.
+// faultsVariable is the environment variable with the faults to inject, as faultnet.ParseOptions reads them. If it is not
+// set, no faults are injected.
 const faultsVariable = "GAUGERELAY_FAULTS"
 
-// environment returns a clock that is wrong and a network whose system calls fail. It is part of the program for tests
-// alone.
+// environment returns a clock whose wall time has an offset, and a network whose system calls fail at random. It exists only
+// in programs that are built for fault injection, with the tag chaos.
 func environment(cfg *config.Config) (clock.Clock, gateway.Network, error) {
 	text := os.Getenv(faultsVariable)
 	if text == "" {
--- a/cmd/gaugerelay/main.go
+++ b/cmd/gaugerelay/main.go
@@ -1,5 +1,6 @@
-// Command gaugerelay is the gateway's program: its command line, its signals and its exit code. Package gateway puts the
-// parts of the gateway together. The main goroutine handles signals; the parts run in goroutines that package gateway owns.
+// Command gaugerelay runs a gateway between clients and storage servers, or inspects a running one. It parses the command
+// line, handles signals and sets the exit status; package gateway builds the components of the gateway and owns the
+// goroutines in which they run. Signals are handled in the main goroutine.
 package main
 
 import (
@@ -10,12 +11,12 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is the program's commands and flags.
+// commandLine defines the commands and flags.
 type commandLine struct {
 	Serve serveCommand `cmd:"" default:"withargs" help:"Run the gateway. This is the default command."`
 	Fleet struct {
-		Show showCommand `cmd:"" help:"Show the fleet as a running gateway sees it: limits in force, members and quota."`
-	} `cmd:"" help:"Inspect gateways that share limits."`
+		Show showCommand `cmd:"" help:"Show the fleet as seen by a running gateway: limits in force, members and quota."`
+	} `cmd:"" help:"Inspect a fleet: gateways that share limits."`
 }
 
 func main() {
@@ -36,15 +37,14 @@
 	return ctx.Run()
 }
 
-// withLongFlags replaces -edge by --edge: the flag was written with one dash before there were commands, and deployments
-// still do so.
+// withLongFlags replaces -edge by --edge. Earlier versions had the flag with a single dash, and deployments still use it.
 func withLongFlags(args []string) []string {
-	long := make([]string, len(args))
+	replaced := make([]string, len(args))
 	for i, arg := range args {
 		if arg == "-edge" || strings.HasPrefix(arg, "-edge=") {
 			arg = "-" + arg
 		}
-		long[i] = arg
+		replaced[i] = arg
 	}
-	return long
+	return replaced
 }
--- a/cmd/gaugerelay/main_test.go
+++ b/cmd/gaugerelay/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// mainVariable makes the test binary run the program in place of the tests.
+// mainVariable is an environment variable. If it is set, the test binary runs the program instead of the tests.
 const mainVariable = "GAUGERELAY_MAIN"
 
 func TestMain(m *testing.M) {
@@ -26,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// settings is a configuration file with two places: the address to listen on and the one server's address.
+// settings is the format of a configuration file. Its arguments are the address to listen on and the address of the only
+// server.
 const settings = `{"name":"n0","listen":"%s","discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":{"version":1,"servers":[{"id":"s-1","addr":"%s","cell":0,"state":"Ready"}]},
  "settings":{"Siblings":1,"Lanes":[{"Name":"pull","PromiseMs":60000,"DeadlineMs":60000,"Idempotency":"repeatable","Worth":2},
@@ -34,13 +35,13 @@
  "Plans":[{"Name":"basic","Shares":1,"Pays":1}],"FamilyInfo":{"NShards":1,"MeanUnits":2,"MostUnits":6},
  "Limits":{"AttemptsCap":3,"ConnIdleMs":30000,"ConnectTimeoutMs":5000},"TickMs":2}}`
 
-// unusedServer stands in settings for a server that is never asked.
+// unusedServer is the address of the server in tests that send it no requests.
 const unusedServer = "127.0.0.1:1"
 
-// settingsFor returns settings that listen on any port.
+// settingsFor returns a configuration file with the given server. The gateway listens on any free port.
 func settingsFor(server string) string { return fmt.Sprintf(settings, "127.0.0.1:0", server) }
 
-// writeFile writes a file of its own and returns its path.
+// writeFile writes a file into a new directory and returns its path.
 func writeFile(t *testing.T, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
@@ -50,22 +51,22 @@
 	return path
 }
 
-// newCommand returns a command that runs the program with a configuration file, until ctx is done.
+// newCommand returns a command that runs the program with a configuration file. The program is killed when ctx is done.
 func newCommand(ctx context.Context, configFile string, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, os.Args[0], args...)
 	cmd.Env = append(os.Environ(), mainVariable+"=1", "ROUTER_CONFIG="+configFile)
 	return cmd
 }
 
-// program is a running program.
+// program is a running gateway process.
 type program struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	configFile string
-	log        *bufio.Scanner // of its standard error
+	log        *bufio.Scanner // lines of the program's standard error
 }
 
-// startProgram starts the program with a configuration of the given text. The end of the test kills it.
+// startProgram starts the program with a configuration file that contains config. It is killed at the end of the test.
 func startProgram(t *testing.T, config string, args ...string) *program {
 	t.Helper()
 	configFile := writeFile(t, "config.json", config)
@@ -91,18 +92,19 @@
 			return p.log.Text()
 		}
 	}
-	p.t.Fatalf("no line with %q", text)
+	p.t.Fatalf("the log ended without a line that contains %q", text)
 	return ""
 }
 
-// waitForAddr reads the log up to the record that contains a text, and returns its last field, the address.
+// waitForAddr reads the log up to the first record that contains a text. It returns the value of the record's last field,
+// which is an address.
 func (p *program) waitForAddr(text string) string {
 	p.t.Helper()
 	line := p.waitForLog(text)
 	return line[strings.LastIndex(line, "=")+1:]
 }
 
-// signal sends a signal; one to a program that has exited is no error.
+// signal sends a signal. It is no error if the program has exited already.
 func (p *program) signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -114,7 +116,7 @@
 func (p *program) wantExit() {
 	p.t.Helper()
 	if err := p.cmd.Wait(); err != nil {
-		p.t.Errorf("ended with %v", err)
+		p.t.Errorf("the program exited with the error %v", err)
 	}
 }
 
@@ -127,16 +129,16 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		t.Errorf("ready: %v", err)
+		t.Errorf("GET /ready: %v", err)
 		return
 	}
 	defer response.Body.Close()
 	if response.StatusCode != status {
-		t.Errorf("ready: status %d, want %d", response.StatusCode, status)
+		t.Errorf("GET /ready returned status %d, want %d", response.StatusCode, status)
 	}
 }
 
-// A configuration that cannot be used ends the program with one line.
+// With an invalid configuration the program prints one line and exits with an error status.
 func TestInvalidConfigExitsWithOneLine(t *testing.T) {
 	for name, c := range map[string]struct {
 		config string
@@ -154,7 +156,7 @@
 			err := cmd.Run()
 			var exitError *exec.ExitError
 			if !errors.As(err, &exitError) || strings.Count(log.String(), "\n") != 1 || !strings.HasPrefix(log.String(), "gaugerelay: ") {
-				t.Errorf("%v, %q", err, log.String())
+				t.Errorf("the program returned error %v and printed %q, want an error status and one line", err, log.String())
 			}
 		})
 	}
--- a/cmd/gaugerelay/reload_test.go
+++ b/cmd/gaugerelay/reload_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// startDiscovery returns the address of a discovery service that reports each watch as "name query".
+// startDiscovery starts a discovery service and returns its address. For each watch it sends "name query" to watches, where
+// query is the query of the request's URL.
 func startDiscovery(t *testing.T, name string, watches chan<- string) (addr string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -24,8 +25,8 @@
 	return server.Listener.Addr().String()
 }
 
-// SIGHUP moves the watch to the file's new address; an invalid file changes nothing; the gateway serves all the time, and
-// SIGTERM still ends the program without an error.
+// SIGHUP moves the watch to the discovery address in the changed file. An invalid file changes nothing. The gateway stays
+// ready, and SIGTERM ends the program without an error.
 func TestReload(t *testing.T) {
 	watches := make(chan string, 4)
 	first, second := startDiscovery(t, "first", watches), startDiscovery(t, "second", watches)
@@ -43,14 +44,14 @@
 	wantWatch := func(want string) {
 		t.Helper()
 		if got := <-watches; got != want {
-			t.Errorf("watched %q, want %q", got, want)
+			t.Errorf("the gateway opened the watch %q, want %q", got, want)
 		}
 		wantReady(t, addr, http.StatusOK)
 	}
 	wantWatch("first watch=1&after=1")
 	reload(`{"listen":`)
 	p.waitForLog("msg=reload_failed")
-	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // can be read, but the scheduler rejects it
+	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // valid JSON that the scheduler rejects, since it has no classes
 	p.waitForLog("msg=reload_failed")
 	reload(withDiscovery(second))
 	p.waitForLog("msg=reload_done discovery=" + second)
--- a/cmd/gaugerelay/serve.go
+++ b/cmd/gaugerelay/serve.go
@@ -14,28 +14,28 @@
 	"gaugerelay/internal/logevent"
 )
 
-// signalQueue is the number of signals that can be pending. Package signal drops what exceeds it.
-const signalQueue = 16
+// signalQueueSize is the number of signals that can be pending. Package signal drops further ones.
+const signalQueueSize = 16
 
 const (
-	// gcPercent lets the heap grow to four times its live part. The live part is a few MB, so this saves processor time, which
-	// is scarcer than memory. Near the memory limit the collector runs more often.
+	// gcPercent lets the heap grow to four times the live heap before a collection. The live heap is a few MB, and processor
+	// time is scarcer than memory. Near the memory limit the garbage collector runs more often.
 	gcPercent = 300
-	// heapFraction is the fraction of the platform's memory limit that the Go runtime may use.
-	heapFraction = 0.75
+	// runtimeMemoryFraction is the fraction of the platform's memory limit that the Go runtime may use.
+	runtimeMemoryFraction = 0.75
 )
 
 // serveCommand runs the gateway.
 type serveCommand struct {
 	Edge     string     `type:"path" placeholder:"FILE" help:"The operator's file, which enables further frontends. Without it only HTTP clients are served."`
-	LogLevel slog.Level `default:"info" placeholder:"LEVEL" help:"Lowest level that is logged: debug (each request and attempt), info, warn or error."`
+	LogLevel slog.Level `default:"info" placeholder:"LEVEL" help:"Lowest level to log: debug (each request and attempt), info, warn or error."`
 }
 
-// Run serves until SIGTERM or SIGINT. It returns an error if the gateway cannot start or a part of it fails.
+// Run serves until SIGTERM or SIGINT. It returns an error if the gateway cannot start or one of its components fails.
 func (c *serveCommand) Run() error {
 	logevent.Setup(os.Stderr, c.LogLevel)
-	// Signals are queued from the first moment on: unhandled, SIGHUP would end the program.
-	signals := make(chan os.Signal, signalQueue)
+	// Signals are queued before the gateway starts: without a handler, SIGHUP would terminate the program.
+	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	g, err := newGateway(c.Edge)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return handleSignals(g, signals)
 }
 
-// newGateway builds the gateway that the environment and the operator's file describe; edgePath may be "".
+// newGateway builds the gateway from the configuration in the environment and the operator's file at edgePath. There is no
+// operator's file if edgePath is "".
 func newGateway(edgePath string) (*gateway.Gateway, error) {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
@@ -60,21 +61,21 @@
 		}
 	}
 	setProcessLimits(cfg)
-	system, network, err := environment(cfg)
+	systemClock, network, err := environment(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return gateway.New(cfg, edge, system, network)
+	return gateway.New(cfg, edge, systemClock, network)
 }
 
-// handleSignals returns once the gateway has shut down, or with the error of a part that has failed.
+// handleSignals handles signals until the gateway has shut down. If a component fails, it returns the component's error.
 func handleSignals(g *gateway.Gateway, signals <-chan os.Signal) error {
 	for {
 		select {
 		case err := <-g.Failed():
 			return err
-		case s := <-signals:
-			switch s {
+		case received := <-signals:
+			switch received {
 			case syscall.SIGUSR1:
 				g.Metrics.WriteText(os.Stderr)
 			case syscall.SIGHUP:
@@ -88,13 +89,13 @@
 	}
 }
 
-// setProcessLimits keeps the Go runtime within the processors and the memory that the platform grants.
+// setProcessLimits restricts the Go runtime to the processors and the memory that the platform allows.
 func setProcessLimits(cfg *config.Config) {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Floor(cfg.Cores))))
 	}
 	if cfg.MemoryMB > 0 {
 		debug.SetGCPercent(gcPercent)
-		debug.SetMemoryLimit(int64(cfg.MemoryMB * heapFraction * (1 << 20)))
+		debug.SetMemoryLimit(int64(cfg.MemoryMB * runtimeMemoryFraction * (1 << 20)))
 	}
 }
--- a/cmd/gaugerelay/show.go
+++ b/cmd/gaugerelay/show.go
@@ -14,7 +14,7 @@
 
 // showCommand prints the status of a running gateway's fleet.
 type showCommand struct {
-	Addr string `arg:"" help:"Address (host:port) that the gateway serves clients on."`
+	Addr string `arg:"" help:"Address (host:port) on which the gateway serves clients."`
 }
 
 // Run prints the status to standard output.
@@ -30,7 +30,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s is in no fleet, or is no gateway: %s", c.Addr, response.Status)
+		return fmt.Errorf("%s is not a gateway, or its gateway is not part of a fleet: status %s", c.Addr, response.Status)
 	}
 	_, err = io.Copy(os.Stdout, response.Body)
 	return err
--- a/cmd/gaugerelay/show_test.go
+++ b/cmd/gaugerelay/show_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A gateway in a fleet shows its status; one in none reports an error, and does not listen for others.
+// The command fleet show prints the status of a gateway in a fleet. It fails for a gateway that is in no fleet.
 func TestFleetShow(t *testing.T) {
 	show := func(addr string) (string, error) {
 		out, err := newCommand(t.Context(), writeFile(t, "config.json", ""), "fleet", "show", addr).Output()
@@ -16,10 +16,10 @@
 	member.waitForLog("for=fleet")
 	text, err := show(member.waitForAddr("for=clients"))
 	if err != nil || !strings.Contains(text, "member 1 127.0.0.1:10 alive") || !strings.Contains(text, "bound part_back_ms 2040") {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("fleet show printed %q, error %v; want member 1 and the bound part_back_ms", text, err)
 	}
 	single := startProgram(t, settingsFor(unusedServer))
 	if text, err := show(single.waitForAddr("for=clients")); err == nil {
-		t.Errorf("a gateway in no fleet shows %q", text)
+		t.Errorf("fleet show printed %q for a gateway that is in no fleet, want an error", text)
 	}
 }
--- a/cmd/gaugerelay/shutdown_test.go
+++ b/cmd/gaugerelay/shutdown_test.go
@@ -31,7 +31,7 @@
 	p.waitForLog("msg=shutdown_started")
 	close(release)
 	if got := <-response; got != "200 layer" {
-		t.Errorf("response %q", got)
+		t.Errorf("the response is %q, want status 200 and the server's body", got)
 	}
 	p.waitForLog("answers_served 1")
 	p.wantExit()
@@ -56,7 +56,7 @@
 	return fmt.Sprint(response.StatusCode, " ", string(body))
 }
 
-// A gateway that never becomes ready ends without an error on the first SIGTERM, also if further signals come with it.
+// A gateway that never becomes ready exits without an error on SIGTERM, even if further signals arrive before and after it.
 func TestSignalsBeforeReady(t *testing.T) {
 	unresponsiveDiscovery := testbed.Listen(t) // accepts connections and sends nothing
 	text := settingsFor(unusedServer)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs schedulers for the simulator: it reads batches of events from standard input and writes the
-// schedulers' actions to standard output, until the input ends. It has one goroutine.
+// Command simhost runs schedulers for the simulator. It reads batches of events from standard input and writes the actions
+// of the schedulers to standard output until the input ends. It uses a single goroutine.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"gaugerelay/internal/simwire"
 )
 
-// bufferSize is the size of the output's buffer in bytes.
+// bufferSize is the size of the output buffer in bytes.
 const bufferSize = 1 << 20
 
 func main() {
@@ -23,7 +23,7 @@
 	}
 }
 
-// run replies to batches until the input ends.
+// run reads batches from in and writes the reply to each, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	h := &host{out: bufio.NewWriterSize(out, bufferSize), schedulers: map[int]*scheduler.Scheduler{}}
@@ -41,13 +41,13 @@
 	}
 }
 
-// host owns the schedulers of all running instances.
+// host holds the schedulers of all running instances.
 type host struct {
 	out        *bufio.Writer
-	schedulers map[int]*scheduler.Scheduler // by instance
+	schedulers map[int]*scheduler.Scheduler // schedulers by the number of their instance
 }
 
-// handle replies to one batch.
+// handle handles the items of a batch in order and writes the reply.
 func (h *host) handle(batch *simwire.Batch) error {
 	for items := batch.Items; len(items) > 0; {
 		item := items[0]
@@ -72,8 +72,8 @@
 	return h.out.Flush()
 }
 
-// leadingEvents returns the events up to the first item that is for another instance or is not an event. They are for the
-// same run of an instance, and form one step.
+// leadingEvents returns the events at the start of items, up to the first item that is for another instance or is not an
+// event. The scheduler of the instance handles them in one step.
 func leadingEvents(items []simwire.Item) []scheduler.Event {
 	var events []scheduler.Event
 	for _, item := range items {
@@ -85,8 +85,8 @@
 	return events
 }
 
-// step runs the scheduler of an instance, if there is one, and writes its actions. A panic of the scheduler is reported
-// as the instance's failure.
+// step runs one step of the scheduler of an instance and writes its actions. It does nothing if the instance is not open. A
+// panic of the scheduler is written as a failure of the instance.
 func (h *host) step(batch *simwire.Batch, instance int, events []scheduler.Event) {
 	running := h.schedulers[instance]
 	if running == nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// setup opens an instance with one class, one plan and one server.
+// setup is input that opens an instance with one class, one plan and one server.
 const setup = "OPEN_INSTANCE 5 Lanes.count=1 Lanes.0.Name=read Lanes.0.PromiseMs=500.0 Lanes.0.DeadlineMs=3000.0" +
 	" Lanes.0.Idempotency=repeatable Lanes.0.Worth=2.0 Plans.count=1 Plans.0.Name=gold Plans.0.Shares=1.0" +
 	" Plans.0.Pays=1.0 Siblings=2 FamilyInfo.NShards=1 FamilyInfo.MeanUnits=2.0 Limits.AttemptsCap=4 TickMs=2.0\n" +
 	"BACKENDS_CHANGED 1 stale_copy 1\nITEM 1 live k - 0 51 z\n"
 
-// reply returns the whole output for an input that must be usable.
+// reply returns the whole output for the input in, which must be valid.
 func reply(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -29,11 +29,11 @@
 		"CLOCK 1054 4\nTARGET_INSTANCE 0\nCLOSED_ATTEMPT 7 50 - 1 10 0 51 0 -\nEND\n")
 	for _, want := range []string{"FINISHED 1\nFINISHED 2\nFOR 0\nFORWARD 7 - 51\n", "FINISHED 3\n", "FINISHED 4\n"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q is missing in\n%s", want, got)
+			t.Errorf("%q is missing in the output\n%s", want, got)
 		}
 	}
 	if strings.Contains(got, "END_FAILED") || strings.Contains(got, "NOT_NOW") {
-		t.Errorf("a second answer in\n%s", got)
+		t.Errorf("the request was answered twice in the output\n%s", got)
 	}
 }
 
@@ -50,7 +50,7 @@
 	for _, in := range []string{"CLOCK 1 1\nTARGET_INSTANCE 0\nOPEN_INSTANCE 5 Siblings=2\nEND\n", "CLOCK 1 1\n", "HELLO\n"} {
 		var out bytes.Buffer
 		if err := run(strings.NewReader(in), &out); err == nil {
-			t.Errorf("no error for %q", in)
+			t.Errorf("run returned no error for the invalid input %q", in)
 		}
 	}
 }
