--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -14,8 +14,8 @@
 type Clock interface {
 	// NowMs returns the current time in milliseconds since the Unix epoch. It never runs backwards.
 	NowMs() float64
-	// AfterFunc calls f once after ms milliseconds, never within the call of AfterFunc itself; a delay of 0 or less is
-	// already due. A call of stop prevents the callback if it has not begun.
+	// AfterFunc calls f once after ms milliseconds, or as soon as possible if ms is 0 or less, but never before AfterFunc
+	// returns. Calling stop prevents the call of f if it has not begun.
 	AfterFunc(ms float64, f func()) (stop func())
 }
 
@@ -28,8 +28,8 @@
 // Ms converts a time.Duration to milliseconds.
 func Ms(d time.Duration) float64 { return float64(d) / nanosPerMs }
 
-// After returns a channel that is closed once ms milliseconds have passed, which for 0 or less is at once. A call of stop
-// releases the timer; the channel then stays open unless it has been closed before.
+// After returns a channel that is closed after ms milliseconds, or as soon as possible if ms is 0 or less. Calling stop
+// releases the timer: a channel that is still open then stays open.
 func After(c Clock, ms float64) (elapsed <-chan struct{}, stop func()) {
 	channel := make(chan struct{})
 	return channel, c.AfterFunc(ms, func() { close(channel) })
@@ -44,21 +44,21 @@
 	return ctx, cancel
 }
 
-// System is the clock of the machine. It reads the wall clock once, at its creation, and advances by the monotonic clock,
-// so that a step of the wall clock moves no deadline.
+// System is the system clock. It reads the wall clock only when it is created, and advances by the monotonic clock, so that
+// steps of the wall clock do not move deadlines.
 type System struct {
 	start   time.Time
 	startMs float64
 }
 
-// NewSystem returns the clock of the machine.
+// NewSystem returns a system clock that starts at the current wall time.
 func NewSystem() *System {
 	now := time.Now()
 	return &System{start: now, startMs: float64(now.UnixMicro()) / 1e3}
 }
 
-// NewSystemWithOffset returns the clock of a machine whose wall clock is wrong by offset when the program starts. It is
-// meant for fault injection.
+// NewSystemWithOffset returns a system clock that starts at the current wall time plus offset, as if the wall clock were
+// wrong. It is meant for fault injection.
 func NewSystemWithOffset(offset time.Duration) *System {
 	s := NewSystem()
 	s.startMs += Ms(offset)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,7 +15,7 @@
 	clock.AfterFunc(50, record)
 	clock.Advance(30)
 	if want := []float64{110, 120, 125}; !slices.Equal(ran, want) || clock.NowMs() != 130 {
-		t.Errorf("ran at %v, now %v", ran, clock.NowMs())
+		t.Errorf("callbacks ran at %v and the clock is at %v, want 110, 120 and 125 and the clock at 130", ran, clock.NowMs())
 	}
 	done := make(chan struct{})
 	clock.AfterFunc(-1, func() { close(done) })
@@ -26,7 +26,7 @@
 	clock := NewSystem()
 	first := clock.NowMs()
 	if second := clock.NowMs(); second < first || first < 1.7e12 {
-		t.Errorf("%v, then %v", first, second)
+		t.Errorf("the clock read %v, then %v; want milliseconds since the Unix epoch that do not decrease", first, second)
 	}
 	done := make(chan struct{})
 	clock.AfterFunc(-1, func() { close(done) })
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Manual is a clock for tests that stands still until Advance moves it. It is safe for concurrent use.
+// Manual is a clock for tests that only Advance moves. It is safe for concurrent use.
 type Manual struct {
 	mu     sync.Mutex
 	nowMs  float64
@@ -18,7 +18,7 @@
 	callback func()
 }
 
-// NewManual returns a clock that shows nowMs.
+// NewManual returns a clock whose current time is nowMs.
 func NewManual(nowMs float64) *Manual { return &Manual{nowMs: nowMs} }
 
 // NowMs implements Clock.
@@ -28,8 +28,8 @@
 	return m.nowMs
 }
 
-// AfterFunc implements Clock. The callback runs in the goroutine that calls Advance, or in one of its own if it is
-// already due.
+// AfterFunc implements Clock. The callback runs in the goroutine that calls Advance, or in a new goroutine if ms is 0 or
+// less.
 func (m *Manual) AfterFunc(ms float64, f func()) (stop func()) {
 	if ms <= 0 {
 		go f()
@@ -46,8 +46,8 @@
 	}
 }
 
-// Advance moves the clock forward by ms and runs the callbacks that become due, each at its own time and in order.
-// Callbacks may use the clock.
+// Advance moves the clock forward by ms. It runs the callbacks that become due in the order of their times, and sets the
+// clock to the time of each before it runs. Callbacks may use the clock.
 func (m *Manual) Advance(ms float64) {
 	m.mu.Lock()
 	endMs := m.nowMs + ms
@@ -73,7 +73,7 @@
 	return next
 }
 
-// remove drops a timer, if it is still pending. The caller holds m.mu.
+// remove removes a timer if it is pending. The caller holds m.mu.
 func (m *Manual) remove(timer *manualTimer) {
 	m.timers = slices.DeleteFunc(m.timers, func(other *manualTimer) bool { return other == timer })
 }
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -5,22 +5,22 @@
 const (
 	// heartbeatIntervalMs is the interval at which a PauseDetector reads the clock.
 	heartbeatIntervalMs = 100
-	// pauseThresholdMs is the delay of a heartbeat from which on it shows a pause.
+	// pauseThresholdMs is the delay of a heartbeat beyond which the process is taken to have been paused.
 	pauseThresholdMs = 50
-	// backlogMs is how long after a pause the bytes that arrived during it may still be unread.
+	// backlogMs is the time after a pause within which bytes that arrived during the pause may still be unread.
 	backlogMs = 250
 )
 
-// PauseDetector detects pauses of the process: it was stopped by a signal or had no processor. Bytes that are read after
-// a pause arrived at an unknown time during it, and their sender has been waiting since. The detector's heartbeat runs on
-// the clock's timers. It is safe for concurrent use; a nil *PauseDetector reports no pause.
+// PauseDetector detects pauses of the process, in which it is stopped by a signal or gets no processor time. Bytes that are
+// read after a pause may have arrived at any time during it, and their sender has been waiting since then. The detector's
+// heartbeat uses the timers of the clock. It is safe for concurrent use. A nil *PauseDetector reports no pauses.
 type PauseDetector struct {
 	clock Clock
 
 	mu              sync.Mutex
 	lastHeartbeatMs float64
-	pauseStartMs    float64 // of the last pause
-	pauseEndMs      float64 // of the last pause; 0 before the first
+	pauseStartMs    float64 // start of the last pause
+	pauseEndMs      float64 // end of the last pause; 0 before the first
 	stopHeartbeat   func()
 	closed          bool
 }
@@ -45,8 +45,8 @@
 	d.stopHeartbeat()
 }
 
-// RecordStall reports a span in which the process ran but could not accept input. Spans below the threshold of a pause
-// are ignored.
+// RecordStall records a period in which the process ran but did not read input, as if it were a pause. Periods shorter than
+// pauseThresholdMs are ignored.
 func (d *PauseDetector) RecordStall(startMs, endMs float64) {
 	if d == nil || endMs-startMs < pauseThresholdMs {
 		return
@@ -59,15 +59,15 @@
 	d.pauseStartMs, d.pauseEndMs = startMs, max(d.pauseEndMs, endMs)
 }
 
-// EarliestArrival returns the earliest time at which bytes that are read at nowMs may have arrived: nowMs, or the start of
-// the pause whose backlog they may belong to.
+// EarliestArrival returns the earliest time at which bytes that are read at nowMs may have arrived. This is the start of the
+// last pause if they may have arrived during it, and nowMs otherwise.
 func (d *PauseDetector) EarliestArrival(nowMs float64) float64 {
 	if d == nil {
 		return nowMs
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.isLate(nowMs) { // the heartbeat after the pause has not run yet
+	if d.isLate(nowMs) { // after a pause that the next heartbeat has not recorded yet
 		d.observe(nowMs)
 	}
 	if d.pauseEndMs > 0 && nowMs-d.pauseEndMs <= backlogMs {
@@ -87,15 +87,16 @@
 	d.stopHeartbeat = d.clock.AfterFunc(heartbeatIntervalMs, d.heartbeat)
 }
 
-// isLate reports whether the process was paused between the last heartbeat and nowMs. The caller holds d.mu.
+// isLate reports whether the next heartbeat is so late at nowMs that the process must have been paused. The caller holds
+// d.mu.
 func (d *PauseDetector) isLate(nowMs float64) bool {
 	return nowMs-d.lastHeartbeatMs > heartbeatIntervalMs+pauseThresholdMs
 }
 
-// observe records that the process runs at nowMs, and the pause before that if there was one. The caller holds d.mu.
+// observe records that the process is running at nowMs, and the preceding pause if there was one. The caller holds d.mu.
 func (d *PauseDetector) observe(nowMs float64) {
 	if d.isLate(nowMs) {
-		// A pause that follows another within backlogMs extends it: the process has hardly run in between.
+		// A pause that begins within backlogMs after another extends it: the process has hardly run in between.
 		if d.pauseEndMs == 0 || d.lastHeartbeatMs-d.pauseEndMs > backlogMs {
 			d.pauseStartMs = d.lastHeartbeatMs
 		}
--- a/internal/clock/pause_test.go
+++ b/internal/clock/pause_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// pausedClock is a manual clock that can also move without running its timers, as if the process were paused.
+// pausedClock is a manual clock that can also move forward without running its timers, as in a pause of the process.
 type pausedClock struct{ *Manual }
 
 func (c pausedClock) pause(ms float64) {
@@ -52,6 +52,6 @@
 	}
 	var none *PauseDetector
 	if none.Close(); none.EarliestArrival(7) != 7 {
-		t.Error("a nil detector reports a pause")
+		t.Error("EarliestArrival(7) of a nil detector is not 7")
 	}
 }
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -1,7 +1,7 @@
-// Package logevent names the events that the program logs, so that all records of one kind have the same message and the
-// same fields and can be searched for. It also sets up the program's logger.
+// Package logevent defines the names of the events that the program logs and the keys of their fields, so that all records
+// of an event have the same message and can be searched for. It also sets up the program's logger.
 //
-// It holds no state of its own and runs no goroutine.
+// The package has no state and runs no goroutine.
 package logevent
 
 import (
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Names of events. They are the messages of log records; operators search for them, so a change of a value is a change of
-// the program's interface.
+// Names of events, which are the messages of log records. Operators search for them, so they are part of the program's
+// interface.
 const (
 	ListenerStarted = "listener_started"
 	ShutdownStarted = "shutdown_started"
@@ -48,40 +48,40 @@
 	SchedulerMessage  = "scheduler_message"
 )
 
-// Keys of fields. Times are in milliseconds.
+// Keys of the fields of log records. Times are in milliseconds.
 const (
 	Address       = "addr"
-	Announced     = "announced" // of a BGPAnnounced event: whether the prefixes are announced or withdrawn
+	Announced     = "announced" // true if the BGP prefixes are announced, false if they are withdrawn
 	Attempt       = "attempt"
-	Changed       = "changed" // the parts of the configuration that want a restart
+	Changed       = "changed" // changed parts of the configuration that require a restart
 	Client        = "client"
-	Discovery     = "discovery" // discovery's address
+	Discovery     = "discovery" // address of discovery
 	Error         = "error"
-	Name          = "name" // the gateway's name
-	PacketType    = "type" // of an SFTP packet
-	Peer          = "peer" // a BGP peer's address
-	Purpose       = "for"  // whom a listener serves
+	Name          = "name" // name of the gateway
+	PacketType    = "type" // type of an SFTP packet
+	Peer          = "peer" // address of a BGP peer
+	Purpose       = "for"  // what a listener serves, such as clients or file commands
 	Reason        = "reason"
 	Request       = "request"
 	RetryWithinMs = "retry_within_ms"
 	Server        = "server"
-	Member        = "member" // of the fleet, by its number
+	Member        = "member" // index of a gateway in the fleet
 	Incarnation   = "incarnation"
-	State         = "state" // of a BGP session or a member of the fleet
+	State         = "state" // state of a BGP session or of a gateway in the fleet
 	Status        = "status"
-	Text          = "text" // of a message that is not structured
+	Text          = "text" // text of an unstructured message
 	TookMs        = "took_ms"
 	Version       = "version"
 )
 
-// Setup makes the default logger one that writes text records of a level and above to out. Records of the standard
-// library's log package go through it too, at level INFO and with their text as the message.
+// Setup sets the default logger to one that writes records of the given level and above to out as text. Output of the
+// standard library's log package goes through it as well, at level INFO and with its text as the message.
 func Setup(out io.Writer, level slog.Level) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level})))
 }
 
-// HTTPServerLog returns a logger for http.Server.ErrorLog. It logs each message of the server as an HTTPServerMessage
-// event at level INFO with the default logger.
+// HTTPServerLog returns a logger for http.Server.ErrorLog. It passes each message of the server to the default logger as an
+// HTTPServerMessage event at level INFO.
 func HTTPServerLog() *log.Logger { return log.New(httpServerWriter{}, "", 0) }
 
 // httpServerWriter logs each Write as one event.
--- a/internal/logevent/event_test.go
+++ b/internal/logevent/event_test.go
@@ -11,7 +11,7 @@
 	defer slog.SetDefault(previous)
 	for _, c := range []struct {
 		level slog.Level
-		want  string // the record without its time
+		want  string // log record without its time
 	}{
 		{slog.LevelInfo, `level=INFO msg=http_server_message text="http: bad \"request\""` + "\n"},
 		{slog.LevelWarn, ""},
@@ -21,7 +21,7 @@
 		HTTPServerLog().Printf("http: bad %q", "request")
 		_, record, _ := strings.Cut(out.String(), " ")
 		if record != c.want {
-			t.Errorf("at level %v: %q, want %q", c.level, record, c.want)
+			t.Errorf("with the lowest level %v the record is %q, want %q", c.level, record, c.want)
 		}
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics holds the gateway's counters and writes them in the form of GET /metrics.
+// Package metrics holds the gateway's counters and writes them in the format of GET /metrics.
 //
-// It runs no goroutine; everything in it is safe for concurrent use.
+// The package runs no goroutine. All of it is safe for concurrent use.
 package metrics
 
 import (
@@ -10,18 +10,19 @@
 	"sync/atomic"
 )
 
-// Registry is a group of named counters. A counter exists from its first use on, and counters are written in the order
-// of their first use.
+// Registry is a set of named counters. A counter is created by its first use. Counters are written in the order of their
+// creation.
 type Registry struct {
 	mu       sync.Mutex
-	names    []string // in the order of first use
+	names    []string // names in the order of creation
 	counters map[string]*atomic.Int64
 }
 
 // New returns an empty registry.
 func New() *Registry { return &Registry{counters: map[string]*atomic.Int64{}} }
 
-// Counter returns the counter with a name and creates it at 0 if there is none. Callers that count often keep it.
+// Counter returns the counter with the given name, and creates it at 0 if there is none. Callers that update a counter often
+// should keep the result, since the call locks the registry.
 func (r *Registry) Counter(name string) *atomic.Int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,13 +35,13 @@
 	return counter
 }
 
-// Add adds n to the counter with a name.
+// Add adds n to the counter with the given name. Like Counter, it creates the counter if there is none.
 func (r *Registry) Add(name string, n int64) { r.Counter(name).Add(n) }
 
-// Get returns the value of the counter with a name and, like Counter, creates it if there is none.
+// Get returns the value of the counter with the given name. Like Counter, it creates the counter if there is none.
 func (r *Registry) Get(name string) int64 { return r.Counter(name).Load() }
 
-// WriteText writes one line "name value" for each counter. Errors of w are ignored: its reader may have disconnected.
+// WriteText writes a line "name value" for each counter. Write errors are ignored, because the client may have disconnected.
 func (r *Registry) WriteText(w io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// Snapshot returns the current values by name.
+// Snapshot returns the current values of all counters by name.
 func (r *Registry) Snapshot() map[string]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quantile/bench_test.go
+++ b/internal/quantile/bench_test.go
@@ -12,11 +12,11 @@
 
 const (
 	benchValues = 4096
-	windowSize  = 1000 // values that the sorted window keeps
+	windowSize  = 1000 // number of values in the sorted window
 )
 
-// BenchmarkSketch compares the sketch with the last thousand values, sorted at each query, and with a library's sketch
-// of the same accuracy. The number in a name is how many values are added for each query.
+// BenchmarkSketch compares Sketch with two alternatives: a window of the last values, which is sorted for each query, and a
+// DDSketch of the same accuracy. The number in the name of a benchmark is the number of values added per query.
 func BenchmarkSketch(b *testing.B) {
 	for _, every := range []int{1, 16} {
 		random := rand.New(rand.NewPCG(1, 2))
@@ -29,7 +29,7 @@
 		b.Run(fmt.Sprintf("sorted/%d", every), func(b *testing.B) { sum += benchmarkSorted(b, values, every) })
 		b.Run(fmt.Sprintf("ddsketch/%d", every), func(b *testing.B) { sum += benchmarkDDSketch(b, values, every) })
 		if sum == 0 {
-			b.Fatal("no values")
+			b.Fatal("all quantiles are 0")
 		}
 	}
 }
--- a/internal/quantile/sketch.go
+++ b/internal/quantile/sketch.go
@@ -1,9 +1,10 @@
-// Package quantile estimates quantiles of a stream of durations in 196 bytes, small enough to keep one sketch for each
+// Package quantile estimates quantiles of a stream of durations. A Sketch takes 196 bytes, so that one can be kept for each
 // device.
 //
-// A Sketch counts values in logarithmic buckets of 16 bits, four to each doubling, from 1 ms to 4.6 hours. A quantile
-// is within 9.1 % of a value of that rank as long as the values lie in that range. When a bucket is full, all counts
-// are halved, so that old values lose weight and the quantiles follow the stream. The package has no goroutine.
+// A Sketch is a histogram with logarithmic buckets, four for each doubling of the duration, from 1 ms to 4.6 hours. Each
+// bucket has a counter of 16 bits. A quantile differs from the value of that rank by at most 9.1 % if all values are in that
+// range. When a counter is full, all counters are halved, so that old values lose weight and the quantiles follow the
+// stream. The package runs no goroutine.
 package quantile
 
 import "math"
@@ -20,8 +21,8 @@
 	total  uint32
 }
 
-// Add counts a value in milliseconds. NaN is ignored, a value below 1 counts as 1, and one beyond the last bucket counts
-// in it.
+// Add adds a duration in milliseconds. NaN is ignored. Values below 1 count as 1, and values beyond the last bucket are
+// counted in it.
 func (s *Sketch) Add(ms float64) {
 	if math.IsNaN(ms) {
 		return
@@ -37,7 +38,7 @@
 	s.total++
 }
 
-// Decay halves all counts, rounding down: a bucket that holds a single value becomes empty.
+// Decay halves all counts and rounds them down, so that a bucket with a single value becomes empty.
 func (s *Sketch) Decay() {
 	s.total = 0
 	for i := range s.counts {
@@ -46,11 +47,11 @@
 	}
 }
 
-// Count returns the number of values that the sketch holds: those added, less those lost by Decay.
+// Count returns the sum of all counts: the number of values added, less what Decay has removed.
 func (s *Sketch) Count() int { return int(s.total) }
 
-// Quantile returns a duration in milliseconds such that a fraction q of the values lies at or below it. q outside of
-// 0 to 1 is clamped. It returns 0 for an empty sketch.
+// Quantile returns an estimate of the q-quantile in milliseconds: the duration that a fraction q of the values does not
+// exceed. q is clamped to the range from 0 to 1. It returns 0 for an empty sketch.
 func (s *Sketch) Quantile(q float64) float64 {
 	if s.total == 0 {
 		return 0
@@ -59,7 +60,7 @@
 	sum := uint32(0)
 	for bucket, count := range s.counts {
 		if sum += uint32(count); sum >= rank {
-			return math.Exp2((float64(bucket) + 0.5) / bucketsPerDoubling) // the geometric middle of the bucket
+			return math.Exp2((float64(bucket) + 0.5) / bucketsPerDoubling) // geometric mean of the bucket's bounds
 		}
 	}
 	return 0 // unreachable: the counts add up to total
--- a/internal/quantile/sketch_test.go
+++ b/internal/quantile/sketch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// maxError is the greatest factor between a quantile of the sketch and the value of that rank.
+// maxError is the largest allowed ratio between a quantile of the sketch and the value of that rank.
 const maxError = 1.0911
 
 func TestQuantileWithinRelativeError(t *testing.T) {
@@ -29,7 +29,7 @@
 			for _, q := range []float64{0, 0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.99, 1} {
 				want := values[max(0, int(math.Ceil(q*float64(len(values))))-1)]
 				if got := sketch.Quantile(q); got < want/maxError || got > want*maxError {
-					t.Errorf("quantile %v is %.1f, want %.1f", q, got, want)
+					t.Errorf("quantile %v is %.1f, want %.1f within the relative error", q, got, want)
 				}
 			}
 		})
@@ -39,7 +39,7 @@
 func TestEmptySketch(t *testing.T) {
 	sketch := &Sketch{}
 	if sketch.Quantile(0.5) != 0 || sketch.Count() != 0 {
-		t.Errorf("median %v of %d values", sketch.Quantile(0.5), sketch.Count())
+		t.Errorf("an empty sketch has the median %v and %d values, want 0 and 0", sketch.Quantile(0.5), sketch.Count())
 	}
 }
 
@@ -49,7 +49,7 @@
 		sketch.Add(value)
 	}
 	if sketch.Count() != 5 || sketch.Quantile(0) > 1.2 || sketch.Quantile(1) < 1e7 {
-		t.Errorf("%d values, from %v to %v", sketch.Count(), sketch.Quantile(0), sketch.Quantile(1))
+		t.Errorf("the sketch has %d values from %v to %v, want 5 values in the first and the last bucket", sketch.Count(), sketch.Quantile(0), sketch.Quantile(1))
 	}
 }
 
@@ -62,13 +62,13 @@
 		sketch.Add(1000)
 	}
 	if n := sketch.Count(); n > 2*maxBucketValue || sketch.Quantile(0.01) > 11 || sketch.Quantile(0.99) < 900 {
-		t.Errorf("%d values, quantiles %v and %v: a full bucket must halve all and lose none", n,
+		t.Errorf("the sketch has %d values and the quantiles %v and %v: a full bucket must halve all counts and keep both values", n,
 			sketch.Quantile(0.01), sketch.Quantile(0.99))
 	}
 	for range 20 {
 		sketch.Decay()
 	}
 	if sketch.Count() != 0 {
-		t.Errorf("%d values after they have decayed", sketch.Count())
+		t.Errorf("the sketch has %d values after 20 halvings, want 0", sketch.Count())
 	}
 }
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	advanceEvery  = 16  // steps in which one millisecond passes
-	maxMapTimers  = 1e5 // a search of a larger map takes seconds
-	stepsPerTimer = 4   // a timer lies so far ahead that about one in a hundred fires before it is moved
+	stepsPerMs   = 16  // number of steps per simulated millisecond
+	maxMapTimers = 1e5 // largest number of timers for the map; searching a larger one takes seconds
+	timersPerMs  = 4   // ratio of timers to the time span in ms; about 1 % of the timers fire before they are rescheduled
 )
 
-// heapEntry is a timer of the heap that the wheel is compared with. Canceled entries stay until they come up.
+// heapEntry is a timer in the heap that is compared with the wheel. A canceled entry stays in the heap until its time.
 type heapEntry struct {
 	at       float64
 	canceled bool
@@ -33,12 +33,12 @@
 	return last
 }
 
-// BenchmarkTimers measures the exchange store's use of timers: n are pending, each step moves one, and each sixteenth
-// lets a millisecond pass and schedules what has fired again. The wheel is compared with a heap and with a map that is
-// searched.
+// BenchmarkTimers measures a load like that of the exchange store: n timers are pending, and each step reschedules one. The
+// time advances by 1 ms every stepsPerMs steps; timers that fire are scheduled again. The wheel is compared with a heap and
+// with a map that is searched for expired timers.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1e3, 1e4, 1e5, 1e6} {
-		span := float64(n) / stepsPerTimer
+		span := float64(n) / timersPerMs
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) { benchmarkWheel(b, n, span) })
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) { benchmarkHeap(b, n, span) })
 		if n <= maxMapTimers {
@@ -56,7 +56,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		wheel.Schedule(&timers[random.IntN(n)], now+span)
-		if i%advanceEvery == 0 {
+		if i%stepsPerMs == 0 {
 			now++
 			wheel.Advance(now, func(timer *Timer[int]) { wheel.Schedule(timer, now+span) })
 		}
@@ -77,7 +77,7 @@
 		entries[k].canceled = true
 		entries[k] = &heapEntry{at: now + span}
 		heap.Push(&timers, entries[k])
-		if i%advanceEvery == 0 {
+		if i%stepsPerMs == 0 {
 			for now++; timers[0].at <= now; {
 				if entry := heap.Pop(&timers).(*heapEntry); !entry.canceled {
 					entry.at = now + span
@@ -97,7 +97,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		timers[random.IntN(n)] = now + span
-		if i%advanceEvery == 0 {
+		if i%stepsPerMs == 0 {
 			now++
 			for key, at := range timers {
 				if at <= now {
--- a/internal/timerwheel/timer.go
+++ b/internal/timerwheel/timer.go
@@ -1,15 +1,15 @@
 package timerwheel
 
-// Timer is an entry of a wheel, embedded in or owned by what it times. The zero value is not pending. A timer may be
-// scheduled again after it has fired or been canceled, so that its owner allocates it once.
+// Timer is an entry of a wheel. The zero value is not pending. Its owner may embed it and schedule it again after it has
+// fired or been canceled, so that a timer is allocated only once.
 type Timer[T any] struct {
 	// Value is the owner's data; the wheel does not use it.
 	Value T
 
 	tick       int64
-	sequence   uint64 // of its last Schedule
+	sequence   uint64 // position of the last Schedule of this timer among all calls of Schedule
 	prev, next *Timer[T]
-	list       *timerList[T] // nil if it is not pending
+	list       *timerList[T] // list that contains the timer; nil if it is not pending
 	level      int8
 	slot       int8
 }
@@ -23,12 +23,12 @@
 	t.prev, t.next, t.list = nil, nil, nil
 }
 
-// timerList is a doubly linked ring with a sentinel, which is initialized by the first push.
+// timerList is a circular doubly linked list. root is its sentinel, which the first push initializes.
 type timerList[T any] struct{ root Timer[T] }
 
 func (l *timerList[T]) empty() bool { return l.root.next == nil || l.root.next == &l.root }
 
-// push appends a timer.
+// push appends a timer to the list.
 func (l *timerList[T]) push(timer *Timer[T]) {
 	if l.root.next == nil {
 		l.root.next, l.root.prev = &l.root, &l.root
@@ -37,8 +37,8 @@
 	timer.prev.next, l.root.prev = timer, timer
 }
 
-// detach empties a list that has timers and returns the first of them; their next pointers end in nil. The caller must
-// push each of them into a list again.
+// detach empties a list that contains timers. It returns the first timer; the next pointer of the last one is nil. The
+// caller must push each of the timers to a list again.
 func (l *timerList[T]) detach() *Timer[T] {
 	first := l.root.next
 	l.root.prev.next = nil
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -19,8 +19,8 @@
 	slotsPerLevel = 1 << slotBits
 	slotMask      = slotsPerLevel - 1
 	levelCount    = 5
-	// horizonTicks is the number of ticks that the levels span. A timer beyond it waits in the last slot within reach
-	// and is placed again when that slot is cascaded.
+	// horizonTicks is the number of ticks that all levels cover. A timer that expires later is put into the slot of the last
+	// tick that they cover, and is placed again when that slot is cascaded.
 	horizonTicks = 1 << (slotBits * levelCount)
 )
 
@@ -28,18 +28,18 @@
 type Wheel[T any] struct {
 	tickMs       float64
 	baseMs       float64
-	currentTick  int64 // the last tick that Advance has handled
+	currentTick  int64 // last tick that Advance has handled
 	levels       [levelCount][slotsPerLevel]timerList[T]
-	occupied     [levelCount]uint64 // a bit for each slot that may hold timers
-	count        int
+	occupied     [levelCount]uint64 // bit set of the slots of each level that may contain timers
+	count        int                // number of pending timers
 	lastSequence uint64
 	expired      []*Timer[T] // buffer that fireSlot reuses
 }
 
-// New returns an empty wheel whose time is nowMs. It panics if tickMs is not above zero.
+// New returns an empty wheel whose current time is nowMs. It panics unless tickMs is positive.
 func New[T any](nowMs, tickMs float64) *Wheel[T] {
 	if !(tickMs > 0) {
-		panic("timerwheel: tick must be above zero")
+		panic("timerwheel: tickMs must be positive")
 	}
 	return &Wheel[T]{tickMs: tickMs, baseMs: nowMs}
 }
@@ -47,13 +47,13 @@
 // Len returns the number of pending timers.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Schedule sets a timer to expire at atMs. A timer that is already pending is moved. A time that has passed, or that
-// is not a number, expires at the next tick.
+// Schedule sets a timer to expire at atMs. A timer that is already pending is rescheduled. If atMs has passed or is NaN, the
+// timer expires at the next tick.
 func (w *Wheel[T]) Schedule(timer *Timer[T], atMs float64) {
 	w.Cancel(timer)
 	tick := math.Ceil((atMs - w.baseMs) / w.tickMs)
 	switch {
-	case !(tick > float64(w.currentTick)): // negated so that it includes NaN
+	case !(tick > float64(w.currentTick)): // negated to include NaN
 		timer.tick = w.currentTick + 1
 	case tick > math.MaxInt64/2:
 		timer.tick = math.MaxInt64 / 2
@@ -66,14 +66,14 @@
 	w.place(timer)
 }
 
-// place links a timer into the slot of the lowest level that covers its distance from the current tick.
+// place puts a timer into a slot of the lowest level that covers the time until it expires.
 func (w *Wheel[T]) place(timer *Timer[T]) {
 	tick := timer.tick
 	if tick-w.currentTick >= horizonTicks {
 		tick = w.currentTick + horizonTicks - 1
 	}
-	// The level is that of the highest digit in which the tick differs from the current one: in the present round of
-	// that digit all lower slots are still to come.
+	// Each level stands for one digit of the tick, of slotBits bits. The level is that of the highest digit in which the tick
+	// differs from the current one. In the current round of that level the slot is still ahead.
 	level := 0
 	if diff := uint64(tick ^ w.currentTick); diff != 0 {
 		level = min((bits.Len64(diff)-1)/slotBits, levelCount-1)
@@ -98,8 +98,8 @@
 	return true
 }
 
-// NextExpiry returns the time in milliseconds at which Advance should be called next, and false if no timer is
-// pending. The time is never after the first expiry. It may be before it, when timers must first move to a lower level.
+// NextExpiry returns the time in milliseconds at which Advance should be called next. ok is false if no timer is pending.
+// The time is never after the first expiry. It may be before it, if timers must first be moved to a lower level.
 func (w *Wheel[T]) NextExpiry() (ms float64, ok bool) {
 	if w.count == 0 {
 		return 0, false
@@ -117,7 +117,7 @@
 		}
 		shift := slotBits * level
 		digit := int(w.currentTick>>shift) & slotMask
-		// Slots above the present digit are reached in this round, the others in the next.
+		// Slots above the current digit are reached in the current round of the level, the others in the next one.
 		candidates := occupied &^ (1<<(digit+1) - 1)
 		round := w.currentTick >> (shift + slotBits)
 		if candidates == 0 {
@@ -129,9 +129,9 @@
 	return earliest
 }
 
-// Advance moves the wheel to nowMs and calls fire for each timer that expires, the earliest first. A timer is not
-// pending when fire is called for it. fire may schedule and cancel timers; one scheduled for a time that has passed
-// expires at the next tick.
+// Advance moves the wheel to nowMs and calls fire for each timer that expires, in the order of their ticks. A timer is not
+// pending when fire is called for it. fire may schedule and cancel timers. A timer that fire schedules for a time that has
+// passed expires at the next tick.
 func (w *Wheel[T]) Advance(nowMs float64, fire func(*Timer[T])) {
 	endTick := int64(math.Floor((nowMs - w.baseMs) / w.tickMs))
 	for w.count > 0 {
@@ -140,7 +140,8 @@
 			break
 		}
 		w.currentTick = tick
-		// From the top level down, because a cascaded timer may belong into a lower slot of this same tick.
+		// The levels are cascaded from the top down, because a timer may move to a slot of a lower level that is reached at
+		// the same tick.
 		for level := levelCount - 1; level > 0; level-- {
 			if tick&(1<<(slotBits*level)-1) != 0 {
 				continue
@@ -152,14 +153,14 @@
 	w.currentTick = max(w.currentTick, endTick)
 }
 
-// cascade moves the timers of a slot to the levels that their remaining distance needs.
+// cascade moves the timers of a slot to the lower levels that cover the remaining time until they expire.
 func (w *Wheel[T]) cascade(level, slot int) {
 	list := &w.levels[level][slot]
 	if list.empty() {
 		return
 	}
 	w.occupied[level] &^= 1 << slot
-	// The timers are detached first, because place may put some of them back into this slot.
+	// The timers are detached first, because place may put some of them into this slot again.
 	for timer := list.detach(); timer != nil; {
 		next := timer.next
 		if timer.tick <= w.currentTick {
@@ -186,12 +187,12 @@
 		sorted = sorted && (len(expired) == 0 || expired[len(expired)-1].sequence < timer.sequence)
 		expired = append(expired, timer)
 	}
-	if !sorted { // a timer cascaded from a higher level stands behind one that was scheduled later
+	if !sorted { // a timer that was cascaded from a higher level follows one that was scheduled later
 		slices.SortFunc(expired, func(a, b *Timer[T]) int { return cmp.Compare(a.sequence, b.sequence) })
 	}
 	for i, timer := range expired {
 		expired[i] = nil
-		if timer.list == list { // otherwise an earlier call of fire has canceled or moved it
+		if timer.list == list { // otherwise a previous call of fire has canceled or rescheduled it
 			w.Cancel(timer)
 			fire(timer)
 		}
