--- a/Makefile
+++ b/Makefile
@@ -13,21 +13,22 @@
 	go tool -modfile=tools/go.mod golangci-lint run ./...
 	go tool -modfile=tools/go.mod golangci-lint run --build-tags chaos ./...
 
-# Needs ROUTER_CONFIG; EDGE names the operator's file: make run EDGE=deploy/edge.example.jsonc
+# Runs the gateway. ROUTER_CONFIG must be set. EDGE is the operator's file: make run EDGE=deploy/edge.example.jsonc
 run: build
 	bin/gaugerelay $(if $(EDGE),-edge $(EDGE))
 
-# A demonstration: a minute of devices on poor links against a gateway whose servers fail, on loopback.
+# Demonstration: for a minute, simulated devices on poor links use a gateway whose servers fail, on loopback addresses.
 show: build
 	bin/faultbench soak --seconds 60 --log
 
-# The same for SECONDS, beside a run without deduplication; fails if an invariant is violated.
+# Soak test: the same for SECONDS, compared with a run without deduplication. Fails if an invariant is violated.
 SECONDS ?= 600
 SEED ?= 1
 soak: build
 	bin/faultbench soak --seconds $(SECONDS) --seed $(SEED) $(SOAK)
 
-# Deployments drawn by seed, simulated in fake time, with the rules checked at the servers and the clients.
+# Simulates SEEDS random deployments, from the seed FROM on, in simulated time. The fakes of servers and clients check the
+# invariants.
 SEEDS ?= 200
 FROM ?= 1
 deployments:
@@ -35,17 +36,18 @@
 	@go test -count=1 -timeout 20m ./internal/testbed/simulation -run TestDeployments -seeds $(SEEDS) -from $(FROM) -line $(CURDIR)/bin/deployments.txt; \
 	code=$$?; cat bin/deployments.txt; exit $$code
 
-# Several processes of the real program, with faults between them and in them, checked at servers and clients.
+# Runs N gateway processes under faults in the processes and on the network between them. The fakes of servers and clients
+# check the invariants.
 N ?= 6
 fleet-soak: build
 	bin/faultbench fleet --gateways $(N) --seconds $(SECONDS) --seed $(SEED) $(FLEET)
 
-# Membership of fleets of any size, on a simulated clock.
+# Simulates membership in fleets of several sizes.
 members-sim: build
 	bin/faultbench members --seed $(SEED)
 
-# Several processes of the real program under random overlapping faults; fakes of servers, clients and discovery check the
-# invariants. The program is built with the tag chaos, so that some of its system calls fail.
+# Runs PROCESSES gateway processes under random overlapping faults. The fakes of servers, clients and discovery check the
+# invariants. The gateway is built with the tag chaos, which makes some of its system calls fail.
 PROCESSES ?= 24
 chaos:
 	mkdir -p bin/chaos && go build -o bin/ ./cmd/faultbench && go build -tags chaos -o bin/chaos/ ./cmd/gaugerelay
--- a/internal/architecture/dependencies_test.go
+++ b/internal/architecture/dependencies_test.go
@@ -1,4 +1,4 @@
-// Package architecture tests which packages may import which. It holds no production code.
+// Package architecture tests the dependencies between packages, and the page that describes them. It has no production code.
 package architecture
 
 import (
@@ -14,12 +14,12 @@
 )
 
 const (
-	module = "gaugerelay/"
-	// root is the module's directory, seen from this package.
+	modulePrefix = "gaugerelay/"
+	// root is the directory of the module, relative to this package.
 	root = "../.."
 )
 
-// purePackages decide without I/O, clock or goroutine.
+// purePackages are the packages that must use no I/O, clock or goroutine.
 var purePackages = []string{
 	"internal/dedup/exchange",
 	"internal/endpointlease",
@@ -37,15 +37,15 @@
 	"internal/timerwheel",
 }
 
-// durationPackages may use the duration type of package time, but no clock.
+// durationPackages are the pure packages that may use the duration type and constants of package time, but no clock.
 var durationPackages = []string{"internal/platformsettings", "internal/scheduler"}
 
-// impureImports are the standard library's packages that a pure package must not reach; their subpackages count too.
+// impureImports are the packages of the standard library that a pure package must not import, including their subpackages.
 var impureImports = []string{
 	"bufio", "context", "io", "log", "net", "os", "runtime", "sync", "syscall", "time", "unsafe",
 }
 
-// sourceFiles returns the production files of a package.
+// sourceFiles returns the Go files of a package without its test files.
 func sourceFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
@@ -54,12 +54,12 @@
 	}
 	files = slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	if len(files) == 0 {
-		t.Fatalf("%s holds no Go files", dir)
+		t.Fatalf("%s has no Go files except tests", dir)
 	}
 	return files
 }
 
-// parse reads one file.
+// parse parses a Go file.
 func parse(t *testing.T, name string, mode parser.Mode) *ast.File {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), name, nil, mode)
@@ -83,7 +83,8 @@
 	return paths
 }
 
-// TestPurePackages holds the pure packages, and all of ours that they import, to pure imports.
+// TestPurePackages checks that the pure packages import no impure package of the standard library, directly or through other
+// packages of this module.
 func TestPurePackages(t *testing.T) {
 	visited := map[string]bool{}
 	for _, dir := range purePackages {
@@ -91,7 +92,7 @@
 	}
 }
 
-// checkPure checks a package and, once each, the packages of this module that it imports.
+// checkPure checks a package and the packages of this module that it imports, each once.
 func checkPure(t *testing.T, dir string, visited map[string]bool) {
 	t.Helper()
 	if visited[dir] {
@@ -100,29 +101,29 @@
 	visited[dir] = true
 	for _, name := range sourceFiles(t, dir) {
 		for _, path := range imports(t, name) {
-			if ours, ok := strings.CutPrefix(path, module); ok {
-				checkPure(t, ours, visited)
+			if importedDir, ok := strings.CutPrefix(path, modulePrefix); ok {
+				checkPure(t, importedDir, visited)
 				continue
 			}
 			if path == "time" && slices.Contains(durationPackages, dir) {
 				checkDurationsOnly(t, name)
 				continue
 			}
-			if isOneOf(path, impureImports) {
-				t.Errorf("%s imports %s", name, path)
+			if isBelow(path, impureImports) {
+				t.Errorf("%s imports %s, which no pure package may import", name, path)
 			}
 		}
 	}
 }
 
-// isOneOf reports whether an import path is one of the listed packages or below one.
-func isOneOf(path string, listed []string) bool {
+// isBelow reports whether an import path is one of the listed packages or a subpackage of one.
+func isBelow(path string, listed []string) bool {
 	return slices.ContainsFunc(listed, func(parent string) bool {
 		return path == parent || strings.HasPrefix(path, parent+"/")
 	})
 }
 
-// checkDurationsOnly allows a file the duration type and its constants, but no clock.
+// checkDurationsOnly checks that a file uses no identifiers of package time except the duration type and its constants.
 func checkDurationsOnly(t *testing.T, name string) {
 	t.Helper()
 	allowed := []string{"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"}
@@ -132,19 +133,19 @@
 			return true
 		}
 		if pkg, ok := selector.X.(*ast.Ident); ok && pkg.Name == "time" && !slices.Contains(allowed, selector.Sel.Name) {
-			t.Errorf("%s uses time.%s", name, selector.Sel.Name)
+			t.Errorf("%s uses time.%s, but only durations are allowed", name, selector.Sel.Name)
 		}
 		return true
 	})
 }
 
-// layerRule says what the packages below a directory must not import.
+// layerRule lists the packages that the packages below a directory must not import.
 type layerRule struct {
 	below     string
 	forbidden []string
 }
 
-// TestLayers holds the direction of dependencies: towards the pure packages, and never from one protocol to another side.
+// TestLayers checks the direction of dependencies: towards the pure packages, and never between frontends and upstreams.
 func TestLayers(t *testing.T) {
 	rules := []layerRule{
 		{"internal", []string{"gaugerelay/cmd"}},
@@ -163,8 +164,8 @@
 	}
 }
 
-// checkLayer reports the forbidden imports of one package. Files of the build tag chaos are left out: they are not part of
-// the released programs.
+// checkLayer reports the forbidden imports of one package. It skips the files with the build tag chaos, which are not part
+// of the released programs.
 func checkLayer(t *testing.T, dir string, forbidden []string) {
 	t.Helper()
 	for _, name := range sourceFiles(t, dir) {
@@ -172,14 +173,14 @@
 			continue
 		}
 		for _, path := range imports(t, name) {
-			if isOneOf(path, forbidden) {
-				t.Errorf("%s imports %s", name, path)
+			if isBelow(path, forbidden) {
+				t.Errorf("%s imports %s, which is forbidden in its layer", name, path)
 			}
 		}
 	}
 }
 
-// TestOnlyTestsUseTestbed holds the doubles of outside systems out of the gateway.
+// TestOnlyTestsUseTestbed checks that production code does not import the fakes of external systems.
 func TestOnlyTestsUseTestbed(t *testing.T) {
 	for _, dir := range packagesBelow(t, "internal") {
 		if !strings.HasPrefix(dir, "internal/testbed") {
@@ -190,25 +191,25 @@
 	checkLayer(t, "cmd/simhost", []string{"gaugerelay/internal/testbed"})
 }
 
-// packagesBelow returns the directories below one, and itself, that hold production code.
+// packagesBelow returns the directories with production code: dir itself and those below it.
 func packagesBelow(t *testing.T, dir string) []string {
 	t.Helper()
-	var found []string
+	var packages []string
 	err := filepath.WalkDir(filepath.Join(root, dir), func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		relative, err := filepath.Rel(root, filepath.Dir(path))
-		if err == nil && !slices.Contains(found, relative) {
-			found = append(found, relative)
+		if err == nil && !slices.Contains(packages, relative) {
+			packages = append(packages, relative)
 		}
 		return err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(found) == 0 {
-		t.Fatalf("no packages below %s", dir)
+	if len(packages) == 0 {
+		t.Fatalf("there are no packages below %s", dir)
 	}
-	return found
+	return packages
 }
--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -11,20 +11,21 @@
 
 const (
 	architecturePage = "docs/ARCHITECTURE.md"
-	// minCheckedNames guards against a page that the test cannot read: it names many more things.
+	// minCheckedNames is the minimum number of names that must be recognized on the page. The page has many more; fewer mean
+	// that the test does not parse it correctly.
 	minCheckedNames = 80
 )
 
-// codeSpan is a piece of the page in backquotes.
+// codeSpan matches code in backquotes.
 var codeSpan = regexp.MustCompile("`([^`\n]+)`")
 
-// codeBlock is a fenced block, such as the picture.
+// codeBlock matches a fenced code block, such as a diagram.
 var codeBlock = regexp.MustCompile("(?s)```.*?```")
 
-// qualifiedName is package.Name or package.Type.Member as the page writes them.
+// qualifiedName matches package.Name and package.Type.Member.
 var qualifiedName = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]\w*)(?:\.(\w+))?$`)
 
-// TestArchitecturePageNamesWhatExists checks that each directory, file and declaration that the page names is there.
+// TestArchitecturePageNamesWhatExists checks that each directory, file and declaration that the page names exists.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, architecturePage))
 	if err != nil {
@@ -34,7 +35,7 @@
 	prose := codeBlock.ReplaceAllString(string(text), "")
 	spans := codeSpan.FindAllStringSubmatch(prose, -1)
 	if len(spans) == 0 {
-		t.Fatal("the page names nothing")
+		t.Fatal("the page has no code spans")
 	}
 	checked := 0
 	for _, span := range spans {
@@ -43,16 +44,16 @@
 		}
 	}
 	if checked < minCheckedNames {
-		t.Errorf("%d names of the page were recognised as paths or declarations, want %d at least", checked, minCheckedNames)
+		t.Errorf("recognized %d paths and declarations on the page, want at least %d", checked, minCheckedNames)
 	}
 }
 
-// checkSpan checks one code span; it reports whether that was a path or a qualified name.
+// checkSpan checks that the path or declaration in a code span exists. It returns false if the span is neither.
 func checkSpan(t *testing.T, span string, declared map[string]bool) bool {
 	t.Helper()
 	if strings.HasPrefix(span, "internal/") || strings.HasPrefix(span, "cmd/") || strings.HasPrefix(span, "docs/") {
 		if _, err := os.Stat(filepath.Join(root, strings.TrimSuffix(span, "/..."))); err != nil {
-			t.Errorf("the page names %s: %v", span, err)
+			t.Errorf("the page names the path %s: %v", span, err)
 		}
 		return true
 	}
@@ -61,16 +62,17 @@
 		return false
 	}
 	if !declared[match[1]] {
-		t.Errorf("the page names %s, but there is no package %s", span, match[1])
+		t.Errorf("the page names the declaration %s, but there is no package %s", span, match[1])
 		return true
 	}
 	if !declared[span] {
-		t.Errorf("the page names %s, which is not declared", span)
+		t.Errorf("the page names %s, which no package declares", span)
 	}
 	return true
 }
 
-// declarations returns the names of this module's packages, and what they declare as package.Name and package.Type.Member.
+// declarations returns the names of the packages of this module, and of their declarations in the forms package.Name and
+// package.Type.Member.
 func declarations(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := map[string]bool{}
@@ -86,11 +88,11 @@
 	return declared
 }
 
-// addDeclaration adds what one declaration declares.
+// addDeclaration adds the names that a declaration declares.
 func addDeclaration(declared map[string]bool, pkg string, decl ast.Decl) {
 	switch decl := decl.(type) {
 	case *ast.FuncDecl:
-		declared[pkg+"."+receiver(decl)+decl.Name.Name] = true
+		declared[pkg+"."+receiverPrefix(decl)+decl.Name.Name] = true
 	case *ast.GenDecl:
 		for _, spec := range decl.Specs {
 			addSpec(declared, pkg, spec)
@@ -98,8 +100,8 @@
 	}
 }
 
-// receiver returns the type of a method's receiver and a dot, or nothing for a function.
-func receiver(decl *ast.FuncDecl) string {
+// receiverPrefix returns the name of a method's receiver type and a dot, or "" for a function.
+func receiverPrefix(decl *ast.FuncDecl) string {
 	if decl.Recv == nil {
 		return ""
 	}
@@ -116,7 +118,7 @@
 	return ""
 }
 
-// addSpec adds a type with its members, or constants and variables.
+// addSpec adds the names of a type and its members, or of constants or variables.
 func addSpec(declared map[string]bool, pkg string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
