--- a/internal/bgp/message_test.go
+++ b/internal/bgp/message_test.go
@@ -28,7 +28,8 @@
 		size := len(body) + headerSize
 		minSize, _ := minMessageSize(messageType)
 		if int(binary.BigEndian.Uint16(in[lengthOffset:])) != size || minSize > size {
-			t.Errorf("accepted a message of type %d with a body of %d bytes, which contradicts its header %x", messageType, len(body), in[:headerSize])
+			t.Errorf("accepted a message of type %d with a body of %d bytes, which contradicts its header %x",
+				messageType, len(body), in[:headerSize])
 		}
 		options := testOptions()
 		for _, state := range []sessionState{stateOpenSent, stateOpenConfirm, stateEstablished} {
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -65,7 +65,8 @@
 	r.t.Helper()
 	update := r.read(bgp.BGP_MSG_UPDATE).Body.(*bgp.BGPUpdate)
 	if len(update.NLRI) != announced || len(update.WithdrawnRoutes) != withdrawn {
-		r.t.Errorf("the UPDATE announces %d and withdraws %d routes, want %d and %d", len(update.NLRI), len(update.WithdrawnRoutes), announced, withdrawn)
+		r.t.Errorf("the UPDATE announces %d and withdraws %d routes, want %d and %d",
+			len(update.NLRI), len(update.WithdrawnRoutes), announced, withdrawn)
 	}
 }
 
@@ -136,7 +137,7 @@
 		messageType, body, err = readMessage(r)
 	}
 	if messageType != bgp.BGP_MSG_NOTIFICATION || body[0] != bgp.BGP_ERROR_HOLD_TIMER_EXPIRED || keepalives < 2 || keepalives > 4 {
-		r.t.Fatalf("read a message of type %d, body %x, error %v, after %d KEEPALIVEs; want a NOTIFICATION that the hold timer expired, after 2 to 4",
+		r.t.Fatalf("read a message of type %d, body %x, error %v, after %d KEEPALIVEs; want hold timer expired, after 2 to 4",
 			messageType, body, err, keepalives)
 	}
 	if elapsedMs := c.NowMs() - silentSinceMs; elapsedMs < 89_999 || elapsedMs > 90_001 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,7 +46,7 @@
 	Settings                            scheduler.Settings
 	GatewayIndex                        int      // index of this gateway in Peers
 	PeerListen                          string   // address on which to receive datagrams of other gateways; "" means none
-	Peers                               []string // addresses of all gateways, including this one
+	Peers                               []string // addresses of all gateways, including this one, in the order of their indexes
 	IdleConnTimeoutMs, ConnectTimeoutMs float64  // timeouts of connections to servers
 
 	fileDiscovery string // discovery address in the file, which ROUTER_DISCOVERY does not override
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -98,7 +98,8 @@
 		}
 		restart := strings.Join(current.RestartRequired(next), ",")
 		if next.Discovery != step.discovery || restart != step.restart {
-			t.Errorf("after the change to %q: discovery address %s, parts that require a restart %q", step.new, next.Discovery, restart)
+			t.Errorf("after the change to %q: discovery address %s, parts that require a restart %q",
+				step.new, next.Discovery, restart)
 		}
 		current = next
 	}
--- a/internal/config/devices.go
+++ b/internal/config/devices.go
@@ -34,25 +34,25 @@
 // parseDevices parses and validates the key "devices" of the operator's file.
 func parseDevices(object *fastjson.Value) (*Devices, error) {
 	reader := &valueReader{}
-	d := readDevices(reader, object)
+	devices := readDevices(reader, object)
 	errs := []error{reader.err}
-	if d.CoAP == "" && d.HTTP == "" {
+	if devices.CoAP == "" && devices.HTTP == "" {
 		errs = append(errs, errors.New("coap and http are both empty: at least one must be an address"))
 	}
-	if d.CoAP != "" {
-		errs = append(errs, checkHostPort("coap", d.CoAP))
+	if devices.CoAP != "" {
+		errs = append(errs, checkHostPort("coap", devices.CoAP))
 	}
-	if d.HTTP != "" {
-		errs = append(errs, checkHostPort("http", d.HTTP))
+	if devices.HTTP != "" {
+		errs = append(errs, checkHostPort("http", devices.HTTP))
 	}
-	errs = append(errs, d.checkRanges())
-	if size := d.Exchanges.Link.MinBlockSize; size&(size-1) != 0 {
+	errs = append(errs, devices.checkRanges())
+	if size := devices.Exchanges.Link.MinBlockSize; size&(size-1) != 0 {
 		errs = append(errs, errors.New("least_block_bytes is not a power of two"))
 	}
-	if _, err := exchange.New(d.Exchanges); err != nil {
+	if _, err := exchange.New(devices.Exchanges); err != nil {
 		errs = append(errs, err)
 	}
-	return d, firstError(errs)
+	return devices, firstError(errs)
 }
 
 // readDevices reads the values without validating them. Absent values get the defaults that the example file shows.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/peer"
 )
 
-// Defaults and bounds of the communication between gateways. The names of times end in their unit.
+// Defaults and bounds of the communication between gateways.
 const (
 	defaultProbePeriodMs      = 500
 	defaultLeaseMs            = 2000
@@ -27,7 +27,7 @@
 
 	// probeTimeoutFraction is the timeout of a probe as a fraction of the probe period.
 	probeTimeoutFraction = 0.3
-	// maxPeers is the number of gateways that an index of 16 bits can tell apart.
+	// maxPeers is the maximum number of gateways, since their indexes have 16 bits.
 	maxPeers = 1 << 16
 )
 
@@ -46,24 +46,24 @@
 // parseFleet parses and validates the key "fleet" of the operator's file.
 func parseFleet(object *fastjson.Value) (*Fleet, error) {
 	reader := &valueReader{}
-	f := &Fleet{Listen: reader.text(object, "listen"), GatewayIndex: platformIndex}
-	f.Options.Key = []byte(reader.text(object, "key"))
+	fleet := &Fleet{Listen: reader.text(object, "listen"), GatewayIndex: platformIndex}
+	fleet.Options.Key = []byte(reader.text(object, "key"))
 	if object.Exists("self") {
-		f.GatewayIndex = reader.count(object, "self")
+		fleet.GatewayIndex = reader.count(object, "self")
 	}
 	for _, address := range object.GetArray("peers") {
-		f.Peers = append(f.Peers, string(address.GetStringBytes()))
+		fleet.Peers = append(fleet.Peers, string(address.GetStringBytes()))
 	}
-	f.Options.ProbePeriodMs = reader.numberOr(defaultProbePeriodMs, object, "period_ms")
-	f.Options.LeaseMs = reader.numberOr(defaultLeaseMs, object, "lease_ms")
-	f.Options.ClockDrift = reader.numberOr(defaultClockDrift, object, "clock_drift")
-	f.Options.MaxGrantedFraction = reader.numberOr(defaultMaxGrantedFraction, object, "lends")
-	f.Options.MaxVolumes = defaultMaxVolumes
+	fleet.Options.ProbePeriodMs = reader.numberOr(defaultProbePeriodMs, object, "period_ms")
+	fleet.Options.LeaseMs = reader.numberOr(defaultLeaseMs, object, "lease_ms")
+	fleet.Options.ClockDrift = reader.numberOr(defaultClockDrift, object, "clock_drift")
+	fleet.Options.MaxGrantedFraction = reader.numberOr(defaultMaxGrantedFraction, object, "lends")
+	fleet.Options.MaxVolumes = defaultMaxVolumes
 	if object.Exists("max_volumes") {
-		f.Options.MaxVolumes = reader.count(object, "max_volumes")
+		fleet.Options.MaxVolumes = reader.count(object, "max_volumes")
 	}
-	f.Options.ProbeTimeoutMs = f.Options.ProbePeriodMs * probeTimeoutFraction
-	return f, firstError([]error{reader.err, f.check()})
+	fleet.Options.ProbeTimeoutMs = fleet.Options.ProbePeriodMs * probeTimeoutFraction
+	return fleet, firstError([]error{reader.err, fleet.check()})
 }
 
 // check returns an error for the first value out of range.
@@ -105,7 +105,8 @@
 		return "", options, fmt.Errorf("fleet: %w", err)
 	}
 	if index >= len(options.Peers) || len(options.Peers) > maxPeers {
-		return "", options, fmt.Errorf("fleet: self is %d with %d peers: self must be less than the number of peers, which must be at most 65536", index, len(options.Peers))
+		return "", options, fmt.Errorf("fleet: self is %d, but there are %d peers: self must be less, and at most 65536 peers are allowed",
+			index, len(options.Peers))
 	}
 	options.Self = uint16(index)
 	return listen, options, checkHostPort("fleet: listen", listen)
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -60,27 +60,27 @@
 // parseSFTP parses and validates the key "sftp" of the operator's file.
 func parseSFTP(object *fastjson.Value, settings *scheduler.Settings) (*SFTP, error) {
 	reader := &valueReader{}
-	s := &SFTP{
+	sftp := &SFTP{
 		Listen:      reader.text(object, "listen"),
 		MaxConns:    int(reader.number(object, "max_connections")),
 		UnitBytes:   reader.number(object, "unit_bytes"),
 		BackendPort: int(reader.number(object, "backend_port")),
 		Backends:    map[string]string{},
 	}
-	if s.MaxConns == 0 {
-		s.MaxConns = defaultSFTPMaxConns
+	if sftp.MaxConns == 0 {
+		sftp.MaxConns = defaultSFTPMaxConns
 	}
-	if s.UnitBytes == 0 {
-		s.UnitBytes = defaultSFTPUnitBytes
+	if sftp.UnitBytes == 0 {
+		sftp.UnitBytes = defaultSFTPUnitBytes
 	}
-	errs := []error{checkHostPort("listen", s.Listen)}
-	errs = append(errs, s.parseClasses(reader, object, settings)...)
-	if s.BackendPort > maxPort || s.MaxConns < 1 || s.MaxConns > maxSFTPMaxConns || s.UnitBytes < 1 {
+	errs := []error{checkHostPort("listen", sftp.Listen)}
+	errs = append(errs, sftp.parseClasses(reader, object, settings)...)
+	if sftp.BackendPort > maxPort || sftp.MaxConns < 1 || sftp.MaxConns > maxSFTPMaxConns || sftp.UnitBytes < 1 {
 		errs = append(errs, errors.New("backend_port, max_connections or unit_bytes is out of range"))
 	}
-	errs = append(errs, s.parseRoots(reader, object, settings)...)
-	errs = append(errs, s.parseBackends(object)...)
-	return s, firstError(append(errs, reader.err))
+	errs = append(errs, sftp.parseRoots(reader, object, settings)...)
+	errs = append(errs, sftp.parseBackends(object)...)
+	return sftp, firstError(append(errs, reader.err))
 }
 
 // parseClasses looks up the classes of reads and writes by their names. The class of writes must need a key to repeat a
--- a/internal/quantile/sketch_test.go
+++ b/internal/quantile/sketch_test.go
@@ -49,7 +49,8 @@
 		sketch.Add(value)
 	}
 	if sketch.Count() != 5 || sketch.Quantile(0) > 1.2 || sketch.Quantile(1) < 1e7 {
-		t.Errorf("the sketch has %d values from %v to %v, want 5 values in the first and the last bucket", sketch.Count(), sketch.Quantile(0), sketch.Quantile(1))
+		t.Errorf("the sketch has %d values from %v to %v, want 5 values in the first and the last bucket",
+			sketch.Count(), sketch.Quantile(0), sketch.Quantile(1))
 	}
 }
 
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -73,7 +73,8 @@
 		return a.order - b.order
 	})
 	if earliest.timer != timer || earliest.tick > end {
-		m.t.Fatalf("timer %d fired, want timer %d, which expires at tick %d; Advance ends at tick %d", timer.Value, earliest.timer.Value, earliest.tick, end)
+		m.t.Fatalf("timer %d fired, want timer %d, which expires at tick %d; Advance ends at tick %d",
+			timer.Value, earliest.timer.Value, earliest.tick, end)
 	}
 	m.tick = earliest.tick
 	m.remove(timer)
