--- a/cmd/gaugerelay/serve.go
+++ b/cmd/gaugerelay/serve.go
@@ -72,7 +72,7 @@
 func handleSignals(g *gateway.Gateway, signals <-chan os.Signal) error {
 	for {
 		select {
-		case err := <-g.Failed():
+		case err := <-g.Failures():
 			return err
 		case received := <-signals:
 			switch received {
--- a/internal/dedup/convert.go
+++ b/internal/dedup/convert.go
@@ -24,8 +24,8 @@
 }
 
 // transmissionID returns the id of a transmission in the exchange store.
-func transmissionID(request *lifecycle.Request) exchange.CopyID {
-	return exchange.CopyID(request.Device.CopyID)
+func transmissionID(request *lifecycle.Request) exchange.TransmissionID {
+	return exchange.TransmissionID(request.Device.TransmissionID)
 }
 
 // transmissionReceived returns the event of a transmission with an entire body of the given digest and size.
--- a/internal/dedup/coordinator.go
+++ b/internal/dedup/coordinator.go
@@ -22,9 +22,9 @@
 	Settings exchange.Settings
 	// Classes are the classes of requests. Requests refer to them by name.
 	Classes []scheduler.Class
-	// RunIDPrefix is the prefix of the execution ids that servers receive. It must differ from that of every other gateway and
-	// of every earlier start of this gateway.
-	RunIDPrefix string
+	// ExecutionIDPrefix is the prefix of the execution ids that servers receive. It must differ from that of every other gateway
+	// and of every earlier start of this gateway.
+	ExecutionIDPrefix string
 	// GatewayName is the name of this gateway for devices. It differs at each start.
 	GatewayName string
 	// Metrics receives the counters.
@@ -42,8 +42,8 @@
 	options          Options
 	store            *exchange.Store
 	classes          map[string]exchange.Class
-	transmissions    map[exchange.CopyID]*lifecycle.Request // transmissions that wait for a response
-	lastTransmission exchange.CopyID
+	transmissions    map[exchange.TransmissionID]*lifecycle.Request // transmissions that wait for a response
+	lastTransmission exchange.TransmissionID
 	contents         map[exchange.ID]*content
 	// stopTimer cancels the timer of the latest exchange.SetTimer action.
 	stopTimer    func()
@@ -68,7 +68,7 @@
 		options:       options,
 		store:         store,
 		classes:       classes,
-		transmissions: map[exchange.CopyID]*lifecycle.Request{},
+		transmissions: map[exchange.TransmissionID]*lifecycle.Request{},
 		contents:      map[exchange.ID]*content{},
 		stopTimer:     func() {},
 	}, nil
@@ -77,7 +77,7 @@
 // Submit handles a transmission of a device's request or of a block of its upload.
 func (c *Coordinator) Submit(nowMs float64, request *lifecycle.Request) {
 	c.lastTransmission++
-	request.Device.CopyID = uint64(c.lastTransmission)
+	request.Device.TransmissionID = uint64(c.lastTransmission)
 	c.transmissions[c.lastTransmission] = request
 	if request.Device.Block != nil {
 		c.step(nowMs, c.blockReceived(request))
@@ -89,7 +89,7 @@
 // Cancel removes a transmission whose device no longer waits for the response. It has no effect if the transmission was not
 // submitted.
 func (c *Coordinator) Cancel(nowMs float64, request *lifecycle.Request) {
-	if request.Device.CopyID != 0 {
+	if request.Device.TransmissionID != 0 {
 		id := transmissionID(request)
 		delete(c.transmissions, id)
 		c.step(nowMs, exchange.TransmissionCanceled{Transmission: id})
--- a/internal/dedup/coordinator_test.go
+++ b/internal/dedup/coordinator_test.go
@@ -37,9 +37,9 @@
 func newTestCoordinator(t *testing.T, change func(*exchange.Settings)) *testCoordinator {
 	t.Helper()
 	c := &testCoordinator{t: t, nowMs: testStartMs}
-	settings := exchange.Settings{MaxExchanges: testMaxExchanges, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2,
+	settings := exchange.Settings{MaxExchanges: testMaxExchanges, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingTransmissions: 2,
 		MaxStoredBytes: 1 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000,
-		MinRunMs: 20, MaxRetryAfterMs: 2000,
+		MinExecutionMs: 20, MaxRetryAfterMs: 2000,
 		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096,
 			MaxBlockTransferMs: 300}}
 	if change != nil {
@@ -52,7 +52,7 @@
 		scheduler.Class{Name: "once", Idempotency: scheduler.NotIdempotent})
 	var err error
 	c.Coordinator, err = New(Options{
-		Settings: settings, Classes: classes, RunIDPrefix: "gw", Metrics: metrics.New(),
+		Settings: settings, Classes: classes, ExecutionIDPrefix: "gw", Metrics: metrics.New(),
 		NowMs:     func() float64 { return c.nowMs },
 		AfterFunc: c.setTestTimer,
 		Submit:    func(_ float64, request *lifecycle.Request) { c.executed = append(c.executed, request) },
--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -11,7 +11,7 @@
 type StartExecution struct {
 	ID              ID
 	ExecutionNumber int // number of the execution in its exchange, counted from 1
-	Transmission    CopyID
+	Transmission    TransmissionID
 	RemainingMs     float64 // longest time that the execution may take
 	ClientDelayMs   float64 // part of the device's time that the link took
 	Shard           int     // shard that must execute the request; -1: any
@@ -42,7 +42,7 @@
 
 // Respond asks to send the response to a transmission. Each transmission gets exactly one response, unless it is canceled first.
 type Respond struct {
-	Transmission  CopyID
+	Transmission  TransmissionID
 	Kind          ResponseKind
 	ID            ID      // exchange whose response is sent; set for ResponseServed
 	RetryAfterMs  float64 // delay before a retry; set for ResponseRejected and ResponseBusy; 0: none is given
@@ -54,14 +54,14 @@
 // AppendBlock asks to append the block of a transmission to the body that is stored for its exchange.
 type AppendBlock struct {
 	ID           ID
-	Transmission CopyID
+	Transmission TransmissionID
 }
 
 // AssembleBody reports that a body is complete. It asks for a BodyAssembled event, to be passed in a separate step after the
 // other actions have been performed.
 type AssembleBody struct {
 	ID           ID
-	Transmission CopyID
+	Transmission TransmissionID
 }
 
 // Release asks to free data that is stored for an exchange.
--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -143,7 +143,7 @@
 }
 
 // tooLate reports whether the budget is too short for an execution. A budget of NaN is too short.
-func (s *Store) tooLate(budgetMs float64) bool { return !(budgetMs >= s.settings.MinRunMs) }
+func (s *Store) tooLate(budgetMs float64) bool { return !(budgetMs >= s.settings.MinExecutionMs) }
 
 // rememberNewFailure adds an exchange in the failed state, if there is capacity for it.
 func (s *Store) rememberNewFailure(device *trackedDevice, received *TransmissionReceived) {
--- a/internal/dedup/exchange/admission_test.go
+++ b/internal/dedup/exchange/admission_test.go
@@ -7,13 +7,13 @@
 
 // newTransmissionSender creates a store and returns a function that sends it the first transmission of a new exchange. The
 // function returns the first action of the store.
-func newTransmissionSender(t *testing.T) func(id CopyID, remainingMs, roundTripMs float64) Action {
+func newTransmissionSender(t *testing.T) func(id TransmissionID, remainingMs, roundTripMs float64) Action {
 	t.Helper()
 	store, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return func(id CopyID, remainingMs, roundTripMs float64) Action {
+	return func(id TransmissionID, remainingMs, roundTripMs float64) Action {
 		return store.Step(1e6, TransmissionReceived{Transmission: id, Device: "d", Key: string(rune('a' + id)),
 			RemainingMs: remainingMs, ResendHistory: ResendHistory{AgeMs: -1}, Link: LinkSample{RoundTripMs: roundTripMs}})[0]
 	}
@@ -35,7 +35,7 @@
 		t.Errorf("%+v", response)
 	}
 	for i, remainingMs := range []float64{0, -100, math.NaN()} {
-		if response, ok := send(CopyID(10+i), remainingMs, 0).(Respond); !ok || response.Kind != ResponseTooLate {
+		if response, ok := send(TransmissionID(10+i), remainingMs, 0).(Respond); !ok || response.Kind != ResponseTooLate {
 			t.Errorf("with %v ms remaining: got %+v, want a response of kind too late", remainingMs, response)
 		}
 	}
--- a/internal/dedup/exchange/bench_test.go
+++ b/internal/dedup/exchange/bench_test.go
@@ -15,8 +15,8 @@
 type writeClient struct {
 	store     *Store
 	nowMs     float64
-	copy      CopyID // id of the latest transmission
-	execution ID     // exchange of the latest execution
+	copy      TransmissionID // id of the latest transmission
+	execution ID             // exchange of the latest execution
 }
 
 // write performs a write from its first transmission to the delivery of its response.
--- a/internal/dedup/exchange/events.go
+++ b/internal/dedup/exchange/events.go
@@ -7,7 +7,7 @@
 
 // TransmissionReceived reports a transmission of a request with its entire body.
 type TransmissionReceived struct {
-	Transmission  CopyID
+	Transmission  TransmissionID
 	Device, Key   string
 	Class         Class
 	Digest        Digest
@@ -29,7 +29,7 @@
 // BlockReceived reports a block of an upload. The owner stores the bytes of the block until the store responds to the
 // transmission. An AppendBlock action asks for adding them to the body.
 type BlockReceived struct {
-	Transmission CopyID
+	Transmission TransmissionID
 	Device, Key  string
 	Tag          string // Request-Tag option, which distinguishes the bodies that a device uploads under one key
 	Offset       int    // position of the block in the body
@@ -48,11 +48,11 @@
 type BodyAssembled struct{ TransmissionReceived }
 
 // TransmissionCanceled reports that a transmission's connection is closed or that the device no longer waits for the response.
-type TransmissionCanceled struct{ Transmission CopyID }
+type TransmissionCanceled struct{ Transmission TransmissionID }
 
 // ResponseWritten reports that a response was written completely to the connection of its transmission.
 type ResponseWritten struct {
-	Transmission CopyID
+	Transmission TransmissionID
 	Link         LinkSample
 }
 
--- a/internal/dedup/exchange/exchange.go
+++ b/internal/dedup/exchange/exchange.go
@@ -16,8 +16,8 @@
 
 import "gaugerelay/internal/scheduler"
 
-// CopyID identifies one transmission of a request over one connection. Ids are never reused.
-type CopyID uint64
+// TransmissionID identifies one transmission of a request over one connection. Ids are never reused.
+type TransmissionID uint64
 
 // ID identifies an exchange in its store. Ids are never reused.
 type ID uint64
--- a/internal/dedup/exchange/execution.go
+++ b/internal/dedup/exchange/execution.go
@@ -57,7 +57,7 @@
 			budgetMs = min(budgetMs, exchange.repeatUntilMs()-s.nowMs-dedupWindowMarginMs)
 		}
 	}
-	return budgetMs, budgetMs >= s.settings.MinRunMs
+	return budgetMs, budgetMs >= s.settings.MinExecutionMs
 }
 
 // canRepeatInScope reports whether a repeat can be sent to the group of servers that drop it. An execution can be restricted
--- a/internal/dedup/exchange/fuzz_test.go
+++ b/internal/dedup/exchange/fuzz_test.go
@@ -133,7 +133,7 @@
 	if m.lastTransmission == 0 {
 		return
 	}
-	id := m.lastTransmission - CopyID(s.a)%min(m.lastTransmission, 8)
+	id := m.lastTransmission - TransmissionID(s.a)%min(m.lastTransmission, 8)
 	sent := m.transmissions[id]
 	switch {
 	case sent.servedBy != 0 && s.b%2 == 0:
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -29,8 +29,8 @@
 // testSettings returns settings with limits that short tests reach.
 func testSettings() Settings {
 	return Settings{MaxExchanges: testMaxExchanges, MaxDevices: testMaxDevices, MaxActivePerDevice: testMaxActive,
-		MaxWaitingCopies: 2, MaxStoredBytes: testMaxStoredBytes, MaxBodyBytes: testMaxBodyBytes, MaxUploadBlocks: 8,
-		RetentionMs: testRetentionMs, UploadIdleTimeoutMs: 500, MinRunMs: testMinExecutionMs, MaxRetryAfterMs: testMaxRetryMs,
+		MaxWaitingTransmissions: 2, MaxStoredBytes: testMaxStoredBytes, MaxBodyBytes: testMaxBodyBytes, MaxUploadBlocks: 8,
+		RetentionMs: testRetentionMs, UploadIdleTimeoutMs: 500, MinExecutionMs: testMinExecutionMs, MaxRetryAfterMs: testMaxRetryMs,
 		Link: testLinkSettings}
 }
 
@@ -51,8 +51,8 @@
 	nowMs            float64
 	timerMs          float64 // when the timer fires; 0: not set
 	log              []string
-	transmissions    map[CopyID]*modelTransmission
-	lastTransmission CopyID
+	transmissions    map[TransmissionID]*modelTransmission
+	lastTransmission TransmissionID
 	exchanges        map[ID]*modelExchange
 	// serverExecutions maps device and key to the latest execution by a server. Entries remain when the store has forgotten
 	// the exchange.
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &gatewayModel{t: t, store: store, nowMs: 1e6, transmissions: map[CopyID]*modelTransmission{},
+	return &gatewayModel{t: t, store: store, nowMs: 1e6, transmissions: map[TransmissionID]*modelTransmission{},
 		exchanges: map[ID]*modelExchange{}, serverExecutions: map[string]*serverExecution{}, firstSentMs: map[string]float64{}}
 }
 
@@ -153,7 +153,7 @@
 }
 
 // addTransmission records a transmission and returns its new id.
-func (m *gatewayModel) addTransmission(sent *modelTransmission) CopyID {
+func (m *gatewayModel) addTransmission(sent *modelTransmission) TransmissionID {
 	m.lastTransmission++
 	m.transmissions[m.lastTransmission] = sent
 	return m.lastTransmission
--- a/internal/dedup/exchange/settings.go
+++ b/internal/dedup/exchange/settings.go
@@ -19,8 +19,8 @@
 	MaxDevices int
 	// MaxActivePerDevice is the maximum number of exchanges of one device that are receiving an upload or being executed.
 	MaxActivePerDevice int
-	// MaxWaitingCopies is the maximum number of transmissions of one exchange that wait for its response.
-	MaxWaitingCopies int
+	// MaxWaitingTransmissions is the maximum number of transmissions of one exchange that wait for its response.
+	MaxWaitingTransmissions int
 	// MaxStoredBytes limits the total size of stored bodies and responses. It must be at least twice MaxBodyBytes.
 	MaxStoredBytes int
 	// MaxBodyBytes limits the size of a single body or response.
@@ -31,8 +31,8 @@
 	RetentionMs float64
 	// UploadIdleTimeoutMs is the time without a new block after which an upload is dropped.
 	UploadIdleTimeoutMs float64
-	// MinRunMs is the least remaining time with which a request is executed.
-	MinRunMs float64
+	// MinExecutionMs is the least remaining time with which a request is executed.
+	MinExecutionMs float64
 	// MaxRetryAfterMs is the longest delay before a retry that a rejected device is given. It must be at least 100.
 	MaxRetryAfterMs float64
 	// Link limits the values that are derived from the measurements of devices' links.
@@ -59,13 +59,13 @@
 		{"maximum number of exchanges", s.MaxExchanges > 0},
 		{"maximum number of devices", s.MaxDevices > 0},
 		{"maximum number of active exchanges per device", s.MaxActivePerDevice > 0},
-		{"maximum number of waiting transmissions", s.MaxWaitingCopies > 0},
+		{"maximum number of waiting transmissions", s.MaxWaitingTransmissions > 0},
 		{"maximum size of a body", s.MaxBodyBytes > 0},
 		{"maximum of stored bytes (at least twice the maximum size of a body)", s.MaxStoredBytes >= 2*s.MaxBodyBytes},
 		{"maximum number of blocks per upload", s.MaxUploadBlocks > 0},
 		{"time that writes are kept", s.RetentionMs > 0},
 		{"idle timeout of an upload", s.UploadIdleTimeoutMs > 0},
-		{"minimum time of an execution", s.MinRunMs > 0},
+		{"minimum time of an execution", s.MinExecutionMs > 0},
 		{"maximum retry delay (at least 100 ms)", s.MaxRetryAfterMs >= minRetryAfterMs},
 		{"silence of a dead link", link.MinIdleTimeoutMs > 0 && link.MaxIdleTimeoutMs >= link.MinIdleTimeoutMs},
 		{"size of a block", link.MinBlockSize >= minBlockSize && link.MaxBlockSize >= link.MinBlockSize},
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -34,7 +34,7 @@
 
 // waitingTransmission is a transmission that waits for the response of its exchange.
 type waitingTransmission struct {
-	id CopyID
+	id TransmissionID
 	// deviceDeadlineMs is when the device stops waiting, on the assumption that the request took no time to arrive.
 	deviceDeadlineMs float64
 }
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -27,9 +27,10 @@
 
 	actions []Action // actions of the current step
 
-	exchanges     map[ID]*storedExchange
-	lastID        ID
-	transmissions map[CopyID]ID // exchanges of the transmissions that wait for a response or whose response is being written
+	exchanges map[ID]*storedExchange
+	lastID    ID
+	// transmissions holds the exchanges of the transmissions that wait for a response or whose response is being written.
+	transmissions map[TransmissionID]ID
 
 	devices     map[string]*trackedDevice
 	idleDevices list.List // devices without exchanges, least recently seen first
@@ -53,7 +54,7 @@
 	return &Store{
 		settings:      settings,
 		exchanges:     map[ID]*storedExchange{},
-		transmissions: map[CopyID]ID{},
+		transmissions: map[TransmissionID]ID{},
 		devices:       map[string]*trackedDevice{},
 	}, nil
 }
@@ -122,7 +123,7 @@
 
 // respond emits the only response to a transmission. A transmission that is served stays in the store until the response
 // is written or the connection is closed.
-func (s *Store) respond(id CopyID, response Respond) {
+func (s *Store) respond(id TransmissionID, response Respond) {
 	response.Transmission = id
 	if response.Kind != ResponseServed {
 		delete(s.transmissions, id)
@@ -140,13 +141,13 @@
 
 // respondBusy rejects a transmission because a limit of the store is reached. It must not be called if a server may have
 // executed the request.
-func (s *Store) respondBusy(id CopyID, device *trackedDevice) {
+func (s *Store) respondBusy(id TransmissionID, device *trackedDevice) {
 	s.respond(id, Respond{Kind: ResponseBusy, RetryAfterMs: s.retryAfterMs(), Advice: s.advice(device)})
 }
 
 // reject responds to a transmission that is not executed. The response is of the given kind, which tells the device that the
 // request was not executed. If an earlier transmission may have been executed, the response is ResponseFailed instead.
-func (s *Store) reject(id CopyID, device *trackedDevice, kind ResponseKind, mayHaveExecuted bool) {
+func (s *Store) reject(id TransmissionID, device *trackedDevice, kind ResponseKind, mayHaveExecuted bool) {
 	switch {
 	case mayHaveExecuted:
 		s.stats.UnknownOutcomeFailed++
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -209,7 +209,7 @@
 
 // abortUpload ends an upload whose blocks contradict each other or exceed the limits. An exchange that has been executed stays
 // in the store.
-func (s *Store) abortUpload(exchange *storedExchange, id CopyID, kind ResponseKind) {
+func (s *Store) abortUpload(exchange *storedExchange, id TransmissionID, kind ResponseKind) {
 	s.respond(id, Respond{Kind: kind, Advice: s.advice(exchange.device)})
 	if exchange.state == stateReceiving {
 		s.forget(exchange)
@@ -219,6 +219,6 @@
 }
 
 // respondIncomplete reports to a device how many bytes of its upload are stored. The device must continue at that offset.
-func (s *Store) respondIncomplete(id CopyID, device *trackedDevice, bufferedBytes int) {
+func (s *Store) respondIncomplete(id TransmissionID, device *trackedDevice, bufferedBytes int) {
 	s.respond(id, Respond{Kind: ResponseIncomplete, BufferedBytes: bufferedBytes, Advice: s.advice(device)})
 }
--- a/internal/dedup/exchange/waiting.go
+++ b/internal/dedup/exchange/waiting.go
@@ -8,7 +8,7 @@
 // addWaiting adds a transmission to those that wait for the response of an exchange. At the limit, the oldest one is
 // superseded.
 func (s *Store) addWaiting(exchange *storedExchange, received *TransmissionReceived) {
-	if len(exchange.waiting) >= s.settings.MaxWaitingCopies { // the oldest connection is the most likely to be half-open
+	if len(exchange.waiting) >= s.settings.MaxWaitingTransmissions { // the oldest connection is the most likely to be half-open
 		s.respond(exchange.waiting[0].id, Respond{Kind: ResponseSuperseded})
 		exchange.waiting = exchange.waiting[1:]
 	}
@@ -19,7 +19,7 @@
 }
 
 // onTransmissionCanceled removes a transmission. Its exchange continues, because the device may send another transmission.
-func (s *Store) onTransmissionCanceled(id CopyID) {
+func (s *Store) onTransmissionCanceled(id TransmissionID) {
 	exchange := s.exchanges[s.transmissions[id]]
 	delete(s.transmissions, id)
 	if exchange == nil {
--- a/internal/dedup/execution.go
+++ b/internal/dedup/execution.go
@@ -19,7 +19,7 @@
 	if received.Device.Block != nil {
 		body = c.contents[action.ID].body
 	}
-	executionID := fmt.Sprintf("%s-%x-%x", c.options.RunIDPrefix, uint64(action.ID), action.ExecutionNumber)
+	executionID := fmt.Sprintf("%s-%x-%x", c.options.ExecutionIDPrefix, uint64(action.ID), action.ExecutionNumber)
 	c.options.Submit(nowMs, &lifecycle.Request{
 		ClientID:       executionID,
 		Class:          received.Class,
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -189,7 +189,7 @@
 	if !expired {
 		return
 	}
-	c.server.Metrics.Add(frontend.AnswersByGuard, 1)
+	c.server.Metrics.Add(frontend.ResponsesByGuard, 1)
 	c.server.Loop.Cancel(p.request)
 	c.sendText(p.token, codes.GatewayTimeout, "no answer in time")
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -23,9 +23,9 @@
 	RequestsMalformed = "requests_malformed"
 	// RequestsInboxFull counts requests for which Loop.Submit returned false.
 	RequestsInboxFull = "requests_inbox_full"
-	// AnswersByGuard counts requests that a frontend's response guard failed because the event loop did not respond in time.
+	// ResponsesByGuard counts requests that a frontend's response guard failed because the event loop did not respond in time.
 	// It must stay 0.
-	AnswersByGuard = "answers_by_guard"
+	ResponsesByGuard = "answers_by_guard"
 )
 
 const (
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -203,7 +203,7 @@
 	if !gracefulclose.CloseWrite(c.Conn) {
 		c.closeLocked()
 	}
-	if tracker.drained == nil && tracker.closingConns.Len() > max(1, tracker.MaxOpen/closingLimitDivisor) {
+	if tracker.drained == nil && tracker.closingConns.Len() > max(1, tracker.SheddingThreshold/closingLimitDivisor) {
 		oldest(&tracker.closingConns).closeLocked()
 	}
 }
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -14,27 +14,29 @@
 const (
 	// idleTimeoutMs is how long, in milliseconds, a connection must have been idle before the platform allows the gateway to
 	// close it. Some clients never close their connections, so connections that have been idle for this long are shed while
-	// more than half of MaxOpen are open.
+	// the number of open connections is above half of SheddingThreshold.
 	idleTimeoutMs = 2000
 	// firstByteTimeoutMs is how long, in milliseconds, a new connection may send nothing before it is shed in preference to
 	// idle connections.
 	firstByteTimeoutMs = 500
-	// closingLimitDivisor limits the connections that wait for their clients to close to MaxOpen / closingLimitDivisor.
+	// closingLimitDivisor limits the connections that wait for their clients to close to
+	// SheddingThreshold / closingLimitDivisor.
 	closingLimitDivisor = 16
 )
 
 // connectionsShed counts new and idle connections that were closed because of a limit or a shutdown.
 const connectionsShed = "client_connections_shed"
 
-// ConnTracker tracks the client connections of an http.Server and limits their number. While more than MaxOpen are open, it
-// sheds new and idle connections, so that the connections of clients that send requests can be accepted and read. It sheds a
+// ConnTracker tracks the client connections of an http.Server. While the number of open connections is above SheddingThreshold,
+// it sheds new and idle ones, so that the connections of clients that send requests can be accepted and read. It sheds a
 // connection only if nothing has been read from it since its last response: a request that has been read is served, and its
-// connection stays open until the response is written.
+// connection stays open until the response is written. The number can therefore stay above SheddingThreshold.
 //
 // The exported fields are set before use. The methods may be called from any goroutine.
 type ConnTracker struct {
-	// MaxOpen is the number of open connections above which new and idle ones are shed.
-	MaxOpen int
+	// SheddingThreshold is the number of open connections above which new and idle ones are shed at once. Above half of it,
+	// connections that have been idle for idleTimeoutMs are shed.
+	SheddingThreshold int
 	// MaxPipelinedBytes limits the pipelined bytes that are buffered for all connections together. 0 means that only the limit
 	// of each connection applies.
 	MaxPipelinedBytes int
@@ -141,11 +143,12 @@
 	}
 }
 
-// shedOverLimit sheds connections until no more than MaxOpen are open. It first sheds new connections whose firstByteTimeoutMs
-// has passed, then idle connections, then other new connections. It returns false if MaxOpen is still exceeded because all
-// other connections have requests. The listener's limit then makes new clients wait. The caller holds t.mu.
+// shedOverLimit sheds connections until their number is no longer above SheddingThreshold. It first sheds new connections whose
+// firstByteTimeoutMs has passed, then idle connections, then other new connections. It returns false if the number is still
+// above SheddingThreshold because all other connections have requests. The listener's limit then makes new clients wait. The
+// caller holds t.mu.
 func (t *ConnTracker) shedOverLimit(nowMs float64) bool {
-	for t.open > t.MaxOpen {
+	for t.open > t.SheddingThreshold {
 		oldestNew, oldestIdle := oldest(&t.newConns), oldest(&t.idleConns)
 		switch {
 		case oldestNew != nil && (nowMs-oldestNew.listedAtMs >= firstByteTimeoutMs || oldestIdle == nil):
@@ -159,10 +162,10 @@
 	return true
 }
 
-// shedIdle sheds connections whose idle timeout has passed while more than half of MaxOpen are open, and sets a timer for the
-// next idle timeout. The caller holds t.mu.
+// shedIdle sheds connections whose idle timeout has passed while the number of open connections is above half of
+// SheddingThreshold, and sets a timer for the next idle timeout. The caller holds t.mu.
 func (t *ConnTracker) shedIdle(nowMs float64) {
-	for c := oldest(&t.idleConns); c != nil && t.open > t.MaxOpen/2; c = oldest(&t.idleConns) {
+	for c := oldest(&t.idleConns); c != nil && t.open > t.SheddingThreshold/2; c = oldest(&t.idleConns) {
 		if leftMs := idleTimeoutMs - (nowMs - c.listedAtMs); leftMs > 0 {
 			if !t.sheddingScheduled {
 				t.sheddingScheduled = true
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -30,7 +30,7 @@
 
 // Drain must shed new and idle connections at once, and busy connections only after their responses.
 func TestConnTrackerDrain(t *testing.T) {
-	tracker := &ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
+	tracker := &ConnTracker{SheddingThreshold: 9, Clock: clock.NewManual(0), Metrics: metrics.New()}
 	oldestNew, _ := addConn(tracker, http.StateNew)
 	idle, _ := addConn(tracker, http.StateIdle)
 	busy, _ := addConn(tracker, http.StateActive)
@@ -65,8 +65,8 @@
 	conns       []*connModel
 }
 
-// FuzzConnTracker compares a tracker with a model after each of a list of random steps. Above MaxOpen the tracker must shed new
-// and idle connections, and it must never shed a connection from which a request has been read.
+// FuzzConnTracker compares a tracker with a model after each of a list of random steps. Above SheddingThreshold the tracker must
+// shed new and idle connections, and it must never shed a connection from which a request has been read.
 func FuzzConnTracker(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 9, 2, 10, 6, 0, 0})
 	f.Add([]byte{0, 1, 2, 0, 9, 10, 7, 0, 7, 0, 3, 11, 0, 7})
@@ -74,7 +74,7 @@
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		manualClock := clock.NewManual(1e12)
 		m := &trackerModel{t: t, manualClock: manualClock,
-			tracker: &ConnTracker{MaxOpen: 3, Clock: manualClock, Metrics: metrics.New()}}
+			tracker: &ConnTracker{SheddingThreshold: 3, Clock: manualClock, Metrics: metrics.New()}}
 		defer func() {
 			for _, c := range m.conns {
 				c.conn.Conn.Close()
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if open != m.tracker.open || open > m.tracker.MaxOpen && sheddable > 0 {
+	if open != m.tracker.open || open > m.tracker.SheddingThreshold && sheddable > 0 {
 		m.t.Fatalf("step %d: %d connections are open, the tracker counts %d; %d could be shed", i, open, m.tracker.open, sheddable)
 	}
 }
@@ -151,7 +151,7 @@
 // If a connection is shed while a request is being read from it, Read must return no part of the request, because the client
 // sends the request again.
 func TestReadWhileShedding(t *testing.T) {
-	tracker := &ConnTracker{MaxOpen: 1, Clock: clock.NewManual(0), Metrics: metrics.New()}
+	tracker := &ConnTracker{SheddingThreshold: 1, Clock: clock.NewManual(0), Metrics: metrics.New()}
 	serverSide, clientSide := net.Pipe()
 	conn := &clientConn{tracker: tracker}
 	conn.Conn = hookedConn{serverSide, func() { tracker.shed(conn) }}
@@ -174,11 +174,11 @@
 	return n, err
 }
 
-// Idle connections must be shed after idleTimeoutMs while more than half of MaxOpen are open. Above MaxOpen, a new connection must
-// be shed before an idle one only if it has sent nothing for firstByteTimeoutMs.
+// Idle connections must be shed after idleTimeoutMs while the number of open connections is above half of SheddingThreshold.
+// Above SheddingThreshold, a new connection must be shed before an idle one only if it has sent nothing for firstByteTimeoutMs.
 func TestShedIdleAndNewConnections(t *testing.T) {
 	manualClock := clock.NewManual(0)
-	tracker := &ConnTracker{MaxOpen: 4, Clock: manualClock, Metrics: metrics.New()}
+	tracker := &ConnTracker{SheddingThreshold: 4, Clock: manualClock, Metrics: metrics.New()}
 	var conns []*clientConn
 	add := func(state http.ConnState) {
 		conn, _ := addConn(tracker, state)
@@ -195,7 +195,7 @@
 	add(http.StateIdle)
 	add(http.StateIdle)
 	manualClock.Advance(60_000)
-	checkShed("half of MaxOpen are open")
+	checkShed("at half of SheddingThreshold")
 	add(http.StateIdle)
 	checkShed("more than half are open", 0)
 	add(http.StateIdle)
@@ -206,7 +206,7 @@
 	manualClock.Advance(1)
 	checkShed("at the idle timeout", 0, 1, 2)
 	add(http.StateNew)
-	tracker.MaxOpen = 1
+	tracker.SheddingThreshold = 1
 	tracker.ConnState(conns[5], http.StateActive)
-	checkShed("above MaxOpen with a silent new connection", 0, 1, 2, 3, 4)
+	checkShed("above SheddingThreshold with a silent new connection", 0, 1, 2, 3, 4)
 }
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -28,7 +28,7 @@
 func roundTrip(t *testing.T, h *Handler, request string) []byte {
 	t.Helper()
 	ln := testbed.Listen(t)
-	tracker := &ConnTracker{MaxOpen: 9, Clock: h.Clock, Metrics: h.Metrics}
+	tracker := &ConnTracker{SheddingThreshold: 9, Clock: h.Clock, Metrics: h.Metrics}
 	server := &http.Server{
 		Handler:   h,
 		ConnState: tracker.ConnState,
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -196,7 +196,7 @@
 		default:
 		}
 		// The event loop is stalled. It may have forwarded the request, so the request fails and is not rejected.
-		h.Metrics.Add(frontend.AnswersByGuard, 1)
+		h.Metrics.Add(frontend.ResponsesByGuard, 1)
 		h.Loop.Cancel(request)
 		http.Error(w, "no answer in time", http.StatusGatewayTimeout)
 	}
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -14,7 +14,7 @@
 // still expected, no request must be rejected.
 func TestShutdownKeepsConnectionIdle(t *testing.T) {
 	h := newTestHandler(nil)
-	h.Conns = &ConnTracker{MaxOpen: 9, Clock: h.manualClock, Metrics: metrics.New()}
+	h.Conns = &ConnTracker{SheddingThreshold: 9, Clock: h.manualClock, Metrics: metrics.New()}
 	var conns []net.Conn
 	for range 4 {
 		serverSide, clientSide := net.Pipe()
--- a/internal/frontend/httpserver/testserver_test.go
+++ b/internal/frontend/httpserver/testserver_test.go
@@ -44,7 +44,7 @@
 		clock:       clock.NewManual(1e12),
 		addr:        ln.Addr().String(),
 	}
-	s.tracker = &ConnTracker{MaxOpen: 9, Clock: s.clock, Metrics: counters}
+	s.tracker = &ConnTracker{SheddingThreshold: 9, Clock: s.clock, Metrics: counters}
 	s.handler = &Handler{Loop: s.pendingLoop, Clock: s.clock, Metrics: counters, Settings: &settings}
 	s.server = &http.Server{Handler: s.handler, ConnState: s.tracker.ConnState, ConnContext: s.tracker.ConnContext}
 	if change != nil {
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -130,7 +130,7 @@
 		return replyFromResponse(response)
 	default:
 	}
-	server.Metrics.Add(frontend.AnswersByGuard, 1)
+	server.Metrics.Add(frontend.ResponsesByGuard, 1)
 	server.Loop.Cancel(request)
 	return nil, errMayHaveExecuted
 }
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -36,8 +36,8 @@
 
 // newClientFrontend builds the frontend. It opens no listener.
 func newClientFrontend(g *Gateway) *clientFrontend {
-	conns := &httpserver.ConnTracker{MaxOpen: sheddingThreshold(maxClientConns(g.cfg)), Clock: g.Clock, Metrics: g.Metrics,
-		MaxPipelinedBytes: int(g.cfg.MemoryMB * pipelinedMemoryFraction * (1 << 20))}
+	conns := &httpserver.ConnTracker{SheddingThreshold: sheddingThreshold(maxClientConns(g.cfg)), Clock: g.Clock,
+		Metrics: g.Metrics, MaxPipelinedBytes: int(g.cfg.MemoryMB * pipelinedMemoryFraction * (1 << 20))}
 	handler := &httpserver.Handler{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
 		Settings: &g.cfg.Settings, Conns: conns, PauseDetector: g.pauseDetector}
 	return &clientFrontend{gateway: g, conns: conns, handler: handler, after: after}
--- a/internal/gateway/clientfrontend_test.go
+++ b/internal/gateway/clientfrontend_test.go
@@ -57,7 +57,7 @@
 	frontend := &clientFrontend{
 		listener: listener,
 		handler:  &httpserver.Handler{Clock: clock.NewManual(0), Loop: readyLoop{}, Metrics: metrics.New()},
-		conns:    &httpserver.ConnTracker{MaxOpen: 9, Clock: clock.NewManual(0), Metrics: metrics.New()},
+		conns:    &httpserver.ConnTracker{SheddingThreshold: 9, Clock: clock.NewManual(0), Metrics: metrics.New()},
 	}
 	server := &http.Server{Handler: frontend.handler, ConnState: frontend.conns.ConnState}
 	go func() { _ = server.Serve(frontend.conns.LimitListener(listener, 9)) }() // until it is closed
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -39,7 +39,7 @@
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gatewayName = strconv.FormatUint(xxhash.Sum64String(name), 16)
 	deduplicator, err = dedup.New(dedup.Options{Settings: options.Exchanges, Classes: g.cfg.Settings.Classes,
-		RunIDPrefix: name, GatewayName: gatewayName, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
+		ExecutionIDPrefix: name, GatewayName: gatewayName, Metrics: g.Metrics, NowMs: g.Clock.NowMs,
 		AfterFunc: func(ms float64, f func(nowMs float64)) (stop func()) { return g.loop.AfterFunc(ms, f) },
 		Submit:    func(nowMs float64, request *lifecycle.Request) { g.loop.SubmitOnLoop(nowMs, request) }})
 	return deduplicator, gatewayName, err
@@ -66,7 +66,7 @@
 	if options.HTTP != "" {
 		f.http = &httpserver.Handler{Loop: g.loop, Upstream: g.upstream, Clock: g.Clock, Metrics: g.Metrics,
 			Settings: &g.cfg.Settings, ServesDevices: true, GatewayName: gatewayName}
-		f.conns = &httpserver.ConnTracker{MaxOpen: sheddingThreshold(options.MaxConns), Clock: g.Clock, Metrics: g.Metrics}
+		f.conns = &httpserver.ConnTracker{SheddingThreshold: sheddingThreshold(options.MaxConns), Clock: g.Clock, Metrics: g.Metrics}
 	}
 	return f
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,7 +34,7 @@
 	counterReloadsFailed        = "reloads_failed"
 )
 
-// maxPendingFailures is the capacity of the channel that Failed returns. While it is full, further failures are dropped.
+// maxPendingFailures is the capacity of the channel that Failures returns. While it is full, further failures are dropped.
 const maxPendingFailures = 8
 
 // Gateway is one gateway. Its methods must be called from one goroutine, except UpdateEndpoints, which is safe for concurrent
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Failed returns a channel that receives the errors of components that have ended unexpectedly.
-func (g *Gateway) Failed() <-chan error { return g.failures }
+// Failures returns a channel that receives the errors of components that have ended unexpectedly.
+func (g *Gateway) Failures() <-chan error { return g.failures }
 
 // UpdateEndpoints applies an update of the endpoint list that does not come from discovery.
 func (g *Gateway) UpdateEndpoints(update lifecycle.EndpointUpdate) { g.loop.UpdateEndpoints(update) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -50,8 +50,9 @@
 // A gateway without an operator's file opens a single listener and has no deduplicator. With the file it has exactly the
 // frontends that the file names.
 func TestOnlyConfiguredComponentsAreBuilt(t *testing.T) {
-	exchanges := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingCopies: 2, MaxStoredBytes: 1 << 20,
-		MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000, MinRunMs: 20, MaxRetryAfterMs: 2000,
+	exchanges := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingTransmissions: 2,
+		MaxStoredBytes: 1 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000,
+		MinExecutionMs: 20, MaxRetryAfterMs: 2000,
 		Link: exchange.LinkSettings{MinIdleTimeoutMs: 500, MaxIdleTimeoutMs: 5000, MinBlockSize: 64, MaxBlockSize: 4096, MaxBlockTransferMs: 300}}
 	goroutines := map[string]int{}
 	for name, test := range map[string]struct {
@@ -104,8 +105,9 @@
 			t.Fatal(err)
 		}
 		defer inUse.Close()
-		exchanges := exchange.Settings{MaxExchanges: 1, MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingCopies: 1, MaxStoredBytes: 1 << 20,
-			MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1, UploadIdleTimeoutMs: 1, MinRunMs: 1, MaxRetryAfterMs: 100,
+		exchanges := exchange.Settings{MaxExchanges: 1, MaxDevices: 1, MaxActivePerDevice: 1, MaxWaitingTransmissions: 1,
+			MaxStoredBytes: 1 << 20, MaxBodyBytes: 1 << 10, MaxUploadBlocks: 1, RetentionMs: 1, UploadIdleTimeoutMs: 1,
+			MinExecutionMs: 1, MaxRetryAfterMs: 100,
 			Link: exchange.LinkSettings{MinIdleTimeoutMs: 1, MaxIdleTimeoutMs: 1, MinBlockSize: 16, MaxBlockSize: 16, MaxBlockTransferMs: 1}}
 		edge := &config.Edge{Devices: &config.Devices{CoAP: "127.0.0.1:2", MaxConns: 8, Exchanges: exchanges}}
 		g, err := New(testConfig(), edge, clock.NewSystem(), Network{Listen: network.Listen, Dial: network.Dial})
--- a/internal/lifecycle/deduplicator.go
+++ b/internal/lifecycle/deduplicator.go
@@ -37,8 +37,8 @@
 	// execution; each execution has a different one.
 	BuildPayload func(id string, body []byte) any
 
-	// CopyID is the number that the Deduplicator has assigned to this transmission. 0 means that it was not submitted.
-	CopyID uint64
+	// TransmissionID is the number that the Deduplicator has assigned to this transmission. 0 means that it was not submitted.
+	TransmissionID uint64
 }
 
 // Block is the position of a block in an upload.
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -68,7 +68,7 @@
 // checkRunning records a gateway of which a part has ended by itself. It is called before the simulation ends that gateway.
 func (s *simulation) checkRunning(index int, g *gateway.Gateway) {
 	select {
-	case err := <-g.Failed():
+	case err := <-g.Failures():
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.result.CrashedGateways++
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -89,8 +89,8 @@
 		MaxOpenRequests: 8, MaxMessageBytes: 33 << 10, FirstMessageTimeout: 10 * time.Second, IdleTimeout: time.Minute,
 		HoldOff: time.Second,
 		Exchanges: exchange.Settings{MaxExchanges: 100 * devices, MaxDevices: 2*devices + 8, MaxActivePerDevice: 16,
-			MaxWaitingCopies: 4, MaxStoredBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
-			UploadIdleTimeoutMs: 20_000, MinRunMs: 20, MaxRetryAfterMs: 2000,
+			MaxWaitingTransmissions: 4, MaxStoredBytes: 64 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 1024, RetentionMs: 30_000,
+			UploadIdleTimeoutMs: 20_000, MinExecutionMs: 20, MaxRetryAfterMs: 2000,
 			Link: exchange.LinkSettings{MinIdleTimeoutMs: 2000, MaxIdleTimeoutMs: 8000, MinBlockSize: 64, MaxBlockSize: 8 << 10,
 				MaxBlockTransferMs: 300}}}
 }
