--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -105,7 +105,8 @@
 		return "", options, fmt.Errorf("fleet: %w", err)
 	}
 	if index >= len(options.Peers) || len(options.Peers) > maxPeers {
-		return "", options, fmt.Errorf("fleet: self is %d, but there are %d peers: self must be less, and at most 65536 peers are allowed",
+		return "", options, fmt.Errorf(
+			"fleet: self is %d, but there are %d peers: self must be less, and no more peers are allowed than an index can distinguish",
 			index, len(options.Peers))
 	}
 	options.Self = uint16(index)
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -73,7 +73,8 @@
 // validate returns an error that wraps ErrInvalidSettings if the settings cannot be used.
 func (s Settings) validate() error {
 	if s.MemberCount < 1 || s.MemberCount > maxMembers || int(s.Self) >= s.MemberCount {
-		return fmt.Errorf("%w: member index is %d of %d members, want an index below the member count, at most 65536 members",
+		return fmt.Errorf(
+			"%w: member index is %d of %d members, want an index below the member count, no more members than an index can distinguish",
 			ErrInvalidSettings, s.Self, s.MemberCount)
 	}
 	if !s.probesInRange() || !s.suspicionInRange() || !s.gossipInRange() {
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -55,7 +55,7 @@
 	case !(s.LeaseMs > 0):
 		return fmt.Errorf("%w: lease duration is %v ms, want more than 0", ErrInvalidSettings, s.LeaseMs)
 	case !(s.ClockDrift >= 0 && s.ClockDrift < maxClockDrift):
-		return fmt.Errorf("%w: clock drift is %v, want at least 0 and less than 0.5", ErrInvalidSettings, s.ClockDrift)
+		return fmt.Errorf("%w: clock drift is %v, want at least 0 and less than the drift limit", ErrInvalidSettings, s.ClockDrift)
 	case !(s.MaxGrantedFraction >= 0 && s.MaxGrantedFraction < 1):
 		return fmt.Errorf("%w: maximum granted fraction is %v, want at least 0 and less than 1", ErrInvalidSettings,
 			s.MaxGrantedFraction)
@@ -67,8 +67,7 @@
 		return fmt.Errorf("%w: lease duration of %v ms is too short for renewal: want more than twice the request interval of %v ms",
 			ErrInvalidSettings, s.LeaseMs, s.RequestIntervalMs)
 	case !(s.IdleTimeoutMs >= demandTimeoutMs):
-		return fmt.Errorf("%w: idle timeout is %v ms, want at least the demand timeout of 1000 ms", ErrInvalidSettings,
-			s.IdleTimeoutMs)
+		return fmt.Errorf("%w: idle timeout is %v ms, want at least the demand timeout", ErrInvalidSettings, s.IdleTimeoutMs)
 	}
 	return nil
 }
