--- a/internal/testbed/conn.go
+++ b/internal/testbed/conn.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Dial connects to a loopback port. The connection closes with the test.
+// Dial opens a TCP connection to addr. The connection is closed at the end of the test.
 func Dial(t testing.TB, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -17,7 +17,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// Write writes a text and fails the test if that fails. It must be called from the goroutine of the test.
+// Write writes text to w and fails the test on an error. It must be called from the test's goroutine.
 func Write(t testing.TB, w io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
@@ -25,13 +25,13 @@
 	}
 }
 
-// TryWrite writes a text to a peer that may close the connection before it has read all of it. That is no failure of the
-// test, which checks what the peer makes of it.
+// TryWrite writes text to a peer that may close the connection before it has read all of it. A write error does not fail the
+// test, because such a test checks how the peer reacts to what it has read.
 func TryWrite(w io.Writer, text string) {
-	_, _ = io.WriteString(w, text) // the test does not depend on how much of it was written
+	_, _ = io.WriteString(w, text) // The peer may close the connection early.
 }
 
-// Close closes a connection or listener and fails the test if that fails. It must be called from the goroutine of the test.
+// Close closes a connection or listener and fails the test on an error. It must be called from the test's goroutine.
 func Close(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
--- a/internal/testbed/fakestorage/server.go
+++ b/internal/testbed/fakestorage/server.go
@@ -1,9 +1,9 @@
-// Package fakestorage is a fake of storage servers over HTTP: shards that drop repeated writes by their key for a while, and
-// servers that sometimes fail, reset connections, reject, are slow, and drain.
+// Package fakestorage is a fake of storage servers over HTTP. Shards deduplicate writes by their idempotency key within a
+// deduplication window. Servers randomly fail, reset connections, reject requests and respond slowly, and they can drain.
 //
-// The package owns the servers' state. Each [Server] has one goroutine that accepts connections, and those of net/http that
-// serve them; Stop closes their connections and does not wait for them. The same seed draws the same faults in the order in
-// which requests arrive.
+// The package owns the servers' state. Each [Server] has one goroutine that accepts connections, and the goroutines of net/http
+// that serve them. Stop closes the connections but does not wait for these goroutines. Faults are drawn in the order in which
+// requests arrive; the same seed draws the same sequence.
 package fakestorage
 
 import (
@@ -22,52 +22,52 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// drainNotice is how long a gateway may still send to a server after it was notified that the server drains.
-const drainNotice = time.Second
+// drainGrace is how long a gateway may still send to a draining server after it was notified of the drain.
+const drainGrace = time.Second
 
-// Faults are the fractions of the requests that meet each fault, and the delay of slow ones.
+// Faults holds, for each fault, the fraction of the requests that it affects, and the delay of slow requests.
 type Faults struct {
-	Reject      float64 // rejected without effect
-	ErrorAfter  float64 // status 500 after execution
-	ResetAfter  float64 // connection reset after execution
-	ResetBefore float64 // connection reset before execution; reads only
-	Slow        float64 // executed SlowDelay more slowly
-	SlowDelay   time.Duration
+	Reject      float64       // the request is rejected without being executed
+	ErrorAfter  float64       // the response has status 500 although the request was executed
+	ResetAfter  float64       // the connection is reset after the request was executed
+	ResetBefore float64       // the connection is reset before a read is executed; writes are not affected
+	Slow        float64       // the response is delayed by SlowDelay
+	SlowDelay   time.Duration // additional delay of a slow response
 }
 
 // Server is a storage server on one listener. Its exported fields must not change after Start.
 type Server struct {
 	Name        string
 	Shard       *Shard
-	ServiceTime time.Duration // for each request
+	ServiceTime time.Duration // delay between the execution of a request and its response
 	Faults      Faults
-	Checker     *invariants.Checker // receives all executions
+	Checker     *invariants.Checker // records executions of writes, and requests that arrive after the drain grace
 
 	server *http.Server
 
 	mu              sync.Mutex // guards the fields below
 	random          *rand.Rand
-	drainNotifiedAt time.Time // zero while the server does not drain
+	drainNotifiedAt time.Time // when the gateway was notified of the drain; zero while the server is not draining
 }
 
-// Start serves the listener until Stop.
+// Start starts a goroutine that serves the listener until Stop is called.
 func (s *Server) Start(listener net.Listener, seed uint64) {
 	s.random = rand.New(rand.NewPCG(seed, 77))
 	s.server = &http.Server{Handler: s}
-	go func() { _ = s.server.Serve(listener) }() // It always ends with the error of Close.
+	go func() { _ = s.server.Serve(listener) }() // Serve always returns http.ErrServerClosed.
 }
 
 // Stop closes the listener and all connections.
 func (s *Server) Stop() { s.server.Close() }
 
-// NotifyDrain has the server drain and records that the gateway has been notified of it now.
+// NotifyDrain makes the server drain and records the current time as the time at which the gateway was notified.
 func (s *Server) NotifyDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drainNotifiedAt = time.Now()
 }
 
-// Digest returns a short name of some content.
+// Digest returns a short hexadecimal digest of some content.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:6])
@@ -82,12 +82,12 @@
 	return data[:size]
 }
 
-// faultDraw is a number drawn from [0, 1) that decides on the faults of a request. It is reduced by each fraction that it
-// is compared with, so that a request meets one fault at most.
+// faultDraw is a random number from [0, 1) that decides which fault affects a request. Each comparison with the fraction of a
+// fault subtracts that fraction, so that at most one fault affects a request.
 type faultDraw float64
 
-// hits reports whether the request meets a fault that the given fraction of all requests meets.
-func (d *faultDraw) hits(fraction float64) bool {
+// affects reports whether the request is affected by a fault that affects the given fraction of all requests.
+func (d *faultDraw) affects(fraction float64) bool {
 	*d -= faultDraw(fraction)
 	return *d < 0 && float64(*d) >= -fraction
 }
@@ -102,42 +102,42 @@
 	s.mu.Lock()
 	draw := faultDraw(s.random.Float64())
 	draining := !s.drainNotifiedAt.IsZero()
-	late := draining && now.Sub(s.drainNotifiedAt) > drainNotice
+	afterGrace := draining && now.Sub(s.drainNotifiedAt) > drainGrace
 	s.mu.Unlock()
-	if late {
+	if afterGrace {
 		execution := s.execution(r, body, now)
 		execution.DrainNotified = true
-		s.Checker.RecordExecution(object(r), execution)
+		s.Checker.RecordExecution(objectName(r), execution)
 	}
-	if draining || draw.hits(s.Faults.Reject) {
+	if draining || draw.affects(s.Faults.Reject) {
 		w.Header().Set("X-Unprocessed", "1")
 		http.Error(w, "turned away", http.StatusServiceUnavailable)
 		return
 	}
-	if draw.hits(s.Faults.ResetBefore) && r.Method == http.MethodGet {
+	if draw.affects(s.Faults.ResetBefore) && r.Method == http.MethodGet {
 		panic(http.ErrAbortHandler)
 	}
 	response := s.execute(r, body, now)
 	delay := s.ServiceTime
-	if draw.hits(s.Faults.Slow) {
+	if draw.affects(s.Faults.Slow) {
 		delay += s.Faults.SlowDelay
 	}
 	time.Sleep(delay)
-	if draw.hits(s.Faults.ErrorAfter) {
+	if draw.affects(s.Faults.ErrorAfter) {
 		http.Error(w, "error", http.StatusInternalServerError)
 		return
 	}
-	if draw.hits(s.Faults.ResetAfter) {
+	if draw.affects(s.Faults.ResetAfter) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
 	_, _ = w.Write(response) // The gateway may have closed the connection.
 }
 
-// object returns the object that a request names.
-func object(r *http.Request) string { return r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:] }
+// objectName returns the object that a request names: the last segment of its path.
+func objectName(r *http.Request) string { return r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:] }
 
-// execution returns the record of a request.
+// execution returns the record of a request for the checker.
 func (s *Server) execution(r *http.Request, body []byte, now time.Time) invariants.Execution {
 	return invariants.Execution{Server: s.Name, Shard: s.Shard.Name, Key: r.Header.Get("Idempotency-Key"), Content: Digest(body), At: now}
 }
@@ -149,12 +149,12 @@
 		execution := s.execution(r, body, now)
 		repeated, executed := s.Shard.deduplicate(execution.Key, execution.Content, now)
 		execution.Deduplicated = repeated
-		s.Checker.RecordExecution(object(r), execution)
+		s.Checker.RecordExecution(objectName(r), execution)
 		return []byte("done " + executed)
 	}
 	size, err := strconv.Atoi(r.URL.Query().Get("n"))
 	if err != nil {
 		size = defaultSize
 	}
-	return ObjectData(object(r), size)
+	return ObjectData(objectName(r), size)
 }
--- a/internal/testbed/fakestorage/shard.go
+++ b/internal/testbed/fakestorage/shard.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Shard is the state that the servers of one shard share: the idempotency keys that they have seen. It is safe for
+// Shard is the state that the servers of one shard share: the idempotency keys that they have received. It is safe for
 // concurrent use.
 type Shard struct {
 	Name        string
-	DedupWindow time.Duration // for which a repeated key is dropped
+	DedupWindow time.Duration // how long after the first write with a key further writes with it are dropped
 
 	mu     sync.Mutex
-	writes map[string]firstWrite // by key
+	writes map[string]firstWrite // first write within the window, by idempotency key
 }
 
-// firstWrite is the first write with a key.
+// firstWrite is the first write with an idempotency key.
 type firstWrite struct {
 	at     time.Time
 	digest string
 }
 
-// deduplicate records a write. If its key was seen within the window, it returns true and the digest of the first write's
-// body; otherwise false and the write's own.
+// deduplicate records a write and returns the digest of the body that was executed for its key. For a key that was already
+// received within the window, repeated is true and the digest is that of the first write.
 func (s *Shard) deduplicate(key, digest string, now time.Time) (repeated bool, executed string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -1,7 +1,7 @@
-// Package faultnet is a TCP network whose system calls fail at random: accepts, connects, reads and writes. It is built
-// only into the gateway program with the build tag chaos.
+// Package faultnet is a TCP network whose system calls (accept, connect, read and write) fail at random. Only a gateway program
+// that is built with the build tag chaos contains it.
 //
-// The failures are drawn from a seed. A Network may be used from any goroutine; it starts none.
+// The failures are drawn from a seed. A Network is safe for concurrent use and starts no goroutine.
 package faultnet
 
 import (
@@ -21,21 +21,21 @@
 )
 
 const (
-	// randomStream is the stream of random numbers of a seed.
+	// randomStream selects the stream of the random generator, which is combined with the seed.
 	randomStream = 99
-	// writeFailureFraction is how much less often writes fail than accepts and connects.
-	writeFailureFraction = 10
-	// maxAcceptFailures is how many accepts fail in a row at most.
+	// writeFailureDivisor is the factor by which the failure rate of writes is lower than that of accepts and connects.
+	writeFailureDivisor = 10
+	// maxAcceptFailures is the largest number of consecutive accepts that fail.
 	maxAcceptFailures = 8
-	// shortReadSize is how many bytes a short read returns at most.
+	// shortReadSize is the largest number of bytes that a short read returns.
 	shortReadSize = 7
 )
 
 // Options say which system calls fail, and how often.
 type Options struct {
 	Seed            uint64
-	FailureRate     float64       // fraction of accepts, connects and reads; of writes a tenth of it
-	WallClockOffset time.Duration // error of the wall clock, which the caller has to apply
+	FailureRate     float64       // fraction of accepts, connects and reads that fail; writes fail a tenth as often
+	WallClockOffset time.Duration // error of the wall clock; the caller must apply it
 }
 
 // ParseOptions reads options in the form "seed=1,rate=0.03,wall=1h".
@@ -50,44 +50,44 @@
 		case "wall":
 			options.WallClockOffset, err = time.ParseDuration(value)
 		default:
-			err = errors.New("no such option")
+			err = errors.New("unknown option (known options: seed, rate and wall)")
 		}
 		if err != nil {
-			return options, fmt.Errorf("faults: %q: %w", field, err)
+			return options, fmt.Errorf("faults: invalid option %q: %w", field, err)
 		}
 	}
 	return options, nil
 }
 
-// Network opens listeners and connections whose system calls fail.
+// Network opens listeners and connections whose system calls fail at random.
 type Network struct {
 	options Options
 
 	mu             sync.Mutex
 	random         *rand.Rand
-	acceptFailures int // accepts that are still to fail in a row
+	acceptFailures int // number of next accepts that fail
 }
 
-// New returns a network.
+// New returns a network whose failures are drawn from the seed in the options.
 func New(options Options) *Network {
 	return &Network{options: options, random: rand.New(rand.NewPCG(options.Seed, randomStream))}
 }
 
-// Errors with which system calls fail. The order decides which one a seed draws.
+// Errors with which system calls fail. Their order determines which error a seed draws, so it must not change.
 var (
 	acceptErrors  = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EHOSTUNREACH}
 	connectErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
 	writeErrors   = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}
 )
 
-// draw draws whether a system call fails, and with which error.
+// draw decides at random whether a system call fails, and with which error.
 func (n *Network) draw(rate float64, errnos []syscall.Errno) (errno syscall.Errno, fails bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return errnos[n.random.IntN(len(errnos))], n.random.Float64() < rate
 }
 
-// drawAccept draws whether an accept fails. One failure may be followed by others.
+// drawAccept decides at random whether an accept fails, and with which error. A failure can start a series of failures.
 func (n *Network) drawAccept() (errno syscall.Errno, fails bool) {
 	errno, fails = n.draw(n.options.FailureRate, acceptErrors)
 	n.mu.Lock()
@@ -102,7 +102,7 @@
 	return errno, true
 }
 
-// Listen opens a TCP listener whose accepts fail at random. Its connections work.
+// Listen opens a TCP listener whose accepts fail at random. Accepted connections have no faults.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	ln, err := loopback.ListenOn(addr)
 	if err != nil {
@@ -116,7 +116,7 @@
 	network *Network
 }
 
-// Accept fails at random, sometimes several times in a row.
+// Accept implements net.Listener. It fails at random, sometimes several times in a row.
 func (l *listener) Accept() (net.Conn, error) {
 	if errno, fails := l.network.drawAccept(); fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
@@ -124,7 +124,7 @@
 	return l.Listener.Accept()
 }
 
-// Dial returns a dial function that fails at random, and after a timeout.
+// Dial returns a dial function that fails at random. Its connection attempts end after the timeout.
 func (n *Network) Dial(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -145,9 +145,9 @@
 	network *Network
 }
 
-// Write fails at random after half of the bytes; the connection is reset then.
+// Write implements net.Conn. A random failure occurs after half of the bytes have been written and resets the connection.
 func (c *conn) Write(p []byte) (int, error) {
-	errno, fails := c.network.draw(c.network.options.FailureRate/writeFailureFraction, writeErrors)
+	errno, fails := c.network.draw(c.network.options.FailureRate/writeFailureDivisor, writeErrors)
 	if !fails {
 		return c.TCPConn.Write(p)
 	}
@@ -159,7 +159,7 @@
 	return n, err
 }
 
-// Read returns only a few bytes at random.
+// Read implements net.Conn. At random it returns only the first few bytes that are available.
 func (c *conn) Read(p []byte) (int, error) {
 	if _, short := c.network.draw(c.network.options.FailureRate, writeErrors); short && len(p) > shortReadSize {
 		p = p[:shortReadSize]
--- a/internal/testbed/faultnet/faultnet_test.go
+++ b/internal/testbed/faultnet/faultnet_test.go
@@ -15,26 +15,26 @@
 	}
 	for _, invalid := range []string{"", "seed=x", "rate=", "wall=1", "speed=1"} {
 		if _, err := ParseOptions(invalid); err == nil {
-			t.Errorf("ParseOptions accepts %q", invalid)
+			t.Errorf("ParseOptions(%q) returned no error", invalid)
 		}
 	}
 }
 
-// TestSeedDrawsSameFailures checks that a seed gives the same failures on every machine and in every version, so that a
-// run can be repeated.
+// TestSeedDrawsSameFailures checks that a seed draws the same failures on every machine and in every version, so that a run
+// can be reproduced.
 func TestSeedDrawsSameFailures(t *testing.T) {
 	network := New(Options{Seed: 7, FailureRate: 0.03})
 	hash, failures := fnv.New64a(), 0
 	for range 1000 {
 		errno, fails := network.drawAccept()
 		if !fails {
-			_, _ = fmt.Fprintln(hash, "ok") // a hash never fails
+			_, _ = fmt.Fprintln(hash, "ok") // Writing to a hash never fails.
 			continue
 		}
 		failures++
 		_, _ = fmt.Fprintln(hash, slices.Index(acceptErrors, errno))
 	}
 	if got := hash.Sum64(); failures != 88 || got != 0x6285aa782b0a3e14 {
-		t.Errorf("%d accepts fail, with hash %#x", failures, got)
+		t.Errorf("%d accepts failed, hash of their errors %#x; want 88 and 0x6285aa782b0a3e14", failures, got)
 	}
 }
--- a/internal/testbed/gatewaybinary.go
+++ b/internal/testbed/gatewaybinary.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// BuildGateway builds the gateway program and returns its path. The file is removed at the end of the test.
+// BuildGateway builds the gateway program and returns the path of the binary, which is removed at the end of the test.
 func BuildGateway(t testing.TB) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "gaugerelay")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", path, "gaugerelay/cmd/gaugerelay").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("building the gateway program: %v\n%s", err, out)
 	}
 	return path
 }
--- a/internal/testbed/golden.go
+++ b/internal/testbed/golden.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// CompareGolden checks that a text equals the file testdata/golden/NAME.txt of the package under test. Golden files hold what
-// must not change between versions; nothing rewrites them.
+// CompareGolden checks that got equals the file testdata/golden/NAME.txt of the package under test. Golden files hold output
+// that must not change between versions, so there is no option that rewrites them.
 func CompareGolden(t testing.TB, name, got string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".txt"))
@@ -22,7 +22,7 @@
 	}
 }
 
-// QuoteLines returns wire bytes as text: each line as one quoted string, its line end included.
+// QuoteLines returns wire bytes in a readable form: one quoted string for each line, including its line ending.
 func QuoteLines(wire []byte) string {
 	var text strings.Builder
 	for _, line := range bytes.SplitAfter(wire, []byte("\n")) {
--- a/internal/testbed/listener.go
+++ b/internal/testbed/listener.go
@@ -1,7 +1,7 @@
 // Package testbed holds helpers that tests of several packages share: loopback listeners and connections, HTTP servers,
-// settings of a scheduler and the gateway program. The doubles of outside systems and the fault injection are in its subdirectories.
+// settings of a scheduler and the gateway program. Fakes of external systems and fault injection are in its subdirectories.
 //
-// Everything that a helper starts ends with the test that called it.
+// Everything that a helper starts is stopped at the end of the test that called it.
 package testbed
 
 import (
@@ -16,7 +16,7 @@
 // Settings returns scheduler settings like those of a deployment, for one gateway.
 func Settings(shards int) scheduler.Settings { return testsettings.Settings(shards) }
 
-// Listen opens a TCP listener on a loopback port that is closed at the end of the test.
+// Listen opens a TCP listener on a loopback port. The listener is closed at the end of the test.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := loopback.Listen()
@@ -27,8 +27,8 @@
 	return ln
 }
 
-// Serve opens a TCP listener as Listen does and calls handle in a goroutine of its own for each connection, which is
-// closed when handle returns. It returns the listener's address.
+// Serve opens a TCP listener as Listen does and calls handle for each connection in a separate goroutine. The connection is
+// closed when handle returns. Serve returns the listener's address.
 func Serve(t testing.TB, handle func(net.Conn)) (addr string) {
 	t.Helper()
 	ln := Listen(t)
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -1,7 +1,6 @@
 // Package memnet is a network in memory, without sockets, for tests that run in a bubble of testing/synctest.
 //
-// The package owns the listeners of a [Net] by address; connections are those of net.Pipe with addresses. It starts no
-// goroutine.
+// A [Net] owns its listeners, by address. Connections are pipes (net.Pipe) with addresses. The package starts no goroutine.
 package memnet
 
 import (
@@ -12,11 +11,11 @@
 	"sync"
 )
 
-// ErrConnectionRefused reports a connection to an address that nobody listens at.
+// ErrConnectionRefused is the error of a dial to an address without a listener.
 var ErrConnectionRefused = errors.New("memnet: connection refused")
 
-// firstPort is the port before the first one that is assigned.
-const firstPort = 40000
+// basePort is the number that precedes the first assigned port.
+const basePort = 40000
 
 // Net is a network. Its zero value is empty and ready for use. It is safe for concurrent use.
 type Net struct {
@@ -25,7 +24,7 @@
 	assignedPorts int
 }
 
-// Listen listens at an address of the form "host:port". Port 0 stands for a free one.
+// Listen listens on an address of the form "host:port". Port 0 selects a free port.
 func (n *Net) Listen(address string) (net.Listener, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -40,21 +39,21 @@
 		address = net.JoinHostPort(host, n.assignPort())
 	}
 	if n.listeners[address] != nil {
-		return nil, fmt.Errorf("memnet: %s is in use", address)
+		return nil, fmt.Errorf("memnet: address %s is already in use", address)
 	}
 	l := &listener{network: n, address: addr(address), incoming: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
 
-// assignPort returns a port that was not assigned before. n.mu must be held.
+// assignPort returns a port that it has not returned before. n.mu must be held.
 func (n *Net) assignPort() string {
 	n.assignedPorts++
-	return fmt.Sprint(firstPort + n.assignedPorts)
+	return fmt.Sprint(basePort + n.assignedPorts)
 }
 
-// Dial connects to an address and waits until the connection is accepted or ctx is done. It fails with
-// ErrConnectionRefused if nobody listens there. The network's name is ignored.
+// Dial connects to an address and waits until the connection is accepted or ctx is done. It returns ErrConnectionRefused if
+// there is no listener on that address. The network parameter is ignored.
 func (n *Net) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -93,7 +92,7 @@
 	}
 }
 
-// Close implements net.Listener. The address is free afterwards.
+// Close implements net.Listener. The address can be used again afterwards.
 func (l *listener) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closed)
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -15,7 +15,7 @@
 	t.Cleanup(func() {
 		server.Close()
 		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("the HTTP server ended: %v", err)
+			t.Errorf("HTTP server: Serve returned %v, want http.ErrServerClosed", err)
 		}
 	})
 }
--- a/internal/testbed/testsettings/settings.go
+++ b/internal/testbed/testsettings/settings.go
@@ -9,7 +9,7 @@
 )
 
 // Settings returns settings like those of the platform for one gateway: three classes ("pull", "push" and "bulk-read") and
-// two plans ("basic", which has a limit, and "business"). Each call returns settings of its own, which the caller may change.
+// two plans ("basic", which has a limit, and "business"). Each call returns a new copy, which the caller may change.
 func Settings(shards int) scheduler.Settings {
 	const ms = time.Millisecond
 	return scheduler.Settings{Gateways: 1, Shards: shards, MeanUnits: 2, MaxUnits: 6, FairShareWeight: 0.3, SurplusWeight: 0.05,
