--- a/internal/testbed/gatewaybinary.go
+++ b/internal/testbed/gatewaybinary.go
@@ -11,7 +11,7 @@
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "gaugerelay")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", path, "gaugerelay/cmd/gaugerelay").CombinedOutput(); err != nil {
-		t.Fatalf("building the gateway program: %v\n%s", err, out)
+		t.Fatalf("%v\n%s", err, out)
 	}
 	return path
 }
