--- a/internal/testbed/fakefileserver/handlers.go
+++ b/internal/testbed/fakefileserver/handlers.go
@@ -34,8 +34,8 @@
 	return h, err
 }
 
-// parseUploadKey returns the upload key among the attributes of an OPEN, which must be extended ones only. It returns an
-// empty key if there is none.
+// parseUploadKey returns the upload key from the attributes of an OPEN, or an empty string if there is none. All attributes must
+// be extended attributes.
 func parseUploadKey(attrs []byte) string {
 	if len(attrs) < 4 {
 		return ""
@@ -53,8 +53,8 @@
 	return ""
 }
 
-// readString returns the string that data begins with, after its length, and what follows it. If data does not hold a whole
-// string, it returns an empty one and data.
+// readString decodes the length-prefixed string at the start of data and returns it with the remaining data. If the string is
+// incomplete, readString returns an empty string and data.
 func readString(data []byte) (text string, rest []byte) {
 	if len(data) < 4 {
 		return "", data
@@ -110,10 +110,10 @@
 // OpenFile implements sftp.OpenFileWriter.
 func (s *Server) OpenFile(r *sftp.Request) (sftp.WriterAtReaderAt, error) { return s.open(r) }
 
-// Filecmd implements sftp.FileCmder. No command is supported.
+// Filecmd implements sftp.FileCmder. It supports no command.
 func (s *Server) Filecmd(*sftp.Request) error { return sftp.ErrSSHFxOpUnsupported }
 
-// Filelist implements sftp.FileLister for STAT.
+// Filelist implements sftp.FileLister. It supports only STAT.
 func (s *Server) Filelist(r *sftp.Request) (sftp.ListerAt, error) {
 	info := fileInfo{name: r.Filepath}
 	err := s.execute(&Command{Op: OpStat, Path: r.Filepath}, func() error {
@@ -127,7 +127,7 @@
 	return info, err
 }
 
-// fileInfo is a file's attributes. It implements os.FileInfo, and sftp.ListerAt as a list of itself.
+// fileInfo holds the attributes of a file. It implements os.FileInfo, and sftp.ListerAt as a list that contains only itself.
 type fileInfo struct {
 	name string
 	size int64
--- a/internal/testbed/fakefileserver/server.go
+++ b/internal/testbed/fakefileserver/server.go
@@ -1,7 +1,7 @@
-// Package fakefileserver is a fake of the file port of storage servers, which speaks SFTP over any listener.
+// Package fakefileserver is a fake of the file port of storage servers, which serves SFTP on any listener.
 //
-// The package owns the files, which live in memory, and a log of all commands. A [Server] handles each connection on a
-// goroutine of its own, which ends with the connection.
+// The package owns the files, which are kept in memory, and a log of all commands. A [Server] handles each connection in a
+// separate goroutine, which ends with the connection.
 package fakefileserver
 
 import (
@@ -15,10 +15,10 @@
 	"gaugerelay/internal/testbed"
 )
 
-// Op is the kind of a command.
+// Op is the operation of a command.
 type Op string
 
-// The commands that the server executes.
+// The operations that the server supports.
 const (
 	OpOpen  Op = "open"
 	OpRead  Op = "read"
@@ -30,30 +30,31 @@
 type Command struct {
 	Op           Op
 	Path         string
-	Flags        uint32 // of an open
-	UploadKey    string // of an open or a write; empty if the client gave none
-	Bytes        int    // of a read or a write
-	Data         []byte // of a write
-	Deduplicated bool   // of a write: it was dropped because its upload key had been seen; set for AfterEffect only
+	Flags        uint32 // flags of an open
+	UploadKey    string // upload key of an open or a write; empty if the client sent none
+	Bytes        int    // number of bytes of a read or a write
+	Data         []byte // data of a write
+	Deduplicated bool   // whether a write was dropped because its upload key had been received before; set only for AfterEffect
 }
 
-// Server keeps files in memory. It drops a WRITE whose upload key it has seen. Its methods are safe for concurrent use; its
-// exported fields must not change while it has connections.
+// Server keeps files in memory. It drops a WRITE whose upload key it has received before. Its methods are safe for concurrent
+// use; its exported fields must not change while it has connections.
 type Server struct {
-	// Addr is the address of a server that New has started.
+	// Addr is the address of a server that New has started; otherwise it is empty.
 	Addr string
-	// BeforeEffect, if set, is called before each command takes effect; an error becomes the response.
+	// BeforeEffect, if set, is called before each command takes effect. An error becomes the response, and the command then has
+	// no effect.
 	BeforeEffect func(Command) error
-	// AfterEffect, if set, is called after a command has taken effect; an error becomes the response.
+	// AfterEffect, if set, is called after each command that has taken effect. An error becomes the response.
 	AfterEffect func(Command) error
 
-	mu         sync.Mutex // guards the fields below
-	files      map[string][]byte
-	uploadKeys map[string]bool
+	mu         sync.Mutex        // guards the fields below
+	files      map[string][]byte // content of the files, by path
+	uploadKeys map[string]bool   // upload keys of the writes executed so far
 	commands   []Command
 }
 
-// New starts a file server on a loopback port that closes with the test.
+// New starts a file server on a loopback port. Its listener is closed at the end of the test.
 func New(t testing.TB) *Server {
 	t.Helper()
 	s := NewUnstarted()
@@ -61,8 +62,8 @@
 	return s
 }
 
-// NewUnstarted returns a file server for the listeners that Serve is given. Several listeners share its files, like the
-// servers of one shard.
+// NewUnstarted returns a file server without a listener. Serve can be called for several listeners, which then share the files
+// like the servers of one shard.
 func NewUnstarted() *Server {
 	return &Server{files: map[string][]byte{}, uploadKeys: map[string]bool{}}
 }
@@ -71,7 +72,7 @@
 func (s *Server) handle(conn net.Conn) {
 	server := sftp.NewRequestServer(conn, sftp.Handlers{FileGet: s, FilePut: s, FileCmd: s, FileList: s},
 		sftp.WithRSMaxTxPacket(sftpwire.MaxData))
-	_ = server.Serve() // Tests break connections on purpose.
+	_ = server.Serve() // Serve returns an error when a test breaks the connection.
 }
 
 // Serve serves a listener until it is closed, and then closes its connections.
@@ -99,21 +100,22 @@
 	s.files[path] = append([]byte(nil), data...)
 }
 
-// File returns the content of a file, nil if there is none.
+// File returns the content of a file, or nil if it does not exist.
 func (s *Server) File(path string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]byte(nil), s.files[path]...)
 }
 
-// Commands returns all commands that were received so far.
+// Commands returns all commands received so far.
 func (s *Server) Commands() []Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Command(nil), s.commands...)
 }
 
-// execute logs a command and lets it take effect. effect is called with s.mu held and may change the command.
+// execute logs a command and applies its effect, with the calls of BeforeEffect and AfterEffect around it. effect is called with
+// s.mu held and may change the command.
 func (s *Server) execute(c *Command, effect func() error) error {
 	s.mu.Lock()
 	s.commands = append(s.commands, *c)
--- a/internal/testbed/linkshaper/link.go
+++ b/internal/testbed/linkshaper/link.go
@@ -1,9 +1,10 @@
-// Package linkshaper makes a good connection a poor one: limited rate, delay, jitter, losses as the waits that they cause on
-// TCP, stalls of seconds, resets in the middle of a message, and links that drop everything without notice to either side.
+// Package linkshaper simulates poor links between two connections: limited bandwidth, delay, jitter, packet loss (as the
+// retransmission delay that it causes on TCP), stalls of up to several seconds, resets in the middle of a message, and black
+// holes, which drop all data without notice to either side.
 //
-// The package owns the links. A [Link] runs two goroutines for each direction, and timers for its faults; they end with the
-// link, when either connection ends or the link is reset. Nobody waits for them: a blocked Write ends when its connection is
-// closed. The same seed shapes a link in the same way, as far as the same bytes are sent at the same times.
+// The package owns the links. A [Link] runs two goroutines for each direction, and timers for its faults. They end with the
+// link, that is when either connection ends or the link is reset; nothing waits for them. A blocked Write ends when its
+// connection is closed. The same seed shapes a link in the same way if the same bytes are sent at the same times.
 package linkshaper
 
 import (
@@ -14,18 +15,18 @@
 )
 
 const (
-	maxSegmentSize      = 1460 // bytes
-	maxSegmentsInFlight = 48   // in one direction
-	shortResponseSize   = 512  // bytes of the response that TransferTime allows for
+	maxSegmentSize      = 1460 // largest payload of a segment in bytes
+	maxSegmentsInFlight = 48   // largest number of segments in flight in each direction
+	shortResponseSize   = 512  // size in bytes of the response that TransferTime includes
 )
 
-// Shaper makes links. It is safe for concurrent use.
+// Shaper creates links with one profile. It is safe for concurrent use.
 type Shaper struct {
 	Profile
 	Seed uint64
 
 	mu    sync.Mutex
-	links uint64 // made so far
+	links uint64 // number of links created so far
 }
 
 // Link is a shaped connection. Its methods are safe for concurrent use.
@@ -37,12 +38,12 @@
 
 	mu         sync.Mutex // guards the fields below
 	schedule   schedule
-	blackholed bool // drops everything
-	reset      bool
+	blackholed bool // whether the link drops all data
+	reset      bool // whether the link has reset both connections
 	timers     []*time.Timer
 }
 
-// Join starts a link between two connections, which runs until either ends, and returns it.
+// Join starts and returns a link between two connections. The link runs until either connection ends.
 func (s *Shaper) Join(client, server net.Conn) *Link {
 	s.mu.Lock()
 	s.links++
@@ -63,32 +64,34 @@
 	return l
 }
 
-// TransferTime returns how long a message of some bytes and a short response take at least if the link has no fault.
+// TransferTime returns the time that a message of the given size and a short response take on the link without faults, with the
+// largest jitter in both directions.
 func (l *Link) TransferTime(bytes int) time.Duration {
 	return 2*(l.profile.Delay+l.profile.Jitter) + l.profile.transmissionTime(bytes+shortResponseSize)
 }
 
-// FaultySince reports whether the link has had a fault since t, for which neither side is to blame.
+// FaultySince reports whether a fault of the link has affected its traffic since t. Such a fault excuses the client and the server
+// for a missing message.
 func (l *Link) FaultySince(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.blackholed || l.reset || l.schedule.faultySince(t)
 }
 
-// resetBoth ends both connections at once, if they are TCP connections by a reset.
+// resetBoth closes both connections at once, TCP connections by a reset (RST).
 func (l *Link) resetBoth() {
 	l.mu.Lock()
 	l.reset = true
 	l.mu.Unlock()
 	for _, conn := range []net.Conn{l.client, l.server} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // It fails for a closed connection only.
+			_ = tcp.SetLinger(0) // SetLinger fails only on a closed connection.
 		}
 	}
 	l.close()
 }
 
-// blackhole has the link drop everything. Both sides are reset much later.
+// blackhole makes the link drop all data from now on. Both connections are reset after the profile's BlackholeDuration.
 func (l *Link) blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,14 +119,14 @@
 	return l.blackholed
 }
 
-// segment is data on its way.
+// segment is a piece of data in flight.
 type segment struct {
 	data      []byte
 	arrivesAt time.Time
 }
 
-// forward carries one direction until either connection ends. The end of a connection does not pass a link that drops
-// everything either.
+// forward carries the data of one direction until either connection ends, and then closes the link. A black hole also drops the
+// end of a connection: the other connection stays open until the reset.
 func (l *Link) forward(dir direction, from, to net.Conn) {
 	inFlight := make(chan segment, maxSegmentsInFlight)
 	go l.readSegments(dir, from, inFlight)
@@ -135,7 +138,7 @@
 	}
 }
 
-// readSegments reads from a connection until it ends, and schedules what it reads.
+// readSegments reads segments from a connection until it ends, and schedules their arrival.
 func (l *Link) readSegments(dir direction, from net.Conn, inFlight chan<- segment) {
 	defer close(inFlight)
 	buf := make([]byte, maxSegmentSize)
@@ -157,8 +160,8 @@
 	}
 }
 
-// deliver writes segments when they arrive, until there are no more or the connection ends. It returns false if the link was
-// closed.
+// deliver writes each segment at its arrival time, until inFlight is closed or a write fails. It returns false if the link was
+// closed before that.
 func (l *Link) deliver(inFlight <-chan segment, to net.Conn) bool {
 	for s := range inFlight {
 		if !l.waitUntil(s.arrivesAt) {
@@ -174,7 +177,7 @@
 	return true
 }
 
-// waitUntil waits until t. It returns false if the link was closed before.
+// waitUntil waits until t. It returns false if the link was closed before t.
 func (l *Link) waitUntil(t time.Time) bool {
 	wait := time.Until(t)
 	if wait <= 0 {
--- a/internal/testbed/linkshaper/profile.go
+++ b/internal/testbed/linkshaper/profile.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Profile describes a kind of link. A fault whose field is zero does not occur.
+// Profile describes the quality of a link. The zero value of a field disables the limit or fault that it describes.
 type Profile struct {
 	Name              string
-	BytesPerMs        float64       // in each direction; 0: unlimited
-	Delay             time.Duration // in each direction
-	Jitter            time.Duration // the largest addition to Delay
-	Loss              float64       // fraction of the segments that arrive by a retransmission only
+	BytesPerMs        float64       // bandwidth of each direction in bytes per millisecond
+	Delay             time.Duration // one-way delay
+	Jitter            time.Duration // largest random addition to Delay
+	Loss              float64       // fraction of the segments that are lost and arrive only by a retransmission
 	StallInterval     time.Duration // mean time between stalls
-	StallMin          time.Duration // the shortest stall
-	StallMax          time.Duration // the longest stall
-	ResetInterval     time.Duration // mean time to a reset
-	BlackholeInterval time.Duration // mean time until the link drops everything
-	BlackholeDuration time.Duration // after which both sides of such a link are reset
+	StallMin          time.Duration // shortest duration of a stall
+	StallMax          time.Duration // longest duration of a stall
+	ResetInterval     time.Duration // mean time until the link is reset
+	BlackholeInterval time.Duration // mean time until the link starts to drop all data
+	BlackholeDuration time.Duration // time from then until both connections are reset
 }
 
 // Good is a link without faults.
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// minRetransmissionDelay is the least delay of a segment that was lost at first.
+// minRetransmissionDelay is the shortest additional delay of a segment that was lost and retransmitted.
 const minRetransmissionDelay = 200 * time.Millisecond
 
 // direction is one of a link's two directions.
@@ -17,16 +17,16 @@
 	directions
 )
 
-// stall is a span in which nothing arrives.
+// stall is a period in which no segment arrives.
 type stall struct{ from, to time.Time }
 
 // schedule decides when segments arrive. It is not safe for concurrent use.
 type schedule struct {
 	profile       Profile
 	random        *rand.Rand
-	idleAt        [directions]time.Time // when the segments so far have been transmitted
-	lastArrivalAt [directions]time.Time // TCP keeps the order
-	stalls        []stall               // as far as drawn, in order; the first is empty and marks the link's beginning
+	idleAt        [directions]time.Time // when all segments scheduled so far have been transmitted
+	lastArrivalAt [directions]time.Time // arrival of the latest segment; later ones must not arrive earlier, because TCP keeps the order
+	stalls        []stall               // stalls drawn so far, by time; the first one is empty and marks the start of the link
 	lastLossAt    time.Time             // when the latest retransmitted segment arrives
 }
 
@@ -39,7 +39,7 @@
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// transmissionTime returns how long it takes to send some bytes, apart from delays.
+// transmissionTime returns the time that it takes to put the given number of bytes on the link, without the delay.
 func (p Profile) transmissionTime(bytes int) time.Duration {
 	if p.BytesPerMs <= 0 {
 		return 0
@@ -47,14 +47,14 @@
 	return time.Duration(float64(bytes) / p.BytesPerMs * float64(time.Millisecond))
 }
 
-// arrival returns when a segment of size bytes that is sent now arrives.
+// arrival schedules a segment of size bytes that is sent now, and returns its arrival time.
 func (s *schedule) arrival(dir direction, size int) time.Time {
 	s.idleAt[dir] = latest(time.Now(), s.idleAt[dir]).Add(s.profile.transmissionTime(size))
 	at := s.idleAt[dir].Add(s.profile.Delay)
 	if s.profile.Jitter > 0 {
 		at = at.Add(time.Duration(s.random.Float64() * float64(s.profile.Jitter)))
 	}
-	if s.random.Float64() < s.profile.Loss { // The segment arrives by its retransmission.
+	if s.random.Float64() < s.profile.Loss { // The segment is lost; its retransmission arrives.
 		at = at.Add(max(minRetransmissionDelay, 4*s.profile.Delay))
 		s.lastLossAt = at
 	}
@@ -66,7 +66,8 @@
 	return at
 }
 
-// afterStalls returns at, or the end of the stall that it falls into. It draws stalls until one ends after at.
+// afterStalls returns the end of the stall that is in effect at the given time, or that time if there is none. It first draws
+// further stalls, until one ends after that time.
 func (s *schedule) afterStalls(at time.Time) time.Time {
 	p := s.profile
 	for last := s.stalls[len(s.stalls)-1]; !last.to.After(at); last = s.stalls[len(s.stalls)-1] {
@@ -82,7 +83,7 @@
 	return at
 }
 
-// faultySince reports whether a segment was lost or a stall has been in effect since t.
+// faultySince reports whether a retransmitted segment arrives after t, or a stall has been in effect since t.
 func (s *schedule) faultySince(t time.Time) bool {
 	if s.lastLossAt.After(t) {
 		return true
--- a/internal/testbed/membershipsim/events.go
+++ b/internal/testbed/membershipsim/events.go
@@ -6,16 +6,16 @@
 	"gaugerelay/internal/membership"
 )
 
-// event is the arrival of a message at a member, or the expiry of its timer.
+// event is the arrival of a message at a member, or the expiry of the member's timer.
 type event struct {
 	atMs    float64
-	order   int // sequence number; it decides between events of the same time
-	member  int
-	isTimer bool
-	message membership.Message // valid unless isTimer
+	order   int                // sequence number, which orders events of the same time
+	member  int                // number of the member that the event concerns
+	isTimer bool               // whether the event is the expiry of the timer
+	message membership.Message // valid only if isTimer is false
 }
 
-// eventQueue holds future events in the order of their times.
+// eventQueue holds future events, earliest first.
 type eventQueue struct {
 	events    eventHeap
 	lastOrder int
@@ -27,7 +27,7 @@
 	heap.Push(&q.events, e)
 }
 
-// popUntil removes the first event and returns it, unless there is none or it is later than atMs.
+// popUntil removes and returns the earliest event. It returns false if there is none or if it is later than atMs.
 func (q *eventQueue) popUntil(atMs float64) (event, bool) {
 	if len(q.events) == 0 || q.events[0].atMs > atMs {
 		return event{}, false
@@ -35,7 +35,7 @@
 	return heap.Pop(&q.events).(event), true
 }
 
-// eventHeap implements heap.Interface.
+// eventHeap implements heap.Interface. Events are ordered by time, then by sequence number.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// msPerHour and secondsPerHour convert simulated time to rates.
+// Factors that convert simulated time to rates.
 const (
 	msPerHour      = 3_600_000
 	secondsPerHour = 3600
@@ -14,25 +14,26 @@
 
 // Report is the result of Measure.
 type Report struct {
-	// DetectionP50Ms and DetectionP99Ms are quantiles of the time from a crash until a member declares the crashed member
-	// dead.
+	// DetectionP50Ms and DetectionP99Ms are the median and the 99th percentile of the detection time: the time from a crash
+	// until another member declares the crashed member dead.
 	DetectionP50Ms, DetectionP99Ms float64
-	// BoundMs is the bound of that time.
+	// BoundMs is the upper bound of the detection time.
 	BoundMs float64
-	// Undetected counts pairs of a crash and a running member that did not detect it within the bound.
+	// Undetected is the number of pairs of a crash and a running member that did not detect it within the bound.
 	Undetected int
-	// Unfinished counts such pairs for which the simulation ended before the bound.
+	// Unfinished is the number of such pairs without a detection for which the simulation ended before the bound had passed.
 	Unfinished int
-	// FalseDeathsPerHour is FalseDeaths for each hour of each member.
+	// FalseDeathsPerHour is the number of false deaths per hour and member.
 	FalseDeathsPerHour float64
-	// FalseDeaths counts how often a running member was declared dead.
+	// FalseDeaths is the number of times that a member declared a running member dead.
 	FalseDeaths int
-	// DatagramsPerSecond and BytesPerSecond are what each member sends.
+	// DatagramsPerSecond and BytesPerSecond are the mean rates at which a member sends.
 	DatagramsPerSecond, BytesPerSecond float64
 }
 
-// Measure simulates a fleet in three phases: without crashes, with up to the given number of crashes, and afterwards.
-// The first two phases take ms/3 each. The third one takes at least as long and, up to 4*ms, until the bound has passed.
+// Measure simulates a fleet in three phases: without crashes, with up to the given number of crashes, and without further
+// crashes. The first two phases take ms/3 each. The third phase lasts for the detection bound, but at least ms/3; a bound above
+// 4*ms is cut to 4*ms.
 func Measure(options Options, ms float64, crashes int) Report {
 	s := New(options)
 	s.Run(ms / 3)
@@ -49,7 +50,8 @@
 	return report
 }
 
-// crashRandomMembers crashes at most half of the members, spread over a time, and returns when each of them crashed.
+// crashRandomMembers crashes at most half of the members, spread over the given time in milliseconds, and returns when each of
+// them crashed.
 func (s *Simulation) crashRandomMembers(ms float64, crashes int) (crashedAtMs map[int]float64) {
 	crashedAtMs = map[int]float64{}
 	for range min(crashes, s.options.MemberCount/2) {
@@ -64,7 +66,7 @@
 	return crashedAtMs
 }
 
-// measureDetection fills in how the members that have not crashed detected the crashes.
+// measureDetection sets the fields of the report that describe how the members that have not crashed detected the crashes.
 func (s *Simulation) measureDetection(report *Report, crashedAtMs map[int]float64) {
 	var timesMs []float64
 	for crashed, atMs := range crashedAtMs {
@@ -88,10 +90,10 @@
 	}
 }
 
-// String returns the report as a line of a table.
+// String returns the report as one line of a table.
 func (r Report) String() string {
-	return fmt.Sprintf("detected p50 %5.0f p99 %5.0f ms (bound %7.0f, not within it %d, not at the end %d)  "+
-		"false %.3f a gateway's hour  %5.1f datagrams/s %6.0f bytes/s",
+	return fmt.Sprintf("detected p50 %5.0f p99 %5.0f ms (bound %7.0f, undetected %d, unfinished %d)  "+
+		"false deaths %.3f per member-hour  %5.1f datagrams/s %6.0f bytes/s per member",
 		r.DetectionP50Ms, r.DetectionP99Ms, r.BoundMs, r.Undetected, r.Unfinished,
 		r.FalseDeathsPerHour, r.DatagramsPerSecond, r.BytesPerSecond)
 }
--- a/internal/testbed/membershipsim/simulation.go
+++ b/internal/testbed/membershipsim/simulation.go
@@ -14,7 +14,7 @@
 	MemberCount int
 	// LossRate is the probability that a message is lost.
 	LossRate float64
-	// MinDelayMs is the shortest delay of a message. A uniformly distributed delay of up to JitterMs is added.
+	// MinDelayMs is the shortest delay of a message. A uniformly distributed random delay of up to JitterMs is added.
 	MinDelayMs, JitterMs float64
 	Seed                 uint64
 }
@@ -23,16 +23,16 @@
 type Simulation struct {
 	// NowMs is the simulated time.
 	NowMs float64
-	// Datagrams and Bytes count what all members have sent.
+	// Datagrams and Bytes are the numbers of datagrams and bytes that all members have sent.
 	Datagrams, Bytes int
-	// FalseDeaths counts how often a member declared a running member dead although its link to it worked.
+	// FalseDeaths is the number of times that a member declared dead a running member to which its link was not partitioned.
 	FalseDeaths int
 
 	options         Options
 	random          *rand.Rand
 	members         []*member
 	queue           eventQueue
-	isPartitioned   func(from, to int) bool
+	isPartitioned   func(from, to int) bool // whether the link loses all messages
 	lastIncarnation uint32
 	codec           *datagram.Codec
 }
@@ -42,16 +42,17 @@
 	list     *membership.Memberlist
 	crashed  bool
 	paused   bool
-	timerMs  float64              // the earliest time for which a timer event is queued; infinite for none
-	received []membership.Message // while paused
-	// deadSinceMs holds, for each other member, when this one declared it dead, or NaN unless it is declared dead.
+	timerMs  float64              // time of the earliest queued timer event; infinite if there is none
+	received []membership.Message // messages that arrived while the member was paused
+	// deadSinceMs holds for each other member the time at which this member declared it dead, or NaN if it does not regard
+	// it as dead.
 	deadSinceMs []float64
 }
 
 // isRunning reports whether the member takes part in the protocol.
 func (m *member) isRunning() bool { return !m.crashed && !m.paused }
 
-// New starts a Simulation of a fleet whose members assume each other to be alive.
+// New starts a simulation of a fleet. At the start, each member regards all others as alive.
 func New(options Options) *Simulation {
 	s := &Simulation{
 		options: options,
@@ -66,13 +67,13 @@
 	return s
 }
 
-// Settings returns the settings that a member would be started with now.
+// Settings returns the settings with which StartMember would start a member now.
 func (s *Simulation) Settings(number int) membership.Settings {
 	seed := s.options.Seed<<20 + uint64(s.lastIncarnation)
 	return membership.DefaultSettings(uint16(number), s.options.MemberCount, s.lastIncarnation, seed)
 }
 
-// StartMember replaces a member by a new process without state.
+// StartMember replaces a member by a new process, which has no state and a new incarnation.
 func (s *Simulation) StartMember(number int) {
 	s.lastIncarnation++
 	list, err := membership.New(s.Settings(number))
@@ -87,13 +88,13 @@
 	s.step(number, nil)
 }
 
-// Kill stops a member for good.
+// Kill crashes a member. It stays down until StartMember replaces it.
 func (s *Simulation) Kill(number int) { s.members[number].crashed = true }
 
-// Pause suspends a member. Messages to it are kept.
+// Pause suspends a member. Messages that arrive during the pause are kept.
 func (s *Simulation) Pause(number int) { s.members[number].paused = true }
 
-// Resume continues a paused member, which receives at once the messages that arrived during the pause.
+// Resume resumes a paused member, which immediately receives the messages that arrived during the pause.
 func (s *Simulation) Resume(number int) {
 	m := s.members[number]
 	m.paused = false
@@ -102,7 +103,7 @@
 	s.step(number, received)
 }
 
-// Partition makes the links lose all messages for which isPartitioned returns true. A nil function repairs all links.
+// Partition makes every link for which isPartitioned returns true lose all messages. A nil function repairs all links.
 func (s *Simulation) Partition(isPartitioned func(from, to int) bool) {
 	if isPartitioned == nil {
 		isPartitioned = func(int, int) bool { return false }
@@ -110,7 +111,7 @@
 	s.isPartitioned = isPartitioned
 }
 
-// Run advances the simulated time.
+// Run advances the simulated time by ms milliseconds and processes the events of that time.
 func (s *Simulation) Run(ms float64) {
 	endMs := s.NowMs + ms
 	for {
@@ -131,7 +132,7 @@
 	case m.crashed:
 	case e.isTimer:
 		if e.atMs < m.timerMs {
-			return // superseded by a later timer
+			return // A timer event for a later time has replaced this one.
 		}
 		m.timerMs = math.Inf(1)
 		if !m.paused {
@@ -144,7 +145,7 @@
 	}
 }
 
-// step runs the protocol of one member.
+// step runs one step of a member's protocol, sends its messages and schedules its next step.
 func (s *Simulation) step(number int, received []membership.Message) {
 	m := s.members[number]
 	outgoing, changes := m.list.Step(s.NowMs, received)
@@ -160,7 +161,7 @@
 	}
 }
 
-// recordChange records a state change that a member reports about another one.
+// recordChange records a change of another member's state that a member reports.
 func (s *Simulation) recordChange(number int, change membership.StateChange) {
 	if change.IdentityConflict {
 		return
@@ -176,7 +177,7 @@
 	}
 }
 
-// send counts a message and, unless it is lost, queues its arrival.
+// send counts a message and queues its arrival, unless it is lost.
 func (s *Simulation) send(from int, message membership.Message) {
 	to := int(message.Peer)
 	s.countDatagrams(from, message)
@@ -188,6 +189,7 @@
 	s.queue.push(event{atMs: arrivalMs, member: to, message: message})
 }
 
+// countDatagrams adds the datagrams that carry a message to the totals.
 func (s *Simulation) countDatagrams(from int, message membership.Message) {
 	packet := datagram.Packet{From: uint16(from), Membership: []membership.Message{message}}
 	var lastNumber uint64
@@ -197,7 +199,7 @@
 	}
 }
 
-// CountState returns how many other running members regard a member as being in a state.
+// CountState returns the number of other running members that regard a member as being in the given state.
 func (s *Simulation) CountState(number int, state membership.State) (count int) {
 	for other, m := range s.members {
 		if other != number && m.isRunning() && m.list.State(uint16(number)) == state {
