--- a/internal/testbed/fakestorage/server.go
+++ b/internal/testbed/fakestorage/server.go
@@ -54,7 +54,7 @@
 func (s *Server) Start(listener net.Listener, seed uint64) {
 	s.random = rand.New(rand.NewPCG(seed, 77))
 	s.server = &http.Server{Handler: s}
-	go func() { _ = s.server.Serve(listener) }() // Serve always returns http.ErrServerClosed.
+	go func() { _ = s.server.Serve(listener) }() // Serve returns an error when the server is closed.
 }
 
 // Stop closes the listener and all connections.
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -17,29 +17,31 @@
 )
 
 const (
-	maxSurgeRate     = 120.0                  // requests per second of a volume in its surge
-	maxClientConns   = maxSockets / 3         // at a gateway
-	shutdownAnnounce = 400 * time.Millisecond // after which a gateway that shuts down need not respond any more
+	maxSurgeRate             = 120.0                  // largest request rate of a volume during its surge, in requests per second
+	maxClientConns           = maxSockets / 3         // largest number of client connections to a gateway
+	shutdownAcceptancePeriod = 400 * time.Millisecond // time from the start of a shutdown during which new requests still get a response
 )
 
-// request is a client's request and what became of it. The fields from attempts on are guarded by simulation.mu.
+// request is a client's request with its attempts and the time of its response.
 type request struct {
-	id      string // correlation id
+	id      string // correlation ID
 	object  uint64
 	class   class
 	volume  *volume
 	units   float64
-	shard   int // -1: any
-	gateway *simulatedGateway
+	shard   int               // shard that must serve the request, or -1 for any shard
+	gateway *simulatedGateway // gateway that the request is sent to
 
-	attempts    []*attempt
-	respondedAt time.Time
+	// The fields below are guarded by simulation.mu.
+
+	attempts    []*attempt // attempts that servers have received completely
+	respondedAt time.Time  // when the client received the response or an error; zero before that
 }
 
-// body returns the body of a write.
+// body returns the body that the request has if it is a write.
 func (r *request) body() string { return "content of " + r.id }
 
-// timeout returns the time that the client gives the gateway.
+// timeout returns the time within which the gateway must respond.
 func (r *request) timeout() time.Duration { return milliseconds(r.class.DeadlineMs) }
 
 // mayHaveExecuted reports whether a server may have executed the request. simulation.mu must be held.
@@ -52,17 +54,17 @@
 	return false
 }
 
-// generateRequests sends the requests of a volume as a Poisson process, with a surge in the middle third of the run.
+// generateRequests sends the requests of a volume as a Poisson process, whose rate is higher in the middle third of the run.
 func (s *simulation) generateRequests(v *volume, random *rand.Rand) {
-	began, baselineRate := time.Now(), s.deployment.Plans[v.Plan].Rate*v.Usage/meanUnits
+	startedAt, baselineRate := time.Now(), s.deployment.Plans[v.Plan].Rate*v.Usage/meanUnits
 	client := &http.Client{Transport: &http.Transport{DialContext: s.network.Dial, DisableKeepAlives: true}}
 	for n := 0; ; n++ {
 		rate := baselineRate
-		if elapsed := time.Since(began); elapsed > runDuration/3 && elapsed < runDuration*2/3 {
+		if elapsed := time.Since(startedAt); elapsed > runDuration/3 && elapsed < runDuration*2/3 {
 			rate = min(baselineRate*v.SurgeFactor, maxSurgeRate)
 		}
 		time.Sleep(seconds(random.ExpFloat64() / rate))
-		if time.Since(began) > runDuration {
+		if time.Since(startedAt) > runDuration {
 			return
 		}
 		req := s.drawRequest(v, random)
@@ -71,7 +73,8 @@
 	}
 }
 
-// drawRequest draws a request of a volume. Gateways early in the volume's list get more requests than later ones.
+// drawRequest draws a random request of a volume. Gateways at the front of the volume's list get more requests than those at the
+// end.
 func (s *simulation) drawRequest(v *volume, random *rand.Rand) *request {
 	units := float64(1 + random.IntN(3))
 	if random.IntN(20) == 0 {
@@ -82,7 +85,7 @@
 	if req.class.write && random.IntN(3) == 0 {
 		req.shard = -1
 	}
-	req.gateway = s.gateways[v.Hosts[min(random.IntN(len(v.Hosts)), random.IntN(len(v.Hosts)))]]
+	req.gateway = s.gateways[v.GatewayIndices[min(random.IntN(len(v.GatewayIndices)), random.IntN(len(v.GatewayIndices)))]]
 	req.object = random.Uint64()
 	return req
 }
@@ -90,15 +93,15 @@
 // exchange is a request that was sent and its response.
 type exchange struct {
 	*request
-	incarnation *gateway.Gateway // of the gateway when the request was sent
+	incarnation *gateway.Gateway // incarnation of the gateway that was running when the request was sent
 	sentAt      time.Time
 	status      int
 	header      http.Header
 	body        string
-	err         error // set if there was no complete response; the fields above it mean nothing then
+	err         error // set if there was no complete response; status, header and body are not valid then
 }
 
-// send sends a request and checks its response. It does nothing if the gateway has as many clients as it may.
+// send sends a request and checks its response. It does nothing if maxClientConns clients are connected to the gateway.
 func (s *simulation) send(client *http.Client, req *request) {
 	s.mu.Lock()
 	if req.gateway.openClients >= maxClientConns {
@@ -132,17 +135,18 @@
 	s.checkResponse(ex)
 }
 
-// newHTTPRequest returns a request in the protocol's form.
+// newHTTPRequest returns the HTTP request that the client sends to the gateway.
 func (s *simulation) newHTTPRequest(ctx context.Context, req *request) *http.Request {
 	method, body := http.MethodGet, io.Reader(nil)
 	if req.class.write {
-		// The wrapped type keeps net/http from setting GetBody, with which its transport would resend by itself.
+		// The wrapper hides the reader's type. Otherwise net/http would set GetBody, with which its transport retries requests
+		// by itself.
 		method, body = http.MethodPut, struct{ io.Reader }{strings.NewReader(req.body())}
 	}
 	target := fmt.Sprintf("http://%s/%s/%016x", gatewayAddr(req.gateway.index), url.PathEscape(req.class.Name), req.object)
 	httpRequest, err := http.NewRequestWithContext(ctx, method, target, body)
 	if err != nil {
-		panic(err) // All names are escaped.
+		panic(err) // The URL is always valid because all names are escaped.
 	}
 	if req.class.write {
 		httpRequest.ContentLength = int64(len(req.body()))
@@ -152,38 +156,39 @@
 	header.Set("X-Service-Class", req.class.Name)
 	header.Set("X-Plan", s.deployment.Plans[req.volume.Plan].Name)
 	header.Set("X-Time-Left-Ms", strconv.FormatInt(req.timeout().Milliseconds(), 10))
-	header.Set("X-IO", fmt.Sprintf("volume=%016x,units=%v,shard=%d,hosts=%d", req.volume.ID, req.units, req.shard, len(req.volume.Hosts)))
+	header.Set("X-IO", fmt.Sprintf("volume=%016x,units=%v,shard=%d,hosts=%d", req.volume.ID, req.units, req.shard,
+		len(req.volume.GatewayIndices)))
 	if req.class.Idempotency == idempotentWithKey {
 		header.Set("Idempotency-Key", "k-"+req.id)
 	}
 	return httpRequest
 }
 
-// checkLostRequest checks that a request without a response was refused at its connection, or that its gateway has ended.
-// s.mu must be held.
+// checkLostRequest checks that a request without a response is allowed to have none: its connection was refused, or its gateway
+// was killed, was restarted, or was already shutting down for some time when the request was sent. s.mu must be held.
 func (s *simulation) checkLostRequest(ex exchange) {
 	g := ex.gateway
 	stopping := !g.stoppingSince.IsZero()
 	refused := errors.Is(ex.err, memnet.ErrConnectionRefused)
-	ended := ex.incarnation != g.gateway || g.killed || stopping && ex.sentAt.Sub(g.stoppingSince) > shutdownAnnounce
+	ended := ex.incarnation != g.gateway || g.killed || stopping && ex.sentAt.Sub(g.stoppingSince) > shutdownAcceptancePeriod
 	if refused || ended {
 		return
 	}
 	s.result.LostRequests++
-	s.violation("%s (%s): gateway %d, up for %v, stopping %v: lost after %v: %v", ex.id, ex.class.Name, g.index,
-		ex.sentAt.Sub(g.startedAt), stopping, ex.respondedAt.Sub(ex.sentAt), ex.err)
+	s.recordViolation("request %s (class %s): no response from gateway %d (up for %v, shutting down: %v) after %v: %v",
+		ex.id, ex.class.Name, g.index, ex.sentAt.Sub(g.startedAt), stopping, ex.respondedAt.Sub(ex.sentAt), ex.err)
 }
 
-// checkResponse checks a response against what servers have done. s.mu must be held.
+// checkResponse checks the time, status and body of a response. s.mu must be held.
 func (s *simulation) checkResponse(ex exchange) {
 	if late := ex.respondedAt.Sub(ex.sentAt) - ex.timeout(); late > tolerance {
-		s.violation("%s: responded to %v after its deadline", ex.id, late)
+		s.recordViolation("request %s: response arrived %v after the deadline", ex.id, late)
 	}
 	switch code := ex.status; {
 	case code == http.StatusOK:
 		s.result.Served++
 		if !strings.HasPrefix(ex.body, ex.id+" ") {
-			s.violation("%s: served with what no server made for it: %q", ex.id, ex.body)
+			s.recordViolation("request %s: served with a body that no server sent for this request: %q", ex.id, ex.body)
 		}
 	case code == http.StatusTooManyRequests || code == http.StatusServiceUnavailable:
 		s.result.Rejected++
@@ -191,19 +196,19 @@
 	case code >= http.StatusInternalServerError:
 		s.result.Failed++
 	default:
-		s.violation("%s: a request in the protocol's form got %d: %s", ex.id, code, ex.body)
+		s.recordViolation("request %s: status %d in response to a valid request: %s", ex.id, code, ex.body)
 	}
 }
 
-// checkRejection checks that a rejected request has had no effect that a repeat would double, and that its response carries
-// Retry-After only where the settings allow it. s.mu must be held.
+// checkRejection checks that a rejected request was not executed if its execution by a retry would have a second effect, and that
+// the response carries Retry-After only if the settings allow it. s.mu must be held.
 func (s *simulation) checkRejection(ex exchange) {
 	c := ex.class
-	repeatHarmful := c.Idempotency == notIdempotent || c.Idempotency == idempotentWithKey && c.DedupScope != dedupScopeAll
-	if repeatHarmful && ex.mayHaveExecuted() {
-		s.violation("%s (%s): rejected, though it may have executed", ex.id, c.Idempotency)
+	retryHarmful := c.Idempotency == notIdempotent || c.Idempotency == idempotentWithKey && c.DedupScope != dedupScopeAll
+	if retryHarmful && ex.mayHaveExecuted() {
+		s.recordViolation("request %s (%s): rejected although a server may have executed it", ex.id, c.Idempotency)
 	}
 	if ex.header.Get("Retry-After") != "" && !s.deployment.RetryAfter {
-		s.violation("%s: Retry-After, which the settings forbid", ex.id)
+		s.recordViolation("request %s: response carries Retry-After although the settings forbid it", ex.id)
 	}
 }
--- a/internal/testbed/simulation/deployment.go
+++ b/internal/testbed/simulation/deployment.go
@@ -1,20 +1,20 @@
 package simulation
 
-// Values of the settings' key "Idempotency".
+// Values of the key "Idempotency" in the settings.
 const (
 	idempotent        = "repeatable"
 	idempotentWithKey = "by_key"
 	notIdempotent     = "once"
 )
 
-// Values of the settings' key "KeyScope": the servers among which an idempotency key is known.
+// Values of the key "KeyScope" in the settings: the group of servers that deduplicate requests by idempotency key.
 const (
 	dedupScopeAll   = "all"
 	dedupScopeZone  = "zone"
 	dedupScopeShard = "cell"
 )
 
-// class is a request class in the form of the settings.
+// class is a request class as the settings describe it.
 type class struct {
 	Name               string
 	LatencyObjectiveMs float64 `json:"PromiseMs"`
@@ -24,10 +24,10 @@
 	DedupWindowMs      float64 `json:",omitempty"`
 	PriorityWeight     float64 `json:"Worth"`
 	LateValue          float64
-	write              bool
+	write              bool // whether requests of the class are writes
 }
 
-// plan is a volume's plan in the form of the settings. A plan with Limit 0 has no limit. Rates are units per second.
+// plan is a plan of volumes as the settings describe it. Rates are in units per second. A plan with Limit 0 has no limit.
 type plan struct {
 	Name           string
 	Rate           float64 `json:"UsualRate"`
@@ -39,47 +39,47 @@
 	LimitOverdraft float64 `json:"CapSlack,omitempty"`
 }
 
-// Deployment is a drawn deployment. It does not change after [Draw] has returned it.
+// Deployment is a randomly generated deployment. It does not change after [GenerateDeployment] has returned it.
 type Deployment struct {
 	Seed               uint64
 	Push               bool    // whether discovery pushes updates; otherwise gateways poll
-	MaxPollIntervalMs  float64 // for gateways that poll
+	MaxPollIntervalMs  float64 // longest poll interval; used only if Push is false
 	Gateways           int     // number of gateways that run
-	FleetSize          int     // number of gateways according to the settings
+	FleetSize          int     // number of gateways according to the settings; can be larger than Gateways
 	Shards             int
 	Zones              []string
 	Classes            []class
 	Plans              []plan
-	MaxAttempts        int  // attempts per request
+	MaxAttempts        int  // largest number of attempts per request
 	RetryAfter         bool // whether rejections may carry Retry-After
 	DrainGraceMs       float64
-	ServersHonorCancel bool // whether servers drop queued requests that were canceled
+	ServersHonorCancel bool // whether servers drop canceled requests from their queues
 
 	InitialCapacity        float64 // fraction of its capacity that a server has when it starts
-	SlowStartMs            float64
-	OverloadMultiple       float64
-	OverloadWindowMs       float64
-	SlowStartUnits         float64 // units that a server which has just started can serve within OverloadWindowMs
-	Capacity               float64 // units per second of a server after its slow start
-	ServiceTimeMs          float64 // least time per unit at an idle server
+	SlowStartMs            float64 // time from a server's start until it has its full capacity
+	OverloadMultiple       float64 // largest load of a server in slow start, as a multiple of its capacity
+	OverloadWindowMs       float64 // period over which the load of a server in slow start is measured
+	SlowStartUnits         float64 // units that a server which has just started may receive within OverloadWindowMs
+	Capacity               float64 // capacity of a server after its slow start, in units per second
+	ServiceTimeMs          float64 // lower bound of the time per unit at a server
 	Volumes                []volume
 	ReportsServedElsewhere bool     // whether responses carry the units served for other gateways
-	ReportFields           []string // fields of the servers' load reports
-	DiscoveryLagMs         float64
-	DrainingServersReject  bool
+	ReportFields           []string // names of the fields in the servers' load reports
+	DiscoveryLagMs         float64  // time from a change of a server until discovery publishes it
+	DrainingServersReject  bool     // whether draining servers reject new requests
 }
 
 // volume is a volume with its load and placement.
 type volume struct {
-	ID          uint64
-	Plan        int   // index into Deployment.Plans
-	Hosts       []int // indices of the gateways that its clients use
-	Shards      []int // shards that its requests go to
-	Usage       float64
-	SurgeFactor float64 // factor on the request rate in the middle third of the run
+	ID             uint64
+	Plan           int     // index into Deployment.Plans
+	GatewayIndices []int   // indices of the gateways that the clients of the volume use
+	Shards         []int   // shards that hold data of the volume
+	Usage          float64 // fraction of the plan's rate that the clients use, apart from the surge
+	SurgeFactor    float64 // factor by which the request rate is multiplied in the middle third of the run
 }
 
-// Units of a request: the mean of them and the largest, as the settings state them.
+// Mean and largest size of a request in units, as the settings state them.
 const (
 	meanUnits = 2.0
 	maxUnits  = 6.0
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -11,7 +11,7 @@
 	"gaugerelay/internal/gateway"
 )
 
-// endpointState is a server's state on discovery's wire.
+// endpointState is the state of a server in the messages of discovery.
 type endpointState string
 
 const (
@@ -20,21 +20,22 @@
 	stateRemoved  endpointState = "Gone"
 )
 
-// endpointChange is a published change of the endpoint list. Its version is its index in simulation.updates plus one.
+// endpointChange is a published change of a server's state. The version of the endpoint list that includes it is its index in
+// simulation.updates plus one.
 type endpointChange struct {
 	server      *server
 	state       endpointState
 	publishedAt time.Time
 }
 
-// endpointUpdate is an update of the endpoint list in discovery's form.
+// endpointUpdate is an update of the endpoint list as discovery sends it.
 type endpointUpdate struct {
 	Full    bool       `json:"full"`
 	Servers []endpoint `json:"servers"`
 	Version int        `json:"version"`
 }
 
-// endpoint is a server in discovery's form.
+// endpoint is a server as discovery describes it.
 type endpoint struct {
 	Addr      string        `json:"addr"`
 	Shard     int           `json:"cell"`
@@ -46,19 +47,19 @@
 	Zone      string        `json:"zone"`
 }
 
-// endpointFor returns the changed server as a gateway sees it.
+// endpointFor returns the changed server with the address at which the gateway reaches it.
 func (c endpointChange) endpointFor(g *simulatedGateway) endpoint {
 	return endpoint{ID: c.server.name, Addr: serverAddr(g.index, c.server.index), Zone: c.server.zone, Kind: "k",
 		Shard: c.server.shard, State: c.state, Weight: 1, StartedMs: c.server.startedMs()}
 }
 
-// publish adds a change to the endpoint list after a delay.
+// publish adds a change to the endpoint list after a delay and wakes the open watches.
 func (s *simulation) publish(srv *server, state endpointState, delayMs float64) {
 	time.AfterFunc(clock.Duration(delayMs), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.updates = append(s.updates, endpointChange{srv, state, time.Now()})
-		srv.listed = true
+		srv.published = true
 		for _, g := range s.gateways {
 			if s.deployment.Push && !g.discoveryDown {
 				s.markNotified(g)
@@ -69,9 +70,10 @@
 	})
 }
 
-// markNotified records that a gateway counts as notified of all changes up to now. s.mu must be held.
+// markNotified records that a gateway has been notified of all changes published so far: from now on, the drain grace of the
+// servers that are no longer ready applies to it. s.mu must be held.
 func (s *simulation) markNotified(g *simulatedGateway) {
-	if g.notifiedAt == nil { // It has not started yet.
+	if g.notifiedAt == nil { // The gateway has not been started yet.
 		return
 	}
 	for _, c := range s.updates {
@@ -81,7 +83,7 @@
 	}
 }
 
-// snapshot returns the complete endpoint list at a version as a gateway sees it. s.mu must be held.
+// snapshot returns the complete endpoint list of a version for a gateway. s.mu must be held.
 func (s *simulation) snapshot(g *simulatedGateway, version int) *endpointUpdate {
 	latest := map[string]endpoint{}
 	for _, c := range s.updates[:version] {
@@ -99,7 +101,7 @@
 	return update
 }
 
-// delta returns the changes after a version as a gateway sees them. s.mu must be held.
+// delta returns the changes after a version for a gateway. s.mu must be held.
 func (s *simulation) delta(g *simulatedGateway, after int) *endpointUpdate {
 	update := &endpointUpdate{Version: len(s.updates), Servers: []endpoint{}}
 	for _, c := range s.updates[after:] {
@@ -108,17 +110,18 @@
 	return update
 }
 
-// startDiscovery starts the fake of discovery that a gateway watches.
+// startDiscovery starts the discovery fake that serves the watches of a gateway.
 func (s *simulation) startDiscovery(g *simulatedGateway) {
 	listener, err := s.network.Listen(discoveryAddr(g.index))
 	if err != nil {
 		panic(err)
 	}
 	g.discovery = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serveWatch(g, w, r) })}
-	go func() { _ = g.discovery.Serve(listener) }() // It always ends with the error of Close.
+	go func() { _ = g.discovery.Serve(listener) }() // Serve returns an error when the server is closed.
 }
 
-// serveWatch serves a watch until its client leaves, the watch is reset or discovery goes down.
+// serveWatch serves a watch until its client disconnects or a fault resets the watch. It refuses the watch while discovery is
+// down.
 func (s *simulation) serveWatch(g *simulatedGateway, w http.ResponseWriter, r *http.Request) {
 	const pollDelay, heartbeatInterval = 10 * time.Millisecond, 2 * time.Second
 	reset := make(chan struct{})
@@ -127,7 +130,7 @@
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // Absent: 0.
+	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if the parameter is absent.
 	watch := watchState{gateway: g, incarnation: g.gateway, version: version, opening: true}
 	g.watches[reset] = true
 	s.mu.Unlock()
@@ -142,7 +145,7 @@
 	}
 	for {
 		message, updated := s.nextWatchMessage(&watch)
-		_, _ = w.Write(message) // A watch that was lost ends by its context.
+		_, _ = w.Write(message) // If the connection was lost, the request's context ends the watch.
 		w.(http.Flusher).Flush()
 		if !waitForUpdate(r.Context(), updated, reset, heartbeatInterval) {
 			return
@@ -150,16 +153,16 @@
 	}
 }
 
-// watchState is what an open watch has received.
+// watchState is the state of an open watch.
 type watchState struct {
 	gateway     *simulatedGateway
-	incarnation *gateway.Gateway // that opened it
-	version     int
-	opening     bool // its first message has not been sent
+	incarnation *gateway.Gateway // incarnation of the gateway that opened the watch
+	version     int              // latest version that the watch has sent
+	opening     bool             // whether the first message has still to be sent
 }
 
-// nextWatchMessage returns the next line of a watch, which is empty for a heartbeat, and the channel that announces the
-// update after it.
+// nextWatchMessage returns the next line that a watch sends, which is empty for a heartbeat, and the channel that is closed at
+// the next change of the endpoint list.
 func (s *simulation) nextWatchMessage(watch *watchState) (message []byte, updated chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,13 +179,13 @@
 		s.markNotified(watch.gateway)
 	}
 	if update != nil {
-		message, _ = json.Marshal(update) // All drawn numbers are finite.
+		message, _ = json.Marshal(update) // Marshal cannot fail because all numbers are finite.
 	}
 	return append(message, '\n'), watch.gateway.updated
 }
 
-// waitForUpdate waits for the next update or until a heartbeat is due. It returns false if the client has left, and aborts
-// the handler if the watch is reset.
+// waitForUpdate waits for the next update or until a heartbeat is due. It returns false if the client has disconnected. It panics
+// with http.ErrAbortHandler if the watch is reset.
 func waitForUpdate(ctx context.Context, updated, reset chan struct{}, heartbeat time.Duration) bool {
 	select {
 	case <-updated:
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -9,7 +9,8 @@
 	"gaugerelay/internal/clock"
 )
 
-// faultInjector schedules the faults of a run. All draws are made while it schedules, in a fixed order.
+// faultInjector schedules the faults of a run. It makes all random draws during scheduling, in a fixed order, so that they do not
+// depend on the run.
 type faultInjector struct {
 	*simulation
 	random *rand.Rand
@@ -33,7 +34,7 @@
 	f.faults.Wait()
 }
 
-// after runs a fault after a number of seconds.
+// after runs a fault after a delay in seconds.
 func (f *faultInjector) after(delay float64, fault func()) {
 	f.faults.Go(func() {
 		time.Sleep(seconds(delay))
@@ -41,7 +42,7 @@
 	})
 }
 
-// scheduleReplacement has a server replaced by one of another name, or restarted under its own.
+// scheduleReplacement schedules the replacement of a server by one with another name, or its restart under the same name.
 func (f *faultInjector) scheduleReplacement(number int) {
 	shard, restart := f.random.IntN(f.deployment.Shards), f.random.IntN(3) == 0
 	replacement := fmt.Sprintf("r-%d", number)
@@ -54,7 +55,7 @@
 	})
 }
 
-// restartServer stops a server at once and starts it again under its name.
+// restartServer stops the ready server of a shard immediately and starts a new incarnation of it with the same name.
 func (s *simulation) restartServer(shard int) {
 	s.mu.Lock()
 	old := s.drainReadyServer(shard)
@@ -70,7 +71,7 @@
 	s.finishReplacement(old, started)
 }
 
-// replaceServer drains a server and starts another one in its place.
+// replaceServer drains the ready server of a shard and starts a server with another name in its place.
 func (s *simulation) replaceServer(shard int, name string) {
 	s.mu.Lock()
 	old := s.drainReadyServer(shard)
@@ -85,7 +86,7 @@
 	s.finishReplacement(old, started)
 }
 
-// finishReplacement publishes the new server and stops the old one when its drain time is over.
+// finishReplacement publishes the new server and stops the old one at the end of its drain time.
 func (s *simulation) finishReplacement(old, started *server) {
 	s.publish(started, stateReady, s.deployment.DiscoveryLagMs+50)
 	time.Sleep(clock.Duration(s.drainTimeMs()))
@@ -95,13 +96,14 @@
 	old.stop()
 }
 
-// drainTimeMs returns how long a draining server runs: longer than the rule's grace after gateways were notified, so that a
-// gateway which still sends to it is seen.
+// drainTimeMs returns how long a draining server keeps running. It runs longer than the drain grace after gateways were notified,
+// so that it receives, and reports, requests that a gateway sends after the grace.
 func (s *simulation) drainTimeMs() float64 {
 	return max(3000, s.deployment.DiscoveryLagMs+s.deployment.DrainGraceMs+2500)
 }
 
-// drainReadyServer makes the ready server of a shard drain and returns it, or nil if there is none. s.mu must be held.
+// drainReadyServer starts the drain of the ready server of a shard and returns the server, or nil if there is none. s.mu must be
+// held.
 func (s *simulation) drainReadyServer(shard int) *server {
 	ready := s.readyServer(shard)
 	if ready != nil {
@@ -111,18 +113,19 @@
 	return ready
 }
 
-// readyServer returns the latest ready server of a shard, or nil. s.mu must be held.
+// readyServer returns the ready server of a shard that started last, or nil if there is none. s.mu must be held.
 func (s *simulation) readyServer(shard int) *server {
 	var ready *server
 	for _, srv := range s.servers {
-		if srv.shard == shard && srv.listed && !srv.draining && !srv.stopped {
+		if srv.shard == shard && srv.published && !srv.draining && !srv.stopped {
 			ready = srv
 		}
 	}
 	return ready
 }
 
-// scheduleDiscoveryOutage may have a gateway's discovery go down for up to two seconds, or only its watches reset.
+// scheduleDiscoveryOutage schedules, with probability 1/2, an outage of a gateway's discovery fake: either its watches are reset
+// and it is down for up to two seconds, or its watches are only reset.
 func (f *faultInjector) scheduleDiscoveryOutage(g *simulatedGateway) {
 	if f.random.IntN(2) != 0 {
 		return
@@ -145,7 +148,7 @@
 	})
 }
 
-// scheduleGatewayRestart may have a gateway killed or shut down gracefully, and started again.
+// scheduleGatewayRestart schedules a restart of a gateway, with probability 1/3 each after a kill and after a graceful shutdown.
 func (f *faultInjector) scheduleGatewayRestart(g *simulatedGateway) {
 	delay, downtime := 2+8*f.random.Float64(), 0.2+2*f.random.Float64()
 	switch f.random.IntN(3) {
@@ -156,7 +159,7 @@
 	}
 }
 
-// killGateway kills a gateway and starts it again after a while. One that did not start is left alone.
+// killGateway kills a gateway and starts it again after downtime. It does not restart a gateway that failed to start.
 func (s *simulation) killGateway(g *simulatedGateway, downtime time.Duration) {
 	s.mu.Lock()
 	g.killed = true
@@ -171,7 +174,7 @@
 	s.startGateway(g)
 }
 
-// shutDownGateway shuts a gateway down gracefully and starts it again. One that did not start is left alone.
+// shutDownGateway shuts a gateway down gracefully and starts it again. It does not restart a gateway that failed to start.
 func (s *simulation) shutDownGateway(g *simulatedGateway) {
 	s.mu.Lock()
 	g.stoppingSince = time.Now()
@@ -185,7 +188,8 @@
 	s.startGateway(g)
 }
 
-// scheduleFreeze may have a server not respond for a while, in some runs for longer than a gateway's shutdown may take.
+// scheduleFreeze schedules, with probability 1/2, a period in which a server does not respond. Some periods are longer than a
+// gateway's shutdown may take.
 func (f *faultInjector) scheduleFreeze() {
 	if f.random.IntN(2) != 0 {
 		return
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -9,26 +9,26 @@
 	"gaugerelay/internal/gateway"
 )
 
-// simulatedGateway is one gateway over its restarts, with the fake of discovery that it watches.
+// simulatedGateway is a gateway, across its restarts, with the discovery fake that it watches.
 type simulatedGateway struct {
 	index     int
 	discovery *http.Server
 
 	// The fields below are guarded by simulation.mu.
 
-	gateway          *gateway.Gateway // the present incarnation; nil if its settings were rejected
-	killed           bool
-	stoppingSince    time.Time             // of a graceful shutdown; zero if there is none
-	startedAt        time.Time             // of the present incarnation
-	notifiedAt       map[*server]time.Time // when the present incarnation was notified that a server is not ready
-	discoveryDown    bool
+	gateway          *gateway.Gateway       // current incarnation; nil if its settings were rejected
+	killed           bool                   // whether the current incarnation was killed
+	stoppingSince    time.Time              // start of the graceful shutdown; zero if none is in progress
+	startedAt        time.Time              // when the current incarnation started
+	notifiedAt       map[*server]time.Time  // when the current incarnation was notified that a server is no longer ready
+	discoveryDown    bool                   // whether the discovery fake refuses watches
 	watches          map[chan struct{}]bool // open watches; closing the channel resets the watch
-	lastWatchEndedAt time.Time
-	updated          chan struct{} // closed and replaced at each change of the endpoint list
-	openClients      int           // connections of clients
+	lastWatchEndedAt time.Time              // when the latest watch ended, or the start of the incarnation
+	updated          chan struct{}          // closed and replaced at each change of the endpoint list
+	openClients      int                    // number of client connections
 }
 
-// startGateway starts an incarnation of a gateway, with an endpoint list that may be out of date.
+// startGateway starts an incarnation of a gateway. The cached snapshot that it starts with may be out of date.
 func (s *simulation) startGateway(g *simulatedGateway) {
 	document := s.prepareStart(g)
 	var started *gateway.Gateway
@@ -46,11 +46,11 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.result.CrashedGateways++
-		s.violation("gateway %d does not start: %v", g.index, err)
+		s.recordViolation("gateway %d failed to start: %v", g.index, err)
 	}
 }
 
-// prepareStart resets what is known of the last incarnation and returns the settings of the next.
+// prepareStart resets the state of the previous incarnation and returns the settings of the next one.
 func (s *simulation) prepareStart(g *simulatedGateway) []byte {
 	const maxMissedUpdates = 3
 	s.mu.Lock()
@@ -65,19 +65,20 @@
 	return s.deployment.settingsFor(g.index, s.deployment.Seed+uint64(g.index), s.snapshot(g, knownVersion))
 }
 
-// checkRunning records a gateway of which a part has ended by itself. It is called before the simulation ends that gateway.
+// checkRunning records a violation if a component of a gateway has ended by itself. It must be called before the simulation stops
+// that gateway.
 func (s *simulation) checkRunning(index int, g *gateway.Gateway) {
 	select {
 	case err := <-g.Failed():
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.result.CrashedGateways++
-		s.violation("gateway %d: a part has ended by itself: %v", index, err)
+		s.recordViolation("gateway %d: a component has ended by itself: %v", index, err)
 	default:
 	}
 }
 
-// stopGateways ends all gateways and their fakes of discovery at the end of a run.
+// stopGateways stops all gateways and their discovery fakes at the end of a run.
 func (s *simulation) stopGateways() {
 	for _, g := range s.gateways {
 		if g.gateway != nil {
--- a/internal/testbed/simulation/draw.go
+++ b/internal/testbed/simulation/generator.go
@@ -6,30 +6,32 @@
 	"strings"
 )
 
-// Streams of the random generators; each is combined with the deployment's seed.
+// Streams of the random generators. Each is combined with the deployment's seed.
 const (
 	drawStream        = 21
 	settingsStream    = 22
 	serverStream      = 23
 	faultStream       = 24
-	firstClientStream = 100 // plus the volume's index
+	firstClientStream = 100 // stream of the first volume's clients; the volume's index is added
 )
 
-// nameChoices are names of classes and plans, among them forms that no known deployment uses.
+// nameChoices holds the names that classes and plans can have. Some have forms that no known deployment uses, such as other
+// scripts, a single digit and great length.
 var nameChoices = []string{"read", "cv-read", "a", "b1_c.d", "très-cher", "плановый", strings.Repeat("long-", 12) + "name", "層", "0"}
 
-// drawer draws the parts of a deployment. The order of its draws determines the deployment of a seed.
-type drawer struct{ *rand.Rand }
+// deploymentGenerator generates the parts of a deployment. A seed gives the same deployment only while the order of the random
+// draws stays the same.
+type deploymentGenerator struct{ *rand.Rand }
 
-// between returns a number from [low, high).
-func (r drawer) between(low, high float64) float64 { return low + (high-low)*r.Float64() }
+// between returns a random number from [low, high).
+func (r deploymentGenerator) between(low, high float64) float64 { return low + (high-low)*r.Float64() }
 
 // chance returns true with the given probability.
-func (r drawer) chance(probability float64) bool { return r.Float64() < probability }
+func (r deploymentGenerator) chance(probability float64) bool { return r.Float64() < probability }
 
-// Draw returns the deployment of a seed.
-func Draw(seed uint64) *Deployment {
-	r := drawer{rand.New(rand.NewPCG(seed, drawStream))}
+// GenerateDeployment returns the deployment that belongs to a seed.
+func GenerateDeployment(seed uint64) *Deployment {
+	r := deploymentGenerator{rand.New(rand.NewPCG(seed, drawStream))}
 	d := &Deployment{Seed: seed, Push: r.chance(0.5), MaxPollIntervalMs: r.between(5000, 12000), Gateways: 1 + r.IntN(4), Shards: 1 + r.IntN(5),
 		MaxAttempts: 1 + r.IntN(5), RetryAfter: r.chance(0.7), DrainGraceMs: r.between(500, 3000), ServersHonorCancel: r.chance(0.5),
 		InitialCapacity: r.between(0.1, 0.5), SlowStartMs: r.between(4000, 20000), OverloadMultiple: r.between(1.5, 3.5),
@@ -53,7 +55,7 @@
 	return d
 }
 
-func (r drawer) classes() []class {
+func (r deploymentGenerator) classes() []class {
 	const maxDeadlineMs = 6000
 	idempotencies := []string{idempotent, idempotentWithKey, notIdempotent}
 	dedupScopes := []string{dedupScopeAll, dedupScopeZone, dedupScopeShard}
@@ -72,7 +74,7 @@
 	return classes
 }
 
-func (r drawer) plans() []plan {
+func (r deploymentGenerator) plans() []plan {
 	nameOrder := r.Perm(len(nameChoices))
 	var plans []plan
 	for i := range 1 + r.IntN(6) {
@@ -85,11 +87,11 @@
 	return plans
 }
 
-func (r drawer) volumes(d *Deployment) []volume {
+func (r deploymentGenerator) volumes(d *Deployment) []volume {
 	var volumes []volume
 	for i := range 2 + r.IntN(8) {
 		v := volume{ID: d.Seed<<16 | uint64(i), Plan: r.IntN(len(d.Plans)), Usage: r.between(0.4, 1), SurgeFactor: 1,
-			Hosts: r.Perm(d.Gateways)[:1+r.IntN(d.Gateways)], Shards: r.Perm(d.Shards)[:1+r.IntN(d.Shards)]}
+			GatewayIndices: r.Perm(d.Gateways)[:1+r.IntN(d.Gateways)], Shards: r.Perm(d.Shards)[:1+r.IntN(d.Shards)]}
 		if r.chance(0.5) {
 			v.SurgeFactor = r.between(5, 30)
 		}
@@ -98,8 +100,9 @@
 	return volumes
 }
 
-// setLimits gives some plans a limit. Its token bucket holds two of the largest requests for each host of a volume.
-func (r drawer) setLimits(d *Deployment) {
+// setLimits gives a limit to some plans. The token bucket of a limit holds at least two requests of the largest size for each
+// gateway.
+func (r deploymentGenerator) setLimits(d *Deployment) {
 	for i := range d.Plans {
 		if !r.chance(0.5) {
 			continue
@@ -111,17 +114,17 @@
 	}
 }
 
-// setCapacity sets the servers' capacity so that the plans' rates use at most two thirds of it.
-func (r drawer) setCapacity(d *Deployment) {
+// setCapacity sets the servers' capacity so that the rates of the volumes' plans use at most 60 % of it.
+func (r deploymentGenerator) setCapacity(d *Deployment) {
 	for _, rate := range shardRates(d) {
 		d.Capacity = max(d.Capacity, 1.5*rate/0.9)
 	}
-	if r.chance(0.4) { // Far more capacity: only limits hold a surge back.
+	if r.chance(0.4) { // With this much capacity, only limits restrict the load of a surge.
 		d.Capacity *= 8
 	}
 }
 
-// shardRates returns the units per second that the plans' rates bring to each shard.
+// shardRates returns the load of each shard in units per second if each volume uses the rate of its plan.
 func shardRates(d *Deployment) []float64 {
 	rates := make([]float64, d.Shards)
 	for _, v := range d.Volumes {
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// attempt is a request that has reached a server completely.
+// attempt is an attempt of a request that a server has received completely.
 type attempt struct {
 	arrivedAt       time.Time
 	server          *server
-	mayHaveExecuted bool
-	inFlight        bool // the server works on it, and its connection is open
+	mayHaveExecuted bool // whether the server may have executed the request
+	inFlight        bool // whether the server is working on the request and the connection is open
 }
 
-// limitBucket is the token bucket of a volume's limit, which holds for all gateways together.
+// limitBucket is the token bucket of a volume's limit, which applies to the sum of all gateways.
 type limitBucket struct {
-	level     float64 // units; negative while overdrawn
+	level     float64 // units in the bucket; negative during an overdraft
 	updatedAt time.Time
 }
 
-// recordArrival adds an attempt to its request and checks the rules that its arrival could break. Its first byte arrived at
-// firstByteAt, its last one now. s.mu must be held.
+// recordArrival adds an attempt to its request and checks the rules that the arrival can violate. The first byte arrived at
+// firstByteAt, the last one now. s.mu must be held.
 func (s *simulation) recordArrival(srv *server, g *simulatedGateway, req *request, firstByteAt time.Time) *attempt {
 	now := time.Now()
 	s.checkDrain(srv, g, firstByteAt)
 	if !req.respondedAt.IsZero() && firstByteAt.Sub(req.respondedAt) > tolerance {
-		s.violation("%s: sent %v after its response", req.id, firstByteAt.Sub(req.respondedAt))
+		s.recordViolation("request %s: attempt sent %v after the client received the response", req.id, firstByteAt.Sub(req.respondedAt))
 	}
 	if len(req.attempts) >= s.deployment.MaxAttempts {
-		s.violation("%s: attempt %d of %d", req.id, len(req.attempts)+1, s.deployment.MaxAttempts)
+		s.recordViolation("request %s: attempt %d, at most %d allowed", req.id, len(req.attempts)+1, s.deployment.MaxAttempts)
 	}
 	s.checkIdempotency(srv, req, now)
 	s.checkNoConcurrentAttempt(srv, req)
@@ -38,19 +38,21 @@
 	return arrived
 }
 
-// checkDrain checks that a gateway does not send to a server of which it was notified that it is not ready.
+// checkDrain checks that a gateway does not send to a server after the drain grace, which begins when the gateway is notified that
+// the server is no longer ready.
 func (s *simulation) checkDrain(srv *server, g *simulatedGateway, firstByteAt time.Time) {
 	notifiedAt, notified := g.notifiedAt[srv]
 	if !notified && !s.deployment.Push && len(g.watches) == 0 {
 		notifiedAt, notified = s.notificationDeadline(srv, g)
 	}
 	if late := firstByteAt.Sub(notifiedAt); notified && late > milliseconds(s.deployment.DrainGraceMs)+tolerance {
-		s.violation("drain: gateway %d sent to %s %v after it was notified", g.index, srv.name, late)
+		s.recordViolation("drain: gateway %d sent a request to server %s %v after it was notified of the drain", g.index, srv.name, late)
 	}
 }
 
-// notificationDeadline returns when a gateway that does not poll counts as notified that a server is not ready, and whether
-// the server has ceased to be ready at all.
+// notificationDeadline returns the time from which a gateway without an open watch is treated as notified that a server is no
+// longer ready: four poll intervals after the latest of the change, the gateway's start and the end of its last watch. It returns
+// false if the server is still ready.
 func (s *simulation) notificationDeadline(srv *server, g *simulatedGateway) (time.Time, bool) {
 	const pollIntervals = 4
 	for _, c := range s.updates {
@@ -68,7 +70,7 @@
 	return time.Time{}, false
 }
 
-// checkIdempotency checks that a request whose earlier attempts may have executed may be repeated at this server now.
+// checkIdempotency checks that a retry at this server is allowed now if a server may have executed an earlier attempt.
 func (s *simulation) checkIdempotency(srv *server, req *request, now time.Time) {
 	c := req.class
 	for _, earlier := range req.attempts {
@@ -77,19 +79,20 @@
 		}
 		switch {
 		case c.Idempotency == notIdempotent:
-			s.violation("%s (%s): sent again, though it may have executed", req.id, c.Idempotency)
+			s.recordViolation("request %s (%s): retried although a server may have executed it", req.id, c.Idempotency)
 		case c.Idempotency != idempotentWithKey:
 		case now.Sub(earlier.arrivedAt) > milliseconds(c.DedupWindowMs)+tolerance:
-			s.violation("%s: sent again %v after the first, outside its window", req.id, now.Sub(earlier.arrivedAt))
+			s.recordViolation("request %s: retried %v after an earlier attempt, outside its deduplication window",
+				req.id, now.Sub(earlier.arrivedAt))
 		case c.DedupScope == dedupScopeZone && earlier.server.zone != srv.zone,
 			c.DedupScope == dedupScopeShard && earlier.server.shard != srv.shard:
-			s.violation("%s: sent again outside its %s", req.id, c.DedupScope)
+			s.recordViolation("request %s: retried outside its deduplication scope (%s)", req.id, c.DedupScope)
 		}
 	}
 }
 
-// checkNoConcurrentAttempt checks that no other attempt of the request is in flight. The end of its connection may still be
-// on its way.
+// checkNoConcurrentAttempt checks that no other attempt of the request is in flight. The server may notice the end of an earlier
+// attempt's connection with a delay, so it checks after the tolerance.
 func (s *simulation) checkNoConcurrentAttempt(srv *server, req *request) {
 	for _, earlier := range req.attempts {
 		if !earlier.inFlight {
@@ -100,13 +103,13 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if earlier.inFlight {
-				s.violation("%s: sent to %s while it is in flight at %s", req.id, srv.name, earlier.server.name)
+				s.recordViolation("request %s: sent to server %s while it is in flight at server %s", req.id, srv.name, earlier.server.name)
 			}
 		})
 	}
 }
 
-// checkLimit takes a request's units from its volume's limit and checks that the overdraft is within what is allowed.
+// checkLimit takes a request's units from the token bucket of its volume's limit and checks that the overdraft is allowed.
 func (s *simulation) checkLimit(req *request, now time.Time) {
 	p := s.deployment.Plans[req.volume.Plan]
 	if p.Limit == 0 {
@@ -119,27 +122,29 @@
 	}
 	bucket.level = min(p.LimitBurst, bucket.level+p.Limit*now.Sub(bucket.updatedAt).Seconds()) - req.units
 	bucket.updatedAt = now
-	if least := -p.LimitOverdraft - 0.15*p.Limit; bucket.level < least {
-		s.violation("limit: %s takes volume %x to %.1f, least %.1f", req.id, req.volume.ID, bucket.level, least)
+	if minLevel := -p.LimitOverdraft - 0.15*p.Limit; bucket.level < minLevel {
+		s.recordViolation("limit: request %s brings the bucket of volume %x to %.1f units, lowest allowed level %.1f",
+			req.id, req.volume.ID, bucket.level, minLevel)
 	}
 }
 
-// checkSlowStart checks that a server in its slow start gets no more units than it can serve.
+// checkSlowStart checks that the units that a server receives within the overload window of its slow start stay below the overload
+// threshold. Two requests of the largest size are tolerated on top.
 func (s *simulation) checkSlowStart(srv *server, req *request, now time.Time) {
 	d := s.deployment
 	if srv.startedAt.IsZero() || now.Sub(srv.startedAt) >= milliseconds(d.SlowStartMs) {
 		return
 	}
 	window := milliseconds(d.OverloadWindowMs)
-	srv.slowStartSends = append(srv.slowStartSends, slowStartSend{now, req.units})
-	for len(srv.slowStartSends) > 0 && now.Sub(srv.slowStartSends[0].at) > window {
-		srv.slowStartSends = srv.slowStartSends[1:]
+	srv.slowStartArrivals = append(srv.slowStartArrivals, slowStartArrival{now, req.units})
+	for len(srv.slowStartArrivals) > 0 && now.Sub(srv.slowStartArrivals[0].at) > window {
+		srv.slowStartArrivals = srv.slowStartArrivals[1:]
 	}
 	sum := 0.0
-	for _, send := range srv.slowStartSends {
-		sum += send.units
+	for _, arrival := range srv.slowStartArrivals {
+		sum += arrival.units
 	}
 	if allowed := d.OverloadMultiple * s.capacityFraction(srv, now) * d.Capacity * d.OverloadWindowMs / 1000; sum > allowed+2*maxUnits {
-		s.violation("slow start: %s got %.0f units in %v, bears %.1f", srv.name, sum, window, allowed)
+		s.recordViolation("slow start: server %s received %.0f units in %v, at most %.1f allowed", srv.name, sum, window, allowed)
 	}
 }
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	serverConcurrency = 4  // requests that a server works on at once
-	serverQueueLimit  = 30 // requests at a server beyond which it rejects
+	serverConcurrency = 4  // number of requests that a server processes concurrently
+	serverQueueLimit  = 30 // number of admitted requests at which a server rejects further ones
 )
 
-// server is one incarnation of a storage server. Each gateway reaches it at an address of its own.
+// server is an incarnation of a storage server. It listens on a different address for each gateway.
 type server struct {
 	index     int
 	name      string
 	shard     int
 	zone      string
-	startedAt time.Time // zero for one that has run since long before the simulation
-	listeners []*http.Server
-	slots     chan struct{}
+	startedAt time.Time      // zero for a server that started long before the simulation
+	listeners []*http.Server // one for each gateway
+	slots     chan struct{}  // semaphore that limits the requests in process to serverConcurrency
 
 	// The fields below are guarded by simulation.mu.
 
-	listed          bool // whether discovery has published it
-	draining        bool
-	stopped         bool
-	frozen          chan struct{} // while it does not respond: closed when it does again
-	queued          int
-	slowStartSends  []slowStartSend      // within the overload window
-	servedElsewhere map[uint64][]float64 // units by volume and gateway that were not reported to the gateway yet
+	published         bool // whether discovery has published a state of the server
+	draining          bool
+	stopped           bool
+	frozen            chan struct{}        // closed at the end of a period without responses; nil outside of such a period
+	queued            int                  // number of admitted requests without a response
+	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
+	servedElsewhere   map[uint64][]float64 // by volume and gateway: units served for other gateways, not yet reported to this one
 }
 
-// slowStartSend is a request that reached a server during its slow start.
-type slowStartSend struct {
+// slowStartArrival is the arrival of a request at a server during its slow start.
+type slowStartArrival struct {
 	at    time.Time
 	units float64
 }
 
-// startServer starts a server for all gateways. s.mu must be held.
+// startServer starts a server with a listener for each gateway. s.mu must be held.
 func (s *simulation) startServer(name string, shard int, startedAt time.Time) *server {
 	srv := &server{index: len(s.servers), name: name, shard: shard, zone: s.deployment.Zones[shard%len(s.deployment.Zones)],
 		startedAt: startedAt, slots: make(chan struct{}, serverConcurrency), servedElsewhere: map[uint64][]float64{}}
@@ -55,12 +55,12 @@
 		handler := func(w http.ResponseWriter, r *http.Request) { s.serve(srv, s.gateways[i], w, r) }
 		httpServer := &http.Server{Handler: http.HandlerFunc(handler)}
 		srv.listeners = append(srv.listeners, httpServer)
-		go func() { _ = httpServer.Serve(listener) }() // It always ends with the error of Close.
+		go func() { _ = httpServer.Serve(listener) }() // Serve returns an error when the server is closed.
 	}
 	return srv
 }
 
-// startedMs returns the server's start in Unix milliseconds, 0 if it was long ago.
+// startedMs returns the start of the server in Unix milliseconds, or 0 if it was long before the simulation.
 func (srv *server) startedMs() float64 {
 	if srv.startedAt.IsZero() {
 		return 0
@@ -75,7 +75,7 @@
 	}
 }
 
-// capacityFraction returns the fraction of its capacity that a server has, which grows during its slow start.
+// capacityFraction returns the fraction of its full capacity that a server has. The fraction grows during the slow start.
 func (s *simulation) capacityFraction(srv *server, now time.Time) float64 {
 	if srv.startedAt.IsZero() {
 		return 1
@@ -84,18 +84,18 @@
 	return s.deployment.InitialCapacity + (1-s.deployment.InitialCapacity)*progress
 }
 
-// serve handles a request at a server and checks the rules as it arrives.
+// serve handles a request at a server and checks the rules that apply to its arrival.
 func (s *simulation) serve(srv *server, g *simulatedGateway, w http.ResponseWriter, r *http.Request) {
 	firstByteAt := time.Now()
 	if r.Header.Get("X-Correlation-Id") == "" {
 		s.mu.Lock()
-		s.violation("%s: a request without an id", srv.name)
+		s.recordViolation("server %s: received a request without a correlation ID", srv.name)
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		panic(http.ErrAbortHandler) // The request is incomplete: nothing of it is done.
+		panic(http.ErrAbortHandler) // The request is incomplete and is not executed.
 	}
 	task, admitted := s.admit(srv, g, r, string(body), firstByteAt)
 	if !admitted {
@@ -111,23 +111,23 @@
 	server  *server
 	gateway *simulatedGateway
 	request *request
-	frozen  chan struct{} // closed when the server responds again; nil if it does
-	outcome float64       // drawn from [0, 1): which fault the request meets, and whether a load report is sent
-	noise   float64       // drawn factor on the service time
+	frozen  chan struct{} // closed when a server that was frozen at admission responds again; nil if it was not frozen
+	outcome float64       // random number from [0, 1) that selects the fault and whether the response carries a load report
+	noise   float64       // random factor of the service time
 }
 
-// admit checks a complete request against the rules and decides whether the server works on it.
+// admit checks the rules that apply to a complete request and decides whether the server processes the request or rejects it.
 func (s *simulation) admit(srv *server, g *simulatedGateway, r *http.Request, body string, firstByteAt time.Time) (serverTask, bool) {
 	id := r.Header.Get("X-Correlation-Id")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	request := s.requests[id]
 	if request == nil || request.class.write && body != request.body() {
-		s.violation("%s: a request that no client sent so: %q", srv.name, id)
+		s.recordViolation("server %s: received a request that no client sent, or with another body: correlation ID %q", srv.name, id)
 		panic(http.ErrAbortHandler)
 	}
 	attempt := s.recordArrival(srv, g, request, firstByteAt)
-	context.AfterFunc(r.Context(), func() { // Canceled, or responded to.
+	context.AfterFunc(r.Context(), func() { // The attempt was canceled or has its response.
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		attempt.inFlight = false
@@ -144,7 +144,7 @@
 	return task, true
 }
 
-// process works on an admitted request and responds, unless it meets a fault.
+// process executes an admitted request and sends the response, unless a fault is drawn for it.
 func (s *simulation) process(task serverTask, w http.ResponseWriter, r *http.Request) {
 	const errorRate, resetRate = 0.02, 0.01
 	srv := task.server
@@ -172,14 +172,14 @@
 	s.respond(task, w)
 }
 
-// serviceTime returns how long a server works on a request.
+// serviceTime returns the time that a server needs for a request.
 func (s *simulation) serviceTime(task serverTask) time.Duration {
 	msPerUnit := max(s.deployment.ServiceTimeMs, 4000/s.deployment.Capacity)
 	atFullCapacity := time.Duration(task.request.units * task.noise * msPerUnit * float64(time.Millisecond))
 	return time.Duration(float64(atFullCapacity) / s.capacityFraction(task.server, time.Now()))
 }
 
-// respond sends the response with the load reports that the deployment has.
+// respond sends the response, with a load report and the units served for other gateways if the deployment uses them.
 func (s *simulation) respond(task serverTask, w http.ResponseWriter) {
 	if elsewhere := s.recordServed(task); s.deployment.ReportsServedElsewhere && elsewhere > 0 {
 		w.Header().Set("X-Served-Elsewhere", strconv.FormatFloat(elsewhere, 'f', -1, 64))
@@ -194,8 +194,8 @@
 	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // The gateway may have closed the connection.
 }
 
-// recordServed adds a request's units to what is to be reported to the other gateways, and returns the units of its volume
-// that were served for others since the last report to its own gateway.
+// recordServed adds a request's units to those that have to be reported to the other gateways. It returns the units of the same
+// volume that the server has served for other gateways since its last report to the request's gateway.
 func (s *simulation) recordServed(task serverTask) (elsewhere float64) {
 	volumeID := task.request.volume.ID
 	s.mu.Lock()
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -6,11 +6,11 @@
 	"math/rand/v2"
 )
 
-// maxSockets is the number of descriptors that each gateway may use.
+// maxSockets is the number of sockets that each gateway may use.
 const maxSockets = 512
 
-// settingsDocument is what the platform gives a gateway at its start. The names in it and in the types below are those of
-// the platform's settings.
+// settingsDocument is the document that the platform gives a gateway at its start. The JSON names of the fields in this type and
+// the types below are those of the platform.
 type settingsDocument struct {
 	Discovery string          `json:"discovery"`
 	Known     *endpointUpdate `json:"known"`
@@ -80,10 +80,10 @@
 	Via    string
 }
 
-// settingsFor returns the settings document of a gateway. Some deployments leave out values that are optional. known is the
-// endpoint list that the gateway starts with.
+// settingsFor returns the settings document of a gateway. Some deployments leave out optional values. known is the cached snapshot
+// of the endpoint list that the gateway starts with.
 func (d *Deployment) settingsFor(gateway int, seed uint64, known *endpointUpdate) []byte {
-	random := rand.New(rand.NewPCG(d.Seed, settingsStream)) // The same draws for all gateways.
+	random := rand.New(rand.NewPCG(d.Seed, settingsStream)) // All gateways of a deployment get the same settings.
 	oneIn := func(n int) bool { return random.IntN(n) == 0 }
 	limits := requestLimits{MaxAttempts: d.MaxAttempts, AllowCancel: oneIn(2), AllowProbes: oneIn(2), AllowPeers: oneIn(2),
 		AllowHedging: oneIn(2), RetryAfter: d.RetryAfter, MaxRetryAfterMs: 500, ConnIdleMs: 30000, ConnectTimeoutMs: 250,
@@ -112,11 +112,12 @@
 			Limits: limits, Invariants: rules, FamilyInfo: family, TickMs: 2, Zones: d.Zones,
 			Report: reportSettings{Fields: d.ReportFields, Via: "inline"}}})
 	if err != nil {
-		panic(err) // All drawn numbers are finite.
+		panic(err) // Marshal cannot fail because all numbers are finite.
 	}
 	return document
 }
 
+// classWrites returns for each class whether its requests are writes.
 func (d *Deployment) classWrites() []bool {
 	writes := make([]bool, len(d.Classes))
 	for i, c := range d.Classes {
@@ -128,7 +129,7 @@
 func gatewayAddr(gateway int) string   { return fmt.Sprintf("127.0.1.%d:7070", gateway+1) }
 func discoveryAddr(gateway int) string { return fmt.Sprintf("127.0.2.%d:8500", gateway+1) }
 
-// serverAddr returns the address at which a gateway reaches a server; each gateway has one of its own.
+// serverAddr returns the address at which a gateway reaches a server. It is different for each gateway.
 func serverAddr(gateway, server int) string {
 	return fmt.Sprintf("127.1.%d.%d:7070", gateway+1, server+1)
 }
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -11,41 +11,41 @@
 
 const (
 	runDuration   = 14 * time.Second      // how long clients send requests
-	settleTime    = 8 * time.Second       // after the last response, for gateways that shut down
-	tolerance     = 50 * time.Millisecond // by which every time limit is longer on sockets
-	maxViolations = 20                    // reported one by one
+	settleTime    = 8 * time.Second       // wait after the last response, in which gateway shutdowns finish
+	tolerance     = 50 * time.Millisecond // added to each time limit that is checked, because connections add delays
+	maxViolations = 20                    // largest number of entries in Result.Violations
 )
 
 // Result is the outcome of a run.
 type Result struct {
-	Violations       []string // breaches of the rules; the last entry stands for all that exceed the first 19
-	CrashedGateways  int      // gateways that did not start or of which a part ended by itself
-	LostRequests     int      // requests without a response from a gateway that was running
-	Served           int
-	Rejected         int
-	Failed           int
-	RejectedAttempts int // attempts that servers rejected
-	DrainedServers   int // servers that were drained or restarted under load
+	Violations       []string // violations of the rules; if there are more than 20, the last entry only says so
+	CrashedGateways  int      // number of gateways that failed to start or had a component that ended by itself
+	LostRequests     int      // number of requests without a response although the gateway was running
+	Served           int      // number of requests that were served
+	Rejected         int      // number of requests that the gateways rejected
+	Failed           int      // number of requests that failed
+	RejectedAttempts int      // number of attempts that servers rejected
+	DrainedServers   int      // number of servers that were drained or restarted under load
 }
 
 // simulation is the state of one run.
 type simulation struct {
 	deployment *Deployment
 	network    memnet.Net
-	gateways   []*simulatedGateway // fixed before clients start
-	tasks      sync.WaitGroup      // clients, faults and delayed checks
+	gateways   []*simulatedGateway // does not change after clients have started
+	tasks      sync.WaitGroup      // goroutines of clients, faults and delayed checks
 
 	mu           sync.Mutex // guards the fields below and those of servers, simulatedGateways and requests
-	serverRandom *rand.Rand // of the servers' work
+	serverRandom *rand.Rand // random generator for service times and faults of servers
 	result       Result
-	servers      []*server // in the order of their starts
-	updates      []endpointChange
-	requests     map[string]*request     // by correlation id
-	limits       map[uint64]*limitBucket // by volume
+	servers      []*server               // all servers, including stopped ones, in the order of their starts
+	updates      []endpointChange        // all published changes of the endpoint list
+	requests     map[string]*request     // requests by correlation ID
+	limits       map[uint64]*limitBucket // token buckets by volume
 }
 
-// Run runs the gateways of a deployment under load and faults and returns what was observed. It must be called in a bubble of
-// testing/synctest, and returns when all clients and faults have ended.
+// Run runs the gateways of a deployment under load and faults and returns the result. It must be called in a bubble of
+// testing/synctest, and returns when all clients and faults have ended and the gateways are stopped.
 func Run(d *Deployment) Result {
 	s := newSimulation(d)
 	for _, g := range s.gateways {
@@ -69,7 +69,7 @@
 	return s.result
 }
 
-// newSimulation starts the servers and the fakes of discovery.
+// newSimulation returns a simulation with running servers and discovery fakes, but without running gateways.
 func newSimulation(d *Deployment) *simulation {
 	s := &simulation{deployment: d, serverRandom: rand.New(rand.NewPCG(d.Seed, serverStream)), requests: map[string]*request{},
 		limits: map[uint64]*limitBucket{}}
@@ -86,17 +86,18 @@
 	return s
 }
 
-// violation records a breach of a rule. s.mu must be held.
-func (s *simulation) violation(format string, args ...any) {
+// recordViolation records a violation of a rule. s.mu must be held.
+func (s *simulation) recordViolation(format string, args ...any) {
 	if len(s.result.Violations) < maxViolations {
 		s.result.Violations = append(s.result.Violations, fmt.Sprintf(format, args...))
 	} else {
-		s.result.Violations[maxViolations-1] = "and more"
+		s.result.Violations[maxViolations-1] = "further violations were found"
 	}
 }
 
-// milliseconds converts a number of the settings with the precision that they have: fractions are cut off.
+// milliseconds converts a time of the settings to a duration. It truncates fractions of a
+// millisecond, which is the precision of the settings.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// seconds converts a drawn number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -13,11 +13,11 @@
 	"gaugerelay/internal/logevent"
 )
 
-// Flags of the test binary; `make deployments` sets them.
+// Flags of the test binary, which `make deployments` sets.
 var (
-	seeds      = flag.Int("seeds", 48, "how many deployments are simulated")
-	from       = flag.Uint64("from", 1, "the first seed")
-	resultFile = flag.String("line", "", "the file that the last line goes to")
+	seeds      = flag.Int("seeds", 48, "number of deployments to simulate")
+	from       = flag.Uint64("from", 1, "seed of the first deployment")
+	resultFile = flag.String("line", "", "file to write the summary line to; empty: test log")
 )
 
 func TestMain(m *testing.M) {
@@ -25,15 +25,15 @@
 	os.Exit(m.Run())
 }
 
-// TestDeployments runs drawn deployments and checks that no rule is broken in any of them.
+// TestDeployments runs randomly generated deployments and checks that no rule is violated in any of them.
 func TestDeployments(t *testing.T) {
 	var total Result
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
 		var result Result
-		d := Draw(seed)
+		d := GenerateDeployment(seed)
 		synctest.Test(t, func(t *testing.T) {
 			result = Run(d)
-			time.Sleep(time.Minute) // Remaining connections and timers time out.
+			time.Sleep(time.Minute) // In this time, remaining connections and timers time out.
 		})
 		for _, violation := range result.Violations {
 			t.Errorf("seed %d (push %v, %d of %d gateways, %d shards): %s", seed, d.Push, d.Gateways, d.FleetSize, d.Shards, violation)
@@ -43,7 +43,7 @@
 	t.Logf("served %d, rejected %d, failed %d; %d attempts rejected by servers, %d servers drained", total.Served, total.Rejected,
 		total.Failed, total.RejectedAttempts, total.DrainedServers)
 	if total.Served < 100**seeds || total.DrainedServers < *seeds/2 {
-		t.Error("too little happened to show anything")
+		t.Error("too few requests were served or servers drained: want at least 100 and 1/2 per deployment")
 	}
 	line := fmt.Sprintf("deployments=%d rules_broken=%d crashed=%d lost=%d\n", *seeds, len(total.Violations), total.CrashedGateways, total.LostRequests)
 	if *resultFile == "" {
