--- a/internal/testbed/fakedevice/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -18,17 +18,17 @@
 type CoAP struct {
 	Device         string
 	Dial           Dialer
-	BlockSize      int // of uploads: a power of two up to 1024, or a multiple of 1024 for BERT; 0: bodies are sent whole
-	MaxMessageSize int // the option that is announced
+	BlockSize      int // block size of uploads in bytes: a power of two up to 1024, or a multiple of 1024 for BERT; 0: no blocks
+	MaxMessageSize int // value in bytes of the Max-Message-Size option that the device announces
 
 	conn            net.Conn
 	link            Link
-	received        []byte // bytes that are not decoded yet
+	received        []byte // received bytes that are not decoded yet
 	lastToken       uint32
-	gatewayName     string         // as the gateway has last named itself
-	uploaded        map[string]int // bytes of an upload that the gateway has acknowledged, by key and body
-	bytesSent       int            // of the present copy
-	responseStarted bool           // of the present copy
+	gatewayName     string         // latest name that the gateway has announced
+	uploaded        map[string]int // number of bytes of an upload that the gateway has acknowledged, by key and digest of the body
+	bytesSent       int            // number of bytes sent in the current transmission
+	responseStarted bool           // whether the response to the current transmission has started to arrive
 }
 
 // Close implements Transport.
@@ -43,36 +43,36 @@
 func (t *CoAP) Link() Link { return t.link }
 
 // send implements Transport.
-func (t *CoAP) send(ctx context.Context, c *requestCopy) (result, error) {
+func (t *CoAP) send(ctx context.Context, tx *transmission) (result, error) {
 	t.bytesSent, t.responseStarted = 0, false
-	res, err := t.exchange(ctx, c)
+	res, err := t.transmit(ctx, tx)
 	res.bytesSent, res.responseStarted = t.bytesSent, t.responseStarted
 	return res, err
 }
 
-// exchange sends a copy and receives its response, with the further messages of block-wise transfers.
-func (t *CoAP) exchange(ctx context.Context, c *requestCopy) (res result, err error) {
+// transmit sends a transmission and receives the response, including all messages of block-wise transfers.
+func (t *CoAP) transmit(ctx context.Context, tx *transmission) (res result, err error) {
 	if err := t.connect(ctx); err != nil {
 		return res, err
 	}
 	var response *message.Message
-	if c.Write && t.BlockSize > 0 && len(c.Body) > t.BlockSize {
-		response, err = t.upload(ctx, c, &res)
+	if tx.Write && t.BlockSize > 0 && len(tx.Body) > t.BlockSize {
+		response, err = t.upload(ctx, tx, &res)
 	} else {
-		res.sentCompletely, res.sentAt = true, time.Now() // As far as the device knows.
-		response, err = t.request(ctx, c, resumeOptions(c, &res), c.Body)
+		res.sentCompletely, res.sentAt = true, time.Now() // The device assumes that the request is sent at once.
+		response, err = t.request(ctx, tx, resumeOptions(tx, &res), tx.Body)
 	}
 	if err != nil {
 		return res, ErrNoResponse
 	}
 	if response.Code == codes.Content && response.Options.HasOption(message.Block2) {
-		return t.download(ctx, c, response, res)
+		return t.download(ctx, tx, response, res)
 	}
 	interpretResponse(response, &res)
 	return res, nil
 }
 
-// connect opens a connection if there is none, and announces its capabilities.
+// connect opens a connection if there is none, and announces the device's capabilities on it.
 func (t *CoAP) connect(ctx context.Context) error {
 	if t.conn != nil {
 		return nil
@@ -86,49 +86,50 @@
 		coapwire.UintOption(message.TCPMaxMessageSize, uint32(t.MaxMessageSize)), {ID: message.TCPBlockWiseTransfer}}})
 }
 
-// request sends one message and waits for its response.
-func (t *CoAP) request(ctx context.Context, c *requestCopy, blockOptions message.Options, payload []byte) (*message.Message, error) {
+// request sends a request message and waits for its response.
+func (t *CoAP) request(ctx context.Context, tx *transmission, blockOptions message.Options,
+	payload []byte) (*message.Message, error) {
 	t.lastToken++
 	token := binary.BigEndian.AppendUint32(nil, t.lastToken)
 	code := codes.GET
-	if c.Write {
+	if tx.Write {
 		code = codes.PUT
 	}
-	m := message.Message{Code: code, Token: token, Options: t.requestOptions(c, blockOptions), Payload: payload}
+	m := message.Message{Code: code, Token: token, Options: t.requestOptions(tx, blockOptions), Payload: payload}
 	if err := t.writeMessage(ctx, m); err != nil {
 		return nil, err
 	}
 	return t.readResponse(ctx, token)
 }
 
-// requestOptions returns the options of a message of a copy.
-func (t *CoAP) requestOptions(c *requestCopy, blockOptions message.Options) message.Options {
-	timeLeft := c.timeLeft
-	if untilDeadline := time.Until(c.Deadline); untilDeadline > 0 {
+// requestOptions returns the options of a request message of a transmission.
+func (t *CoAP) requestOptions(tx *transmission, blockOptions message.Options) message.Options {
+	timeLeft := tx.timeLeft
+	if untilDeadline := time.Until(tx.Deadline); untilDeadline > 0 {
 		timeLeft = min(timeLeft, untilDeadline)
 	}
-	options := message.Options{{ID: message.URIPath, Value: []byte(c.Class)}, {ID: message.URIPath, Value: []byte(c.Object)}}
-	if !c.Write {
-		options = options.Add(message.Option{ID: message.URIQuery, Value: fmt.Appendf(nil, "n=%d", c.Size)})
+	options := message.Options{{ID: message.URIPath, Value: []byte(tx.Class)}, {ID: message.URIPath, Value: []byte(tx.Object)}}
+	if !tx.Write {
+		options = options.Add(message.Option{ID: message.URIQuery, Value: fmt.Appendf(nil, "n=%d", tx.Size)})
 	}
 	for _, option := range append(blockOptions,
 		message.Option{ID: coapwire.OptDevice, Value: []byte(t.Device)},
 		coapwire.UintOption(coapwire.OptTimeLeft, uint32(max(1, timeLeft.Milliseconds()))),
-		message.Option{ID: coapwire.OptIdempotencyKey, Value: []byte(c.Key)},
+		message.Option{ID: coapwire.OptIdempotencyKey, Value: []byte(tx.Key)},
 		message.Option{ID: coapwire.OptPlan, Value: []byte("basic")},
-		message.Option{ID: coapwire.OptIO, Value: fmt.Appendf(nil, "volume=%s,units=1,shard=%d,hosts=1", c.Object, c.Shard)}) {
+		message.Option{ID: coapwire.OptIO, Value: fmt.Appendf(nil, "volume=%s,units=1,shard=%d,hosts=1", tx.Object, tx.Shard)}) {
 		options = options.Add(option)
 	}
-	if !c.isRetry {
-		c.firstGateway = t.gatewayName
+	if !tx.isRetry {
+		tx.firstGateway = t.gatewayName
 		return options
 	}
-	options = options.Add(message.Option{ID: coapwire.OptPreviousGateway, Value: []byte(c.firstGateway)})
+	options = options.Add(message.Option{ID: coapwire.OptPreviousGateway, Value: []byte(tx.firstGateway)})
 	options = options.Add(message.Option{ID: coapwire.OptRetry})
-	return options.Add(coapwire.UintOption(coapwire.OptAge, uint32(time.Since(c.firstSentAt).Milliseconds())))
+	return options.Add(coapwire.UintOption(coapwire.OptAge, uint32(time.Since(tx.firstSentAt).Milliseconds())))
 }
 
-// writeMessage writes a message by the deadline of ctx.
+// writeMessage writes a message. The write fails at the deadline of ctx.
 func (t *CoAP) writeMessage(ctx context.Context, m message.Message) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		t.conn.SetWriteDeadline(deadline)
@@ -138,7 +139,7 @@
 	return err
 }
 
-// readResponse reads messages up to the response to a token and answers pings in between.
+// readResponse reads messages until the response with the given token arrives. It responds to pings that arrive before that.
 func (t *CoAP) readResponse(ctx context.Context, token message.Token) (*message.Message, error) {
 	for {
 		m, err := t.readMessage(ctx)
@@ -154,19 +155,19 @@
 			if err := t.writeMessage(ctx, message.Message{Code: codes.Pong, Token: m.Token}); err != nil {
 				return nil, err
 			}
-		case codes.Release: // The connection stays until the response has arrived; the next request opens another one.
+		case codes.Release: // The connection stays open until the response has arrived; the next request opens a new one.
 		case codes.Abort:
-			return nil, fmt.Errorf("fakedevice: aborted: %s", m.Payload)
+			return nil, fmt.Errorf("fakedevice: the gateway aborted the connection: %s", m.Payload)
 		default:
 			if string(m.Token) != string(token) {
-				return nil, fmt.Errorf("fakedevice: a response to no request: %v", m)
+				return nil, fmt.Errorf("fakedevice: received a message whose token belongs to no request: %v", m)
 			}
 			return m, nil
 		}
 	}
 }
 
-// readMessage reads the next message by the deadline of ctx.
+// readMessage reads the next message. The read fails at the deadline of ctx.
 func (t *CoAP) readMessage(ctx context.Context) (*message.Message, error) {
 	for {
 		size, err := coapwire.FrameLength(t.received)
@@ -194,7 +195,7 @@
 	}
 }
 
-// interpretResponse sets the outcome by a final response.
+// interpretResponse sets the outcome of a transmission according to its final response.
 func interpretResponse(m *message.Message, res *result) {
 	res.note = fmt.Sprint(m.Code, " ", string(m.Payload[:min(len(m.Payload), 40)]))
 	switch m.Code {
--- a/internal/testbed/fakedevice/coap_blocks.go
+++ b/internal/testbed/fakedevice/coap_blocks.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// bertUnit is the block size in which BERT counts, and the largest one without it.
+	// bertUnit is the largest block size in bytes without BERT. A BERT message contains several blocks of this size.
 	bertUnit = 1024
-	// maxUploadRestarts is how often a copy goes back to another block before it accepts the response.
+	// maxUploadRestarts is the number of times that a transmission restarts an upload after a response 4.08 (Request Entity
+	// Incomplete). It accepts the next such response as final.
 	maxUploadRestarts = 3
 )
 
-// upload sends a body by blocks, from where the gateway has it, and returns the final response.
-func (t *CoAP) upload(ctx context.Context, c *requestCopy, res *result) (*message.Message, error) {
+// upload sends a body in blocks, starting after the bytes that the gateway has acknowledged, and returns the final response.
+func (t *CoAP) upload(ctx context.Context, tx *transmission, res *result) (*message.Message, error) {
 	if t.uploaded == nil {
 		t.uploaded = map[string]int{}
 	}
-	id := c.Key + digest(c.Body)
+	id := tx.Key + digest(tx.Body)
 	size := t.BlockSize
 	for restarts := 0; ; {
 		offset := t.uploaded[id]
-		end := min(offset+size, len(c.Body))
-		block := coapwire.Block{Offset: offset, Size: min(size, bertUnit), BERT: size > bertUnit, More: end < len(c.Body)}
+		end := min(offset+size, len(tx.Body))
+		block := coapwire.Block{Offset: offset, Size: min(size, bertUnit), BERT: size > bertUnit, More: end < len(tx.Body)}
 		if !block.More {
 			res.sentCompletely, res.sentAt, t.responseStarted = true, time.Now(), false
 		}
-		options := message.Options{block.Option(message.Block1), coapwire.UintOption(message.Size1, uint32(len(c.Body))),
-			{ID: message.RequestTag, Value: []byte(digest(c.Body))[:8]}}
-		response, err := t.request(ctx, c, options, c.Body[offset:end])
+		options := message.Options{block.Option(message.Block1), coapwire.UintOption(message.Size1, uint32(len(tx.Body))),
+			{ID: message.RequestTag, Value: []byte(digest(tx.Body))[:8]}}
+		response, err := t.request(ctx, tx, options, tx.Body[offset:end])
 		if err != nil {
 			return nil, err
 		}
@@ -46,65 +47,67 @@
 			if restarts++; restarts > maxUploadRestarts {
 				return response, nil
 			}
-			t.uploaded[id] = resumeOffset(response, size, len(c.Body))
+			t.uploaded[id] = resumeOffset(response, size, len(tx.Body))
 		default:
 			return response, nil
 		}
 	}
 }
 
-// acceptedBlockSize returns the size of the next blocks: a smaller one if the gateway asks for it and the bytes that it has
-// are a multiple of it.
+// acceptedBlockSize returns the size of the next blocks. It is the size that the gateway asks for if that is smaller than the
+// current size and the acknowledged bytes are a multiple of it; otherwise it is the current size.
 func acceptedBlockSize(response *message.Message, size, acknowledged int) int {
 	encoded, err := response.Options.GetBytes(message.Block1)
 	if err != nil {
 		return size
 	}
-	if asked, ok := coapwire.DecodeBlock(encoded); ok && !asked.BERT && asked.Size < size && acknowledged%asked.Size == 0 {
-		return asked.Size
+	if requested, ok := coapwire.DecodeBlock(encoded); ok && !requested.BERT && requested.Size < size &&
+		acknowledged%requested.Size == 0 {
+		return requested.Size
 	}
 	return size
 }
 
-// resumeOffset returns the offset from which the gateway lacks an upload, 0 if it does not name one that blocks can start at.
+// resumeOffset returns the offset at which an upload continues: the number of bytes that the gateway reports to have, or 0 if it
+// reports none or no block can start there.
 func resumeOffset(response *message.Message, size, bodySize int) int {
-	has, err := response.Options.GetUint32(coapwire.OptBufferedBytes)
-	if err == nil && int(has)%size == 0 && int(has) < bodySize {
-		return int(has)
+	buffered, err := response.Options.GetUint32(coapwire.OptBufferedBytes)
+	if err == nil && int(buffered)%size == 0 && int(buffered) < bodySize {
+		return int(buffered)
 	}
 	return 0
 }
 
-// resumeOptions returns the option that asks for what is missing of a response of which an earlier copy has received a part.
-// That part stays the result's until more is received.
-func resumeOptions(c *requestCopy, res *result) message.Options {
-	if len(c.partial) < bertUnit {
+// resumeOptions returns the option that requests the rest of a response that an earlier transmission has received in part, or nil
+// if the part is shorter than a block. The part becomes the partial body of the result until more is received.
+func resumeOptions(tx *transmission, res *result) message.Options {
+	if len(tx.partial) < bertUnit {
 		return nil
 	}
-	res.partial, res.etag = c.partial, c.etag
-	block := coapwire.Block{Offset: len(c.partial) / bertUnit * bertUnit, Size: bertUnit}
+	res.partial, res.etag = tx.partial, tx.etag
+	block := coapwire.Block{Offset: len(tx.partial) / bertUnit * bertUnit, Size: bertUnit}
 	return message.Options{block.Option(message.Block2)}
 }
 
-// download receives the blocks of a response, of which an earlier copy may have received a part already.
-func (t *CoAP) download(ctx context.Context, c *requestCopy, response *message.Message, res result) (result, error) {
+// download receives the blocks of a response. An earlier transmission may have received some of them already.
+func (t *CoAP) download(ctx context.Context, tx *transmission, response *message.Message, res result) (result, error) {
 	var body []byte
-	if len(c.partial) > 0 {
-		body = c.partial
+	if len(tx.partial) > 0 {
+		body = tx.partial
 	}
 	for {
 		if response.Code != codes.Content {
 			interpretResponse(response, &res)
 			return res, nil
 		}
-		encoded, _ := response.Options.GetBytes(message.Block2) // Absent: not a block.
+		encoded, _ := response.Options.GetBytes(message.Block2) // DecodeBlock fails if the option is absent.
 		block, ok := coapwire.DecodeBlock(encoded)
 		if !ok {
 			return res, ErrNoResponse
 		}
-		etag, _ := response.Options.GetBytes(message.ETag) // Absent: empty.
-		if isOtherResponse(string(etag), c, res) {
-			body, c.etag = nil, ""
+		etag, _ := response.Options.GetBytes(message.ETag) // Empty if the option is absent.
+		if isOtherResponse(string(etag), tx, res) {
+			body, tx.etag = nil, ""
 		}
 		res.etag = string(etag)
 		if block.Offset <= len(body) {
@@ -117,13 +120,13 @@
 		res.partial = body
 		next := coapwire.Block{Offset: len(body) / block.Size * block.Size, Size: block.Size, BERT: block.BERT}
 		var err error
-		if response, err = t.request(ctx, c, message.Options{next.Option(message.Block2)}, nil); err != nil {
+		if response, err = t.request(ctx, tx, message.Options{next.Option(message.Block2)}, nil); err != nil {
 			return res, ErrNoResponse
 		}
 	}
 }
 
-// isOtherResponse reports whether a block belongs to another response than those before it.
-func isOtherResponse(etag string, c *requestCopy, res result) bool {
-	return res.etag != "" && res.etag != etag || c.etag != "" && c.etag != etag
+// isOtherResponse reports whether a block belongs to another response than the blocks received before, by its ETag.
+func isOtherResponse(etag string, tx *transmission, res result) bool {
+	return res.etag != "" && res.etag != etag || tx.etag != "" && tx.etag != etag
 }
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -1,9 +1,10 @@
-// Package fakedevice is a fake of devices on poor links. Like real ones they give up a silent connection, reconnect and send
-// a copy of the request again, unchanged or changed, over two connections at once, or after its response.
+// Package fakedevice is a fake of devices on poor links. Like real devices, it gives up a connection on which no response
+// arrives, reconnects and transmits the request again. Some transmissions are unusual: with another body, over two connections
+// at the same time, or after the response.
 //
-// The package owns the devices' side of an exchange over CoAP, HTTP and SFTP. A [Device] works on one exchange after the other
-// on its caller's goroutine; a second goroutine runs only while a copy is sent over two connections, and is waited for. What
-// it receives goes to an invariants.Checker. Behavior depends on Rand and on what is received.
+// The package owns the devices' side of an exchange over CoAP, HTTP and SFTP. A [Device] performs one exchange after the other in
+// its caller's goroutine. It starts a second goroutine only to send over two connections at the same time, and waits for it. It
+// records responses in an invariants.Checker. Its behavior depends only on Rand and on what it receives.
 package fakedevice
 
 import (
@@ -17,13 +18,13 @@
 )
 
 const (
-	// gatewayResponseTime is the time that a gateway may take for a response which it gives at the last moment.
+	// gatewayResponseTime is the time that a gateway may need for a response that it sends just before the deadline.
 	gatewayResponseTime = 150 * time.Millisecond
-	// minTimeLeft is the time before the deadline below which a device sends no further copy.
+	// minTimeLeft is the shortest remaining time with which a device starts another transmission.
 	minTimeLeft = 5 * time.Millisecond
-	// defaultRetryDelay is the delay after a rejection that names none.
+	// defaultRetryDelay is the delay after a rejection that does not specify one.
 	defaultRetryDelay = 100 * time.Millisecond
-	// maxLateResendDelay is the longest delay of a copy that is sent after the exchange has ended.
+	// maxLateResendDelay is the longest delay from the end of an exchange to a transmission after it.
 	maxLateResendDelay = 2 * time.Second
 )
 
@@ -33,33 +34,33 @@
 	Key      string // idempotency key
 	Write    bool
 	Class    string
-	Body     []byte // of a write
-	Size     int    // of a read's response, in bytes
-	Shard    int    // -1: any
+	Body     []byte // body of a write
+	Size     int    // size in bytes of the response to a read
+	Shard    int    // shard that must serve the request, or -1 for any shard
 	Deadline time.Time
 }
 
-// requestCopy is one copy of a request.
-type requestCopy struct {
+// transmission is the current transmission of a request, with the state that is kept from earlier transmissions.
+type transmission struct {
 	Exchange
-	number       int // from 1
-	timeLeft     time.Duration
-	isRetry      bool      // an earlier copy was sent completely
-	firstSentAt  time.Time // when the first copy was sent
-	firstGateway string    // the gateway that the first copy was sent to, as far as it has named itself
-	partial      []byte    // of the response, from an earlier copy
-	etag         string    // of partial
+	number       int           // number of the transmission within the exchange, counted from 1
+	timeLeft     time.Duration // remaining time until the deadline
+	isRetry      bool          // whether an earlier transmission was sent completely and not rejected
+	firstSentAt  time.Time     // start of the first transmission since the latest rejection
+	firstGateway string        // name of the gateway that received that transmission; empty if it is unknown
+	partial      []byte        // first part of the response's body, received by an earlier transmission
+	etag         string        // ETag of the response that partial belongs to
 }
 
-// Device works on exchanges, one after the other.
+// Device performs exchanges, one after the other.
 type Device struct {
 	Name            string
 	Transport       Transport
-	SecondTransport Transport // for two connections at once; nil: none
+	SecondTransport Transport // second connection, for sending over two at the same time; nil: the device never does that
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
-	ResponseTimeout time.Duration // after which the device gives up a silent connection
-	QuirkRate       float64       // fraction of its exchanges in which it behaves unusually
+	ResponseTimeout time.Duration // time without a response after which the device gives up a connection
+	QuirkRate       float64       // fraction of the exchanges in which the device behaves unusually
 }
 
 // quirk is an unusual behavior of a device in one exchange.
@@ -67,20 +68,20 @@
 
 const (
 	noQuirk    quirk = iota
-	resend           // sends another copy after the response
-	changeBody       // sends another body under the same key, once
-	sendTwice        // sends a copy over each of two connections at once
-	abandon          // disconnects after the first copy and does not connect again
-	resendLate       // disconnects after the exchange and sends another copy later
+	resend           // the device sends the request again after the response
+	changeBody       // the device sends another body with the same key, once
+	sendTwice        // the device sends the request over two connections at the same time
+	abandon          // the device disconnects after the first transmission without a response and does not reconnect
+	resendLate       // the device disconnects after the exchange and sends the request again later
 )
 
-// quirkCount is the number of quirks.
+// quirkCount is the number of quirks, without noQuirk.
 const quirkCount = int(resendLate)
 
 var quirkNames = [...]string{noQuirk: "none", resend: "resend", changeBody: "change body", sendTwice: "send twice", abandon: "abandon",
 	resendLate: "resend late"}
 
-// String returns the quirk in lower case.
+// String returns the name of the quirk in lower case.
 func (q quirk) String() string {
 	if int(q) < len(quirkNames) {
 		return quirkNames[q]
@@ -88,7 +89,7 @@
 	return fmt.Sprintf("quirk(%d)", uint8(q))
 }
 
-// drawQuirk draws the behavior in the next exchange.
+// drawQuirk chooses at random how the device behaves in the next exchange.
 func (d *Device) drawQuirk() quirk {
 	if d.Rand.Float64() >= d.QuirkRate {
 		return noQuirk
@@ -96,28 +97,29 @@
 	return quirk(1 + d.Rand.IntN(quirkCount))
 }
 
-// Do works on an exchange until its deadline.
+// Do performs an exchange, which ends with a response or at the deadline. The quirks resend and resendLate then add another
+// transmission.
 func (d *Device) Do(e Exchange) {
-	c := &requestCopy{Exchange: e, firstSentAt: time.Now()}
+	tx := &transmission{Exchange: e, firstSentAt: time.Now()}
 	behavior := d.drawQuirk()
 	responded := false
 	for !responded {
-		c.timeLeft = time.Until(e.Deadline)
-		if c.timeLeft < minTimeLeft {
+		tx.timeLeft = time.Until(e.Deadline)
+		if tx.timeLeft < minTimeLeft {
 			break
 		}
-		c.number++
+		tx.number++
 		if behavior == sendTwice && d.SecondTransport != nil {
 			behavior = noQuirk
-			responded = d.sendOverBoth(c)
+			responded = d.sendOverBoth(tx)
 			continue
 		}
-		if behavior == changeBody && c.number > 1 && e.Write {
+		if behavior == changeBody && tx.number > 1 && e.Write {
 			behavior = noQuirk
-			d.sendChanged(*c)
+			d.sendChanged(*tx)
 			continue
 		}
-		responded = d.send(d.Transport, c, d.Rand)
+		responded = d.send(d.Transport, tx, d.Rand)
 		if !responded && behavior == abandon {
 			d.Transport.Close()
 			time.Sleep(time.Until(e.Deadline))
@@ -125,98 +127,100 @@
 		}
 	}
 	if behavior == resend && responded || behavior == resendLate {
-		d.sendAfterEnd(c, behavior)
+		d.sendAfterEnd(tx, behavior)
 	}
 }
 
-// sendOverBoth sends a copy over each of two connections at once. It reports whether the first has brought a response.
-func (d *Device) sendOverBoth(c *requestCopy) (responded bool) {
-	second := *c
-	c.number++
-	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // A rand.Rand must not be shared by goroutines.
+// sendOverBoth sends a request over both connections at the same time. It reports whether a response has arrived on the first.
+func (d *Device) sendOverBoth(tx *transmission) (responded bool) {
+	second := *tx
+	tx.number++
+	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // A rand.Rand is not safe for concurrent use.
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		d.send(d.SecondTransport, &second, random)
 	}()
-	responded = d.send(d.Transport, c, d.Rand)
+	responded = d.send(d.Transport, tx, d.Rand)
 	<-done
-	c.isRetry = true
+	tx.isRetry = true
 	return responded
 }
 
-// sendChanged sends another body under the key of the exchange.
-func (d *Device) sendChanged(c requestCopy) {
-	c.Body = append([]byte("another "), c.Body...)
-	d.send(d.Transport, &c, d.Rand)
+// sendChanged sends another body with the key of the exchange.
+func (d *Device) sendChanged(tx transmission) {
+	tx.Body = append([]byte("another "), tx.Body...)
+	d.send(d.Transport, &tx, d.Rand)
 }
 
-// sendAfterEnd sends another copy after the exchange has ended.
-func (d *Device) sendAfterEnd(c *requestCopy, behavior quirk) {
+// sendAfterEnd sends the request again after the exchange has ended.
+func (d *Device) sendAfterEnd(tx *transmission, behavior quirk) {
 	if behavior == resendLate {
 		d.Transport.Close()
 		time.Sleep(time.Duration(d.Rand.Float64() * float64(maxLateResendDelay)))
 	}
-	c.number++
-	c.timeLeft, c.isRetry, c.partial = 2*time.Second, true, nil
-	d.send(d.Transport, c, d.Rand)
+	tx.number++
+	tx.timeLeft, tx.isRetry, tx.partial = 2*time.Second, true, nil
+	d.send(d.Transport, tx, d.Rand)
 }
 
-// send sends one copy and records what it receives. It reports whether the device need not send another copy: a conflict is
-// not a response to the exchange, but it is one to the copy.
-func (d *Device) send(t Transport, c *requestCopy, random *rand.Rand) (responded bool) {
-	timeout := min(c.timeLeft, d.ResponseTimeout)
+// send sends one transmission and records the response. It reports whether the device must not transmit again. That is also so
+// after a conflict, which responds to the transmission but not to the exchange.
+func (d *Device) send(t Transport, tx *transmission, random *rand.Rand) (responded bool) {
+	timeout := min(tx.timeLeft, d.ResponseTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	startedAt := time.Now()
-	res, err := t.send(ctx, c)
-	d.Checker.RecordBytesSent(c.Object, res.bytesSent)
-	c.isRetry = c.isRetry || res.sentCompletely
+	res, err := t.send(ctx, tx)
+	d.Checker.RecordBytesSent(tx.Object, res.bytesSent)
+	tx.isRetry = tx.isRetry || res.sentCompletely
 	if err != nil {
 		if res.partial != nil {
-			c.partial, c.etag = res.partial, res.etag
+			tx.partial, tx.etag = res.partial, res.etag
 		}
-		if ctx.Err() != nil && timeout == c.timeLeft {
-			d.checkMissingResponse(t.Link(), c, res, startedAt)
+		if ctx.Err() != nil && timeout == tx.timeLeft {
+			d.checkMissingResponse(t.Link(), tx, res, startedAt)
 		}
 		t.Close()
-		sleep(min(time.Duration(20+random.IntN(200))*time.Millisecond, time.Until(c.Deadline)))
+		sleep(min(time.Duration(20+random.IntN(200))*time.Millisecond, time.Until(tx.Deadline)))
 		return false
 	}
-	d.Checker.RecordResponse(c.Object, c.number, res.outcome, res.content, res.note)
+	d.Checker.RecordResponse(tx.Object, tx.number, res.outcome, res.content, res.note)
 	if res.outcome != invariants.Rejected {
 		return true
 	}
-	c.isRetry, c.firstSentAt, c.firstGateway = false, time.Now(), "" // Nothing was done: the next copy is a first one.
+	// The request was not executed, so the next transmission is again a first one.
+	tx.isRetry, tx.firstSentAt, tx.firstGateway = false, time.Now(), ""
 	if res.retryAfter <= 0 {
 		res.retryAfter = defaultRetryDelay
 	}
-	sleep(min(res.retryAfter, time.Until(c.Deadline)))
+	sleep(min(res.retryAfter, time.Until(tx.Deadline)))
 	return false
 }
 
-// checkMissingResponse records a missing response if a device that waited until the deadline has sent the copy so early, over
-// a link without faults, that the response could have arrived. A gateway that does not know the link yet measures it by a
-// round trip, which must have been possible as well.
-func (d *Device) checkMissingResponse(link Link, c *requestCopy, res result, startedAt time.Time) {
+// checkMissingResponse records a missing response if the device waited until the deadline, the link had no fault, and the request
+// was sent so early that the response could have arrived. The time must have sufficed for two transfers, because a gateway that
+// does not know the link yet measures it by a round trip first.
+func (d *Device) checkMissingResponse(link Link, tx *transmission, res result, startedAt time.Time) {
 	if !res.sentCompletely || res.responseStarted || link == nil {
 		return
 	}
 	transferTime := link.TransferTime(res.bytesSent)
-	remaining := startedAt.Add(c.timeLeft).Sub(res.sentAt)
+	remaining := startedAt.Add(tx.timeLeft).Sub(res.sentAt)
 	if remaining <= 2*transferTime+gatewayResponseTime || link.FaultySince(startedAt.Add(-time.Second)) {
 		return
 	}
-	d.Checker.RecordMissingResponse(c.Object, fmt.Sprintf("copy %d: %d bytes sent %d ms before the end of %d ms, of which the link needs %d",
-		c.number, res.bytesSent, remaining.Milliseconds(), c.timeLeft.Milliseconds(), transferTime.Milliseconds()))
+	d.Checker.RecordMissingResponse(tx.Object, fmt.Sprintf(
+		"transmission %d: %d bytes sent %d ms before the deadline (remaining time at the start: %d ms); a transfer takes %d ms",
+		tx.number, res.bytesSent, remaining.Milliseconds(), tx.timeLeft.Milliseconds(), transferTime.Milliseconds()))
 }
 
-// sleep sleeps for d if it is positive.
+// sleep sleeps for d, or not at all if d is negative.
 func sleep(d time.Duration) {
 	if d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// digest returns a short name of a response's body.
+// digest returns a short hexadecimal digest of a body.
 func digest(body []byte) string { return fakestorage.Digest(body) }
--- a/internal/testbed/fakedevice/http.go
+++ b/internal/testbed/fakedevice/http.go
@@ -19,14 +19,14 @@
 type HTTP struct {
 	Device               string
 	Dial                 Dialer
-	WithoutDeviceHeaders bool // whether it speaks as clients of the platform do
+	WithoutDeviceHeaders bool // whether the device sends only the headers that other clients of the platform send
 
 	client         *http.Client
 	link           Link
 	bytesSent      atomic.Int64
-	gatewayName    string        // as the gateway has last named itself
-	correlationIDs int           // used so far, without device headers
-	roundTrip      time.Duration // of a short response that was given at once
+	gatewayName    string        // name of the gateway in the latest response
+	correlationIDs int           // number of correlation IDs used so far, if the device sends no device headers
+	roundTrip      time.Duration // estimated round-trip time; 0 before the first response
 }
 
 // Close implements Transport.
@@ -41,21 +41,21 @@
 func (h *HTTP) Link() Link { return h.link }
 
 // send implements Transport.
-func (h *HTTP) send(ctx context.Context, c *requestCopy) (result, error) {
+func (h *HTTP) send(ctx context.Context, tx *transmission) (result, error) {
 	h.bytesSent.Store(0)
-	res, err := h.roundTripCopy(ctx, c)
+	res, err := h.transmit(ctx, tx)
 	res.bytesSent = int(h.bytesSent.Load())
 	return res, err
 }
 
-// sendProgress is how far a request has come, as net/http reports it from its own goroutines.
+// sendProgress is the progress of a request. net/http updates it from its own goroutines.
 type sendProgress struct {
 	sentAt          atomic.Int64 // Unix nanoseconds; valid if sentCompletely is set
 	sentCompletely  atomic.Bool
 	responseStarted atomic.Bool
 }
 
-// trace returns a context whose requests report their progress.
+// trace returns a context with which a request records its progress in p.
 func (p *sendProgress) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
@@ -68,18 +68,18 @@
 	})
 }
 
-// roundTripCopy sends a copy and reads its response.
-func (h *HTTP) roundTripCopy(ctx context.Context, c *requestCopy) (res result, err error) {
+// transmit sends a transmission and reads the response.
+func (h *HTTP) transmit(ctx context.Context, tx *transmission) (res result, err error) {
 	h.connect()
 	var progress sendProgress
-	req, err := h.newRequest(progress.trace(ctx), c)
+	req, err := h.newRequest(progress.trace(ctx), tx)
 	if err != nil {
 		return res, err
 	}
 	startedAt := time.Now()
 	resp, err := h.client.Do(req)
 	if err != nil {
-		// A device that has given up while it was sending does not know what has arrived.
+		// A device that gives up before it has sent everything does not know how much has arrived.
 		res.sentCompletely, res.responseStarted = h.bytesSent.Load() > 0, true
 		if progress.sentCompletely.Load() {
 			res.sentAt, res.responseStarted = time.Unix(0, progress.sentAt.Load()), progress.responseStarted.Load()
@@ -89,14 +89,14 @@
 	defer resp.Body.Close()
 	h.measureRoundTrip(resp, time.Since(startedAt))
 	h.gatewayName = resp.Header.Get("X-Gateway")
-	var received []byte // of the response, by earlier copies
+	var received []byte // part of the response's body that earlier transmissions have received
 	if !h.WithoutDeviceHeaders {
-		received = c.partial
+		received = tx.partial
 	}
 	return readResponse(resp, received)
 }
 
-// connect sets up a client if there is none; it opens a connection with the next request.
+// connect creates an HTTP client if there is none. The client opens its connection at the next request.
 func (h *HTTP) connect() {
 	if h.client != nil {
 		return
@@ -112,71 +112,73 @@
 	h.client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DisableCompression: true, DialContext: dial}}
 }
 
-// newRequest returns a copy as an HTTP request.
-func (h *HTTP) newRequest(ctx context.Context, c *requestCopy) (*http.Request, error) {
-	method, target := http.MethodGet, fmt.Sprintf("http://gateway/%s/%s?n=%d", c.Class, c.Object, c.Size)
+// newRequest returns the HTTP request of a transmission.
+func (h *HTTP) newRequest(ctx context.Context, tx *transmission) (*http.Request, error) {
+	method, target := http.MethodGet, fmt.Sprintf("http://gateway/%s/%s?n=%d", tx.Class, tx.Object, tx.Size)
 	var body io.Reader
-	if c.Write {
-		method, target = http.MethodPut, fmt.Sprintf("http://gateway/%s/%s", c.Class, c.Object)
-		body = io.MultiReader(bytes.NewReader(c.Body)) // Without GetBody the client's transport resends nothing by itself.
+	if tx.Write {
+		method, target = http.MethodPut, fmt.Sprintf("http://gateway/%s/%s", tx.Class, tx.Object)
+		// MultiReader hides the reader's type, so that net/http does not set GetBody, with which it would retry by itself.
+		body = io.MultiReader(bytes.NewReader(tx.Body))
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, body)
 	if err != nil {
 		return nil, err
 	}
-	req.ContentLength = int64(len(c.Body))
-	h.setPlatformHeaders(req.Header, c)
+	req.ContentLength = int64(len(tx.Body))
+	h.setPlatformHeaders(req.Header, tx)
 	if !h.WithoutDeviceHeaders {
-		h.setDeviceHeaders(req.Header, c)
+		h.setDeviceHeaders(req.Header, tx)
 	}
 	return req, nil
 }
 
 // setPlatformHeaders sets the headers that all clients send.
-func (h *HTTP) setPlatformHeaders(header http.Header, c *requestCopy) {
-	header.Set("X-Service-Class", c.Class)
+func (h *HTTP) setPlatformHeaders(header http.Header, tx *transmission) {
+	header.Set("X-Service-Class", tx.Class)
 	header.Set("X-Plan", "basic")
-	header.Set("X-Time-Left-Ms", strconv.FormatInt(c.timeLeft.Milliseconds(), 10))
-	header.Set("X-IO", fmt.Sprintf("volume=%s,units=1,shard=%d,hosts=1", c.Object, c.Shard))
-	header.Set("X-Correlation-Id", c.Key)
+	header.Set("X-Time-Left-Ms", strconv.FormatInt(tx.timeLeft.Milliseconds(), 10))
+	header.Set("X-IO", fmt.Sprintf("volume=%s,units=1,shard=%d,hosts=1", tx.Object, tx.Shard))
+	header.Set("X-Correlation-Id", tx.Key)
 	if h.WithoutDeviceHeaders {
 		h.correlationIDs++
-		header.Set("X-Correlation-Id", fmt.Sprintf("%s-%d", c.Key, h.correlationIDs))
+		header.Set("X-Correlation-Id", fmt.Sprintf("%s-%d", tx.Key, h.correlationIDs))
 	}
-	if c.Write {
-		header.Set("Idempotency-Key", c.Key)
+	if tx.Write {
+		header.Set("Idempotency-Key", tx.Key)
 	}
-	if c.isRetry {
+	if tx.isRetry {
 		header.Set("X-Repeat", "1")
 	}
 }
 
-// setDeviceHeaders sets the headers of devices.
-func (h *HTTP) setDeviceHeaders(header http.Header, c *requestCopy) {
+// setDeviceHeaders sets the headers that only devices send.
+func (h *HTTP) setDeviceHeaders(header http.Header, tx *transmission) {
 	header.Set("X-Device-Id", h.Device)
 	if h.roundTrip > 0 {
 		header.Set("X-Round-Trip-Ms", strconv.FormatInt(h.roundTrip.Milliseconds(), 10))
 	}
-	if c.isRetry {
-		header.Set("X-Sent-To", c.firstGateway)
-		header.Set("X-Age-Ms", strconv.FormatInt(time.Since(c.firstSentAt).Milliseconds(), 10))
+	if tx.isRetry {
+		header.Set("X-Sent-To", tx.firstGateway)
+		header.Set("X-Age-Ms", strconv.FormatInt(time.Since(tx.firstSentAt).Milliseconds(), 10))
 	} else {
-		c.firstGateway = h.gatewayName
+		tx.firstGateway = h.gatewayName
 	}
-	if len(c.partial) > 0 { // Ask for what is missing of the response.
-		header.Set("Range", fmt.Sprintf("bytes=%d-", len(c.partial)))
-		header.Set("If-Range", c.etag)
+	if len(tx.partial) > 0 { // Request only the missing part of the response.
+		header.Set("Range", fmt.Sprintf("bytes=%d-", len(tx.partial)))
+		header.Set("If-Range", tx.etag)
 	}
 }
 
-// measureRoundTrip measures the round trip by the fastest response, or by a rejection, which is given at once.
+// measureRoundTrip updates the round-trip estimate. The estimate is the shortest time of a response, but a response with status
+// 503 always replaces it, because the gateway sends a rejection without delay.
 func (h *HTTP) measureRoundTrip(resp *http.Response, elapsed time.Duration) {
 	if resp.StatusCode == http.StatusServiceUnavailable || h.roundTrip == 0 || elapsed < h.roundTrip {
 		h.roundTrip = elapsed
 	}
 }
 
-// readResponse reads the body of a response and interprets its status. A response to a range request goes on from what was
+// readResponse reads the body of a response and interprets its status. The body of a partial response follows the part that was
 // received before.
 func readResponse(resp *http.Response, received []byte) (result, error) {
 	res := result{sentCompletely: true, responseStarted: true}
@@ -201,7 +203,7 @@
 		}
 	case http.StatusConflict:
 		res.outcome = invariants.Conflict
-	case http.StatusRequestedRangeNotSatisfiable: // The device has all of the body already.
+	case http.StatusRequestedRangeNotSatisfiable: // The device has already received the whole body.
 		res.outcome, res.content = invariants.Served, digest(received)
 	default:
 		res.outcome = invariants.Failed
--- a/internal/testbed/fakedevice/sftp.go
+++ b/internal/testbed/fakedevice/sftp.go
@@ -14,15 +14,15 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// sftpRetryDelay is the delay after a rejection: SFTP has no field that names one.
+// sftpRetryDelay is the delay after a rejection. It is fixed because SFTP has no field for a delay.
 const sftpRetryDelay = 200 * time.Millisecond
 
-// SFTP is the transport of a client for file commands. Each write opens the object's file, writes the body by one WRITE and
-// closes the file.
+// SFTP is the transport of a client that uses file commands. For each write, it opens the object's file, sends the body in one
+// WRITE and closes the file.
 type SFTP struct {
 	Dial         Dialer
-	Root         string
-	ResponseTime time.Duration // within which the gateway responds: the protocol has no field for a deadline
+	Root         string        // directory of the files
+	ResponseTime time.Duration // time within which the gateway responds, because the protocol has no field for a deadline
 
 	client    *sftp.Client
 	conn      net.Conn
@@ -36,7 +36,7 @@
 		return
 	}
 	f.conn.Close()
-	_ = f.client.Close() // Its connection is closed already.
+	_ = f.client.Close() // Close returns an error because the connection is already closed.
 	f.conn, f.client = nil, nil
 }
 
@@ -47,9 +47,9 @@
 func (f *SFTP) Path(object string) string { return f.Root + "/" + object }
 
 // send implements Transport.
-func (f *SFTP) send(ctx context.Context, c *requestCopy) (result, error) {
+func (f *SFTP) send(ctx context.Context, tx *transmission) (result, error) {
 	f.bytesSent.Store(0)
-	res, err := f.write(ctx, c)
+	res, err := f.write(ctx, tx)
 	res.bytesSent = int(f.bytesSent.Load())
 	return res, err
 }
@@ -76,29 +76,29 @@
 }
 
 // write writes the object's file.
-func (f *SFTP) write(ctx context.Context, c *requestCopy) (res result, err error) {
+func (f *SFTP) write(ctx context.Context, tx *transmission) (res result, err error) {
 	if err := f.connect(ctx); err != nil {
 		return res, err
 	}
 	conn := f.conn
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	file, err := f.client.OpenFile(f.Path(c.Object), os.O_WRONLY|os.O_CREATE)
+	file, err := f.client.OpenFile(f.Path(tx.Object), os.O_WRONLY|os.O_CREATE)
 	if err != nil {
-		// The response to an OPEN says nothing of a WRITE: any status is a rejection of the write.
+		// No WRITE was sent, so any error status of the OPEN means that the write was not executed.
 		return interpretStatus(res, err, invariants.Rejected)
 	}
 	res.sentCompletely, res.sentAt = true, time.Now()
-	_, err = file.WriteAt(c.Body, 0)
+	_, err = file.WriteAt(tx.Body, 0)
 	res, err = interpretStatus(res, err, invariants.Failed)
 	res.responseStarted = time.Since(res.sentAt) < f.ResponseTime
 	if err == nil {
-		_ = file.Close() // The response to the WRITE is what counts.
+		_ = file.Close() // Only the response to the WRITE determines the outcome.
 	}
 	return res, err
 }
 
-// interpretStatus returns the outcome of a command that ended with err. A status that does not say whether anything was done
-// has the outcome unspecified.
+// interpretStatus sets the outcome of a command that returned err. unspecified is the outcome of an error status that does not say
+// whether the command was executed.
 func interpretStatus(res result, err error, unspecified invariants.Outcome) (result, error) {
 	var status *sftp.StatusError
 	switch {
--- a/internal/testbed/fakedevice/transport.go
+++ b/internal/testbed/fakedevice/transport.go
@@ -10,46 +10,46 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// ErrNoResponse is the error of a connection that ended, or was given up, without a complete response.
+// ErrNoResponse is the error of a transmission whose connection ended, or was given up, before a complete response arrived.
 var ErrNoResponse = errors.New("fakedevice: no response")
 
-// Transport sends copies of requests over one protocol: [CoAP], [HTTP] or [SFTP]. It has at most one connection and must not
-// be used by several goroutines at once.
+// Transport sends requests over one protocol: [CoAP], [HTTP] or [SFTP]. It has at most one connection and is not safe for
+// concurrent use.
 type Transport interface {
-	// send sends a copy over the present connection or a new one and waits for the response until ctx is done. An error
-	// means that there was no complete response; the result says then what is known of the copy.
-	send(ctx context.Context, c *requestCopy) (result, error)
-	// Close closes the connection. The next copy opens another one.
+	// send sends a transmission over the current connection or a new one and waits for the response until ctx is done. An
+	// error means that no complete response arrived; the result then holds what is known about the transmission.
+	send(ctx context.Context, tx *transmission) (result, error)
+	// Close closes the connection. The next transmission opens a new one.
 	Close()
-	// Link returns the link under the latest connection, nil if there was none.
+	// Link returns the link of the latest connection, or nil if there was none.
 	Link() Link
 }
 
 // Link is the link that a transport's connection runs over.
 type Link interface {
-	// FaultySince reports whether the link has misbehaved since t.
+	// FaultySince reports whether the link has had a fault since t.
 	FaultySince(t time.Time) bool
-	// TransferTime returns how long a message of some bytes and a short response take if it does not misbehave.
+	// TransferTime returns the time that a message of the given size and a short response take on the link without faults.
 	TransferTime(bytes int) time.Duration
 }
 
 // Dialer connects to the gateway over a link.
 type Dialer func(ctx context.Context) (net.Conn, Link, error)
 
-// result is what became of a copy.
+// result is the result of a transmission.
 type result struct {
 	outcome    invariants.Outcome
-	content    string        // the digest of the response's body
-	retryAfter time.Duration // of a rejection; 0: not named
-	note       string        // the status, for reports
+	content    string        // digest of the response's body
+	retryAfter time.Duration // delay that a rejection asks for; 0: not specified
+	note       string        // status of the response, for violation reports
 
-	sentCompletely  bool
-	sentAt          time.Time // of the last byte
-	responseStarted bool
+	sentCompletely  bool      // whether the whole request was sent
+	sentAt          time.Time // when the last byte of the request was sent
+	responseStarted bool      // whether the response had started to arrive
 	bytesSent       int
 
-	partial []byte // of a response that broke off
-	etag    string // of partial
+	partial []byte // received part of the body of an incomplete response
+	etag    string // ETag of that response
 }
 
 // countingConn counts the bytes that are written to a connection.
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -10,7 +10,7 @@
 	inFlight        bool // whether the server is working on the request and the connection is open
 }
 
-// limitBucket is the token bucket of a volume's limit, which applies to the sum of all gateways.
+// limitBucket is the token bucket of a volume's limit, which applies to all gateways together.
 type limitBucket struct {
 	level     float64 // units in the bucket; negative during an overdraft
 	updatedAt time.Time
@@ -129,7 +129,7 @@
 }
 
 // checkSlowStart checks that the units that a server receives within the overload window of its slow start stay below the overload
-// threshold. Two requests of the largest size are tolerated on top.
+// threshold. Two requests of the largest size are allowed in addition.
 func (s *simulation) checkSlowStart(srv *server, req *request, now time.Time) {
 	d := s.deployment
 	if srv.startedAt.IsZero() || now.Sub(srv.startedAt) >= milliseconds(d.SlowStartMs) {
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -83,7 +83,7 @@
 // settingsFor returns the settings document of a gateway. Some deployments leave out optional values. known is the cached snapshot
 // of the endpoint list that the gateway starts with.
 func (d *Deployment) settingsFor(gateway int, seed uint64, known *endpointUpdate) []byte {
-	random := rand.New(rand.NewPCG(d.Seed, settingsStream)) // All gateways of a deployment get the same settings.
+	random := rand.New(rand.NewPCG(d.Seed, settingsStream)) // The draws are the same for all gateways of a deployment.
 	oneIn := func(n int) bool { return random.IntN(n) == 0 }
 	limits := requestLimits{MaxAttempts: d.MaxAttempts, AllowCancel: oneIn(2), AllowProbes: oneIn(2), AllowPeers: oneIn(2),
 		AllowHedging: oneIn(2), RetryAfter: d.RetryAfter, MaxRetryAfterMs: 500, ConnIdleMs: 30000, ConnectTimeoutMs: 250,
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// milliseconds converts a time of the settings to a duration. It truncates fractions of a
-// millisecond, which is the precision of the settings.
+// milliseconds converts a time of the settings to a duration. It truncates fractions of a millisecond, which is the precision of
+// the settings.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // seconds converts a number of seconds to a duration.
