--- a/internal/testbed/soak/devices.go
+++ b/internal/testbed/soak/devices.go
@@ -15,7 +15,7 @@
 	"gaugerelay/internal/testbed/linkshaper"
 )
 
-// Letters of Options.Protocols.
+// Letters that stand for protocols in Options.Protocols.
 const (
 	protocolCoAP = 'c'
 	protocolHTTP = 'h'
@@ -30,7 +30,7 @@
 	readWeight  = 1.0
 )
 
-// runDevice runs one device until end.
+// runDevice runs one device, which begins no exchange after end.
 func (r *run) runDevice(index int, end time.Time) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(1000+index)))
 	device, protocol := r.newDevice(index, random)
@@ -52,7 +52,7 @@
 	}
 }
 
-// newDevice returns a device with its transports, and the letter of its protocol.
+// newDevice returns a device with its transports, and the letter that stands for its protocol.
 func (r *run) newDevice(index int, random *rand.Rand) (device *fakedevice.Device, protocol byte) {
 	options := r.options
 	link := &linkshaper.Shaper{Profile: options.Links[index%len(options.Links)], Seed: options.Seed*1_000_003 + uint64(index)}
@@ -65,7 +65,8 @@
 	blockSize := []int{0, 1024, 4096, 8192}[random.IntN(4)]
 	device.Transport = r.newTransport(device.Name, protocol, blockSize, link)
 	if protocol == protocolSFTP {
-		// A file client cannot mark a copy, and its connections share no name: what it sends again on purpose is another write.
+		// A file client cannot mark a retry, and its connections have no common device name. A write that it repeats on purpose
+		// would be a new write.
 		device.QuirkRate = 0
 	} else {
 		device.SecondTransport = r.newTransport(device.Name, protocol, blockSize, link)
@@ -73,7 +74,7 @@
 	return device, protocol
 }
 
-// newTransport returns a device's transport to the gateway. blockSize is that of CoAP uploads.
+// newTransport returns a device's transport to the gateway. blockSize is the block size of CoAP uploads in bytes.
 func (r *run) newTransport(deviceName string, protocol byte, blockSize int, link *linkshaper.Shaper) fakedevice.Transport {
 	switch {
 	case protocol == protocolSFTP:
@@ -86,7 +87,7 @@
 	return &fakedevice.CoAP{Device: deviceName, Dial: r.deviceDialer(coapFrontend, link), BlockSize: blockSize, MaxMessageSize: 16 << 10}
 }
 
-// deviceDialer returns the function by which a device connects to a frontend over a shaped link.
+// deviceDialer returns the function with which a device connects to a frontend over a shaped link.
 func (r *run) deviceDialer(f frontend, shaper *linkshaper.Shaper) fakedevice.Dialer {
 	return func(ctx context.Context) (net.Conn, fakedevice.Link, error) {
 		gatewayConn, err := r.dialer()(ctx, "tcp", r.frontendAddr(f))
@@ -100,7 +101,7 @@
 	}
 }
 
-// restartAwareLink is a link that also counts as faulty if the gateway at its end has restarted.
+// restartAwareLink is a link that also reports a fault if the gateway has restarted since the connection was opened.
 type restartAwareLink struct {
 	*linkshaper.Link
 	run         *run
@@ -112,7 +113,7 @@
 	return l.Link.FaultySince(since) || l.run.restartedSince(l.connectedAt)
 }
 
-// drawExchange draws the n-th exchange of a device.
+// drawExchange generates the n-th exchange of a device at random.
 func (r *run) drawExchange(random *rand.Rand, device, n int, protocol byte) fakedevice.Exchange {
 	var id [8]byte
 	binary.BigEndian.PutUint32(id[:4], uint32(device+1))
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -7,16 +7,17 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// replaceServers replaces servers, one after the other, until stop is closed.
+// replaceServers replaces one server after the other until stop is closed.
 func (r *run) replaceServers(stop <-chan struct{}) {
-	for r.options.ReplacementInterval > 0 && r.pause(stop, r.options.ReplacementInterval) {
+	for r.options.ReplacementInterval > 0 && r.waitExponential(stop, r.options.ReplacementInterval) {
 		if r.replaceServer(stop) != nil {
-			return // No address is left for another server.
+			return // There is no free address for a new server.
 		}
 	}
 }
 
-// replaceServer drains a server, starts another one of its shard, and stops the old one a little later.
+// replaceServer drains a server and starts a new one of the same shard. It stops the old server after drainTime, or earlier if
+// stop is closed.
 func (r *run) replaceServer(stop <-chan struct{}) error {
 	old := r.drainServer()
 	if err := r.startServer(old.endpoint.Shard, clock.Ms(time.Duration(time.Now().UnixNano()))); err != nil {
@@ -29,13 +30,13 @@
 	case <-drained.C:
 	case <-stop:
 	}
-	r.unlistServer(old)
+	r.removeServer(old)
 	r.notifyGateway()
 	old.stop()
 	return nil
 }
 
-// drainServer draws a ready server and marks it as draining.
+// drainServer chooses a ready server at random and marks it as draining.
 func (r *run) drainServer() *server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,8 +50,8 @@
 	return chosen
 }
 
-// unlistServer removes a server from the endpoint list.
-func (r *run) unlistServer(old *server) {
+// removeServer removes a server from the endpoint list.
+func (r *run) removeServer(old *server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, s := range r.servers {
@@ -61,9 +62,10 @@
 	}
 }
 
-// restartGateway kills or gracefully stops the gateway, in turn, and starts it again, until stop is closed.
+// restartGateway restarts the gateway at random intervals until stop is closed. It alternates between a kill and a graceful
+// shutdown.
 func (r *run) restartGateway(stop <-chan struct{}) {
-	for n := 0; r.options.RestartInterval > 0 && r.pause(stop, r.options.RestartInterval); n++ {
+	for n := 0; r.options.RestartInterval > 0 && r.waitExponential(stop, r.options.RestartInterval); n++ {
 		r.mu.Lock()
 		old := r.gateway
 		r.mu.Unlock()
@@ -73,11 +75,11 @@
 			old.Shutdown()
 		}
 		r.resetUpstreamConns()
-		time.Sleep(restartTime) // Requests that it sent last still reach the servers.
-		r.collectCounters(old)
+		time.Sleep(restartTime) // In this time, servers receive the last requests of the old process.
+		r.addCounters(old)
 		r.checker.RecordRestart()
 		if err := r.startGateway(); err != nil {
-			panic(err) // Without a gateway the run shows nothing.
+			panic(err) // Without a gateway, the run cannot check anything.
 		}
 		r.mu.Lock()
 		r.restarts++
@@ -85,8 +87,8 @@
 	}
 }
 
-// pause waits for an exponentially distributed time. It returns false if stop is closed before.
-func (r *run) pause(stop <-chan struct{}, mean time.Duration) bool {
+// waitExponential waits for an exponentially distributed time. It returns false if stop is closed earlier.
+func (r *run) waitExponential(stop <-chan struct{}, mean time.Duration) bool {
 	r.mu.Lock()
 	duration := time.Duration(r.random.ExpFloat64() * float64(mean))
 	r.mu.Unlock()
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -14,17 +14,17 @@
 	"gaugerelay/internal/testbed/testsettings"
 )
 
-// frontend names a listener of the gateway.
+// frontend identifies a listener of the gateway.
 type frontend string
 
 const (
-	platformFrontend frontend = "platform" // for clients of the platform
-	coapFrontend     frontend = "coap"
-	httpFrontend     frontend = "http" // for devices
-	sftpFrontend     frontend = "files"
+	platformFrontend frontend = "platform" // HTTP listener for clients of the platform
+	coapFrontend     frontend = "coap"     // CoAP listener for devices
+	httpFrontend     frontend = "http"     // HTTP listener for devices
+	sftpFrontend     frontend = "files"    // SFTP listener for file commands
 )
 
-// startGateway starts an incarnation of the gateway at the addresses that it had before.
+// startGateway starts an incarnation of the gateway, with the same frontend addresses as the previous one.
 func (r *run) startGateway() error {
 	if err := r.reserveFrontendAddrs(); err != nil {
 		return err
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// reserveFrontendAddrs draws free addresses for the frontends that have none yet.
+// reserveFrontendAddrs chooses free addresses for the frontends that have none yet.
 func (r *run) reserveFrontendAddrs() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 	return cfg, edge
 }
 
-// deviceConfig returns the operator's settings of the frontends for devices.
+// deviceConfig returns the operator's settings for the device frontends.
 func (r *run) deviceConfig() *config.Devices {
 	devices := r.options.Devices
 	return &config.Devices{CoAP: r.frontendAddr(coapFrontend), HTTP: r.frontendAddr(httpFrontend), MaxConns: 4 * devices,
@@ -95,7 +95,7 @@
 				MaxBlockTransferMs: 300}}}
 }
 
-// classNamed returns the class of a name, the zero class if there is none.
+// classNamed returns the class with the given name, or the zero value if there is none.
 func classNamed(settings scheduler.Settings, name string) scheduler.Class {
 	for _, c := range settings.Classes {
 		if c.Name == name {
@@ -111,21 +111,21 @@
 	return r.frontendAddrs[f]
 }
 
-// restartedSince reports whether the present incarnation of the gateway started after t.
+// restartedSince reports whether the current incarnation of the gateway started after t.
 func (r *run) restartedSince(t time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.startedAt.After(t)
 }
 
-// collectCounters adds the metrics of a gateway that has ended.
-func (r *run) collectCounters(ended *gateway.Gateway) {
+// addCounters adds the metrics of a gateway that has ended to the counters of the run.
+func (r *run) addCounters(ended *gateway.Gateway) {
 	for name, n := range ended.Metrics.Snapshot() {
 		r.counters[name] += n
 	}
 }
 
-// dialer returns the network's dial function.
+// dialer returns the dial function of the network, or that of the system if the network has none.
 func (r *run) dialer() func(ctx context.Context, network, addr string) (net.Conn, error) {
 	if r.options.Network.Dial != nil {
 		return r.options.Network.Dial
@@ -133,12 +133,12 @@
 	return (&net.Dialer{}).DialContext
 }
 
-// upstreamDialer returns the function by which the next gateway process connects to servers. Its connections are reset when
-// the process ends.
+// upstreamDialer returns the function with which the next gateway process connects to servers. resetUpstreamConns closes these
+// connections at the end of the process.
 func (r *run) upstreamDialer() func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dial := r.dialer()
 	r.mu.Lock()
-	process := r.endedProcesses
+	endedBefore := r.endedProcesses
 	r.mu.Unlock()
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -147,7 +147,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.endedProcesses != process { // The process has ended in the meantime.
+		if r.endedProcesses != endedBefore { // The process has ended during the dial.
 			conn.Close()
 			return nil, net.ErrClosed
 		}
@@ -156,7 +156,7 @@
 	}
 }
 
-// resetUpstreamConns closes the connections of a gateway process that has ended.
+// resetUpstreamConns closes the upstream connections of a gateway process that has ended.
 func (r *run) resetUpstreamConns() {
 	r.mu.Lock()
 	conns := r.upstreamConns
--- a/internal/testbed/soak/retry_test.go
+++ b/internal/testbed/soak/retry_test.go
@@ -8,9 +8,9 @@
 	"gaugerelay/internal/testbed/linkshaper"
 )
 
-// TestRetriedWritesExecuteOnce checks devices that give up before a server has responded, and so send each write at least
-// twice. With deduplication none is executed twice, over any protocol, and all are served. Without it some are, which shows
-// that the test provokes what it is about.
+// TestRetriedWritesExecuteOnce checks that retried writes are executed once. The devices give up before a server has responded,
+// and so send each write at least twice. With deduplication, no write may be executed twice and all must be served, over each
+// protocol. Without deduplication, some writes must be executed twice, which shows that the devices do retry.
 func TestRetriedWritesExecuteOnce(t *testing.T) {
 	for _, c := range []struct {
 		protocol      string
@@ -21,13 +21,14 @@
 				Deduplication: c.deduplication, Links: []linkshaper.Profile{{}}, ResponseTimeout: 8 * time.Millisecond, WritesOnly: true})
 			repeated := report.WriteExecutions - report.Writes
 			if c.deduplication && (report.Writes < 60 || repeated != 0 || report.ViolationCount() != 0 || report.ServedInTime != report.Writes) {
-				t.Errorf("%d writes, %d executions, %d served in time, %v", report.Writes, report.WriteExecutions, report.ServedInTime,
-					report.Violations)
+				t.Errorf("%d writes, %d executions, %d served in time, violations %v; want 60 or more writes, each executed and served once",
+					report.Writes, report.WriteExecutions, report.ServedInTime, report.Violations)
 			}
 			if !c.deduplication && repeated == 0 {
-				t.Errorf("%d writes, %d executions: the test does not provoke what it is about", report.Writes, report.WriteExecutions)
+				t.Errorf("%d writes, %d executions without deduplication; want more executions than writes",
+					report.Writes, report.WriteExecutions)
 			}
-			t.Logf("%d writes, %d executed again", report.Writes, repeated)
+			t.Logf("%d writes, %d repeated executions", report.Writes, repeated)
 		})
 	}
 }
--- a/internal/testbed/soak/servers.go
+++ b/internal/testbed/soak/servers.go
@@ -13,25 +13,26 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// shard is what the servers of one shard have in common.
+// shard is the state that the servers of one shard share.
 type shard struct {
-	objects *fakestorage.Shard
-	files   *fakefileserver.Server
+	objects *fakestorage.Shard     // state of the HTTP ports
+	files   *fakefileserver.Server // serves the file ports
 }
 
 // server is a running storage server with its HTTP and file ports.
 type server struct {
 	http         *fakestorage.Server
 	fileListener net.Listener
-	endpoint     *lifecycle.Server // its state is guarded by run.mu
+	endpoint     *lifecycle.Server // entry in the endpoint list; its field State is guarded by run.mu
 }
 
+// stop closes both ports of the server.
 func (s *server) stop() {
 	s.http.Stop()
 	s.fileListener.Close()
 }
 
-// newShard returns an empty shard whose file writes are recorded.
+// newShard returns an empty shard that records file writes in the checker.
 func (r *run) newShard(index int) shard {
 	files := fakefileserver.NewUnstarted()
 	files.BeforeEffect = r.beforeFileCommand
@@ -42,8 +43,8 @@
 	return shard{objects: &fakestorage.Shard{Name: shardName(index), DedupWindow: dedupWindow}, files: files}
 }
 
-// beforeFileCommand notes which incarnation of the gateway sent a write, since another may run when it is done, and takes
-// the service time.
+// beforeFileCommand delays a write by the service time. Before that, it records the gateway's incarnation that sent the write,
+// because another one may be running when the write is executed.
 func (r *run) beforeFileCommand(c fakefileserver.Command) error {
 	if c.Op != fakefileserver.OpWrite {
 		return nil
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// recordFileWrite records a write as executed. A file client cannot mark a retry, so that to a gateway which has restarted a
-// repeated write is a new one.
+// recordFileWrite records the execution of a write, with the gateway's incarnation that sent it: a file client cannot mark a
+// retry, so a restarted gateway regards a retried write as a new write.
 func (r *run) recordFileWrite(shardIndex int, c fakefileserver.Command) {
 	if c.Op != fakefileserver.OpWrite {
 		return
@@ -69,8 +70,8 @@
 		Content: fakestorage.Digest(c.Data), At: time.Now(), Deduplicated: c.Deduplicated, Incarnation: incarnation})
 }
 
-// startServer starts a server of a shard and adds it to the endpoint list. startedMs is its start in Unix milliseconds, 0 for
-// one that has run for long. It is not called concurrently.
+// startServer starts a server of a shard and adds it to the endpoint list. startedMs is the start of the server in Unix
+// milliseconds, or 0 for a server that has been running for a long time. startServer must not be called concurrently.
 func (r *run) startServer(shardIndex int, startedMs float64) error {
 	r.mu.Lock()
 	r.startedServers++
@@ -108,7 +109,7 @@
 	return addr, ok
 }
 
-// endpointList returns the present endpoint list as a new version. r.mu must be held.
+// endpointList returns a snapshot of the current endpoint list with a new version. r.mu must be held.
 func (r *run) endpointList() lifecycle.EndpointUpdate {
 	r.listVersion++
 	list := lifecycle.EndpointUpdate{Version: r.listVersion, Kind: scheduler.Snapshot}
@@ -119,7 +120,7 @@
 	return list
 }
 
-// notifyGateway gives the gateway the present endpoint list.
+// notifyGateway sends the current endpoint list to the gateway.
 func (r *run) notifyGateway() {
 	r.mu.Lock()
 	list, current := r.endpointList(), r.gateway
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -1,9 +1,10 @@
-// Package soak runs one gateway with all its frontends for devices between fakes of devices on poor links and fakes of
-// storage servers that fail, drain and restart, and compares what devices received with what servers executed.
+// Package soak runs one gateway with all its device frontends between fakes of devices on poor links and fakes of storage
+// servers that fail, drain and are replaced. It compares the responses that devices received with the requests that servers
+// executed.
 //
 // The package owns the run: its servers, gateway and devices. [Run] starts a goroutine for each device and for each kind of
-// fault and waits for them. It works on any network and clock: on loopback sockets by the machine's clock, or in memory in a
-// bubble of testing/synctest, where ten minutes take seconds. What devices and faults draw depends on the seed alone.
+// fault and waits for them. It works with any network and clock: with loopback sockets and the system clock, or in memory in a
+// bubble of testing/synctest, where ten minutes take seconds. The random draws of devices and faults depend only on the seed.
 package soak
 
 import (
@@ -21,67 +22,67 @@
 
 // Options are the parameters of a run.
 type Options struct {
-	Duration            time.Duration // how long devices begin new exchanges
+	Duration            time.Duration // time during which devices begin new exchanges
 	Seed                uint64
 	Devices             int
-	Links               []linkshaper.Profile // assigned to the devices in turn
-	Deduplication       bool                 // whether devices use the frontends for devices; otherwise they speak as other clients do
-	Protocols           string               // of "chf": CoAP, HTTP, file commands; assigned to the devices in turn
-	RestartInterval     time.Duration        // mean time between restarts of the gateway; 0: none
-	ReplacementInterval time.Duration        // mean time between replacements of servers; 0: none
+	Links               []linkshaper.Profile // profiles of the links, assigned to the devices in turn
+	Deduplication       bool                 // whether CoAP and HTTP devices use the device frontends, not the platform's
+	Protocols           string               // letters from "chf" (CoAP, HTTP, file commands), assigned to the devices in turn
+	RestartInterval     time.Duration        // mean time between restarts of the gateway; 0: no restarts
+	ReplacementInterval time.Duration        // mean time between replacements of servers; 0: no replacements
 	Faults              fakestorage.Faults
 	QuirkRate           float64 // fraction of the exchanges in which a device behaves unusually
 	Network             gateway.Network
 
-	ResponseTimeout time.Duration // after which devices give up a silent connection; 0: each draws its own
-	WritesOnly      bool
+	ResponseTimeout time.Duration // time without a response after which a device gives up a connection; 0: random for each device
+	WritesOnly      bool          // whether devices send only writes
 }
 
 const (
 	shardCount    = 4
-	dedupWindow   = 3 * time.Second // of the class "push" in testsettings
+	dedupWindow   = 3 * time.Second // deduplication window of the class "push" in testsettings
 	writeDeadline = 5500 * time.Millisecond
 	readDeadline  = 9 * time.Second
-	restartTime   = 50 * time.Millisecond // of the gateway's process
-	serviceTime   = 20 * time.Millisecond // of a server for a request
-	drainTime     = 3 * time.Second       // of a server that is replaced
+	restartTime   = 50 * time.Millisecond // time between the end of a gateway process and the start of the next
+	serviceTime   = 20 * time.Millisecond // time that a server needs for a request
+	drainTime     = 3 * time.Second       // time for which a replaced server drains before it is stopped
 	fileRoot      = "/devices"
 )
 
 // Report is the outcome of a run.
 type Report struct {
 	*invariants.Result
-	Restarts     int              // of the gateway
-	Replacements int              // of servers
-	Counters     map[string]int64 // sums of the gateways' metrics
+	Restarts     int              // number of restarts of the gateway
+	Replacements int              // number of replaced servers
+	Counters     map[string]int64 // metrics, summed over the gateway's incarnations
 }
 
-// run is the state of a run.
+// run is the state of one soak run.
 type run struct {
 	options Options
 	checker *invariants.Checker
 	shards  [shardCount]shard
 
 	mu             sync.Mutex // guards the fields below
-	random         *rand.Rand // of the faults
-	servers        []*server  // those that are listed
-	startedServers int
-	listVersion    uint64
+	random         *rand.Rand // random generator of the faults
+	servers        []*server  // servers in the endpoint list
+	startedServers int        // number of servers started so far
+	listVersion    uint64     // latest version of the endpoint list
 	gateway        *gateway.Gateway
-	incarnation    int       // of the gateway, from 1
-	startedAt      time.Time // of the present incarnation
+	incarnation    int       // number of the gateway's incarnation, counted from 1
+	startedAt      time.Time // when the current incarnation started
 	restarts       int
 	frontendAddrs  map[frontend]string
-	fileAddrs      map[string]string // of file ports, by server
-	upstreamConns  []net.Conn        // of the present gateway process
-	endedProcesses int               // gateway processes whose connections were reset
-	counters       map[string]int64
+	fileAddrs      map[string]string // addresses of the file ports, by name of the server
+	upstreamConns  []net.Conn        // upstream connections of the current gateway process
+	endedProcesses int               // number of gateway processes whose upstream connections were reset
+	counters       map[string]int64  // see Report.Counters
 
 	// writeIncarnations holds the incarnation that sent each file write in progress, by upload key.
 	writeIncarnations map[string]int
 }
 
-// Run runs the gateway, servers and devices that the options describe and returns what was observed.
+// Run runs the gateway, servers and devices that the options describe and returns a report.
 func Run(options Options) (*Report, error) {
 	r := &run{options: options, checker: invariants.New(), random: rand.New(rand.NewPCG(options.Seed, 1)),
 		frontendAddrs: map[frontend]string{}, fileAddrs: map[string]string{}, counters: map[string]int64{},
@@ -100,14 +101,14 @@
 	last := r.gateway
 	r.mu.Unlock()
 	last.Shutdown()
-	r.collectCounters(last)
+	r.addCounters(last)
 	for _, srv := range r.servers {
 		srv.stop()
 	}
 	return &Report{Result: r.checker.Result(), Restarts: r.restarts, Replacements: r.startedServers - shardCount, Counters: r.counters}, nil
 }
 
-// runDevices runs devices and faults until the devices have ended.
+// runDevices runs the devices and injects faults until all devices have ended.
 func (r *run) runDevices() {
 	end := time.Now().Add(r.options.Duration)
 	var devices, faults sync.WaitGroup
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -21,10 +21,11 @@
 	os.Exit(m.Run())
 }
 
-// someFaults are faults of servers, each for some of the requests.
-var someFaults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05, SlowDelay: 700 * time.Millisecond}
+// serverFaults gives each fault of servers to a small fraction of the requests.
+var serverFaults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
+	SlowDelay: 700 * time.Millisecond}
 
-// runInBubble runs a soak in memory, in the time of a bubble.
+// runInBubble runs a soak with an in-memory network and the clock of a synctest bubble.
 func runInBubble(t *testing.T, options Options) (report *Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,12 +35,12 @@
 		if report, err = Run(options); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // Remaining links and timers time out.
+		time.Sleep(time.Minute) // In this time, remaining links and timers time out.
 	})
 	return report
 }
 
-// soakLinks returns the kinds of links: all, or those that the environment variable SOAK_LINKS asks for.
+// soakLinks returns the profiles of the links: all three, or only Bad if the environment variable SOAK_LINKS is "bad".
 func soakLinks() []linkshaper.Profile {
 	if os.Getenv("SOAK_LINKS") == "bad" {
 		return []linkshaper.Profile{linkshaper.Bad}
@@ -47,7 +48,7 @@
 	return []linkshaper.Profile{linkshaper.Good, linkshaper.Middling, linkshaper.Bad}
 }
 
-// soakSeeds returns two seeds, or as many as the environment variable SOAK_SEEDS asks for.
+// soakSeeds returns two seeds, or as many seeds as the environment variable SOAK_SEEDS says.
 func soakSeeds() []uint64 {
 	count, err := strconv.Atoi(os.Getenv("SOAK_SEEDS"))
 	if err != nil {
@@ -60,21 +61,21 @@
 	return seeds
 }
 
-// TestSoak runs devices of all protocols over all kinds of links, with all faults, and checks that no rule is broken and that
-// the rarer paths were taken.
+// TestSoak runs devices of all protocols over all kinds of links, with all faults. It checks that no invariant is violated, and
+// by counters that rarely executed code was executed.
 func TestSoak(t *testing.T) {
 	counts := map[string]int64{}
 	for _, seed := range soakSeeds() {
 		report := runInBubble(t, Options{Duration: 2 * time.Minute, Seed: seed, Devices: 36, Protocols: "chf", Deduplication: true,
-			Links: soakLinks(), Faults: someFaults, QuirkRate: 0.2, ReplacementInterval: 15 * time.Second, RestartInterval: 40 * time.Second})
+			Links: soakLinks(), Faults: serverFaults, QuirkRate: 0.2, ReplacementInterval: 15 * time.Second, RestartInterval: 40 * time.Second})
 		if report.ViolationCount() > 0 {
-			t.Errorf("seed %d: %+v", seed, report.Violations)
+			t.Errorf("seed %d: invariants violated: %+v", seed, report.Violations)
 		}
 		t.Logf("seed %d: exchanges=%d double_answers=%d unallowed_repeats=%d unanswered=%d phantoms=%d late_sends=%d served_in_time=%d drains=%d restarts=%d",
 			seed, report.Exchanges, report.DuplicateResponses, report.DisallowedRetries, report.MissingResponses, report.LostWrites,
 			report.SendsToDraining, report.ServedInTime, report.Replacements, report.Restarts)
 		if report.Exchanges < 300 || report.ServedInTime < report.Exchanges/2 {
-			t.Errorf("seed %d: too little happened to show anything", seed)
+			t.Errorf("seed %d: too few exchanges; want at least 300, and at least half of them served in time", seed)
 		}
 		counts["drains"] += int64(report.Replacements)
 		counts["restarts"] += int64(report.Restarts)
@@ -85,7 +86,7 @@
 	for _, name := range []string{"drains", "restarts", "device_copies_joined", "device_answers_kept", "device_conflicts",
 		"device_uploads", "device_doubt_failed", "file_writes_rejoined"} {
 		if counts[name] == 0 {
-			t.Errorf("nothing counted as %s", name)
+			t.Errorf("counter %s is 0 after all runs, want at least 1", name)
 		}
 	}
 }
