--- a/internal/testbed/fakedevice/coap_blocks.go
+++ b/internal/testbed/fakedevice/coap_blocks.go
@@ -100,7 +100,7 @@
 			interpretResponse(response, &res)
 			return res, nil
 		}
-		encoded, _ := response.Options.GetBytes(message.Block2) // DecodeBlock fails if the option is absent.
+		encoded, _ := response.Options.GetBytes(message.Block2) // An absent option decodes as a single block at offset 0.
 		block, ok := coapwire.DecodeBlock(encoded)
 		if !ok {
 			return res, ErrNoResponse
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -164,8 +164,8 @@
 	d.send(d.Transport, tx, d.Rand)
 }
 
-// send sends one transmission and records the response. It reports whether the device must not transmit again. That is also so
-// after a conflict, which responds to the transmission but not to the exchange.
+// send sends one transmission and records the response. It returns true if no further transmission is needed. This includes a
+// conflict, which is a response to this transmission but not to the exchange.
 func (d *Device) send(t Transport, tx *transmission, random *rand.Rand) (responded bool) {
 	timeout := min(tx.timeLeft, d.ResponseTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/testbed/fakedevice/transport.go
+++ b/internal/testbed/fakedevice/transport.go
@@ -11,7 +11,7 @@
 )
 
 // ErrNoResponse is the error of a transmission whose connection ended, or was given up, before a complete response arrived.
-var ErrNoResponse = errors.New("fakedevice: no response")
+var ErrNoResponse = errors.New("fakedevice: connection ended without a complete response")
 
 // Transport sends requests over one protocol: [CoAP], [HTTP] or [SFTP]. It has at most one connection and is not safe for
 // concurrent use.
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -25,7 +25,7 @@
 	profile       Profile
 	random        *rand.Rand
 	idleAt        [directions]time.Time // when all segments scheduled so far have been transmitted
-	lastArrivalAt [directions]time.Time // arrival of the latest segment; later ones must not arrive earlier, because TCP keeps the order
+	lastArrivalAt [directions]time.Time // arrival of the latest segment; TCP keeps the order, so none arrives before it
 	stalls        []stall               // stalls drawn so far, by time; the first one is empty and marks the start of the link
 	lastLossAt    time.Time             // when the latest retransmitted segment arrives
 }
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -19,7 +19,7 @@
 const (
 	maxSurgeRate             = 120.0                  // largest request rate of a volume during its surge, in requests per second
 	maxClientConns           = maxSockets / 3         // largest number of client connections to a gateway
-	shutdownAcceptancePeriod = 400 * time.Millisecond // time from the start of a shutdown during which new requests still get a response
+	shutdownAcceptancePeriod = 400 * time.Millisecond // time after the start of a shutdown in which new requests get responses
 )
 
 // request is a client's request with its attempts and the time of its response.
--- a/internal/testbed/simulation/deployment.go
+++ b/internal/testbed/simulation/deployment.go
@@ -74,7 +74,7 @@
 	ID             uint64
 	Plan           int     // index into Deployment.Plans
 	GatewayIndices []int   // indices of the gateways that the clients of the volume use
-	Shards         []int   // shards that hold data of the volume
+	Shards         []int   // shards that the requests of the volume go to
 	Usage          float64 // fraction of the plan's rate that the clients use, apart from the surge
 	SurgeFactor    float64 // factor by which the request rate is multiplied in the middle third of the run
 }
--- a/internal/testbed/simulation/generator.go
+++ b/internal/testbed/simulation/generator.go
@@ -8,7 +8,7 @@
 
 // Streams of the random generators. Each is combined with the deployment's seed.
 const (
-	drawStream        = 21
+	deploymentStream  = 21
 	settingsStream    = 22
 	serverStream      = 23
 	faultStream       = 24
@@ -31,7 +31,7 @@
 
 // GenerateDeployment returns the deployment that belongs to a seed.
 func GenerateDeployment(seed uint64) *Deployment {
-	r := deploymentGenerator{rand.New(rand.NewPCG(seed, drawStream))}
+	r := deploymentGenerator{rand.New(rand.NewPCG(seed, deploymentStream))}
 	d := &Deployment{Seed: seed, Push: r.chance(0.5), MaxPollIntervalMs: r.between(5000, 12000), Gateways: 1 + r.IntN(4), Shards: 1 + r.IntN(5),
 		MaxAttempts: 1 + r.IntN(5), RetryAfter: r.chance(0.7), DrainGraceMs: r.between(500, 3000), ServersHonorCancel: r.chance(0.5),
 		InitialCapacity: r.between(0.1, 0.5), SlowStartMs: r.between(4000, 20000), OverloadMultiple: r.between(1.5, 3.5),
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -144,7 +144,8 @@
 	return task, true
 }
 
-// process executes an admitted request and sends the response, unless a fault is drawn for it.
+// process executes an admitted request and sends the response. A fault can replace the response; servers that honor cancellation
+// drop canceled requests.
 func (s *simulation) process(task serverTask, w http.ResponseWriter, r *http.Request) {
 	const errorRate, resetRate = 0.02, 0.01
 	srv := task.server
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// serverFaults gives each fault of servers to a small fraction of the requests.
+// serverFaults makes each server fault affect a small fraction of the requests.
 var serverFaults = fakestorage.Faults{Reject: 0.02, ErrorAfter: 0.02, ResetAfter: 0.02, ResetBefore: 0.01, Slow: 0.05,
 	SlowDelay: 700 * time.Millisecond}
 
@@ -61,8 +61,8 @@
 	return seeds
 }
 
-// TestSoak runs devices of all protocols over all kinds of links, with all faults. It checks that no invariant is violated, and
-// by counters that rarely executed code was executed.
+// TestSoak runs devices of all protocols over all kinds of links, with all faults. It checks that no invariant is violated, and by
+// counters that the less common code paths were taken.
 func TestSoak(t *testing.T) {
 	counts := map[string]int64{}
 	for _, seed := range soakSeeds() {
