--- a/internal/testbed/gatewaybinary.go
+++ b/internal/testbed/gatewaybinary.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BuildGateway builds the gateway program and returns its path. The file is removed at the end of the test.
+// BuildGateway builds the gateway program and returns the path of the binary, which is removed at the end of the test.
 func BuildGateway(t testing.TB) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "gaugerelay")
