--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -1,7 +1,8 @@
-// Package invariants compares what devices received with what storage servers executed, and counts what must never happen.
+// Package invariants compares what devices received with what storage servers executed, and counts the violations of the
+// gateway's invariants.
 //
-// The fakes of devices and servers record into a [Checker]; [Checker.Result] evaluates the records. The package owns the
-// records and starts no goroutine; its only clock is time.Now, which tests may run in a bubble of testing/synctest.
+// The fakes of devices and servers add records to a [Checker], and [Checker.Result] evaluates them. The package starts no
+// goroutine. It reads the time only from time.Now, so it also works in a bubble of testing/synctest.
 package invariants
 
 import (
@@ -11,10 +12,11 @@
 	"time"
 )
 
-// Outcome is the outcome of a copy as its device received it.
+// Outcome is the outcome of one transmission of an exchange, as its device received it.
 type Outcome uint8
 
-// The outcomes. Served and Failed are final for the exchange; the others promise that nothing of the copy was done.
+// Outcomes of a transmission. Served and Failed are final for the exchange. Rejected and Conflict guarantee that nothing was
+// executed for the transmission.
 const (
 	Served Outcome = iota
 	Failed
@@ -35,86 +37,87 @@
 // final reports whether the outcome ends its exchange.
 func (o Outcome) final() bool { return o == Served || o == Failed }
 
-// Exchange is what is known of an exchange before its first copy is sent.
+// Exchange describes an exchange, as known before its first transmission.
 type Exchange struct {
 	ID          string
 	Write       bool
-	Weight      float64       // the priority weight of its class
-	DedupWindow time.Duration // for which servers drop repeats of its key
+	Weight      float64       // priority weight of the service class
+	DedupWindow time.Duration // how long servers do not execute a request with the same key again
 	Deadline    time.Time
-	Size        int // bytes of the body
+	Size        int // size of the body in bytes
 }
 
-// Execution is a request that reached a server completely.
+// Execution is a request that a server has received completely.
 type Execution struct {
 	Server, Shard, Key string
-	Content            string // the digest of the body
+	Content            string // digest of the body
 	At                 time.Time
-	Deduplicated       bool // whether the server dropped it by its key
-	Incarnation        int  // of the gateway, for clients that cannot mark a retry; otherwise 0
-	DrainNotified      bool // whether the gateway had been notified over a second ago that the server drains
+	Deduplicated       bool // whether the server recognized the key of an earlier request and did not execute this one
+	Incarnation        int  // incarnation of the gateway, for protocols whose clients cannot mark a retry; otherwise 0
+	DrainNotified      bool // whether the gateway had been notified more than 1 s earlier that the server drains
 }
 
-// response is what a copy of an exchange received.
+// response is the response to one transmission of an exchange.
 type response struct {
-	copy        int
+	copy        int // number of the transmission within its exchange
 	outcome     Outcome
-	content     string
+	content     string // digest of the body
 	at          time.Time
-	incarnation int // of the gateway
-	note        string
+	incarnation int    // incarnation of the gateway when the response was received
+	note        string // details for reports
 }
 
-// exchange is an exchange with all that was recorded of it.
-type exchange struct {
+// exchangeRecord is everything that was recorded about an exchange.
+type exchangeRecord struct {
 	Exchange
 	beganAt         time.Time
-	incarnation     int // of the gateway when it began
+	incarnation     int // incarnation of the gateway when the exchange began
 	responses       []response
 	executions      []Execution
-	missingResponse string // what its device has sent before it timed out on a working link; empty if it did not
-	bytesSent       int
+	missingResponse string // what the device had sent when it timed out on a working link; empty if it did not time out
+	bytesSent       int    // by the device, over its link
 }
 
 // Checker records exchanges, their responses and executions. It is safe for concurrent use.
 type Checker struct {
 	mu          sync.Mutex
-	exchanges   map[string]*exchange
-	ids         []string // in the order of beginning
-	incarnation int      // of the gateway
+	exchanges   map[string]*exchangeRecord
+	ids         []string // IDs of the exchanges, in the order of their first records
+	incarnation int      // current incarnation of the gateway, counted from 0
 }
 
 // New returns an empty checker.
-func New() *Checker { return &Checker{exchanges: map[string]*exchange{}} }
-
-// find returns the records of an exchange and starts them if there are none. c.mu must be held.
-func (c *Checker) find(id string) *exchange {
-	x := c.exchanges[id]
-	if x == nil {
-		x = &exchange{Exchange: Exchange{ID: id}}
-		c.exchanges[id] = x
+func New() *Checker { return &Checker{exchanges: map[string]*exchangeRecord{}} }
+
+// find returns the record of an exchange and creates it if there is none. c.mu must be held.
+func (c *Checker) find(id string) *exchangeRecord {
+	record := c.exchanges[id]
+	if record == nil {
+		record = &exchangeRecord{Exchange: Exchange{ID: id}}
+		c.exchanges[id] = record
 		c.ids = append(c.ids, id)
 	}
-	return x
+	return record
 }
 
-// Begin records an exchange before its first copy is sent.
+// Begin records an exchange before its first transmission.
 func (c *Checker) Begin(e Exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.find(e.ID)
-	x.Exchange, x.beganAt, x.incarnation = e, time.Now(), c.incarnation
+	record := c.find(e.ID)
+	record.Exchange, record.beganAt, record.incarnation = e, time.Now(), c.incarnation
 }
 
-// RecordResponse records what a copy received. content is the digest of the response's body; note is added to reports.
-func (c *Checker) RecordResponse(id string, copy int, outcome Outcome, content, note string) {
+// RecordResponse records the response to a transmission. content is the digest of the response's body; note is added to
+// reports.
+func (c *Checker) RecordResponse(id string, transmission int, outcome Outcome, content, note string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.find(id)
-	x.responses = append(x.responses, response{copy, outcome, content, time.Now(), c.incarnation, note})
+	record := c.find(id)
+	record.responses = append(record.responses, response{transmission, outcome, content, time.Now(), c.incarnation, note})
 }
 
-// RecordRestart records that the gateway has restarted and knows nothing of what it did before.
+// RecordRestart records that the gateway has restarted and has lost the state of its earlier incarnation.
 func (c *Checker) RecordRestart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,32 +131,34 @@
 	c.find(id).bytesSent += bytes
 }
 
-// RecordMissingResponse records that a device waited until the deadline over a working link and received nothing.
-func (c *Checker) RecordMissingResponse(id, how string) {
+// RecordMissingResponse records that a device waited until the deadline over a working link and received nothing. details
+// says what the device had sent.
+func (c *Checker) RecordMissingResponse(id, details string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.find(id).missingResponse = how
+	c.find(id).missingResponse = details
 }
 
-// RecordExecution records a request that reached a server.
+// RecordExecution records a request of an exchange that a server has received completely.
 func (c *Checker) RecordExecution(id string, e Execution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.find(id)
-	x.executions = append(x.executions, e)
+	record := c.find(id)
+	record.executions = append(record.executions, e)
 }
 
-// history returns all that was recorded of an exchange in one line, with times in milliseconds since its beginning.
-func (x *exchange) history() string {
+// history formats the record as one line, with times in milliseconds since the exchange began.
+func (record *exchangeRecord) history() string {
 	var b strings.Builder
-	sinceBegin := func(t time.Time) int64 { return t.Sub(x.beganAt).Milliseconds() }
-	fmt.Fprintf(&b, "deadline %d", sinceBegin(x.Deadline))
-	for _, r := range x.responses {
-		fmt.Fprintf(&b, "; copy %d %s (%s) by incarnation %d at %d", r.copy, r.outcome, r.note, r.incarnation, sinceBegin(r.at))
+	sinceBegin := func(t time.Time) int64 { return t.Sub(record.beganAt).Milliseconds() }
+	fmt.Fprintf(&b, "deadline at %d ms", sinceBegin(record.Deadline))
+	for _, r := range record.responses {
+		fmt.Fprintf(&b, "; transmission %d %s (%s) by incarnation %d at %d ms", r.copy, r.outcome, r.note, r.incarnation,
+			sinceBegin(r.at))
 	}
-	for _, e := range x.executions {
-		fmt.Fprintf(&b, "; executed %s/%s key %.6s content %.6s at %d deduplicated %v", e.Server, e.Shard, e.Key, e.Content,
-			sinceBegin(e.At), e.Deduplicated)
+	for _, e := range record.executions {
+		fmt.Fprintf(&b, "; received by %s/%s with key %.6s and content %.6s at %d ms, deduplicated: %v", e.Server, e.Shard, e.Key,
+			e.Content, sinceBegin(e.At), e.Deduplicated)
 	}
 	return b.String()
 }
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxReportedViolations is the number of violations that a result describes; the others are only counted.
+// maxReportedViolations is the number of violations that a result describes. Further violations are only counted.
 const maxReportedViolations = 20
 
 // Result is the evaluation of all exchanges.
@@ -15,22 +15,22 @@
 	Exchanges int
 	Writes    int
 
-	DuplicateResponses int // copies with two responses, or copies of one exchange with different final responses
-	DisallowedRetries  int // writes executed again where no key protects them: elsewhere, too late or with another body
-	MissingResponses   int // devices that waited until the deadline over a working link in vain
+	DuplicateResponses int // transmissions with two responses, and final responses that differ from the first one of their exchange
+	DisallowedRetries  int // repeated executions of writes without protection by deduplication
+	MissingResponses   int // exchanges without a response by the deadline over a working link
 	LostWrites         int // writes that were served but never executed
-	SendsToDraining    int // sends to a server of which the gateway had been notified over a second ago that it drains
+	SendsToDraining    int // requests to a server more than 1 s after the gateway was notified that it drains
 
 	ServedInTime         int
-	Weight               float64 // of all exchanges
-	WeightInTime         float64 // of those served in time
-	ChangedByRestart     int     // further final responses that differ because the gateway had restarted
-	RewritesAfterRestart int     // file writes that a restarted gateway executed again
+	Weight               float64 // sum of the priority weights of all exchanges
+	WeightInTime         float64 // sum of the priority weights of the exchanges served in time
+	ChangedByRestart     int     // final responses that differ from the first because the gateway had restarted; no violation
+	RewritesAfterRestart int     // file writes that were executed again for a restarted gateway; no violation
 	WriteExecutions      int
-	BytesSent            int
-	PayloadBytes         int
-	ResponseTimes        []time.Duration // from the beginning to the first final response, sorted
-	Unserved             map[string]int  // exchanges not served in time, by the last response that their devices received
+	BytesSent            int             // by the devices, over their links
+	PayloadBytes         int             // sum of the body sizes of all exchanges
+	ResponseTimes        []time.Duration // from the beginning of an exchange to its first final response, sorted
+	Unserved             map[string]int  // number of exchanges not served in time, by the last response received
 	Violations           []string        // descriptions of the first violations
 }
 
@@ -39,7 +39,7 @@
 	return r.DuplicateResponses + r.DisallowedRetries + r.MissingResponses + r.LostWrites + r.SendsToDraining
 }
 
-// Quantile returns a quantile of the response times, 0 if there are none.
+// Quantile returns the quantile q, in [0, 1], of the response times, or 0 if there are none.
 func (r *Result) Quantile(q float64) time.Duration {
 	if len(r.ResponseTimes) == 0 {
 		return 0
@@ -47,119 +47,127 @@
 	return r.ResponseTimes[min(int(q*float64(len(r.ResponseTimes))), len(r.ResponseTimes)-1)]
 }
 
-// Result evaluates what was recorded so far.
+// Result evaluates the records so far.
 func (c *Checker) Result() *Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &Result{Unserved: map[string]int{}}
 	for _, id := range c.ids {
-		r.add(c.exchanges[id])
+		r.addExchange(c.exchanges[id])
 	}
 	slices.Sort(r.ResponseTimes)
 	return r
 }
 
-// add evaluates one exchange.
-func (r *Result) add(x *exchange) {
+// addExchange evaluates one exchange.
+func (r *Result) addExchange(record *exchangeRecord) {
 	r.Exchanges++
-	r.Weight += x.Weight
-	r.BytesSent += x.bytesSent
-	r.PayloadBytes += x.Size
-	final, servedInTime := r.checkResponses(x)
-	r.countOutcome(x, servedInTime)
-	if x.missingResponse != "" {
-		r.violation(&r.MissingResponses, "%s: no response by the deadline on a link that worked (%s): %s", x.ID, x.missingResponse, x.history())
+	r.Weight += record.Weight
+	r.BytesSent += record.bytesSent
+	r.PayloadBytes += record.Size
+	final, servedInTime := r.checkResponses(record)
+	r.countOutcome(record, servedInTime)
+	if record.missingResponse != "" {
+		r.addViolation(&r.MissingResponses, "%s: no response by the deadline over a working link (%s): %s", record.ID,
+			record.missingResponse, record.history())
 	}
-	for _, e := range x.executions {
+	for _, e := range record.executions {
 		if e.DrainNotified {
-			r.violation(&r.SendsToDraining, "%s: sent to %s, which drains: %s", x.ID, e.Server, x.history())
+			r.addViolation(&r.SendsToDraining, "%s: sent to %s after the gateway was notified that it drains: %s", record.ID, e.Server,
+				record.history())
 		}
 	}
-	if x.Write {
-		r.checkWrite(x, final)
+	if record.Write {
+		r.checkWrite(record, final)
 	}
 }
 
-// checkResponses checks that each copy received one response and that all final ones agree. It returns the first final
-// response, nil if there is none, and whether the exchange was served by its deadline.
-func (r *Result) checkResponses(x *exchange) (final *response, servedInTime bool) {
-	responses := map[int]int{} // by copy
-	for i := range x.responses {
-		received := &x.responses[i]
-		responses[received.copy]++
-		if responses[received.copy] == 2 {
-			r.violation(&r.DuplicateResponses, "%s: copy %d received two responses: %s", x.ID, received.copy, x.history())
+// checkResponses checks that each transmission received at most one response and that all final responses agree. It returns
+// the first final response, or nil if there is none, and whether the exchange was served by its deadline.
+func (r *Result) checkResponses(record *exchangeRecord) (final *response, servedInTime bool) {
+	responseCounts := map[int]int{} // by transmission
+	for i := range record.responses {
+		received := &record.responses[i]
+		responseCounts[received.copy]++
+		if responseCounts[received.copy] == 2 {
+			r.addViolation(&r.DuplicateResponses, "%s: transmission %d received two responses: %s", record.ID, received.copy,
+				record.history())
 		}
-		if !received.outcome.final() || !x.Write && final != nil && received.at.After(x.Deadline) {
-			continue // A read that is repeated after its deadline is another exchange.
+		if !received.outcome.final() || !record.Write && final != nil && received.at.After(record.Deadline) {
+			continue // A read that is repeated after its deadline may get another response.
 		}
 		if final == nil {
 			final = received
-			r.ResponseTimes = append(r.ResponseTimes, received.at.Sub(x.beganAt))
+			r.ResponseTimes = append(r.ResponseTimes, received.at.Sub(record.beganAt))
 		} else {
-			r.compare(x, final, received)
+			r.compareFinal(record, final, received)
 		}
-		servedInTime = servedInTime || received.outcome == Served && !received.at.After(x.Deadline)
+		servedInTime = servedInTime || received.outcome == Served && !received.at.After(record.Deadline)
 	}
 	return final, servedInTime
 }
 
-// compare checks that a further final response agrees with the first.
-func (r *Result) compare(x *exchange, first, further *response) {
-	// A restarted gateway cannot say more of a write than that it may have been executed, and executes a read anew.
-	restarted := further.incarnation != x.incarnation
+// compareFinal checks that a further final response agrees with the first.
+func (r *Result) compareFinal(record *exchangeRecord, first, further *response) {
+	// A restarted gateway fails a repeated write, since it cannot know whether the write was executed, and it executes a
+	// repeated read again.
+	restarted := further.incarnation != record.incarnation
 	switch {
-	case restarted && further.outcome != first.outcome && (further.outcome == Failed || !x.Write):
+	case restarted && further.outcome != first.outcome && (further.outcome == Failed || !record.Write):
 		r.ChangedByRestart++
 	case further.outcome != first.outcome || further.content != first.content:
-		r.violation(&r.DuplicateResponses, "%s: received %s, then %s: %s", x.ID, first.outcome, further.outcome, x.history())
+		r.addViolation(&r.DuplicateResponses, "%s: final responses differ: %s, then %s: %s", record.ID, first.outcome, further.outcome,
+			record.history())
 	}
 }
 
-// countOutcome counts whether an exchange was served in time, and if not, why.
-func (r *Result) countOutcome(x *exchange, servedInTime bool) {
-	switch count := len(x.responses); {
+// countOutcome counts an exchange as served in time, or as unserved under the last response received.
+func (r *Result) countOutcome(record *exchangeRecord, servedInTime bool) {
+	switch count := len(record.responses); {
 	case servedInTime:
 		r.ServedInTime++
-		r.WeightInTime += x.Weight
+		r.WeightInTime += record.Weight
 	case count > 0:
-		last := x.responses[count-1]
+		last := record.responses[count-1]
 		r.Unserved[last.outcome.String()+" "+last.note]++
 	default:
 		r.Unserved["nothing"]++
 	}
 }
 
-// checkWrite checks that a write was not executed again without protection, and was executed if it was served.
-func (r *Result) checkWrite(x *exchange, final *response) {
+// checkWrite checks that a write was not executed again without protection by deduplication, and that it was executed if it
+// was served.
+func (r *Result) checkWrite(record *exchangeRecord, final *response) {
 	r.Writes++
-	sort.SliceStable(x.executions, func(i, j int) bool { return x.executions[i].At.Before(x.executions[j].At) })
-	for i, e := range x.executions {
+	sort.SliceStable(record.executions, func(i, j int) bool { return record.executions[i].At.Before(record.executions[j].At) })
+	for i, e := range record.executions {
 		if !e.Deduplicated {
 			r.WriteExecutions++
 		}
-		first := x.executions[0]
+		first := record.executions[0]
 		switch {
 		case i == 0:
 		case e.Incarnation != first.Incarnation:
-			r.RewritesAfterRestart++ // By the protocol it is a new WRITE.
-		case e.isUnprotectedRetryOf(first, x.DedupWindow):
-			r.violation(&r.DisallowedRetries, "%s: executed again where nothing protects it: %s", x.ID, x.history())
+			r.RewritesAfterRestart++ // By the protocol, a WRITE that is repeated to a restarted gateway is a new one.
+		case e.isUnprotectedRetryOf(first, record.DedupWindow):
+			r.addViolation(&r.DisallowedRetries, "%s: executed again without protection by deduplication: %s", record.ID,
+				record.history())
 		}
 	}
-	if final != nil && final.outcome == Served && len(x.executions) == 0 {
-		r.violation(&r.LostWrites, "%s: served, but never executed", x.ID)
+	if final != nil && final.outcome == Served && len(record.executions) == 0 {
+		r.addViolation(&r.LostWrites, "%s: served, but not executed by any server", record.ID)
 	}
 }
 
-// isUnprotectedRetryOf reports whether no deduplication protects an execution that follows another one.
+// isUnprotectedRetryOf reports whether deduplication does not cover an execution that follows another one: it was at another
+// shard, after the deduplication window, with another key, or executed another body.
 func (e Execution) isUnprotectedRetryOf(first Execution, window time.Duration) bool {
 	return e.Shard != first.Shard || e.Key != first.Key || e.Content != first.Content && !e.Deduplicated ||
 		e.At.Sub(first.At) >= window
 }
 
-// violation counts a violation and describes it if it is one of the first.
-func (r *Result) violation(count *int, format string, args ...any) {
+// addViolation counts a violation, and describes it if it is among the first maxReportedViolations.
+func (r *Result) addViolation(count *int, format string, args ...any) {
 	*count++
 	if len(r.Violations) < maxReportedViolations {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -7,13 +7,13 @@
 	"path/filepath"
 )
 
-// Names of a gateway's files in its directory.
+// Names of the files in a gateway's directory.
 const (
 	configFile = "config.json"
 	edgeFile   = "edge.json"
 )
 
-// Config is the configuration file of a gateway. The JSON names are the protocol's.
+// Config is the content of a gateway's configuration file, under the names that the gateway reads.
 type Config struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -38,11 +38,11 @@
 	Servers  []Endpoint `json:"servers"`
 }
 
-// JSON returns the list as discovery sends it, without the end of the line.
+// JSON returns the list as discovery sends it, without the trailing newline.
 func (l EndpointList) JSON() []byte {
 	line, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // its types have no values that JSON cannot express
+		panic(err) // cannot happen: the lists of the fakes hold no values that JSON cannot express
 	}
 	return line
 }
@@ -56,7 +56,7 @@
 	Shard     int     `json:"cell"`
 	State     string  `json:"state"`
 	Weight    float64 `json:"weight"`
-	StartedMs float64 `json:"started_ms"` // Unix time; 0: long ago
+	StartedMs float64 `json:"started_ms"` // start of the server as Unix time in milliseconds; 0: long ago
 }
 
 // States of an endpoint, as discovery names them.
@@ -66,7 +66,7 @@
 	EndpointRemoved  = "Gone"
 )
 
-// EdgeConfig is the operator's file of a gateway.
+// EdgeConfig is the content of a gateway's operator's file.
 type EdgeConfig struct {
 	Fleet FleetConfig `json:"fleet"`
 }
@@ -81,11 +81,11 @@
 	LeaseMs  float64  `json:"lease_ms"`
 }
 
-// WriteConfig writes the files that the process reads into a directory, which it creates, and sets Env and Args to name
-// them. A nil edge leaves the operator's file out. A process that runs reads the configuration file again on SIGHUP.
+// WriteConfig creates a directory, writes the files that the process reads into it, and sets Env and Args to their paths.
+// If edge is nil, no operator's file is written. A running process rereads the configuration file on SIGHUP.
 func (p *Process) WriteConfig(dir string, config Config, edge *EdgeConfig) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("process: %s: %w", p.Name, err)
+		return fmt.Errorf("process: create the directory of %s: %w", p.Name, err)
 	}
 	configPath := filepath.Join(dir, configFile)
 	if err := writeJSON(configPath, config); err != nil {
@@ -100,7 +100,7 @@
 	return writeJSON(edgePath, edge)
 }
 
-// RewriteConfig writes the configuration file in a directory again and leaves everything else as WriteConfig left it.
+// RewriteConfig overwrites the configuration file in a directory that WriteConfig has created and changes nothing else.
 func RewriteConfig(dir string, config Config) error {
 	return writeJSON(filepath.Join(dir, configFile), config)
 }
@@ -108,7 +108,7 @@
 func writeJSON(path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
-		return fmt.Errorf("process: %s: %w", path, err)
+		return fmt.Errorf("process: encode %s: %w", path, err)
 	}
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return fmt.Errorf("process: %w", err)
--- a/internal/testbed/process/interval.go
+++ b/internal/testbed/process/interval.go
@@ -8,12 +8,12 @@
 // Interval is a span of time. A zero To means that it has not ended yet.
 type Interval struct{ From, To time.Time }
 
-// Contains reports whether a moment lies in the interval, which includes From and excludes To.
+// Contains reports whether a time lies in the interval, which includes From and excludes To.
 func (i Interval) Contains(at time.Time) bool {
 	return !at.Before(i.From) && (i.To.IsZero() || at.Before(i.To))
 }
 
-// Overlaps reports whether any moment between from and to lies in the interval.
+// Overlaps reports whether any time between from and to lies in the interval.
 func (i Interval) Overlaps(from, to time.Time) bool {
 	return i.From.Before(to) && (i.To.IsZero() || i.To.After(from))
 }
--- a/internal/testbed/process/interval_test.go
+++ b/internal/testbed/process/interval_test.go
@@ -13,7 +13,7 @@
 		want     bool
 	}{{1, 9, false}, {1, 11, true}, {12, 13, true}, {19, 25, true}, {21, 29, false}, {25, 31, true}, {99, 100, true}} {
 		if got := p.InterruptedDuring(at(test.from), at(test.to)); got != test.want {
-			t.Errorf("InterruptedDuring(%d s, %d s) = %v", test.from, test.to, got)
+			t.Errorf("InterruptedDuring(%d s, %d s) = %v, want the opposite", test.from, test.to, got)
 		}
 	}
 }
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A log of more than maxLogLines lines drops its first droppedLogLines.
+// A log that has more than maxLogLines lines drops the oldest droppedLogLines of them before it appends the next line.
 const (
 	maxLogLines     = 20_000
 	droppedLogLines = 10_000
@@ -16,14 +16,14 @@
 type Log struct {
 	mu      sync.Mutex
 	lines   []string
-	dropped int // lines that were dropped from the front
-	start   time.Time
+	dropped int       // number of lines dropped so far
+	start   time.Time // time from which the timestamps count
 }
 
 // NewLog returns an empty log whose timestamps count from now.
 func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Printf appends a line with a timestamp in seconds.
+// Printf appends a line that begins with a timestamp in seconds.
 func (l *Log) Printf(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,15 +33,15 @@
 	l.lines = append(l.lines, fmt.Sprintf("[%7.3f] ", time.Since(l.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Position returns the number of the next line, counted from the beginning of the log.
+// Position returns the position of the next line: the number of lines appended so far, dropped lines included.
 func (l *Log) Position() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dropped + len(l.lines)
 }
 
-// LinesAround returns the lines from before lines in front of a position to after lines behind it, as far as they are
-// still kept.
+// LinesAround returns up to before lines that precede a position and up to after lines from the position on. Lines that
+// were dropped are missing.
 func (l *Log) LinesAround(position, before, after int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,14 @@
 	return l.copyLines(position-before, position+after)
 }
 
-// Lines returns all lines that are still kept.
+// Lines returns all lines that were not dropped.
 func (l *Log) Lines() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.copyLines(0, len(l.lines))
 }
 
-// copyLines copies the lines of a range that is cut to the lines there are. l.mu must be held.
+// copyLines returns a copy of l.lines[from:to], with the range limited to the lines that exist. l.mu must be held.
 func (l *Log) copyLines(from, to int) []string {
 	from, to = max(0, from), min(len(l.lines), to)
 	return append([]string(nil), l.lines[min(from, to):to]...)
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -1,6 +1,6 @@
-// Package process runs the gateway program as a child process on loopback, signals it, and records when it was
-// interrupted. It also holds what tests of several gateways share: the files that a gateway reads, the merged log of all
-// processes, and the detection of stalls of the test machine.
+// Package process runs the gateway program as a child process on loopback, sends it signals, and records when it was
+// interrupted. It also provides what tests with several gateways share: the files that a gateway reads, the merged log of
+// all processes, and the detection of stalls of the test machine.
 //
 // A Process may be used from any goroutine, but Start, Stop and Kill of one process must not run at the same time. Each
 // start has one goroutine that copies the process's standard error to the log; it ends with the process.
@@ -23,14 +23,14 @@
 // Errors of Process.Start.
 var (
 	// ErrExited reports that the process exited before it was ready.
-	ErrExited = errors.New("process: exited unexpectedly")
-	// ErrNotReady reports that the process runs and has not become ready in time.
-	ErrNotReady = errors.New("process: not ready in time")
+	ErrExited = errors.New("process: exited before it was ready")
+	// ErrNotReady reports that the process is running but did not become ready in time.
+	ErrNotReady = errors.New("process: running, but GET /ready did not return status 200 in time")
 )
 
 const (
 	readyPollInterval = 20 * time.Millisecond
-	readyPolls        = 500
+	maxReadyPolls     = 500
 	readyPollTimeout  = time.Second
 
 	// stopTimeout is how long a process may take to exit after SIGTERM.
@@ -40,37 +40,37 @@
 // Process is one gateway process, which may be started again after it has exited. The exported fields must not change
 // while the process runs.
 type Process struct {
-	Index      int    // of the gateway in its fleet
-	Name       string // for the log
-	ListenAddr string // for clients, and for GET /ready
-	PeerAddr   string // for the datagrams of other gateways; empty without a fleet
-	Env        []string
-	Args       []string
-	Binary     string
-	Log        *Log
+	Index      int      // index of the gateway in its fleet, counted from 0
+	Name       string   // name of the gateway and prefix of its lines in the log
+	ListenAddr string   // address for requests of clients and for GET /ready
+	PeerAddr   string   // address for datagrams of other gateways; empty without a fleet
+	Env        []string // variables that are added to the environment of this program
+	Args       []string // command-line arguments
+	Binary     string   // path of the gateway program
+	Log        *Log     // receives the standard error of the process
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd     // nil until the first start
 	exited        chan struct{} // closed when cmd has exited
-	interruptions []Interval    // in which requests may have ended without a response: stopped, terminated or killed
+	interruptions []Interval    // when the process was paused, terminating or dead: requests may then get no response
 }
 
-// Start starts the program and waits until it is ready. It returns ErrExited or ErrNotReady if that fails; in the latter
-// case the process is still running.
+// Start starts the program and waits until it is ready. It returns ErrExited if the process exits first, and ErrNotReady
+// if the process is running but does not become ready in time.
 func (p *Process) Start() error {
 	cmd := exec.CommandContext(context.Background(), p.Binary, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
-		return fmt.Errorf("process: %s: %w", p.Name, err)
+		return fmt.Errorf("process: open the standard error of %s: %w", p.Name, err)
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("process: %s: %w", p.Name, err)
+		return fmt.Errorf("process: start %s: %w", p.Name, err)
 	}
 	exited := make(chan struct{})
 	go func() {
 		p.copyToLog(stderr)
-		_ = cmd.Wait() // every exit code counts as an exit
+		_ = cmd.Wait() // only the exit matters, not its code
 		close(exited)
 	}()
 	p.mu.Lock()
@@ -85,10 +85,10 @@
 	}
 }
 
-// waitReady polls GET /ready until it answers 200.
+// waitReady polls GET /ready until it returns status 200, the process exits, or maxReadyPolls polls have failed.
 func (p *Process) waitReady(exited <-chan struct{}) error {
 	client := &http.Client{Timeout: readyPollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	for range readyPolls {
+	for range maxReadyPolls {
 		if p.isReady(client) {
 			return nil
 		}
@@ -114,15 +114,15 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Signal sends a signal to the running process. A signal that stops or ends the process begins an interruption; SIGCONT
-// ends it.
+// Signal sends a signal to the running process. A signal that pauses or terminates the process begins an interruption;
+// SIGCONT ends it.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !keepsRunning(signal) && !p.interrupted() {
 		p.interruptions = append(p.interruptions, Interval{From: time.Now()})
 	}
-	p.Log.Printf("%s: (%v)", p.Name, signal)
+	p.Log.Printf("%s: (sending signal: %v)", p.Name, signal)
 	_ = p.cmd.Process.Signal(signal) // fails only if the process has exited, which Running reports
 	if signal == syscall.SIGCONT {
 		p.endInterruption()
@@ -133,42 +133,43 @@
 	return signal == syscall.SIGCONT || signal == syscall.SIGHUP || signal == syscall.SIGUSR1
 }
 
-// interrupted reports whether an interruption is open. p.mu must be held.
+// interrupted reports whether an interruption has begun and not ended. p.mu must be held.
 func (p *Process) interrupted() bool {
-	n := len(p.interruptions)
-	return n > 0 && p.interruptions[n-1].To.IsZero()
+	count := len(p.interruptions)
+	return count > 0 && p.interruptions[count-1].To.IsZero()
 }
 
-// endInterruption closes the open interruption, if there is one. p.mu must be held.
+// endInterruption ends the current interruption, if there is one. p.mu must be held.
 func (p *Process) endInterruption() {
 	if p.interrupted() {
 		p.interruptions[len(p.interruptions)-1].To = time.Now()
 	}
 }
 
-// RecordStall records a stall of the whole machine as an interruption, since it says nothing about the process.
+// RecordStall records a stall of the whole machine as an interruption: responses that are late or missing because of it
+// are not faults of the process.
 func (p *Process) RecordStall(stall Interval) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// It goes to the front because the last interruption may be open.
+	// The stall is inserted at the front, because the current interruption has to stay the last element.
 	p.interruptions = append([]Interval{stall}, p.interruptions...)
 }
 
-// InterruptedDuring reports whether the process was interrupted at any time between two moments.
+// InterruptedDuring reports whether the process was interrupted at any time between from and to.
 func (p *Process) InterruptedDuring(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return AnyOverlaps(p.interruptions, from, to)
 }
 
-// Kill ends the process with SIGKILL and waits until it has exited.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.waitExit()
 }
 
-// Stop ends the process with SIGTERM and waits until it has exited. It reports whether the process exited within
-// stopTimeout; one that did not is killed.
+// Stop sends SIGTERM and waits until the process has exited. It kills a process that does not exit within stopTimeout,
+// and reports whether the process exited in time.
 func (p *Process) Stop() (inTime bool) {
 	p.Signal(syscall.SIGTERM)
 	inTime = true
--- a/internal/testbed/process/stall.go
+++ b/internal/testbed/process/stall.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// DetectStalls sleeps for interval again and again until stop is closed, and calls onStall from its own goroutine for
-// each sleep that took longer than limit: the machine was then too busy for any judgment on times. Both ends of the
-// reported interval are set.
+// DetectStalls sleeps for interval in a loop until stop is closed. For each sleep that took longer than limit, the machine
+// was too busy for timing checks: DetectStalls calls onStall synchronously with the time of the sleep. Both From and To of
+// that Interval are set.
 func DetectStalls(stop <-chan struct{}, interval, limit time.Duration, onStall func(Interval)) {
 	for last := time.Now(); ; {
 		select {
