--- a/internal/testbed/cluster/byzantine.go
+++ b/internal/testbed/cluster/byzantine.go
@@ -11,16 +11,16 @@
 	"gaugerelay/internal/testbed/loopback"
 )
 
-// fleetKey is the key with which all gateways of a run seal their datagrams.
+// fleetKey is the key with which the gateways of a run authenticate their datagrams.
 const fleetKey = "of this run"
 
-// byzantinePeer is a member of the fleet that has the key and sends false reports. It sends nothing else, and ignores
-// what it receives.
+// byzantinePeer is a member of the fleet that has the key and sends false reports. It sends nothing else and ignores all
+// datagrams that it receives.
 type byzantinePeer struct {
-	conn    net.PacketConn
-	index   int // in the fleet: behind all gateways
-	codec   *datagram.Codec
-	counter uint64 // of datagrams
+	conn       net.PacketConn
+	index      int // index of the peer in the fleet: the one after the last gateway
+	codec      *datagram.Codec
+	lastNumber uint64 // number of the last datagram sent
 }
 
 func newByzantinePeer(index int) (*byzantinePeer, error) {
@@ -35,8 +35,9 @@
 
 func (b *byzantinePeer) close() { b.conn.Close() }
 
-// sendFalseReports tells a gateway that all servers fail and are withdrawn and all its peers are dead, and asks for,
-// grants, returns and recalls the whole quota of each volume. The round must grow from call to call.
+// sendFalseReports sends a gateway reports that all servers fail, that all servers are withdrawn, and that all gateways are
+// dead. It also requests, grants, returns and recalls the whole quota of each volume. round must increase from call to
+// call, because versions, sequence numbers and incarnations are derived from it.
 func (b *byzantinePeer) sendFalseReports(to net.Addr, shards, volumes int, round uint64) {
 	packet := datagram.Packet{From: uint16(b.index), Incarnation: 1}
 	for shard := range shards {
@@ -55,7 +56,7 @@
 		ack.Updates = append(ack.Updates, membership.Update{Member: uint16(gateway), State: membership.Dead, Incarnation: round})
 	}
 	packet.Membership = append(packet.Membership, ack)
-	for _, encoded := range b.codec.Encode(packet, &b.counter) {
-		_, _ = b.conn.WriteTo(encoded, to) // datagrams may be lost
+	for _, encoded := range b.codec.Encode(packet, &b.lastNumber) {
+		_, _ = b.conn.WriteTo(encoded, to) // a send error equals a lost datagram
 	}
 }
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -13,20 +13,21 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// Streams of random numbers that are drawn from the seed of a run. Values must stay, or seeds give other schedules.
+// Streams of random numbers that are derived from the seed of a run. A change of these values changes the schedule of each
+// seed.
 const (
 	datagramStream = 41
 	scenarioStream = 42
-	trafficStream  = 100 // and following, one for each volume
+	trafficStream  = 100 // stream of the first volume; the following volumes use the following numbers
 )
 
 // loopbackBlock is the block of loopback addresses that the gateways of this package use.
 const loopbackBlock = 1
 
-// gossipPeriodMs is the time between two probes of a gateway.
+// gossipPeriodMs is the time between two probes that a gateway sends.
 const gossipPeriodMs = 200
 
-// defaultLoad is the traffic of each volume as a multiple of its limit.
+// defaultLoad is the rate of the traffic of each volume, as a multiple of the volume's limit.
 const defaultLoad = 1.4
 
 // A sleep of stallCheckInterval that takes longer than stallLimit counts as a stall of the machine.
@@ -35,7 +36,7 @@
 	stallLimit         = 200 * time.Millisecond
 )
 
-// Lines of the log that FirstViolationLog returns.
+// Numbers of log lines that FirstViolationLog returns.
 const (
 	linesBeforeViolation = 50
 	linesAfterViolation  = 20
@@ -49,29 +50,29 @@
 	Volumes        int
 	Shards         int
 	Seed           uint64
-	Gossip         bool    // gateways communicate with each other
+	Gossip         bool    // whether gateways communicate with each other
 	LeaseMs        float64 // lifetime of a quota lease
-	TimeScale      float64 // factor on the time of each scenario, for short runs; 0: 1
+	TimeScale      float64 // factor on the waiting times of scenarios, below 1 for short runs; 0: 1
 }
 
 // Cluster is a running fleet of gateways with its fakes.
 type Cluster struct {
 	options   Options
-	dir       string // of the gateways' files
+	dir       string // directory of the gateways' files
 	log       *process.Log
 	platform  *platform
 	byzantine *byzantinePeer
 	gateways  []*process.Process
 	links     [][]*datagramProxy // by sender and receiver; nil from a gateway to itself
-	random    *rand.Rand         // used by scenarios alone
+	random    *rand.Rand         // used only by scenarios
 
-	stop       chan struct{}  // closed when the traffic has to end
+	stop       chan struct{}  // closed to end the traffic and the stall detector
 	goroutines sync.WaitGroup // traffic and the stall detector
 
 	mu                sync.Mutex
 	result            Result
-	violationPosition int   // of the first violation in the log
-	primaryHosts      []int // by volume: which of its hosts receives most of its requests
+	violationPosition int   // position of the first violation in the log; 0: none
+	primaryHosts      []int // by volume: index of the host that receives most of its requests
 	requestCount      int
 }
 
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// chooseAddresses chooses the addresses of all gateways, which keep them over restarts.
+// chooseAddresses chooses the addresses of all gateways. A gateway keeps its addresses when it is restarted.
 func (c *Cluster) chooseAddresses() (err error) {
 	for index := range c.options.Gateways {
 		gateway := &process.Process{Index: index, Name: fmt.Sprintf("n%d", index), Binary: c.options.Binary, Log: c.log}
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// startLinks starts a proxy from each gateway to each other one.
+// startLinks starts a proxy for the datagrams from each gateway to each other one.
 func (c *Cluster) startLinks() error {
 	for from := range c.gateways {
 		var links []*datagramProxy
@@ -160,8 +161,8 @@
 	return gateway.Start()
 }
 
-// edgeConfig returns the operator's file of a gateway, or nil if gateways do not communicate. Each peer has the address
-// of the proxy to it, and the byzantine peer follows the gateways.
+// edgeConfig returns the operator's file of a gateway, or nil if gateways do not communicate. The peers are listed with the
+// addresses of the proxies to them; the byzantine peer is the last one.
 func (c *Cluster) edgeConfig(gateway *process.Process) *process.EdgeConfig {
 	if !c.options.Gossip {
 		return nil
@@ -179,7 +180,7 @@
 		PeriodMs: gossipPeriodMs, LeaseMs: c.options.LeaseMs}}
 }
 
-// detectStalls records when the machine is too busy for any judgment on times.
+// detectStalls records the times when the machine is too busy for timing checks.
 func (c *Cluster) detectStalls() {
 	process.DetectStalls(c.stop, stallCheckInterval, stallLimit, func(stall process.Interval) {
 		c.log.Printf("(the machine stalled for %v)", stall.To.Sub(stall.From))
@@ -190,7 +191,7 @@
 	})
 }
 
-// Close ends all processes, fakes and goroutines and removes the files. It may be called again.
+// Close ends all processes, fakes and goroutines and removes the files. Further calls have no effect.
 func (c *Cluster) Close() {
 	select {
 	case <-c.stop:
@@ -210,7 +211,7 @@
 	if c.platform != nil {
 		c.platform.close()
 	}
-	_ = os.RemoveAll(c.dir) // a temporary directory that stays harms nobody
+	_ = os.RemoveAll(c.dir) // a leftover temporary directory is harmless
 }
 
 // eachLink calls a function for each proxy between two gateways.
@@ -224,14 +225,14 @@
 	}
 }
 
-// updateResult changes the result under its lock.
+// updateResult calls update with the result while c.mu is held.
 func (c *Cluster) updateResult(update func(*Result)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	update(&c.result)
 }
 
-// addViolation records a violation of an invariant.
+// addViolation records and logs a violation of an invariant.
 func (c *Cluster) addViolation(format string, args ...any) {
 	text, position := fmt.Sprintf(format, args...), c.log.Position()
 	c.log.Printf("VIOLATION: %s", text)
@@ -243,8 +244,8 @@
 	})
 }
 
-// FirstViolationLog returns what all processes logged around the first violation, or last if it was found in the counts
-// at the servers.
+// FirstViolationLog returns the log lines of all processes around the first violation. If the violations were found only in
+// the counts at the servers, it returns the last lines.
 func (c *Cluster) FirstViolationLog() string {
 	c.mu.Lock()
 	position := c.violationPosition
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -12,10 +12,11 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// TestInvariantsHoldInAllScenarios runs all scenarios in a fifth of their time; `make fleet-soak` runs them in full.
+// TestInvariantsHoldInAllScenarios runs all scenarios with a fifth of their waiting times; `make fleet-soak` runs them at
+// full length.
 func TestInvariantsHoldInAllScenarios(t *testing.T) {
 	if testing.Short() {
-		t.Skip("several processes")
+		t.Skip("starts several processes")
 	}
 	var out strings.Builder
 	result, err := Run(Options{Binary: testbed.BuildGateway(t), Gateways: 3, HostsPerVolume: 3, Volumes: 2, Shards: 4, Seed: 1, Gossip: true,
@@ -28,7 +29,7 @@
 		t.Error(text)
 	}
 	if result.Served < 50 || result.Rejected == 0 || result.Kills < 3 || result.Pauses < 2 || result.Datagrams < 50 {
-		t.Error("too little happened to show anything")
+		t.Error("the run had too few requests, kills, pauses or datagrams to test the invariants")
 	}
 }
 
@@ -39,7 +40,7 @@
 	}
 	_, err := StartCluster(Options{Binary: binary, Gateways: 1, HostsPerVolume: 1, Shards: 1, Seed: 1})
 	if !errors.Is(err, process.ErrExited) {
-		t.Errorf("StartCluster with a program that exits returns %v", err)
+		t.Errorf("StartCluster with a program that exits: got error %v, want process.ErrExited", err)
 	}
 }
 
@@ -54,12 +55,12 @@
 		p.takeUnits(7, 6)
 	}
 	if result := c.Result(); result.OverLimit != 1 || result.MaxOverLimit < 10 || len(result.Violations) == 0 {
-		t.Errorf("units over a limit: %+v", result)
+		t.Errorf("Result() = %+v, want one volume that exceeds its limit by at least 10 units, and a violation", result)
 	}
 }
 
 func TestRunRejectsUnknownScenario(t *testing.T) {
 	if _, err := Run(Options{}, time.Second, "nothing", &strings.Builder{}); err == nil {
-		t.Error("Run accepts an unknown scenario")
+		t.Error("Run with an unknown scenario returned no error")
 	}
 }
--- a/internal/testbed/cluster/datagramproxy.go
+++ b/internal/testbed/cluster/datagramproxy.go
@@ -9,17 +9,18 @@
 	"gaugerelay/internal/testbed/loopback"
 )
 
-// maxDatagramSize is above the size of any datagram of a gateway.
+// maxDatagramSize exceeds the size of all datagrams that gateways send.
 const maxDatagramSize = 2048
 
-// DatagramFaults are the faults of datagrams from one gateway to another. The zero value is a good link.
+// DatagramFaults are the faults of a link that carries datagrams from one gateway to another. The zero value is a link
+// without faults.
 type DatagramFaults struct {
 	Partitioned   bool    // all datagrams are lost
 	LossRate      float64 // fraction of datagrams that are lost
 	DuplicateRate float64 // fraction of datagrams that arrive twice
 	BitFlipRate   float64 // fraction of datagrams in which one bit is inverted
-	DelayMs       float64
-	JitterMs      float64 // maximum of a random additional delay, which can change the order
+	DelayMs       float64 // delay of each datagram
+	JitterMs      float64 // maximum of a random additional delay, which can reorder datagrams
 }
 
 // datagramProxy forwards datagrams in one direction.
@@ -30,8 +31,8 @@
 	mu        sync.Mutex
 	random    *rand.Rand
 	faults    DatagramFaults
-	forwarded int // datagrams sent, a duplicate counts twice
-	impaired  int // datagrams lost, duplicated or changed
+	forwarded int // datagrams sent; a duplicated one counts twice
+	impaired  int // datagrams that were lost, duplicated or corrupted
 }
 
 // newDatagramProxy starts a proxy that forwards to a UDP address.
@@ -77,7 +78,7 @@
 	}
 }
 
-// forward sends a datagram on, with the current faults. It may change the datagram.
+// forward forwards a datagram with the current faults. It may modify datagram.
 func (p *datagramProxy) forward(datagram []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// drawCopies draws how often a datagram arrives. p.mu must be held.
+// drawCopies draws how many copies of a datagram are delivered. p.mu must be held.
 func (p *datagramProxy) drawCopies() int {
 	draw := p.random.Float64()
 	switch {
@@ -114,5 +115,5 @@
 }
 
 func (p *datagramProxy) send(datagram []byte) {
-	_, _ = p.conn.WriteTo(datagram, p.to) // datagrams may be lost
+	_, _ = p.conn.WriteTo(datagram, p.to) // a send error equals a lost datagram
 }
--- a/internal/testbed/cluster/datagramproxy_test.go
+++ b/internal/testbed/cluster/datagramproxy_test.go
@@ -15,7 +15,7 @@
 	receiver net.PacketConn
 }
 
-// newProxiedLink opens a good link that is closed at the end of the test.
+// newProxiedLink opens a link without faults that is closed at the end of the test.
 func newProxiedLink(t *testing.T) proxiedLink {
 	t.Helper()
 	receiver, err := loopback.ListenPacket()
@@ -69,14 +69,14 @@
 			write(t, link.sender, "datagram")
 			for range test.copies {
 				if got := link.receive(t); (got == "datagram") != test.unchanged {
-					t.Errorf("received %q", got)
+					t.Errorf("received %q, unlike what the faults of the link should deliver", got)
 				}
 			}
 		})
 	}
 }
 
-// TestLostDatagrams checks that a link without faults delivers nothing that was lost before.
+// TestLostDatagrams checks that datagrams lost to a fault are not delivered after the fault has ended.
 func TestLostDatagrams(t *testing.T) {
 	link := newProxiedLink(t)
 	for i, faults := range []DatagramFaults{{Partitioned: true}, {LossRate: 1}} {
@@ -87,11 +87,11 @@
 	link.proxy.setFaults(DatagramFaults{})
 	write(t, link.sender, "again")
 	if got := link.receive(t); got != "again" {
-		t.Errorf("after the faults: received %q", got)
+		t.Errorf("first datagram after the faults = %q, want the one sent last", got)
 	}
 }
 
-// waitUntilImpaired waits until the proxy has read and impaired a number of datagrams.
+// waitUntilImpaired waits until the proxy has impaired a number of datagrams.
 func waitUntilImpaired(p *datagramProxy, count int) {
 	for impaired := 0; impaired < count; {
 		p.mu.Lock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// write writes a text to a connection that works.
+// write writes a text to a connection and fails the test on an error.
 func write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := conn.Write([]byte(text)); err != nil {
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// minRequestsToCompare is how many requests a gateway must have sent to a server for a comparison with another.
+	// minRequestsToCompare is how many requests a gateway must have sent to the server that another one is compared with.
 	minRequestsToCompare = 20
-	// ejectedRatio bounds the requests to a comparable server relative to those to this one. A gateway that exceeds it counts
-	// as having ejected this server.
+	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to a
+	// comparable server.
 	ejectedRatio = 4
-	// recoveryCheckInterval is the time between two counts that look for the recovery of a server.
+	// recoveryCheckInterval is the time between two checks whether a server has recovered.
 	recoveryCheckInterval = 400 * time.Millisecond
 )
 
 // allGateways selects all gateways.
 func allGateways(int) bool { return true }
 
-// checkNotEjected checks that no selected gateway has nearly stopped sending to the server of a shard since an earlier
-// count, while it sent to the next server as before. The shard of a request is random, so both get about as many.
+// checkNotEjected checks that no selected gateway has nearly stopped sending requests to the server of a shard while it
+// went on sending to the server of the next shard. It compares the requests received since before. The shard of a request
+// is uniformly random, so both servers should get about the same number.
 func (c *Cluster) checkNotEjected(selected func(gateway int) bool, shard int, before [][]int) {
 	now := c.platform.receivedCounts()
 	next := (shard + 1) % c.options.Shards
@@ -24,13 +25,15 @@
 		sent, sentToNext := now[gateway][shard]-before[gateway][shard], now[gateway][next]-before[gateway][next]
 		if selected(gateway) && sentToNext >= minRequestsToCompare && ejectedRatio*sent < sentToNext {
 			c.updateResult(func(result *Result) { result.WrongEjections++ })
-			c.addViolation("n%d sent %d requests to a server that serves it well, %d to the next one", gateway, sent, sentToNext)
+			c.addViolation("n%d sent %d requests to a server that serves it without errors, but %d to the server of the next shard",
+				gateway, sent, sentToNext)
 		}
 	}
 }
 
-// measureRecovery waits until the server of a shard, which has stopped failing, gets half as many requests as the next
-// one, from all gateways together, and records how long that took. It stops at twice the bound.
+// measureRecovery waits until the server of a shard that has stopped failing gets at least half as many requests, from all
+// gateways together, as the server of the next shard. It records how long that took, and gives up after twice
+// RecoveryBoundMs.
 func (c *Cluster) measureRecovery(shard int) {
 	start, last := time.Now(), c.platform.receivedCounts()
 	next := (shard + 1) % c.options.Shards
@@ -53,8 +56,8 @@
 
 func (c *Cluster) recordRecovery(elapsedMs float64) {
 	c.updateResult(func(result *Result) { result.RecoveryMs = max(result.RecoveryMs, elapsedMs) })
-	// Short runs also take place on busy machines, so they do not judge times.
+	// Short runs, with a TimeScale, are also used on busy machines, so they do not check the time.
 	if elapsedMs > RecoveryBoundMs && c.options.TimeScale == 0 {
-		c.addViolation("a server that works again is used after %.0f ms, bound %.0f", elapsedMs, RecoveryBoundMs)
+		c.addViolation("a recovered server was used again after %.0f ms, want at most %.0f ms", elapsedMs, RecoveryBoundMs)
 	}
 }
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -10,25 +10,25 @@
 	c.eachLink(func(from, to int, link *datagramProxy) { link.setFaults(faults(from, to)) })
 }
 
-// healLinks makes all links good.
+// healLinks removes the faults of all links.
 func (c *Cluster) healLinks() {
-	c.log.Printf("(links are healed)")
+	c.log.Printf("(all links healed)")
 	c.setLinks(func(int, int) DatagramFaults { return DatagramFaults{} })
 }
 
-// partition partitions the gateways of a side from the others, in both directions.
+// partition drops all datagrams between the gateways of a side and the others, in both directions.
 func (c *Cluster) partition(side func(gateway int) bool) {
 	c.log.Printf("(partition)")
 	c.partitionLinks(func(from, to int) bool { return side(from) != side(to) })
 }
 
-// partitionOneWay makes the links from the gateways of a side to the others lose all datagrams.
+// partitionOneWay drops all datagrams from the gateways of a side to the others.
 func (c *Cluster) partitionOneWay(side func(gateway int) bool) {
 	c.log.Printf("(partition in one direction)")
 	c.partitionLinks(func(from, to int) bool { return side(from) && !side(to) })
 }
 
-// partitionLinks makes the selected links lose all datagrams, heals the others, and counts a partition.
+// partitionLinks makes the selected links drop all datagrams, heals the other links, and counts a partition.
 func (c *Cluster) partitionLinks(isPartitioned func(from, to int) bool) {
 	c.updateResult(func(result *Result) { result.Partitions++ })
 	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Partitioned: isPartitioned(from, to)} })
@@ -46,7 +46,7 @@
 	}
 }
 
-// pause stops the execution of a gateway for a while.
+// pause suspends a gateway process for a duration.
 func (c *Cluster) pause(gateway int, duration time.Duration) {
 	c.updateResult(func(result *Result) { result.Pauses++ })
 	c.gateways[gateway].Signal(syscall.SIGSTOP)
@@ -54,7 +54,7 @@
 	c.gateways[gateway].Signal(syscall.SIGCONT)
 }
 
-// rotatePrimaryHosts makes the next host of each volume the one that receives most of its requests.
+// rotatePrimaryHosts makes the next host of each volume its primary host, which receives most of its requests.
 func (c *Cluster) rotatePrimaryHosts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// wait waits for a time that the options may scale.
+// wait waits for a duration, scaled by Options.TimeScale, or until the cluster is closed.
 func (c *Cluster) wait(duration time.Duration) {
 	if c.options.TimeScale > 0 {
 		duration = time.Duration(float64(duration) * c.options.TimeScale)
@@ -71,7 +71,7 @@
 	c.waitUnscaled(duration)
 }
 
-// waitUnscaled waits for a time that follows from the gateway's own deadlines, which short runs do not scale.
+// waitUnscaled waits for a duration that depends on the gateways' own timeouts, which TimeScale does not shorten.
 func (c *Cluster) waitUnscaled(duration time.Duration) {
 	select {
 	case <-c.stop:
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// serviceTime is how long a server works on a request.
+	// serviceTime is how long a server takes to process a request.
 	serviceTime = 5 * time.Millisecond
-	// heartbeatInterval is the time between two messages of a watch on which nothing changes.
+	// heartbeatInterval is how long a watch sends nothing before a heartbeat, while the endpoint list does not change.
 	heartbeatInterval = 2 * time.Second
 )
 
-// platform fakes the storage servers and discovery, and counts what arrives. Each gateway has addresses of its own, so
-// that servers and discovery can treat gateways differently.
+// platform fakes the storage servers and discovery, and counts the requests that arrive. Each gateway gets its own addresses
+// of them, so that servers and discovery can treat gateways differently.
 type platform struct {
-	hosts   int // of each volume
+	hosts   int // number of hosts of each volume
 	shards  int
 	views   []*gatewayView // by gateway
 	servers []*http.Server
 	proxies []*streamProxy
 
 	mu          sync.Mutex
-	limits      map[uint64]*tokenBucket // by volume
-	arrivals    map[string]int          // by request ID
-	duplicates  int                     // arrivals of requests that a server has received before
+	limits      map[uint64]*tokenBucket // by volume ID
+	arrivals    map[string]int          // number of arrivals, by request ID
+	duplicates  int                     // arrivals of requests that a server had received before
 	listVersion int
-	listChanged chan struct{} // closed when an endpoint list changes
+	listChanged chan struct{} // closed at the next change of an endpoint list
 }
 
 // gatewayView is the platform as one gateway sees it. The slices are indexed by shard; draining, failing and received are
@@ -41,12 +41,12 @@
 	serverProxies []*streamProxy
 	listProxy     *streamProxy
 	listAddr      string
-	draining      []bool // the endpoint list says that the server drains
-	failing       []bool // the server responds with errors
-	received      []int  // requests that have arrived at the server
+	draining      []bool // whether the endpoint list says that the server drains
+	failing       []bool // whether the server responds with errors
+	received      []int  // number of requests that have arrived at the server
 }
 
-// newPlatform starts the servers and discovery. It returns the platform also with an error, so that it can be closed.
+// newPlatform starts the servers and discovery. On an error, the caller must still close the platform that it returns.
 func newPlatform(gateways, shards, hosts int) (*platform, error) {
 	p := &platform{limits: map[uint64]*tokenBucket{}, arrivals: map[string]int{}, hosts: hosts, shards: shards, listVersion: 1,
 		listChanged: make(chan struct{})}
@@ -77,7 +77,7 @@
 	return view, nil
 }
 
-// listen starts an HTTP server behind a proxy.
+// listen starts an HTTP server and a proxy to it.
 func (p *platform) listen(handler http.HandlerFunc) (*streamProxy, error) {
 	s, addr, err := loopback.ServeHTTP(handler)
 	if err != nil {
@@ -132,28 +132,29 @@
 // serveRequest handles a request of a gateway to the server of a shard.
 func (p *platform) serveRequest(view *gatewayView, shard int, w http.ResponseWriter, r *http.Request) {
 	if _, err := io.ReadAll(r.Body); err != nil {
-		panic(http.ErrAbortHandler) // an incomplete request does not count
+		panic(http.ErrAbortHandler) // an incomplete request is not counted
 	}
-	text := r.Header.Get("X-Correlation-Id")
-	id, ok := parseRequestID(text)
+	idText := r.Header.Get("X-Correlation-Id")
+	id, ok := parseRequestID(idText)
 	if !ok {
 		http.Error(w, "a request that no client sent", http.StatusBadRequest)
 		return
 	}
-	if failing := p.recordArrival(view, shard, text, id); failing {
+	if failing := p.recordArrival(view, shard, idText, id); failing {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
 	time.Sleep(serviceTime)
-	_, _ = fmt.Fprintf(w, "%s from %d", text, shard) // the gateway may have closed the connection
+	_, _ = fmt.Fprintf(w, "%s from %d", idText, shard) // the gateway may have closed the connection
 }
 
-// recordArrival counts a request, takes its units from the limit of its volume, and reports whether the server fails it.
-func (p *platform) recordArrival(view *gatewayView, shard int, text string, id requestID) (failing bool) {
+// recordArrival counts a request and reports whether the server is to fail it. Only the first arrival of a request takes
+// units from the limit of its volume.
+func (p *platform) recordArrival(view *gatewayView, shard int, idText string, id requestID) (failing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.arrivals[text]++
-	if p.arrivals[text] > 1 {
+	p.arrivals[idText]++
+	if p.arrivals[idText] > 1 {
 		p.duplicates++
 	} else {
 		p.takeUnits(id.volume, float64(id.units))
@@ -176,7 +177,7 @@
 // serverID returns the ID of the server of a shard.
 func serverID(shard int) string { return fmt.Sprintf("s-%d", shard) }
 
-// endpointList returns the endpoint list as a gateway is shown it.
+// endpointList returns the endpoint list that discovery sends to a gateway.
 func (p *platform) endpointList(gateway int) process.EndpointList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,7 +194,8 @@
 	return list
 }
 
-// serveWatch handles a watch of a gateway: it sends the endpoint list, again whenever it changes, and heartbeats.
+// serveWatch handles a watch of a gateway: it sends the endpoint list at first and after each change, and heartbeats while
+// the list does not change.
 func (p *platform) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
 	for changed := true; ; {
 		p.mu.Lock()
@@ -206,7 +208,7 @@
 		if _, err := w.Write(append(line, '\n')); err != nil {
 			return
 		}
-		_ = http.NewResponseController(w).Flush() // the request's context ends when the connection is broken
+		_ = http.NewResponseController(w).Flush() // if the connection is broken, the request's context ends
 		select {
 		case <-r.Context().Done():
 			return
--- a/internal/testbed/cluster/processscenarios.go
+++ b/internal/testbed/cluster/processscenarios.go
@@ -61,7 +61,7 @@
 	c.wait(time.Second)
 }
 
-// runOneWithoutGossip runs a gateway as versions before gossip do.
+// runOneWithoutGossip runs one gateway without an operator's file, so that it behaves like a version without gossip.
 func runOneWithoutGossip(c *Cluster) {
 	gateway := c.gateways[c.random.IntN(len(c.gateways))]
 	args := gateway.Args
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -2,36 +2,36 @@
 
 import "fmt"
 
-// RecoveryBoundMs bounds Result.RecoveryMs. Its parts are the lifetime of outlier reports, the time between two attempts
-// at an ejected server, and the time between two counts. A lost datagram would add the age of reports, but no scenario
-// that measures the recovery loses any.
+// RecoveryBoundMs is the upper bound of Result.RecoveryMs. It is the sum of the lifetime of outlier reports, the time
+// between two attempts at an ejected server, and recoveryCheckInterval. A lost datagram would add the age of reports, but
+// scenarios that measure the recovery lose none.
 const RecoveryBoundMs = 2408.0 + 400 + 400
 
-// Result is what a run has shown.
+// Result holds the counts and the violations of a run.
 type Result struct {
 	Kills, Pauses, Partitions int
-	Stalls                    int // of the whole machine
-	Served, Rejected, Failed  int // requests
+	Stalls                    int // stalls of the whole machine
+	Served, Rejected, Failed  int // requests, by outcome
 	ServedUnits               float64
-	Datagrams                 int // between gateways
+	Datagrams                 int // datagrams forwarded between gateways
 
-	EjectedSendRate   float64 // highest rate from a gateway at a server that fails for all, in attempts per second
-	StaleListSendRate float64 // the same at a draining server of which the gateway's own endpoint list does not say so
-	RecoveryMs        float64 // longest time until a server that had failed for all was in use again
-	MaxOverLimit      float64 // most units by which a volume exceeded its limit
+	EjectedSendRate   float64 // highest rate of attempts, per second, from one gateway to a server that fails for all gateways
+	StaleListSendRate float64 // the same to a draining server whose drain is missing in the gateway's own endpoint list
+	RecoveryMs        float64 // longest time until a server that had failed for all gateways was used again
+	MaxOverLimit      float64 // most units by which any volume exceeded its limit
 	AllowedOverLimit  float64 // most units by which the invariant allows a volume to exceed its limit
 
 	// Violations of the invariants, by kind.
-	Lost              int // requests without a response though their gateway was running
+	Lost              int // requests without a response although their gateway was running
 	DuplicateArrivals int // attempts that repeat a request which is not idempotent
 	Crashed           int // gateways that exited unexpectedly
 	OverLimit         int // volumes that exceeded their limit by more than AllowedOverLimit
-	WrongEjections    int // gateways that stopped sending to a server which served them well
+	WrongEjections    int // gateways that nearly stopped sending to a server that served them without errors
 
-	Violations []string // descriptions
+	Violations []string // descriptions of all violations
 }
 
-// Result returns what has been counted so far.
+// Result returns the counts and the violations so far.
 func (c *Cluster) Result() Result {
 	c.platform.mu.Lock()
 	defer c.platform.mu.Unlock()
@@ -39,18 +39,19 @@
 	defer c.mu.Unlock()
 	result := c.result
 	result.Violations = append([]string(nil), c.result.Violations...)
-	result.addLimits(c.platform.limits, limitOverdraft(c.options.HostsPerVolume)+limitRate*limitTimeSlackMs/1000)
+	result.checkLimits(c.platform.limits, limitOverdraft(c.options.HostsPerVolume)+limitRate*limitTimeSlackMs/1000)
 	result.DuplicateArrivals = c.platform.duplicates
 	if result.DuplicateArrivals > 0 {
 		result.Violations = append(result.Violations,
-			fmt.Sprintf("%d attempts repeated requests that are not idempotent", result.DuplicateArrivals))
+			fmt.Sprintf("%d attempts repeated a request that is not idempotent", result.DuplicateArrivals))
 	}
 	c.eachLink(func(_, _ int, link *datagramProxy) { result.Datagrams += link.forwardedCount() })
 	return result
 }
 
-// addLimits checks by how much each volume has exceeded its limit.
-func (r *Result) addLimits(limits map[uint64]*tokenBucket, allowed float64) {
+// checkLimits records by how much the volumes exceeded their limits, and a violation for each that exceeded its limit by
+// more than the allowed units.
+func (r *Result) checkLimits(limits map[uint64]*tokenBucket, allowed float64) {
 	r.AllowedOverLimit = allowed
 	for volume, limit := range limits {
 		overLimit := -limit.lowest
@@ -58,7 +59,7 @@
 		if overLimit > allowed {
 			r.OverLimit++
 			r.Violations = append(r.Violations,
-				fmt.Sprintf("volume %x: %.1f units over its limit, %.1f are allowed", volume, overLimit, allowed))
+				fmt.Sprintf("volume %x: %.1f units over its limit, want at most %.1f", volume, overLimit, allowed))
 		}
 	}
 }
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Run runs scenarios in turn until a duration is over, or each once if it is zero, and returns what they have shown.
-// Only the scenario that is named is run, or all if the name is empty. A scenario that violates an invariant ends the
-// run. Run writes a line for each scenario to out, and the log around a violation. The error reports that the run could
-// not be started; violations are in the result.
+// Run runs the scenario with the given name, or all scenarios in turn if the name is empty. It repeats them until duration
+// is over; if duration is 0, it runs each once. A scenario that violates an invariant ends the run. Run writes a line for
+// each scenario to out, and the log around the first violation. An error means that the run could not be started;
+// violations are in the result.
 func Run(options Options, duration time.Duration, scenarioName string, out io.Writer) (Result, error) {
 	selected := scenariosNamed(scenarioName)
 	if len(selected) == 0 {
@@ -29,7 +29,7 @@
 	return c.Result(), nil
 }
 
-// scenariosNamed returns the scenario of a name, or all scenarios for the empty name.
+// scenariosNamed returns the scenario with a name, or all scenarios if the name is empty.
 func scenariosNamed(name string) (selected []scenario) {
 	for _, s := range scenarios {
 		if name == "" || s.name == name {
@@ -39,7 +39,7 @@
 	return selected
 }
 
-// runScenario runs a scenario and reports whether no invariant is violated.
+// runScenario runs a scenario and reports whether no invariant has been violated so far.
 func (c *Cluster) runScenario(s scenario, out io.Writer) bool {
 	before := c.Result()
 	c.log.Printf("(scenario: %s)", s.name)
@@ -55,7 +55,7 @@
 	return false
 }
 
-// restartCrashed records the gateways that have exited unexpectedly and starts them again.
+// restartCrashed records a violation for each gateway that has exited unexpectedly, and starts it again.
 func (c *Cluster) restartCrashed() {
 	for _, gateway := range c.gateways {
 		if !gateway.Running() {
@@ -66,5 +66,5 @@
 	}
 }
 
-// writef writes a line of progress. The result does not depend on it, so errors are ignored.
+// writef writes progress to out. Errors are ignored, since the result does not depend on it.
 func writef(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
--- a/internal/testbed/cluster/scenarios.go
+++ b/internal/testbed/cluster/scenarios.go
@@ -6,7 +6,7 @@
 	run  func(c *Cluster)
 }
 
-// scenarios are all scenarios, in the order in which Run runs them.
+// scenarios lists all scenarios in the order in which Run runs them.
 var scenarios = []scenario{
 	{"no faults: the primary hosts change", changePrimaryHosts},
 	{"halves partitioned from each other, both at the limit", partitionHalves},
--- a/internal/testbed/cluster/serverscenarios.go
+++ b/internal/testbed/cluster/serverscenarios.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Shards whose servers the scenarios affect.
+// Shards whose servers are affected by the scenarios.
 const (
 	failingShard  = 0
 	drainingShard = 1
-	stalledShard  = 2 // modulo the number of shards
+	stalledShard  = 2 // taken modulo the number of shards
 )
 
 func failServerForAll(c *Cluster) {
@@ -58,10 +58,10 @@
 
 func drainServerWithStaleList(c *Cluster) {
 	c.mu.Lock()
-	stale := c.hosts(0)[c.primaryHosts[0]].Index // one with traffic
+	stale := c.hosts(0)[c.primaryHosts[0]].Index // a gateway that receives requests
 	c.mu.Unlock()
 	c.setDrainingExcept(stale, true)
-	c.waitUnscaled(1500 * time.Millisecond) // the drain grace, and half as much for the list
+	c.waitUnscaled(1500 * time.Millisecond) // drainGraceMs, and half as much for the endpoint list to arrive
 	before, start := c.platform.receivedCounts(), time.Now()
 	c.wait(2 * time.Second)
 	now := c.platform.receivedCounts()
@@ -69,14 +69,14 @@
 	c.updateResult(func(result *Result) { result.StaleListSendRate = max(result.StaleListSendRate, rate) })
 	for gateway := range c.gateways {
 		if sent := now[gateway][drainingShard] - before[gateway][drainingShard]; gateway != stale && sent > 0 {
-			c.addViolation("n%d sent %d requests to a server that drains", gateway, sent)
+			c.addViolation("n%d sent %d requests to a draining server, want 0", gateway, sent)
 		}
 	}
 	c.setDrainingExcept(stale, false)
 	c.wait(time.Second)
 }
 
-// setDrainingExcept sets what the lists of all gateways but one say about the server of drainingShard.
+// setDrainingExcept sets whether the endpoint lists of all gateways but one say that the server of drainingShard drains.
 func (c *Cluster) setDrainingExcept(excepted int, draining bool) {
 	for gateway := range c.gateways {
 		if gateway != excepted {
@@ -85,7 +85,8 @@
 	}
 }
 
-// stallResponses lets requests arrive whose responses do not come back.
+// stallResponses stalls the responses of a server to the first gateway, while requests still reach the server, and then
+// resets the connections.
 func stallResponses(c *Cluster) {
 	before := c.platform.receivedCounts()
 	shard := stalledShard % c.options.Shards
--- a/internal/testbed/cluster/settings.go
+++ b/internal/testbed/cluster/settings.go
@@ -6,27 +6,29 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// Settings that the gateways are given.
+// Settings of the gateways.
 const (
 	limitRate          = 60.0 // units per second of each volume
-	maxUnits           = 6.0
-	meanUnits          = 2.0
+	maxUnits           = 6.0  // units of the largest request
+	meanUnits          = 2.0  // mean units of a request
 	deadlineMs         = 1500
 	latencyObjectiveMs = 400
 	drainGraceMs       = 1000
 )
 
-// limitTimeSlackMs is the time for which a volume may get units at limitRate beyond its overdraft, since sockets delay
-// requests differently.
+// limitTimeSlackMs extends the allowed overdraft of a volume by the units that limitRate yields in this time, because
+// sockets delay requests by different times.
 const limitTimeSlackMs = 150
 
-// limitBurst returns the size of the token bucket of a volume: two of the largest requests for each host.
+// limitBurst returns the size of the token bucket of a volume in units: two of the largest requests for each host, but at
+// least the units of one second.
 func limitBurst(hosts int) float64 { return max(limitRate, 2*maxUnits*float64(hosts)) }
 
-// limitOverdraft returns the units by which a volume may exceed its limit.
+// limitOverdraft returns the units by which a volume may exceed its limit: a tenth of the burst, but at least the largest
+// request.
 func limitOverdraft(hosts int) float64 { return max(maxUnits, 0.1*limitBurst(hosts)) }
 
-// gatewayConfig returns the configuration of a gateway with the endpoint list that it is shown.
+// gatewayConfig returns the configuration of a gateway, with its current endpoint list as cached snapshot.
 func (p *platform) gatewayConfig(gateway *process.Process, gateways int) process.Config {
 	return process.Config{
 		Name:      gateway.Name,
@@ -39,7 +41,7 @@
 	}
 }
 
-// gatewaySettings returns the settings of a gateway, with the protocol's names.
+// gatewaySettings returns the settings of a gateway, under the names that it reads.
 func gatewaySettings(index, gateways, hosts, shards int) map[string]any {
 	return map[string]any{"Siblings": gateways, "SelfIndex": index, "TickMs": 2, "Discovery": "push", "Zones": []string{"a"},
 		"Lanes": []any{map[string]any{"Name": "pull", "PromiseMs": latencyObjectiveMs, "DeadlineMs": deadlineMs, "Idempotency": "once",
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -15,12 +15,12 @@
 	chunkInterval = 10 * time.Millisecond
 )
 
-// StreamFaults are the faults of TCP connections in one direction. The zero value is a good link.
+// StreamFaults are the faults of TCP connections in one direction. The zero value is a connection without faults.
 type StreamFaults struct {
-	Stalled         bool    // no bytes pass, and connections stay open
-	DelayMs         float64 // of each chunk
-	ChunkSize       int     // bytes that pass at once, every chunkInterval; 0: all
-	ResetAfterBytes int     // of each connection, counted from now on; 0: never
+	Stalled         bool    // no bytes are forwarded; connections stay open
+	DelayMs         float64 // delay of each chunk
+	ChunkSize       int     // bytes forwarded at once, every chunkInterval; 0: all available bytes
+	ResetAfterBytes int     // bytes after which each connection is reset, counted while this is set; 0: never
 }
 
 // direction is the direction of bytes through a streamProxy.
@@ -43,11 +43,11 @@
 // streamProxy forwards TCP connections to a server, with faults in each direction.
 type streamProxy struct {
 	listener net.Listener
-	server   string // address
+	server   string // address of the server
 
 	mu      sync.Mutex
 	faults  [directionCount]StreamFaults
-	changed chan struct{} // closed when the faults change
+	changed chan struct{} // closed at the next change of the faults
 	conns   map[net.Conn]bool
 	closed  bool
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// setFaults sets the faults of both directions from now on.
+// setFaults sets the faults of the two directions.
 func (p *streamProxy) setFaults(toServer, fromServer StreamFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,17 +149,17 @@
 	proxy        *streamProxy
 	direction    direction
 	dst, src     net.Conn
-	countedBytes int // passed while StreamFaults.ResetAfterBytes was set
+	countedBytes int // bytes forwarded while StreamFaults.ResetAfterBytes was set
 }
 
-// run copies bytes until the source ends or the connection is reset.
+// run copies bytes until the source reaches its end or the connection is reset.
 func (c *copier) run() {
 	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := c.src.Read(buffer)
 		if err != nil {
 			if tcp, ok := c.dst.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // fails only on a connection that is broken already
+				_ = tcp.CloseWrite() // fails only if the connection is broken already
 			}
 			return
 		}
@@ -169,7 +169,7 @@
 	}
 }
 
-// writeChunks writes bytes with the faults of the direction. It returns false if the connection was reset.
+// writeChunks writes data in chunks, with the faults of the direction. It returns false if the connection was reset.
 func (c *copier) writeChunks(data []byte) bool {
 	for len(data) > 0 {
 		faults := c.proxy.waitUnstalled(c.direction)
@@ -182,8 +182,8 @@
 	return true
 }
 
-// writeChunk writes a chunk, or what of it may pass before the connection is to be reset. It returns false if the
-// connection was reset.
+// writeChunk writes a chunk. If resetAfterBytes is reached within the chunk, it writes only the bytes up to there and resets
+// the connection. It returns false if the connection was reset.
 func (c *copier) writeChunk(chunk []byte, resetAfterBytes int) bool {
 	if resetAfterBytes > 0 && c.countedBytes+len(chunk) > resetAfterBytes {
 		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)]) // the connection is reset anyway
@@ -201,7 +201,7 @@
 	return true
 }
 
-// delayChunk waits for the delay of the next chunk and returns its size, of a number of bytes that are there.
+// delayChunk waits for the delay of the next chunk and returns the size of the chunk, at most the available bytes.
 func (f StreamFaults) delayChunk(available int) (size int) {
 	if f.DelayMs > 0 {
 		time.Sleep(time.Duration(f.DelayMs * float64(time.Millisecond)))
--- a/internal/testbed/cluster/streamproxy_test.go
+++ b/internal/testbed/cluster/streamproxy_test.go
@@ -21,16 +21,16 @@
 	write(t, client, "a request")
 	write(t, server, "an answer")
 	if got := read(server, 9); got != "a request" {
-		t.Errorf("received %q in chunks", got)
+		t.Errorf("server received %q in chunks, want the whole request", got)
 	}
 	p.heal()
 	if got := read(client, 9); got != "an answer" {
-		t.Errorf("received %q after a stall", got)
+		t.Errorf("client received %q after a stall, want the whole response", got)
 	}
 	p.setFaults(StreamFaults{}, StreamFaults{ResetAfterBytes: 4})
 	write(t, server, "another answer")
 	if got := read(client, 14); len(got) > 4 {
-		t.Errorf("received %q of a response that is reset after 4 bytes", got)
+		t.Errorf("client received %q of a response that is reset after 4 bytes, want at most 4 bytes", got)
 	}
 	p.heal()
 	client, server = connectThrough(t, p, ln)
@@ -38,7 +38,7 @@
 	read(server, 1)
 	p.resetConns()
 	if got := read(client, 1); got != "" {
-		t.Errorf("received %q after a reset", got)
+		t.Errorf("client received %q after a reset, want nothing", got)
 	}
 }
 
@@ -60,7 +60,7 @@
 	return client, server
 }
 
-// read reads a number of bytes, or fewer if the connection ends.
+// read reads size bytes, or fewer if the connection ends or times out.
 func read(conn net.Conn, size int) string {
 	buffer := make([]byte, size)
 	n, _ := io.ReadFull(conn, buffer) // the caller checks what has arrived
--- a/internal/testbed/cluster/tokenbucket.go
+++ b/internal/testbed/cluster/tokenbucket.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// tokenBucket is the limit of a volume as the invariant counts it at the servers.
+// tokenBucket counts the units that arrive at the servers against the limit of a volume, to check the invariant.
 type tokenBucket struct {
-	level, burst float64 // units; the level is below zero while the limit is exceeded
-	lowest       float64 // lowest level so far
-	at           time.Time
+	level, burst float64   // units; the level is negative while the volume exceeds its limit
+	lowest       float64   // lowest level so far
+	updatedAt    time.Time // time of the last call of take
 }
 
 // newTokenBucket returns a full bucket.
 func newTokenBucket(burst float64, now time.Time) *tokenBucket {
-	return &tokenBucket{level: burst, burst: burst, lowest: burst, at: now}
+	return &tokenBucket{level: burst, burst: burst, lowest: burst, updatedAt: now}
 }
 
 // take refills the bucket at limitRate up to now and takes units from it.
 func (b *tokenBucket) take(units float64, now time.Time) {
-	b.level = min(b.burst, b.level+limitRate*now.Sub(b.at).Seconds()) - units
-	b.at = now
+	b.level = min(b.burst, b.level+limitRate*now.Sub(b.updatedAt).Seconds()) - units
+	b.updatedAt = now
 	b.lowest = min(b.lowest, b.level)
 }
--- a/internal/testbed/cluster/traffic.go
+++ b/internal/testbed/cluster/traffic.go
@@ -13,39 +13,40 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// How clients draw their requests.
+// Distribution of the requests that clients draw.
 const (
-	otherHostOneIn    = 20 // to a random host instead of the primary one
-	largeRequestOneIn = 25
-	maxTypicalUnits   = 3
+	otherHostOneIn    = 20 // one of so many requests goes to a random host instead of the primary one
+	largeRequestOneIn = 25 // one of so many requests has maxUnits
+	maxTypicalUnits   = 3  // other requests have from 1 to maxTypicalUnits units
 )
 
 const (
-	// clientTimeoutSlack is how much longer than the deadline a client waits.
+	// clientTimeoutSlack is how much longer than the deadline a client waits for a response.
 	clientTimeoutSlack = time.Second
 	// maxIdleConnsPerHost is how many idle connections the clients of a volume keep to each gateway.
 	maxIdleConnsPerHost = 64
-	// interruptionSlack is how long before a request an interruption of its gateway excuses a missing response.
+	// interruptionSlack is how long before a request an interruption of its gateway may have ended and still excuse a missing
+	// response.
 	interruptionSlack = 50 * time.Millisecond
-	// responseSlack is how long after the deadline a response may come.
+	// responseSlack is how long after the deadline a response may arrive.
 	responseSlack = 500 * time.Millisecond
 )
 
-// firstVolume is the ID of the first volume; the others follow.
+// firstVolume is the ID of the first volume. The other volumes have the following IDs.
 const firstVolume = 0xb000
 
 func volumeID(volume int) uint64 { return uint64(firstVolume + volume) }
 
-// requestID names a request so that servers know what it costs.
+// requestID identifies a request. It contains the units of the request, so that servers know its cost.
 type requestID struct {
 	volume uint64
 	units  int
-	number int
+	number int // sequence number among all requests of the run
 }
 
 func (id requestID) String() string { return fmt.Sprintf("%x-%d-%d", id.volume, id.units, id.number) }
 
-// parseRequestID reads the text of a request ID.
+// parseRequestID parses the volume and the units of a request ID.
 func parseRequestID(text string) (id requestID, ok bool) {
 	fields := strings.Split(text, "-")
 	if len(fields) != 3 {
@@ -68,19 +69,19 @@
 		shards: options.Shards}
 }
 
-// drawGap draws the time between two requests, for a load that is a multiple of the volume's limit.
+// drawGap draws the time between two requests. load is the mean rate as a multiple of the volume's limit.
 func (s *requestSource) drawGap(load float64) time.Duration {
 	return time.Duration(s.random.ExpFloat64() / (load * limitRate / meanUnits) * float64(time.Second))
 }
 
 // drawnRequest is a request of a volume.
 type drawnRequest struct {
-	host  int // among the volume's hosts
+	host  int // index among the volume's hosts
 	units int
 	shard int
 }
 
-// drawRequest draws the next request. Nearly all go to the primary host.
+// drawRequest draws the next request. Most requests go to the primary host.
 func (s *requestSource) drawRequest(primaryHost int) drawnRequest {
 	drawn := drawnRequest{host: primaryHost}
 	if s.random.IntN(otherHostOneIn) == 0 {
@@ -94,7 +95,7 @@
 	return drawn
 }
 
-// hosts returns the gateways that receive the requests of a volume.
+// hosts returns the gateways that receive requests of a volume.
 func (c *Cluster) hosts(volume int) (hosts []*process.Process) {
 	for i := range c.options.HostsPerVolume {
 		hosts = append(hosts, c.gateways[(volume+i)%len(c.gateways)])
@@ -151,14 +152,14 @@
 	interrupted := gateway.InterruptedDuring(start.Add(-interruptionSlack), end)
 	if err != nil {
 		if !interrupted && !strings.Contains(err.Error(), "refused") {
-			c.addViolation("%s: %s lost after %v: %v", id, gateway.Name, end.Sub(start), err)
+			c.addViolation("%s: no response from %s within %v: %v", id, gateway.Name, end.Sub(start), err)
 			c.updateResult(func(result *Result) { result.Lost++ })
 		}
 		return
 	}
 	c.updateResult(func(result *Result) { result.addResponse(id, resp.StatusCode, string(body)) })
 	if late := end.Sub(start) - deadlineMs*time.Millisecond; late > responseSlack && !interrupted {
-		c.addViolation("%s: responded %v late", id, late)
+		c.addViolation("%s: response arrived %v after the deadline", id, late)
 	}
 }
 
@@ -187,6 +188,6 @@
 	case status >= http.StatusInternalServerError:
 		r.Failed++
 	default:
-		r.Violations = append(r.Violations, fmt.Sprintf("%s: got status %d: %.40q", id, status, body))
+		r.Violations = append(r.Violations, fmt.Sprintf("%s: unexpected response with status %d and body %.40q", id, status, body))
 	}
 }
