--- a/internal/testbed/chaos/behavior.go
+++ b/internal/testbed/chaos/behavior.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// behavior is how a fake server treats its connections for a while.
+// behavior is how a fake server treats connections and requests for a limited time.
 type behavior uint8
 
 const (
 	behaveNormally    behavior = iota
-	hang                       // requests are read and not answered
-	failRequests               // some requests are answered with status 500
-	breakConnections           // some connections are reset within a response
-	corruptResponses           // some responses are malformed or never complete
+	hang                       // requests are read, and responses wait until the behavior ends
+	failRequests               // some responses have status 500
+	breakConnections           // some connections are reset in the middle of a response
+	corruptResponses           // some responses are malformed or stay incomplete
 	repeatResponses            // some responses are sent a second time, some milliseconds later
 	refuseConnections          // new connections are reset, and idle ones closed
 	behaviorCount
@@ -29,20 +29,20 @@
 	return fmt.Sprintf("behavior(%d)", uint8(b))
 }
 
-// Probabilities that a server with a behavior misbehaves on a request.
+// Probabilities that a behavior affects the response to a request.
 const (
 	failProbability     = 0.7
 	breakProbability    = 0.5
 	truncateProbability = 0.3
-	garbageProbability  = 0.6 // includes truncateProbability, since one draw decides on both
+	garbageProbability  = 0.6 // includes truncateProbability, since one draw decides between both faults
 	repeatProbability   = 0.3
 )
 
-// truncatedResponseTime is how long a server keeps the connection of a response that it does not complete.
+// truncatedResponseTime is how long a server keeps a connection open after an incomplete response.
 const truncatedResponseTime = time.Second
 
-// meanServiceMs is the mean time in milliseconds that a server works on a request of meanUnits.
+// meanServiceMs is the mean time in milliseconds that a server takes for a request of meanUnits.
 const meanServiceMs = 4
 
-// repeatDelayFactor converts the drawn chance to the delay of a repeated response, in whole milliseconds.
+// repeatDelayFactor converts execution.chance to the delay of a repeated response, in whole milliseconds.
 const repeatDelayFactor = 10
--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -8,14 +8,14 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// stallLookback is how long before a late attempt a stall of the machine excuses it.
+// stallLookback is how long before a late attempt a stall of the machine may have ended and still excuse the attempt.
 const stallLookback = 200 * time.Millisecond
 
-// checker checks the invariants on what a run has recorded. All its clients and faults must have ended.
+// checker checks the invariants against the records of a run, whose clients and faults must have ended.
 type checker struct {
 	*harness
 	result   *Result
-	changes  []change              // of the endpoint list
+	changes  []change              // all changes of the endpoint list
 	requests map[string]*request   // by ID
 	arrivals map[string][]*arrival // by request ID
 }
@@ -71,7 +71,7 @@
 	return start
 }
 
-// stalled reports whether the machine stalled between two times: the gateway is not to blame for what is late then.
+// stalled reports whether the machine stalled between two times, so that late events then are not faults of the gateway.
 func (c *checker) stalled(from, to time.Time) bool { return process.AnyOverlaps(c.stalls, from, to) }
 
 // interrupted reports whether the gateway's process was killed or paused between two times.
@@ -80,20 +80,20 @@
 	return process.AnyOverlaps(g.kills, from, to) || process.AnyOverlaps(g.pauses, from, to)
 }
 
-// terminating reports whether the gateway was shutting down, or not ready again, between two times.
+// terminating reports whether the gateway was shutting down, or not yet ready again, between two times.
 func (c *checker) terminating(gateway int, from, to time.Time) bool {
 	return process.AnyOverlaps(c.gateways[gateway].terminations, from, to)
 }
 
-// checkDrain checks that no attempt begins at a server later than the grace after its gateway was notified that the
-// server drains or is removed.
+// checkDrain checks that an attempt did not begin later than drainGrace after its gateway was notified that the server
+// drains or is removed.
 func (c *checker) checkDrain(a *arrival) {
 	if a.gateway < 0 {
 		return
 	}
 	start := c.processStart(a.gateway, a.firstByteAt)
-	for index, listed := range c.changes {
-		if listed.server != a.server || listed.state == process.EndpointReady {
+	for index, published := range c.changes {
+		if published.server != a.server || published.state == process.EndpointReady {
 			continue
 		}
 		notifiedAt := c.discovery.notifiedAt(a.gateway, start, index)
@@ -103,15 +103,15 @@
 		age := a.firstByteAt.Sub(notifiedAt)
 		if age > drainGrace+socketSlack && !c.stalled(a.firstByteAt.Add(-stallLookback), a.firstByteAt) {
 			c.result.addViolation(&c.result.SentAfterDrain,
-				"%s n%d sent %s to %s %v after it was notified that it drains (published at %s, gateway started at %s)",
-				c.seconds(a.firstByteAt), a.gateway, a.id, a.server.name, age.Round(time.Millisecond), c.seconds(listed.at), c.seconds(start))
+				"%s n%d sent %s to %s %v after it was notified that the server drains or is removed (published at %s, gateway started at %s)",
+				c.seconds(a.firstByteAt), a.gateway, a.id, a.server.name, age.Round(time.Millisecond), c.seconds(published.at), c.seconds(start))
 		}
-		return // the first change of which it was notified counts
+		return // only the first change that the gateway was notified of is checked
 	}
 }
 
-// checkSlowStart checks that a server which has started recently gets no more than its slow start allows in any
-// overloadWindow. Only attempts of gateways that were notified of the start count.
+// checkSlowStart checks that in each overloadWindow, a server that has started recently got no more load than its slow
+// start allows. Only attempts of gateways that had been notified of the start are counted.
 func (c *checker) checkSlowStart(s *server, arrivals []*arrival) {
 	if s.startedAt.IsZero() {
 		return
@@ -130,15 +130,15 @@
 		}
 	}
 	if worst > 1 {
-		c.result.addViolation(&c.result.SlowStartExceeded, "%s %s, started at %s, got %.2f of what its slow start allows", c.seconds(worstAt),
-			s.name, c.seconds(s.startedAt), worst)
+		c.result.addViolation(&c.result.SlowStartExceeded, "%s %s, started at %s, got %.2f times the load that its slow start allows",
+			c.seconds(worstAt), s.name, c.seconds(s.startedAt), worst)
 	}
 }
 
-// arrivalsInSlowStart returns the attempts during the slow start of a server whose gateways were notified of its start,
-// in the order of their first bytes.
+// arrivalsInSlowStart returns the attempts that arrived during the slow start of a server from gateways that had been
+// notified of its start, in the order of their first bytes.
 func (c *checker) arrivalsInSlowStart(s *server, arrivals []*arrival) (counted []*arrival) {
-	index := slices.IndexFunc(c.changes, func(listed change) bool { return listed.server == s })
+	index := slices.IndexFunc(c.changes, func(published change) bool { return published.server == s })
 	for _, a := range arrivals {
 		if a.gateway < 0 || a.firstByteAt.Sub(s.startedAt) > slowStartDuration {
 			continue
@@ -152,40 +152,41 @@
 	return counted
 }
 
-// checkCanceled checks that no attempt begins for a client that has closed its connection.
+// checkCanceled checks that no attempt of a request begins after its client has closed the connection.
 func (c *checker) checkCanceled(r *request, arrivals []*arrival) {
 	if r.closedAt.IsZero() {
 		return
 	}
 	for _, a := range arrivals {
 		if age := a.firstByteAt.Sub(r.closedAt); age > cancelSlack && !c.stalled(r.closedAt, a.firstByteAt) {
-			c.result.addViolation(&c.result.Lost, "%s %s began at %s %v after its client had closed the connection", c.seconds(a.firstByteAt),
-				r.id, a.server.name, age.Round(time.Millisecond))
+			c.result.addViolation(&c.result.Lost, "%s attempt of %s began at %s %v after its client had closed the connection",
+				c.seconds(a.firstByteAt), r.id, a.server.name, age.Round(time.Millisecond))
 		}
 	}
 }
 
-// checkDeadline checks that no attempt states more time to the server than the client has left.
+// checkDeadline checks that no attempt states a longer remaining time to the server than the client has left.
 func (c *checker) checkDeadline(r *request, arrivals []*arrival) {
 	for _, a := range arrivals {
 		if r.sentAt.IsZero() || a.lastByteAt.IsZero() {
 			continue
 		}
-		left := r.deadline - a.firstByteAt.Sub(r.sentAt)
-		if excess := a.timeLeft - left; excess > deadlineSlack && !c.stalled(r.sentAt, a.firstByteAt) {
-			c.result.addViolation(&c.result.DeadlineExtended, "%s %s stated %v to %s, %v more than the client had left", c.seconds(a.firstByteAt),
-				r.id, a.timeLeft, a.server.name, excess.Round(time.Millisecond))
+		remaining := r.deadline - a.firstByteAt.Sub(r.sentAt)
+		if excess := a.remainingTime - remaining; excess > deadlineSlack && !c.stalled(r.sentAt, a.firstByteAt) {
+			c.result.addViolation(&c.result.DeadlineExtended,
+				"%s attempt of %s stated a remaining time of %v to %s, %v more than the client had left", c.seconds(a.firstByteAt), r.id,
+				a.remainingTime, a.server.name, excess.Round(time.Millisecond))
 		}
 	}
 }
 
-// checkDuplicates checks that a request which is not idempotent is executed once, and one with a key once in each
-// deduplication scope and window.
+// checkDuplicates checks that a request that is not idempotent was executed at most once, and that a request with a key was
+// executed only once, or repeatedly within one deduplication scope and window.
 func (c *checker) checkDuplicates(r *request, arrivals []*arrival) {
 	if r.class.idempotency == idempotent {
 		return
 	}
-	var first *arrival // that was executed
+	var first *arrival // first attempt that was executed
 	for _, a := range arrivals {
 		if !a.executed {
 			continue
--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -7,7 +7,7 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// record is a run of one gateway and one server with one request, in which no invariant is violated.
+// record holds the records of a run with one gateway, one server and one request that violates no invariant.
 type record struct {
 	harness *harness
 	server  *server
@@ -15,7 +15,7 @@
 	arrival *arrival
 }
 
-// at returns a time of the record.
+// at returns the time that is a duration after the start of the run.
 func at(elapsed time.Duration) time.Time { return time.Unix(1000, 0).Add(elapsed) }
 
 func newRecord() *record {
@@ -23,9 +23,9 @@
 	r := &request{id: "g0-2-1", class: &classes[0], deadline: time.Second, dialedAt: at(time.Minute), sentAt: at(time.Minute),
 		endedAt: at(time.Minute + 20*time.Millisecond), outcome: outcomeServed, status: 200, responseBody: responsePrefix("g0-2-1") + "s-0"}
 	a := &arrival{id: r.id, server: s, firstByteAt: at(time.Minute + time.Millisecond), lastByteAt: at(time.Minute + 2*time.Millisecond),
-		timeLeft: 990 * time.Millisecond, units: 2, executed: true}
+		remainingTime: 990 * time.Millisecond, units: 2, executed: true}
 	s.arrivals = []*arrival{a}
-	d := &discovery{changes: []change{{s, process.EndpointReady, at(0)}}, up: []process.Interval{{From: at(0)}},
+	d := &discovery{changes: []change{{s, process.EndpointReady, at(0)}}, upIntervals: []process.Interval{{From: at(0)}},
 		deliveries: [][]delivery{nil}, silences: [][]process.Interval{nil}}
 	g := &gateway{starts: []time.Time{at(0)}}
 	h := &harness{startedAt: at(0), discovery: d, gateways: []*gateway{g}, servers: []*server{s},
@@ -42,25 +42,25 @@
 	}
 }
 
-// repeat adds an attempt that arrives later than the first.
+// repeat adds a second attempt that arrives later than the first.
 func (r *record) repeat(later time.Duration) {
 	repeated := *r.arrival
 	repeated.firstByteAt, repeated.lastByteAt = repeated.firstByteAt.Add(later), repeated.lastByteAt.Add(later)
-	repeated.timeLeft -= later
+	repeated.remainingTime -= later
 	r.server.arrivals = append(r.server.arrivals, &repeated)
 }
 
-// disconnect lets the request end without a response.
+// disconnect makes the connection of the request end without a response.
 func (r *record) disconnect() { r.request.outcome, r.request.responseBody = outcomeDisconnected, "" }
 
-// publish adds a change that the gateway is sent at once.
+// publish adds a change of the server's state, which is delivered to the gateway at once.
 func (r *record) publish(state string, published time.Time) {
 	d := r.harness.discovery
 	d.changes = append(d.changes, change{r.server, state, published})
 	d.deliveries[0] = append(d.deliveries[0], delivery{published, len(d.changes)})
 }
 
-// checkerTests are runs that violate an invariant, or almost do.
+// checkerTests modify the record so that it violates an invariant or just does not.
 var checkerTests = []struct {
 	name   string
 	modify func(r *record)
@@ -96,7 +96,7 @@
 	{"attempt for a client that had left", func(r *record) {
 		r.request.outcome, r.request.closedAt = outcomeCanceled, at(59*time.Second)
 	}, Result{Lost: 1}},
-	{"deadline extended", func(r *record) { r.arrival.timeLeft = 1200 * time.Millisecond }, Result{DeadlineExtended: 1}},
+	{"deadline extended", func(r *record) { r.arrival.remainingTime = 1200 * time.Millisecond }, Result{DeadlineExtended: 1}},
 	{"rejected though executed", func(r *record) {
 		r.request.outcome = outcomeRejected
 		r.setClass(notIdempotent)
--- a/internal/testbed/chaos/client.go
+++ b/internal/testbed/chaos/client.go
@@ -13,43 +13,44 @@
 )
 
 const (
-	// maxIdleConns is how many idle connections the clients of a gateway keep.
+	// maxIdleConns is how many idle connections the clients of a gateway keep at most.
 	maxIdleConns = 8
 	dialTimeout  = time.Second
-	// responseTimeoutSlack is how much longer than its deadline and responseSlack a client waits for a response.
+	// responseTimeoutSlack is how much longer than the sum of its deadline and responseSlack a client waits for a response.
 	responseTimeoutSlack = 500 * time.Millisecond
-	// incompleteTimeout is how long a client waits that has sent only half of its request.
+	// incompleteTimeout is how long a client waits for a response after it has sent only half of its request.
 	incompleteTimeout = 10 * time.Second
 )
 
-// How clients draw their requests.
+// Distribution of the requests that clients draw.
 const (
-	largeRequestOneIn = 25
-	anyShardOneIn     = 4 // of the writes with a key
+	largeRequestOneIn = 25 // one in this many requests has maxUnits
+	anyShardOneIn     = 4  // one in this many writes with a key leaves the shard to the gateway
 
-	// Bounds of one draw that decides how the client behaves.
-	cancelBelow        = 0.05
-	shortDeadlineBelow = 0.08
-	incompleteBelow    = 0.09
+	// Upper bounds for one draw from [0, 1) that decides how the client behaves. They increase: each range begins at the
+	// bound before it.
+	cancelBelow        = 0.05 // the client closes its connection before the response
+	shortDeadlineBelow = 0.08 // the deadline is at most maxShortDeadlineMs
+	incompleteBelow    = 0.09 // the client sends only half of the request
 
 	meanCancelDelay    = 30 * time.Millisecond
 	maxShortDeadlineMs = 40
 	maxTypicalUnits    = 3
 )
 
-// anyShard stands in a request for a shard that the gateway chooses.
+// anyShard is the shard of a request for which the gateway chooses the shard.
 const anyShard = -1
 
-// clientGroup is all clients of one gateway. They share connections.
+// clientGroup is the group of all clients of one gateway, which share connections.
 type clientGroup struct {
 	gateway int
 	addr    string
-	random  *rand.Rand // used by sendRequests alone
+	random  *rand.Rand // used only by sendRequests
 
 	mu       sync.Mutex
 	idle     []net.Conn
 	requests []*request
-	count    int // of requests
+	count    int // number of requests drawn
 }
 
 func newClientGroup(gateway int, addr string, seed uint64) *clientGroup {
@@ -71,7 +72,7 @@
 	}
 }
 
-// drawGap draws the time between two requests.
+// drawGap draws the time between two requests. rate is their mean number per second.
 func (c *clientGroup) drawGap(rate float64) time.Duration {
 	return time.Duration(c.random.ExpFloat64() / rate * float64(time.Second))
 }
@@ -126,7 +127,7 @@
 	return conn
 }
 
-// release keeps a connection for later requests, or closes it if there are enough.
+// release keeps a connection for later requests, or closes it if maxIdleConns connections are idle already.
 func (c *clientGroup) release(conn net.Conn) {
 	conn.SetDeadline(time.Time{})
 	c.mu.Lock()
@@ -172,7 +173,7 @@
 	c.release(conn)
 }
 
-// write writes the request, or its first half, and sets the deadline of the connection.
+// write sets the deadline of the connection and writes the request, or its first half if it is to stay incomplete.
 func (r *request) write(conn net.Conn) error {
 	message, timeout := r.message(), r.deadline+responseSlack+responseTimeoutSlack
 	if r.incomplete {
@@ -183,7 +184,7 @@
 	return err
 }
 
-// readResponse reads the response, and reports whether the gateway closes the connection behind it.
+// readResponse reads the response and reports whether the gateway closes the connection after it.
 func (r *request) readResponse(conn net.Conn) (closing bool, err error) {
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -212,7 +213,7 @@
 	}
 }
 
-// outcomeOfStatus returns the outcome of a request that has a complete response.
+// outcomeOfStatus returns the outcome of a request that got a complete response.
 func outcomeOfStatus(status int) outcome {
 	switch {
 	case status == http.StatusOK:
--- a/internal/testbed/chaos/client_test.go
+++ b/internal/testbed/chaos/client_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestSeedDrawsSameRequests checks that a seed gives the same requests on every machine and in every version, so that a
-// run can be repeated.
+// TestSeedDrawsSameRequests checks that a seed draws the same requests on all machines and in all versions, so that a run can
+// be reproduced.
 func TestSeedDrawsSameRequests(t *testing.T) {
 	for _, test := range []struct {
 		gateway int
--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -10,10 +10,10 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// defaultCallTime is how long discovery handles a call while no fault slows it.
+// defaultCallTime is how long discovery takes to handle a call while no fault slows it down.
 const defaultCallTime = 3 * time.Millisecond
 
-// change is one change of the endpoint list. Its version is its index in the list of changes, counted from 1.
+// change is one change of the endpoint list. Its version is its position in the list of changes, counted from 1.
 type change struct {
 	server *server
 	state  string // one of process.EndpointReady, EndpointDraining and EndpointRemoved
@@ -23,14 +23,14 @@
 // delivery is a message that was written to a gateway's watch.
 type delivery struct {
 	at      time.Time
-	version int // the last change that the gateway has been sent
+	version int // version of the endpoint list that the gateway has with this message
 }
 
 // outageKind is how discovery fails during an outage.
 type outageKind uint8
 
 const (
-	outageUnavailable outageKind = iota // calls are answered with status 503
+	outageUnavailable outageKind = iota // calls get status 503
 	outageReset                         // connections are reset
 	outageKindCount
 )
@@ -44,35 +44,36 @@
 	return fmt.Sprintf("outageKind(%d)", uint8(k))
 }
 
-// discovery fakes the service that publishes the endpoint list. All gateways share it, each at addresses of its own, so
-// that it knows which one calls. It records what each gateway was sent.
+// discovery fakes the service that publishes the endpoint list. All gateways share it, but each calls it at its own
+// addresses, which identify the gateway. It records what was sent to each gateway.
 type discovery struct {
 	push  bool
-	addrs [][2]string // by gateway: two addresses, between which it is moved
+	addrs [][2]string // by gateway: two addresses; a reload moves the gateway from one to the other
 
-	callSlot chan struct{} // holds a token while a call is handled: one at a time
+	callSlot chan struct{} // holds a token while a call is handled, so that calls are handled one at a time
 	servers  []*http.Server
 
-	mu         sync.Mutex
-	callTime   time.Duration
-	down       bool
-	outage     outageKind
-	up         []process.Interval // spans without an outage; the last one has not ended while discovery is up
-	changes    []change
-	changed    chan struct{}        // closed when the list changes
-	deliveries [][]delivery         // by gateway
-	silences   [][]process.Interval // by gateway: when one of its watches was silent; recorded when the watch ends
-	open       []map[int]*watch     // by gateway and watch ID
-	nextWatch  int
-}
-
-// newDiscovery starts discovery without servers.
+	mu          sync.Mutex
+	callTime    time.Duration
+	down        bool
+	outage      outageKind
+	upIntervals []process.Interval // intervals without an outage; the last one has no end while discovery is up
+	changes     []change
+	changed     chan struct{}        // closed at the next change of the list
+	deliveries  [][]delivery         // by gateway
+	silences    [][]process.Interval // by gateway: when one of its watches was silent, recorded at the end of the watch
+	openWatches []map[int]*watch     // by gateway and watch ID
+	lastWatchID int
+}
+
+// newDiscovery starts discovery with an empty endpoint list. On an error, the caller must still close the discovery that it
+// returns.
 func newDiscovery(gateways int, push bool) (*discovery, error) {
 	d := &discovery{push: push, callSlot: make(chan struct{}, 1), callTime: defaultCallTime, changed: make(chan struct{}),
-		up: []process.Interval{{From: time.Now()}}, deliveries: make([][]delivery, gateways),
+		upIntervals: []process.Interval{{From: time.Now()}}, deliveries: make([][]delivery, gateways),
 		silences: make([][]process.Interval, gateways)}
 	for gateway := range gateways {
-		d.open = append(d.open, map[int]*watch{})
+		d.openWatches = append(d.openWatches, map[int]*watch{})
 		var addrs [2]string
 		for i := range addrs {
 			addr, err := d.listen(gateway)
@@ -86,7 +87,7 @@
 	return d, nil
 }
 
-// listen starts an HTTP server for one gateway.
+// listen starts an HTTP server for the calls of one gateway.
 func (d *discovery) listen(gateway int) (addr string, err error) {
 	s, addr, err := loopback.ServeHTTP(func(w http.ResponseWriter, r *http.Request) { d.serveWatch(gateway, w, r) })
 	if err != nil {
@@ -111,7 +112,7 @@
 	d.changed = make(chan struct{})
 }
 
-// beginOutage makes discovery fail and ends the open watches. During an outage it does nothing.
+// beginOutage makes discovery fail and ends the open watches. It does nothing if there is an outage already.
 func (d *discovery) beginOutage(kind outageKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,13 +120,13 @@
 		return
 	}
 	d.down, d.outage = true, kind
-	d.up[len(d.up)-1].To = time.Now()
-	for gateway := range d.open {
+	d.upIntervals[len(d.upIntervals)-1].To = time.Now()
+	for gateway := range d.openWatches {
 		d.endWatches(gateway)
 	}
 }
 
-// endOutage makes discovery work again.
+// endOutage ends the current outage, if there is one.
 func (d *discovery) endOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,21 +134,21 @@
 		return
 	}
 	d.down = false
-	d.up = append(d.up, process.Interval{From: time.Now()})
+	d.upIntervals = append(d.upIntervals, process.Interval{From: time.Now()})
 }
 
-// setCallTime sets how long discovery handles a call.
+// setCallTime sets how long discovery takes to handle a call.
 func (d *discovery) setCallTime(callTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.callTime = callTime
 }
 
-// silenceWatches makes the open watches of the selected gateways send nothing more. Later watches work.
+// silenceWatches makes the open watches of the selected gateways stop sending. Later watches are not affected.
 func (d *discovery) silenceWatches(selected []bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for gateway, watches := range d.open {
+	for gateway, watches := range d.openWatches {
 		for _, w := range watches {
 			if selected[gateway] && w.silentSince.IsZero() {
 				w.silentSince = time.Now()
@@ -160,7 +161,7 @@
 func (d *discovery) resetWatches(selected []bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for gateway := range d.open {
+	for gateway := range d.openWatches {
 		if selected[gateway] {
 			d.endWatches(gateway)
 		}
@@ -169,20 +170,20 @@
 
 // endWatches ends the open watches of a gateway. d.mu must be held.
 func (d *discovery) endWatches(gateway int) {
-	for id, w := range d.open[gateway] {
+	for id, w := range d.openWatches[gateway] {
 		close(w.end)
-		delete(d.open[gateway], id)
+		delete(d.openWatches[gateway], id)
 	}
 }
 
-// currentList returns the endpoint list as a gateway may know it from before its start.
+// currentList returns the current endpoint list, which a gateway gets as cached snapshot in its configuration.
 func (d *discovery) currentList() process.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.snapshot()
 }
 
-// snapshot returns the endpoint list with all changes. d.mu must be held.
+// snapshot returns the endpoint list after all changes. d.mu must be held.
 func (d *discovery) snapshot() process.EndpointList {
 	latest := map[string]process.Endpoint{}
 	for _, c := range d.changes {
@@ -199,7 +200,7 @@
 	return list
 }
 
-// delta returns the changes behind a version. d.mu must be held.
+// delta returns the changes since a version of the endpoint list. d.mu must be held.
 func (d *discovery) delta(after int) process.EndpointList {
 	list := process.EndpointList{Version: len(d.changes), Servers: []process.Endpoint{}}
 	for _, c := range d.changes[after:] {
--- a/internal/testbed/chaos/discoveryfaults.go
+++ b/internal/testbed/chaos/discoveryfaults.go
@@ -12,14 +12,14 @@
 	h.discovery.endOutage()
 }
 
-// slowDiscovery makes the calls of discovery take longer for a while.
+// slowDiscovery makes discovery take longer to handle calls for a while.
 func slowDiscovery(h *harness, random *rand.Rand) {
 	h.discovery.setCallTime(randomDuration(random, 10*time.Millisecond, 150*time.Millisecond))
 	h.sleep(randomDuration(random, time.Second, 6*time.Second))
 	h.discovery.setCallTime(defaultCallTime)
 }
 
-// silenceWatches makes the open watches of some gateways send nothing more.
+// silenceWatches makes the open watches of some gateways stop sending.
 func silenceWatches(h *harness, random *rand.Rand) {
 	h.discovery.silenceWatches(randomSubset(random, len(h.gateways)))
 }
@@ -29,7 +29,7 @@
 	h.discovery.resetWatches(randomSubset(random, len(h.gateways)))
 }
 
-// randomSubset draws a subset of the gateways, of a random size.
+// randomSubset draws a subset of the gateways with a random size.
 func randomSubset(random *rand.Rand, gateways int) (selected []bool) {
 	probability := random.Float64()
 	selected = make([]bool, gateways)
--- a/internal/testbed/chaos/faults.go
+++ b/internal/testbed/chaos/faults.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// fault is a kind of fault. Faults of all kinds overlap.
+// fault is a kind of fault. Faults of the same kind and of different kinds overlap.
 type fault struct {
 	name   string
-	weight int // how often it is drawn, relative to the others
-	// inject injects the fault and returns when it is over. It takes its random choices from random alone.
+	weight int // how often the fault is drawn, relative to the other kinds
+	// inject injects the fault, parts of which may go on in goroutines of the harness. It draws all random numbers from random.
 	inject func(h *harness, random *rand.Rand)
 }
 
-// faults are all kinds. Their order and weights decide which fault a seed draws.
+// faults lists all kinds of faults. The faults that a seed draws depend on the order and the weights.
 var faults = []fault{
 	{"kill", 3, killGateways},
 	{"stop", 3, stopGateways},
@@ -33,29 +33,29 @@
 	return slices.ContainsFunc(faults, func(f fault) bool { return f.name == name })
 }
 
-// Times without new faults: at the beginning of a run, and at its end, where the effects of earlier ones have to show.
+// Times without new faults at the beginning and at the end of a run. The effects of earlier faults show during the latter.
 const (
 	initialFaultFreeTime = time.Second
 	finalFaultFreeTime   = 2 * time.Second
 )
 
-// meanFaultInterval is the mean time between two faults. It is shorter than most faults last, so that they overlap.
+// meanFaultInterval is the mean time between the starts of two faults. Most faults last longer, so that they overlap.
 const meanFaultInterval = 700 * time.Millisecond
 
 // faultSchedule draws the faults of a run from its seed.
 type faultSchedule struct {
 	random *rand.Rand
-	pool   []*fault // each as often as its weight says
+	pool   []*fault // contains each fault as many times as its weight
 }
 
-// scheduledFault is a fault with its own random numbers and the pause that follows its start.
+// scheduledFault is a fault with its own random numbers and the time between its start and the start of the next fault.
 type scheduledFault struct {
 	*fault
 	random *rand.Rand
 	pause  time.Duration
 }
 
-// newFaultSchedule returns the schedule of a seed with the faults that are named, or all if none is.
+// newFaultSchedule returns the schedule of a seed with the named faults, or with all faults if names is empty.
 func newFaultSchedule(seed uint64, names []string) *faultSchedule {
 	schedule := &faultSchedule{random: rand.New(rand.NewPCG(seed, faultScheduleStream))}
 	for i := range faults {
@@ -69,7 +69,7 @@
 	return schedule
 }
 
-// next draws the next fault. The schedule must not be empty.
+// next draws the next fault. The pool must not be empty.
 func (s *faultSchedule) next() scheduledFault {
 	drawn := s.pool[s.random.IntN(len(s.pool))]
 	ownRandom := rand.New(rand.NewPCG(s.random.Uint64(), singleFaultStream))
@@ -77,7 +77,7 @@
 	return scheduledFault{fault: drawn, random: ownRandom, pause: pause}
 }
 
-// injectFaults starts faults one after the other, without waiting for the end of each.
+// injectFaults starts the faults of the schedule in turn, without waiting until they end.
 func (h *harness) injectFaults() {
 	schedule := newFaultSchedule(h.options.Seed, h.options.Faults)
 	end := h.startedAt.Add(h.options.Duration - finalFaultFreeTime)
@@ -97,7 +97,7 @@
 	}
 }
 
-// randomDuration draws a uniformly distributed duration.
+// randomDuration draws a duration that is uniformly distributed between shortest and longest.
 func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(random.Float64()*float64(longest-shortest))
 }
--- a/internal/testbed/chaos/faults_test.go
+++ b/internal/testbed/chaos/faults_test.go
@@ -7,23 +7,23 @@
 
 func TestParseFaults(t *testing.T) {
 	if names, err := ParseFaults("kill,pause"); err != nil || strings.Join(names, " ") != "kill pause" {
-		t.Errorf("ParseFaults = %v, %v", names, err)
+		t.Errorf("ParseFaults returned %v, error %v, want kill and pause", names, err)
 	}
 	if _, err := ParseFaults("kill,nothing"); err == nil {
-		t.Error("ParseFaults accepts an unknown fault")
+		t.Error("ParseFaults with an unknown fault returned no error")
 	}
 }
 
-// TestSeedDrawsSameFaults checks that a seed gives the same faults on every machine and in every version, so that a run
-// can be repeated.
+// TestSeedDrawsSameFaults checks that a seed draws the same faults on all machines and in all versions, so that a run can be
+// reproduced.
 func TestSeedDrawsSameFaults(t *testing.T) {
 	schedule := newFaultSchedule(1, nil)
 	if len(schedule.pool) != 29 {
-		t.Errorf("the weights add up to %d", len(schedule.pool))
+		t.Errorf("sum of the weights = %d, want 29", len(schedule.pool))
 	}
 	for i, want := range []struct {
 		name      string
-		ownNumber uint64 // the first random number of the fault itself
+		ownNumber uint64 // first random number that the fault itself draws
 	}{
 		{"server-behavior", 0x69d48dac159e75eb},
 		{"server-behavior", 0xc7d0f112436934de},
@@ -39,7 +39,7 @@
 		{"kill", 0xa23010a920e79d4d},
 	} {
 		if next := schedule.next(); next.name != want.name || next.random.Uint64() != want.ownNumber {
-			t.Errorf("fault %d is %s, or has other random numbers, want %s", i, next.name, want.name)
+			t.Errorf("fault %d is %s, want %s with the recorded random number", i, next.name, want.name)
 		}
 	}
 }
--- a/internal/testbed/chaos/gateway.go
+++ b/internal/testbed/chaos/gateway.go
@@ -17,20 +17,20 @@
 // loopbackBlock is the block of loopback addresses that the gateways of this package use.
 const loopbackBlock = 2
 
-// systemCallFailureRate is how often system calls of a gateway with the build tag chaos fail.
+// systemCallFailureRate is the fraction of system calls that fail in gateways built with the tag chaos.
 const systemCallFailureRate = 0.03
 
-// wallClockOffsets are the errors of the wall clocks of gateways with the build tag chaos.
+// wallClockOffsets are the errors of the wall clocks of gateways built with the tag chaos. The gateways use them in turn.
 var wallClockOffsets = []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 
-// gateway is one gateway process with the record of what was done to it. The records are guarded by harness.mu while the
-// run goes on.
+// gateway is a gateway process and the records of its starts and of the faults injected into it. The records are guarded by
+// harness.mu during the run.
 type gateway struct {
 	*process.Process
-	dir           string // of its files
-	discoveryAddr int    // which of its two discovery addresses it uses
+	dir           string // directory of its files
+	discoveryAddr int    // index of its current discovery address: 0 or 1
 
-	faultMu sync.Mutex // held by the fault that handles the process
+	faultMu sync.Mutex // held by the fault that currently affects the process
 
 	starts       []time.Time
 	kills        []process.Interval // from SIGKILL until it is ready again
@@ -38,7 +38,7 @@
 	pauses       []process.Interval // from SIGSTOP to SIGCONT
 }
 
-// newGateway writes the files of a gateway; it does not start the process.
+// newGateway writes the files of a gateway and does not start the process.
 func (h *harness) newGateway(index int) (*gateway, error) {
 	listenAddr, err := loopback.FreeTCPAddr(loopback.Host(loopbackBlock, index))
 	if err != nil {
@@ -60,7 +60,7 @@
 	return g, nil
 }
 
-// writeConfig writes the configuration file of a gateway again, with the current endpoint list and discovery address.
+// writeConfig overwrites the configuration file of a gateway with the current endpoint list and discovery address.
 func (h *harness) writeConfig(g *gateway) error {
 	return process.RewriteConfig(g.dir, h.gatewayConfig(g))
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// ensureRunning reports whether the gateway's process is running. One that is not has crashed, and is started again.
+// ensureRunning reports whether the gateway's process is running. If not, it records a crash and starts the process again.
 func (h *harness) ensureRunning(g *gateway) bool {
 	if g.Running() {
 		return true
@@ -93,14 +93,14 @@
 	return false
 }
 
-// violationCounter matches the nonzero counters of violations that a gateway has detected itself.
+// violationCounter matches the nonzero metrics in which a gateway counts violations that it has detected itself.
 var violationCounter = regexp.MustCompile(`(?m)^(rule_violations_\w+) ([1-9]\d*)$`)
 
-// unansweredCounter is the only one of these counters that also counts for a gateway that was paused: a pause between a
-// decision and its first byte makes the gateway violate the others without a fault of its own.
+// unansweredCounter is the only violation counter that is also checked for a gateway that was paused. A pause between a
+// decision of the gateway and the first byte that it sends can increment the other counters without a bug.
 const unansweredCounter = "rule_violations_closed_without_response"
 
-// recordMetricViolations reads the violation counters of a gateway. One that does not answer has none.
+// recordMetricViolations records the nonzero violation counters of a gateway. It ignores a gateway that does not respond.
 func (h *harness) recordMetricViolations(g *gateway) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+g.ListenAddr+"/metrics", nil)
 	if err != nil {
@@ -111,11 +111,11 @@
 		return
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // what was read before an error counts
+	text, _ := io.ReadAll(resp.Body) // counters that were read before an error are recorded
 	for _, match := range violationCounter.FindAllStringSubmatch(string(text), -1) {
 		if counter, value := match[1], match[2]; counter == unansweredCounter || len(g.pauses) == 0 {
 			h.mu.Lock()
-			h.metricViolations = append(h.metricViolations, fmt.Sprintf("%s counts %s %s", g.Name, counter, value))
+			h.metricViolations = append(h.metricViolations, fmt.Sprintf("%s reports the counter %s = %s", g.Name, counter, value))
 			h.mu.Unlock()
 		}
 	}
--- a/internal/testbed/chaos/gatewayfaults.go
+++ b/internal/testbed/chaos/gatewayfaults.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// gatewaysPerFault is how many gateways there are for each one that a fault affects at most.
+// A fault affects at most one of every gatewaysPerFault gateways, but at least one.
 const gatewaysPerFault = 6
 
-// reloadTime is for how long no other fault affects a gateway that reads its configuration again.
+// reloadTime is how long a gateway that reloads its configuration is not affected by other faults.
 const reloadTime = 100 * time.Millisecond
 
-// onRandomGateways runs a function on a few random gateways at once. Those that another fault affects are left out.
+// onRandomGateways calls inject concurrently for a few random gateways. It skips gateways that another fault affects.
 func (h *harness) onRandomGateways(random *rand.Rand, inject func(g *gateway)) {
 	for range 1 + random.IntN(max(1, len(h.gateways)/gatewaysPerFault)) {
 		g := h.gateways[random.IntN(len(h.gateways))]
@@ -28,7 +28,7 @@
 	}
 }
 
-// killGateways kills gateways and starts them again later.
+// killGateways kills gateways and starts them again after a while.
 func killGateways(h *harness, random *rand.Rand) {
 	downTime := randomDuration(random, 50*time.Millisecond, 1500*time.Millisecond)
 	h.onRandomGateways(random, func(g *gateway) {
@@ -47,14 +47,14 @@
 		h.recordMetricViolations(g)
 		end := h.beginInterval(&g.terminations)
 		if !g.Stop() {
-			h.recordCrash("%s did not exit in time after SIGTERM", g.Name)
+			h.recordCrash("%s did not exit in time after SIGTERM and was killed", g.Name)
 		}
 		h.restartGateway(g)
 		end()
 	})
 }
 
-// pauseGateways stops the execution of gateways for a while.
+// pauseGateways suspends gateway processes for a while.
 func pauseGateways(h *harness, random *rand.Rand) {
 	pause := randomDuration(random, 50*time.Millisecond, 3*time.Second)
 	h.onRandomGateways(random, func(g *gateway) {
@@ -66,7 +66,7 @@
 	})
 }
 
-// reloadGateways makes gateways read a configuration that names their other discovery address.
+// reloadGateways makes gateways reload a configuration with their other discovery address.
 func reloadGateways(h *harness, random *rand.Rand) {
 	h.onRandomGateways(random, func(g *gateway) {
 		g.discoveryAddr = 1 - g.discoveryAddr
--- a/internal/testbed/chaos/harness.go
+++ b/internal/testbed/chaos/harness.go
@@ -10,11 +10,12 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// Streams of random numbers that are drawn from the seed of a run. Values must stay, or seeds give other schedules.
+// Streams of random numbers that are derived from the seed of a run. A change of these values changes the schedule of each
+// seed.
 const (
 	faultScheduleStream = 2
 	singleFaultStream   = 3
-	clientStream        = 1000 // and following, one for each gateway
+	clientStream        = 1000 // stream of the clients of the first gateway; the following gateways use the following numbers
 )
 
 const metricsTimeout = time.Second
@@ -23,28 +24,28 @@
 type harness struct {
 	options   Options
 	startedAt time.Time
-	dir       string // of the gateways' files
+	dir       string // directory of the gateways' files
 	log       *process.Log
 	discovery *discovery
 	gateways  []*gateway
 	clients   []*clientGroup // by gateway
-	http      *http.Client   // for metrics
+	http      *http.Client   // reads the metrics of gateways
 
-	stop       chan struct{}  // closed when clients and faults have to end
+	stop       chan struct{}  // closed to end clients, faults and the stall detector
 	goroutines sync.WaitGroup // clients, faults and the stall detector
 
 	mu               sync.Mutex
-	servers          []*server // all that were ever started
-	current          []*server // by shard: the one in service
-	replacing        []bool    // by shard: its server is being replaced or restarted
+	servers          []*server // all servers that were started, also those that are closed
+	current          []*server // by shard: the server in service
+	replacing        []bool    // by shard: whether its server is being replaced or restarted
 	stalls           []process.Interval
 	faultCount       int
 	crashes          []string
 	metricViolations []string // nonzero violation counters of gateways
 }
 
-// Run starts the fakes and the gateways, injects faults for the duration of the run, and checks the invariants. The
-// error reports that the run could not be started; violations are in the result.
+// Run starts the fakes and the gateways, injects faults for the duration of the run, and checks the invariants. An error
+// means that the run could not be started; violations are in the result.
 func Run(options Options) (*Result, error) {
 	h, err := newHarness(options)
 	defer h.close()
@@ -55,7 +56,7 @@
 	return h.finish(), nil
 }
 
-// newHarness starts the fakes and the gateways. It returns the harness also with an error, so that it can be closed.
+// newHarness starts the fakes and the gateways. On an error, the caller must still close the harness that it returns.
 func newHarness(options Options) (*harness, error) {
 	h := &harness{options: options, startedAt: time.Now(), log: process.NewLog(), stop: make(chan struct{}),
 		http: &http.Client{Timeout: metricsTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// startGateways starts all gateways at once and returns the first error.
+// startGateways starts all gateways concurrently and returns the first error.
 func (h *harness) startGateways() error {
 	for index := range h.options.Gateways {
 		g, err := h.newGateway(index)
@@ -157,7 +158,7 @@
 		return
 	}
 	for _, line := range h.log.Lines() {
-		_, _ = fmt.Fprintln(h.options.LogOutput, line) // the log helps a reader; the result does not depend on it
+		_, _ = fmt.Fprintln(h.options.LogOutput, line) // ignored, since the result does not depend on the log
 	}
 }
 
@@ -177,16 +178,16 @@
 	if h.discovery != nil {
 		h.discovery.close()
 	}
-	_ = os.RemoveAll(h.dir) // a temporary directory that stays harms nobody
+	_ = os.RemoveAll(h.dir) // a leftover temporary directory is harmless
 }
 
-// A sleep of stallCheckInterval that ends later than stallTolerance counts as a stall of the machine.
+// A sleep of stallCheckInterval that ends more than stallTolerance late counts as a stall of the machine.
 const (
 	stallCheckInterval = 10 * time.Millisecond
 	stallTolerance     = 60 * time.Millisecond
 )
 
-// detectStalls records when the machine is too busy for any judgment on times.
+// detectStalls records the times when the machine is too busy for timing checks.
 func (h *harness) detectStalls() {
 	process.DetectStalls(h.stop, stallCheckInterval, stallCheckInterval+stallTolerance, func(stall process.Interval) {
 		h.mu.Lock()
@@ -203,7 +204,7 @@
 	h.crashes = append(h.crashes, fmt.Sprintf(format, args...))
 }
 
-// beginInterval appends an open interval to the records of a gateway; the returned function ends it.
+// beginInterval appends an interval that begins now to records of a gateway. The returned function ends the interval.
 func (h *harness) beginInterval(intervals *[]process.Interval) (end func()) {
 	h.mu.Lock()
 	*intervals = append(*intervals, process.Interval{From: time.Now()})
@@ -216,7 +217,7 @@
 	}
 }
 
-// sleep waits and reports whether the run goes on.
+// sleep waits for a duration or until the run is stopped, and reports whether the run goes on.
 func (h *harness) sleep(d time.Duration) bool {
 	select {
 	case <-h.stop:
--- a/internal/testbed/chaos/notification.go
+++ b/internal/testbed/chaos/notification.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// notifiedAt returns when a gateway whose process was started at a time is notified of the change with an index: when it
-// was sent the change, or when the change counts as notified by the protocol's deadlines, whichever is earlier. The zero
-// time means never.
+// notifiedAt returns when a gateway is treated as having been notified of the change with the given index: when the change was
+// delivered to it, or at the protocol's deadline for the notification, whichever is earlier. processStart is the start of
+// the gateway's process. The zero time means never.
 func (d *discovery) notifiedAt(gateway int, processStart time.Time, index int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := d.deliveredAt(gateway, processStart, index)
 	silenceDeadline := d.silenceDeadline(gateway, processStart, d.changes[index])
 	at = earlierNonzero(at, silenceDeadline)
-	within := notifyWithin
+	maxDelay := maxNotificationDelay
 	if d.push && silenceDeadline.IsZero() {
-		within = 0 // the agent runs on the gateway's machine: the gateway is notified of what the agent has
+		maxDelay = 0 // the agent runs on the gateway's machine, so what the agent has received counts as delivered
 	}
 	reachableFrom := later(d.changes[index].at, processStart)
-	for _, up := range d.up {
-		if deadline := later(reachableFrom, up.From).Add(within); up.To.IsZero() || !deadline.After(up.To) {
+	for _, up := range d.upIntervals {
+		if deadline := later(reachableFrom, up.From).Add(maxDelay); up.To.IsZero() || !deadline.After(up.To) {
 			at = earlierNonzero(at, deadline)
 		}
 	}
 	return at
 }
 
-// deliveredAt returns when a gateway was first sent a change. d.mu must be held.
+// deliveredAt returns when a change was first delivered to the gateway process that was started at processStart, or the zero
+// time if it was not. d.mu must be held.
 func (d *discovery) deliveredAt(gateway int, processStart time.Time, index int) time.Time {
 	for _, delivered := range d.deliveries[gateway] {
 		if delivered.version > index && !delivered.at.Before(processStart) {
@@ -37,12 +38,12 @@
 	return time.Time{}
 }
 
-// silenceDeadline returns when a gateway has to treat a watch as broken that was silent when the list changed. It returns
-// the zero time if no watch was silent then. d.mu must be held.
+// silenceDeadline returns the deadline by which a gateway has to detect that one of its watches, which was silent at the time
+// of a change, is broken. It returns the zero time if no watch was silent then. d.mu must be held.
 func (d *discovery) silenceDeadline(gateway int, processStart time.Time, c change) (deadline time.Time) {
 	for _, silence := range d.silences[gateway] {
 		if silence.Contains(c.at) && silence.From.After(processStart) {
-			deadline = earlierNonzero(deadline, later(c.at, silence.From.Add(notifyWithin)))
+			deadline = earlierNonzero(deadline, later(c.at, silence.From.Add(maxNotificationDelay)))
 		}
 	}
 	return deadline
@@ -62,7 +63,7 @@
 	return b
 }
 
-// earlierNonzero returns the earlier of two times and ignores one that is zero.
+// earlierNonzero returns the earlier of two times. It ignores a time that is zero.
 func earlierNonzero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/testbed/chaos/options.go
+++ b/internal/testbed/chaos/options.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Options describe a run.
+// Options are the parameters of a run.
 type Options struct {
 	Binary          string // path of the gateway program
 	Gateways        int    // number of processes
@@ -17,7 +17,7 @@
 	Seed            uint64
 	PushDiscovery   bool     // endpoint lists are pushed by an agent; otherwise the gateways poll for them
 	RequestRate     float64  // requests per second to each gateway
-	FailSystemCalls bool     // the program has the build tag chaos, and its system calls fail at random
+	FailSystemCalls bool     // system calls of the gateways fail at random; Binary must have been built with the tag chaos
 	DebugLog        bool     // gateways log each request
 	Faults          []string // names of the faults to inject; empty: all
 	// LogOutput receives the merged log of all processes if an invariant was violated. It may be nil.
@@ -31,7 +31,7 @@
 	return o.Gateways
 }
 
-// ParseFaults reads names of faults, separated by commas. An empty text stands for all faults and returns nil.
+// ParseFaults parses names of faults that are separated by commas. For an empty text it returns nil, which means all faults.
 func ParseFaults(text string) ([]string, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/testbed/chaos/request.go
+++ b/internal/testbed/chaos/request.go
@@ -16,10 +16,10 @@
 	outcomeServed               // status 200
 	outcomeRejected             // status 429 or 503
 	outcomeFailed               // another status of 500 and above
-	outcomeInvalid              // any other status: the gateway found the request invalid
+	outcomeInvalid              // any other status: the gateway considers the request invalid
 	outcomeCanceled             // the client closed its connection
-	outcomeDisconnected         // the connection ended without a complete response
-	outcomeTimedOut             // no complete response came in time
+	outcomeDisconnected         // the connection ended before a complete response
+	outcomeTimedOut             // no complete response arrived in time
 	outcomeNotConnected         // no connection was established, so the request was never sent
 	outcomeCount
 )
@@ -41,14 +41,14 @@
 	class       *class
 	shard       int
 	units       int
-	deadline    time.Duration // as the client states it
-	cancelAfter time.Duration // the client closes its connection so long after sending; 0: it does not
-	incomplete  bool          // the client sends only half of the request and waits
+	deadline    time.Duration // remaining time that the client states
+	cancelAfter time.Duration // how long after sending the client closes its connection; 0: never
+	incomplete  bool          // the client sends only half of the request and then waits
 
 	connReused   bool      // the connection had carried an earlier request
 	dialedAt     time.Time // zero if the connection was reused
-	sentAt       time.Time // when the last byte was written; zero: never
-	closedAt     time.Time // when the client closed the connection without a response; zero: it did not
+	sentAt       time.Time // when the client had written the last byte; zero: never
+	closedAt     time.Time // when the client closed the connection without a response; zero: never
 	endedAt      time.Time
 	outcome      outcome
 	status       int // 0: no response
@@ -56,7 +56,7 @@
 	err          error
 }
 
-// message returns the request as it is sent.
+// message returns the bytes of the request that the client sends.
 func (r *request) message() string {
 	method, body := http.MethodGet, ""
 	if r.class.write {
@@ -73,16 +73,16 @@
 	return b.String() + "\r\n" + body
 }
 
-// requestID names a request so that servers know which gateway it was sent to and what it costs.
+// requestID identifies a request. It contains the gateway and the units of the request, so that servers know them.
 type requestID struct {
-	gateway int // that the client sent it to
+	gateway int // gateway that the client sends the request to
 	units   int
-	number  int // among the requests to the gateway
+	number  int // sequence number among the requests to the gateway
 }
 
 func (id requestID) String() string { return fmt.Sprintf("g%d-%d-%d", id.gateway, id.units, id.number) }
 
-// parseRequestID reads the text of a request ID.
+// parseRequestID parses a request ID.
 func parseRequestID(text string) (id requestID, ok bool) {
 	fields := strings.Split(strings.TrimPrefix(text, "g"), "-")
 	if len(fields) != 3 {
@@ -98,5 +98,5 @@
 	return id, true
 }
 
-// responsePrefix is how the body of a response to a request begins; the server's name follows.
+// responsePrefix returns the beginning of the body of a response to a request. The server's name follows it.
 func responsePrefix(id string) string { return id + " from " }
--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -8,20 +8,22 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// checkResponse counts the outcome of a request and checks that each request which a gateway has accepted gets its
-// final response, and one that was served gets it from a server.
+// checkResponse counts the outcome of a request. It checks that a request that a gateway has accepted got a final response,
+// and that the response to a served request came from a server.
 func (c *checker) checkResponse(r *request, arrivals []*arrival) {
 	c.countOutcome(r)
 	switch r.outcome {
 	case outcomeServed:
 		if !strings.HasPrefix(r.responseBody, responsePrefix(r.id)) {
-			c.result.addViolation(&c.result.Lost, "%s %s was served with %q", c.seconds(r.endedAt), r.id, r.responseBody)
+			c.result.addViolation(&c.result.Lost, "%s %s was served, but the body %q is not a response of a server to it",
+				c.seconds(r.endedAt), r.id, r.responseBody)
 		}
 	case outcomeRejected:
 		c.checkRejected(r, arrivals)
 	case outcomeInvalid:
 		if !r.incomplete {
-			c.result.addViolation(&c.result.Lost, "%s %s got %d: %s", c.seconds(r.endedAt), r.id, r.status, r.responseBody)
+			c.result.addViolation(&c.result.Lost, "%s %s got the unexpected status %d with the body %s", c.seconds(r.endedAt), r.id,
+				r.status, r.responseBody)
 		}
 		return
 	case outcomeCanceled, outcomeNotConnected, outcomePending:
@@ -43,28 +45,30 @@
 	}
 }
 
-// checkRejected checks that a rejected request was not executed, unless it is idempotent.
+// checkRejected checks that a rejected request was not executed by a server, unless it is idempotent.
 func (c *checker) checkRejected(r *request, arrivals []*arrival) {
 	if r.class.idempotency == idempotent {
 		return
 	}
 	if slices.ContainsFunc(arrivals, func(a *arrival) bool { return a.executed }) {
-		c.result.addViolation(&c.result.DuplicateExecutions, "%s %s (%s) was rejected, though it may have been executed", c.seconds(r.endedAt),
-			r.id, r.class.idempotency)
+		c.result.addViolation(&c.result.DuplicateExecutions, "%s %s (%s) was rejected, but a server may have executed it",
+			c.seconds(r.endedAt), r.id, r.class.idempotency)
 	}
 }
 
-// checkResponseTime checks that a request which was sent to a running gateway has ended in time and with a response.
+// checkResponseTime checks that a request that was sent to a running gateway got a response in time. For an incomplete request, it
+// is enough that the gateway closed the connection.
 func (c *checker) checkResponseTime(r *request, arrivals []*arrival) {
-	if r.incomplete { // the gateway has to end it, with a response or without
+	if r.incomplete { // the gateway has to respond or close the connection
 		if r.outcome == outcomeTimedOut {
-			c.result.addViolation(&c.result.Lost, "%s %s was sent incompletely and never ended", c.seconds(r.endedAt), r.id)
+			c.result.addViolation(&c.result.Lost, "%s %s was sent incompletely, and the gateway neither responded nor closed the connection",
+				c.seconds(r.endedAt), r.id)
 		}
 		return
 	}
 	if r.outcome == outcomeTimedOut || r.endedAt.Sub(r.sentAt) > r.deadline+responseSlack {
-		c.result.addViolation(&c.result.Lost, "%s %s (%s, %v, to n%d) was sent at %s and got no response in time (%d)", c.seconds(r.endedAt),
-			r.id, r.class.name, r.deadline, r.gateway, c.seconds(r.sentAt), r.status)
+		c.result.addViolation(&c.result.Lost, "%s %s (%s, deadline %v, to n%d) was sent at %s and got no response in time (status %d)",
+			c.seconds(r.endedAt), r.id, r.class.name, r.deadline, r.gateway, c.seconds(r.sentAt), r.status)
 		return
 	}
 	if r.outcome != outcomeDisconnected {
@@ -74,17 +78,19 @@
 		c.result.NeverAccepted++
 		return
 	}
-	c.result.addViolation(&c.result.Lost, "%s %s (%s, to n%d, reused %v) was sent at %s and its connection ended: %v; attempts %d",
+	c.result.addViolation(&c.result.Lost,
+		"%s %s (%s, to n%d, connection reused: %v) was sent at %s, and its connection ended: %v; number of attempts: %d",
 		c.seconds(r.endedAt), r.id, r.class.name, r.gateway, r.connReused, c.seconds(r.sentAt), r.err, len(arrivals))
 }
 
-// neverAccepted reports whether the gateway may have closed the connection before it read a request for which there was
-// no attempt.
+// neverAccepted reports whether the gateway may have closed the connection before it read the request. There must have been
+// no attempt of the request.
 func (c *checker) neverAccepted(r *request) bool {
 	if r.connReused || r.sentAt.IsZero() {
-		return true // the request met the end of an idle connection
+		return true // the gateway may have closed the idle connection while the client sent the request
 	}
-	// When a gateway that shuts down stops accepting, the system resets connections that it has established meanwhile.
+	// When a gateway that is shutting down stops accepting connections, the operating system resets those that it has
+	// established but that the gateway has not accepted.
 	stoppedAccepting := c.terminating(r.gateway, r.dialedAt.Add(-acceptTime), r.endedAt) &&
 		!c.terminating(r.gateway, r.dialedAt.Add(time.Millisecond), r.dialedAt.Add(acceptTime))
 	dialedTooLate := slices.ContainsFunc(c.gateways[r.gateway].terminations, func(termination process.Interval) bool {
--- a/internal/testbed/chaos/result.go
+++ b/internal/testbed/chaos/result.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// maxViolationTexts is how many violations a Result describes.
+// maxViolationTexts is how many violations a Result describes. Further violations are only counted.
 const maxViolationTexts = 60
 
-// Result is what a run has shown.
+// Result holds the counts and the violations of a run.
 type Result struct {
 	Gateways      int
 	Seed          uint64
@@ -15,16 +15,16 @@
 	Rejected      int
 	Failed        int
 	NeverAccepted int // requests on a connection that the gateway closed before it read them
-	Stalls        int // of the whole machine
+	Stalls        int // stalls of the whole machine
 
 	// Violations of the invariants, by kind.
-	SentAfterDrain      int // attempts at a server after the gateway was notified that it drains
-	SlowStartExceeded   int // servers that got more than their slow start allows
-	Lost                int // requests without a final response, or with a wrong one, or attempted for a client that had left
-	DuplicateExecutions int
-	DeadlineExtended    int // attempts that stated more time to the server than the client had left
-	GatewayReported     int // violations that gateways counted themselves
-	Crashed             int
+	SentAfterDrain      int // attempts at a server later than the drain grace after the gateway was notified that it drains
+	SlowStartExceeded   int // servers that got more load than their slow start allows
+	Lost                int // requests without a final response, with a wrong one, or attempted after the client was gone
+	DuplicateExecutions int // executions that repeat one without protection by idempotency or deduplication
+	DeadlineExtended    int // attempts that stated a longer remaining time to the server than the client had left
+	GatewayReported     int // nonzero violation counters in the metrics of gateways
+	Crashed             int // gateways that exited unexpectedly, did not exit in time, or did not start
 
 	Violations []string // descriptions of the first violations
 }
@@ -34,14 +34,14 @@
 	return r.SentAfterDrain + r.SlowStartExceeded + r.Lost + r.DuplicateExecutions + r.DeadlineExtended + r.GatewayReported + r.Crashed
 }
 
-// String returns the summary line of the run, in the form that scripts read.
+// String returns the summary line of the run in the format that scripts parse.
 func (r *Result) String() string {
 	return fmt.Sprintf("processes=%d seed=%d faults=%d requests=%d drain=%d slow_start=%d lost=%d duplicate=%d late_deadline=%d closed_without_response=%d crashed=%d",
 		r.Gateways, r.Seed, r.FaultCount, r.Requests, r.SentAfterDrain, r.SlowStartExceeded, r.Lost, r.DuplicateExecutions,
 		r.DeadlineExtended, r.GatewayReported, r.Crashed)
 }
 
-// addViolation counts a violation and describes it.
+// addViolation counts a violation, and describes it if it is among the first maxViolationTexts.
 func (r *Result) addViolation(count *int, format string, args ...any) {
 	*count++
 	if len(r.Violations) < maxViolationTexts {
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -16,14 +16,14 @@
 
 // arrival is an attempt as a fake server received it.
 type arrival struct {
-	id          string // of the client's request
-	gateway     int    // -1: unknown
-	server      *server
-	firstByteAt time.Time
-	lastByteAt  time.Time     // zero: the request was never complete
-	timeLeft    time.Duration // until the client's deadline, as the gateway states it
-	units       float64
-	executed    bool // the server has executed the request, or may have
+	id            string // ID of the client's request
+	gateway       int    // index of the gateway that sent the attempt; -1: unknown
+	server        *server
+	firstByteAt   time.Time
+	lastByteAt    time.Time     // zero: the request did not arrive completely
+	remainingTime time.Duration // remaining time that the gateway states
+	units         float64
+	executed      bool // whether the server has executed the request, or may have
 }
 
 // server fakes one incarnation of a storage server. It records all arrivals.
@@ -39,7 +39,7 @@
 	behavior       behavior
 	behaviorEnd    time.Time
 	draining       bool
-	rejectRequests bool // while draining
+	rejectRequests bool // whether requests are rejected while the server drains
 	conns          map[net.Conn]bool
 	idle           map[net.Conn]bool
 	arrivals       []*arrival
@@ -117,7 +117,7 @@
 	}
 }
 
-// drain makes the server drain. It goes on serving requests unless it is to reject them.
+// drain puts the server into the draining state, in which it either rejects requests or goes on serving them.
 func (s *server) drain(rejectRequests bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,7 @@
 	}
 }
 
-// readRequest reads one request and records its arrival, also if the request is not complete.
+// readRequest reads one request and records its arrival, even if the request is incomplete.
 func (s *server) readRequest(in *bufio.Reader, firstByteAt time.Time) (*arrival, error) {
 	a := &arrival{server: s, firstByteAt: firstByteAt, gateway: -1}
 	req, err := http.ReadRequest(in)
@@ -191,7 +191,7 @@
 			a.gateway, a.units = id.gateway, float64(id.units)
 		}
 		left, _ := strconv.ParseFloat(req.Header.Get("X-Time-Left-Ms"), 64) // 0 if it is missing
-		a.timeLeft = time.Duration(left * float64(time.Millisecond))
+		a.remainingTime = time.Duration(left * float64(time.Millisecond))
 		_, err = io.Copy(io.Discard, req.Body)
 	}
 	if err == nil {
@@ -203,15 +203,15 @@
 	return a, err
 }
 
-// execution is what a server does with one request.
+// execution is how a server treats one request.
 type execution struct {
 	behavior behavior
 	duration time.Duration
-	chance   float64 // in [0, 1), compared with the probabilities of a behavior
+	chance   float64 // draw from [0, 1) that is compared with the probabilities of the behavior
 	rejected bool
 }
 
-// execute draws how the server treats a request, and records whether it executes it.
+// execute draws how the server treats a request, and marks the arrival as executed unless the request is rejected.
 func (s *server) execute(a *arrival) execution {
 	e := execution{behavior: s.currentBehavior()}
 	s.mu.Lock()
@@ -225,7 +225,7 @@
 	return e
 }
 
-// respond responds to a request according to the current behavior. It reports whether the connection can be used further.
+// respond responds to a request according to the current behavior. It reports whether the connection stays open.
 func (s *server) respond(conn net.Conn, a *arrival) (open bool) {
 	e := s.execute(a)
 	if e.rejected {
@@ -274,7 +274,7 @@
 	return err == nil
 }
 
-// recordedArrivals returns what has arrived so far.
+// recordedArrivals returns all arrivals so far.
 func (s *server) recordedArrivals() []*arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/chaos/serverfaults.go
+++ b/internal/testbed/chaos/serverfaults.go
@@ -9,17 +9,17 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// Times of the replacement of a server. A draining server stays for longer than the drain grace, so that a gateway that
-// goes on using it is detected.
+// Times of the replacement of a server. A draining server keeps running for longer than the drain grace, so that a gateway
+// that goes on using it is detected.
 const (
-	drainTime      = 14 * time.Second // from the ready replacement until the server is removed from the list
-	removedRunTime = 4 * time.Second  // from there until the server is closed
+	drainTime      = 14 * time.Second // from the listing of the replacement to the removal of the drained server
+	removedRunTime = 4 * time.Second  // from the removal to the end of the drained server
 )
 
-// shardsPerFault is how many shards there are for each one whose server is replaced at most.
+// A fault replaces the servers of at most one of every shardsPerFault shards, but of at least one.
 const shardsPerFault = 3
 
-// replaceServers drains the servers of some shards and puts others in their places.
+// replaceServers drains the servers of some shards and starts replacements for them.
 func replaceServers(h *harness, random *rand.Rand) {
 	for range 1 + random.IntN(max(1, h.options.Shards/shardsPerFault)) {
 		shard := random.IntN(h.options.Shards)
@@ -39,9 +39,9 @@
 }
 
 // errReplacing reports that the server of a shard is already being replaced or restarted.
-var errReplacing = errors.New("chaos: shard already has a replacement")
+var errReplacing = errors.New("chaos: server of the shard is already being replaced or restarted")
 
-// beginReplacement starts a server that is to replace the one of a shard. It is not listed yet.
+// beginReplacement starts a replacement for the server of a shard and does not add it to the endpoint list yet.
 func (h *harness) beginReplacement(shard int) (drained, replacement *server, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +59,8 @@
 	return h.current[shard], replacement, nil
 }
 
-// finishReplacement lists a replacement after a gap, and later removes the drained server from the list and closes it.
+// finishReplacement adds a replacement to the endpoint list after a gap. Later it removes the drained server from the list and
+// closes it.
 func (h *harness) finishReplacement(drained, replacement *server, gap time.Duration) {
 	h.sleep(gap)
 	h.discovery.publish(replacement, process.EndpointReady)
@@ -72,7 +73,7 @@
 	drained.close()
 }
 
-// restartServer ends a server and starts it again under its name and address: a new incarnation in slow start.
+// restartServer closes a server and starts a new incarnation, which is in slow start, under the same name and address.
 func restartServer(h *harness, random *rand.Rand) {
 	shard := random.IntN(h.options.Shards)
 	downTime := randomDuration(random, 0, time.Second)
@@ -101,8 +102,8 @@
 	h.discovery.publish(restarted, process.EndpointReady)
 }
 
-// claimForRestart marks the server of a shard as being replaced. It reports false if the server is draining, closed or
-// being replaced already.
+// claimForRestart marks the server of a shard as being restarted. It returns false if the server is draining, closed, or
+// already being replaced or restarted.
 func (h *harness) claimForRestart(shard int) (current *server, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -8,16 +8,16 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// Settings that the gateways are given. All bounds that the checker uses follow from these.
+// Settings of the gateways. The bounds of the checker are derived from them.
 const (
-	meanUnits         = 2.0
-	maxUnits          = 6.0
+	meanUnits         = 2.0 // mean units of a request
+	maxUnits          = 6.0 // units of the largest request
 	drainGrace        = time.Second
 	maxPollInterval   = 10 * time.Second
 	overloadWindow    = 3 * time.Second
 	slowStartDuration = 8 * time.Second
-	initialCapacity   = 0.28
-	slowStartUnits    = 51.0 // that a server can serve in the first overloadWindow after its start
+	initialCapacity   = 0.28 // capacity of a server right after its start, as a fraction of its full capacity
+	slowStartUnits    = 51.0 // units that a server can serve in the first overloadWindow after its start
 	dedupWindow       = 3 * time.Second
 	connectTimeout    = 250 * time.Millisecond
 	connIdleTimeout   = 4 * time.Second
@@ -26,18 +26,18 @@
 
 // Tolerances of the checker.
 const (
-	socketSlack   = 50 * time.Millisecond  // by which limits of time are longer on sockets
-	notifyWithin  = 6 * time.Second        // after which a change counts as notified, if discovery could be reached meanwhile
-	cancelSlack   = 100 * time.Millisecond // an attempt may begin so long after its client has closed the connection
-	deadlineSlack = 150 * time.Millisecond // by which the time stated to a server may exceed what the client has left
-	responseSlack = 500 * time.Millisecond // by which a response may be late without counting as lost
-	acceptTime    = 400 * time.Millisecond // after SIGTERM, during which new connections are accepted
+	socketSlack          = 50 * time.Millisecond  // added to time limits, for the delay of sockets
+	maxNotificationDelay = 6 * time.Second        // a gateway is treated as notified once discovery has been up this long
+	cancelSlack          = 100 * time.Millisecond // how long after its client has closed the connection an attempt may begin
+	deadlineSlack        = 150 * time.Millisecond // how much the time stated to a server may exceed the remaining time
+	responseSlack        = 500 * time.Millisecond // how late a response may be without counting as lost
+	acceptTime           = 400 * time.Millisecond // how long a gateway accepts new connections after SIGTERM
 )
 
-// firstVolume is the volume of the requests to the first gateway; the others follow.
+// firstVolume is the volume of the requests to the first gateway. The other gateways have the following volumes.
 const firstVolume = 0xb000
 
-// idempotency says what the repetition of a request does, in the words of the settings.
+// idempotency is the idempotency of the requests of a service class, under its name in the settings.
 type idempotency string
 
 const (
@@ -63,11 +63,11 @@
 	{"scan", idempotent, time.Second, 3 * time.Second, false, 1},
 }
 
-// milliseconds converts a duration to the unit of the settings.
+// milliseconds converts a duration to milliseconds, the unit of the settings.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// slowStartBound returns how many requests of meanUnits a server may get within an overloadWindow that ends at an age of
-// the server. It allows for the spread of random arrivals.
+// slowStartBound returns how many requests of meanUnits a server may get within an overloadWindow that ends at the given age
+// of the server. It includes a margin of two or three standard deviations for random arrivals.
 func slowStartBound(age time.Duration) float64 {
 	capacity := initialCapacity + (1-initialCapacity)*min(1, age.Seconds()/slowStartDuration.Seconds())
 	requests := slowStartUnits / meanUnits * capacity / initialCapacity
@@ -77,7 +77,7 @@
 	return requests + 2*math.Sqrt(requests) + 2
 }
 
-// gatewayConfig returns the configuration of a gateway with the current endpoint list.
+// gatewayConfig returns the configuration of a gateway, with the current endpoint list as cached snapshot.
 func (h *harness) gatewayConfig(g *gateway) process.Config {
 	return process.Config{
 		Name:      g.Name,
@@ -90,7 +90,7 @@
 	}
 }
 
-// gatewaySettings returns the settings of a gateway, with the protocol's names.
+// gatewaySettings returns the settings of a gateway, under the names that it reads.
 func gatewaySettings(options *Options, index int) map[string]any {
 	mode := "ask"
 	if options.PushDiscovery {
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// heartbeatInterval is the time between two messages of a watch on which nothing changes.
+	// heartbeatInterval is how long a watch sends nothing before a heartbeat, while the endpoint list does not change.
 	heartbeatInterval = 2 * time.Second
-	// callSlotTimeout is how long a call waits until discovery rejects it.
+	// callSlotTimeout is how long a call waits for earlier calls before discovery rejects it.
 	callSlotTimeout = 2 * time.Second
 )
 
-// watch is an open watch. Its fields are guarded by discovery.mu, except gateway and end, which do not change.
+// watch is an open watch of a gateway. Its fields are guarded by discovery.mu, except gateway and end, which do not change.
 type watch struct {
-	gateway     int
-	end         chan struct{} // closed to reset the watch
-	version     int           // of the list that the gateway has
-	opening     bool          // its first message was not sent yet
-	silentSince time.Time     // zero while it sends messages
+	gateway      int
+	end          chan struct{} // closed to reset the watch
+	version      int           // version of the list that the gateway has
+	firstPending bool          // whether its first message has not been sent yet
+	silentSince  time.Time     // zero while the watch sends messages
 }
 
-// serveWatch handles one call of a gateway: a watch of the endpoint list.
+// serveWatch handles a call of a gateway, which opens a watch of the endpoint list.
 func (d *discovery) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
 	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if the gateway has no list
 	if d.failInOutage(w) {
@@ -34,29 +34,29 @@
 		http.Error(w, "too many calls", http.StatusServiceUnavailable)
 		return
 	}
-	id, own := d.openWatch(gateway, version)
-	if own == nil {
+	id, opened := d.openWatch(gateway, version)
+	if opened == nil {
 		d.failInOutage(w)
 		return
 	}
 	defer func() {
 		d.mu.Lock()
-		delete(d.open[gateway], id)
+		delete(d.openWatches[gateway], id)
 		d.mu.Unlock()
 	}()
 	for {
-		message, ok := d.nextMessage(own)
+		message, ok := d.nextMessage(opened)
 		if !ok {
-			d.waitSilently(own, r)
+			d.waitSilently(opened, r)
 		}
 		if _, err := w.Write(message.line); err != nil {
 			return
 		}
-		_ = http.NewResponseController(w).Flush() // the request's context ends when the connection is broken
+		_ = http.NewResponseController(w).Flush() // if the connection is broken, the request's context ends
 		select {
 		case <-message.changed:
 		case <-time.After(heartbeatInterval):
-		case <-own.end:
+		case <-opened.end:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
@@ -64,7 +64,7 @@
 	}
 }
 
-// failInOutage answers a call as the current outage does, and reports whether there is one.
+// failInOutage fails a call in the manner of the current outage. It returns false if there is no outage.
 func (d *discovery) failInOutage(w http.ResponseWriter) bool {
 	d.mu.Lock()
 	down, kind := d.down, d.outage
@@ -79,8 +79,8 @@
 	return true
 }
 
-// waitForCallSlot waits until the calls before this one are handled, and for the time of this one. It reports false if
-// the call has waited for too long or was canceled.
+// waitForCallSlot waits until the earlier calls have been handled, and then for as long as discovery takes to handle this
+// call. It returns false if the earlier calls took longer than callSlotTimeout or if the call was canceled.
 func (d *discovery) waitForCallSlot(r *http.Request) bool {
 	select {
 	case d.callSlot <- struct{}{}:
@@ -97,54 +97,54 @@
 	return true
 }
 
-// openWatch registers a watch of a gateway that has a version of the list. During an outage it returns nil.
-func (d *discovery) openWatch(gateway, version int) (id int, own *watch) {
+// openWatch registers a watch of a gateway that has the given version of the list. It returns a nil watch during an outage.
+func (d *discovery) openWatch(gateway, version int) (id int, opened *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down {
 		return 0, nil
 	}
-	d.nextWatch++
-	own = &watch{gateway: gateway, end: make(chan struct{}), version: version, opening: true}
-	d.open[gateway][d.nextWatch] = own
-	return d.nextWatch, own
+	d.lastWatchID++
+	opened = &watch{gateway: gateway, end: make(chan struct{}), version: version, firstPending: true}
+	d.openWatches[gateway][d.lastWatchID] = opened
+	return d.lastWatchID, opened
 }
 
 // watchMessage is one line of a watch.
 type watchMessage struct {
 	line    []byte          // a snapshot, a delta, or an empty line as a heartbeat
-	changed <-chan struct{} // closed by the first change that it does not contain
+	changed <-chan struct{} // closed at the first change that the line does not contain
 }
 
-// nextMessage returns the next message of a watch and records its delivery. It reports false if the watch is silent.
-func (d *discovery) nextMessage(own *watch) (watchMessage, bool) {
+// nextMessage returns the next message of a watch and records its delivery. It returns false if the watch is silent.
+func (d *discovery) nextMessage(opened *watch) (watchMessage, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !own.silentSince.IsZero() {
+	if !opened.silentSince.IsZero() {
 		return watchMessage{}, false
 	}
 	var line []byte
 	latest := len(d.changes)
 	switch {
-	case own.opening && (own.version == 0 || own.version > latest):
+	case opened.firstPending && (opened.version == 0 || opened.version > latest):
 		line = d.snapshot().JSON()
-	case own.version < latest:
-		line = d.delta(own.version).JSON()
+	case opened.version < latest:
+		line = d.delta(opened.version).JSON()
 	}
-	own.version, own.opening = latest, false
-	d.deliveries[own.gateway] = append(d.deliveries[own.gateway], delivery{time.Now(), latest})
+	opened.version, opened.firstPending = latest, false
+	d.deliveries[opened.gateway] = append(d.deliveries[opened.gateway], delivery{time.Now(), latest})
 	return watchMessage{line: append(line, '\n'), changed: d.changed}, true
 }
 
-// waitSilently keeps a silent watch open until either side ends it, and records for how long it was silent. It does not
-// return: it aborts the response.
-func (d *discovery) waitSilently(own *watch, r *http.Request) {
+// waitSilently keeps a silent watch open until either side ends it, and records the time in which it was silent. It does not
+// return but aborts the response with a panic.
+func (d *discovery) waitSilently(opened *watch, r *http.Request) {
 	select {
-	case <-own.end:
+	case <-opened.end:
 	case <-r.Context().Done():
 	}
 	d.mu.Lock()
-	d.silences[own.gateway] = append(d.silences[own.gateway], process.Interval{From: own.silentSince, To: time.Now()})
+	d.silences[opened.gateway] = append(d.silences[opened.gateway], process.Interval{From: opened.silentSince, To: time.Now()})
 	d.mu.Unlock()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -42,7 +42,7 @@
 	linesAfterViolation  = 20
 )
 
-// Options describe a run.
+// Options are the parameters of a run.
 type Options struct {
 	Binary         string // path of the gateway program
 	Gateways       int
--- a/internal/testbed/cluster/traffic.go
+++ b/internal/testbed/cluster/traffic.go
@@ -15,8 +15,8 @@
 
 // Distribution of the requests that clients draw.
 const (
-	otherHostOneIn    = 20 // one of so many requests goes to a random host instead of the primary one
-	largeRequestOneIn = 25 // one of so many requests has maxUnits
+	otherHostOneIn    = 20 // one in this many requests goes to a random host instead of the primary one
+	largeRequestOneIn = 25 // one in this many requests has maxUnits
 	maxTypicalUnits   = 3  // other requests have from 1 to maxTypicalUnits units
 )
 
