--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -16,7 +16,7 @@
 	Datagrams                 int // datagrams forwarded between gateways
 
 	EjectedSendRate   float64 // highest rate of attempts, per second, from one gateway to a server that fails for all gateways
-	StaleListSendRate float64 // the same to a draining server whose drain is missing in the gateway's own endpoint list
+	StaleListSendRate float64 // the same to a draining server, from a gateway whose own endpoint list does not say that it drains
 	RecoveryMs        float64 // longest time until a server that had failed for all gateways was used again
 	MaxOverLimit      float64 // most units by which any volume exceeded its limit
 	AllowedOverLimit  float64 // most units by which the invariant allows a volume to exceed its limit
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -18,7 +18,7 @@
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
 	Discovery string         `json:"discovery"`
-	Seed      string         `json:"seed"` // 16 hexadecimal digits
+	Seed      string         `json:"seed"` // seed of the gateway's random numbers, as 16 hexadecimal digits
 	Known     EndpointList   `json:"known"`
 	Limits    Limits         `json:"limits"`
 	Settings  map[string]any `json:"settings"`
@@ -111,7 +111,7 @@
 		return fmt.Errorf("process: encode %s: %w", path, err)
 	}
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("process: %w", err)
+		return fmt.Errorf("process: write a gateway file: %w", err)
 	}
 	return nil
 }
