--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -19,7 +19,7 @@
 // Reasons for which a request ends without a response.
 const (
 	ReasonInvalidRequest   Reason = iota // the class or plan is not in the settings, or a value is out of range
-	ReasonNoServer                       // no shard has a server for the request
+	ReasonNoServer                       // the request is for a new object, and no shard has a ready server
 	ReasonObjectiveMissed                // a response within the class's latency objective is no longer possible
 	ReasonDeadlineExceeded               // the deadline of the client or of the gateway's shutdown has passed
 	ReasonRetryNotAllowed                // an attempt failed, and a retry is not allowed or would come too late
@@ -31,12 +31,12 @@
 
 // String returns the name of the reason in logs and counters, or "unknown".
 func (r Reason) String() string {
-	return nameOf(r, "invalid_request", "no_server", "objective_missed", "deadline_exceeded", "retry_not_allowed",
+	return enumName(r, "invalid_request", "no_server", "objective_missed", "deadline_exceeded", "retry_not_allowed",
 		"endpoint_lease_expired")
 }
 
-// nameOf returns the name of an enumeration value, or "unknown" if names does not contain one for it.
-func nameOf[E ~uint8](value E, names ...string) string {
+// enumName returns names[value], the name of an enumeration value, or "unknown" if names has no such element.
+func enumName[E ~uint8](value E, names ...string) string {
 	if int(value) < len(names) {
 		return names[value]
 	}
@@ -56,7 +56,7 @@
 	Reason Reason
 }
 
-// CancelAttempt asks the gateway to abandon an attempt. The gateway still reports its AttemptEnded.
+// CancelAttempt asks the gateway to abandon an attempt. The gateway still reports an AttemptEnded for it.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int // index of the attempt among the request's Sends, counted from 0
@@ -68,13 +68,13 @@
 // ProbeServer asks the gateway to probe a server. The scheduler never emits it.
 type ProbeServer struct{ Server ServerID }
 
-// QuotaDemand reports how much of a volume's limit its requests at this gateway could use. It is emitted only if
+// QuotaDemand reports how much of a volume's limit the requests that arrive at this gateway could use. It is emitted only if
 // Settings.QuotaLeases is set.
 type QuotaDemand struct {
 	Volume   VolumeID
 	Gateways int     // number of gateways that receive requests of the volume
 	Share    float64 // demand as a fraction of the whole limit; may exceed 1
-	First    bool    // whether the scheduler has no QuotaShare of the volume yet and needs one
+	First    bool    // whether this is the first QuotaDemand since the scheduler created its state of the volume
 }
 
 // SetTimer asks for a TimerFired at the given clock time or soon after. While a timer is pending, the scheduler sets only timers
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// admit queues a request in the flow of its volume at its shard, or rejects it if it cannot be scheduled. A request is ignored if
-// its ID is in use.
+// admit queues a request in the flow of its volume at its shard, or rejects it if it cannot be scheduled. A request whose ID is in
+// use is ignored, but it counts for the retry budget like every arrival.
 func (s *Scheduler) admit(arrival *RequestArrived) {
 	s.retryBudget.recordArrival(s.now)
 	if s.requests[arrival.ID] != nil {
@@ -42,10 +42,14 @@
 
 // setDeadlines sets the expiry and the latency objective of a request.
 //
-// The objective is measured from the client's first attempt. For a request that may be a retry, the time since the first attempt
-// (its age) is estimated: it is the longest remaining time that any request of the class had when its client sent it, minus the
-// remaining time that this request had then. If the estimated age is not below that remaining time, the request is treated as a
-// first attempt with a short deadline, because a retry of that age could hardly meet its objective.
+// The objective of a first attempt is measured from its arrival at the gateway. The objective of a client's retry is earlier by
+// the age of the request: the time from the client's first attempt to the retry. The age of a request without IsFirstAttempt is
+// estimated from the remaining time that the request had when its client sent it. The estimate is the longest such time of the
+// class, among requests without IsFirstAttempt, minus that of this request. If the estimated age is not below the remaining time
+// that this request had, the request is treated as a first attempt with a short deadline: a retry of that age could hardly meet
+// its objective.
+//
+// The objective is never later than the expiry. During a shutdown, the expiry is never later than the deadline of the shutdown.
 func (s *Scheduler) setDeadlines(request *request) {
 	request.expiresAt = s.now + request.Remaining
 	request.objectiveAt = s.now + request.class.LatencyObjective
--- a/internal/scheduler/authorization.go
+++ b/internal/scheduler/authorization.go
@@ -17,7 +17,8 @@
 }
 
 // endpointsExpired reports whether the endpoint list is too old for sending requests. From endpointsValidUntil on, this gateway is
-// treated as having been notified of all changes of the list, even of those that have not arrived: a listed server may be draining.
+// treated as having been notified of all changes of the list, even of those that have not arrived. It must then send nothing, since
+// any listed server may be draining.
 func (s *Scheduler) endpointsExpired() bool {
 	return s.endpointsValidUntil != 0 && s.now >= s.endpointsValidUntil
 }
@@ -34,8 +35,8 @@
 }
 
 // isWithinDedupScope reports whether a retry at a server stays within the deduplication scope of the request, if the retry depends
-// on deduplication. Only DedupZone needs a check: a request that may have been executed is never moved to another shard, which
-// satisfies DedupShard.
+// on deduplication. Only DedupZone needs a check: DedupAll covers every server, and DedupShard always holds because a request that
+// may have been executed is never moved to another shard.
 func (r *request) isWithinDedupScope(server *serverEntry) bool {
 	zoneOnly := r.mayHaveExecuted && r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupZone
 	return !zoneOnly || server.Zone == r.executionZone
--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -12,7 +12,7 @@
 	latencyHalfLife = time.Second
 	// initialWindow is the window of a new server, in requests.
 	initialWindow = 8.0
-	// initialExcessWindow is the excess window of a new server, summed over all gateways, in requests.
+	// initialExcessWindow is congestionControl.excessWindow of a new server, summed over all gateways, in requests.
 	initialExcessWindow = 24.0
 	// minWindow is the smallest window of a server, summed over all gateways, in requests.
 	minWindow = 4.0
@@ -23,9 +23,10 @@
 	fractionalWindowFactor = 2.5
 	// excessWindowFactor is the multiple of the threshold that the latency must exceed for the excess window to shrink.
 	excessWindowFactor = 1.5
-	// idleDoublings is how often a window below one request doubles per latencyHalfLife while nothing is in flight.
+	// idleDoublings is how many times a window below one request doubles per latencyHalfLife while nothing is in flight.
 	idleDoublings = 4.0
-	// targetQueuePerFlow is what a flow of mean weight adds to PARDA's β, summed over all gateways of its volume, in requests.
+	// targetQueuePerFlow is what a flow of mean weight adds to PARDA's β, the number of requests to keep queued at a server. It is
+	// summed over all gateways of the flow's volume.
 	targetQueuePerFlow = 0.5
 	// maxPeerSamples bounds the latency samples that accumulate from peers for a server to which this gateway sends no requests.
 	maxPeerSamples = 8
@@ -37,7 +38,7 @@
 // zero value belongs to a server that has not been listed yet.
 type congestionControl struct {
 	window       float64 // limit on requests in flight; below 1, it is the fraction of the time in which one request may be in flight
-	excessWindow float64 // limit, in the same unit, that applies to requests beyond the baseline rate of their volume
+	excessWindow float64 // like window, but for requests beyond the baseline rate of their volume; the lower of both limits them
 
 	latency          time.Duration // smoothed latency; L in PARDA
 	latencyUpdatedAt time.Duration
@@ -56,8 +57,8 @@
 	c.latencySamples++
 }
 
-// addPeerSample adds a latency that other gateways have measured. Beyond maxPeerSamples it halves the weight of the earlier
-// samples.
+// addPeerSample adds a latency that other gateways have measured. If there are maxPeerSamples or more already, it halves the weight
+// of the earlier samples.
 func (c *congestionControl) addPeerSample(latency time.Duration) {
 	if c.latencySamples >= maxPeerSamples {
 		c.latencySum, c.latencySamples = c.latencySum/2, c.latencySamples/2
@@ -89,8 +90,8 @@
 	c.excessWindow = min(max(excess, minimum), maxWindow)
 }
 
-// growIdle lets windows below one request grow back to one over a period in which nothing was in flight: without a response,
-// updateWindows is not applied.
+// growIdle lets windows below one request grow towards one after a period in which nothing was in flight. Such a period has no
+// latency samples, so updateWindows does not change the windows.
 func (c *congestionControl) growIdle(period time.Duration) {
 	growth := math.Exp2(idleDoublings * float64(period) / float64(latencyHalfLife))
 	c.window = max(c.window, min(1, c.window*growth))
@@ -134,8 +135,9 @@
 	return targetQueue
 }
 
-// updateServerWindows updates a server's latency and windows at the end of a period. After a period without a response they are
-// unchanged, except that the windows of an unresponsive server shrink and that those of a server with nothing in flight grow back.
+// updateServerWindows updates a server's latency and windows at the end of a period. After a period without latency samples they
+// are unchanged, with two exceptions: the windows of an unresponsive server shrink, and those of a server with nothing in flight
+// grow back to one request if they are smaller.
 func (s *Scheduler) updateServerWindows(server *serverEntry, targetQueue float64) {
 	congestion := &server.congestion
 	if congestion.latencySamples > 0 {
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -6,11 +6,11 @@
 // multiple of the expected latency.
 const queueTimeoutFactor = 0.6
 
-// dispatch sends queued requests of a shard while the windows of its servers have room. It then ends the queued requests that can
-// no longer meet their objective.
+// dispatch sends queued requests of a shard while the windows of its servers have room. It then passes the queued requests that
+// can no longer meet their objective to expireOrForward.
 func (s *Scheduler) dispatch(shard *shard) {
 	latency := s.responseLatency(shard)
-	for _, server := range shard.servers { // longest running first; the next server gets the requests that exceed its capacity
+	for _, server := range shard.servers { // longest running first; a later server gets only what the earlier ones cannot take
 		server.detectLostAttempts(s.now, s.latencyThreshold, max(1, s.settings.MeanUnits))
 		for {
 			flow, request := s.selectNext(shard, server, latency)
@@ -27,14 +27,15 @@
 	}
 }
 
-// responseLatency returns the expected latency of the fastest server of a shard, or the latency threshold if it has no server.
+// responseLatency returns the expected latency of the fastest server of a shard, or the latency threshold if the shard has no
+// server.
 func (s *Scheduler) responseLatency(shard *shard) time.Duration {
 	fastest := s.latencyThreshold
 	for i, server := range shard.servers {
 		latency := server.expectedLatency(s.now, s.latencyThreshold)
 		if server.responsiveness(s.now, s.latencyThreshold) == trialDue {
-			// The expected latency includes the age of the unanswered attempt. It would expire all queued requests, and the trial
-			// needs one of them.
+			// The expected latency includes the age of the unanswered attempt. At such a latency all queued requests would be
+			// rejected, but the trial needs one of them.
 			latency = time.Duration(float64(server.congestion.latency) / queueTimeoutFactor)
 		}
 		if i == 0 || latency < fastest {
@@ -54,9 +55,10 @@
 	return request.objectiveAt >= s.now+time.Duration(factor*float64(latency))
 }
 
-// expireOrForward rejects a queued request that can no longer meet its latency objective. A first attempt that a slow client link
-// has delayed is sent instead if its deadline leaves enough time and a fast server has spare capacity. A client's retry is not sent:
-// under overload it would take capacity from first attempts.
+// expireOrForward ends a queued request that can no longer meet its latency objective. A request that a slow client link has
+// delayed (by more than the latency threshold) and that has not been sent yet is sent instead, if its deadline leaves enough time
+// and a fast server has spare capacity. Other late requests, such as clients' retries, are not sent: under overload they would
+// take capacity from first attempts.
 func (s *Scheduler) expireOrForward(flow *flow, request *request) {
 	delayedByClientLink := request.ClientDelay > s.latencyThreshold && len(request.attempts) == 0
 	if delayedByClientLink && request.expiresAt > s.now+s.latencyThreshold {
@@ -71,8 +73,8 @@
 	s.rejectOrFail(request, ReasonObjectiveMissed)
 }
 
-// send starts an attempt and charges it to the flow, to the server, and to the volume's limit or, if it is a retry, to the retry
-// budget.
+// send starts an attempt and charges it to the flow and to the server. A first attempt is also charged to the volume's limit, a
+// retry to the retry budget.
 func (s *Scheduler) send(server *serverEntry, flow *flow, request *request) {
 	request.dequeue()
 	if len(request.attempts) == 0 {
@@ -86,6 +88,6 @@
 	request.outstanding++
 	flow.outstanding++
 	server.recordSend(s.now, attempt)
-	s.consumeSlowStart(server, request.Units)
+	s.chargeSlowStart(server, request.Units)
 	s.emit(Send{ID: request.ID, Server: server.ID, StartDeadline: request.retryStartDeadline()})
 }
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// applyServers updates the servers and the shards with the entries of an update. All updates except a Delta list every server, so
-// the servers that they do not list are removed.
+// applyServers updates the servers and the shards with the entries of an update. A Snapshot or CachedSnapshot contains every
+// server, so the servers that it does not contain are removed.
 func (s *Scheduler) applyServers(update *EndpointUpdate) {
 	listed := map[ServerID]bool{}
 	for _, endpoint := range update.Servers {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -22,7 +22,7 @@
 )
 
 // String returns the state in lower case, or "unknown".
-func (s ServerState) String() string { return nameOf(s, "ready", "draining", "removed") }
+func (s ServerState) String() string { return enumName(s, "ready", "draining", "removed") }
 
 // Server is an entry of the endpoint list.
 type Server struct {
@@ -51,7 +51,7 @@
 
 // String returns the kind in lower case, or "unknown".
 func (k UpdateKind) String() string {
-	return nameOf(k, "delta", "snapshot", "cached snapshot", "watch failed", "watch idle", "watch closed", "heartbeat")
+	return enumName(k, "delta", "snapshot", "cached snapshot", "watch failed", "watch idle", "watch closed", "heartbeat")
 }
 
 // Event is an input of Scheduler.Step: something that happened at the gateway.
@@ -77,7 +77,7 @@
 	Units          float64       // size of the request
 	Shard          int           // shard that holds the data; -1: a new object, which any shard may take
 	Gateways       int           // number of gateways that receive requests of the volume; 0: all gateways
-	IsRetry        bool          // whether the client has marked the request as a retry
+	IsRetry        bool          // whether the client has marked the request as a retry; not used by the scheduler
 	IsFirstAttempt bool          // whether this is known to be the client's first attempt, however little time remains
 }
 
@@ -93,12 +93,12 @@
 	StatusConnectFailed                 // no connection was established
 	StatusConnectionReset               // the connection broke before the response was complete
 	StatusCanceled                      // the gateway abandoned the attempt
-	StatusNotSent                       // the gateway did not send its first byte
+	StatusNotSent                       // the gateway did not send the first byte of the attempt
 )
 
 // String returns the name of the status in counters and traces, or "unknown".
 func (s Status) String() string {
-	return nameOf(s, "ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent")
+	return enumName(s, "ok", "error", "overloaded", "timed_out", "connect_failed", "connection_reset", "canceled", "not_sent")
 }
 
 // ProvesNotExecuted reports whether the status proves that the server has not executed the attempt.
@@ -114,7 +114,7 @@
 	Status         Status
 	Latency        time.Duration // time from the send to the end of the attempt
 	RequestDone    bool          // whether the client has its response, so that the request needs no further attempt
-	VolumeUsage    float64       // units of the volume that all servers served in a complete UsagePeriod, as a fraction of Plan.Rate
+	VolumeUsage    float64       // rate of units served by all servers over a Settings.UsagePeriod, as a fraction of Plan.Rate
 	HasVolumeUsage bool          // whether VolumeUsage is present
 	ForeignUnits   float64       // units of the volume that the server served to other gateways since its last response to this one
 	LoadReport     []float64     // values in the order of Settings.LoadReportFields
--- a/internal/scheduler/fairqueue.go
+++ b/internal/scheduler/fairqueue.go
@@ -109,8 +109,9 @@
 	flow.insert(request)
 }
 
-// selectNext returns the next request to send to a server, with its flow, or nil if there is none. Requests within their reserve
-// come first, then requests of the flow with the lowest start tag. latency is the expected latency of the shard.
+// selectNext returns the next request to send to a server, with its flow, or nil if there is none. Requests within the reserve of
+// their volume come first, in the order of the start tags of their flows. The other requests follow, in the same order. latency is
+// the expected latency of the shard.
 func (s *Scheduler) selectNext(shard *shard, server *serverEntry, latency time.Duration) (best *flow, next *request) {
 	bestReserved := false
 	for _, flow := range shard.flows {
--- a/internal/scheduler/outcomes.go
+++ b/internal/scheduler/outcomes.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// recordAttemptEnd applies the end of an attempt and retries or ends its request if that has no other outstanding attempt.
+// recordAttemptEnd applies the end of an attempt. If the request of the attempt has no other outstanding attempt and no response, it
+// is retried or ended.
 func (s *Scheduler) recordAttemptEnd(ended *AttemptEnded) {
 	request, attempt := s.outstandingAttempt(ended)
 	if attempt == nil {
@@ -42,7 +43,8 @@
 }
 
 // endAttempt updates the state of an attempt and of its server. An error gives no latency sample, because fast errors must not
-// enlarge the window. A response in a delayed step gives none either, because its latency includes the stall of the gateway.
+// enlarge the window. A response in a step that the gateway's own stall has delayed (see detectStall) gives none either, because its
+// latency includes the stall.
 func (s *Scheduler) endAttempt(attempt *attempt, ended *AttemptEnded) {
 	attempt.ended = true
 	attempt.request.outstanding--
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -8,16 +8,18 @@
 const (
 	// errorCooldown is the time after an error response during which a server gets no new objects.
 	errorCooldown = 4 * time.Second
-	// minKnownServers is the number of known servers from which on a gateway prefers them to other servers for new objects.
+	// minKnownServers is the number of servers that must have responded to a gateway before it prefers these servers to others for
+	// new objects.
 	minKnownServers = 8
 	// placementChoices is the number of preferred shards from which the least loaded one is chosen.
 	placementChoices = 2
 )
 
-// shardForNewObject returns the shard for a new object: the less loaded, as seen from this gateway, of two preferred shards drawn at
-// random. Gateways with few requests may all see the same shard as the least loaded one. If they searched all shards, it would get
-// the new objects of all of them and the reads that follow. A shard that is not preferred is returned only if none is preferred. The
-// result is nil if no shard has a server.
+// shardForNewObject returns the shard for a new object: the less loaded, as seen from this gateway, of two preferred shards drawn
+// at random. A shard is preferred if isPreferred holds for its first server. Gateways with few requests may all see the same
+// shard as the least loaded one. If they searched all shards, that shard would get the new objects of all these gateways, and
+// later the reads of the objects. A shard that is not preferred is returned only if none is preferred. The result is nil if no
+// shard has a server.
 func (s *Scheduler) shardForNewObject() (best *shard) {
 	bestLoad, bestPreferred, candidates := math.Inf(1), false, 0
 	enoughKnown := s.knownServers() >= minKnownServers
@@ -52,8 +54,8 @@
 }
 
 // isPreferred reports whether a server should get new objects: it accepts requests, is responsive, has not responded with an error
-// lately and is not in slow start. Once the gateway knows enough servers, only known servers are preferred, because the first use of
-// another one costs a handshake at every gateway.
+// lately and is not in slow start. If enoughKnown is set, the server must also have responded to this gateway before, because the
+// first request to a server costs every gateway a handshake.
 func (s *Scheduler) isPreferred(server *serverEntry, enoughKnown bool) bool {
 	accepting := server.consecutiveRejects == 0 && server.connectFailures == 0 && s.now >= server.backoffUntil
 	failedLately := server.lastErrorAt != 0 && s.now-server.lastErrorAt <= errorCooldown
--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -13,17 +13,19 @@
 	// idlePollSpread bounds the time over which the gateways spread their polls after watches have fallen idle. It is shorter than
 	// maxPollSpread because the detection of an idle watch has already taken time.
 	idlePollSpread = 2 * time.Second
-	// pollSpreadFactor is the time over which polls are spread after watches have ended, as a multiple of the fleet's poll time.
+	// pollSpreadFactor is the time over which polls are spread after watches have ended, as a multiple of the fleet's poll time (see
+	// fleetPollTime).
 	pollSpreadFactor = 1.25
 
 	// pollCycleFactor is the cycle, as a multiple of the fleet's poll time. The cycle is the time from the start of a failed poll
 	// to the start of the next poll.
 	pollCycleFactor = 1.5
-	// pollCycleGrowth is the factor by which the cycle grows with each consecutive failure.
+	// pollCycleGrowth is the factor by which the cycle grows with each consecutive failure after the first.
 	pollCycleGrowth = 1.5
 	// maxPollCycleFactor bounds the growth of the cycle, as a multiple of the fleet's poll time.
 	maxPollCycleFactor = 8
-	minPollCycle       = time.Second / 2
+	// minPollCycle is the lower bound of the cycle.
+	minPollCycle = time.Second / 2
 	// maxPollCycle bounds the cycle so that a gateway receives a change of the endpoint list before the time from which it is
 	// treated as having been notified of the change.
 	maxPollCycle = 5 * time.Second
@@ -31,11 +33,13 @@
 	pollCycleJitter = 0.1
 
 	// The estimated cycle replaces the cycle until a poll has succeeded, in a fleet so large that the cycle would exceed
-	// maxPollCycle.
+	// maxPollCycle. It begins at initialEstimatedCycle and grows by the factor estimatedCycleGrowth. estimatedCycleJitter is the
+	// largest random deviation from it, as a fraction of it.
 	initialEstimatedCycle = 6 * time.Second
 	estimatedCycleGrowth  = 2.5
 	estimatedCycleJitter  = 0.3
-	// estimatedCycleMinFailures is the number of consecutive failed polls from which on the estimated cycle grows.
+	// estimatedCycleMinFailures is the number of consecutive failed polls after which the estimated cycle has not grown yet. It
+	// grows with each failure after these.
 	estimatedCycleMinFailures = 2
 
 	// watchedPollInterval is the time to the next poll while a watch is open. The end of the watch schedules an earlier poll.
@@ -50,7 +54,7 @@
 //
 // Discovery responds to the polls of all gateways one after the other and abandons those that have waited too long, so the polls
 // of a fleet must be spread over about the time that all of them take together. They must not be spread over more: a gateway is
-// treated as having been notified of a change a fixed time after the change, even if it has not received it.
+// treated as having been notified of a change a fixed time after the change, even if the change has not reached it.
 type endpointPoller struct {
 	gateways    int           // number of gateways that poll the same discovery service, including this one
 	maxInterval time.Duration // Settings.MaxPollInterval; 0: unbounded
@@ -67,7 +71,8 @@
 // due reports whether the next poll is due.
 func (p *endpointPoller) due(now time.Duration) bool { return now >= p.nextPollAt }
 
-// pollStarted records that a poll starts now.
+// pollStarted records that a poll starts now. If nothing is heard of the poll, it is repeated after half of maxInterval, but not
+// before minPollTimeout.
 func (p *endpointPoller) pollStarted(now time.Duration) {
 	p.lastPollAt, p.nextPollAt, p.pollInFlight = now, now+max(p.maxInterval/2, minPollTimeout), true
 }
@@ -115,8 +120,8 @@
 	p.nextPollAt = now + time.Duration(p.random.Float64()*float64(max(spread, p.minDelay)))
 }
 
-// scheduleAfterFailure schedules the poll after a failed one, one cycle after the start of the failed poll. Discovery is then down
-// or overloaded.
+// scheduleAfterFailure schedules the poll after a failed one: one cycle after the start of the failed poll, with jitter, but not
+// before a short random pause from now. A failed poll means that discovery is down or overloaded.
 func (p *endpointPoller) scheduleAfterFailure(now time.Duration) {
 	p.pollInFlight = false
 	fleetTime := p.fleetPollTime()
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -11,7 +11,7 @@
 	server  *serverEntry
 	sentAt  time.Duration
 	ended   bool
-	lost    bool // whether its response is no longer expected; a lost attempt does not count as in flight
+	lost    bool // whether a response is no longer expected; a lost attempt does not count as in flight
 }
 
 // releaseSlot stops counting the attempt as in flight at its server and in its flow.
@@ -33,7 +33,7 @@
 	outstanding          int           // number of attempts that have not ended, including lost ones
 	mayHaveExecuted      bool          // whether a server may have executed an attempt that has ended
 	mayHaveExecutedSince time.Duration // send time of the earliest attempt that may have been executed
-	executionZone        string        // zone of the server of that attempt
+	executionZone        string        // zone of the server of the attempt sent at mayHaveExecutedSince
 	finished             bool          // whether no further attempt is sent
 	queued               bool          // whether the queue of its flow contains the request
 }
--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -23,7 +23,8 @@
 	return r.mayHaveExecutedSince + r.class.DedupWindow
 }
 
-// retryOrEnd queues a request again after a failed attempt. It ends the request if a retry is not allowed or would come too late.
+// retryOrEnd queues a request again after a failed attempt. It ends the request if the attempt has timed out, or if a retry is
+// not allowed or would come too late.
 func (s *Scheduler) retryOrEnd(request *request, server *serverEntry, status Status) {
 	request.retryNotBefore = s.now + server.congestion.latency/4
 	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that no server can have stored yet
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -26,7 +26,7 @@
 const (
 	// thresholdFraction is PARDA's latency threshold as a fraction of the shortest latency objective.
 	thresholdFraction = 0.15
-	// volumeIdleTimeout is how long the state of a volume is kept after its last request.
+	// volumeIdleTimeout is how long the state of a volume is kept at least after the volume's last request.
 	volumeIdleTimeout = time.Minute
 	// evictionInterval is the shortest time between two scans for idle state.
 	evictionInterval = volumeIdleTimeout / 4
@@ -51,7 +51,7 @@
 	actions   []Action      // actions of the current Step
 
 	requests         map[RequestID]*request   // requests that are unfinished or have outstanding attempts
-	longestRemaining map[*Class]time.Duration // longest remaining time of the requests of a class when their clients sent them
+	longestRemaining map[*Class]time.Duration // longest remaining time, at the client, of the requests of a class without IsFirstAttempt
 	volumes          map[VolumeID]*volumeEntry
 	servers          map[ServerID]*serverEntry
 	shards           []*shard
@@ -66,7 +66,7 @@
 	shutdownDeadline    time.Duration // time by which every request ends; 0: the gateway is not shutting down
 	windowsUpdatedAt    time.Duration // start of the current period of window updates
 	lastEvictionAt      time.Duration
-	lastStallAt         time.Duration // time of the last Step that was delayed
+	lastStallAt         time.Duration // time of the last Step that a stall of the gateway delayed
 	timerArmed          bool          // whether a timer is pending
 	timerAt             time.Duration // time for which the timer is set
 }
@@ -133,6 +133,7 @@
 // reserve that certainly meets its objective has the value fairShareWeight, as a fraction of its priority. It is therefore worth
 // sending a request within the reserve as long as it meets its objective with at least that probability. If the mean latency is L,
 // a response arrives within t with a probability of 1-exp(-t/L). This equals fairShareWeight if t is the returned factor times L.
+// The factor is limited to between one half of queueTimeoutFactor and queueTimeoutFactor.
 func reservedQueueTimeoutFactor(fairShareWeight float64) float64 {
 	factor := -math.Log1p(-min(fairShareWeight, maxFairShareWeight))
 	return min(max(factor, queueTimeoutFactor/2), queueTimeoutFactor)
@@ -157,8 +158,9 @@
 	return s.actions
 }
 
-// detectStall records a stall of the gateway if this step is delayed. The latencies of its events then consist mostly of the
-// stall, so they are not used as samples of the servers' latency.
+// detectStall records a stall of the gateway if this step comes more than the latency threshold after the time of the pending
+// timer. The latencies in the events of such a step consist mostly of the stall, so they are not used as samples of the servers'
+// latency.
 func (s *Scheduler) detectStall() {
 	if s.timerArmed && s.now > s.timerAt+s.latencyThreshold {
 		s.lastStallAt = s.now
@@ -228,8 +230,8 @@
 	}
 }
 
-// evictIdle drops the state of keys whose cooldown is over and of volumes that have long been idle. State that is created anew
-// would be the same. Without eviction, a client that names a new volume in each request would exhaust the memory.
+// evictIdle drops the state of keys whose cooldown is over and of volumes for which volumeEntry.isIdle holds. Without eviction, a
+// client that names a new volume in each request would exhaust the memory.
 func (s *Scheduler) evictIdle() {
 	if s.now-s.lastEvictionAt < evictionInterval {
 		return
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -23,7 +23,7 @@
 		"shard below":           func(a *RequestArrived) { a.Shard = -2 },
 		"no time left":          func(a *RequestArrived) { a.Remaining = 0 },
 		"negative client delay": func(a *RequestArrived) { a.ClientDelay = -1 },
-		"too many units":        func(a *RequestArrived) { a.Units = unitsBound },
+		"too many units":        func(a *RequestArrived) { a.Units = minImplausibleUnits },
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrival := gateway.newArrival("read", "gold", 1, 2, 5)
--- a/internal/scheduler/servers.go
+++ b/internal/scheduler/servers.go
@@ -21,7 +21,9 @@
 )
 
 // String returns the state in lower case, or "unknown".
-func (r responsiveness) String() string { return nameOf(r, "responsive", "unresponsive", "trial due") }
+func (r responsiveness) String() string {
+	return enumName(r, "responsive", "unresponsive", "trial due")
+}
 
 // serverEntry is the state of a server. Outstanding attempts keep a reference to it after the server has left the endpoint list.
 type serverEntry struct {
@@ -60,7 +62,7 @@
 // backOff suspends sending to the server until a time.
 func (e *serverEntry) backOff(until time.Duration) { e.backoffUntil = max(e.backoffUntil, until) }
 
-// recordSend records an attempt that is sent now.
+// recordSend records an attempt that is sent now. If the server is ejected, nothing more is sent to it for ejectionInterval.
 func (e *serverEntry) recordSend(now time.Duration, attempt *attempt) {
 	e.outstanding = append(e.outstanding, attempt)
 	e.inFlight++
@@ -81,10 +83,10 @@
 	return e.outstanding[0]
 }
 
-// responsiveness returns whether the server responds and, if it does not, whether a trial is due. A server is unresponsive if attempts
-// are in flight and it has sent no response for longer than a pause or a large request explains. The time between trials grows with
-// the time without a response. Hangs, broken links and lost responses cannot be distinguished here. During a long stall of the
-// server, the trials add to its queue.
+// responsiveness returns whether the server responds and, if it does not, whether a trial is due. A server is unresponsive if
+// attempts are in flight and a response is overdue (see unresponsiveFactor): neither a pause of the server nor a large request
+// explains such a delay. The time between trials grows with the time without a response. Hangs, broken links and lost responses
+// cannot be distinguished here. During a long stall of the server, the trials add to its queue.
 func (e *serverEntry) responsiveness(now, threshold time.Duration) responsiveness {
 	oldest := e.oldestAttempt()
 	if oldest == nil {
@@ -162,8 +164,8 @@
 }
 
 // expectedLatency returns the expected latency of a request that is sent now: the smoothed latency, or the age of the oldest
-// attempt in flight if that is longer. The age reveals a hang or an overload before a late response does. It is not a sample of
-// the smoothed latency, so that its effect ends with the response.
+// attempt in flight if that is longer. The age reveals a hang or an overload before a late response does. The age is not added to
+// the samples of the smoothed latency, so that its effect ends with the response.
 func (e *serverEntry) expectedLatency(now, threshold time.Duration) time.Duration {
 	if oldest := e.oldestAttempt(); oldest != nil {
 		return max(e.congestion.latency, now-oldest.sentAt)
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -21,7 +21,7 @@
 
 // String returns the kind in lower case, or "unknown".
 func (i Idempotency) String() string {
-	return nameOf(i, "idempotent", "idempotent with key", "not idempotent")
+	return enumName(i, "idempotent", "idempotent with key", "not idempotent")
 }
 
 // DedupScope is the group of servers that drop duplicates of an IdempotentWithKey request.
@@ -35,7 +35,7 @@
 )
 
 // String returns the scope in lower case, or "unknown".
-func (d DedupScope) String() string { return nameOf(d, "all", "zone", "shard") }
+func (d DedupScope) String() string { return enumName(d, "all", "zone", "shard") }
 
 // Class is a class of requests.
 type Class struct {
@@ -73,11 +73,11 @@
 	Shards   int     // number of shards; an endpoint update may name further ones
 
 	MeanUnits, MaxUnits float64 // mean and largest size of a request in units; a mean of 0 stands for 1
-	FairShareWeight     float64 // fraction of its priority that a request beyond the reserve has; not negative
-	SurplusWeight       float64 // fraction of its priority that a request beyond the fair share has; not negative, otherwise unused
+	FairShareWeight     float64 // fraction of its priority that a request beyond its volume's reserve has; not negative
+	SurplusWeight       float64 // like FairShareWeight, but beyond the fair share; not negative; not used by the scheduler
 
 	PollEndpoints   bool          // whether the endpoint list is sent only in response to WatchEndpoints
-	MaxPollInterval time.Duration // a gateway that has not polled for this long is treated as notified of all changes; 0: unbounded
+	MaxPollInterval time.Duration // time after a poll from which on a gateway is treated as notified of all changes; 0: unbounded
 
 	MaxAttempts   int           // attempts per request, including the first; at least 1
 	AllowHedging  bool          // not used by the scheduler, which sends no hedged requests
@@ -112,14 +112,14 @@
 	MinStepInterval  time.Duration // shortest time between two calls of Step
 }
 
-// minInitialCapacity is the lower bound of InitialCapacity. With a lower value, the slow-start budget would stay empty for most of
-// the SlowStartDuration.
+// minInitialCapacity is the lower bound of InitialCapacity, by which slowStartAllowance divides. With a value of 0, the allowance
+// would be infinite or NaN.
 const minInitialCapacity = 0.01
 
 // validated checks the settings and returns them with defaults for optional fields that are not set.
 func (settings Settings) validated() (Settings, error) {
 	if len(settings.Classes) == 0 || settings.Gateways < 1 || settings.MaxAttempts < 1 || settings.Shards < 0 {
-		return settings, fmt.Errorf("gaugerelay: %d classes, %d gateways, %d attempts (at least 1 each), %d shards (at least 0)",
+		return settings, fmt.Errorf("gaugerelay: %d classes, %d gateways, %d attempts (want at least 1 each), %d shards (want at least 0)",
 			len(settings.Classes), settings.Gateways, settings.MaxAttempts, settings.Shards)
 	}
 	if err := validateClasses(settings.Classes); err != nil {
@@ -142,7 +142,7 @@
 	names := map[string]bool{}
 	for _, class := range classes {
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.PriorityWeight < 0 || names[class.Name] {
-			return fmt.Errorf("gaugerelay: class %q: needs a positive objective and deadline, a weight >= 0 and a unique name", class.Name)
+			return fmt.Errorf("gaugerelay: class %q: needs an objective and a deadline > 0, a weight >= 0 and a unique name", class.Name)
 		}
 		names[class.Name] = true
 	}
@@ -154,7 +154,7 @@
 	names := map[string]bool{}
 	for _, plan := range plans {
 		if plan.Weight <= 0 || plan.PriorityFactor < 0 || plan.Reserve < 0 || plan.Limit < 0 || names[plan.Name] {
-			return fmt.Errorf("gaugerelay: plan %q: needs a positive weight, factor, reserve and limit >= 0 and a unique name", plan.Name)
+			return fmt.Errorf("gaugerelay: plan %q: needs a weight > 0, a factor, reserve and limit >= 0, and a unique name", plan.Name)
 		}
 		names[plan.Name] = true
 	}
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -7,8 +7,8 @@
 
 // Slow start limits the requests that are sent to a server that has just started. Its allowance N is the number of requests of
 // mean size that all gateways together may send it per OverloadWindow: SlowStartUnits/MeanUnits at its start, growing with its
-// age. In any window, a slack of about twice the square root of N is allowed beyond N. Gateways do not coordinate, so each has an
-// equal share, which it keeps in one of two ways:
+// age. In any window, a slack of two to three times the square root of N, plus a constant, is allowed beyond N (slowStartSlack).
+// Gateways do not coordinate, so each has an equal share. It stays within this share in one of two ways:
 //
 // With few gateways, each gateway's share of the slack has room for a burst. Each gateway then has a token bucket that fills at its
 // equal share of N per window and whose capacity is at most its share of the slack.
@@ -18,14 +18,17 @@
 // F is lost. However requests arrive, the requests in a window are therefore at most the tokens issued in it and in the time F
 // before it: r·N·(1 + F/OverloadWindow) in the mean. Few tokens with a long lifetime suit a gateway with little demand, many
 // tokens with a short one suit a gateway with high demand; the number that it may use per window is the same. The draws are
-// independent, so the standard deviation of their sum is at most the square root of the mean. With slowStartRateFactor, the bound
-// is more than four standard deviations above the mean for any N.
+// independent, so the standard deviation of their sum is at most the square root of the mean. With slowStartRateFactor, the bound,
+// N plus the slack, is at least 3.7 standard deviations above the mean for any N. The distance is smallest at N = 30.
 const (
 	// slowStartRateFactor is r·(1 + F/OverloadWindow): the tokens of all gateways that can be used in a window, as a fraction of N.
 	slowStartRateFactor = 0.81
-	// slowStartOverdraft is the amount by which a request may overdraw a bucket, in requests of mean size: one, and sometimes more.
+	// slowStartOverdraft is the part of a gateway's share of the slack that is set aside for the overdraft of its bucket, in requests
+	// of mean size. A request may be sent while the level of the bucket is not negative. A request of mean size therefore overdraws
+	// the bucket by at most one, a larger request by more.
 	slowStartOverdraft = 1.5
-	// slowStartMaxInFlight is the number of requests that all gateways together may have in flight at a starting server.
+	// slowStartMaxInFlight is the number of requests in flight at a starting server of which each gateway has its equal share. A
+	// gateway may always have one request in flight, so a larger number of gateways may exceed it together.
 	slowStartMaxInFlight = 16.0
 	// minTokenLifetime is the shortest lifetime of a token, in windows.
 	minTokenLifetime = 0.1
@@ -47,7 +50,8 @@
 
 // slowStartTokenLifetime returns the lifetime of a token, in windows, with which a gateway uses most of its equal share. demand is
 // the number of requests that arrive per window, and maxWait is how many windows each of them waits for a token. The lifetime
-// maximizes r·(1 - exp(-y)), where y is the number of requests that arrive during the lifetime and maxWait together.
+// maximizes r·(1 - exp(-y)), where r is slowStartRateFactor/(1 + lifetime) and y is the number of requests that arrive during the
+// lifetime and maxWait together.
 func slowStartTokenLifetime(demand, maxWait float64) float64 {
 	demand = max(demand, minTokenDemand)
 	arrivals := 1.0
@@ -66,8 +70,8 @@
 }
 
 // newSlowStartBudget returns the budget of a server that is new to this gateway or has restarted. It draws the phase of the
-// tokens. Within one OverloadWindow of the gateway's own start the budget is negative: the gateway's previous process may just
-// have used a token.
+// tokens. Within one OverloadWindow of the gateway's own start the budget starts below zero: the gateway's previous process may
+// just have used a token.
 func (s *Scheduler) newSlowStartBudget() slowStartBudget {
 	phase := 1 - s.random.Float64()
 	if s.now-s.startedAt < s.settings.OverloadWindow {
@@ -126,8 +130,8 @@
 	return float64(server.inFlight) < max(1, s.equalShare(slowStartMaxInFlight)) && s.replenishSlowStart(server) >= 0
 }
 
-// consumeSlowStart charges a request that is sent now to the budget of its server, if that is in slow start.
-func (s *Scheduler) consumeSlowStart(server *serverEntry, units float64) {
+// chargeSlowStart charges the units of a request that is sent now to the budget of a server, if the server is in slow start.
+func (s *Scheduler) chargeSlowStart(server *serverEntry, units float64) {
 	if s.inSlowStart(server) {
 		s.replenishSlowStart(server)
 		server.slowStart.consume(units)
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -12,8 +12,9 @@
 	demandTimeConstant = time.Second
 	// usageHalfLife is the half-life of the recorded usage of a volume through this gateway and through other gateways.
 	usageHalfLife = 2 * latencyHalfLife
-	// unitsBound is the number of units from which on a value is not plausible. Such values are rejected or ignored.
-	unitsBound = 1e9
+	// minImplausibleUnits is the smallest number of units that is not plausible. Requests with so many units are rejected, and
+	// servers' reports of so many are ignored.
+	minImplausibleUnits = 1e9
 )
 
 // volumeEntry is the state of a volume at this gateway, over all shards.
@@ -77,8 +78,8 @@
 	return now-v.lastRequestAt > volumeIdleTimeout && (v.plan.Limit == 0 || v.limit.available(now) >= v.limit.capacity)
 }
 
-// validUnits reports whether a number of units is plausible: not NaN, not negative and below unitsBound.
-func validUnits(units float64) bool { return units >= 0 && units < unitsBound }
+// validUnits reports whether a number of units is plausible: not NaN, not negative and below minImplausibleUnits.
+func validUnits(units float64) bool { return units >= 0 && units < minImplausibleUnits }
 
 // recordUsage adds the units of a served request, and the units served through other gateways that the response reports. If the
 // reported value is out of range, neither is added.
