--- a/internal/scheduler/admission_test.go
+++ b/internal/scheduler/admission_test.go
@@ -5,10 +5,14 @@
 	"time"
 )
 
+// setDeadlines takes a request with less remaining time than others of its class for a retry, and moves its objective forward by
+// the estimated age. It treats a request as a first attempt, however, if the age is not below the request's remaining time. Here
+// the age of the short request is 2850 ms, so that it is treated as a first attempt and must not be rejected. The age of the
+// retry is 1 s, more than its objective of 400 ms.
 func TestRequestWithShortDeadlineIsNotTakenForRetry(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) // has the usual remaining time of its class
-	gateway.server(1).congestion.window = 1                   // later requests are queued
+	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) // 3 s remaining: from now on the longest time of the class
+	gateway.server(1).congestion.window = 1                   // the first request occupies it, so the next ones are queued
 	short, retry := gateway.newArrival("read", "gold", 1, 2, 6), gateway.newArrival("read", "gold", 1, 2, 7)
 	short.Remaining, retry.Remaining = 150*ms, 2*time.Second
 	if rejected := rejectedIDs(gateway.step(short, retry)); len(rejected) != 1 || rejected[0] != retry.ID {
@@ -16,16 +20,16 @@
 	}
 }
 
-// A client's retry that has missed its objective is rejected at once, also if the server has been idle.
+// A client's retry whose estimated age (see setDeadlines) exceeds its objective is rejected at once, even if the server is idle.
 func TestLateRetryIsRejectedAtOnce(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(500*ms, 50*ms, 20*ms, StatusOK)
 	checkRejected := func(when string) {
 		t.Helper()
 		late := gateway.newArrival("read", "gold", 1, 2, 9)
-		late.Remaining -= time.Second // more than the objective of 400 ms
+		late.Remaining -= time.Second // an estimated age of 1 s, more than the objective of 400 ms
 		if rejected := rejectedIDs(gateway.step(late)); len(rejected) != 1 {
-			t.Errorf("%s: rejected requests %v, want %d at once", when, rejected, late.ID)
+			t.Errorf("%s: rejected requests %v, want request %d at once", when, rejected, late.ID)
 		}
 	}
 	checkRejected("after other requests")
@@ -33,8 +37,9 @@
 	checkRejected("idle server")
 }
 
-// Frontends may give requests of a class different remaining times. A known first attempt with a short time must not be taken for a
-// retry, and one with a long time must not make other requests look like retries.
+// Frontends may give requests of a class different remaining times. setDeadlines must not take a request with IsFirstAttempt and a
+// short time for a retry. One with a long time must not raise the longest time of the class, from which the age of others is
+// estimated: they would look like retries.
 func TestFirstAttemptsWithDifferentRemainingTimes(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(500*ms, 50*ms, 20*ms, StatusOK)
@@ -44,6 +49,6 @@
 	short := gateway.newArrival("read", "gold", 1, 2, 11)
 	short.Remaining, short.IsFirstAttempt = short.Remaining/2, true
 	if sent := sentIDs(gateway.step(long, ordinary, short)); len(sent) != 3 {
-		t.Errorf("sent requests %v, want all three", sent)
+		t.Errorf("sent requests %v, want all three requests", sent)
 	}
 }
--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -15,7 +15,7 @@
 	return settings
 }
 
-// BenchmarkFleetList measures an endpoint update with all servers and one with a single server.
+// BenchmarkFleetList measures two endpoint updates of a list with benchmarkServers servers: a snapshot, and a delta with one entry.
 func BenchmarkFleetList(b *testing.B) {
 	for name, servers := range map[string]int{"whole": benchmarkServers, "change": 1} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/scheduler/congestion_test.go
+++ b/internal/scheduler/congestion_test.go
@@ -29,7 +29,7 @@
 		slow.updateWindows(0.5, 0.1, 1)
 		fast.updateWindows(2, 0.1, 1)
 		if slow.window >= initialWindow || fast.window <= initialWindow {
-			t.Errorf("window is %v above the threshold and %v below it, want one smaller and one larger than at the start",
+			t.Errorf("window is %v above the threshold and %v below it, want one below and one above the initial window",
 				slow.window, fast.window)
 		}
 	})
@@ -39,13 +39,13 @@
 			control.updateWindows(1e-3, 0, 0.5)
 		}
 		if control.window != 0.5 || control.excessWindow != 0.5 {
-			t.Errorf("window is %v and excess window %v, want the minimum for both", control.window, control.excessWindow)
+			t.Errorf("window is %v and excess window %v, want the minimum of 0.5 for both", control.window, control.excessWindow)
 		}
 		for range 50 {
 			control.updateWindows(10, 1, 0.5)
 		}
 		if control.window != maxWindow || control.excessWindow != maxWindow {
-			t.Errorf("window is %v and excess window %v, want the maximum for both", control.window, control.excessWindow)
+			t.Errorf("window is %v and excess window %v, want maxWindow for both", control.window, control.excessWindow)
 		}
 	})
 	t.Run("windows below one grow to one while idle", func(t *testing.T) {
@@ -78,14 +78,14 @@
 		}
 		control.updateLatency(time.Hour)
 		if control.latency != minLatency {
-			t.Errorf("latency is %v, want the lower bound", control.latency)
+			t.Errorf("latency is %v, want minLatency", control.latency)
 		}
 	})
 	t.Run("idle latency decays to the threshold", func(t *testing.T) {
 		control := newTestControl()
 		control.latency, control.latencyUpdatedAt = testThreshold+400*ms, time.Hour
 		if got := control.idleLatency(time.Hour+latencyHalfLife, testThreshold); got != testThreshold+200*ms {
-			t.Errorf("idle latency is %v after a half-life, want half of the excess over the threshold", got)
+			t.Errorf("idle latency is %v after a half-life, want the threshold plus half of the excess over it", got)
 		}
 	})
 }
@@ -100,6 +100,7 @@
 	}
 }
 
+// Errors may arrive sooner than successful responses. As latency samples, they would enlarge the window of a failing server.
 func TestFastErrorsDoNotOpenTheWindow(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	congestion := &gateway.server(1).congestion
@@ -117,8 +118,8 @@
 	server.congestion.latency, server.lastDuration, server.lastEndedAt = latency, latency, now
 }
 
-// With a window below one, a request is in flight for that fraction of the time. Requests within the reserve of their volume are
-// not delayed.
+// With a window of 0.25, one request is in flight for a quarter of the time: after each attempt, the gateway waits for three
+// times the duration of that attempt (see fractionalWindowOpen). Requests within the reserve of their volume do not wait.
 func TestFractionalWindow(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 100 })
 	server := gateway.server(1)
@@ -129,24 +130,25 @@
 	}
 	gateway.now += 30 * ms
 	if sent := sentIDs(gateway.step(reserved)); len(sent) != 1 || sent[0] != reserved.ID {
-		t.Errorf("sent %v, want request %d, which is within its reserve", sent, reserved.ID)
+		t.Errorf("sent %v, want request %d, since it is within the reserve of its volume", sent, reserved.ID)
 	}
 	gateway.now += 20 * ms
 	gateway.step(attemptServed(reserved.ID, 20*ms))
 	server.congestion.window, server.congestion.excessWindow = 0.25, 0.25
 	if sent := sentIDs(gateway.advance(150 * ms)); len(sent) != 1 || sent[0] != ordinary.ID {
-		t.Errorf("sent %v, want request %d after three times the last duration", sent, ordinary.ID)
+		t.Errorf("sent %v, want request %d after three times the duration of the last attempt", sent, ordinary.ID)
 	}
 }
 
-// A window below one grows back while nothing is in flight: without a response nothing else would change it.
+// A window below one must grow back while nothing is in flight (see growIdle). Otherwise it would stay as it is, since windows are
+// updated only after responses.
 func TestFractionalWindowGrowsWhileIdle(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 100 })
 	setFractionalWindow(gateway.server(1), 0.05, time.Second, gateway.now)
 	arrival := gateway.newArrival("bulk", "gold", 1, 2, 5)
 	arrival.Remaining = 8 * time.Second
 	if sent := sentIDs(append(gateway.step(arrival), gateway.advance(1900*ms)...)); len(sent) != 1 {
-		t.Errorf("sent %v within two seconds, want one request; with an unchanged window of 0.05 it would wait 19 s", sent)
+		t.Errorf("sent %v within 1.9 s, want one request; with an unchanged window of 0.05 the request would wait 19 s", sent)
 	}
 }
 
@@ -199,7 +201,9 @@
 	}
 }
 
-// Requests beyond the baseline rate of their volume are sent one at a time with many gateways and at once with few.
+// The baseline rate of the volume covers the first two of twelve requests. The others are limited by the excess window. At the
+// start it is 24 requests (initialExcessWindow) divided by the number of gateways. With two gateways it is 12, so that the window
+// of 8 (initialWindow) is the limit. With 100 gateways it is below one, so that none of the others is sent at once.
 func TestExcessWindow(t *testing.T) {
 	for gateways, want := range map[int]struct{ min, max int }{2: {7, 8}, 100: {1, 5}} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
@@ -209,14 +213,15 @@
 				events = append(events, gateway.newArrival("bulk", "gold", 1, 6, uint64(k)))
 			}
 			if sent := len(sentIDs(gateway.step(events...))); sent < want.min || sent > want.max {
-				t.Errorf("%d of 12 requests were sent at once, want a number in %v", sent, want)
+				t.Errorf("%d of 12 requests were sent at once, want a number between those in %v", sent, want)
 			}
 		})
 	}
 }
 
-// Latencies measured by peers are used like those of the gateway's own responses: a gateway with few responses detects that a
-// server has become slow and that it has recovered. The samples kept for a server without requests are bounded.
+// Latencies measured by peers are used like those of the gateway's own responses. Thereby a gateway with few responses detects
+// that a server has become slow, and later that the server has recovered. For a server without requests the smoothed latency is
+// not updated, so the number of samples that accumulate must be bounded (maxPeerSamples).
 func TestPeerLatencies(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	congestion := &gateway.server(1).congestion
@@ -237,7 +242,7 @@
 		gateway.step(PeerLatency{Server: 2, Latency: 30 * ms})
 	}
 	if unused.latencySamples > maxPeerSamples || unused.latencySum > maxPeerSamples*30*ms {
-		t.Errorf("%v samples with a sum of %v are kept for a server without requests, want a bounded number",
+		t.Errorf("%v samples with a sum of %v are kept for a server without requests, want at most maxPeerSamples of 30 ms",
 			unused.latencySamples, unused.latencySum)
 	}
 }
--- a/internal/scheduler/dispatch_test.go
+++ b/internal/scheduler/dispatch_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A request that is queued for a busy server is rejected when too little time is left until its objective. A request within its
-// reserve may be rejected later, depending on the priority of requests beyond the reserve.
+// A queued request is rejected when the time left until its objective falls below a multiple of the expected latency. The
+// multiple is queueTimeoutFactor, 0.6. For a request within the reserve of its volume it is reservedQueueTimeoutFactor: 0.3 to
+// 0.6, the higher the larger FairShareWeight is.
 func TestQueueTimeoutWithinReserve(t *testing.T) {
 	for name, test := range map[string]struct {
 		fairShareWeight float64
@@ -22,15 +23,15 @@
 			left := timeLeftAtRejection(gateway, within, beyond)
 			for id, want := range map[RequestID]time.Duration{within.ID: test.within, beyond.ID: test.beyond} {
 				if got := left[id]; got > want || got < want-3*ms {
-					t.Errorf("request %d was rejected %v before its objective, want %v", id, got, want)
+					t.Errorf("request %d was rejected %v before its objective, want %v or up to 3 ms less", id, got, want)
 				}
 			}
 		})
 	}
 }
 
-// timeLeftAtRejection queues two requests with an objective of 400 ms for a server with a latency of 100 ms until they are rejected.
-// It returns the time left until the objective of each at its rejection.
+// timeLeftAtRejection lets two requests with an objective of 400 ms arrive for a server that has a latency of 100 ms and gets no
+// requests because of a backoff. It returns, for each request, the time left until its objective when it was rejected.
 func timeLeftAtRejection(gateway *testGateway, first, second RequestArrived) map[RequestID]time.Duration {
 	left := map[RequestID]time.Duration{}
 	events := []Event{first, second}
@@ -46,8 +47,9 @@
 	return left
 }
 
-// A request that a slow client link has delayed is sent at once if a fast server has capacity, although its objective is missed. A
-// client's retry of the same age is rejected, and so is a delayed request if the server is slow.
+// The delay by a slow client link (ClientDelay) does not count as the age of a request (see setDeadlines), so a first attempt that
+// the link has delayed is sent to a fast server. A client's retry with the same remaining time has missed its objective and is
+// rejected. A delayed request is also rejected if the server is slow.
 func TestForwardFirstAttemptDelayedByLink(t *testing.T) {
 	for name, test := range map[string]struct {
 		clientDelay, latency time.Duration
@@ -68,20 +70,20 @@
 			arrival.ClientDelay = test.clientDelay
 			actions := gateway.step(arrival)
 			if sent, rejected := len(sentIDs(actions)), len(rejectedIDs(actions)); sent != test.sent || sent+rejected != 1 {
-				t.Errorf("%d requests sent and %d rejected, want %d sent", sent, rejected, test.sent)
+				t.Errorf("%d requests sent and %d rejected, want %d sent and the others rejected", sent, rejected, test.sent)
 			}
 		})
 	}
 }
 
-// The age of the oldest outstanding attempt counts as expected latency. A request that could not meet its objective at that latency
-// is rejected at once.
+// The expected latency is at least the age of the oldest attempt in flight. A request that could not meet its objective at that
+// latency is rejected at once.
 func TestOldestAttemptRaisesExpectedLatency(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	if len(sentIDs(gateway.step(gateway.newArrival("bulk", "gold", 1, 2, 5)))) != 1 {
 		t.Fatal("the first request was not sent")
 	}
-	gateway.server(1).congestion.latency = 200 * ms // high enough that the server is not unresponsive yet
+	gateway.server(1).congestion.latency = 200 * ms // the server becomes unresponsive only after four times this (unresponsiveFactor)
 	gateway.advance(700 * ms)
 	if rejected := rejectedIDs(gateway.step(gateway.newArrival("read", "gold", 1, 2, 6))); len(rejected) != 1 {
 		t.Errorf("rejected requests %v, want the read with an objective of 400 ms, since the oldest attempt is 700 ms old", rejected)
--- a/internal/scheduler/endpoints_test.go
+++ b/internal/scheduler/endpoints_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A server gets no requests once an update reports it as draining or removed, or a snapshot does not contain it. A failed watch must
+// not bring it back.
 func TestDrainingAndRemovedServersGetNothing(t *testing.T) {
 	for name, update := range map[string]EndpointUpdate{
 		"draining":        {Kind: Delta, Servers: []Server{{ID: 1, State: Draining}}},
@@ -23,7 +25,7 @@
 	}
 }
 
-// Nothing is sent while the endpoint list has expired. Queued requests are sent as soon as the list is renewed.
+// Nothing is sent from ValidUntil of the last endpoint update on. Queued requests are sent as soon as an update extends the time.
 func TestExpiredEndpointListBlocksSends(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
 	validUntil := gateway.now + 10*time.Second
@@ -53,7 +55,7 @@
 			rejects++
 		}
 		if reject.Reason != ReasonEndpointsExpired {
-			t.Errorf("rejected with reason %v, want that of an expired endpoint list", reject.Reason)
+			t.Errorf("rejected with reason %v, want that of ReasonEndpointsExpired", reject.Reason)
 		}
 	}
 	if rejects != 1 {
--- a/internal/scheduler/example_test.go
+++ b/internal/scheduler/example_test.go
@@ -19,7 +19,7 @@
 		panic(err)
 	}
 	start := time.Now()
-	clock := func() time.Duration { return time.Since(start) + time.Second } // the zero is arbitrary
+	clock := func() time.Duration { return time.Since(start) + time.Second } // the zero of the clock is arbitrary
 
 	// The endpoint list comes first, then requests as they arrive.
 	s.Step(clock(), []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.Snapshot,
--- a/internal/scheduler/fairqueue_test.go
+++ b/internal/scheduler/fairqueue_test.go
@@ -4,6 +4,8 @@
 	"testing"
 )
 
+// Two volumes with a backlog share a server in proportion to the weights of their plans. The plan twice has twice the weight of
+// the plan gold.
 func TestFairSharesFollowWeights(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.server(1).congestion.window = 1
@@ -24,10 +26,11 @@
 		sent = append(sent[1:], sentIDs(gateway.step(attemptServed(id, 5*ms)))...)
 	}
 	if counts["twice"] < 14 || counts["twice"] > 18 || counts["gold"] < 6 {
-		t.Errorf("sent requests by plan: %v, want about 1 of gold to 2 of twice", counts)
+		t.Errorf("sent requests by plan: %v, want 6 or more of gold and 14 to 18 of twice", counts)
 	}
 }
 
+// A request within the reserve of its volume is sent before queued requests of other volumes, even if these arrived earlier.
 func TestReservedRequestsAreSentFirst(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.server(1).congestion.window = 1
@@ -38,6 +41,6 @@
 	gateway.now += 5 * ms
 	gateway.server(1).congestion.window = 1
 	if sent := sentIDs(gateway.step(attemptServed(first.ID, 5*ms))); len(sent) == 0 || sent[0] != reserved.ID {
-		t.Errorf("sent requests %v, want %d first, which is within its reserve", sent, reserved.ID)
+		t.Errorf("sent requests %v, want request %d first, since it is within the reserve of its volume", sent, reserved.ID)
 	}
 }
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -38,9 +38,9 @@
 	starts    int // number of schedulers that have been started
 	version   uint64
 	servers   []Server
-	attempts  map[RequestID]int
-	pending   []goldenPending
-	counts    map[string]int
+	attempts  map[RequestID]int // number of attempts by request
+	pending   []goldenPending   // events that have not been delivered yet
+	counts    map[string]int    // number of actions by kind
 }
 
 // goldenPending is an event to be delivered at a time.
@@ -64,7 +64,7 @@
 	return simulation
 }
 
-// restart replaces the scheduler by a new one, as after a gateway was killed.
+// restart replaces the scheduler by a new one, as if the gateway had been killed and started again.
 func (s *goldenSimulation) restart(t *testing.T, seed uint64) {
 	t.Helper()
 	scheduler, err := New(s.scenario.settings, seed)
@@ -154,7 +154,7 @@
 	if s.random.IntN(4) == 0 {
 		ended.ForeignUnits, ended.HasVolumeUsage, ended.VolumeUsage = 10*s.random.Float64(), true, s.random.Float64()
 	}
-	if s.random.IntN(40) == 0 { // a lost response: the attempt ends late or never
+	if s.random.IntN(40) == 0 { // a lost response: the attempt ends late, or its end is dropped by a restart
 		latency *= 50
 	}
 	s.scheduleAfter(latency, ended)
@@ -174,7 +174,8 @@
 	return statuses[draw%len(statuses)]
 }
 
-// respondToPoll draws the response to a poll of the endpoint list: the list or a failure, and how the watch goes on.
+// respondToPoll draws the response to a poll of the endpoint list: the list or a failure, and how the watch goes on. In the outage
+// scenario, all polls of every second scheduler fail, beginning with the first one, and three quarters of the polls of the others.
 func (s *goldenSimulation) respondToPoll() {
 	latency := time.Duration(s.random.IntN(60)+1) * ms
 	if s.scenario.outage && (s.starts%2 == 1 || s.random.IntN(4) != 0) {
--- a/internal/scheduler/names_test.go
+++ b/internal/scheduler/names_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if name := (last + 1).String(); name != "unknown" {
-		t.Errorf("%T %d, which does not exist, is named %q", last, uint8(last+1), name)
+		t.Errorf("%T %d, which does not exist, is named %q, want the name unknown", last, uint8(last+1), name)
 	}
 }
 
--- a/internal/scheduler/ordering_test.go
+++ b/internal/scheduler/ordering_test.go
@@ -78,12 +78,14 @@
 	})
 }
 
+// A request waits until the earlier request of its key has ended. After a connection reset the server may still be executing the
+// earlier one, so the later one also waits for KeyCooldown. Requests of other keys do not wait.
 func TestRequestsOfOneKeyRunInOrder(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.KeyCooldown = 200 * ms })
 	first, second := gateway.newArrival("once", "gold", 1, 2, 5), gateway.newArrival("once", "gold", 1, 2, 5)
 	other := gateway.newArrival("once", "gold", 1, 2, 6)
 	if sent := sentIDs(gateway.step(first, second, other)); len(sent) != 2 || sent[0] != first.ID || sent[1] != other.ID {
-		t.Fatalf("sent requests %v, want %d and %d: a key must not block other keys of its volume", sent, first.ID, other.ID)
+		t.Fatalf("sent requests %v, want %d and %d: a request must not wait for a request of another key", sent, first.ID, other.ID)
 	}
 	gateway.now += 20 * ms
 	actions := gateway.step(AttemptEnded{ID: other.ID, Server: 1, Status: StatusOK, RequestDone: true},
@@ -95,6 +97,6 @@
 		t.Errorf("sent requests %v before the end of the cooldown, want none", sent)
 	}
 	if sent := sentIDs(gateway.advance(150 * ms)); len(sent) != 1 || sent[0] != second.ID {
-		t.Errorf("sent requests %v after the cooldown, want %d", sent, second.ID)
+		t.Errorf("sent requests %v after the cooldown, want request %d", sent, second.ID)
 	}
 }
--- a/internal/scheduler/outcomes_test.go
+++ b/internal/scheduler/outcomes_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The outstanding attempts of a request whose client no longer waits are canceled once if the settings allow it.
+// When a client no longer waits for its request, the outstanding attempts are canceled if AllowCancel is set. They are canceled only
+// once, even if the cancellation of the request is reported twice.
 func TestCancelAttemptsOfCanceledRequest(t *testing.T) {
 	for name, allowed := range map[string]bool{"allowed": true, "not allowed": false} {
 		t.Run(name, func(t *testing.T) {
@@ -31,7 +32,8 @@
 	}
 }
 
-// A request ends at the client's deadline even if its attempt is still in flight.
+// A request ends at the client's deadline even if its attempt is still in flight. It is rejected only if a retry by the client is
+// harmless; otherwise it fails.
 func TestRequestExpiresWhileAttemptInFlight(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	unsafe, idempotent := gateway.newArrival("once", "gold", 1, 2, 5), gateway.newArrival("read", "gold", 1, 2, 6)
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -47,8 +47,8 @@
 // allSucceed is the statusOf function of servers that execute every request.
 func allSucceed(ServerID) Status { return StatusOK }
 
-// Gateways with hardly any requests in flight must not all choose the same shard as the least loaded one. They must not choose a
-// server that is in slow start, unresponsive or failing.
+// Gateways with hardly any requests in flight must not all choose the same shard as the least loaded one for a new object. They must
+// not choose a server that is in slow start (server 1) or unresponsive (server 2), or to which connects fail (server 3).
 func TestNewObjectsSpreadOverServers(t *testing.T) {
 	const gateways, shards, ineligible = 200, 20, 3 // servers 1 to 3 must not get new objects
 	placed := make([]int, shards)
@@ -77,8 +77,8 @@
 	}
 }
 
-// New objects are placed on servers that the gateway knows, since a connection to another one costs a handshake. A server that has
-// responded with an error gets no new objects until its cooldown is over.
+// A gateway places new objects on servers that have responded to it before, since the first request to another server costs a
+// handshake. A server that has responded with an error gets no new objects until errorCooldown has passed.
 func TestNewObjectsStayOnKnownServers(t *testing.T) {
 	settings := testSettings()
 	settings.Shards = 60
@@ -98,7 +98,7 @@
 		return StatusOK
 	})
 	if placed[failing] != 1 {
-		t.Errorf("%d new objects went to a server that responds with errors, want 1", placed[failing])
+		t.Errorf("%d new objects went to a server that responds with errors, want 1, whose error starts the cooldown", placed[failing])
 	}
 	gateway.now += errorCooldown
 	if placed := gateway.place(t, 200, allSucceed); placed[failing] == 0 {
--- a/internal/scheduler/polling_fleet_test.go
+++ b/internal/scheduler/polling_fleet_test.go
@@ -72,7 +72,7 @@
 	for _, test := range []struct {
 		gateways     int
 		cost, within time.Duration
-		maxPolls     int // mean number of polls per gateway that is allowed
+		maxPolls     int // largest allowed number of polls per gateway, in the mean
 	}{
 		{80, 100 * ms, 30 * time.Second, 2},
 		{300, 10 * ms, 5500 * ms, 1},
@@ -90,14 +90,15 @@
 				}
 			}
 			if discovery.snapshots != test.gateways || len(discovery.polls) > test.maxPolls*test.gateways {
-				t.Errorf("%d of %d gateways got a snapshot within %v, with %d polls; want all, with at most maxPolls per gateway",
+				t.Errorf("%d of %d gateways got a snapshot within %v, with %d polls; want all, with at most maxPolls per gateway in the mean",
 					discovery.snapshots, test.gateways, test.within, len(discovery.polls))
 			}
 		})
 	}
 }
 
-// failingDiscovery responds to polls one by one while it is up. Polls that wait too long time out.
+// failingDiscovery responds to polls one by one while it is up. Polls that wait for pollTimeout time out, and discovery spends no
+// time on them.
 type failingDiscovery struct {
 	fleet     *simulatedFleet
 	up        bool
--- a/internal/scheduler/polling_test.go
+++ b/internal/scheduler/polling_test.go
@@ -19,7 +19,7 @@
 		poller := newTestPoller()
 		poller.scheduleFirst(now)
 		if wait := poller.nextPollAt - now; wait < 0 || wait > 10*defaultPollLatency {
-			t.Errorf("first poll is due after %v, want it within the fleet's poll time", wait)
+			t.Errorf("first poll is due after %v, want it within the fleet's poll time of 10 times defaultPollLatency", wait)
 		}
 	})
 	t.Run("fastest successful poll gives the latency", func(t *testing.T) {
@@ -56,7 +56,7 @@
 		poller := newTestPoller()
 		poller.pollStarted(now)
 		if poller.due(now+5*time.Second-1) || !poller.due(now+5*time.Second) {
-			t.Errorf("next poll is due at %v, want it 5 s after the poll in flight", poller.nextPollAt)
+			t.Errorf("next poll is due at %v, want it 5 s (half of maxInterval) after the start of the poll in flight", poller.nextPollAt)
 		}
 	})
 	t.Run("cycle grows with failures up to its bound", func(t *testing.T) {
@@ -65,26 +65,28 @@
 		for range 10 {
 			cycle := poller.cycle(poller.fleetPollTime())
 			if cycle < last || cycle > maxPollCycle {
-				t.Errorf("cycle is %v after one of %v, want it no shorter and within its bound", cycle, last)
+				t.Errorf("cycle is %v after one of %v, want it no shorter and at most maxPollCycle", cycle, last)
 			}
 			last = cycle
 			poller.scheduleAfterFailure(now)
 		}
 		if poller.failures != 10 || last <= minPollCycle {
-			t.Errorf("%d failures and a cycle of %v after 10 failed polls, want 10 and a longer cycle", poller.failures, last)
+			t.Errorf("%d failures and a cycle of %v after 10 failed polls, want 10 and a cycle longer than minPollCycle",
+				poller.failures, last)
 		}
 	})
 }
 
+// A gateway polls again and again until a poll gets a response, and does not poll while the watch is open.
 func TestPollsUntilWatchOpens(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
 	countPolls := func(period time.Duration) int { return len(actionsOf[WatchEndpoints](gateway.advance(period))) }
 	gateway.step(EndpointUpdate{Kind: WatchFailed})
 	if polls := countPolls(5 * time.Second); polls == 0 {
-		t.Fatal("no poll within 5 s after a failed poll")
+		t.Fatal("no poll within 5 s after a failed poll, want at least one")
 	}
 	if polls := countPolls(20 * time.Second); polls < 3 || polls > 4 {
-		t.Errorf("%d polls within 20 s without a response, want one every MaxPollInterval/2", polls)
+		t.Errorf("%d polls within 20 s without a response, want 3 or 4: one every MaxPollInterval/2, which is 5 s", polls)
 	}
 	gateway.step(EndpointUpdate{Kind: Delta})
 	if polls := countPolls(60 * time.Second); polls != 0 {
@@ -131,14 +133,14 @@
 				driver := &pollDriver{t: t, scheduler: newScheduler(t, settings, seed), now: time.Hour}
 				for i := range 12 {
 					if wait := driver.waitForPoll(WatchFailed); wait > 4*settings.MaxPollInterval-settings.MaxPollInterval/2 {
-						t.Fatalf("next poll starts %v after failed poll %d, want it sooner", wait, i)
+						t.Fatalf("next poll starts %v after failed poll %d, want at most 3.5 times MaxPollInterval", wait, i)
 					}
 				}
 				for i := range 12 {
 					driver.scheduler.Step(driver.now, []Event{EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 1, State: Draining}}}})
 					driver.now += 100 * ms
 					if wait := driver.waitForPoll(WatchClosed); wait > settings.MaxPollInterval/2 {
-						t.Fatalf("next poll starts %v after the end of watch %d, want it sooner", wait, i)
+						t.Fatalf("next poll starts %v after the end of watch %d, want at most half of MaxPollInterval", wait, i)
 					}
 				}
 			})
@@ -158,9 +160,9 @@
 	return polls
 }
 
-// Gateways whose watches fall idle poll again at times spread over two seconds. They cannot take longer: 6 s after the last
-// message of a watch a gateway is treated as having been notified of the changes since then, and 3 s of that have passed when the
-// watch is found to be idle. An idle watch is not a failed poll, so it does not lengthen the cycle.
+// Gateways whose watches fall idle poll again at times spread over two seconds (idlePollSpread). They must not take longer: 6 s
+// after the last message of a watch a gateway is treated as having been notified of the changes since then, and 3 s of that have
+// passed when the watch is found to be idle. An idle watch is not a failed poll, so it does not lengthen the cycle.
 func TestIdleWatchesAreReopenedSoon(t *testing.T) {
 	const gateways = 300
 	early := 0
@@ -173,7 +175,7 @@
 		idleSince := driver.now
 		polls := driver.run(driver.now + 3*time.Second)
 		if len(polls) != 1 || polls[0] > idleSince+idlePollSpread+20*ms {
-			t.Fatalf("gateway %d polls at %v after its watch fell idle at %v, want one poll within two seconds",
+			t.Fatalf("gateway %d polls at %v, and its watch fell idle at %v; want one poll within two seconds of that",
 				seed, polls, idleSince)
 		}
 		if polls[0]-idleSince < idlePollSpread/2 {
@@ -185,7 +187,8 @@
 	}
 }
 
-// A small fleet needs only a short spread after its watches fall idle: the time that its polls take together.
+// A small fleet needs only a short spread after its watches fall idle: the time that its polls take together (see fleetPollTime).
+// No poll has succeeded here, so that is defaultPollLatency for each of five gateways.
 func TestIdleWatchOfSmallFleet(t *testing.T) {
 	scheduler := newScheduler(t, pollingSettings(5), 1)
 	scheduler.Step(time.Hour, []Event{EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 1}}}})
@@ -194,6 +197,6 @@
 	}
 	scheduler.Step(time.Hour+time.Minute, []Event{EndpointUpdate{Kind: WatchIdle}})
 	if wait := scheduler.poller.nextPollAt - scheduler.now; wait > 5*defaultPollLatency {
-		t.Errorf("one of five gateways polls %v after its watch fell idle, want it within the fleet's poll time", wait)
+		t.Errorf("one of five gateways polls %v after its watch fell idle, want at most 5 times defaultPollLatency", wait)
 	}
 }
--- a/internal/scheduler/retry_test.go
+++ b/internal/scheduler/retry_test.go
@@ -16,6 +16,8 @@
 	})
 }
 
+// Server 1 may have executed a request whose duplicates only the servers of zone za drop. When another server replaces server 1, a
+// retry must not go to the new server if that is in another zone.
 func TestRetryStaysInDedupZone(t *testing.T) {
 	for zone, want := range map[string]int{"za": 1, "zb": 0} {
 		t.Run("successor in "+zone, func(t *testing.T) {
@@ -33,8 +35,8 @@
 	}
 }
 
-// A retry of a request that may have been executed has a start deadline, since servers drop duplicates only for a limited time from
-// the first attempt on. Other retries have none.
+// A retry of a request that may have been executed has a start deadline, since servers drop duplicates only during the DedupWindow,
+// counted from the first such attempt. Other retries have none.
 func TestRetryStartDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency Idempotency
@@ -67,13 +69,14 @@
 	}
 }
 
-// A rejected client is advised to retry soon enough to meet its objective, or when its volume's limit has room.
+// RetryAfter of a rejected request is short enough for the client to meet its objective. If the request exceeds its volume's
+// limit, RetryAfter lasts until the limit allows the request.
 func TestRetryAfter(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.MaxRetryAfter = 500 * ms })
 	limited, late := gateway.newArrival("read", "capped", 1, 6, 1), gateway.newArrival("read", "gold", 2, 6, 2)
 	volume := gateway.scheduler.volumeFor(&limited, gateway.scheduler.plans["capped"])
-	volume.limit.tokens = -2 // 8 units are missing, which takes 400 ms at 20 per second
-	late.Remaining = ms      // too little for its server to respond
+	volume.limit.tokens = -2 // 8 units are missing for a request of 6; at 20 units per second that takes 400 ms
+	late.Remaining = ms      // too little time for the server to respond
 	retryAfter := map[RequestID]time.Duration{}
 	for _, reject := range actionsOf[Reject](append(gateway.step(limited, late), gateway.advance(time.Second)...)) {
 		retryAfter[reject.ID] = reject.RetryAfter
--- a/internal/scheduler/retrybudget_test.go
+++ b/internal/scheduler/retrybudget_test.go
@@ -46,6 +46,7 @@
 	})
 }
 
+// 40 requests whose first attempts all fail get at most RetryBudgetMin retries plus the fraction RetryBudgetRatio of the requests.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) {
 		s.RetryBudgetMin, s.RetryBudgetRatio, s.RetryBudgetWindow = 3, 0.1, 5*time.Second
@@ -64,6 +65,6 @@
 		}
 	}
 	if retries < 3 || retries > 7 {
-		t.Errorf("%d retries sent for 40 requests, want 3 to 7", retries)
+		t.Errorf("%d retries sent for 40 requests, want 3 to 7: RetryBudgetMin, plus up to a tenth of the requests", retries)
 	}
 }
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -8,11 +8,11 @@
 
 // ruleChecker observes the events and the actions of one gateway and checks each action against these rules:
 //
-//  1. Every request ends exactly once, by its deadline.
+//  1. Every request ends exactly once, no later than ResponseGrace after its deadline.
 //  2. A request that may have been executed is retried or rejected only if another execution has no further effect.
-//  3. A server that drains or is removed gets no requests after DrainGrace.
-//  4. A starting server is not overloaded.
-//  5. Ordered requests of one key run one at a time, in order of arrival.
+//  3. A server that drains or is removed gets no requests later than DrainGrace after the update that reports this.
+//  4. A starting server gets at most maxSlowStartUnits in any OverloadWindow.
+//  5. Ordered requests of one key run one at a time, in order of arrival, with a pause of KeyCooldown where one is due.
 //  6. Retries stay within their budget.
 //  7. Volumes stay within their limits.
 //
@@ -28,7 +28,7 @@
 	arrivals []*checkedRequest // requests in order of arrival, since the gateway's last start
 	servers  map[ServerID]*checkedServer
 	limits   map[VolumeID]*checkedBucket // buckets of the volumes; kept when the gateway restarts
-	admitted []time.Duration             // times of the requests since the gateway's last start
+	admitted []time.Duration             // arrival times of the requests since the gateway's last start
 	retries  []time.Duration             // times of the retries since the gateway's last start
 	// maxSlowStartUnits is the largest number of units that this gateway may send to a starting server in an OverloadWindow.
 	maxSlowStartUnits float64
@@ -47,7 +47,8 @@
 	for _, plan := range settings.Plans {
 		checker.plans[plan.Name] = plan
 	}
-	// Half of the units that overload a server with a full capacity of 200 units per second. This gateway never sends more.
+	// The first bound is this gateway's equal share of SlowStartUnits, the second is half of the units that overload a server which
+	// has reached its full capacity of 200 units per second. The larger one applies.
 	overload := settings.OverloadMultiple / 2 * 200 * settings.OverloadWindow.Seconds()
 	checker.maxSlowStartUnits = max(settings.SlowStartUnits/float64(settings.Gateways), overload)
 	return checker
@@ -79,7 +80,7 @@
 // checkedServer is the checker's record of a server.
 type checkedServer struct {
 	Server
-	outOfServiceAt time.Duration // time at which it was last reported to drain or to be removed
+	outOfServiceAt time.Duration // time at which it was reported to drain or to be removed, if it still is
 	outOfService   bool
 	slowStartSends []sentUnits
 }
@@ -96,7 +97,7 @@
 	c.t.Fatalf("at %v: "+format, append([]any{c.now}, args...)...)
 }
 
-// restart clears the requests, because the gateway was killed.
+// restart forgets the requests and retries when the gateway is killed and started again. Servers and limits are kept.
 func (c *ruleChecker) restart() {
 	c.requests, c.arrivals, c.admitted, c.retries = map[RequestID]*checkedRequest{}, nil, nil, nil
 }
@@ -160,7 +161,7 @@
 func (c *ruleChecker) checkSend(send Send) *checkedAttempt {
 	request, server := c.requests[send.ID], c.servers[send.Server]
 	if request == nil || server == nil {
-		c.fatalf("sent an unknown request or to an unknown server: %+v", send)
+		c.fatalf("the request or the server of a Send is unknown: %+v", send)
 	}
 	if request.finished {
 		c.fatalf("rule 1: request %d was sent after its end", send.ID)
@@ -190,7 +191,7 @@
 	id, class := request.arrival.ID, request.class
 	for _, attempt := range request.attempts {
 		if !attempt.ended && !c.settings.AllowHedging {
-			c.fatalf("rule 2: request %d has two attempts in flight without hedging", id)
+			c.fatalf("rule 2: request %d has two attempts in flight although AllowHedging is not set", id)
 		}
 		if !attempt.mayHaveExecuted() {
 			continue
@@ -209,7 +210,7 @@
 	}
 }
 
-// checkSlowStart checks that a starting server is not overloaded (rule 4).
+// checkSlowStart checks that this gateway sends a starting server at most maxSlowStartUnits in any OverloadWindow (rule 4).
 func (c *ruleChecker) checkSlowStart(request *checkedRequest, server *checkedServer) {
 	c.t.Helper()
 	if server.StartedAt <= 0 || c.now-server.StartedAt >= c.settings.SlowStartDuration {
@@ -223,7 +224,7 @@
 		}
 	}
 	if sum > c.maxSlowStartUnits {
-		c.fatalf("rule 4: sent %.1f units to starting server %d within %v, more than this gateway may",
+		c.fatalf("rule 4: sent %.1f units to starting server %d within %v, more than maxSlowStartUnits",
 			sum, server.ID, c.settings.OverloadWindow)
 	}
 }
@@ -243,7 +244,7 @@
 		}
 		open := slices.ContainsFunc(earlier.attempts, func(attempt *checkedAttempt) bool { return !attempt.ended })
 		if !earlier.finished || open || len(request.attempts) == 0 && c.now < earlier.cooldownUntil {
-			c.fatalf("rule 5: request %d was sent before request %d with the same key had ended and cooled down",
+			c.fatalf("rule 5: request %d was sent before request %d with the same key had ended and its cooldown was over",
 				request.arrival.ID, earlier.arrival.ID)
 		}
 	}
@@ -318,7 +319,7 @@
 	return request
 }
 
-// checkDeadlines checks that every request has ended by its client's deadline.
+// checkDeadlines checks that every request has ended no later than ResponseGrace after its client's deadline (rule 1).
 func (c *ruleChecker) checkDeadlines() {
 	for _, request := range c.requests {
 		if !request.finished && c.now > request.expiresAt+c.settings.ResponseGrace {
@@ -327,7 +328,7 @@
 	}
 }
 
-// checkAllFinished checks that every request has ended.
+// checkAllFinished checks that every request has ended (rule 1).
 func (c *ruleChecker) checkAllFinished() {
 	for _, request := range c.requests {
 		if !request.finished {
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -41,7 +41,8 @@
 	return settings
 }
 
-// No sequence of valid events, attempt results and restarts of the gateway may lead to an action that violates a rule.
+// No sequence of valid events, attempt results and restarts of the gateway may lead to an action that violates a rule of
+// ruleChecker.
 func TestRulesHoldOverArbitraryEvents(t *testing.T) {
 	for scenario := range 24 {
 		t.Run(fmt.Sprint(scenario), func(t *testing.T) {
@@ -75,7 +76,7 @@
 	sends, responses int
 }
 
-// newRuleSimulation returns the simulation of a scenario, whose gateway has just started.
+// newRuleSimulation returns the simulation of a scenario. Its gateway has just started.
 func newRuleSimulation(t *testing.T, scenario int) *ruleSimulation {
 	settings := propertySettings(scenario)
 	simulation := &ruleSimulation{
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -50,7 +50,7 @@
 		arrival.Gateways = gateways
 		gateway.step(arrival)
 		if got := gateway.scheduler.volumes[arrival.Volume].gateways; got != 2 {
-			t.Errorf("a volume with %d gateways is treated as having %v, want all gateways", gateways, got)
+			t.Errorf("a volume with %d gateways is treated as having %v, want all 2 gateways", gateways, got)
 		}
 	}
 	arrival := gateway.newArrival("read", "gold", 1, 2, 5)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A server hangs under load while polls of discovery fail and the gateway has just started. Requests must end in time, and the
-// server must get few of them.
+// A server hangs under load while a poll of discovery has failed and the gateway has just started. Requests must end by their
+// deadline, and the server must get few of them.
 func TestUnresponsiveServerWhileDiscoveryFails(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.PollEndpoints = true })
 	gateway.step(EndpointUpdate{Kind: WatchFailed})
@@ -108,19 +108,21 @@
 	if len(scheduler.volumes) != 200 {
 		t.Errorf("%d volumes are kept, want the 200 whose last request is less than volumeIdleTimeout ago", len(scheduler.volumes))
 	}
-	// The state of a volume whose limit is not full must be kept: new state would allow it more than its limit.
+	// The state of a volume must be kept while the bucket of its limit is not full (see isIdle): new state would allow the volume
+	// more than its limit. The low rate below keeps the bucket from filling.
 	gateway.step(gateway.newArrival("bulk", "capped", 999, 20, 1))
 	gateway.now += volumeIdleTimeout + time.Second
 	limit := &scheduler.volumes[999].limit
 	limit.rate, limit.capacity, limit.updatedAt = 0.001, 1e9, gateway.now
 	gateway.step(gateway.newArrival("bulk", "gold", 1, 2, 1), TimerFired{})
 	if len(scheduler.volumes) != 2 || scheduler.volumes[999] == nil {
-		t.Errorf("%d volumes are kept, want the one with a request and the one with an overdrawn limit", len(scheduler.volumes))
+		t.Errorf("%d volumes are kept, want the one with a request and the one whose limit's bucket is not full",
+			len(scheduler.volumes))
 	}
 }
 
 // With a new volume, server and key every 100 ms for 40 minutes, the state must stay bounded: it may hold only what is outstanding
-// and what was used within the last 75 s (volumeIdleTimeout and evictionInterval).
+// and what was used within the last 75 s (the sum of volumeIdleTimeout and evictionInterval).
 func TestStateIsBoundedOverLongRun(t *testing.T) {
 	settings := testSettings()
 	scheduler := newScheduler(t, settings, 1)
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -7,7 +7,7 @@
 
 func TestResponsiveness(t *testing.T) {
 	const now, threshold = time.Hour, 60 * ms
-	const overdue = unresponsiveFactor * threshold // age from which on an attempt is overdue if the latency equals the threshold
+	const overdue = unresponsiveFactor * threshold // an attempt older than this is overdue if the latency equals the threshold
 	newServer := func(sentAt time.Duration) *serverEntry {
 		server := &serverEntry{}
 		server.congestion.reset(threshold, 1)
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := test.server.responsiveness(now, threshold); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("responsiveness is %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -43,6 +43,7 @@
 	return server
 }
 
+// While a server does not respond, it gets only trials (see responsiveness). When it responds again, it gets its usual number of requests.
 func TestUnresponsiveServerGetsTrials(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK)
@@ -54,6 +55,8 @@
 	}
 }
 
+// The window has room for one attempt. An attempt whose response was lost must not occupy it forever: detectLostAttempts releases
+// the slot of the attempt.
 func TestLostResponseDoesNotBlockServer(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.server(1).congestion.window = 1
@@ -88,8 +91,8 @@
 	}
 }
 
-// rejectAll lets server 1 reject every attempt among the actions, and all attempts that follow from these, and returns their
-// number.
+// rejectAll ends every attempt at server 1 among the actions, and among the actions that follow, with StatusOverloaded. It
+// returns the number of these attempts.
 func (g *testGateway) rejectAll(actions []Action) (sends int) {
 	for len(sentIDs(actions)) > 0 {
 		var ends []Event
@@ -107,7 +110,8 @@
 }
 
 // A draining server may reject requests before the endpoint list reports the drain. New objects, including those that the server
-// has just rejected, must go to other servers. Requests for data of the server must not use up their attempts at once.
+// has just rejected, must go to other servers. Requests for data of the server must not use up their attempts (MaxAttempts) at
+// once.
 func TestBackoffFromRejectingServer(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	newObject := func() RequestArrived {
@@ -117,7 +121,7 @@
 	}
 	busy := gateway.newArrival("read", "gold", int(gateway.lastID), 2, 1)
 	busy.Shard = 1
-	gateway.step(busy) // makes server 1 the less loaded one
+	gateway.step(busy) // loads server 2, so that the next new object goes to server 1
 	first := newObject()
 	if sends := gateway.rejectAll(gateway.step(first)); sends != 1 {
 		t.Errorf("a new object was sent %d times to the rejecting server, want once", sends)
@@ -128,7 +132,7 @@
 	}
 	for range 5 {
 		if sends := gateway.rejectAll(gateway.step(newObject())); sends != 0 {
-			t.Errorf("another new object was sent to the rejecting server")
+			t.Errorf("another new object was sent to the rejecting server, want it sent to server 2 only")
 		}
 	}
 	const requests = 40
@@ -138,7 +142,7 @@
 		sends += gateway.rejectAll(append(gateway.step(arrival), gateway.advance(5*ms)...))
 	}
 	if sends < 2 || sends > requests/2 {
-		t.Errorf("%d attempts of %d requests within 200 ms at a rejecting server, want at least 2 and at most half as many",
+		t.Errorf("%d attempts for %d requests within 200 ms at a rejecting server, want 2 to half the number of requests",
 			sends, requests)
 	}
 }
@@ -155,7 +159,7 @@
 	}
 	server := gateway.server(1)
 	if server.connectFailures == 0 || server.backoffUntil <= gateway.now {
-		t.Fatalf("the server has no backoff after failed connects")
+		t.Fatalf("the server has no backoff after failed connects, want one")
 	}
 	gateway.restartServer()
 	if server.connectFailures != 0 || server.backoffUntil > gateway.now {
--- a/internal/scheduler/settings_test.go
+++ b/internal/scheduler/settings_test.go
@@ -57,7 +57,7 @@
 			shard := gateway.scheduler.shards[0]
 			for _, volume := range gateway.scheduler.volumes {
 				if len(shard.flowsByVolume) > 0 && math.IsNaN(shard.virtualTime+volume.reserve.tokens) {
-					t.Error("the virtual time or the level of a reserve is NaN")
+					t.Error("the virtual time of the shard or the level of a reserve is NaN, want numbers")
 				}
 			}
 		})
@@ -77,7 +77,8 @@
 	return sends
 }
 
-// Without a MaxPollInterval, the first polls of all gateways are spread over about the time that discovery needs for them.
+// Without a MaxPollInterval, the first polls of all gateways are spread over about the time that discovery needs for them: 18 s for
+// 300 gateways (see fleetPollTime).
 func TestFirstPollWithoutMaxPollInterval(t *testing.T) {
 	seconds := map[time.Duration]bool{}
 	for seed := range uint64(20) {
@@ -88,11 +89,12 @@
 		seconds[(scheduler.poller.nextPollAt - time.Hour).Round(time.Second)] = true
 	}
 	if len(seconds) < 8 {
-		t.Errorf("20 of 300 gateways poll within %d different seconds, want at least 8", len(seconds))
+		t.Errorf("the first polls of 20 of 300 gateways fall into %d different seconds, want at least 8", len(seconds))
 	}
 }
 
-// Settings with more than maxShards shards allow requests to all of them.
+// If the settings have more than maxShards shards, all of them get requests. Entries for shards beyond those of the settings are
+// ignored.
 func TestMoreShardsThanMaxShards(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.Shards = 6000 })
 	gateway.step(EndpointUpdate{Kind: Snapshot, Servers: []Server{{ID: 9, Shard: 5999}, {ID: 10, Shard: 6000}}})
--- a/internal/scheduler/simulatedfleet_test.go
+++ b/internal/scheduler/simulatedfleet_test.go
@@ -8,7 +8,7 @@
 // simulatedGateways is the number of gateways in the tests of a large fleet.
 const simulatedGateways = 300
 
-// simulatedFleet holds the schedulers of several gateways, which share a clock, and the events that each gets in its next step.
+// simulatedFleet holds the schedulers of several gateways and the events that each gets in its next step. All share one clock.
 type simulatedFleet struct {
 	t          *testing.T
 	schedulers []*Scheduler
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// All gateways together stay within the bound on what a starting server may be sent, for any number of gateways and any arrival
-// pattern. With ordinary demand they also use a good part of its allowance.
+// For any number of gateways and any arrival pattern, the units that all gateways together send to a starting server in any
+// OverloadWindow stay within the bound of slow start: the allowance plus slowStartSlack. With ordinary demand (see check) the
+// gateways also use at least a sixth of the allowance.
 func TestSlowStartBound(t *testing.T) {
 	for _, gateways := range []int{1, 3, 10, 80} {
 		for _, tolerance := range []float64{2, 10, 51, 400} {
@@ -59,9 +60,9 @@
 	simulation := newSlowStartSimulation(t, s, seed)
 	simulation.run()
 	worst, units := simulation.worst, simulation.units
-	t.Logf("seed %d: the largest window has %.2f of the bound, %.0f units were sent", seed, worst, units)
+	t.Logf("seed %d: the largest sum over a window is %.2f of the bound, %.0f units were sent", seed, worst, units)
 	if worst > 1 {
-		t.Errorf("seed %d: the largest window has %.2f of the bound, want at most 1", seed, worst)
+		t.Errorf("seed %d: the largest sum over a window is %.2f of the bound, want at most 1", seed, worst)
 	}
 	ordinary := s.tolerance > 50 && !s.bursts && !s.delayedUpdates && s.demand > 1.9*s.tolerance
 	if ordinary && units < 2*s.tolerance {
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Gateways that do not coordinate must not overload a server that restarts, in any OverloadWindow, even with a backlog of requests
-// and with some gateways stalled. The server executes 80 units per second and starts at InitialCapacity, the worst case that the
-// settings allow.
+// Gateways that do not coordinate must not overload a server that restarts, even with a backlog of requests and with some gateways
+// stalled: in no OverloadWindow may they send more than OverloadMultiple times what the server can execute in that time. The full
+// capacity of the server is 80 units per second. After the restart, the server has only the fraction InitialCapacity of it, the
+// lowest that the settings allow, and the capacity then grows over SlowStartDuration.
 func TestGatewaysDoNotOverloadStartingServer(t *testing.T) {
 	for gateways, seeds := range map[int]uint64{1: 40, 5: 40, 120: 40, 300: 10} {
 		for seed := range seeds {
@@ -160,13 +161,14 @@
 	s.unitsAfterRestart += units
 	bound := s.settings.OverloadMultiple * capacity * s.settings.OverloadWindow.Seconds()
 	if sum := s.window.add(s.now, units); sum > bound {
-		s.t.Fatalf("rule 4: %.0f units were sent within %v, %v after the server's start, want at most %.0f",
+		s.t.Fatalf("the starting server got %.0f units within %v, %v after its start, want at most %.0f",
 			sum, s.settings.OverloadWindow, s.now-s.restartAt, bound)
 	}
 }
 
-// checkUtilization checks that the server is not left idle: each gateway uses its equal share of the allowance as far as it has
-// requests at that time.
+// checkUtilization checks that the server is not left idle: the gateways send it at least 40 percent of its capacity before the
+// restart, and after it at least usedFraction of the slow-start allowance. They cannot use all of the allowance, because a
+// gateway can use its equal share only when it has requests.
 func (s *overloadSimulation) checkUtilization() {
 	s.t.Helper()
 	usedFraction := 0.15
@@ -174,7 +176,7 @@
 		usedFraction = 0.06 // a gateway has only one request every seven windows
 	}
 	if s.unitsBeforeRestart < 0.4*overloadCapacity*30 || s.unitsAfterRestart < usedFraction*s.allowedUnits {
-		s.t.Errorf("%.0f units were sent before the restart and %.0f of %.0f allowed ones after it, want more",
+		s.t.Errorf("%.0f units were sent before the restart and %.0f of %.0f allowed ones after it, want more: see checkUtilization",
 			s.unitsBeforeRestart, s.unitsAfterRestart, s.allowedUnits)
 	}
 	s.t.Logf("%.0f units were sent before the restart and %.0f of %.0f allowed ones after it",
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -42,15 +42,20 @@
 	for _, demand := range []float64{0, 0.1, 1, 10, 100} {
 		lifetime := slowStartTokenLifetime(demand, 0.1)
 		if lifetime > last || lifetime < minTokenLifetime {
-			t.Errorf("token lifetime is %v at a demand of %v and %v at a lower demand, want it no longer", lifetime, demand, last)
+			t.Errorf("token lifetime is %v at a demand of %v and %v at a lower demand, want at most that and at least minTokenLifetime",
+				lifetime, demand, last)
 		}
 		last = lifetime
 	}
 }
 
+// While a new server replaces the running one, both hold the shard. The running server must get the requests that it has capacity
+// for, not the starting one.
 func TestReplacementKeepsRunningServerInUse(t *testing.T) {
 	gateway := newTestGateway(t, nil)
-	gateway.advance(2 * time.Second) // after this, slow start would let the starting server take the request
+	// More than OverloadWindow after the gateway's own start, so that slow start does not keep the request from the starting
+	// server 3.
+	gateway.advance(2 * time.Second)
 	gateway.step(EndpointUpdate{Kind: Delta, Servers: []Server{{ID: 3, Shard: 0, StartedAt: gateway.now}}})
 	for _, send := range actionsOf[Send](gateway.step(gateway.newArrival("read", "gold", 1, 2, 5))) {
 		if send.Server != 1 {
@@ -72,16 +77,17 @@
 		gateway.advance(2 * time.Second)
 		gateway.restartServer()
 		sends, units := 0, 0.0
-		for k := range 400 { // 4 s with more requests than it may send; they stay queued long enough
+		for k := range 400 { // for 4 s, more requests arrive than may be sent; the rest stays queued up to the objective of 2 s
 			gateway.now += 10 * ms
 			for _, id := range sentIDs(gateway.step(gateway.newArrival("bulk", "gold", 1, 2, uint64(k)))) {
 				sends, units = sends+1, units+2
 				gateway.step(attemptServed(id, 5*ms))
 			}
 		}
-		// The equal share is half of 12 units per second at the start and twice that after 4 s. A burst is allowed in addition.
+		// The equal share is half of 12 units per second at the start and 1.7 times that after 4 s (see slowStartAllowance). A burst is
+		// allowed in addition.
 		if units < 18 || units > 42 {
-			t.Errorf("%d requests with %.0f units were sent within 4 s, want about 6 units per second, growing slowly",
+			t.Errorf("%d requests with %.0f units were sent within 4 s, want 18 to 42 units: about 6 to 10 per second and a burst",
 				sends, units)
 		}
 	})
@@ -89,21 +95,21 @@
 		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 100 })
 		gateway.serveReads(20*time.Second, 20*ms, 30*ms, StatusOK)
 		gateway.restartServer()
-		if sends := gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK); sends < 2 || sends > 4 { // a share of 6 units, plus a burst
-			t.Errorf("%d requests were sent in the first second, want 2 to 4", sends)
+		if sends := gateway.serveReads(time.Second, 10*ms, 30*ms, StatusOK); sends < 2 || sends > 4 { // the equal share is 3 requests
+			t.Errorf("%d requests were sent in the first second, want 2 to 4: the equal share of 6 units and a burst", sends)
 		}
 	})
 	t.Run("one of many gateways sends its equal share, however fast the responses are", func(t *testing.T) {
 		fast, slow := sendToStartingServer(t, 5*ms), sendToStartingServer(t, 100*ms)
 		if fast < 1 || fast > 3 || slow < 1 || slow > fast {
-			t.Errorf("%d and %d of 24 requests were sent with responses of 5 ms and 100 ms, want 1 to 3 and no more for 100 ms",
+			t.Errorf("%d and %d of 24 requests were sent with responses of 5 ms and 100 ms, want 1 to 3, and not more with 100 ms",
 				fast, slow)
 		}
 	})
 	t.Run("a surge does not raise the bound", func(t *testing.T) {
 		gateway := newTestGateway(t, func(s *Settings) { s.Plans[0].Rate = 2 })
 		gateway.restartServer()
-		sends := gateway.serveReads(4*time.Second, 10*ms, 500*ms, StatusOK) // 200 units per second
+		sends := gateway.serveReads(4*time.Second, 10*ms, 500*ms, StatusOK) // 2 units every 10 ms
 		if units := 2 * sends; units > 30 {
 			t.Errorf("%d units were sent within 4 s, want at most 30", units)
 		}
@@ -111,7 +117,7 @@
 }
 
 // sendToStartingServer simulates one of 80 gateways for 12 s with a request of 2 units every 500 ms for a server that has just
-// started. The equal share of the gateway is 0.11 to 0.5 units per second. It returns the number of sends.
+// started. The equal share of the gateway grows from 0.15 to 0.52 units per second. It returns the number of sends.
 func sendToStartingServer(t *testing.T, latency time.Duration) (sends int) {
 	t.Helper()
 	gateway := newTestGateway(t, func(s *Settings) { s.Gateways = 80 })
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// The bucket of a volume's limit is empty when the gateway starts, since the gateway's previous process may have used it up.
 func TestLimitIsEmptyAfterStart(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	var events []Event
@@ -22,7 +23,9 @@
 	}
 }
 
-// A gateway that receives all requests of a volume may use most of its reserve. Implausible reports leave the equal share in force.
+// A gateway's share of a reserve follows its part of the usage that servers report (see updateQuotaRates): a gateway that
+// receives all requests of a volume may use most of the volume's reserve. Implausible reports leave the share at the equal share,
+// a quarter.
 func TestReserveShareFollowsForeignUnits(t *testing.T) {
 	for name, test := range map[string]struct {
 		foreignUnits float64
@@ -127,7 +130,7 @@
 			}
 		}
 		if s.bucket.tokens < -s.plan.LimitOverdraft {
-			s.t.Fatalf("the level of the limit's bucket is %.1f at %v after the start, want at least -LimitOverdraft",
+			s.t.Fatalf("the level of the limit's bucket is %.1f at %v after the start, want -LimitOverdraft or more",
 				s.bucket.tokens, s.now-time.Hour)
 		}
 	}
@@ -153,8 +156,8 @@
 	return actionsOf[QuotaDemand](append(g.step(arrival), g.advance(10*ms)...))
 }
 
-// A gateway starts with the part of a volume's limit that no gateway leases to others. It reports its demand, and the shares that it
-// receives replace its part of the limit.
+// Until the first QuotaShare of a volume, a gateway may use the fraction InitialQuotaShare of its equal share of the volume's limit.
+// It reports its demand. Each QuotaShare that it receives replaces the part of the limit that it may use.
 func TestQuotaLeases(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.QuotaLeases, s.InitialQuotaShare = true, 0.5 })
 	first := gateway.demandsAfterArrival(1)
@@ -162,7 +165,7 @@
 		t.Fatalf("demands %+v for a new volume, want one with First set, volume 7 and 2 gateways", first)
 	}
 	volume := gateway.scheduler.volumes[7]
-	if volume.limit.rate != 5 || volume.limit.capacity != 6 { // half of the equal share, which is 10 and 12
+	if volume.limit.rate != 5 || volume.limit.capacity != 6 { // InitialQuotaShare times the equal share of 10 and 12
 		t.Errorf("limit at the start: %v units per second with a capacity of %v, want 5 and 6", volume.limit.rate, volume.limit.capacity)
 	}
 	demands := 0
@@ -190,7 +193,8 @@
 	}
 }
 
-// Without quota leases the scheduler reports no demand, and the gateway's equal share of the limit is in force from the start.
+// Without quota leases the scheduler reports no demand and ignores InitialQuotaShare: the gateway may use its equal share of the
+// limit from the start. Here that is the whole limit, since one gateway receives the requests of the volume.
 func TestNoQuotaLeases(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.InitialQuotaShare = 0.5 })
 	if demands := actionsOf[QuotaDemand](gateway.step(gateway.newArrival("read", "capped", 7, 1, 1))); len(demands) != 0 {
