--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -90,8 +90,8 @@
 	c.excessWindow = min(max(excess, minimum), maxWindow)
 }
 
-// growIdle lets windows below one request grow towards one after a period in which nothing was in flight. Such a period has no
-// latency samples, so updateWindows does not change the windows.
+// growIdle lets windows below one request grow towards one after a period without latency samples in which nothing was in flight.
+// updateWindows is not applied after such a period.
 func (c *congestionControl) growIdle(period time.Duration) {
 	growth := math.Exp2(idleDoublings * float64(period) / float64(latencyHalfLife))
 	c.window = max(c.window, min(1, c.window*growth))
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -43,9 +43,9 @@
 	Delta          UpdateKind = iota // the changed entries only
 	Snapshot                         // the complete list; servers that are not in it are removed
 	CachedSnapshot                   // the complete list as last seen before the gateway started
-	WatchFailed                      // a watch could not be opened, or it broke
+	WatchFailed                      // a watch could not be opened, or it ended before it had provided a list
 	WatchIdle                        // an established watch no longer sends entries or heartbeats
-	WatchClosed                      // an established watch ended after it had sent entries
+	WatchClosed                      // a watch ended after it had sent entries or had been open for some time
 	Heartbeat                        // the watch reports that nothing has changed
 )
 
--- a/internal/scheduler/slowstart_test.go
+++ b/internal/scheduler/slowstart_test.go
@@ -42,7 +42,7 @@
 	for _, demand := range []float64{0, 0.1, 1, 10, 100} {
 		lifetime := slowStartTokenLifetime(demand, 0.1)
 		if lifetime > last || lifetime < minTokenLifetime {
-			t.Errorf("token lifetime is %v at a demand of %v and %v at a lower demand, want at most that and at least minTokenLifetime",
+			t.Errorf("token lifetime is %v at a demand of %v and %v at a lower demand, want at most the latter and at least minTokenLifetime",
 				lifetime, demand, last)
 		}
 		last = lifetime
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -50,7 +50,7 @@
 		volume.limit.resize(s.now, min(volume.limit.rate, plan.Limit/gateways), min(volume.limit.capacity, plan.LimitBurst/gateways))
 	}
 	volume.lastRequestAt = s.now
-	volume.updateQuotaRates(s.now, max(1, s.settings.MeanUnits))
+	volume.updateUsageBasedRates(s.now, max(1, s.settings.MeanUnits))
 	return volume
 }
 
@@ -91,9 +91,10 @@
 	v.localUnits, v.foreignUnits, v.usageUpdatedAt = decay*v.localUnits+units, decay*v.foreignUnits+foreignUnits, now
 }
 
-// updateQuotaRates sets this gateway's share of the reserve and of the baseline rate in proportion to its part of the recorded
-// usage. If reports are few or old, the share tends to the equal share of all gateways. meanUnits is the mean size of a request.
-func (v *volumeEntry) updateQuotaRates(now time.Duration, meanUnits float64) {
+// updateUsageBasedRates sets this gateway's share of the reserve and of the baseline rate in proportion to its part of the
+// recorded usage. If reports are few or old, the share tends to the equal share of all gateways. meanUnits is the mean size of a
+// request.
+func (v *volumeEntry) updateUsageBasedRates(now time.Duration, meanUnits float64) {
 	decay := math.Exp2(-float64(now-v.usageUpdatedAt) / float64(usageHalfLife))
 	share := (decay*v.localUnits + meanUnits/v.gateways) / (decay*(v.localUnits+v.foreignUnits) + meanUnits)
 	v.reserve.setRate(now, v.plan.Reserve*share)
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// A gateway's share of a reserve follows its part of the usage that servers report (see updateQuotaRates): a gateway that
+// A gateway's share of a reserve follows its part of the usage that servers report (see updateUsageBasedRates): a gateway that
 // receives all requests of a volume may use most of the volume's reserve. Implausible reports leave the share at the equal share,
 // a quarter.
 func TestReserveShareFollowsForeignUnits(t *testing.T) {
