--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -28,7 +28,8 @@
 	return h.entries[0].at, true
 }
 
-// popExpired removes the earliest deadline and returns its request if that deadline has been reached. Otherwise it returns nil.
+// popExpired removes the earliest deadline and returns its request if the deadline has been reached. Otherwise popExpired returns
+// nil.
 func (h *deadlineHeap) popExpired(now time.Duration) *request {
 	if len(h.entries) == 0 || h.entries[0].at > now {
 		return nil
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -9,7 +9,7 @@
 // ignored.
 const maxShards = 1 << 12
 
-// applyEndpointUpdate applies a message of the watch or a change of its state. A server that drains or is removed gets no further
+// applyEndpointUpdate applies a message of the watch or a change of the watch's state. A server that drains or is removed gets no further
 // requests.
 func (s *Scheduler) applyEndpointUpdate(update *EndpointUpdate) {
 	s.endpointsValidUntil = update.ValidUntil
--- a/internal/scheduler/fairqueue.go
+++ b/internal/scheduler/fairqueue.go
@@ -130,8 +130,9 @@
 	return best, next
 }
 
-// chargeFlow charges a request that is sent now to its volume's reserve if that covers it, and otherwise to the fair share of its
-// flow. In both cases it also charges the volume's baseline rate if that covers the request.
+// chargeFlow charges a request that is sent now to the reserve of its volume. If the reserve does not cover the request, it
+// advances the flow's start tag instead, by the units of the request divided by the weight of the plan and the relative priority
+// of the request. In both cases it also charges the volume's baseline rate if the rate covers the request.
 func (s *Scheduler) chargeFlow(flow *flow, request *request) {
 	volume := flow.volume
 	if volume.withinReserve(s.now, request.Units) {
--- a/internal/scheduler/ordering.go
+++ b/internal/scheduler/ordering.go
@@ -34,8 +34,8 @@
 	queue.requests = append(queue.requests, request)
 }
 
-// allows reports whether per-key order allows a request to be sent. An ordered request must be the first in the queue of its key, and
-// the cooldown of the key must be over. An earlier request stays in the queue until it has ended and has no outstanding attempt. The
+// allows reports whether per-key order allows a request to be sent. An ordered request must be the first in the queue of its key,
+// and the cooldown of the key must be over. A request stays in the queue until it has ended and has no outstanding attempt. The
 // cooldown does not apply to retries of the request that caused it.
 func (o *keyOrder) allows(now time.Duration, request *request) bool {
 	if !request.isOrderedByKey() {
--- a/internal/scheduler/outcomes.go
+++ b/internal/scheduler/outcomes.go
@@ -72,7 +72,7 @@
 	s.finish(request)
 }
 
-// isSafeToReject reports whether a retry by the client is harmless: the request has not been executed, it is idempotent, or every
+// isSafeToReject reports whether a retry by the client is harmless: the request has not been executed, is idempotent, or every
 // server drops the retry as a duplicate.
 func (r *request) isSafeToReject() bool {
 	notExecuted := r.outstanding == 0 && !r.mayHaveExecuted
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -14,12 +14,12 @@
 // equal share of N per window and whose capacity is at most its share of the slack.
 //
 // With many gateways, a gateway's share may be far below one request per window. Each gateway then gets single tokens, at times
-// that it draws independently, at its equal share of a rate of r·N tokens per window. A token that is not used during its lifetime
-// F is lost. However requests arrive, the requests in a window are therefore at most the tokens issued in it and in the time F
-// before it: r·N·(1 + F/OverloadWindow) in the mean. Few tokens with a long lifetime suit a gateway with little demand, many
-// tokens with a short one suit a gateway with high demand; the number that it may use per window is the same. The draws are
-// independent, so the standard deviation of their sum is at most the square root of the mean. With slowStartRateFactor, the bound,
-// N plus the slack, is at least 3.7 standard deviations above the mean for any N. The distance is smallest at N = 30.
+// that it draws independently, at its equal share of a rate of r·N tokens per window. A token that is not used during its
+// lifetime F is lost. However requests arrive, the requests in a window are therefore at most the tokens issued in it and in the
+// time F before it: r·N·(1 + F/OverloadWindow) in the mean. Few tokens with a long lifetime suit a gateway with little demand,
+// many tokens with a short one suit a gateway with high demand. In both cases the gateway may use the same number per window. The
+// draws are independent, so the standard deviation of their sum is at most the square root of the mean. With slowStartRateFactor,
+// the bound, N plus the slack, is at least 3.7 standard deviations above the mean for any N. The distance is smallest at N = 30.
 const (
 	// slowStartRateFactor is r·(1 + F/OverloadWindow): the tokens of all gateways that can be used in a window, as a fraction of N.
 	slowStartRateFactor = 0.81
@@ -48,7 +48,7 @@
 	return 2*math.Sqrt(allowance) + 2
 }
 
-// slowStartTokenLifetime returns the lifetime of a token, in windows, with which a gateway uses most of its equal share. demand is
+// slowStartTokenLifetime returns the lifetime of a token, in windows, with which a gateway uses the most of its equal share. demand is
 // the number of requests that arrive per window, and maxWait is how many windows each of them waits for a token. The lifetime
 // maximizes r·(1 - exp(-y)), where r is slowStartRateFactor/(1 + lifetime) and y is the number of requests that arrive during the
 // lifetime and maxWait together.
--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -54,8 +54,8 @@
 	return volume
 }
 
-// newVolumeEntry returns the state of a volume without requests. The bucket of its limit has been filling since the gateway's start.
-// It is taken to be empty then, because a previous process may have used it up.
+// newVolumeEntry returns the state of a volume without requests. The bucket of its limit is empty at the gateway's start, because
+// a previous process of the gateway may have used it up, and has been filling since then.
 func (s *Scheduler) newVolumeEntry(plan *Plan, gateways float64) *volumeEntry {
 	share := s.settings.InitialQuotaShare
 	return &volumeEntry{
