--- a/internal/scheduler/volumes.go
+++ b/internal/scheduler/volumes.go
@@ -12,8 +12,9 @@
 	demandTimeConstant = time.Second
 	// usageHalfLife is the half-life of the recorded usage of a volume through this gateway and through other gateways.
 	usageHalfLife = 2 * latencyHalfLife
-	// unitsBound is the number of units from which on a value is not plausible. Such values are rejected or ignored.
-	unitsBound = 1e9
+	// minImplausibleUnits is the smallest number of units that is not plausible. Requests with so many units are rejected, and
+	// servers' reports of so many are ignored.
+	minImplausibleUnits = 1e9
 )
 
 // volumeEntry is the state of a volume at this gateway, over all shards.
@@ -49,12 +50,12 @@
 		volume.limit.resize(s.now, min(volume.limit.rate, plan.Limit/gateways), min(volume.limit.capacity, plan.LimitBurst/gateways))
 	}
 	volume.lastRequestAt = s.now
-	volume.updateQuotaRates(s.now, max(1, s.settings.MeanUnits))
+	volume.updateUsageBasedRates(s.now, max(1, s.settings.MeanUnits))
 	return volume
 }
 
-// newVolumeEntry returns the state of a volume without requests. The bucket of its limit has been filling since the gateway's start.
-// It is taken to be empty then, because a previous process may have used it up.
+// newVolumeEntry returns the state of a volume without requests. The bucket of its limit is empty at the gateway's start, because
+// a previous process of the gateway may have used it up, and has been filling since then.
 func (s *Scheduler) newVolumeEntry(plan *Plan, gateways float64) *volumeEntry {
 	share := s.settings.InitialQuotaShare
 	return &volumeEntry{
@@ -77,8 +78,8 @@
 	return now-v.lastRequestAt > volumeIdleTimeout && (v.plan.Limit == 0 || v.limit.available(now) >= v.limit.capacity)
 }
 
-// validUnits reports whether a number of units is plausible: not NaN, not negative and below unitsBound.
-func validUnits(units float64) bool { return units >= 0 && units < unitsBound }
+// validUnits reports whether a number of units is plausible: not NaN, not negative and below minImplausibleUnits.
+func validUnits(units float64) bool { return units >= 0 && units < minImplausibleUnits }
 
 // recordUsage adds the units of a served request, and the units served through other gateways that the response reports. If the
 // reported value is out of range, neither is added.
@@ -90,9 +91,10 @@
 	v.localUnits, v.foreignUnits, v.usageUpdatedAt = decay*v.localUnits+units, decay*v.foreignUnits+foreignUnits, now
 }
 
-// updateQuotaRates sets this gateway's share of the reserve and of the baseline rate in proportion to its part of the recorded
-// usage. If reports are few or old, the share tends to the equal share of all gateways. meanUnits is the mean size of a request.
-func (v *volumeEntry) updateQuotaRates(now time.Duration, meanUnits float64) {
+// updateUsageBasedRates sets this gateway's share of the reserve and of the baseline rate in proportion to its part of the
+// recorded usage. If reports are few or old, the share tends to the equal share of all gateways. meanUnits is the mean size of a
+// request.
+func (v *volumeEntry) updateUsageBasedRates(now time.Duration, meanUnits float64) {
 	decay := math.Exp2(-float64(now-v.usageUpdatedAt) / float64(usageHalfLife))
 	share := (decay*v.localUnits + meanUnits/v.gateways) / (decay*(v.localUnits+v.foreignUnits) + meanUnits)
 	v.reserve.setRate(now, v.plan.Reserve*share)
