--- a/cmd/faultbench/fleet.go
+++ b/cmd/faultbench/fleet.go
@@ -39,7 +39,7 @@
 	}
 	fmt.Printf("served %d (%.0f units), rejected %d, failed %d; %d pauses, %d datagrams, %d stalls of the machine\n", result.Served,
 		result.ServedUnits, result.Rejected, result.Failed, result.Pauses, result.Datagrams, result.Stalls)
-	fmt.Printf("attempts per second from a gateway, at most: at a server that fails for all %.1f, at one whose drain its list omits %.1f\n",
+	fmt.Printf("largest rate of attempts from one gateway, per second: at a server that fails for all gateways %.1f, at a draining server whose drain the endpoint list omits %.1f\n",
 		result.EjectedSendRate, result.StaleListSendRate)
 	printViolations(result.Violations)
 	fmt.Printf("processes=%d kills=%d partitions=%d over_limit=%d wrong_ejections=%d doubled=%d crashed=%d lost=%d worst_over_units=%.1f bound_units=%.1f recover_ms=%.0f bound_ms=%.0f\n",
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -25,7 +25,7 @@
 	// (RFC 4271, 10).
 	minJitter = 0.75
 
-	// readinessQueueSize is the number of values of SetReady that Run may be behind before SetReady blocks.
+	// readinessQueueSize is the number of calls of SetReady that can wait for Run. Further calls block.
 	readinessQueueSize = 16
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,7 +49,7 @@
 	Peers                               []string // addresses of all gateways, including this one, in the order of their indexes
 	IdleConnTimeoutMs, ConnectTimeoutMs float64  // timeouts of connections to servers
 
-	fileDiscovery string // discovery address in the file, which ROUTER_DISCOVERY does not override
+	fileDiscovery string // discovery address in the file, without the override by ROUTER_DISCOVERY
 }
 
 // Load reads the configuration file that ROUTER_CONFIG names, and overrides its values by the other variables that are
@@ -89,7 +89,8 @@
 }
 
 // Reload reads the configuration again. It does not change c, the configuration in use. The environment dates from the
-// start of the program, so a discovery address that has changed in the file overrides ROUTER_DISCOVERY.
+// start of the program, so a discovery address that has changed in the file overrides ROUTER_DISCOVERY. If the address in the
+// file is missing or has not changed, the address in use stays.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := Load(getenv)
 	if err != nil {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// RestartRequired returns the names of the parts that differ between c and next and that only a restart applies.
+// RestartRequired returns the names of the parts that differ between c and next and take effect only after a restart.
 func (c *Config) RestartRequired(next *Config) (names []string) {
 	for _, part := range []struct {
 		name string
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -31,7 +31,8 @@
 	maxPeers = 1 << 16
 )
 
-// platformIndex is a value of Fleet.GatewayIndex: the index comes from the platform's configuration.
+// platformIndex is the value of Fleet.GatewayIndex if the operator's file has no index. The index of the platform's
+// configuration is then used.
 const platformIndex = -1
 
 // Fleet configures the communication between gateways. Resolve takes the values that are left out from the platform's
@@ -106,7 +107,7 @@
 	}
 	if index >= len(options.Peers) || len(options.Peers) > maxPeers {
 		return "", options, fmt.Errorf(
-			"fleet: self is %d, but there are %d peers: self must be less, and no more peers are allowed than an index can distinguish",
+			"fleet: self is %d, but there are %d peers: self must be less than the number of peers, which is at most 65536",
 			index, len(options.Peers))
 	}
 	options.Self = uint16(index)
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -83,8 +83,8 @@
 	return sftp, firstError(append(errs, reader.err))
 }
 
-// parseClasses looks up the classes of reads and writes by their names. The class of writes must need a key to repeat a
-// request, so that writes are deduplicated.
+// parseClasses looks up the classes of reads and writes by their names. The class of writes must not be Idempotent: requests of
+// an Idempotent class are repeated without a key and are not deduplicated.
 func (s *SFTP) parseClasses(reader *valueReader, object *fastjson.Value, settings *scheduler.Settings) (errs []error) {
 	for _, class := range []struct {
 		key   string
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -18,8 +18,8 @@
 	l.broadcasts = append(l.broadcasts, broadcast{member: index})
 }
 
-// send adds updates to a message and queues it. The updates are the state of this member, the state of the receiver if it
-// is not alive, which the receiver can then refute, and the broadcasts with the fewest transmissions.
+// send adds updates to a message and queues it. The updates are, in this order: the state of this member; the state of the
+// receiver if it is not alive, so that the receiver can refute it; and the broadcasts with the fewest transmissions.
 func (l *Memberlist) send(m Message) {
 	m.Updates = append(m.Updates, l.updateFor(l.settings.Self))
 	if l.members[m.Peer].state != Alive {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -5,7 +5,7 @@
 // does not acknowledge in time, other members ping it on behalf of the prober. A target that acknowledges none of these
 // pings becomes suspect, and is declared dead unless it refutes the suspicion before the suspicion timeout. The timeout
 // shrinks as further members confirm the suspicion. A member that detects that it is slow, or that was paused, raises its
-// health score, which lengthens its own timeouts. Updates about members are piggybacked on these messages.
+// health score, which lengthens its own probe timeouts and periods. Updates about members are piggybacked on these messages.
 //
 // # Invariants
 //
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -104,8 +104,9 @@
 	return l.outgoing, l.changes
 }
 
-// resumeAfterPause handles a pause of this process. The process received nothing during the pause, so a missing message does
-// not show that another member has failed. It therefore extends suspicion timeouts by the pause and drops pending probes.
+// resumeAfterPause handles a pause of this process. Step assumes a pause if it is called more than ProbePeriodMs later than
+// NextStepMs required. The process received nothing during the pause, so a missing message does not show that another member
+// has failed. Suspicion timeouts are therefore extended by the pause, and pending probes and relays are dropped.
 func (l *Memberlist) resumeAfterPause(nowMs, pauseMs float64) {
 	for i := range l.members {
 		l.members[i].suspectedAtMs += pauseMs
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -92,7 +92,8 @@
 		Incarnation: l.members[p.target].incarnation,
 		SuspectedBy: l.settings.Self,
 	})
-	// A relay sends a Nack if the target does not acknowledge. A missing Nack suggests that the links of this member fail.
+	// A member that was asked to ping the target sends a Nack if the target does not acknowledge. A missing Nack suggests that
+	// the links of this member fail.
 	l.raiseHealthScore(p.expectedNacks)
 }
 
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -74,7 +74,7 @@
 func (s Settings) validate() error {
 	if s.MemberCount < 1 || s.MemberCount > maxMembers || int(s.Self) >= s.MemberCount {
 		return fmt.Errorf(
-			"%w: member index is %d of %d members, want an index below the member count, no more members than an index can distinguish",
+			"%w: member index is %d in a fleet of %d members, want an index below the member count and 1 to 65536 members",
 			ErrInvalidSettings, s.Self, s.MemberCount)
 	}
 	if !s.probesInRange() || !s.suspicionInRange() || !s.gossipInRange() {
@@ -106,8 +106,15 @@
 }
 
 // DetectionBoundMs returns the longest time from the death of a member until another member with working links declares it
-// dead. It covers the round in which the member was probed just before it died, the following round and the longest
-// suspicion timeout. In both rounds every DeadProbeEvery-th probe goes to a dead member.
+// dead. It is the sum of a number of probe periods and the longest suspicion timeout. The number of periods has these parts:
+//
+//   - Two rounds of MemberCount-1 probes. The member may have been probed first in one round, just before it died, and may be
+//     probed last in the following round.
+//   - One probe of another dead member for each DeadProbeEvery probes of these rounds: the factor
+//     (DeadProbeEvery+1)/DeadProbeEvery.
+//   - One period at the end of which the member becomes suspect, because it has not acknowledged the probe.
+//
+// Each period is multiplied by MaxHealthScore+1, as if the health score of the probing member were at its maximum.
 func (s Settings) DetectionBoundMs() float64 {
 	_, longest := s.SuspicionBoundsMs()
 	probes := 2 * float64(s.MemberCount-1) * float64(s.DeadProbeEvery+1) / float64(s.DeadProbeEvery)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -3,8 +3,8 @@
 import "math"
 
 // maxDirectPings is the number of times that a suspect is pinged directly: after 1/2, 3/4, 7/8 and 15/16 of its suspicion
-// timeout. With message loss, the gossiped refutation of a suspect always misses some member; a direct ping lets the
-// suspect refute the suspicion to that member itself.
+// timeout. With message loss, there is always some member that the gossiped refutation of a suspect does not reach. A direct
+// ping lets the suspect refute the suspicion to that member itself.
 const maxDirectPings = 4
 
 // suspicionTimeoutMs returns the time that a suspect has to refute the suspicion. The more members suspect it, the shorter
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// minPercentChange is the change of an observation, in percentage points, that is reported before the report interval ends.
+// minPercentChange is the smallest change of an observation, in percentage points, that is reported without waiting for the
+// end of the report interval. A change from or to 0 is always reported immediately.
 const minPercentChange = 20
 
 // Detector holds what one gateway knows about the condition of servers. It is not safe for concurrent use.
@@ -132,8 +133,9 @@
 	return Report{Server: s.id, Condition: condition, Percent: percent, Version: d.lastVersion}
 }
 
-// evaluate returns an ejection and true if a quorum reports the given condition of a server. ownPercent is this gateway's own
-// observation.
+// evaluate returns an ejection and true if a quorum reports the given condition of a server, and the reported percentages add
+// up to at least MinFailureRatio times the size of the quorum. It returns false for Failing if this gateway's own attempts
+// show that the server is healthy. ownPercent is this gateway's own observation.
 func (d *Detector) evaluate(nowMs float64, s *server, condition Condition, ownPercent uint8) (Ejection, bool) {
 	if condition == Failing && s.isHealthy(d.settings.MinFailures) {
 		return Ejection{}, false
--- a/internal/outlier/settings.go
+++ b/internal/outlier/settings.go
@@ -56,7 +56,7 @@
 		return fmt.Errorf("%w: minimum of failures is %v and maximum attempt weight %v, want at least 1 and a larger weight",
 			ErrInvalidSettings, s.MinFailures, s.MaxAttemptWeight)
 	case !(s.MinFailureRatio > maxHealthyFailureRatio && s.MinFailureRatio <= 1):
-		return fmt.Errorf("%w: minimum failure ratio is %v, want more than the largest healthy failure ratio and at most 1",
+		return fmt.Errorf("%w: minimum failure ratio is %v, want more than 0.1, which a healthy server may have, and at most 1",
 			ErrInvalidSettings, s.MinFailureRatio)
 	case !(s.MaxReportAgeMs > 0):
 		return fmt.Errorf("%w: maximum report age is %v ms, want more than 0", ErrInvalidSettings, s.MaxReportAgeMs)
--- a/internal/peer/inbox.go
+++ b/internal/peer/inbox.go
@@ -8,8 +8,8 @@
 	"gaugerelay/internal/quota"
 )
 
-// maxPending bounds the messages, and separately the demands, that wait for the next step. Packets beyond the bound are
-// dropped, which is safe because the protocols allow for lost datagrams.
+// maxPending bounds the messages, and separately the demands, that wait for the next step. A packet that arrives while
+// more than maxPending messages wait is dropped. That is safe because the protocols allow for lost datagrams.
 const maxPending = 1024
 
 // messages holds messages of all protocols that were received or are to be sent.
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -28,7 +28,7 @@
 	ProbePeriodMs, ProbeTimeoutMs float64
 	// LeaseMs is the duration of a quota lease.
 	LeaseMs float64
-	// ClockDrift is the largest relative difference between the rates of two gateways' clocks.
+	// ClockDrift is the largest fraction by which a gateway's clock is faster or slower than true time.
 	ClockDrift float64
 	// MaxGrantedFraction is the largest fraction of its own share of a quota that a gateway grants to others.
 	MaxGrantedFraction float64
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -47,7 +47,7 @@
 	inbox   messages
 	demands []quota.Demand
 
-	nextRecipient   int     // rotating index of the next recipient of reports among the alive gateways
+	nextRecipient   int     // index of the next recipient of reports among the alive gateways, modulo their number
 	nextEjectionsMs float64 // time from which ejections may be passed to the scheduler again
 	nextStepMs      float64 // time from which BeginStep performs the next step
 	stopTimer       func()  // cancels the timer for nextStepMs
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// conditionLabel returns the name of a condition in the status text, which is the same in all versions of the program.
+// conditionLabel returns the name by which the status text calls a condition. These names are the same in all versions of the
+// program.
 func conditionLabel(condition outlier.Condition) string {
 	switch condition {
 	case outlier.Failing:
--- a/internal/peer/step.go
+++ b/internal/peer/step.go
@@ -108,7 +108,7 @@
 	return reports, events
 }
 
-// stepLatencies runs the aggregation of latencies. It returns events for servers whose estimate has changed.
+// stepLatencies runs the aggregation of latencies. It returns events for servers with a new estimate.
 func (s *Service) stepLatencies(
 	nowMs float64, received []peerlatency.Report,
 ) (reports []peerlatency.Report, events []scheduler.Event) {
--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -49,7 +49,7 @@
 }
 
 // Step processes the reports of peers. It returns the reports of this gateway to send to all peers, if a round of reports is
-// due, and the estimates that have changed. nowMs must not decrease from call to call.
+// due, and the estimates for the servers with new reports of peers. nowMs must not decrease from call to call.
 func (a *Aggregator) Step(nowMs float64, received []Report) (outgoing []Report, estimates []Estimate) {
 	for _, r := range received {
 		a.receive(nowMs, r)
--- a/internal/peerlatency/report.go
+++ b/internal/peerlatency/report.go
@@ -1,6 +1,6 @@
 package peerlatency
 
-// maxLatencyMs is the latency from which on measurements and reports are rejected as invalid.
+// maxLatencyMs is the upper bound of valid latencies. Measurements and reports of this latency or more are rejected.
 const maxLatencyMs = 1e9
 
 // Report is the latency of a server as one gateway has measured it.
--- a/internal/peerlatency/server.go
+++ b/internal/peerlatency/server.go
@@ -48,8 +48,8 @@
 	s.reports = slices.DeleteFunc(s.reports, func(r peerReport) bool { return nowMs-r.measuredAtMs > maxAgeMs })
 }
 
-// record stores a report if it supersedes the stored report of the same peer. A report of a peer without a stored report is
-// stored if fewer than maxPeers reports are.
+// record stores a report if it supersedes the stored report of the same peer. If there is no stored report of that peer, it
+// stores the report if it has stored fewer than maxPeers reports.
 func (s *server) record(r peerReport, maxPeers int) {
 	i := slices.IndexFunc(s.reports, func(stored peerReport) bool { return stored.peer == r.peer })
 	switch {
--- a/internal/peerlatency/settings.go
+++ b/internal/peerlatency/settings.go
@@ -31,7 +31,7 @@
 	timesInRange := s.DecayMs > 0 && s.MaxAgeMs > 0 && s.ReportIntervalMs > 0 && s.ReportIntervalMs < s.MaxAgeMs
 	boundsInRange := s.MaxServersPerReport >= 1 && s.MaxServers >= 1 && s.MaxPeers >= minReports
 	if !timesInRange || !boundsInRange {
-		return fmt.Errorf("%w: report interval %v ms, maximum age %v ms, maximum of %d servers or %d peers, or another out of range",
+		return fmt.Errorf("%w: report interval of %v ms, maximum age of %v ms, maximum of %d servers, maximum of %d peers or another setting is out of range",
 			ErrInvalidSettings, s.ReportIntervalMs, s.MaxAgeMs, s.MaxServers, s.MaxPeers)
 	}
 	return nil
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -115,8 +115,8 @@
 	return max(0, own-totalFraction(p.lent)) + totalFraction(p.borrowed)
 }
 
-// recordDemand applies a demand. It creates the state of the pool if fewer than MaxPools pools have state. A gateway uses
-// its own share of a pool that has no state.
+// recordDemand applies a demand. It creates the state of the pool if fewer than MaxPools pools have state. For a pool without
+// state, Step returns no share, and the caller uses the gateway's own share.
 func (a *Allocator) recordDemand(nowMs float64, demand Demand) {
 	if demand.Gateways < 1 || !(demand.Fraction >= 0) {
 		return
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// balance initiates the messages of one pool, at most once per RequestIntervalMs. If the gateway has borrowed quota that
-// it does not use, the messages return it. Otherwise they recall lent quota that the gateway needs itself, request quota
-// that it lacks and renew the leases that it uses.
+// balance returns the messages that this gateway sends for one pool without having been asked, at most once per
+// RequestIntervalMs. If the gateway has borrowed quota that it does not use, the messages return that quota. Otherwise they
+// recall lent quota that the gateway needs itself, request quota that it lacks and renew the leases that it uses.
 func (a *Allocator) balance(p *pool, nowMs float64) []Message {
 	if nowMs < p.lastInitiatedMs+a.settings.RequestIntervalMs || len(a.peers) == 0 {
 		return nil
@@ -191,7 +191,8 @@
 	})
 }
 
-// isIdle reports whether the pool's traffic no longer arrives at this gateway: its last demand is too old.
+// isIdle reports whether the last demand for a pool is older than IdleTimeoutMs. The pool's traffic is then assumed to arrive
+// only at other gateways.
 func (a *Allocator) isIdle(p *pool, nowMs float64) bool {
 	return nowMs-p.demandAtMs > a.settings.IdleTimeoutMs
 }
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// lenderProbesPerRound is the number of peers not yet known as lenders of a pool that are asked in one round.
+	// lenderProbesPerRound is the number of peers that one round of requests takes in rotation, to find further lenders of a
+	// pool.
 	lenderProbesPerRound = 4
 	// borrowedLeasesPerPeer times MaxPeers bounds the borrowed leases of a pool. A restarted lender may grant a lease
 	// while a lease of its previous incarnation has not expired.
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -10,8 +10,9 @@
 //
 // The fractions of a pool that gateways may use at any moment never add up to more than 1. The limit is therefore never
 // exceeded, whatever messages are lost, delayed, duplicated or reordered, and whichever gateways pause, crash or lose
-// their connection. This assumes that the rates of any two clocks differ by at most [Settings.ClockDrift], and that the
-// set of gateways that receive a pool's traffic changes no faster than [Settings.IdleTimeoutMs]. It holds because:
+// their connection. This assumes that no clock is faster or slower than true time by more than [Settings.ClockDrift], and
+// that the set of gateways that receive a pool's traffic changes no faster than [Settings.IdleTimeoutMs]. The invariant holds
+// because:
 //
 //   - A lender records a grant before it sends it, and reclaims it only when the lease has expired on the lender's own
 //     clock. The lender's lease is longer than the borrower's, to allow for clocks of different rates; see
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -1,8 +1,9 @@
 package quota
 
 // handleRequest answers a lease request. It never reduces a granted lease that has not expired, because the borrower may
-// still use it. If this gateway's own traffic needs the quota, it does not answer, so that the lease expires. It does not
-// answer for an idle pool either: the pool's traffic arrives at other gateways, so this gateway owns no share of it.
+// still use it. If this gateway's own traffic needs quota that is lent, it does not answer a request to renew or increase a
+// lease, so that the lease expires. It does not answer for an idle pool either: the pool's traffic arrives at other gateways,
+// so this gateway owns no share of it.
 func (a *Allocator) handleRequest(p *pool, nowMs float64, request Message) []Message {
 	if a.isIdle(p, nowMs) {
 		return nil
@@ -30,7 +31,8 @@
 	return []Message{reply}
 }
 
-// recordGrant records or renews the lease of a grant. It returns false if the pool already has MaxPeers borrowers.
+// recordGrant renews the lease of a grant or records a new one. It returns false if there is no lease to renew and the pool
+// already has MaxPeers lent leases.
 func (a *Allocator) recordGrant(p *pool, nowMs float64, grant Message) bool {
 	granted := findLease(p.lent, grant.Peer, grant.RecipientIncarnation)
 	if granted == nil {
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -9,7 +9,7 @@
 // ErrInvalidSettings is wrapped by the errors of New.
 var ErrInvalidSettings = errors.New("quota: invalid settings")
 
-// maxClockDrift is the drift at which GrantHoldMs reaches three times LeaseMs.
+// maxClockDrift is the value below which ClockDrift must be. At this drift, GrantHoldMs would be three times LeaseMs.
 const maxClockDrift = 0.5
 
 // Settings configure an Allocator.
@@ -20,7 +20,7 @@
 	Incarnation uint32
 	// LeaseMs is the time for which a borrower may use a grant, counted from its request.
 	LeaseMs float64
-	// ClockDrift is the largest relative difference between the rates of two gateways' clocks.
+	// ClockDrift is the largest fraction by which a gateway's clock is faster or slower than true time.
 	ClockDrift float64
 	// MaxGrantedFraction is the largest fraction of its own share that a gateway lends.
 	MaxGrantedFraction float64
@@ -55,7 +55,7 @@
 	case !(s.LeaseMs > 0):
 		return fmt.Errorf("%w: lease duration is %v ms, want more than 0", ErrInvalidSettings, s.LeaseMs)
 	case !(s.ClockDrift >= 0 && s.ClockDrift < maxClockDrift):
-		return fmt.Errorf("%w: clock drift is %v, want at least 0 and less than the drift limit", ErrInvalidSettings, s.ClockDrift)
+		return fmt.Errorf("%w: clock drift is %v, want at least 0 and less than 0.5", ErrInvalidSettings, s.ClockDrift)
 	case !(s.MaxGrantedFraction >= 0 && s.MaxGrantedFraction < 1):
 		return fmt.Errorf("%w: maximum granted fraction is %v, want at least 0 and less than 1", ErrInvalidSettings,
 			s.MaxGrantedFraction)
@@ -67,7 +67,7 @@
 		return fmt.Errorf("%w: lease duration of %v ms is too short for renewal: want more than twice the request interval of %v ms",
 			ErrInvalidSettings, s.LeaseMs, s.RequestIntervalMs)
 	case !(s.IdleTimeoutMs >= demandTimeoutMs):
-		return fmt.Errorf("%w: idle timeout is %v ms, want at least the demand timeout", ErrInvalidSettings, s.IdleTimeoutMs)
+		return fmt.Errorf("%w: idle timeout is %v ms, want at least the demand timeout of 1000 ms", ErrInvalidSettings, s.IdleTimeoutMs)
 	}
 	return nil
 }
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -73,7 +73,7 @@
 		tick = w.currentTick + horizonTicks - 1
 	}
 	// Each level stands for one digit of the tick, of slotBits bits. The level is that of the highest digit in which the tick
-	// differs from the current one. In the current round of that level the slot is still ahead.
+	// differs from the current one. The slot is therefore reached before the level wraps around.
 	level := 0
 	if diff := uint64(tick ^ w.currentTick); diff != 0 {
 		level = min((bits.Len64(diff)-1)/slotBits, levelCount-1)
@@ -117,7 +117,8 @@
 		}
 		shift := slotBits * level
 		digit := int(w.currentTick>>shift) & slotMask
-		// Slots above the current digit are reached in the current round of the level, the others in the next one.
+		// A round is one pass through the slots of a level. Slots above the current digit are reached in the current round, the
+		// others in the next one.
 		candidates := occupied &^ (1<<(digit+1) - 1)
 		round := w.currentTick >> (shift + slotBits)
 		if candidates == 0 {
