--- a/cmd/gaugerelay/edge_test.go
+++ b/cmd/gaugerelay/edge_test.go
@@ -36,9 +36,9 @@
 	p.waitForLog("announced=true")
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("announced=false")
-	p.waitForLog("answers_served 3")
+	p.waitForLog("answers_served 3") // the responses to the OPEN, READ and WRITE of changeFirstByte
 	p.wantExit()
-	cease := []byte{0, 21, 3, 6, 2} // end of the NOTIFICATION, which follows a KEEPALIVE, the routes and their withdrawal
+	cease := []byte{0, 21, 3, 6, 2} // end of the last message: length 21, NOTIFICATION, code Cease, administrative shutdown
 	received, err := io.ReadAll(session)
 	if err != nil || !bytes.HasSuffix(received, cease) {
 		t.Errorf("reading the session returned error %v and %x, which must end with a Cease", err, received)
@@ -57,7 +57,7 @@
 	open := make([]byte, 64)
 	n, err := session.Read(open)
 	if err != nil || n <= identifierEnd+1 {
-		t.Fatalf("read an OPEN of %d bytes, error %v", n, err)
+		t.Fatalf("read an OPEN of %d bytes, error %v; want at least 29 bytes", n, err)
 	}
 	open[identifierEnd]++ // the router's OPEN equals the program's except for the identifier
 	keepalive := append(bytes.Repeat([]byte{0xff}, 16), 0, 19, 4)
@@ -86,7 +86,7 @@
 	}
 	content := make([]byte, 5)
 	if _, err := file.ReadAt(content, 0); err != nil || string(content) != "layer" {
-		t.Errorf("the file read contains %q, error %v", content, err)
+		t.Errorf("reading the file returned %q, error %v; want the content layer", content, err)
 	}
 	if _, err := file.WriteAt([]byte("L"), 0); err != nil {
 		t.Errorf("writing the file: %v", err)
--- a/cmd/gaugerelay/shutdown_test.go
+++ b/cmd/gaugerelay/shutdown_test.go
@@ -56,7 +56,8 @@
 	return fmt.Sprint(response.StatusCode, " ", string(body))
 }
 
-// A gateway that never becomes ready exits without an error on SIGTERM, even if further signals arrive before and after it.
+// A gateway that is not ready exits without an error on SIGTERM, even if further signals arrive before and after SIGTERM. The
+// gateway does not become ready, since its configuration has no known servers and discovery sends nothing.
 func TestSignalsBeforeReady(t *testing.T) {
 	unresponsiveDiscovery := testbed.Listen(t) // accepts connections and sends nothing
 	text := settingsFor(unusedServer)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -33,10 +33,12 @@
 		}
 	}
 	if strings.Contains(got, "END_FAILED") || strings.Contains(got, "NOT_NOW") {
-		t.Errorf("the request was answered twice in the output\n%s", got)
+		t.Errorf("the request was rejected or failed, want it to succeed, in the output\n%s", got)
 	}
 }
 
+// TestHostReopensInstanceInOneBatch checks that an instance that is killed and opened again in the same batch gets a new scheduler.
+// The new scheduler forwards request 8 and does not know request 7 of the killed one, so request 7 is never answered.
 func TestHostReopensInstanceInOneBatch(t *testing.T) {
 	got := reply(t, "CLOCK 1002 1\nTARGET_INSTANCE 0\n"+setup+"NEW_REQUEST 7 read gold 42 3000 9 2 0 1 0\nEND\n"+
 		"CLOCK 1004 2\nTARGET_INSTANCE 0\nKILL\n"+setup+"NEW_REQUEST 8 read gold 43 3000 9 2 0 1 0\nEND\n"+
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -157,7 +157,8 @@
 	}
 }
 
-// The messages of a whole session: OPEN, KEEPALIVE, UPDATE that announces, UPDATE that withdraws, and NOTIFICATION.
+// Records the speaker's messages in a whole session: OPEN, KEEPALIVE, an UPDATE that announces the prefixes, an UPDATE that
+// withdraws them, and NOTIFICATION.
 func TestGoldenSessions(t *testing.T) {
 	for _, c := range []struct {
 		golden  string
@@ -188,7 +189,8 @@
 	}
 }
 
-// The messages when first the keepalive timer and then the hold timer expires.
+// Records the speaker's messages to a silent router: KEEPALIVEs when the keepalive timer expires, and a NOTIFICATION when the
+// hold timer expires.
 func TestGoldenTimers(t *testing.T) {
 	r := connect(t, options(localAS))
 	r.read()
@@ -210,7 +212,8 @@
 	testbed.CompareGolden(t, "timers", r.record.String())
 }
 
-// The NOTIFICATION to a router that violates the protocol, after the speaker's OPEN or in an established session.
+// Records the speaker's NOTIFICATION to a router that violates the protocol. The violation follows the speaker's OPEN or happens
+// in an established session.
 func TestGoldenNotifications(t *testing.T) {
 	badMarker := frame(typeKeepalive)
 	badMarker[0] = 0
--- a/internal/bgp/session_test.go
+++ b/internal/bgp/session_test.go
@@ -147,7 +147,7 @@
 		r.session.setReady(ready)
 		r.model.ready = ready
 		r.model.announceIfDue()
-	case 6: // up to 12.4 s: shorter or longer than the shortest keepalive interval, 7.5 s
+	case 6: // up to 12.4 s; the keepalive interval is 7.5 s to 10 s, a third of the hold time of 30 s with jitter
 		r.advance(float64(step>>3) * 400)
 		return
 	case 7: // an UPDATE whose length of withdrawn routes exceeds its body
@@ -261,7 +261,7 @@
 			if len(update.NLRI) != 2 || hasAS4Path != c.hasAS4Path || hasPref != c.hasPref ||
 				!strings.Contains(attributes[bgp.BGP_ATTR_TYPE_NEXT_HOP], "127.0.0.2") ||
 				!strings.Contains(attributes[bgp.BGP_ATTR_TYPE_AS_PATH], c.path) {
-				t.Errorf("unexpected path attributes %v or routes %v", attributes, update.NLRI)
+				t.Errorf("got path attributes %v and routes %v, want the attributes of this case and 2 routes", attributes, update.NLRI)
 			}
 		})
 	}
--- a/internal/bgp/speaker_test.go
+++ b/internal/bgp/speaker_test.go
@@ -53,7 +53,7 @@
 	r.t.Helper()
 	open := r.read(bgp.BGP_MSG_OPEN).Body.(*bgp.BGPOpen)
 	if open.MyAS != 65001 || open.HoldTime != 90 || open.ID.String() != "127.0.0.2" {
-		r.t.Errorf("unexpected OPEN %+v", open)
+		r.t.Errorf("received OPEN %+v, want AS 65001, a hold time of 90 s and the identifier 127.0.0.2", open)
 	}
 	r.send(newOpen(65000, 90, "127.0.0.3", bgp.NewCapFourOctetASNumber(65000)))
 	r.read(bgp.BGP_MSG_KEEPALIVE)
@@ -114,7 +114,8 @@
 	speaker.Wait()
 }
 
-// expectKeepalives answers KEEPALIVEs for much longer than the hold time, and checks their interval.
+// expectKeepalives answers KEEPALIVEs for much longer than the hold time, and checks their interval. It is a third of the hold time
+// of 90 s, less up to a quarter for jitter.
 func (r fakeRouter) expectKeepalives(c clock.Clock) {
 	r.t.Helper()
 	for range 100 {
@@ -145,7 +146,7 @@
 	}
 }
 
-// With a simulated clock: KEEPALIVEs keep the session established, it ends when the router becomes silent, and a new session
+// With a simulated clock, KEEPALIVEs keep the session established. The session ends when the router becomes silent. A new session
 // is established after a time in which the router refuses connections.
 func TestSpeakerOverTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the gateway's only source of time. Instants and intervals are float64 milliseconds; instants count
-// from the Unix epoch.
+// Package clock is the gateway's source of time, except for deadlines of connections and a few timeouts, which use package time.
+// Instants and intervals are float64 milliseconds; instants count from the Unix epoch.
 //
 // The package runs no goroutine of its own: callbacks run in goroutines of the runtime's timers, and those of a Manual
 // clock in the goroutine that advances it.
--- a/internal/clock/pause_test.go
+++ b/internal/clock/pause_test.go
@@ -11,6 +11,9 @@
 	c.nowMs += ms
 }
 
+// TestPauseDetector checks that bytes that are read within 250 ms (backlogMs) after a pause may have arrived since the last
+// heartbeat before the pause, and all other bytes only now. Heartbeats are due every 100 ms (heartbeatIntervalMs), and one that
+// is more than 50 ms (pauseThresholdMs) late shows a pause. Pauses that are at most backlogMs apart count as one.
 func TestPauseDetector(t *testing.T) {
 	clock := pausedClock{NewManual(1000)}
 	detector := StartPauseDetector(clock)
@@ -23,7 +26,7 @@
 	clock.Advance(300)
 	clock.Advance(60)
 	wantEarliestArrival(1360, "while the process runs")
-	clock.pause(2000) // begins at some time after the heartbeat at 1300
+	clock.pause(2000) // the last heartbeat before the pause is at 1300
 	wantEarliestArrival(1300, "before the first heartbeat after the pause")
 	clock.Advance(0)
 	clock.Advance(200)
@@ -48,7 +51,7 @@
 	detector.Close()
 	clock.Advance(1000)
 	if len(clock.timers) != 0 {
-		t.Errorf("%d timers are pending after Close", len(clock.timers))
+		t.Errorf("%d timers are pending after Close, want none", len(clock.timers))
 	}
 	var none *PauseDetector
 	if none.Close(); none.EarliestArrival(7) != 7 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// On a reload, a discovery address that has changed in the file overrides ROUTER_DISCOVERY. Changes that only a restart
-// applies are reported by name. An invalid file is an error.
+// On a reload, a discovery address that has changed in the file overrides ROUTER_DISCOVERY. Changes that take effect only after a
+// restart are reported by name. An invalid file is an error. Each step replaces a text in validConfig and reloads the file.
 func TestReload(t *testing.T) {
 	path := writeConfig(t, validConfig)
 	rewrite := func(text string) {
@@ -89,7 +89,7 @@
 		{"127.0.0.2:8500", "127.0.0.4:8500", "127.0.0.4:8500", ""},
 		{"127.0.0.2:8500", "127.0.0.4:8500", "127.0.0.4:8500", ""},
 		{`"Shares":1`, `"Shares":3`, "127.0.0.2:8500", "settings"},
-		{`"sockets":1024`, `"sockets":512`, "127.0.0.2:8500", "limits,settings"}, // this step also reverts Shares
+		{`"sockets":1024`, `"sockets":512`, "127.0.0.2:8500", "limits,settings"}, // Shares also changes, back to 1
 	} {
 		rewrite(strings.Replace(validConfig, step.old, step.new, 1))
 		next, err := current.Reload(getenv)
@@ -98,7 +98,7 @@
 		}
 		restart := strings.Join(current.RestartRequired(next), ",")
 		if next.Discovery != step.discovery || restart != step.restart {
-			t.Errorf("after the change to %q: discovery address %s, parts that require a restart %q",
+			t.Errorf("after the change to %q: discovery address is %s and %q requires a restart, want the address and the parts of this step",
 				step.new, next.Discovery, restart)
 		}
 		current = next
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -34,7 +34,7 @@
 		{"s-2", "127.0.0.3:7070", "127.0.0.3:2222"},
 	} {
 		if addr, ok := sftp.BackendAddress(c.server, c.serverAddr); !ok || addr != c.want {
-			t.Errorf("server %s has the address %s for file commands", c.server, addr)
+			t.Errorf("server %s has the address %s for file commands, want the address of this case", c.server, addr)
 		}
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -8,7 +8,8 @@
 	"gaugerelay/internal/testbed"
 )
 
-// Values that the operator leaves out come from the platform. The error of an invalid value must be a single line.
+// Values that the operator leaves out come from the platform's configuration or are defaults. The error of an invalid value must
+// be a single line.
 func TestFleetResolve(t *testing.T) {
 	settings := testbed.Settings(2)
 	platform := &Config{GatewayIndex: 1, PeerListen: "127.0.0.1:7946", Peers: []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}}
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -49,7 +49,7 @@
 			list.Step(0, nil)
 			for range 2 {
 				random.Shuffle(len(updates), func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
-				for _, u := range updates {
+				for _, u := range updates { // a Nack without a pending probe has no other effect than its updates
 					list.Step(0, []Message{{Kind: Nack, Peer: 2, Updates: []Update{u}}})
 				}
 			}
@@ -66,7 +66,7 @@
 }
 
 // TestRefutesUpdatesAboutItself checks that a member refutes a false update about itself with a greater incarnation, and
-// that it reports another process with its index.
+// that it reports an identity conflict if it learns of another process with its index.
 func TestRefutesUpdatesAboutItself(t *testing.T) {
 	list := newMemberlist(t, 3, 1)
 	list.Step(0, nil)
@@ -98,7 +98,7 @@
 			outgoing, changes := list.Step(nowMs, []Message{fuzzMessage(record)})
 			for _, m := range outgoing {
 				if int(m.Peer) >= 5 || m.Peer == 0 || len(m.Updates) > list.settings.MaxUpdatesPerMessage || m.Updates[0].Member != 0 {
-					t.Fatalf("sent %+v, want a message to an existing peer with a bounded number of updates, its own first", m)
+					t.Fatalf("sent %+v, want a message to another member, with at most MaxUpdatesPerMessage updates, the sender's state first", m)
 				}
 			}
 			for _, c := range changes {
@@ -107,14 +107,15 @@
 				}
 			}
 			if len(list.broadcasts) > 5 || len(list.relays) > maxRelays || list.healthScore > list.settings.MaxHealthScore {
-				t.Fatalf("state exceeds its bounds: %d broadcasts, %d relays, health score %d",
+				t.Fatalf("state has %d broadcasts, %d relays and health score %d, want at most 5, maxRelays and MaxHealthScore",
 					len(list.broadcasts), len(list.relays), list.healthScore)
 			}
 		}
 	})
 }
 
-// fuzzMessage returns a message with one update, made from the first seven bytes of a record.
+// fuzzMessage returns a message with one update, made from the first seven bytes of a record. The caller uses the eighth byte
+// as the time since the previous message.
 func fuzzMessage(record []byte) Message {
 	return Message{
 		Kind:   MessageKind(record[0]),
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -13,7 +13,7 @@
 		ReportIntervalMs: 1000, MinQuorum: 2, QuorumFraction: 0.34, MaxEjectedFraction: 0.34, MaxServers: 50, MaxPeers: 8}
 }
 
-// newTestDetector returns a detector of a gateway in a fleet of four gateways.
+// newTestDetector returns a detector of a gateway in a fleet of four gateways, in which a quorum is two gateways.
 func newTestDetector(t testing.TB, servers ...uint64) *Detector {
 	t.Helper()
 	d, err := New(testSettings())
@@ -56,6 +56,8 @@
 	}
 }
 
+// TestEjectionNeedsQuorum checks that a server is ejected only while a quorum of gateways reports it: MinQuorum (2) gateways, and
+// at least QuorumFraction (0.34) of the alive ones. That is 2 of 4 gateways and 11 of 30.
 func TestEjectionNeedsQuorum(t *testing.T) {
 	repeatedByOne := []Report{failingReport(5, 1, 100, 1), failingReport(5, 1, 100, 2), failingReport(5, 2, 100, 3)}
 	second, retraction := failingReport(6, 1, 80, 1), failingReport(6, 1, 0, 2)
@@ -165,6 +167,8 @@
 	}
 }
 
+// TestEjectionsAreLimitedToTheMostReported checks that no more than MaxEjectedFraction (0.34) of the six servers, two servers,
+// are ejected at once. A quorum reports all six. Servers 2, 4 and 6 have the most reporters, and 2 and 4 are listed first.
 func TestEjectionsAreLimitedToTheMostReported(t *testing.T) {
 	d := newTestDetector(t, 1, 2, 3, 4, 5, 6)
 	var reports []Report
@@ -177,6 +181,7 @@
 	wantEjected(t, ejections, 2, 4)
 }
 
+// TestReportsExpire checks that reports older than MaxReportAgeMs (3000) no longer eject a server.
 func TestReportsExpire(t *testing.T) {
 	maxAgeMs := testSettings().MaxReportAgeMs
 	d := newTestDetector(t, 1, 2, 3, 4, 5, 6)
@@ -190,7 +195,7 @@
 	_, ejections = d.Step(maxAgeMs+1, nil)
 	wantEjected(t, ejections)
 
-	// A quorum ends when its oldest report expires.
+	// A quorum of two reports ends when the older one expires.
 	old := failingReport(1, 1, 100, 9)
 	old.AgeMs = 2900
 	_, ejections = d.Step(5000, []Report{old, failingReport(2, 1, 100, 9)})
@@ -203,8 +208,8 @@
 	wantEjected(t, ejections)
 }
 
-// TestRepeatedReportKeepsOlderAge checks that a delayed duplicate of a report, with a smaller age, does not postpone its
-// expiry.
+// TestRepeatedReportKeepsOlderAge checks that a duplicate does not postpone the expiry of a report. The receiver computes the time
+// of the observation from the arrival and the age in the report, so a delayed duplicate appears to be more recent.
 func TestRepeatedReportKeepsOlderAge(t *testing.T) {
 	d := newTestDetector(t, 1, 2, 3)
 	first, second := failingReport(5, 1, 100, 1), failingReport(6, 1, 100, 1)
@@ -256,7 +261,7 @@
 func FuzzSingleReporter(f *testing.F) {
 	const (
 		reportBytes = 5
-		invalidAge  = 77
+		invalidAge  = 77 // value of the age byte that is replaced by NaN
 	)
 	f.Add([]byte{1, 1, 100, 1, 0, 2, 1, 100, 255, 9})
 	f.Fuzz(func(t *testing.T, input []byte) {
@@ -275,7 +280,8 @@
 			}
 			for _, s := range d.servers {
 				if len(s.peerReports) > len(conditions) || len(d.servers) > 3 {
-					t.Fatalf("server has %d peer reports and detector has %d servers, more than allowed", len(s.peerReports), len(d.servers))
+					t.Fatalf("server has %d peer reports and detector has %d servers, want at most one report for each condition and 3 servers",
+						len(s.peerReports), len(d.servers))
 				}
 			}
 		}
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -36,6 +36,8 @@
 	return append(bytes.Clone(body), sum[:]...)
 }
 
+// TestRoundTrip checks that a packet is decoded as it was encoded, and that a datagram with another key or with a flipped bit is
+// rejected.
 func TestRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "of this fleet"} {
 		var lastSeq uint64
@@ -84,7 +86,7 @@
 	var received []quota.Message
 	for i, b := range codec.Encode(packet, &lastSeq) {
 		if len(b) > MaxSize {
-			t.Errorf("datagram has %d bytes, more than MaxSize", len(b))
+			t.Errorf("datagram has %d bytes, want at most MaxSize", len(b))
 		}
 		decoded, err := codec.Decode(b)
 		if err != nil || decoded.SequenceNumber != uint64(i+1) {
@@ -101,12 +103,13 @@
 	}
 }
 
-// requireSafeRounding reports a test error if a received fraction is rounded by too much or in the wrong direction.
+// requireSafeRounding reports a test error if a received fraction is rounded by too much or in the wrong direction. A grant must
+// be rounded down and a return up, so that a lender never records less than its borrower holds.
 func requireSafeRounding(t *testing.T, m quota.Message, sent float64) {
 	t.Helper()
 	wrongDirection := m.Kind == quota.LeaseGrant && m.Fraction > sent || m.Kind == quota.LeaseReturn && m.Fraction < sent
 	if wrongDirection || m.Fraction-sent > 1e-9 || sent-m.Fraction > 1e-9 {
-		t.Errorf("message %d of kind %v: fraction %v was rounded to %v, too far or in the wrong direction",
+		t.Errorf("message %d of kind %v: fraction %v was rounded to %v, want at most 1e-9 down for a grant or up for a return",
 			m.Seq, m.Kind, sent, m.Fraction)
 	}
 }
--- a/internal/peer/datagram/replay_test.go
+++ b/internal/peer/datagram/replay_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestReplayWindow checks that a datagram counts as replayed if its sequence number was received before or is too old. A number is
+// too old if it is more than 64 (replayWindowSize) below the latest one. A new incarnation starts with an empty window.
 func TestReplayWindow(t *testing.T) {
 	var window ReplayWindow
 	for i, c := range []struct {
@@ -14,7 +16,7 @@
 		{2, 1, true},
 	} {
 		if got := window.Replayed(c.incarnation, c.seq); got != c.replayed {
-			t.Errorf("datagram %d with sequence number %d of incarnation %d: replayed is %v, want the opposite",
+			t.Errorf("datagram %d, with sequence number %d of incarnation %d: Replayed returned %v, want the opposite",
 				i, c.seq, c.incarnation, got)
 		}
 	}
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -125,8 +125,9 @@
 	StartupHoldMs float64
 	// ReportAgeMs is the age beyond which an outlier report is ignored.
 	ReportAgeMs float64
-	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. The bound is ReportAgeMs
-	// longer if a datagram is lost.
+	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. The gateways retract their
+	// reports when the failures have decayed. If a datagram with a retraction is lost, the report has to expire, and the bound
+	// is ReportAgeMs longer.
 	EjectionMs float64
 }
 
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -71,7 +71,8 @@
 }
 
 // TestQuotaLeaseByDatagrams checks that a busy gateway obtains a lease of quota that another gateway does not use, and that
-// datagrams with another key are ignored.
+// datagrams with another key are ignored. Each of the three gateways owns 1/3 of the volume's quota. It lends at most half of its
+// share (MaxGrantedFraction), and after its start it may use only the other half until the startup hold has ended.
 func TestQuotaLeaseByDatagrams(t *testing.T) {
 	const (
 		ownShare    = 1.0 / testGateways
@@ -87,10 +88,10 @@
 		runtime.Gosched() // lets the sockets' goroutines deliver datagrams
 	}
 	if busy.share < leasedShare {
-		t.Fatalf("busy gateway has a share of %.3f, want a lease in addition to its own share", busy.share)
+		t.Fatalf("busy gateway has a share of %.3f, want at least 0.493: its own share of 1/3 and a lease of 0.16", busy.share)
 	}
 	if idle.share > ownShare/2+0.01 || otherKey.share >= 0 && otherKey.share < ownShare/2-0.01 {
-		t.Errorf("idle gateway has a share of %.3f and the one with another key %.3f, want at most and at least half of 1/3",
+		t.Errorf("idle gateway has a share of %.3f, want at most 1/6; the one with another key has a share of %.3f, want at least 1/6",
 			idle.share, otherKey.share)
 	}
 	expiryMs := busy.service.QuotaExpiresMs(testVolume)
--- a/internal/peer/step.go
+++ b/internal/peer/step.go
@@ -20,7 +20,8 @@
 	// minTimerMs is the shortest delay of a timer.
 	minTimerMs = 1
 
-	// ejectedRequestIntervalMs is the interval at which each gateway may still send one request to an ejected server.
+	// ejectedRequestIntervalMs is the interval at which each gateway may still send one request to an ejected server. An ejection
+	// that is not passed to the scheduler again ends after this time.
 	ejectedRequestIntervalMs = 400
 	// ejectionIntervalMs is the interval at which ejections are passed to the scheduler again while they last.
 	ejectionIntervalMs = 100
--- a/internal/peerlatency/aggregator_test.go
+++ b/internal/peerlatency/aggregator_test.go
@@ -25,8 +25,8 @@
 	return a
 }
 
-// TestReportsOwnMeasurements checks that the gateway reports its own measurements once, servers with the most responses first,
-// and not more often than the interval allows.
+// TestReportsOwnMeasurements checks that the gateway reports its own measurements once, servers with the most responses first.
+// A round of reports covers at most MaxServersPerReport (2) servers, and the next one follows after ReportIntervalMs (200).
 func TestReportsOwnMeasurements(t *testing.T) {
 	a := newAggregator(t, 1, 2, 3)
 	a.Observe(0, 1, 10)
@@ -74,7 +74,7 @@
 }
 
 // TestEstimateIgnoresOrderDuplicatesAndOutliers checks that the estimate does not depend on the order of reports or on
-// duplicates, and that a peer that reports wrong values cannot move it beyond a value that another peer has measured.
+// duplicates, and that a peer that reports wrong values cannot move the estimate beyond a value that another peer has measured.
 func TestEstimateIgnoresOrderDuplicatesAndOutliers(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 6))
@@ -85,7 +85,7 @@
 			measured = append(measured, latencyMs)
 			reports = append(reports,
 				Report{Peer: peer, Server: 1, LatencyMs: latencyMs, AgeMs: 10},
-				Report{Peer: peer, Server: 1, LatencyMs: 999, AgeMs: 500})
+				Report{Peer: peer, Server: 1, LatencyMs: 999, AgeMs: 500}) // older, so the report above supersedes it
 		}
 		reports = append(reports, Report{Peer: 3, Server: 1, LatencyMs: random.ExpFloat64() * 5000})
 		var want float64
--- a/internal/quantile/sketch_test.go
+++ b/internal/quantile/sketch_test.go
@@ -43,6 +43,8 @@
 	}
 }
 
+// TestValuesOutsideOfTheRange checks that NaN is ignored, and that values below or above the range are counted in the first or
+// the last bucket.
 func TestValuesOutsideOfTheRange(t *testing.T) {
 	sketch := &Sketch{}
 	for _, value := range []float64{math.NaN(), -1, 0, 0.3, math.Inf(1), 1e300} {
@@ -54,6 +56,8 @@
 	}
 }
 
+// TestFullBucketDecaysAll checks that a value for a full bucket (maxBucketValue) halves the counts of all buckets, so that the
+// counts do not overflow and earlier values lose weight.
 func TestFullBucketDecaysAll(t *testing.T) {
 	sketch := &Sketch{}
 	for range 200_000 {
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -32,8 +32,8 @@
 	for id, p := range a.pools {
 		if len(p.lent) > settings.MaxPeers || len(p.borrowed) > 2*settings.MaxPeers ||
 			len(p.knownLenders) > settings.MaxPeers || len(p.pending) > settings.MaxPeers {
-			t.Errorf("pool %d has %d lent leases, %d borrowed leases, %d known lenders and %d pending requests, more than allowed", id,
-				len(p.lent), len(p.borrowed), len(p.knownLenders), len(p.pending))
+			t.Errorf("pool %d has %d lent leases, %d borrowed leases, %d known lenders, %d pending requests, want at most MaxPeers (borrowed: 2*MaxPeers)",
+				id, len(p.lent), len(p.borrowed), len(p.knownLenders), len(p.pending))
 		}
 		if len(p.borrowed) > 0 {
 			t.Errorf("pool %d has borrowed leases, want none: grants without a request must be ignored", id)
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -107,8 +107,9 @@
 	return false
 }
 
-// TestAllInterleavings applies every sequence of depth events to two gateways and checks the invariant after each event.
-// The sequences follow several prefixes, in most of which one gateway has lent quota to the other one.
+// TestAllInterleavings applies every sequence of depth events to two gateways. After each event it checks that the gateways
+// together may use no more than the whole pool, whatever messages are lost, duplicated or delayed and whichever gateways pause
+// or crash. The sequences follow several prefixes, in most of which one gateway has lent quota to the other one.
 func TestAllInterleavings(t *testing.T) {
 	const (
 		n       = 2
@@ -167,8 +168,8 @@
 	return sequences
 }
 
-// TestRandomInterleavings applies long random sequences of events to two to six gateways and checks the invariant after
-// each event.
+// TestRandomInterleavings applies long random sequences of events to two to six gateways. After each event it checks that the
+// gateways together may use no more than the whole pool.
 func TestRandomInterleavings(t *testing.T) {
 	const (
 		seeds            = 300
@@ -201,8 +202,8 @@
 	}
 }
 
-// FuzzInterleavings checks the invariant after each event of a sequence. The first byte of the input determines the number
-// of gateways, each further byte is an event.
+// FuzzInterleavings checks after each event of a sequence that the gateways together may use no more than the whole pool. The
+// first byte of the input determines the number of gateways, and each further byte is an event.
 func FuzzInterleavings(f *testing.F) {
 	const maxEvents = 2000
 	f.Add([]byte{3, 2, 4, 1, 14, 1, 14, 0, 13, 0, 14, 1, 10})
--- a/internal/quota/network_test.go
+++ b/internal/quota/network_test.go
@@ -9,7 +9,7 @@
 // testPool is the pool that the simulated gateways share.
 const testPool = 7
 
-// noTraffic is the demand of a gateway at which none of the pool's traffic arrives.
+// noTraffic is a value of gateway.demand: none of the pool's traffic arrives at the gateway, so it reports no demand.
 const noTraffic = -1
 
 // roundingError is the amount by which rounding may make a sum of fractions exceed 1.
@@ -25,7 +25,7 @@
 	allocator     *Allocator
 	clockRate     float64 // ratio of the gateway's clock to the network's time
 	clockOffsetMs float64 // what the gateway's clock shows at time 0 of the network, in ms
-	demand        float64
+	demand        float64 // fraction of the pool that the gateway's traffic could use, or noTraffic
 	dead          bool
 	paused        bool
 	inbox         []Message
@@ -46,8 +46,8 @@
 	maxInUse        float64 // largest fraction of the pool that checkInvariant found usable
 }
 
-// newNetwork returns a network of started gateways whose startup hold has ended. The clock rates of gateways with successive
-// indexes differ by nearly the maximum drift.
+// newNetwork returns a network of started gateways whose startup hold has ended. The clocks of gateways with even indexes are
+// slow, and those of the others fast, by nearly the ClockDrift of 0.02 that testSettings allows.
 func newNetwork(t testing.TB, gateways int) *network {
 	t.Helper()
 	net := &network{}
@@ -148,7 +148,8 @@
 }
 
 // checkInvariant returns an error if the gateways together may use more than the whole pool now. A paused gateway counts
-// with the fraction that it would find on resuming, because it asks its allocator before it uses quota. A dead gateway
+// with the fraction that it would find on resuming, because it asks its allocator before it uses quota. A gateway without
+// state for the pool counts with its own share, less the part that it must not use during its startup hold. A dead gateway
 // uses nothing.
 func (net *network) checkInvariant() error {
 	sum := 0.0
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -94,8 +94,9 @@
 }
 
 // TestLendersAreFoundAmongManyGateways runs 300 gateways with message loss. The traffic of each pool arrives at three of
-// them, mostly at the first one, and no gateway knows the other two. The test checks that the median borrower finds its
-// lenders within LenderSearchBoundMs, and that no pool is overused in any tick.
+// them, mostly at the first one, and at the start none of the three knows the other two. The test checks that the median
+// borrower finds both lenders within LenderSearchBoundMs and four ticks for the transfer of messages, and that the gateways of a
+// pool together may never use more than the whole pool.
 func TestLendersAreFoundAmongManyGateways(t *testing.T) {
 	const (
 		gateways = 300
@@ -120,6 +121,8 @@
 			if sum := net.available(nowMs, pool, gateways); sum > 1+roundingError {
 				t.Fatalf("at %.0f ms the gateways may use %.4f of pool %d, want at most 1", nowMs, sum, pool)
 			}
+			// The own share of 1/3 and the 3/4 (MaxGrantedFraction) that one lender can lend of its 1/3 are 0.58. More than 0.8
+			// needs leases from both lenders.
 			if foundAfterMs[pool] == 0 && net.available(nowMs, pool, gateways[:1]) > 0.8 {
 				foundAfterMs[pool] = nowMs - startMs
 			}
--- a/internal/quota/transfer_test.go
+++ b/internal/quota/transfer_test.go
@@ -6,7 +6,8 @@
 )
 
 // TestQuotaFollowsDemand checks that quota moves to the gateway with demand, returns to the lenders after a borrower has
-// crashed, and returns to all gateways when the traffic ends.
+// crashed, and returns to all gateways when the traffic ends. Each of the three gateways owns 1/3 of the pool and lends up to
+// 3/4 of its share (MaxGrantedFraction), so a busy gateway can have up to 0.83 of the pool.
 func TestQuotaFollowsDemand(t *testing.T) {
 	net := newNetwork(t, 3)
 	net.gateways[0].demand, net.gateways[1].demand, net.gateways[2].demand = 0.9, 0.02, 0.02
@@ -27,7 +28,7 @@
 	before := net.available(0)
 	net.runReliably(testSettings(0, 0).GrantHoldMs() + 300)
 	// The quota that the dead gateway had borrowed has returned to its lenders. The dead gateway's own share stays unused,
-	// since it can no longer lend it.
+	// since a dead gateway cannot lend it. Gateway 0 therefore has its own 1/3 and up to 3/4 of the 1/3 of gateway 2, 0.58.
 	if got := net.available(0); got < 0.57 || got < before {
 		t.Errorf("after a borrower's crash, a lender may use %.3f of the pool, want at least 0.57 and at least %.3f as before",
 			got, before)
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -10,7 +10,7 @@
 const (
 	stepsPerMs   = 16  // number of steps per simulated millisecond
 	maxMapTimers = 1e5 // largest number of timers for the map; searching a larger one takes seconds
-	timersPerMs  = 4   // ratio of timers to the time span in ms; about 1 % of the timers fire before they are rescheduled
+	timersPerMs  = 4   // timers per ms of their time to expiry; about 2 % of the timers fire before they are rescheduled
 )
 
 // heapEntry is a timer in the heap that is compared with the wheel. A canceled entry stays in the heap until its time.
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -84,7 +84,7 @@
 		if m.wheel.Cancel(other) != m.remove(other) {
 			m.t.Fatal("Cancel during Advance did not report whether the timer was pending")
 		}
-		timer.Value-- // the timer is not rescheduled when it fires again
+		timer.Value-- // no longer a multiple of 3, so that the timer is not rescheduled when it fires again
 	}
 }
 
@@ -135,6 +135,8 @@
 	})
 }
 
+// TestExpiryOfPastFractionalAndDistantTimes checks that a timer for a past time expires at the next tick, that one for a time
+// between two ticks expires at the later tick, and that a timer beyond the range of ticks stays pending.
 func TestExpiryOfPastFractionalAndDistantTimes(t *testing.T) {
 	wheel := New[string](0, 1)
 	var fired []string
