--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Manual is a clock for tests that only Advance moves. It is safe for concurrent use.
+// Manual is a clock for tests. Only Advance moves it. It is safe for concurrent use.
 type Manual struct {
 	mu     sync.Mutex
 	nowMs  float64
--- a/internal/outlier/report.go
+++ b/internal/outlier/report.go
@@ -50,7 +50,7 @@
 type Ejection struct {
 	Server    uint64
 	Condition Condition
-	// AgeMs is the age of the oldest report in the quorum, which consists of the most recent reports.
+	// AgeMs is the age of the oldest report in the quorum. The quorum consists of the most recent reports.
 	AgeMs float64
 	// Reporters is the number of gateways that report the condition, including this one.
 	Reporters int
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -118,9 +118,9 @@
 type Bounds struct {
 	// FailureDetectionMs bounds the time until a gateway that died is declared dead.
 	FailureDetectionMs float64
-	// QuotaReturnMs bounds the time until the quota that a dead gateway had borrowed has returned to its lenders.
+	// QuotaReturnMs bounds the time from the death of a gateway until the quota that it had borrowed has returned to its lenders.
 	QuotaReturnMs float64
-	// StartupHoldMs is the time after its start during which a gateway does not use the part of its share that an earlier
+	// StartupHoldMs is the time after the start of a gateway during which it does not use the part of its share that an earlier
 	// process may have granted.
 	StartupHoldMs float64
 	// ReportAgeMs is the age beyond which an outlier report is ignored.
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -54,7 +54,8 @@
 // Demand reports how much of a pool this gateway's traffic could use.
 type Demand struct {
 	Pool uint64
-	// Gateways is the number of gateways that receive the pool's traffic, including this one, which owns 1/Gateways of it.
+	// Gateways is the number of gateways that receive the pool's traffic, including this one. Each of them owns 1/Gateways of
+	// the pool.
 	Gateways int
 	// Fraction is the fraction of the whole pool that the traffic of this gateway could use.
 	Fraction float64
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -32,7 +32,7 @@
 	IdleTimeoutMs float64
 	// MaxPools bounds the number of pools with state.
 	MaxPools int
-	// MaxPeers bounds the number of borrowers of a pool and of its known lenders.
+	// MaxPeers bounds the number of borrowers of each pool, and the number of its known lenders.
 	MaxPeers int
 }
 
@@ -42,8 +42,8 @@
 // fast by ClockDrift advances by 1+ClockDrift times as much.
 func (s Settings) GrantHoldMs() float64 { return s.LeaseMs * (1 + s.ClockDrift) / (1 - s.ClockDrift) }
 
-// LenderSearchBoundMs returns the longest time until a gateway in a fleet of the given size has sent a request to every
-// other gateway, if no message is lost.
+// LenderSearchBoundMs returns the longest time until a gateway that lacks quota has sent a request to every other gateway of a
+// fleet of the given size, if no message is lost. A gateway that finds all lenders earlier stops the search.
 func (s Settings) LenderSearchBoundMs(gateways int) float64 {
 	return math.Ceil(float64(gateways-1)/lenderProbesPerRound) * s.RequestIntervalMs
 }
