--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -42,8 +42,8 @@
 }
 
 // Wrap returns a Listener that accepts from ln. The delay before a retry doubles with each failure, up to a small fraction of
-// shortestDeadlineMs. When an accept succeeds after failures, Accept calls onDelay with the start and the end of the period of
-// failures: a connection that arrived in it may have waited in the kernel's queue ever since.
+// shortestDeadlineMs. When an accept succeeds after at least one delay, Accept calls onDelay with the time of the first failure that
+// caused a delay and the current time: a connection that arrived in between may have waited in the kernel's queue until now.
 func Wrap(ln net.Listener, clk clock.Clock, registry *metrics.Registry, shortestDeadlineMs float64,
 	onDelay func(fromMs, toMs float64)) *Listener {
 	return &Listener{
--- a/internal/frontend/coapserver/doc.go
+++ b/internal/frontend/coapserver/doc.go
@@ -1,6 +1,6 @@
 // Package coapserver serves devices on poor links by CoAP over TCP (RFC 8323), with block-wise transfer (RFC 7959, with
-// BERT) and Request-Tag (RFC 9175). GET is a read, PUT a write; path, class and settings are those of the HTTP form of a
-// request. Behind the event loop, package dedup decides whether a request is executed or joins an existing exchange.
+// BERT) and Request-Tag (RFC 9175). GET is a read, PUT a write. A request has the same path, class and other fields as over
+// HTTP. Behind the event loop, package dedup decides whether a request is executed or joins an existing exchange.
 //
 // Responses to devices:
 //
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// newRequest checks the fields of a request and converts it to a lifecycle.Request without body and times. The request takes
-// the link measurements that have been collected since the last one.
+// newRequest checks the fields of a request and converts it to a lifecycle.Request without body and remaining time. The request
+// carries the link measurements that have been collected since the previous request.
 func (c *conn) newRequest(parsed *parsedRequest, now time.Time) (*lifecycle.Request, error) {
 	if parsed.device == "" {
 		parsed.device = c.device
@@ -181,7 +181,8 @@
 	c.enqueue(outgoingMessage{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
 }
 
-// expire responds to a request that the Loop has not responded to in time, which indicates a bug.
+// expire is the response guard: it responds to a request that the Loop has not responded to in time. A call that finds the request
+// still pending indicates a bug.
 func (c *conn) expire(p *pendingRequest) {
 	c.mu.Lock()
 	expired := c.removePending(p)
--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -22,8 +22,8 @@
 	return message.Message{Token: token, Code: code, Payload: []byte(text), Options: options}
 }
 
-// composeResponse returns the message for a response. complete reports whether the response is a served one and the device has
-// all of it once it has received the message.
+// composeResponse returns the message for a response. complete reports whether the response is a served one and m is its last
+// message: m holds all or the last block of the body, or states that the device has the body or cannot receive it.
 func (c *conn) composeResponse(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
 	switch response.Kind {
 	case lifecycle.Served:
@@ -62,8 +62,8 @@
 	}
 }
 
-// composeServed returns the message for a served response: the whole body, the requested or first block of it, or 2.03 (Valid)
-// if the device already has the body.
+// composeServed returns the message for a served response: the whole body, the requested or first block of it, 2.03 (Valid) if the
+// device already has the body, or 5.00 if the body is too large for a device that does not support blocks.
 func (c *conn) composeServed(p *pendingRequest, response lifecycle.Response) (m message.Message, complete bool) {
 	body := response.Body.([]byte)
 	limits := c.peerLimits()
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -30,9 +30,9 @@
 
 const (
 	// ResponseGraceMs is how long, in milliseconds after a request's deadline, a frontend waits for the event loop before the
-	// response guard fails the request. The protocol allows 50 ms.
+	// response guard fails the request. The protocol allows a response until 50 ms after the deadline.
 	ResponseGraceMs = 25
-	// InboxFullRetryAfterMs is the longest delay, in milliseconds, after which a client is asked to retry a request for which
-	// Loop.Submit returned false.
+	// InboxFullRetryAfterMs is the retry delay, in milliseconds, that the response to a request states if Loop.Submit returned
+	// false for it. The HTTP frontend lowers it to the setting MaxRetryAfter.
 	InboxFullRetryAfterMs = 250
 )
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -19,8 +19,8 @@
 	// maxPipelinedBytes limits the pipelined bytes that are buffered for a connection to one request of the maximum size. Bytes
 	// beyond the limit are discarded, and the connection is closed after the response to the open request.
 	maxPipelinedBytes = MaxHeaderBytes + httpmessage.MaxBodyBytes
-	// maxDiscardBytes limits how many bytes are read and discarded. After that the client's disconnect is no longer detected by
-	// reading.
+	// maxDiscardBytes limits how many pipelined bytes of a connection are read and discarded. After that, reading stops and no
+	// longer detects a disconnect of the client.
 	maxDiscardBytes = 1 << 20
 	// discardBufferBytes is the size of the buffer for further reads while a request is open. The first read uses the one-byte
 	// buffer of net/http.
@@ -86,8 +86,9 @@
 }
 
 // Read returns net.ErrClosed if the connection was shed while a request was being read from it. That can happen because net/http
-// reports a connection as active only when a complete head has arrived, so the connection still looks idle before. The client
-// sees the connection closed and sends the request again, so the request must not be accepted here.
+// reports a connection as active only when a complete head has arrived, so the tracker regards the connection as new or idle until
+// Read removes it from its list. The client sees the connection closed and sends the request again, so the request must not be
+// accepted here.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.discardedBytes > 0 && !c.requestActive {
 		return 0, errTooMuchPipelined
@@ -126,8 +127,8 @@
 
 // watchForDisconnect reads until the client disconnects, or until the read deadline that net/http sets when the response has been
 // written. net/http calls Read with one byte while a request is open, to detect a disconnect, and stops when it gets that byte.
-// It would not detect that a client pipelines another request and then disconnects, and the open request would be forwarded in
-// vain. So watchForDisconnect buffers the bytes that it reads for later calls of Read, and returns none of them.
+// If a client pipelined another request and then disconnected, net/http would not detect the disconnect, and the open request would
+// be forwarded in vain. So watchForDisconnect buffers the bytes that it reads for later calls of Read, and returns none of them.
 func (c *clientConn) watchForDisconnect(p []byte) (int, error) {
 	for c.discardedBytes < maxDiscardBytes {
 		n, err := c.Conn.Read(p)
@@ -173,7 +174,7 @@
 // Close closes the sending side and returns. In the background, the connection is read until the client has closed its own side,
 // but for at most gracefulclose.TimeoutMs, and is then closed. The kernel resets a connection that is closed with unread bytes,
 // and a client that has not yet received the last response would lose it. Unread bytes often follow a malformed request, and
-// others may arrive at any moment.
+// further bytes may arrive at any moment.
 func (c *clientConn) Close() error {
 	c.tracker.mu.Lock()
 	c.closeWrite()
@@ -216,7 +217,7 @@
 	c.tracker.shedExcess()
 }
 
-// closeLocked closes a connection whose sending side is already closed. Further calls have no effect. The caller holds
+// closeLocked closes a connection that closeWrite has added to tracker.closingConns. Further calls have no effect. The caller holds
 // tracker.mu.
 func (c *clientConn) closeLocked() {
 	if c.closed {
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -24,7 +24,7 @@
 	closingLimitDivisor = 16
 )
 
-// connectionsShed counts new and idle connections that were closed because of a limit or a shutdown.
+// connectionsShed counts new and idle connections that were shed because of SheddingThreshold, the idle timeout or a shutdown.
 const connectionsShed = "client_connections_shed"
 
 // ConnTracker tracks the client connections of an http.Server. While the number of open connections is above SheddingThreshold,
@@ -96,16 +96,17 @@
 	t.shedExcess()
 }
 
-// Count returns the number of open connections, and how many of them have a request.
+// Count returns the number of open connections, and how many of them are busy: a request, or a part of one, has been read from
+// them and its response has not been written yet.
 func (t *ConnTracker) Count() (open, busy int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open, t.open - t.idleConns.Len() - t.newConns.Len()
 }
 
-// Drain closes the connections that have no request now, and each other connection after its response. It returns a channel
-// that is closed when no connection is left. http.Server.Shutdown can't replace it, because it may close a connection from which
-// a request has just been read.
+// Drain sheds the connections that have no request now, and each other connection after its response. It returns a channel that
+// is closed when no connection is left. http.Server.Shutdown can't replace Drain, because Shutdown may close a connection from
+// which a request has just been read.
 func (t *ConnTracker) Drain() (drained <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,15 +115,15 @@
 	return t.drained
 }
 
-// shedExcess sheds connections until the limits are met. While draining, it sheds all that have no request. The caller holds
-// t.mu.
+// shedExcess sheds the new and idle connections that SheddingThreshold and the idle timeout do not allow. While draining, it sheds
+// all connections that have no request. The caller holds t.mu.
 func (t *ConnTracker) shedExcess() {
 	if t.drained != nil {
 		t.shedForDrain()
 		return
 	}
 	nowMs := t.Clock.NowMs()
-	if t.shedOverLimit(nowMs) {
+	if t.shedAboveThreshold(nowMs) {
 		t.shedIdle(nowMs)
 	}
 }
@@ -143,11 +144,11 @@
 	}
 }
 
-// shedOverLimit sheds connections until their number is no longer above SheddingThreshold. It first sheds new connections whose
-// firstByteTimeoutMs has passed, then idle connections, then other new connections. It returns false if the number is still
-// above SheddingThreshold because all other connections have requests. The listener's limit then makes new clients wait. The
-// caller holds t.mu.
-func (t *ConnTracker) shedOverLimit(nowMs float64) bool {
+// shedAboveThreshold sheds connections until the number of open ones is no longer above SheddingThreshold. It first sheds new
+// connections that have sent nothing for firstByteTimeoutMs, then idle connections, then other new connections. It returns false
+// if the number is still above SheddingThreshold because all remaining connections have requests. New clients then have to wait
+// once the limit of the listener (LimitListener) is reached. The caller holds t.mu.
+func (t *ConnTracker) shedAboveThreshold(nowMs float64) bool {
 	for t.open > t.SheddingThreshold {
 		oldestNew, oldestIdle := oldest(&t.newConns), oldest(&t.idleConns)
 		switch {
@@ -185,8 +186,9 @@
 	t.shedExcess()
 }
 
-// shed closes the sending side of a connection that has no request. The connection itself is closed when its client sends
-// something or closes its side, and after gracefulclose.TimeoutMs at the latest. The caller holds t.mu.
+// shed closes the sending side of a connection that has no request. The connection itself is closed when its client has closed its
+// side, after gracefulclose.TimeoutMs, or when too many connections wait for their clients to close, whichever comes first. The
+// caller holds t.mu.
 func (t *ConnTracker) shed(c *clientConn) {
 	c.removeFromList()
 	c.isShed = true
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -100,8 +100,7 @@
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("ETag", fmt.Sprintf(`"%016x"`, response.ETag))
 	out := &countingWriter{ResponseWriter: w}
-	// The deadline allows a silence of IdleTimeoutMs, as a usual stall of the link causes, in addition to the time to transfer
-	// the body on the slowest supported link.
+	// The deadline is the time to transfer the body on the slowest supported link, plus IdleTimeoutMs for a stall of the link.
 	control := http.NewResponseController(w)
 	if response.IdleTimeoutMs > 0 {
 		deadline := time.Now().Add(clock.Duration(response.IdleTimeoutMs) + minTransferTime(len(body)))
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -63,8 +63,8 @@
 	// Conns counts the open and the busy connections. If it is not nil, the handler rejects requests during a shutdown to keep a
 	// connection idle once no new connections are expected.
 	Conns *ConnTracker
-	// PauseDetector estimates when a request arrived that was read after a pause of this process. If it is nil, no pause is
-	// assumed.
+	// PauseDetector returns the earliest time at which a request can have arrived if this process paused before it read the
+	// request. If PauseDetector is nil, no pause is assumed.
 	PauseDetector *clock.PauseDetector
 
 	pacerMu sync.Mutex
@@ -77,8 +77,8 @@
 	keepAlivesDisabled atomic.Bool
 }
 
-// ServeHTTP implements http.Handler. If the client no longer waits for a response, it panics with http.ErrAbortHandler, which
-// makes the server close the connection without a response.
+// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler if the client no longer waits for a response on this
+// connection. The server then closes the connection without a response.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedMs := h.PauseDetector.EarliestArrival(h.Clock.NowMs())
 	if conn := clientConnOf(r.Context()); conn != nil {
--- a/internal/frontend/httpserver/listener.go
+++ b/internal/frontend/httpserver/listener.go
@@ -7,7 +7,7 @@
 
 // LimitListener returns a listener that accepts a connection only while fewer than maxOpen of its connections are open, including
 // those that wait for their clients to close. The http.Server must serve this listener: ConnState ignores other connections.
-// Unlike those of netutil.LimitListener, its connections can close only their sending side.
+// netutil.LimitListener is not suitable, because the sending side of its connections cannot be closed alone.
 func (t *ConnTracker) LimitListener(ln net.Listener, maxOpen int) net.Listener {
 	return &limitListener{Listener: ln, tracker: t, slots: make(chan struct{}, maxOpen), closed: make(chan struct{})}
 }
--- a/internal/frontend/httpserver/shutdown.go
+++ b/internal/frontend/httpserver/shutdown.go
@@ -17,8 +17,8 @@
 func (h *Handler) DisableKeepAlives() { h.keepAlivesDisabled.Store(true) }
 
 // shouldRejectForShutdown records that a request arrived, and reports whether to reject it so that its connection becomes idle
-// at once. Clients regard a gateway that is shutting down as unavailable if they find all its connections busy, so a shutdown
-// serves more requests while a connection stays idle. respondByMs is 0 before a shutdown.
+// at once. Clients regard a gateway that is shutting down as unavailable if they find all its connections busy. The gateway
+// therefore serves more requests during a shutdown if it keeps a connection idle. respondByMs is 0 before a shutdown.
 func (h *Handler) shouldRejectForShutdown(nowMs, respondByMs float64) bool {
 	if h.Conns == nil {
 		return false
--- a/internal/frontend/requestparse/iofields.go
+++ b/internal/frontend/requestparse/iofields.go
@@ -10,11 +10,11 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// ioFieldCount is the number of fields that X-IO must have.
+// ioFieldCount is the number of fields with a known name that X-IO must have.
 const ioFieldCount = 4
 
-// parseIO parses X-IO, the comma-separated list of name=value fields that describe the volume of a request. Fields with an
-// unknown name are ignored.
+// parseIO parses X-IO, a comma-separated list of name=value fields: the volume of a request, its size in units, its shard, and the
+// number of gateways that receive requests for the volume (hosts). Fields with an unknown name are ignored.
 func parseIO(request *lifecycle.Request, text string) error {
 	known := 0
 	for _, field := range strings.Split(text, ",") {
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -12,7 +12,7 @@
 //	SSH_FX_NO_SUCH_FILE                              the path is not below any root
 //	SSH_FX_FAILURE "busy, ... retry after N ms"      rejected: the command had no effect
 //	SSH_FX_FAILURE "failed ..."                      failed, or no response in time: the command may have taken effect
-//	SSH_FX_BAD_MESSAGE                               malformed: over 64 KiB, a negative offset, a NUL in a path
+//	SSH_FX_BAD_MESSAGE                               malformed: over 64 KiB, a negative offset, a path that is too long or has a NUL
 //	SSH_FX_OP_UNSUPPORTED                            unsupported command, or an OPEN for appending
 package sftpserver
 
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -90,7 +90,7 @@
 }
 
 // find returns the latest WRITE on another handle that the record retransmits. It also removes the writes that are at least
-// maxAgeMs old, and those that the record overwrites.
+// maxAgeMs old, and the writes of the same client and path that the record overwrites and does not retransmit.
 func (h *writeHistory) find(file *openFile, record *writeRecord, maxAgeMs float64) (earlier writeRecord, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -138,8 +138,8 @@
 }
 
 // markStaleBeforeStart reports whether a reused connection failed before any byte of the attempt was written. If so, it marks the
-// connection as unusable, so that none is written later. The transport drops a connection if it reads the connection's end
-// before it writes a waiting request.
+// connection as unusable, so that no byte is written later. This case occurs because the transport drops a connection if it reads
+// the connection's end before it writes a waiting request.
 func (a *attemptState) markStaleBeforeStart() bool {
 	if a.conn == nil || a.isCanceledOrExpired() {
 		return false
--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -41,7 +41,7 @@
 // maxHeadBytes bounds the size of the head of a response plus the heads of the interim responses before it.
 const maxHeadBytes = 16 << 10
 
-var errTooManyConns = errors.New("httpclient: connection limit reached")
+var errTooManyConns = errors.New("httpclient: the maximum number of connections is open")
 
 // Options are the limits of a Client. Times are in milliseconds.
 type Options struct {
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -27,8 +27,8 @@
 
 // conn is a connection to a server. It carries one attempt or probe at a time, and returns only the response to that one to the
 // transport. The transport puts a connection back into its pool before it checks what follows a response (in readLoop,
-// tryPutIdleConn comes before the next Peek). It would therefore take a duplicate response, or other unsolicited data, for the
-// response to the next request.
+// tryPutIdleConn comes before the next Peek). Without conn, the transport would therefore take a duplicate response, or other
+// unsolicited data, for the response to the next request.
 //
 // The transport writes to the connection from one goroutine and reads from another.
 type conn struct {
--- a/internal/upstream/httpclient/response.go
+++ b/internal/upstream/httpclient/response.go
@@ -15,7 +15,7 @@
 const (
 	unprocessedHeader  = "X-Unprocessed"
 	volumeUsageHeader  = "X-Volume-Use"       // usage of the volume on all servers, in percent of its rate
-	foreignUnitsHeader = "X-Served-Elsewhere" // units that the server served the volume through other gateways
+	foreignUnitsHeader = "X-Served-Elsewhere" // units that the server served to the volume through other gateways
 	loadReportHeader   = "X-Backend-Load"     // load of the server, as a JSON object
 )
 
--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -5,8 +5,8 @@
 //
 //   - The first packet of an attempt is written only if the attempt is still authorized once it has a session. The
 //     authorization is checked again after the OPEN, before the READ or WRITE is written.
-//   - The packet of a command is written at most once. An attempt whose packet was not written completely has not executed and
-//     is reported as scheduler.StatusOverloaded.
+//   - The packet of a command is written at most once. An attempt whose packet was not written completely has not executed. It is
+//     reported as scheduler.StatusOverloaded, or with the status of statusOfDenial if it was denied before its first packet.
 //   - A session carries one attempt at a time. A session on which anything unexpected happens is not used again.
 //
 // Each attempt runs on its own goroutine. The goroutine ends at the latest when the attempt's deadline passes or the attempt is
@@ -81,9 +81,9 @@
 // Close closes the idle sessions. Sessions that carry an attempt stay open.
 func (c *Client) Close() { c.sessions.closeIdle() }
 
-// runAttempt sends the command of an attempt and reports the result. An attempt that has not executed is reported as
-// StatusOverloaded, even if the connection failed: the SFTP port may be down while the server's other ports work, and
-// StatusConnectFailed would make the scheduler back off from the server for all protocols.
+// runAttempt sends the command of an attempt and reports the result. If the connection fails before the command was written
+// completely, the status is StatusOverloaded and not StatusConnectFailed: the SFTP port may be down while the server's other ports
+// work, and StatusConnectFailed would make the scheduler back off from the server for all protocols.
 func (c *Client) runAttempt(ctx context.Context, attempt lifecycle.Attempt) {
 	address, ok := c.options.Address(attempt.Server)
 	if !ok || attempt.Server.Closed() {
--- a/internal/upstream/sftpclient/codec.go
+++ b/internal/upstream/sftpclient/codec.go
@@ -42,7 +42,7 @@
 	protocolVersion = 3
 	// lengthSize is the size, in bytes, of the length field before each packet. The length does not include the field itself.
 	lengthSize = 4
-	// maxMessageLength is the number of bytes that are kept of the message in a STATUS.
+	// maxMessageLength is the maximum number of bytes that are kept of the message in a STATUS.
 	maxMessageLength = 4096
 	// initialPacketCapacity is enough, in bytes, for most packets without data.
 	initialPacketCapacity = 64
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -10,7 +10,7 @@
 	"gaugerelay/internal/upstream"
 )
 
-var errTooManySessions = errors.New("sftpclient: session limit reached")
+var errTooManySessions = errors.New("sftpclient: MaxSessions are open and none of them is idle")
 
 // sessionPool holds the idle sessions and bounds the number of sessions that are open. Its methods may be called from any
 // goroutine.
@@ -27,7 +27,7 @@
 	return &sessionPool{options: options, clock: c, idle: map[string][]*session{}}
 }
 
-// acquire returns an idle session to the address, or opens one. The caller passes the session to release or discard.
+// acquire returns an idle session to the address, or opens one. The caller must pass the session to release or discard.
 func (p *sessionPool) acquire(ctx context.Context, address string) (*session, error) {
 	idle, err := p.popIdleOrReserve(address)
 	if idle != nil || err != nil {
@@ -36,8 +36,9 @@
 	return p.open(ctx, address)
 }
 
-// popIdleOrReserve removes an idle session to the address from the pool and returns it. If there is none, it returns nil and
-// counts a session that the caller must open.
+// popIdleOrReserve removes an idle session to the address from the pool and returns it. If there is none, it increments
+// openSessions and returns nil without an error; the caller must then call open. It returns errTooManySessions if MaxSessions are
+// open and none of them is idle.
 func (p *sessionPool) popIdleOrReserve(address string) (*session, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +62,7 @@
 	return nil, nil
 }
 
-// open opens a session that popIdleOrReserve has counted.
+// open opens a session that popIdleOrReserve has already counted in openSessions. If it fails, it decrements openSessions.
 func (p *sessionPool) open(ctx context.Context, address string) (*session, error) {
 	dial := p.options.Dial.OrDefault(p.options.ConnectTimeoutMs)
 	conn, err := dial(ctx, "tcp", address)
