--- a/internal/frontend/coapserver/bench_test.go
+++ b/internal/frontend/coapserver/bench_test.go
@@ -22,7 +22,8 @@
 	"gaugerelay/internal/testbed/testsettings"
 )
 
-// immediateLoop responds to each request within Submit, like an otherwise idle event loop.
+// immediateLoop responds to each request within Submit. The Submit of the real event loop only posts the request to the inbox, and
+// the response comes from another goroutine, so the benchmarks measure the frontends without the event loop.
 type immediateLoop struct{ body []byte }
 
 func (l *immediateLoop) Submit(r *lifecycle.Request) bool {
@@ -34,8 +35,8 @@
 func (l *immediateLoop) Ready() bool                                              { return true }
 func (l *immediateLoop) LinkMeasured(string, lifecycle.LinkSample)                {}
 
-// BenchmarkRequest measures sequential writes of 1 KiB with a short response over a loopback socket. The result includes a
-// minimal client; only the servers differ.
+// BenchmarkRequest measures sequential writes of 1 KiB with a short response over a loopback socket. The result includes the cost
+// of a minimal client of the protocol.
 func BenchmarkRequest(b *testing.B) {
 	body := bytes.Repeat([]byte("x"), 1024)
 	b.Run("coap", func(b *testing.B) { benchmarkCoAP(b, body) })
--- a/internal/frontend/coapserver/blockwise_test.go
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -39,7 +39,10 @@
 	return body, blocks
 }
 
-// A response that is too large for the device or its link is sent in blocks, and the device can request each of them.
+// A response that is too large for the device or its link is sent in blocks, and the device can request each of them. The length of
+// the first block is limited by the preferred block size and by Max-Message-Size less maxResponseOverhead. Several blocks of 1 KiB
+// fit into one message (BERT) if Max-Message-Size is above 1152. Each block belongs to a separate request: only the one with the last
+// block is reported to the Loop as written, and the others are canceled.
 func TestBlockwiseResponse(t *testing.T) {
 	body := make([]byte, 5000)
 	for i := range body {
@@ -63,7 +66,7 @@
 				device.send(newRequest(codes.GET, 1, nil, nil))
 				first := device.expect(codes.Content)
 				if len(first.Payload) != c.firstLength {
-					t.Errorf("first block has %d bytes, not the wanted length", len(first.Payload))
+					t.Errorf("first block has %d bytes, want the firstLength of the test case", len(first.Payload))
 				}
 				got, blocks := device.download(first, 5000, 77)
 				synctest.Wait()
--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -68,7 +68,7 @@
 	r.received = nil
 }
 
-// sendRequest sends a request, to which the Loop gives the response, and records what the server sends.
+// sendRequest sends a request, makes the Loop respond to it with the given response, and records what the server sends.
 func (r *recorder) sendRequest(name string, m message.Message, response lifecycle.Response) {
 	r.response = response
 	r.step(name, coapwire.Encode(m))
--- a/internal/frontend/coapserver/read_test.go
+++ b/internal/frontend/coapserver/read_test.go
@@ -71,7 +71,8 @@
 	})
 }
 
-// The connection of a device that does not read its response is closed, and the response is not reported as written.
+// The connection of a device that reads nothing is closed when a write has been blocked for the idle timeout (4 s here). Its request
+// is canceled, and the response is not reported as written. A write to a net.Pipe is blocked until the other end reads.
 func TestWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loop := &fakeLoop{onSubmit: respondWith(lifecycle.Response{Body: make([]byte, 3000)})}
--- a/internal/frontend/coapserver/request_test.go
+++ b/internal/frontend/coapserver/request_test.go
@@ -12,8 +12,9 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// Requests beyond the limits are rejected, or fail if an earlier transmission may have been executed. Requests that the Loop
-// does not respond to are answered when their remaining time is over.
+// A request beyond MaxPendingRequests (2 in newTestServer) or for which the inbox is full is rejected. If the request is a repeated
+// write, it fails instead, because an earlier transmission may have been executed. A request that the Loop does not respond to gets
+// 5.04 when its remaining time (2 s in newRequest) and frontend.ResponseGraceMs have passed.
 func TestRejectedRequests(t *testing.T) {
 	retry := addOption(message.Option{ID: coapwire.OptRetry})
 	t.Run("too many pending", func(t *testing.T) {
@@ -27,7 +28,7 @@
 			device.send(newRequest(codes.PUT, 4, []byte("x"), retry))
 			device.expect(codes.BadGateway)
 			start := time.Now()
-			device.expect(codes.Ping)
+			device.expect(codes.Ping) // sent after a silence of half of MaxIdleTimeout, because requests are pending
 			device.send(message.Message{Code: codes.Pong})
 			device.expect(codes.GatewayTimeout)
 			device.expect(codes.GatewayTimeout)
@@ -48,8 +49,9 @@
 	})
 }
 
-// A request whose last byte arrives after its remaining time is over still gets the Loop's response instead of the timer's,
-// since an earlier transmission may have been answered as served.
+// A request whose last byte arrives after its remaining time is over still gets the Loop's response, not the 5.04 of the response
+// guard: an earlier transmission may have been served, and the Loop then has the response. The guard therefore waits for
+// frontend.ResponseGraceMs after the arrival.
 func TestResponseTimerWaitsForLoop(t *testing.T) {
 	slow := func(r *lifecycle.Request) {
 		time.Sleep(5 * time.Millisecond)
--- a/internal/frontend/coapserver/server_test.go
+++ b/internal/frontend/coapserver/server_test.go
@@ -16,7 +16,8 @@
 	"gaugerelay/internal/testbed"
 )
 
-// Drain sends Release to all devices, including those that connect later. Shutdown waits for pending requests.
+// Drain sends Release to all devices, including those that connect later. Shutdown closes idle connections at once and the others
+// when their pending requests have been answered.
 func TestDrain(t *testing.T) {
 	withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
 		device.send(newRequest(codes.GET, 1, nil, nil))
@@ -46,7 +47,7 @@
 	})
 }
 
-// A connection beyond MaxConns replaces the connection that has been idle the longest.
+// A connection beyond MaxConns, which newTestServer sets to 4, replaces the connection that has been idle the longest.
 func TestConnectionLimitEvictsIdle(t *testing.T) {
 	withDevice(t, 4096, nil, func(server *Server, _ *fakeLoop, device *testDevice) {
 		device.send(newRequest(codes.GET, 1, nil, nil)) // a pending request: the connection is not idle and must stay open
@@ -75,7 +76,8 @@
 	}
 }
 
-// A device receives the last message of a connection instead of a reset, even if the server has not read all that it sent.
+// A device receives the server's last message instead of a reset, even if the server has not read all bytes that the device sent.
+// The kernel resets a connection that is closed with unread bytes, and the device could then lose the last message.
 func TestLastMessageSurvivesUnreadBytes(t *testing.T) {
 	listener := testbed.Listen(t)
 	server := newTestServer(&fakeLoop{})
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -65,8 +65,9 @@
 	conns       []*connModel
 }
 
-// FuzzConnTracker compares a tracker with a model after each of a list of random steps. Above SheddingThreshold the tracker must
-// shed new and idle connections, and it must never shed a connection from which a request has been read.
+// FuzzConnTracker compares a tracker with a model after each of a list of random steps. While the number of open connections is above
+// SheddingThreshold, the tracker must shed the new and idle ones. It must never shed a connection from which a request, or a part of
+// one, has been read and whose response has not been written yet.
 func FuzzConnTracker(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 9, 2, 10, 6, 0, 0})
 	f.Add([]byte{0, 1, 2, 0, 9, 10, 7, 0, 7, 0, 3, 11, 0, 7})
@@ -122,7 +123,8 @@
 	writeInBackground(c.client, "x")
 	n, err := c.conn.Read(make([]byte, 1))
 	if (n == 1) == c.conn.isShed {
-		m.t.Fatalf("step %d: Read returned %d, %v although isShed is %v", i, n, err, c.conn.isShed)
+		m.t.Fatalf("step %d: Read returned %d, %v although isShed is %v, want no bytes exactly if the connection was shed",
+			i, n, err, c.conn.isShed)
 	}
 	if n == 1 {
 		c.state = http.StateActive // only in the model: the server reports this state when the whole head has arrived
@@ -144,7 +146,8 @@
 		}
 	}
 	if open != m.tracker.open || open > m.tracker.SheddingThreshold && sheddable > 0 {
-		m.t.Fatalf("step %d: %d connections are open, the tracker counts %d; %d could be shed", i, open, m.tracker.open, sheddable)
+		m.t.Fatalf("step %d: %d connections are open, the tracker counts %d; %d are new or idle, want 0 above SheddingThreshold",
+			i, open, m.tracker.open, sheddable)
 	}
 }
 
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -50,7 +50,7 @@
 	device := func(i int) *lifecycle.DeviceRequest { return h.loop.submitted[i].Device }
 	if device(0).Key != device(1).Key || device(0).HeadDigest != device(1).HeadDigest || device(0).BodyDigest != device(1).BodyDigest ||
 		device(0).Key != device(2).Key || device(0).BodyDigest == device(2).BodyDigest {
-		t.Error("a write's transmissions must have equal keys and digests whatever their ids, and another body another digest")
+		t.Error("want equal keys and digests for transmissions of a write with different ids, and another BodyDigest for another body")
 	}
 	if device(3).Key == device(4).Key || device(3).Key == device(0).Key || device(3).HeadDigest == device(0).HeadDigest {
 		t.Error("two reads with different ids, or a read and a write, have the same key or digest")
@@ -114,7 +114,7 @@
 			}
 		}))
 		if w.Code != test.code || test.want != "" && w.Body.String() != test.want {
-			t.Errorf("test case %+v: got status %d and %d bytes", test, w.Code, w.Body.Len())
+			t.Errorf("test case %+v: got status %d and %d bytes, want the status and the body of the test case", test, w.Code, w.Body.Len())
 		}
 	}
 	if len(h.loop.submitted) != 5 {
@@ -136,13 +136,13 @@
 	for retry, want := range map[string]int{"": 503, "1": 502} {
 		w := h.serve(deviceRequest(func(r *http.Request) { r.Header.Set("X-Repeat", retry) }))
 		if w.Code != want {
-			t.Errorf("with a full inbox and X-Repeat %q got status %d", retry, w.Code)
+			t.Errorf("with a full inbox and X-Repeat %q got status %d, want 502 for a repeated write and 503 otherwise", retry, w.Code)
 		}
 	}
 }
 
-// The age of a request must include the longest possible time in transit, because X-Age-Ms is the age at the time of sending: the
-// time since the connection was opened, or since the last response on it was written.
+// X-Age-Ms is the age of a request when the device sends it, so the gateway must add the longest time that the request can have been
+// in transit: the time since the connection was opened, or since the last response on it was written.
 func TestAgeIncludesTransitTime(t *testing.T) {
 	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done")}))
 	ctx := h.ConnContext(t.Context(), nil)
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// If the event loop does not respond, the response guard must fail the request. It must not reject it, because the request may
-// have been executed.
+// If the event loop does not respond, the response guard must fail the request. The guard must not reject it, because a rejection
+// states that the request was not executed.
 func TestResponseGuard(t *testing.T) {
 	h := newTestHandler(func(*lifecycle.Request) {})
 	w := httptest.NewRecorder()
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// The disconnect of a client must be detected even after the client has sent more bytes than are read while a request is open.
+// The disconnect of a client must be detected even after the client has pipelined more bytes than the server reads while a request
+// is open (maxPipelinedBytes and maxDiscardBytes). Reading then no longer detects it, but Request.Canceled asks the kernel.
 func TestDisconnectAfterDiscardLimit(t *testing.T) {
 	s := startServer(t, nil)
 	client := s.dial(t)
@@ -99,7 +100,7 @@
 		testbed.Write(t, client, strings.Repeat("x", maxPipelinedBytes))
 		conns = append(conns, client)
 	}
-	receive(t, "all bytes sent", gate.allRead) // at most the results of the last reads are neither buffered nor discarded yet
+	receive(t, "all bytes sent", gate.allRead) // only the bytes of the last reads may be neither buffered nor discarded yet
 	if bytes := buffered(); bytes == 0 || bytes > s.tracker.MaxPipelinedBytes {
 		t.Errorf("%d bytes are buffered, want 1 to %d", bytes, s.tracker.MaxPipelinedBytes)
 	}
@@ -129,7 +130,7 @@
 	testbed.Write(t, client, rawGet(1))
 	request := receive(t, "the first request", s.submitted)
 	testbed.Write(t, client, rawGet(2)+rawGet(3)+rawGet(4))
-	s.submitted <- request
+	s.submitted <- request // respond receives the first request from this channel again
 	for _, content := range []string{"one", "two", "three", "four"} {
 		respond(content)
 	}
@@ -192,7 +193,7 @@
 
 // The number of connections that wait for their clients to close must stay limited: above the limit the oldest must be closed.
 func TestClosingConnectionsAreLimited(t *testing.T) {
-	s := startServer(t, nil) // the limit is max(1, 9/closingLimitDivisor) = 1
+	s := startServer(t, nil) // its SheddingThreshold is 9, so the limit is max(1, 9/closingLimitDivisor) = 1
 	var conns []*net.TCPConn
 	for range 3 {
 		client := s.dial(t)
@@ -209,6 +210,7 @@
 		t.Errorf("%d connections wait for their clients to close, want 1", n)
 	}
 	s.clock.Advance(gracefulclose.TimeoutMs) // then the last one must be closed, too
+	// A write of a client fails once the server has closed the connection.
 	for _, client := range conns {
 		for _, err := io.WriteString(client, "more"); err == nil; _, err = io.WriteString(client, "more") {
 			runtime.Gosched()
@@ -245,8 +247,8 @@
 	}
 }
 
-// A request on a shed connection must not be accepted either if the server has read it together with the previous request, so that
-// clientConn.Read could not refuse it.
+// A request must not be accepted if its connection was shed after the server had read the request together with the previous one.
+// clientConn.Read can't refuse such a request, so the handler must (clientConn.wasShed).
 func TestPipelinedRequestDuringShedding(t *testing.T) {
 	drains := make(chan (<-chan struct{}), 4)
 	s := startServer(t, func(s *testServer, ln net.Listener) net.Listener {
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -10,8 +10,8 @@
 )
 
 // During a shutdown, a request on the last idle connection must be rejected at once: otherwise the next request would find all
-// connections busy, and its client would regard the gateway as unavailable. Before the shutdown, and while new connections are
-// still expected, no request must be rejected.
+// connections busy, and its client would regard the gateway as unavailable. No request must be rejected before the shutdown, or in
+// its first newConnsExpectedMs, while clients may still open new connections.
 func TestShutdownKeepsConnectionIdle(t *testing.T) {
 	h := newTestHandler(nil)
 	h.Conns = &ConnTracker{SheddingThreshold: 9, Clock: h.manualClock, Metrics: metrics.New()}
@@ -63,8 +63,8 @@
 	}
 }
 
-// During a shutdown, the remaining time of a request must end when the gateway stops, and after DisableKeepAlives the response
-// must close the connection.
+// During a shutdown, the remaining time of a request must end at respondByMs at the latest, when the gateway must have responded to
+// all requests. After DisableKeepAlives, the server must close the connection after the response.
 func TestShutdownLimitsRemainingTime(t *testing.T) {
 	h := newTestHandler(respondWith(lifecycle.Response{Body: []byte("x")}))
 	h.BeginShutdown(h.manualClock.NowMs() + 100)
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestDisconnectBehindManyCommands checks that a client is considered disconnected even if its connection is not read to the end
-// because many commands are waiting. Attempts that still wait for a connection to their server must then not start.
+// TestDisconnectBehindManyCommands checks that Request.Canceled detects a disconnect even if unread commands precede it. The library
+// stops reading while many commands are waiting, so no read reports the disconnect. Without this check, an attempt that still waits
+// for a connection to its server would start.
 func TestDisconnectBehindManyCommands(t *testing.T) {
 	g := newTestGateway(t)
 	requests := make(chan *lifecycle.Request, 64)
--- a/internal/frontend/sftpserver/fuzz_test.go
+++ b/internal/frontend/sftpserver/fuzz_test.go
@@ -22,10 +22,10 @@
 	stepWrite
 	stepRead
 	stepStat
-	stepCommands
+	stepCommandCount
 )
 
-func (s fuzzStep) command() int         { return int(s % stepCommands) }
+func (s fuzzStep) command() int         { return int(s % stepCommandCount) }
 func (s fuzzStep) usesOpenHandle() bool { return s&8 == 0 }
 func (s fuzzStep) creates() bool        { return s&16 != 0 }
 func (s fuzzStep) handleIndex() int     { return int(s >> 4) }
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -131,17 +131,18 @@
 	got := slices.Index(c.keys, device.Key) // -1, which equals newKey, if the key is new
 	wantRetry := step.wantKey != newKey
 	if got != step.wantKey || request.IsRetry != wantRetry || request.IsRetry != (device.AgeMs >= 0) {
-		t.Errorf("write %d has the upload key of write %d, want %d; request has IsRetry %v and age %v",
+		t.Errorf("write %d has the upload key of write %d, want %d (-1: a new key); request has IsRetry %v and age %v",
 			len(c.keys), got, step.wantKey, request.IsRetry, device.AgeMs)
 	}
 	payload := device.BuildPayload("", device.Body).(*sftpwire.Command)
 	if device.BodyDigest != sha256.Sum256([]byte(step.data)) || !bytes.Equal(payload.Data, []byte(step.data)) {
-		t.Errorf("write %d was submitted with other data", len(c.keys))
+		t.Errorf("write %d was submitted with other data than the client wrote", len(c.keys))
 	}
 	c.keys = append(c.keys, device.Key)
 }
 
-// TestRetransmittedWritesKeepUploadKey checks which WRITEs are recognized as retransmissions.
+// TestRetransmittedWritesKeepUploadKey checks which WRITEs are recognized as retransmissions, by the rules in writehistory.go. A WRITE
+// is recognized until its DedupWindow and RetentionMs have passed, which is 8 s here.
 func TestRetransmittedWritesKeepUploadKey(t *testing.T) {
 	for name, c := range map[string]struct {
 		twoClients bool
@@ -170,6 +171,8 @@
 	}
 }
 
+// TestWriteHistoryIsBounded checks that a history holds at most maxRecordedWrites writes, and that expired writes leave no entries in
+// its index.
 func TestWriteHistoryIsBounded(t *testing.T) {
 	history := &writeHistory{}
 	fileAt := func(path string) *openFile { return &openFile{handler: &handler{}, path: path} }
--- a/internal/socketstate/socketstate_test.go
+++ b/internal/socketstate/socketstate_test.go
@@ -66,6 +66,7 @@
 	return conn, dialed.(*net.TCPConn)
 }
 
+// A connection that is not a socket has no state in the kernel. It must be reported as open and without unread data.
 func TestPipeHasNoState(t *testing.T) {
 	pipe, _ := net.Pipe()
 	if unread, err := HasUnreadData(pipe); unread || err != nil || PeerClosed(pipe) {
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// A server that starts to drain while an attempt waits for its connection receives no byte of the attempt.
+// A server that has left the endpoint list after the scheduler chose it for an attempt receives no byte of the attempt.
 func TestDrainWhileConnecting(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
 	manager := lifecycle.New(lifecycle.Options{})
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// timerObserver is a clock that reports when a timer is set that is shorter than those for deadlines.
+// timerObserver is a clock that reports when a timer of less than 100 ms is set. Only the timer for the reuse delay is that short.
 type timerObserver struct {
 	*clock.Manual
 	timerSet chan bool
@@ -146,7 +146,7 @@
 	head := "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\n"
 	first := startAttempt(8)
 	testbed.Write(t, c, head+"half")
-	if _, err := io.ReadFull(c, make([]byte, 77)); err != nil {
+	if _, err := io.ReadFull(c, make([]byte, 77)); err != nil { // the whole response has 77 bytes
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(c, "rest"); err != nil || !first.requestWritten.Load() {
@@ -162,7 +162,7 @@
 	}
 }
 
-// A response that begins but does not end fails the attempt long before the client's deadline.
+// A response that begins but does not end fails the attempt after responseTimeoutMs, long before the client's deadline.
 func TestIncompleteResponseTimesOut(t *testing.T) {
 	for name, responseStart := range map[string]string{
 		"head": "HTTP/1.1 200 OK\r\nX-A: b\r\n", "body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
--- a/internal/upstream/httpclient/fakeserver_test.go
+++ b/internal/upstream/httpclient/fakeserver_test.go
@@ -40,7 +40,7 @@
 	duplicateResponse
 	garbageAfterResponse
 
-	// The following responses have no length: they end when the connection is closed. A reset does not end them.
+	// The following responses have no length: they end when the connection is closed. After a reset they are incomplete.
 
 	noLength
 	noLengthReset
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -50,6 +50,8 @@
 	return body
 }
 
+// TestSessionsExpireAndAreLimited checks that an idle session is not used again after ConnIdleTimeoutMs *
+// upstream.IdleTimeoutFraction, which is 18 s here, and that an attempt above MaxSessions does not execute.
 func TestSessionsExpireAndAreLimited(t *testing.T) {
 	server, now := newScriptedServer(t), clock.NewManual(startMs)
 	client, results := newTestClient(now, server.address, 1)
--- a/internal/upstream/sftpclient/fuzz_test.go
+++ b/internal/upstream/sftpclient/fuzz_test.go
@@ -44,8 +44,8 @@
 		writeBit + respondUnprocessed})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		server, now := newScriptedServer(t), clock.NewManual(startMs)
-		// A session returns to the pool when its handle is closed, which is after the result. Until then, the next
-		// attempt needs another session.
+		// A session returns to the pool only after the CLOSE of its handle, and the result is reported before. The next attempt
+		// may therefore need another session, so the limit of 100 sessions is high enough for every input.
 		client, results := newTestClient(now, server.address, 100)
 		defer client.Close()
 		commands := int32(0)
