--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -99,6 +99,8 @@
 	})
 }
 
+// The messages of an upload in blocks must not change, because devices depend on their bytes. The same holds for the other golden
+// tests.
 func TestGoldenPush(t *testing.T) {
 	recordSession(t, "push", 4096, func(_ *Server, r *recorder) {
 		first := coapwire.Block{Size: 1024, More: true}
--- a/internal/frontend/coapserver/parse_test.go
+++ b/internal/frontend/coapserver/parse_test.go
@@ -11,7 +11,8 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// A malformed request is answered with the matching code and not submitted, and the connection stays open.
+// A malformed request is answered with the code of its test case and not submitted. The connection stays open: the next request is
+// served.
 func TestMalformedRequests(t *testing.T) {
 	set := func(id message.OptionID, value string) optionsModifier {
 		return setOption(message.Option{ID: id, Value: []byte(value)})
--- a/internal/frontend/coapserver/signaling_test.go
+++ b/internal/frontend/coapserver/signaling_test.go
@@ -11,7 +11,7 @@
 	"gaugerelay/internal/coapwire"
 )
 
-// After a protocol error the server sends an Abort, closes the connection and cancels its pending request.
+// After a protocol error the server sends an Abort, closes the connection and cancels the request that is pending on it.
 func TestProtocolErrorAbortsConnection(t *testing.T) {
 	csmWith := func(option message.Option) message.Message {
 		return message.Message{Code: codes.CSM, Options: message.Options{option}}
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -65,6 +65,7 @@
 	}
 }
 
+// A malformed request of a device must get status 400 and must not be submitted.
 func TestMalformedDeviceRequests(t *testing.T) {
 	h := newDeviceHandler(respondWith(lifecycle.Response{Body: []byte("done")}))
 	for name, change := range map[string]func(*http.Request){
--- a/internal/frontend/httpserver/golden_test.go
+++ b/internal/frontend/httpserver/golden_test.go
@@ -47,6 +47,7 @@
 	return dateHeader.ReplaceAll(wire, []byte("Date: DATE"))
 }
 
+// The bytes of each kind of response must not change, because clients depend on them. The same holds for the other golden tests.
 func TestGoldenResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		request  string
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -99,6 +99,7 @@
 	return func(r *lifecycle.Request) { r.Respond(response) }
 }
 
+// Each kind of response must get its status, body and Retry-After, and the event loop must get the values of the request's fields.
 func TestResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		response         lifecycle.Response
@@ -158,6 +159,7 @@
 	}
 }
 
+// If the client disconnects while its request is open, the request must be canceled, and no response must be written.
 func TestClientDisconnects(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h := newTestHandler(func(*lifecycle.Request) { cancel() })
@@ -167,6 +169,7 @@
 	}
 }
 
+// /ready must not return 200 while the event loop is not ready or the gateway is shutting down. /metrics must return all counters.
 func TestReadyAndMetrics(t *testing.T) {
 	h := newTestHandler(nil)
 	get := func(path string) *httptest.ResponseRecorder { return h.serve(newStatusRequest(path)) }
--- a/internal/frontend/httpserver/testserver_test.go
+++ b/internal/frontend/httpserver/testserver_test.go
@@ -129,7 +129,8 @@
 	return n, err
 }
 
-// startGatedServer starts a server with a gatedListener. reached receives a value each time a connection enters the given state.
+// startGatedServer starts a server with a gatedListener. reached receives a value each time the server reports that a connection has
+// entered the given state.
 func startGatedServer(t *testing.T, state http.ConnState) (s *testServer, gate *gatedListener, reached chan bool) {
 	t.Helper()
 	reached = make(chan bool, 4)
--- a/internal/frontend/sftpserver/conn_test.go
+++ b/internal/frontend/sftpserver/conn_test.go
@@ -35,7 +35,7 @@
 // TestReadTimeouts checks the timeout of each phase of a connection. The timeout of the first packet starts when the connection is
 // accepted, so a client that sends single bytes cannot keep its connection open longer than one that sends nothing.
 func TestReadTimeouts(t *testing.T) {
-	const sinceConnecting = -1
+	const sinceConnecting = -1 // marks reads whose deadline is firstPacketTimeout after the connection was accepted
 	recorder := &deadlineRecorder{reads: []string{"\x00\x00", "\x00\x05\x01\x00\x00\x00\x03", "\x00\x00\x00", "\x02\x07\x00"}}
 	c := newConn(recorder, func() {})
 	c.acceptedAt = c.acceptedAt.Add(-time.Second)
@@ -57,6 +57,8 @@
 	}
 }
 
+// TestPacketTrackerLimitsLength checks that a packet without a type or above sftpwire.MaxPacket is an error as soon as its header has
+// arrived.
 func TestPacketTrackerLimitsLength(t *testing.T) {
 	for name, c := range map[string]struct {
 		length uint32
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -92,6 +92,7 @@
 func (discardingLoop) Cancel(*lifecycle.Request)                                {}
 func (discardingLoop) ResponseWritten(*lifecycle.Request, lifecycle.LinkSample) {}
 
+// TestShutdownFinishesReceivedCommands checks that a READ that was received before a shutdown is still answered.
 func TestShutdownFinishesReceivedCommands(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", []byte("data"))
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -91,6 +91,7 @@
 	s.send("open", packetOpen, "/layers/a", uint32(sftpwire.FlagRead|sftpwire.FlagWrite|sftpwire.FlagCreate), uint32(0))
 }
 
+// TestGoldenSession checks that the bytes of successful responses do not change.
 func TestGoldenSession(t *testing.T) {
 	s := newRawSession(t)
 	s.open()
@@ -106,6 +107,7 @@
 	testbed.CompareGolden(t, "session", s.text.String())
 }
 
+// TestGoldenStatuses checks that the status code and the text that a client gets for each kind of response do not change.
 func TestGoldenStatuses(t *testing.T) {
 	reply := func(code sftpwire.StatusCode) lifecycle.Response {
 		return lifecycle.Response{Body: &sftpwire.Reply{Code: code, Message: "message of the storage server"}}
--- a/internal/frontend/sftpserver/helper_test.go
+++ b/internal/frontend/sftpserver/helper_test.go
@@ -208,7 +208,7 @@
 	return ended
 }
 
-// queuedRequests returns the number of requests that are queued, or -1 while an attempt is in flight.
+// queuedRequests returns the number of open requests, all of which wait in the scheduler's queue, or -1 while an attempt is in flight.
 func queuedRequests(loop *eventloop.Loop, counters *metrics.Registry) int {
 	loop.Sync()
 	if counters.Get("attempts_started") != endedAttempts(counters) {
--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -15,6 +15,7 @@
 	"gaugerelay/internal/testbed/fakefileserver"
 )
 
+// TestWriteReadStat checks that OPEN, WRITE, READ and STAT reach the storage server, and that each of them is one request.
 func TestWriteReadStat(t *testing.T) {
 	g := newTestGateway(t)
 	client := g.client()
@@ -75,6 +76,8 @@
 	}
 }
 
+// TestUnsupportedCommandsAreNotSubmitted checks that commands that are not supported, or whose path is invalid or below no root, get
+// an error and are not submitted. An OPEN of a missing file below a root is submitted.
 func TestUnsupportedCommandsAreNotSubmitted(t *testing.T) {
 	g := newTestGateway(t)
 	client := g.client()
@@ -104,6 +107,7 @@
 	}
 }
 
+// TestUnknownHandle checks that a READ of a handle that was never opened fails and is not submitted.
 func TestUnknownHandle(t *testing.T) {
 	g := newTestGateway(t)
 	conn := g.dialRaw()
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -279,7 +279,7 @@
 END
 `
 
-// runBatches runs schedulers on the batches in input, as the simulator's adapter does, and returns the replies.
+// runBatches passes the batches in input to one scheduler for each instance, as the simulator's adapter does, and returns the replies.
 func runBatches(t *testing.T, input string) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// Unknown lines belong to a later version of the protocol and must be skipped.
 func TestReaderSkipsUnknownEvents(t *testing.T) {
 	batch := readBatch(t, "CLOCK 1 1\nTARGET_INSTANCE 3\nSOLAR_FLARE 1 2 x\nDROPPED 7\nEND\n")
 	if len(batch.Items) != 1 {
@@ -65,6 +66,8 @@
 	}
 }
 
+// A malformed batch must be reported by an error other than io.EOF, which would mean that the input ends between two batches. Its text
+// must not contain a line break.
 func TestReaderReportsMalformedInputInOneLine(t *testing.T) {
 	for name, text := range map[string]string{
 		"no END":           "CLOCK 1 1\nTARGET_INSTANCE 3\nDROPPED 7\n",
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -7,6 +7,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
+// The settings in a line must be converted to those of the scheduler, and unknown settings must be ignored. MaxRetryAfter must be 0,
+// because Limits.RetryAfter is false.
 func TestReaderParsesSettings(t *testing.T) {
 	batch := readBatch(t, "CLOCK 1 1\nTARGET_INSTANCE 0\nOPEN_INSTANCE 5 Strange.Key=1 Discovery=ask FamilyInfo.ClassWrites=true"+
 		" FamilyInfo.ColdBears=12.0 Invariants.KeyRestMs=200.0 Invariants.ExtraRatio=0.15 Lanes.count=1"+
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -15,6 +15,7 @@
 	"gaugerelay/internal/testbed"
 )
 
+// An attempt that can't connect ends with StatusConnectFailed.
 func TestConnectFailed(t *testing.T) {
 	c := newTestClient()
 	ln := testbed.Listen(t)
@@ -115,6 +116,8 @@
 	}
 }
 
+// An attempt ends at its deadline and when it is canceled, although the server does not respond. An attempt that would need a
+// connection above MaxConns is not sent.
 func TestTimeoutCancelAndConnectionLimit(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
 	waitForRequests := func(count int32) { // the server does not respond, because it has no behavior to follow
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -37,6 +37,7 @@
 	return addr, recorded
 }
 
+// The bytes of an attempt's request on the wire must not change, because servers depend on them.
 func TestGoldenAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
 		payload httpmessage.Request
--- a/internal/upstream/httpclient/probe_test.go
+++ b/internal/upstream/httpclient/probe_test.go
@@ -7,6 +7,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
+// A probe reports the status of its response. A response other than 200 is an error, even if it says that the request was not
+// executed.
 func TestProbe(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
 	for _, test := range []struct {
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -130,6 +130,7 @@
 	}
 }
 
+// TestGoldenPackets checks that the packets of each command, and the result for each response, do not change.
 func TestGoldenPackets(t *testing.T) {
 	for name, exchange := range goldenExchanges() {
 		t.Run(name, func(t *testing.T) {
