--- a/internal/frontend/gracefulclose/gracefulclose.go
+++ b/internal/frontend/gracefulclose/gracefulclose.go
@@ -10,7 +10,7 @@
 )
 
 // TimeoutMs is how long, in milliseconds, a connection is read after its sending side was closed, so that the client can
-// receive the last response and close its own side. It equals the delay of a response that the platform allows.
+// receive the last response and close its own side. It equals the delay that the platform allows for a response.
 const TimeoutMs = 500
 
 // CloseWrite closes the sending side of a connection. It returns false if the connection does not support that, or if closing
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -63,7 +63,7 @@
 
 // trackResponse records that a request was accepted. The handler must defer the returned function, which records that the
 // response was written or that the client no longer waits for one. If the handler panics while clientWaiting returns true, the
-// response stays pending.
+// response stays pending, and closeLocked counts it in closedWithoutResponse.
 func (c *clientConn) trackResponse(clientWaiting func() bool) (handlerDone func()) {
 	c.responsePending.Store(true)
 	return func() {
@@ -88,7 +88,7 @@
 // Read returns net.ErrClosed if the connection was shed while a request was being read from it. That can happen because net/http
 // reports a connection as active only when a complete head has arrived, so the tracker regards the connection as new or idle until
 // Read removes it from its list. The client sees the connection closed and sends the request again, so the request must not be
-// accepted here.
+// accepted here. Read returns errTooMuchPipelined if pipelined bytes were discarded while the last request was open.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.discardedBytes > 0 && !c.requestActive {
 		return 0, errTooMuchPipelined
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -19,8 +19,8 @@
 	// firstByteTimeoutMs is how long, in milliseconds, a new connection may send nothing before it is shed in preference to
 	// idle connections.
 	firstByteTimeoutMs = 500
-	// closingLimitDivisor limits the connections that wait for their clients to close to
-	// SheddingThreshold / closingLimitDivisor.
+	// closingLimitDivisor limits the number of connections that wait for their clients to close: it is at most
+	// SheddingThreshold / closingLimitDivisor, or 1 if that is less than 1.
 	closingLimitDivisor = 16
 )
 
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -28,6 +28,7 @@
 		h.manualClock.Advance(30)
 		r.Respond(lifecycle.Response{Body: []byte("data")})
 	}
+	// rejected makes the given number of connections busy, handles a request and returns how many requests were rejected: 0 or 1.
 	rejected := func(busy int) int64 {
 		t.Helper()
 		for i, conn := range conns {
--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -216,7 +216,7 @@
 	done := make(chan error, 1)
 	go func() { done <- errorOf(file.WriteAt([]byte("x"), 0)) }()
 	<-reached
-	g.clock.Advance(3100)
+	g.clock.Advance(3100) // the deadline of the write class is 3 s
 	if err := <-done; statusOf(err) != sftpwire.StatusFailure || !strings.Contains(err.Error(), "may have taken effect") {
 		t.Errorf("%v", err)
 	}
