--- a/internal/frontend/coapserver/golden_test.go
+++ b/internal/frontend/coapserver/golden_test.go
@@ -68,7 +68,7 @@
 	r.received = nil
 }
 
-// sendRequest sends a request, to which the Loop gives the response, and records what the server sends.
+// sendRequest sends a request, makes the Loop respond to it with the given response, and records what the server sends.
 func (r *recorder) sendRequest(name string, m message.Message, response lifecycle.Response) {
 	r.response = response
 	r.step(name, coapwire.Encode(m))
@@ -99,6 +99,8 @@
 	})
 }
 
+// The messages of an upload in blocks must not change, because devices depend on their bytes. The same holds for the other golden
+// tests.
 func TestGoldenPush(t *testing.T) {
 	recordSession(t, "push", 4096, func(_ *Server, r *recorder) {
 		first := coapwire.Block{Size: 1024, More: true}
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -15,6 +15,7 @@
 	"gaugerelay/internal/testbed"
 )
 
+// An attempt that can't connect ends with StatusConnectFailed.
 func TestConnectFailed(t *testing.T) {
 	c := newTestClient()
 	ln := testbed.Listen(t)
@@ -101,7 +102,7 @@
 	}
 }
 
-// A server that starts to drain while an attempt waits for its connection receives no byte of the attempt.
+// A server that has left the endpoint list after the scheduler chose it for an attempt receives no byte of the attempt.
 func TestDrainWhileConnecting(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
 	manager := lifecycle.New(lifecycle.Options{})
@@ -115,6 +116,8 @@
 	}
 }
 
+// An attempt ends at its deadline and when it is canceled, although the server does not respond. An attempt that would need a
+// connection above MaxConns is not sent.
 func TestTimeoutCancelAndConnectionLimit(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
 	waitForRequests := func(count int32) { // the server does not respond, because it has no behavior to follow
