--- a/internal/dedup/content.go
+++ b/internal/dedup/content.go
@@ -15,7 +15,7 @@
 	etag       uint64 // entity tag of the response
 }
 
-// append adds a block to the body. The first block of a body invalidates the digest of the previous one.
+// append adds a block to the body. The first block of a body invalidates the digest of the previous body.
 func (c *content) append(block []byte) {
 	if len(c.body) == 0 {
 		c.hasDigest = false
@@ -34,7 +34,7 @@
 }
 
 // release frees the parts of an exchange's content that the action names. The digest of a released body is kept until the
-// exchange is forgotten, because the device may send the last block again.
+// exchange is forgotten, because assembleBody needs it if the device sends the last block again.
 func (c *Coordinator) release(action exchange.Release) {
 	stored := c.contents[action.ID]
 	if stored == nil {
--- a/internal/dedup/coordinator.go
+++ b/internal/dedup/coordinator.go
@@ -3,7 +3,7 @@
 // of each exchange for execution, and performs the actions of the exchange store for each transmission.
 //
 // The package starts no goroutine. The goroutine of the lifecycle.Manager owns the Coordinator and calls all its
-// methods. Bodies and responses are stored exactly as long as the exchange store counts their bytes.
+// methods. Bodies and responses are stored exactly as long as the exchange store counts their bytes towards its limit.
 package dedup
 
 import (
@@ -132,8 +132,8 @@
 		}
 	}
 	c.updateCounters()
-	// Each assembly is a separate step. It follows the actions of this step, because a SetTimer of this step must not replace
-	// the timer that the later step sets.
+	// Each assembly is a step of its own. It begins only after all actions of this step: otherwise a SetTimer action of this step
+	// could replace the timer that the later step has set.
 	for _, assembly := range assemblies {
 		c.assembleBody(nowMs, assembly)
 	}
--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -24,8 +24,8 @@
 const (
 	ResponseServed     ResponseKind = iota // the response of the exchange
 	ResponseRejected                       // the request was not executed; the device may retry
-	ResponseBusy                           // like ResponseRejected, because a limit of the store is reached
-	ResponseTooLate                        // like ResponseRejected, because the response could not arrive in time
+	ResponseBusy                           // like ResponseRejected; the reason is a limit of the store or a shutdown
+	ResponseTooLate                        // like ResponseRejected; the reason is that the response could not arrive in time
 	ResponseFailed                         // there is no response; the request may have been executed
 	ResponseConflict                       // the content differs from that of the exchange with the same key
 	ResponseContinue                       // the block was received; the next one may be sent
@@ -35,8 +35,8 @@
 )
 
 // String returns the kind in lower case.
-func (o ResponseKind) String() string {
-	return nameOf(int(o), "served", "rejected", "busy", "too late", "failed", "conflict", "continue", "incomplete",
+func (k ResponseKind) String() string {
+	return nameOf(int(k), "served", "rejected", "busy", "too late", "failed", "conflict", "continue", "incomplete",
 		"too large", "superseded")
 }
 
--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -2,8 +2,8 @@
 
 import "gaugerelay/internal/scheduler"
 
-// dedupWindowMarginMs is the time before the end of the deduplication window at which the last repeat must be sent, so that
-// the repeat reaches its server within the window.
+// dedupWindowMarginMs is how long before the end of the deduplication window a repeated execution must end, so that even an
+// attempt that is sent last reaches its server within the window.
 const dedupWindowMarginMs = 20
 
 // onTransmission handles a transmission with its entire body.
@@ -59,8 +59,8 @@
 }
 
 // earlierMayHaveExecuted reports whether an earlier transmission of an exchange that is not in the store may have been
-// executed. None was executed if the device sent all of them to this gateway since its start, and no exchange that recent has
-// been evicted or forgotten: if one of them had arrived completely, the exchange would be in the store.
+// executed. None was executed if the device sent all of them to this gateway since its start, less than RetentionMs ago, and
+// after latestEvictedActivityMs: if one of them had arrived completely, the exchange would still be in the store.
 func (s *Store) earlierMayHaveExecuted(idempotency scheduler.Idempotency, history *ResendHistory) bool {
 	if !history.IsRetry || idempotency == scheduler.Idempotent {
 		return false
@@ -72,8 +72,8 @@
 }
 
 // safeRepeatMs returns the longest safe duration of an execution whose request may already have been executed through another
-// gateway. The execution must end before the deduplication window, and the repeat must be certain to reach the group of
-// servers that drop it. The result is negative if there is no safe duration.
+// gateway. The execution must end before the deduplication window ends, and it must be certain to reach the group of servers
+// that drop it as a repeat (Class.DedupScope). The result is negative if there is no safe duration.
 func safeRepeatMs(received *TransmissionReceived) float64 {
 	class := &received.Class
 	if class.Idempotency != scheduler.IdempotentWithKey || !(received.AgeMs >= 0) || class.DedupScope == scheduler.DedupZone {
@@ -155,8 +155,8 @@
 	s.rememberFailure(added, received)
 }
 
-// rememberFailure records that a device was informed that its exchange failed. A delayed earlier transmission must neither
-// be executed nor get another response.
+// rememberFailure records that a device was informed that its exchange failed, so that a delayed earlier transmission is neither
+// executed nor gets another response.
 func (s *Store) rememberFailure(exchange *storedExchange, received *TransmissionReceived) {
 	exchange.class, exchange.digest, exchange.failureReported = received.Class, received.Digest, true
 	s.setState(exchange, stateFailed)
@@ -184,7 +184,8 @@
 	}
 }
 
-// joinFailed executes a failed exchange again if that is safe, and fails the transmission otherwise.
+// joinFailed executes a failed exchange again if that is safe and the gateway is not shutting down. Otherwise the transmission
+// fails, or is rejected if only capacity is missing and no server can have executed the request.
 func (s *Store) joinFailed(exchange *storedExchange, received *TransmissionReceived) {
 	device := exchange.device
 	budgetMs, ok := s.repeatBudgetMs(exchange, device.executionBudgetMs(received.RemainingMs))
--- a/internal/dedup/exchange/events.go
+++ b/internal/dedup/exchange/events.go
@@ -26,8 +26,8 @@
 	AgeMs       float64 // time since the first transmission was sent; negative: unknown
 }
 
-// BlockReceived reports a block of an upload. The owner stores the bytes of the block until the store responds to the
-// transmission. An AppendBlock action asks for adding them to the body.
+// BlockReceived reports a block of an upload. The owner keeps the bytes of the block until the store responds to the
+// transmission. If the store accepts the block, it asks the owner by an AppendBlock action to add them to the body.
 type BlockReceived struct {
 	Transmission TransmissionID
 	Device, Key  string
@@ -43,8 +43,8 @@
 	Link        LinkSample
 }
 
-// BodyAssembled is the response to AssembleBody, with the digest and size of the entire body. It must be the only event of
-// its step.
+// BodyAssembled reports the digest and size of the entire body that an AssembleBody action asked for. It must be the only event
+// of its step.
 type BodyAssembled struct{ TransmissionReceived }
 
 // TransmissionCanceled reports that a transmission's connection is closed or that the device no longer waits for the response.
--- a/internal/dedup/exchange/eviction.go
+++ b/internal/dedup/exchange/eviction.go
@@ -10,8 +10,9 @@
 const uploadEvictionAgeMs = 1000
 
 // ensureCapacity evicts exchanges until the given number of additional exchanges and bytes fit into the limits, and reports
-// whether they do. An exchange that may have been executed is never evicted while it may be repeated, because the next
-// transmission would then be executed on another server.
+// whether they do. A write that may have been executed is not evicted while its deduplication window lasts (see evictionListOf):
+// the store must restrict a repeat to servers that drop it, which it can do only while it knows the exchange. A write that is not
+// idempotent and may have been executed is not evicted at all.
 func (s *Store) ensureCapacity(exchanges, bytes int) bool {
 	for len(s.exchanges)+exchanges > s.settings.MaxExchanges || s.stats.StoredBytes+bytes > s.settings.MaxStoredBytes {
 		victim := s.evictionVictim()
@@ -27,8 +28,8 @@
 	return true
 }
 
-// evictionVictim returns the exchange to evict next: first ended reads, then uploads without new blocks, then ended writes
-// whose deduplication window has ended. It returns nil if there is none.
+// evictionVictim returns the exchange to evict next: first ended reads, then uploads that got no block for uploadEvictionAgeMs,
+// then ended writes that were not executed or whose deduplication window has ended. It returns nil if there is none.
 func (s *Store) evictionVictim() *storedExchange {
 	if read := s.endedReads.Front(); read != nil {
 		return read.Value.(*storedExchange)
--- a/internal/dedup/exchange/execution.go
+++ b/internal/dedup/exchange/execution.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// recordAttempts records when and in which shard the attempts of an execution may have been executed.
+// recordAttempts records when and in which shard the attempts of an execution may have been executed. The first attempt after the
+// end of a deduplication window begins a new window.
 func (e *storedExchange) recordAttempts(ended *ExecutionEnded) {
 	if !ended.MayHaveExecuted {
 		return
--- a/internal/dedup/exchange/expiry.go
+++ b/internal/dedup/exchange/expiry.go
@@ -35,7 +35,8 @@
 // forgetAtMs returns when an ended exchange is forgotten.
 func (s *Store) forgetAtMs(exchange *storedExchange) float64 {
 	if exchange.class.Idempotency == scheduler.Idempotent {
-		return max(exchange.deadlineMs, exchange.lastActivityMs+minReadRetentionMs) // a later transmission is executed again
+		// Reads are retained only for a short time, because it is safe to execute a later transmission again.
+		return max(exchange.deadlineMs, exchange.lastActivityMs+minReadRetentionMs)
 	}
 	return max(exchange.deadlineMs, exchange.retainUntilMs()) + s.settings.RetentionMs
 }
@@ -52,7 +53,8 @@
 			stillWaiting = append(stillWaiting, waiter)
 			continue
 		}
-		// The device stops waiting now. The failure is final for all later transmissions as well.
+		// A later response would not reach the device before it stops waiting. The failure is final for all later transmissions
+		// as well.
 		s.respond(waiter.id, Respond{Kind: ResponseFailed, Advice: s.advice(exchange.device)})
 		exchange.failureReported = true
 	}
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -130,7 +130,7 @@
 }
 
 // idleTimeoutMs returns the time without received data after which a connection is considered dead, within the limits of
-// settings.
+// settings. With fewer than minGapSamples measured gaps it is the maximum.
 func (l *LinkEstimator) idleTimeoutMs(settings *LinkSettings) float64 {
 	roundTripMs := l.expectedRoundTripMs(math.Inf(1))
 	timeoutMs := roundTripMs + deviationMultiple*max(l.deviationMs, roundTripMs/minDeviationDivisor)
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -8,8 +8,8 @@
 	"gaugerelay/internal/timerwheel"
 )
 
-// responseGraceMs is the delay after the due time of the response at which a waiting transmission fails if the execution has
-// not ended by then.
+// responseGraceMs is how long after the due time of its response a transmission still waits for the end of the execution. Then
+// the transmission fails.
 const responseGraceMs = 12
 
 // state is the state of an exchange.
@@ -79,15 +79,15 @@
 func (e *storedExchange) outcomeUnknown() bool { return e.state == stateFailed && !e.failureReported }
 
 // repeatUntilMs returns the earliest time at which servers may stop dropping repeats of the first attempt. No repeat is sent
-// from then on. The result is minus infinity if no server drops repeats.
+// from then on. The result is minus infinity if there is no deduplication window (see windowEndMs).
 func (e *storedExchange) repeatUntilMs() float64 { return e.windowEndMs(e.firstAttemptMs) }
 
 // retainUntilMs returns the time from which no server drops repeats. An exchange that may have been executed is not forgotten
 // before that time.
 func (e *storedExchange) retainUntilMs() float64 { return e.windowEndMs(e.latestAttemptMs) }
 
-// windowEndMs returns when the deduplication window of an attempt that was sent at sentMs ends. It returns minus infinity if
-// there is no window.
+// windowEndMs returns when the deduplication window of an attempt that was sent at sentMs ends. It returns minus infinity if no
+// server can have executed the request, or if servers do not drop repeats of its class.
 func (e *storedExchange) windowEndMs(sentMs float64) float64 {
 	if !e.mayHaveExecuted || e.class.Idempotency != scheduler.IdempotentWithKey {
 		return math.Inf(-1)
@@ -104,7 +104,8 @@
 }
 
 // respondByMs returns when a waiting transmission must get a response at the latest. It subtracts a round trip and the
-// safety margin of the link from the device's deadline, because request and response both take time on the link.
+// safety margin of the link from the device's deadline, because request and response both take time on the link, and adds
+// responseGraceMs.
 func (e *storedExchange) respondByMs(waiter waitingTransmission) float64 {
 	link := &e.device.link
 	return waiter.deviceDeadlineMs - link.expectedRoundTripMs(waiter.deviceDeadlineMs-e.lastActivityMs) -
--- a/internal/dedup/exchange/stats.go
+++ b/internal/dedup/exchange/stats.go
@@ -9,7 +9,7 @@
 	RepeatedExecutions int // executions of exchanges whose previous execution failed with no transmission waiting
 
 	Conflicts            int // transmissions whose content differs from that of their exchange
-	Busy                 int // transmissions rejected because of the limits of the store
+	Busy                 int // transmissions rejected because of the limits of the store or a shutdown
 	TooLate              int // transmissions rejected because the response could not arrive in time
 	UnknownOutcomeFailed int // transmissions failed because an earlier one may have been executed
 
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -20,9 +20,9 @@
 	startedMs    float64 // time of the first step
 	nowMs        float64 // time of the current step; never decreases
 	shuttingDown bool
-	// latestEvictedActivityMs is the latest known creation or attempt time of the evicted exchanges that may have been
-	// executed. An exchange whose first transmission was sent before that time may have been evicted although its device
-	// can still send transmissions.
+	// latestEvictedActivityMs is the latest known creation or attempt time of the evicted writes that may have been executed or
+	// whose failure was reported. An exchange whose first transmission was sent before that time may have been evicted although
+	// its device can still send transmissions.
 	latestEvictedActivityMs float64
 
 	actions []Action // actions of the current step
@@ -139,8 +139,8 @@
 	s.emit(response)
 }
 
-// respondBusy rejects a transmission because a limit of the store is reached. It must not be called if a server may have
-// executed the request.
+// respondBusy rejects a transmission because a limit of the store is reached or the gateway is shutting down. It must not be
+// called if a server may have executed the request.
 func (s *Store) respondBusy(id TransmissionID, device *trackedDevice) {
 	s.respond(id, Respond{Kind: ResponseBusy, RetryAfterMs: s.retryAfterMs(), Advice: s.advice(device)})
 }
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -12,7 +12,8 @@
 }
 
 // upload is a body that is received in blocks, in order, over any number of connections. A complete upload is kept with its
-// exchange, without its bytes, to distinguish repeated blocks, whose acknowledgements were lost, from blocks of another body.
+// exchange, though not its bytes. It serves to distinguish blocks that the device repeats, because their acknowledgements were
+// lost, from blocks of another body.
 type upload struct {
 	tag      string
 	received int // number of bytes received
@@ -83,8 +84,8 @@
 		Advice: s.advice(device)})
 }
 
-// exchangeForBlock returns the exchange of a block. It adds the exchange for the first block of an upload. If there is no
-// exchange, it responds to the transmission and returns nil.
+// exchangeForBlock returns the exchange of a block. For the first block of an upload it adds the exchange if there is none. If it
+// has no exchange to return, it responds to the transmission and returns nil.
 func (s *Store) exchangeForBlock(device *trackedDevice, received *BlockReceived, mayHaveExecuted bool) *storedExchange {
 	exchange := device.exchanges[received.Key]
 	if exchange != nil && exchange.state == stateReceiving && s.nowMs > exchange.deadlineMs {
@@ -124,8 +125,8 @@
 	return added
 }
 
-// acceptPosition reports whether a block continues the upload of its exchange or repeats one of its blocks. A first block of
-// another body starts a new upload. If the block is not accepted, it responds to the transmission.
+// acceptPosition reports whether a block continues the upload of its exchange, repeats one of its blocks, or starts a new upload
+// as the first block of another body. If none of these holds, acceptPosition responds to the transmission and returns false.
 func (s *Store) acceptPosition(exchange *storedExchange, received *BlockReceived, match blockMatch) bool {
 	current := exchange.upload
 	switch {
--- a/internal/dedup/execution.go
+++ b/internal/dedup/execution.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// onExecutionResponse handles the final response to an execution. The request life cycle calls it within a step of its own.
+// onExecutionResponse handles the final response to an execution. It is the Respond function of the submitted request.
 func (c *Coordinator) onExecutionResponse(execution exchange.StartExecution, response lifecycle.Response) {
 	ended := exchange.ExecutionEnded{
 		ID:              execution.ID,
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -16,8 +16,8 @@
 	// maxPendingWaitMs bounds the wait of AwaitPendingUpdates. It is half of the delay that the platform's rules allow, 50 ms.
 	maxPendingWaitMs = 25
 
-	// readTimeoutMs is the interval at which a blocked read is restarted. The bytes that a read returns have arrived since its
-	// latest restart, even if the process was paused in the meantime.
+	// readTimeoutMs is the interval at which a blocked read is restarted. The start of the read, and not its end, is taken as the
+	// time at which the bytes arrived, because the process may be paused in between. The restarts keep that time recent.
 	readTimeoutMs = 250
 )
 
@@ -27,7 +27,7 @@
 	clock clock.Clock
 
 	mu sync.Mutex
-	// readStartedMs is the time at which the latest completed read was started. All of its bytes arrived after that.
+	// readStartedMs is the time at which the latest completed read was started. Its bytes are treated as having arrived after that.
 	readStartedMs float64
 	conn          *trackedConn  // connection of the latest watch; nil if there is none
 	processing    bool          // whether bytes that were read from conn are being processed
@@ -82,7 +82,8 @@
 	t.readStartedMs = startedMs
 }
 
-// lastReadStartedMs returns the time at which the latest completed read was started. All of its bytes arrived after that.
+// lastReadStartedMs returns the time at which the latest completed read was started. Its bytes are treated as having arrived
+// after that.
 func (t *receiveTracker) lastReadStartedMs() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,9 +165,10 @@
 // AwaitPendingUpdates waits until the updates that have arrived on the watch have been passed to the notify function, for
 // maxPendingWaitMs at most.
 //
-// It guards against a pause of the process, or a lack of processor time, that is longer than the grace period of drains.
-// Without it, an attempt that was decided before the pause could be sent although an update that forbids it had already
-// arrived and was still unread. It may be called from any goroutine except that of the notify function.
+// It guards against a pause of the process, or a lack of processor time, that is longer than the time for which a draining server
+// still accepts requests. Without it, an attempt that was decided before the pause could be sent although an update that forbids
+// it had already arrived and was still unread. AwaitPendingUpdates may be called from any goroutine except that of the notify
+// function.
 func (w *Watcher) AwaitPendingUpdates() PendingUpdates {
 	processed := w.received.pending()
 	if processed == nil {
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -8,8 +8,8 @@
 )
 
 // Bounds of the delay before a continuous watch that has ended is reopened. The delay doubles from one reconnect to the next.
-// A watch that lasted for maxReconnectDelayMs or longer is reopened at once. The upper bound is short compared with the grace
-// period of drains, which starts when the agent is notified.
+// A watch that lasted for maxReconnectDelayMs or longer is reopened at once. The upper bound is short compared with the time for
+// which a draining server still accepts requests. That time starts when the agent is notified of the drain.
 const (
 	minReconnectDelayMs = 10
 	maxReconnectDelayMs = 160
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -24,13 +24,13 @@
 	// nothing else to send.
 	heartbeatIntervalMs = 2000
 
-	// idleTimeoutMs is the time without a message after which a watch fails: one and a half heartbeat intervals. The platform
-	// treats the gateway as having been notified, 6 s after the last message at the latest, of every change that such a watch
-	// misses. By then another watch must be open and have sent a list. The remaining 3 s are for the delays of calls, which
-	// are spread over 2 s at most, and for their responses.
+	// idleTimeoutMs is the time without a message after which a watch fails: one and a half heartbeat intervals. Such a watch may
+	// miss changes. The platform treats the gateway as having been notified of them 6 s after the last message at the latest. By
+	// then another watch must be open and have sent a list. The 3 s that remain after the timeout are for the delays of calls,
+	// which are spread over 2 s at most, and for their responses.
 	idleTimeoutMs = 1.5 * heartbeatIntervalMs
 
-	// confirmationDelayMs is the time after its request from which an open watch is treated as confirmed even if no update has
+	// confirmationDelayMs is the time from the request of a watch until the watch is treated as confirmed even if no update has
 	// arrived. Before that, discovery may still end the watch because there are too many calls.
 	confirmationDelayMs = 1.25 * heartbeatIntervalMs
 )
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// connectTimeout bounds the time in which the default dial function connects.
+	// connectTimeout is the timeout of a connect by the default dial function.
 	connectTimeout = 2 * time.Second
 
 	// maxResponseHeaderBytes bounds the size of the header of a response.
@@ -108,9 +108,9 @@
 	// Notify is called for each update that applies. If the list is polled, it is also called with scheduler.Heartbeat for a
 	// heartbeat, and with one of these kinds when a watch ends, unless SwitchAddress or its context ended it:
 	//
-	//   - scheduler.WatchFailed if the watch never provided a list,
 	//   - scheduler.WatchIdle if discovery responded and then stopped sending,
-	//   - scheduler.WatchClosed otherwise.
+	//   - scheduler.WatchClosed if the watch ended in another way, after an update applied or confirmationDelayMs passed,
+	//   - scheduler.WatchFailed otherwise.
 	//
 	// The callee decides when to open the next watch. Notify is called from the goroutine of the watch, one call at a time.
 	// It must not call SwitchAddress or AwaitPendingUpdates.
@@ -146,7 +146,8 @@
 	return w
 }
 
-// refuseRedirect makes a call that is redirected fail, because the address of discovery is set by the configuration only.
+// refuseRedirect keeps the client from following a redirect. The call then fails, because the status of the response is not 200.
+// Redirects are not followed because only the configuration sets the address of discovery.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // KeepOpen opens the watch and reopens it whenever it ends, including after SwitchAddress, until ctx is done. It returns at
--- a/internal/endpoints/tracker.go
+++ b/internal/endpoints/tracker.go
@@ -52,8 +52,8 @@
 	version   uint64
 	startedMs map[string]float64 // start time in the last accepted entry of each server, by name
 
-	regressed        bool    // whether the updates that arrive are older than version
-	regressedSinceMs float64 // when the first of the older updates arrived; valid while regressed is set
+	regressed        bool    // whether the latest update was older than version
+	regressedSinceMs float64 // when the first update of the current series of older ones arrived; valid if regressed is set
 }
 
 // NewTracker returns a Tracker that starts from a known list. The zero Update means that no list is known.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -113,8 +113,8 @@
 	for waiting := len(l.inbox); waiting > 0; waiting-- {
 		(<-l.inbox)(nowMs)
 	}
-	// The clock is read again, because a timer may have fired since nowMs. At nowMs the scheduler would regard that timer as too
-	// early and never set another one.
+	// The clock is read again, because the scheduler's timer may have fired since nowMs. If the scheduler were given nowMs, it
+	// would regard that timer as too early and never set another one.
 	l.manager.Step(l.options.Clock.NowMs())
 	if l.manager.Ready() && !l.ready.Swap(true) {
 		l.options.OnReady()
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -89,6 +89,6 @@
 
 // close closes the listener and all connections.
 func (f *clientFrontend) close() {
-	f.listener.Close() // the server closes it only if it has begun to serve it
+	f.listener.Close() // f.server closes the listener only if it has begun to serve it
 	f.server.Close()
 }
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -51,8 +51,8 @@
 // maxSFTPSessions returns the limit on SFTP connections to servers.
 func maxSFTPSessions(cfg *config.Config) int { return max(1, cfg.MaxSockets/16) }
 
-// sheddingThreshold returns the number of open connections above which idle ones are closed, so that a client with a request
-// can always open a connection.
+// sheddingThreshold returns the number of open connections above which an httpserver.ConnTracker closes new and idle ones. It is
+// below maxConns, the limit on open connections, so that a client with a request can connect before the limit is reached.
 func sheddingThreshold(maxConns int) int { return max(1, maxConns*15/16) }
 
 // listen opens a listener for clients. Its Accept fails only after the listener was closed.
--- a/internal/gateway/devicefrontend.go
+++ b/internal/gateway/devicefrontend.go
@@ -34,8 +34,8 @@
 // newDeduplicator returns the deduplicator for requests of devices, and the name by which devices identify this gateway. The
 // deduplicator's functions use g.loop, which is built after it.
 func newDeduplicator(g *Gateway, options *config.Devices) (deduplicator *dedup.Coordinator, gatewayName string, err error) {
-	// The name begins the ids by which servers identify executions of requests, so it must differ from those of other gateways
-	// and of earlier starts.
+	// The name is the prefix of the ids by which servers identify executions of requests. It must therefore differ from the names
+	// of other gateways, and from the names that this gateway had at earlier starts.
 	name := fmt.Sprintf("%s-%x-%x", g.cfg.Name, g.cfg.Seed, int64(g.Clock.NowMs()))
 	gatewayName = strconv.FormatUint(xxhash.Sum64String(name), 16)
 	deduplicator, err = dedup.New(dedup.Options{Settings: options.Exchanges, Classes: g.cfg.Settings.Classes,
@@ -118,7 +118,8 @@
 	f.httpServer = &http.Server{
 		Handler:           f.http,
 		ReadHeaderTimeout: firstMessageTimeout,
-		// Reading the body may take as long as the longest deadline, and so may the response.
+		// Reading the body may take as long as the longest deadline, and so may the response. ReadTimeout allows twice the time of
+		// the body. WriteTimeout, which begins after the header, allows twice the time of both.
 		ReadTimeout:    2*longestDeadline + firstMessageTimeout,
 		WriteTimeout:   4*longestDeadline + firstMessageTimeout,
 		IdleTimeout:    f.options.IdleTimeout,
@@ -146,8 +147,8 @@
 	}
 }
 
-// drain accepts new exchanges until all clients can have been notified of the shutdown. After that, devices that have lost
-// their connection can still connect and fetch their responses, for as long as the platform's time for a shutdown permits.
+// drain accepts new exchanges until all clients can have been notified of the shutdown. After that, until times.reuseUntilMs,
+// devices that have lost their connection can still connect and fetch their responses.
 func (f *deviceFrontend) drain(times shutdownTimes) {
 	<-after(times.acceptUntilMs)
 	f.gateway.loop.DrainDeduplicator()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway builds one gateway from its components and manages their life cycle: Start opens them, the frontends after
-// the exchange with other gateways; Shutdown lets them complete the open requests and then closes them; Close ends them at once.
+// Package gateway builds one gateway from its components and manages their life cycle. Start opens them: first the component that
+// exchanges state with other gateways, then the frontends. Shutdown lets them complete the open requests and then closes them.
+// Close ends them at once.
 //
 // A Gateway owns the components that clients and other gateways connect to, the event loop with the request state and the
 // scheduler, the client of the servers, and the watch of the endpoint list. The configuration alone determines which
@@ -54,8 +55,8 @@
 
 	longestDeadline, shortestDeadline time.Duration // longest and shortest deadline of all classes
 
-	// ctx is done once Close is called. It is a field because it belongs to the whole life of the gateway, not to one call.
-	// Start sets it.
+	// ctx is set by Start and done once Close is called. It is a field because it belongs to the whole life of the gateway, not to
+	// one call.
 	ctx    context.Context
 	cancel func()
 }
@@ -90,8 +91,8 @@
 // UpdateEndpoints applies an update of the endpoint list that does not come from discovery.
 func (g *Gateway) UpdateEndpoints(update lifecycle.EndpointUpdate) { g.loop.UpdateEndpoints(update) }
 
-// Shutdown drains the gateway and closes it. When it returns, every accepted request has its response. It returns before the
-// platform kills the program, counted from SIGTERM.
+// Shutdown drains the gateway and closes it. It must be called as soon as the program gets SIGTERM. When it returns, every
+// accepted request has its response. It returns before the platform kills the program (see shutdownTimes).
 func (g *Gateway) Shutdown() {
 	slog.Info(logevent.ShutdownStarted, logevent.Name, g.cfg.Name)
 	times := newShutdownTimes(clock.Ms(g.longestDeadline))
--- a/internal/gateway/shutdowntimes.go
+++ b/internal/gateway/shutdowntimes.go
@@ -5,9 +5,10 @@
 	// newConnArrivalMs is the time after SIGTERM during which new connections still arrive, because clients are notified of
 	// the shutdown with a delay.
 	newConnArrivalMs = 400
-	// killGraceMs is the time that the platform waits after the longest deadline before it kills the program.
+	// killGraceMs is the time that the platform adds to the longest deadline of all classes. When the sum of both has passed since
+	// SIGTERM, the platform kills the program.
 	killGraceMs = 700
-	// maxAwaitedDeadlineMs is the limit up to which the platform waits for the longest deadline.
+	// maxAwaitedDeadlineMs is the maximum of the longest deadline in that sum.
 	maxAwaitedDeadlineMs = 3000
 )
 
@@ -17,8 +18,8 @@
 	// exitMarginMs is the time between the exit and the kill. It is also the time between the last response and the exit,
 	// during which clients read that response.
 	exitMarginMs = 75
-	// lastRequestsMs is the time for requests that are open when connections begin to close. If deadlines are longer, it is
-	// still nearly always enough.
+	// lastRequestsMs is the time that requests have for their responses if they are open when connections begin to close, or the
+	// longest deadline if that is shorter. Requests with longer deadlines nearly always need no more time.
 	lastRequestsMs = 350
 )
 
@@ -27,7 +28,7 @@
 // deadlines are short.
 type shutdownTimes struct {
 	acceptUntilMs float64 // until then new connections are accepted
-	reuseUntilMs  float64 // until then clients may reuse connections; each later response is the last on its connection
+	reuseUntilMs  float64 // until then clients may reuse connections; each later response closes its connection
 	respondByMs   float64 // by then every request has its response
 	exitByMs      float64 // by then the program has exited
 }
--- a/internal/incarnation/tracker.go
+++ b/internal/incarnation/tracker.go
@@ -1,9 +1,9 @@
 // Package incarnation converts the start times of servers, which are reported on the wall clocks of other machines, to this
 // gateway's clock.
 //
-// A wall clock may be wrong, or be stepped, by an hour. Slow start must not end early because of that. If a complete list at some
-// time did not contain a server, the server was not running before that time, whatever start time is reported. In this case
-// the server is treated as started when it is first seen.
+// A wall clock may be wrong, or be stepped, by an hour. Slow start, in which a server gets fewer requests for some time after its
+// start, must not end early because of that. If a complete list at some time did not contain a server, the server was not running
+// before that time, whatever start time is reported. In this case the server is treated as started when it is first seen.
 //
 // Package incarnation owns no goroutine, performs no I/O and reads no clock: callers pass the time.
 package incarnation
@@ -36,8 +36,8 @@
 
 // StartedAtMs returns when a listed server was started, in milliseconds on this gateway's clock. reportedStartMs is the start
 // time that the list reports; 0 means long ago and is returned unchanged. An incarnation is identified by the name and the
-// reported start time. The result is the same for each call for the same incarnation while that is kept, and it is not
-// after nowMs of the first of these calls.
+// reported start time. While an incarnation is kept, each call for it returns the same result, which is not after nowMs of the
+// first of these calls.
 func (t *Tracker) StartedAtMs(name string, reportedStartMs, nowMs float64) float64 {
 	if reportedStartMs == 0 {
 		return 0
--- a/internal/lifecycle/authorizer.go
+++ b/internal/lifecycle/authorizer.go
@@ -11,15 +11,15 @@
 // SendDelayMarginMs is the allowance for a delay of the process between an authorization and the sending of the first byte.
 const SendDelayMarginMs = 150
 
-// The violations that CheckSent reports. They are parts of counter names.
+// The violations that CheckSent reports: a limit was exceeded by more than SendDelayMarginMs. They are parts of counter names.
 const (
-	violationDrain        = "drain"         // the lease on the endpoint list had expired
+	violationDrain        = "drain"         // the lease on the endpoint list had expired, so the server may have drained
 	violationDuplicate    = "duplicate"     // the start deadline of the attempt had passed
 	violationLateDeadline = "late_deadline" // the announced remaining time ends after the deadline of the attempt
 )
 
-// Authorizer holds the hooks and the time limit by which the attempts of all upstreams are authorized. It is safe for concurrent
-// use.
+// Authorizer holds the hooks and the time limit of the endpoint list that Attempt.Authorize uses. The attempts of all upstreams
+// share one Authorizer. It is safe for concurrent use.
 type Authorizer struct {
 	options               AuthorizerOptions
 	endpointsValidUntilMs atomic.Uint64 // a float64, stored as its math.Float64bits
@@ -82,9 +82,9 @@
 	return permission.Authorize(a.conditions(nowMs)) != permission.Allowed
 }
 
-// CheckSent checks, right after the first byte of an attempt was sent, whether it was sent too late by more than the allowance for
-// a delay. announcedMs is the remaining time that was announced to the server. CheckSent returns the name of the violation, or ""
-// if there is none.
+// CheckSent checks, right after the first byte of an attempt was sent, whether it was sent too late by more than
+// SendDelayMarginMs. announcedMs is the remaining time that was announced to the server. CheckSent returns the name of the
+// violation, or "" if there is none.
 func (a *Attempt) CheckSent(nowMs, announcedMs float64) (violation string) {
 	conditions := a.conditions(nowMs)
 	switch {
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -120,9 +120,9 @@
 	return true
 }
 
-// replaceEntry replaces the previous entry of a server, which attempts may still hold. If the server has moved to another
-// address, the previous entry is closed; otherwise both entries share their closed state. A closed entry is never reopened,
-// because it may refer to an earlier process of the server.
+// replaceEntry replaces the previous entry of a server, which attempts may still hold. If the previous entry is open and has the
+// same address, both entries share their closed state. Otherwise the previous entry is closed for good, because it may refer to
+// an earlier process of the server.
 func (m *Manager) replaceEntry(server *Server) {
 	server.closed = &atomic.Bool{}
 	if previous := m.servers[server.id]; previous != nil {
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -29,7 +29,8 @@
 	Gateways int
 	// IsRetry reports that the client marked the request as a retry.
 	IsRetry bool
-	// IsFirstAttempt reports that the request is known not to be a retry. Its age is then not estimated from its remaining time.
+	// IsFirstAttempt reports that the request is known not to be a retry. If it is not set, the scheduler estimates the age of the
+	// request from its remaining time.
 	IsFirstAttempt bool
 
 	// Device identifies the exchange of a device request. It is nil for other requests.
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -9,7 +9,7 @@
 const (
 	// Served means that a server has responded.
 	Served ResponseKind = iota
-	// Rejected means that the request was not executed, so that it is safe to retry.
+	// Rejected means that the request was not executed. A retry is safe.
 	Rejected
 	// Failed means that the request may or may not have been executed.
 	Failed
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -8,7 +8,8 @@
 )
 
 // Server is an entry of the endpoint list. Its exported fields are never modified: an update contains new entries, and attempts
-// may still hold the old ones. Entries of the same server at the same address share their closed state.
+// may still hold the old ones. An entry shares its closed state with the entry that it replaces if that is open and has the same
+// address.
 type Server struct {
 	Name, Addr, Zone, Kind string
 	Shard                  int
@@ -22,9 +23,9 @@
 	id     scheduler.ServerID
 }
 
-// Closed reports whether an endpoint update has reported the server as draining, removed or moved to another address. An Upstream
-// checks it before the first byte of an attempt, which must be sent within the grace period of a drain. It is safe for concurrent
-// use.
+// Closed reports whether an endpoint update has reported the server as draining, removed or moved to another address. It is
+// checked right before the first byte of an attempt is sent, because a draining server accepts requests only for a short time
+// (scheduler.Settings.DrainGrace). Closed is safe for concurrent use.
 func (s *Server) Closed() bool { return s.closed != nil && s.closed.Load() }
 
 // ID returns the id of the server in the scheduler. It is 0 until the entry is passed to Manager.UpdateEndpoints.
--- a/internal/lifecycle/timer.go
+++ b/internal/lifecycle/timer.go
@@ -7,8 +7,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// maxTimerRoundingError exceeds the rounding error of a time that is converted to float64 milliseconds since the epoch, as timers
-// take it, and back.
+// maxTimerRoundingError is an upper bound of the rounding error when a time is converted to float64 milliseconds since the epoch,
+// which Environment.SetTimer takes, and back.
 const maxTimerRoundingError = time.Microsecond
 
 // setTimer schedules the scheduler's next TimerFired event.
--- a/internal/lifecycle/upstream.go
+++ b/internal/lifecycle/upstream.go
@@ -20,7 +20,7 @@
 	// StartDeadlineMs is the time from which on the first byte must not be sent, because something that the attempt depends on,
 	// such as a quota lease, expires then. 0 means that there is no such time.
 	StartDeadlineMs float64
-	// Authorizer limits how long the endpoint list may be used. nil means without a limit.
+	// Authorizer holds the hooks and the time limit of the endpoint list that Authorize uses. nil means that there are none.
 	Authorizer *Authorizer
 }
 
--- a/internal/permission/permission.go
+++ b/internal/permission/permission.go
@@ -50,7 +50,8 @@
 	return "unknown"
 }
 
-// IsIndependentOfServer reports whether the denial implies nothing about the state of the server.
+// IsIndependentOfServer reports whether the denial is LeaseExpired, UpdatePending or DeadlineExceeded, which imply nothing about
+// the state of the server. ClientCanceled is not included: callers handle it separately.
 func (d Denial) IsIndependentOfServer() bool {
 	return d == LeaseExpired || d == UpdatePending || d == DeadlineExceeded
 }
--- a/internal/shutdown/pacer.go
+++ b/internal/shutdown/pacer.go
@@ -1,8 +1,8 @@
 // Package shutdown sheds load during a graceful shutdown, so that clients use the gateway until it exits.
 //
-// Clients open no new connections to a gateway that is shutting down. Once they find every open connection busy for a request,
-// they consider the gateway down, although it could serve them for seconds more. Rejecting one request at once keeps a
-// connection idle for the requests that follow.
+// Clients open no new connections to a gateway that is shutting down. If a client has a request and finds every open connection
+// busy, it considers the gateway down, although the gateway could serve requests for seconds more. Rejecting one request at once
+// keeps a connection idle for the requests that follow.
 //
 // Package shutdown owns no goroutine, performs no I/O and reads no clock. All times are in milliseconds on one clock that
 // never runs backwards.
@@ -48,13 +48,13 @@
 // busy is the number of those that carry a request, including this one, and remainingMs is the time until the gateway exits.
 //
 // A request is rejected if the rejection is expected to save more requests than the one that it costs. Let r be the arrival
-// rate and s the mean service time:
-//   - The first busy connection becomes idle after s/busy. Another request arrives before that with probability
+// rate, s the mean service time, and i the number of idle connections, open-busy:
+//   - The first of the busy connections becomes idle after s/busy on average. Another request arrives before that with probability
 //     1-exp(-r*s/busy).
 //   - That request would be rejected as well. All i idle connections are therefore in use at once only if i requests arrive
 //     within the time of one rejection, which has the probability (r*rejectionTimeMs)^i/i!.
-//   - When no connection is idle, the gateway loses those of the r*remainingMs further requests that it would have served with
-//     one connection less. Their number follows from Erlang's loss formula.
+//   - When no connection is idle, the gateway loses those of the r*remainingMs further requests that it would have served over
+//     open-1 connections. Their number follows from Erlang's loss formula.
 //
 // If only one connection is open, no request is rejected, because no other connection could serve any.
 func (p *AdmissionPacer) ShouldReject(nowMs float64, open, busy int, remainingMs float64) bool {
