--- a/internal/dedup/drain_test.go
+++ b/internal/dedup/drain_test.go
@@ -6,7 +6,8 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// During a drain, no exchange is added. Existing exchanges continue, and devices may reconnect to get their responses.
+// During a drain, no exchange is added: a new request is rejected, and a retry fails, because the gateway does not know whether
+// an earlier transmission was executed. Existing exchanges continue, and devices may reconnect to get their responses.
 func TestDrain(t *testing.T) {
 	c := newTestCoordinator(t, nil)
 	first := c.send("push", "k", "body")
--- a/internal/dedup/exchange/admission_test.go
+++ b/internal/dedup/exchange/admission_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// The time that the link takes is not available to the execution.
+// The time that the link takes is not available to the execution. With a round trip of 400 ms, at most 1600 of 2000 ms are left
+// for it. The safety margins must not take more than 900 ms of these.
 func TestExecutionTimeExcludesLinkOverhead(t *testing.T) {
 	send := newTransmissionSender(t)
 	if execution, ok := send(1, 2000, 400).(StartExecution); !ok || execution.RemainingMs > 1600 || execution.RemainingMs < 700 {
@@ -27,7 +28,8 @@
 	}
 }
 
-// A request whose response could not arrive in time is rejected immediately and is not executed.
+// A request whose response could not arrive in time is rejected immediately and is not executed. The first transmission sets the
+// round trip of the device's link to 400 ms, so a request with 300 ms remaining is too late.
 func TestTooLateTransmissionIsRejected(t *testing.T) {
 	send := newTransmissionSender(t)
 	send(1, 2000, 400)
--- a/internal/dedup/exchange/fuzz_test.go
+++ b/internal/dedup/exchange/fuzz_test.go
@@ -14,7 +14,7 @@
 // fuzzStep is a step of the fuzz test. It is encoded as three bytes of the fuzz input.
 type fuzzStep struct {
 	operation byte
-	a, b      int // second and third byte
+	a, b      int // second and third byte; their meaning depends on the operation
 }
 
 // newTransmission returns the transmission that a step describes, without its content.
@@ -34,7 +34,8 @@
 	return ResendHistory{IsRetry: s.b%7 == 0, SameGateway: s.b%3 == 0, AgeMs: ageMs}
 }
 
-// FuzzStore performs random steps and compares the store with the model after each.
+// FuzzStore performs random steps, checks each action of the store against the model, and compares the store with the model after
+// each step.
 func FuzzStore(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 9, 0, 0, 0, 1, 0, 9, 3, 0, 0})
 	random := rand.New(rand.NewPCG(5, 6))
--- a/internal/dedup/exchange/link_test.go
+++ b/internal/dedup/exchange/link_test.go
@@ -9,6 +9,8 @@
 var estimatorSettings = LinkSettings{MinIdleTimeoutMs: 1000, MaxIdleTimeoutMs: 10_000, MinBlockSize: 64, MaxBlockSize: 16384,
 	MaxBlockTransferMs: 400}
 
+// After many samples of a link, the block size, the idle timeout and the expected overhead must fit the link, within the limits
+// of the settings.
 func TestEstimatorFollowsSamples(t *testing.T) {
 	for name, c := range map[string]struct {
 		roundTripMs, jitterMs, bytesPerMs, gapMs float64
@@ -40,6 +42,8 @@
 	}
 }
 
+// Samples come from devices. An implausible duration, or a transfer of fewer than minRateSampleBytes, must not change the
+// estimates.
 func TestEstimatorIgnoresImplausibleSamples(t *testing.T) {
 	link := &LinkEstimator{}
 	for _, value := range []float64{math.NaN(), math.Inf(1), -5, 0, 1e12} {
@@ -51,6 +55,7 @@
 	}
 }
 
+// A link without samples must be assumed to be poor.
 func TestEstimatorWithoutSamples(t *testing.T) {
 	link := &LinkEstimator{}
 	// The expected round trip is 600 ms or a quarter of the remaining time, whichever is less.
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -34,7 +34,8 @@
 		Link: testLinkSettings}
 }
 
-// modelClasses are the classes of the model's requests. The index is the number in the key.
+// modelClasses holds the class of the requests with each key. The keys are "/k0" to "/k4": the requests with the key "/k2" have
+// the class at index 2.
 var modelClasses = []Class{
 	{Idempotency: scheduler.Idempotent},
 	{Idempotency: scheduler.IdempotentWithKey, DedupScope: scheduler.DedupShard, DedupWindowMs: testDedupWindowMs},
@@ -55,7 +56,7 @@
 	lastTransmission TransmissionID
 	exchanges        map[ID]*modelExchange
 	// serverExecutions maps device and key to the latest execution by a server. Entries remain when the store has forgotten
-	// the exchange.
+	// the exchange, except those of requests that are not idempotent (see release).
 	serverExecutions map[string]*serverExecution
 	// firstSentMs maps device and key to the time at which the first transmission was sent.
 	firstSentMs map[string]float64
@@ -93,10 +94,10 @@
 	class           Class
 	digest          Digest
 	executionNumber int
-	running         bool   // an execution is in progress
-	body            []byte // body of the upload
-	responseBytes   int    // size of the response; -1: released
-	final           ResponseKind
+	running         bool         // an execution is in progress
+	body            []byte       // body of the upload
+	responseBytes   int          // size of the response; -1: released
+	final           ResponseKind // kind of the final response; valid if hasFinal is true
 	hasFinal        bool
 }
 
@@ -132,14 +133,15 @@
 	return digest
 }
 
-// shardOfKey returns the shard that the requests of a key name, the same for all transmissions: 2 for even keys, -1 for odd
-// ones.
+// shardOfKey returns the shard that all transmissions of a request name, given the number of its key: 2 for an even number, and
+// -1 for an odd one.
 func shardOfKey(key int) int { return 2 - 3*(key%2) }
 
-// keyNumber returns the number in a key.
+// keyNumber returns the number of a key, for instance 2 for "/k2".
 func keyNumber(key string) int { return int(key[2] - '0') }
 
-// bodyOfKey returns the body of a key's requests. The size depends on the key, the content on key and variant.
+// bodyOfKey returns the body of the requests with a key, given the number of the key. The size depends on the number only, and
+// the content also on the variant.
 func bodyOfKey(key, variant int) []byte {
 	return bytes.Repeat([]byte{byte(key), byte(variant), 7}, 20+key*15)
 }
--- a/internal/dedup/exchange/modelactions_test.go
+++ b/internal/dedup/exchange/modelactions_test.go
@@ -190,7 +190,7 @@
 		m.nowMs < execution.windowEndMs() {
 		m.fail("exchange %d is forgotten %v ms before its deduplication window ends", action.ID, execution.windowEndMs()-m.nowMs)
 	}
-	if exchange.class.Idempotency == scheduler.NotIdempotent { // it has no window; Settings.RetentionMs applies
+	if exchange.class.Idempotency == scheduler.NotIdempotent { // its window in the model never ends
 		delete(m.serverExecutions, exchange.name())
 	}
 	delete(m.exchanges, action.ID)
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("got %d executions, want 1; the changed transmission got %+v, want a conflict", len(c.executed), changed.responses)
 	}
 	if execution := c.executed[0]; !hasBody(execution, "body") || !execution.IsFirstAttempt || execution.RemainingMs >= 2500 {
-		t.Errorf("the execution has the request %+v", execution)
+		t.Errorf("the execution has the request %+v, want its body, IsFirstAttempt and less than 2500 ms remaining", execution)
 	}
 	c.cancel(first)
 	c.advance(100)
@@ -37,8 +37,10 @@
 	}
 }
 
-// If a failure was not reported to any transmission, the next transmission starts a repeated execution within the
-// deduplication window, in the shard of the first attempt. It fails if that is not possible. A reported failure is final.
+// If an execution failed and no transmission got that response, the next transmission starts a second execution, provided that this
+// is safe: no server can have executed the request, the request is idempotent, or the deduplication window lasts and the second
+// execution goes to the shard of the first attempt, whose servers drop a repeat. Otherwise the transmission fails. A failure that
+// a transmission got as its response is final.
 func TestTransmissionAfterFailure(t *testing.T) {
 	const noExecution = -2
 	for name, c := range map[string]struct {
@@ -88,7 +90,8 @@
 			// No server executed the request in the second execution, but one may have done so in the first.
 			coordinator.executed[1].Respond(lifecycle.Response{Kind: lifecycle.Rejected})
 			if kind := second.response(t).Kind; (kind == lifecycle.Failed) != c.mayHaveExecuted {
-				t.Errorf("the second transmission got a response of kind %v, want a failure only if the first may have been executed", kind)
+				t.Errorf("the second transmission got a response of kind %v, want a failure if and only if the request may have been executed",
+					kind)
 			}
 		})
 	}
@@ -98,19 +101,20 @@
 func checkSecondExecution(t *testing.T, c *testCoordinator, sent *sentTransmission, shard int) {
 	t.Helper()
 	if len(c.executed) != 2 || c.executed[1].Shard != shard || c.executed[1].ClientID == c.executed[0].ClientID {
-		t.Fatalf("got %d executions, want a second one; responses %+v", len(c.executed), sent.responses)
+		t.Fatalf("got %d executions, want two, the second in the expected shard with its own id; responses %+v",
+			len(c.executed), sent.responses)
 	}
 }
 
 // A gateway that has restarted does not know whether an earlier transmission of a retried request was executed. It executes
-// the retry only if the request is idempotent or servers are certain to drop a repeat.
+// the retry only if the request is idempotent or servers are certain to drop a repeat (see safeRepeatMs in package exchange).
 func TestRetryAfterRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		options  []option
 		executed bool
 	}{
 		"inside of the window":   {[]option{resent(1000)}, true},
-		"after the window":       {[]option{resent(2990)}, false},
+		"after the window":       {[]option{resent(2990)}, false}, // the rest of the window is too short for an execution
 		"of unknown age":         {[]option{resent(-1)}, false},
 		"in an unknown shard":    {[]option{resent(1000), shard(unknownShard)}, false},
 		"no retry":               {[]option{shard(unknownShard)}, true},
--- a/internal/dedup/upload_test.go
+++ b/internal/dedup/upload_test.go
@@ -12,7 +12,7 @@
 // testBlockSize is the size of the blocks in the upload tests, in bytes.
 const testBlockSize = 64
 
-// testBlock returns the content of the block with an index.
+// testBlock returns the content of the block with the given index. Blocks with different indexes differ.
 func testBlock(index int) string { return strings.Repeat(string(rune('a'+index)), testBlockSize) }
 
 // expectResponse checks the kind of the response to a transmission and the number of buffered bytes that it reports.
@@ -23,7 +23,9 @@
 	}
 }
 
-// Blocks may arrive out of order, repeatedly, with gaps, with another tag and over several connections.
+// Blocks may arrive out of order, repeatedly, with gaps, with another tag and over several connections. A block that does not
+// continue the upload must not be stored, a repeated block must not be appended again, and the complete body must be executed
+// once.
 func TestUploadOutOfOrder(t *testing.T) {
 	c := newTestCoordinator(t, nil)
 	send := func(body string, position option) *sentTransmission { return c.send("push", "k", body, position) }
@@ -77,7 +79,8 @@
 	c.checkEmpty()
 }
 
-// An upload ends if the announced size changes between blocks, if it is too large, or if the upload exceeds it.
+// An upload must be ended with an error if its announced size changes between blocks, if the announced size exceeds the limit, or
+// if the blocks exceed the announced size.
 func TestUploadSizes(t *testing.T) {
 	c := newTestCoordinator(t, nil)
 	sized := func(offset, total int) option {
@@ -94,7 +97,9 @@
 	c.checkEmpty()
 }
 
-// Abandoned uploads are dropped or evicted when the store is full. An exchange that may have been executed is not evicted.
+// Uploads whose devices send no further blocks must not keep the store full: they are dropped after UploadIdleTimeoutMs, or
+// evicted earlier if another exchange needs the room. A write that may have been executed must not be evicted while its
+// deduplication window lasts.
 func TestAbandonedUploadsAreEvicted(t *testing.T) {
 	const uploads = 5000
 	c := newTestCoordinator(t, func(settings *exchange.Settings) { settings.MaxDevices = 20 })
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -27,7 +27,7 @@
 		}
 		update, invalid := Decode(value)
 		if entries := len(value.GetArray("servers")); len(update.Servers)+invalid != entries {
-			t.Errorf("decoded %d servers and %d invalid entries out of %d entries", len(update.Servers), invalid, entries)
+			t.Errorf("decoded %d servers and %d invalid entries, want %d entries in total", len(update.Servers), invalid, entries)
 		}
 		for _, server := range update.Servers {
 			if server.Name == "" || server.Shard < 0 || server.Addr == "" && server.State != scheduler.Removed {
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := callFailure(test.err); got != test.want {
-				t.Errorf("failure is %v, want %v", got, test.want)
+				t.Errorf("the call failure is %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -107,7 +107,7 @@
 				if updates == 0 || update.CompleteAsOfMs == 0 {
 					t.Errorf("heartbeat %+v is reported before any update, or without CompleteAsOfMs", update)
 				}
-			case update.Kind >= scheduler.WatchFailed:
+			case update.Kind >= scheduler.WatchFailed: // one of the kinds that report the end of a watch
 				if update.Kind != test.end {
 					t.Errorf("end of the watch is reported as %v, want %v", update.Kind, test.end)
 				}
@@ -123,7 +123,7 @@
 	})
 	watcher.Open(context.Background())
 	if afterMs := <-ended; afterMs != test.endsAfterMs {
-		t.Errorf("watch ended after %v ms, want %v", afterMs, test.endsAfterMs)
+		t.Errorf("watch ended after %v ms, want %v ms", afterMs, test.endsAfterMs)
 	}
 	if updates != test.updates {
 		t.Errorf("%d updates reported, want %d", updates, test.updates)
@@ -148,8 +148,8 @@
 	return listener
 }
 
-// serveOnce accepts one connection, reads the header of its request, calls respond and then closes the connection. It reads
-// the request first because the client closes a connection on which it gets a response without having sent a request.
+// serveOnce accepts one connection, reads the header of its request, calls respond and then closes the connection. It must read
+// the request first, because a client closes a connection on which a response arrives before it has sent a request.
 func serveOnce(listener net.Listener, respond func(net.Conn)) {
 	conn, err := listener.Accept()
 	if err != nil {
--- a/internal/discovery/objectreader_test.go
+++ b/internal/discovery/objectreader_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// jsonObjects returns the objects at the start of a text as encoding/json reads them, and whether the text contains nothing
-// else.
+// jsonObjects returns the objects at the start of a text, as encoding/json reads them, and whether the text contains nothing but
+// objects.
 func jsonObjects(text string) (objects []string, onlyObjects bool) {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	for {
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -26,8 +26,8 @@
 	feed   chan string
 
 	mu        sync.Mutex
-	requests  []string // for each request, its version and the milliseconds since startedAt
-	startedAt time.Time
+	requests  []string  // for each request, its version and the milliseconds since startedAt
+	startedAt time.Time // start of the agent, or latest call of expectRequests
 }
 
 // newFakeAgent starts a fake agent at an address of a network.
@@ -130,14 +130,18 @@
 		time.Sleep(80 * time.Millisecond)
 		agent := newFakeAgent(t, network, "127.0.0.1:1")
 		time.Sleep(idleTimeoutMs * time.Millisecond / 2)
+		// Calls failed 0, 10, 30 and 70 ms after KeepOpen. The next one came after 150 ms, 70 ms after the start of the agent.
 		agent.expectRequests(t, "41 at 70")
 		agent.send(`{"version":43,"servers":[` + entry("Terminating") + `]}`)
 		agent.send(`{"servers":[` + entry("Terminating") + `]}`)
 		agent.expectRequests(t)
+		// Invalid data ends the watch, which is reopened at once.
 		agent.send(`nonsense`)
 		agent.expectRequests(t, "43 at 0")
 		time.Sleep(idleTime)
 		agent.expectRequests(t, "43 at 3000")
+		// Older lists do not replace the list until they have been sent for endpoints.RegressionTimeoutMs. Then the watcher
+		// requests a snapshot.
 		agent.send(`{"version":0,"full":true,"servers":[]}`)
 		agent.send(`{"version":40,"full":true,"servers":[` + entry("Ready") + `]}`)
 		for range 3 {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,11 +14,11 @@
 	"gaugerelay/internal/testbed"
 )
 
-// endResponse is a line that ends the response of a service of newLineServer.
+// endResponse is a line of a feed. It makes the service of newLineServer end its response.
 const endResponse = "end"
 
 // newLineServer starts a discovery service that puts the query of each request into queries and responds with the lines of
-// feed. A response begins with the first line.
+// feed. The service sends nothing of a response, not even its header, before the first line.
 func newLineServer(t *testing.T) (addr string, feed, queries chan string) {
 	t.Helper()
 	feed, queries = make(chan string), make(chan string, 10)
@@ -60,19 +60,19 @@
 	expectUpdate := func(event string, kind scheduler.UpdateKind, version uint64) {
 		t.Helper()
 		if update := <-updates; update.Kind != kind || update.Version != version {
-			t.Errorf("%s: unexpected update %+v", event, update)
+			t.Errorf("%s: the update %+v has an unexpected kind or version", event, update)
 		}
 	}
 	expectRequest := func(want string) {
 		t.Helper()
 		watcher.Open(ctx)
-		watcher.Open(ctx)
+		watcher.Open(ctx) // has no effect, because a watch is open or being opened
 		if query := <-queries; query != want {
 			t.Errorf("requested %q, want %q", query, want)
 		}
 	}
 	expectRequest("watch=1&after=41")
-	feed <- ""
+	feed <- "" // a heartbeat, which is not reported before the watch is confirmed
 	feed <- `{"version":43,"servers":[` + entry("Gone") + `]}`
 	expectUpdate("delta", scheduler.Delta, 43)
 	feed <- `{"version":44,"full":true,"servers":[]}`
--- a/internal/endpointlease/lease_test.go
+++ b/internal/endpointlease/lease_test.go
@@ -4,9 +4,12 @@
 
 var testSettings = Settings{MaxNotificationDelayMs: 6000, DrainGraceMs: 1000, SendDelayMarginMs: 150}
 
-// leaseMs is the time from the last renewal to the expiry of a lease with testSettings.
+// leaseMs is the time from the last renewal to the expiry of a lease with testSettings: the notification delay, plus the grace
+// period of a drain, minus the margin for a delayed send.
 const leaseMs = 6850
 
+// A lease starts again whenever the gateway is known to have missed no change. A rejected call proves that only if the latest
+// response did not indicate congestion (see RecordRejection).
 func TestExpiry(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -34,6 +37,7 @@
 	}
 }
 
+// A grace period that is shorter than the margin for a delayed send must not shorten the lease below the notification delay.
 func TestExpiryWithGraceBelowMargin(t *testing.T) {
 	settings := testSettings
 	settings.DrainGraceMs = 100
--- a/internal/endpoints/tracker_test.go
+++ b/internal/endpoints/tracker_test.go
@@ -27,7 +27,8 @@
 	return fmt.Sprintf("delta %v", decision.Accepted)
 }
 
-// TestVersionRegression applies a sequence of updates to one tracker. Each step depends on the previous ones.
+// TestVersionRegression applies a sequence of updates to one tracker. Each step depends on the previous ones. An update with an
+// older version must neither remove a server that it does not list, nor make a draining server ready unless it has restarted.
 func TestVersionRegression(t *testing.T) {
 	tracker := NewTracker(Update{Version: 41, Snapshot: true,
 		Endpoints: []Endpoint{ready("a", 0), ready("b", 0), draining("c", 5)}})
@@ -42,7 +43,8 @@
 		{3, Update{Version: 40, Snapshot: true, Endpoints: []Endpoint{ready("a", 0), ready("b", 0), ready("gone", 0)}}, "delta []"},
 		{4, Update{Version: 40, Endpoints: []Endpoint{draining("b", 0), draining("c", 4), ready("c", 4)}}, "delta [0]"},
 		{5, Update{Version: 40, Endpoints: []Endpoint{ready("b", 0), ready("c", 6)}}, "delta [1]"},
-		// The agent catches up, then serves older versions again.
+		// The agent catches up, then serves older versions. After RegressionTimeoutMs they are taken for a new numbering, so the
+		// tracker demands a snapshot.
 		{6, Update{Version: 42, Endpoints: []Endpoint{ready("b", 0)}}, "delta [0]"},
 		{7, Update{Version: 3, Endpoints: []Endpoint{ready("x", 0)}}, "delta []"},
 		{6 + RegressionTimeoutMs, Update{Version: 4}, "delta []"},
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -86,7 +86,8 @@
 	}
 }
 
-// Requests must leave the last quarter of the inbox to other tasks, such as the ends of attempts.
+// Requests must leave the last quarter of the inbox to other tasks, such as the ends of attempts. If requests filled the inbox,
+// the goroutines that report the ends of attempts would have to wait for room.
 func TestFullInboxRejectsRequestsOnly(t *testing.T) {
 	fakeScheduler := &timerScheduler{blocked: make(chan struct{})}
 	l := New(Options{Scheduler: fakeScheduler, Clock: clock.NewManual(0), Metrics: metrics.New()})
--- a/internal/gateway/clientfrontend_test.go
+++ b/internal/gateway/clientfrontend_test.go
@@ -43,15 +43,15 @@
 	}
 }
 
-// The steps of a drain, in order. Each corresponds to one wait of the frontend.
+// The steps of a drain, in order. In each step, the frontend calls its function after once.
 const (
 	stepAccepting = iota + 1
 	stepReusing
 	stepClosing
 )
 
-// While the frontend drains, it accepts new connections only at first. It serves open connections until shortly before the end;
-// from then on each response closes its connection.
+// While the frontend drains, it accepts new connections only at first. It serves open connections until shortly before the end.
+// Then it closes idle connections at once, and each of the others after its next response.
 func TestClientFrontendServesWhileDraining(t *testing.T) {
 	listener := testbed.Listen(t)
 	frontend := &clientFrontend{
@@ -60,7 +60,7 @@
 		conns:    &httpserver.ConnTracker{SheddingThreshold: 9, Clock: clock.NewManual(0), Metrics: metrics.New()},
 	}
 	server := &http.Server{Handler: frontend.handler, ConnState: frontend.conns.ConnState}
-	go func() { _ = server.Serve(frontend.conns.LimitListener(listener, 9)) }() // until it is closed
+	go func() { _ = server.Serve(frontend.conns.LimitListener(listener, 9)) }() // returns when the server is closed
 	defer server.Close()
 	url := "http://" + listener.Addr().String() + "/metrics"
 	kept := &http.Client{Transport: &http.Transport{}}
@@ -73,9 +73,9 @@
 		step++
 		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		keptErr, freshErr := get(t, kept, url), get(t, fresh, url)
-		if step == stepClosing { // the previous response closed the connection
+		if step == stepClosing { // ConnTracker.Drain has closed the kept connection, which was idle
 			if keptErr == nil {
-				t.Error("the kept connection is still open after its last response")
+				t.Error("the kept connection is open in the last step of the drain, want it closed as idle")
 			}
 			return nil
 		}
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -19,7 +19,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// gatedConn leaves bytes that arrive unread in its socket while the test holds the write lock.
+// gatedConn is a connection whose Read waits while the test holds the write lock. Arriving bytes then stay unread in the socket.
 type gatedConn struct {
 	*net.TCPConn
 	lock *sync.RWMutex
@@ -42,7 +42,8 @@
 	return c.TCPConn.Read(p)
 }
 
-// drainingDiscovery is a discovery service with one server. On a value from drain it reports the server as draining.
+// drainingDiscovery is a discovery service whose list contains one server. When it gets a value from drain, it reports the
+// server as draining.
 type drainingDiscovery struct {
 	addr    string
 	drain   chan bool
@@ -70,9 +71,9 @@
 	return d
 }
 
-// An update that has arrived but is unread in the socket of the watch, for example after a pause of the whole process, is
-// applied before the first byte of an attempt that was decided without it. If it reports the server as draining, the server
-// gets no request.
+// An update may have arrived but still be unread in the socket of the watch, for example after a pause of the whole process. It
+// must be applied before the first byte of an attempt that was decided without it: if the update reports the server as
+// draining, the server must get no request.
 func TestPendingEndpointUpdateAppliesBeforeFirstByte(t *testing.T) {
 	serverRequests := make(chan bool, 4)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -129,7 +130,8 @@
 	}
 }
 
-// startWatching starts a gateway that watches a pushed endpoint list. It returns the gateway and its address once it is ready.
+// startWatching starts a gateway that watches a pushed endpoint list. It waits until the gateway is ready, and returns the
+// gateway and its address.
 func startWatching(t *testing.T, discovery string, gatewayClock clock.Clock,
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)) (g *Gateway, addr string) {
 	t.Helper()
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newRequest returns a request of a class to the gateway at an address.
+// newRequest returns a request of the given class to the gateway at addr. timeLeft is the time until the client's deadline.
 func newRequest(t *testing.T, method, addr, class string, timeLeft time.Duration) *http.Request {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/"+class+"/00000000000000aa", nil)
--- a/internal/gateway/shutdowntimes_test.go
+++ b/internal/gateway/shutdowntimes_test.go
@@ -2,15 +2,17 @@
 
 import "testing"
 
-// For any longest deadline, connections are accepted for longer than new ones arrive, requests that are open when connections
-// begin to close have the whole deadline or at least 350 ms, and the program exits before the platform kills it.
+// Whatever the longest deadline of all classes is, the times of a shutdown must meet three conditions. The gateway accepts
+// connections for longer than clients open new ones (newConnArrivalMs). Requests that are open when connections begin to close
+// have 350 ms for their responses, or the longest deadline if that is shorter. The program exits before killMs, the time at
+// which the platform kills it (see killGraceMs).
 func TestShutdownTimes(t *testing.T) {
 	for _, longest := range []float64{1, 20, 50, 100, 250, 299, 350, 399, 400, 700, 1200, 3000, 5000, 10_000, 1e12} {
 		times, killMs := newShutdownTimes(longest), min(longest, 3000)+700
 		if times.acceptUntilMs <= 400 || times.reuseUntilMs < times.acceptUntilMs ||
 			times.respondByMs-times.reuseUntilMs < min(longest, 350) ||
 			times.exitByMs <= times.respondByMs || times.exitByMs >= killMs {
-			t.Errorf("longest deadline %v ms, kill after %v ms: times are %+v", longest, killMs, times)
+			t.Errorf("longest deadline %v ms, kill after %v ms: times %+v do not meet the conditions", longest, killMs, times)
 		}
 	}
 	if times := newShutdownTimes(3000); times != (shutdownTimes{600, 3200, 3550, 3625}) {
--- a/internal/incarnation/tracker_test.go
+++ b/internal/incarnation/tracker_test.go
@@ -7,9 +7,9 @@
 
 const hourMs = 3_600_000.0
 
-// TestClockSkewDoesNotEndSlowStart guards against a slow start that ends early because this gateway's clock is wrong. The age of
-// a server that starts while the list is watched must be at most its true age plus the delay of the list, whatever the skew.
-// Its start time must not change later on.
+// TestClockSkewDoesNotEndSlowStart guards against a slow start that ends early because this gateway's clock is wrong, so that a
+// server appears to have started long ago. With each of the skews below, a server that starts while the list is watched must
+// appear to be at most as old as the last complete list without it. Its start time must not change later on.
 func TestClockSkewDoesNotEndSlowStart(t *testing.T) {
 	for _, skewMs := range []float64{0, 5000, -5000, hourMs, -hourMs} {
 		t.Run(fmt.Sprintf("skew %v ms", skewMs), func(t *testing.T) { checkSkew(t, skewMs) })
@@ -23,7 +23,7 @@
 	var tracker Tracker
 	old := tracker.StartedAtMs("old", 99.5*hourMs, nowMs)
 	if old > nowMs || skewMs == 0 && old != 99.5*hourMs {
-		t.Errorf("a server of the first list started at %v ms, want at most %v ms, without skew half an hour before", old, nowMs)
+		t.Errorf("a server of the first list started at %v ms, want at most %v ms, without skew 0.5 h before that", old, nowMs)
 	}
 	tracker.MarkComplete(nowMs)
 	nowMs += 2000 // a server starts 1.5 s later and is listed 0.5 s after that
@@ -44,6 +44,7 @@
 	}
 }
 
+// Servers that are replaced by servers with new names must not make the tracker grow without bound.
 func TestIncarnationsAreBounded(t *testing.T) {
 	var tracker Tracker
 	for i := range 3 * maxIncarnations {
--- a/internal/lifecycle/endpoints_test.go
+++ b/internal/lifecycle/endpoints_test.go
@@ -26,10 +26,10 @@
 			manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.WatchFailed})
 			manager.UpdateEndpoints(lifecycle.EndpointUpdate{Kind: scheduler.Delta})
 			if first.Servers[0].Closed() {
-				t.Error("a failed watch or an empty delta closed the entry")
+				t.Error("the entry of a ready server is closed after a failed watch and an empty delta, want open")
 			}
 			if manager.UpdateEndpoints(change); !first.Servers[0].Closed() {
-				t.Error("the update did not close the entry")
+				t.Error("the entry of the server is open after the update, want closed")
 			}
 		})
 	}
@@ -72,7 +72,8 @@
 	}
 }
 
-// Servers are replaced again and again by servers with new names. The state must not grow, and no id may be used twice.
+// Servers are replaced again and again by servers with new names. The Manager must delete the state of each removed server, or
+// its memory would grow without bound. No id may be used twice.
 func TestRemovedServersAreDeleted(t *testing.T) {
 	fakeScheduler := &scriptedScheduler{}
 	manager := newManager(fakeScheduler)
@@ -134,7 +135,7 @@
 		lastStates[server.ID] = server.State
 	}
 	if len(lastStates) != serverCount {
-		t.Errorf("the scheduler got %d servers, want each of them", len(lastStates))
+		t.Errorf("the scheduler got %d different servers, want all 200", len(lastStates))
 	}
 	for id, state := range lastStates {
 		if state != scheduler.Draining {
@@ -144,6 +145,6 @@
 	manager.UpdateEndpoints(repeatedDelta(serverCount, scheduler.Removed, scheduler.Removed))
 	manager.Step(0)
 	if manager.ServerCount() != 0 {
-		t.Errorf("%d servers are left after the removal of all", manager.ServerCount())
+		t.Errorf("%d servers are left after the removal of all, want none", manager.ServerCount())
 	}
 }
--- a/internal/lifecycle/fuzz_test.go
+++ b/internal/lifecycle/fuzz_test.go
@@ -44,7 +44,8 @@
 	h.manager.Step(nowMs)
 }
 
-// The operations on a request, encoded in the lowest three bits of a byte of fuzzer input. 0 submits a new request.
+// The operations on a request, encoded in the lowest three bits of a byte of fuzzer input. 0 submits a new request. For other
+// operations, the highest five bits select the request.
 const (
 	opSend           = 1
 	opAttemptOK      = 2
@@ -56,8 +57,8 @@
 	opCount          = 8
 )
 
-// perform performs an operation on a request and its model. It returns the number of events that the scheduler must get. The
-// highest three bits of the operation are the number of an attempt.
+// perform performs an operation on a request and its model. It returns the number of events that the scheduler must get. For
+// operations on an attempt, the highest three bits are the number of the attempt.
 func (h *fuzzHarness) perform(nowMs float64, model *requestModel, operation byte) (wantEvents int) {
 	attempt := int(operation >> 5)
 	switch operation % opCount {
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// scriptedScheduler returns once the actions that a test has set, and records the events that it gets.
+// scriptedScheduler returns the actions that a test has set in its next step only, and records the events that it gets.
 type scriptedScheduler struct {
 	actions []scheduler.Action
 	events  []scheduler.Event
--- a/internal/lifecycle/timer_test.go
+++ b/internal/lifecycle/timer_test.go
@@ -31,8 +31,9 @@
 
 func (e *timerEnvironment) SetTimer(atMs float64) { e.timerMs = atMs }
 
-// A time since the epoch is rounded by some hundred nanoseconds when it is converted to float64 milliseconds. A timer that fires
-// at the rounded time must count as on time, and one that fires earlier than that as too early.
+// A time since the epoch is rounded by some hundred nanoseconds when it is converted to float64 milliseconds. If a timer fires at
+// the rounded time, the scheduler must get at least the time that it asked for: it would otherwise wait without a timer. If a
+// timer fires even earlier, the scheduler must get the actual time.
 func TestTimerIsNotEarlyByRounding(t *testing.T) {
 	roundedDown := 0
 	for i := range time.Duration(2000) {
--- a/internal/permission/permission_test.go
+++ b/internal/permission/permission_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Each condition must be checked, with its limit inclusive or exclusive as documented, and the first reason in the order of the
+// Denial constants must be reported.
 func TestAuthorize(t *testing.T) {
 	allowed := Conditions{NowMs: 100, LeaseExpiresAtMs: math.Inf(1), DeadlineMs: 1000}
 	for _, test := range []struct {
--- a/internal/shutdown/pacer_test.go
+++ b/internal/shutdown/pacer_test.go
@@ -8,7 +8,8 @@
 )
 
 // shutdownModel is a minimal model of a graceful shutdown: requests arrive at random times, and each occupies a connection
-// for a random time. The first request that finds every connection busy ends the traffic.
+// for a random time. The first request that finds every connection busy ends the traffic, because its client then considers the
+// gateway down.
 type shutdownModel struct {
 	connections int
 	ratePerMs   float64 // arrival rate of requests
