--- a/internal/dedup/exchange/fuzz_test.go
+++ b/internal/dedup/exchange/fuzz_test.go
@@ -24,6 +24,7 @@
 		deviceDeadlineMs: nowMs + float64(30+s.b*4)}
 }
 
+// key returns the number of the key of the step's request, from 0 to 4.
 func (s fuzzStep) key() int { return s.a / 5 % 5 }
 
 // content returns the body of the step's request. One step in 16 has another body than the other transmissions.
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -32,11 +32,11 @@
 	updates         int                  // number of updates that apply
 	invalidMessages int64                // number of messages that are counted as invalid
 	endsAfterMs     float64              // time from the start of the watch to its end
-	end             scheduler.UpdateKind // kind of update that reports the end; the zero value stands for WatchFailed
+	end             scheduler.UpdateKind // kind of update that reports the end (see Options.Notify); 0: WatchFailed
 }
 
 // TestInvalidResponses checks that an invalid or missing response ends the call within a bounded time, is counted, and does
-// not damage the list: updates before the fault apply, and no part of the faulty data does.
+// not damage the list: updates before the fault apply, and no part of the invalid data does.
 func TestInvalidResponses(t *testing.T) {
 	tests := map[string]responseTest{
 		"error status":   {response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -52,7 +52,7 @@
 func maxSFTPSessions(cfg *config.Config) int { return max(1, cfg.MaxSockets/16) }
 
 // sheddingThreshold returns the number of open connections above which an httpserver.ConnTracker closes new and idle ones. It is
-// below maxConns, the limit on open connections, so that a client with a request can connect before the limit is reached.
+// below maxConns, the limit on open connections, so that clients can connect while connections are being closed. It is at least 1.
 func sheddingThreshold(maxConns int) int { return max(1, maxConns*15/16) }
 
 // listen opens a listener for clients. Its Accept fails only after the listener was closed.
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -119,7 +119,7 @@
 	}
 	watchGate.Unlock()
 	for g.Metrics.Get("attempts_connect_failed") == 0 && len(serverRequests) == 0 {
-		g.loop.Sync()
+		g.loop.Sync() // an attempt that is denied because its server is draining ends with the status connect_failed
 	}
 	for len(response) == 0 {
 		manualClock.Advance(5)
--- a/internal/lifecycle/attempts.go
+++ b/internal/lifecycle/attempts.go
@@ -33,8 +33,8 @@
 	return s.attempts[number]
 }
 
-// firstPossiblyExecuted returns the first attempt that may have been executed, or nil if there is none. The deduplication window
-// of the servers begins when that attempt is sent.
+// firstPossiblyExecuted returns the first attempt that may have been executed, or nil if there is none. The deduplication window,
+// in which servers drop repeats of the request, begins when that attempt is sent.
 func (s *requestState) firstPossiblyExecuted() *attemptState {
 	for _, attempt := range s.attempts {
 		if !attempt.neverExecuted {
--- a/internal/lifecycle/authorizer.go
+++ b/internal/lifecycle/authorizer.go
@@ -14,7 +14,7 @@
 // The violations that CheckSent reports: a limit was exceeded by more than SendDelayMarginMs. They are parts of counter names.
 const (
 	violationDrain        = "drain"         // the lease on the endpoint list had expired, so the server may have drained
-	violationDuplicate    = "duplicate"     // the start deadline of the attempt had passed
+	violationDuplicate    = "duplicate"     // the start deadline had passed, for instance the end of the deduplication window
 	violationLateDeadline = "late_deadline" // the announced remaining time ends after the deadline of the attempt
 )
 
