--- a/internal/testbed/fakedevice/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -18,7 +18,7 @@
 type CoAP struct {
 	Device         string
 	Dial           Dialer
-	BlockSize      int // block size of uploads in bytes: a power of two up to 1024, or a multiple of 1024 for BERT; 0: no blocks
+	BlockSize      int // block size of uploads in bytes: a power of two up to 1024, or a multiple of 1024 (BERT, RFC 8323); 0: no blocks
 	MaxMessageSize int // value in bytes of the Max-Message-Size option that the device announces
 
 	conn            net.Conn
@@ -59,7 +59,7 @@
 	if tx.Write && t.BlockSize > 0 && len(tx.Body) > t.BlockSize {
 		response, err = t.upload(ctx, tx, &res)
 	} else {
-		res.sentCompletely, res.sentAt = true, time.Now() // The device assumes that the request is sent at once.
+		res.sentCompletely, res.sentAt = true, time.Now() // The request counts as sent when the write starts.
 		response, err = t.request(ctx, tx, resumeOptions(tx, &res), tx.Body)
 	}
 	if err != nil {
@@ -129,7 +129,7 @@
 	return options.Add(coapwire.UintOption(coapwire.OptAge, uint32(time.Since(tx.firstSentAt).Milliseconds())))
 }
 
-// writeMessage writes a message. The write fails at the deadline of ctx.
+// writeMessage writes a message. The write fails if it has not finished by the deadline of ctx.
 func (t *CoAP) writeMessage(ctx context.Context, m message.Message) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		t.conn.SetWriteDeadline(deadline)
@@ -155,19 +155,19 @@
 			if err := t.writeMessage(ctx, message.Message{Code: codes.Pong, Token: m.Token}); err != nil {
 				return nil, err
 			}
-		case codes.Release: // The connection stays open until the response has arrived; the next request opens a new one.
+		case codes.Release: // The device goes on using the connection until the connection ends.
 		case codes.Abort:
 			return nil, fmt.Errorf("fakedevice: the gateway aborted the connection: %s", m.Payload)
 		default:
 			if string(m.Token) != string(token) {
-				return nil, fmt.Errorf("fakedevice: received a message whose token belongs to no request: %v", m)
+				return nil, fmt.Errorf("fakedevice: received a message whose token is not that of the current request: %v", m)
 			}
 			return m, nil
 		}
 	}
 }
 
-// readMessage reads the next message. The read fails at the deadline of ctx.
+// readMessage reads the next message. The read fails if no complete message has arrived by the deadline of ctx.
 func (t *CoAP) readMessage(ctx context.Context) (*message.Message, error) {
 	for {
 		size, err := coapwire.FrameLength(t.received)
--- a/internal/testbed/fakedevice/coap_blocks.go
+++ b/internal/testbed/fakedevice/coap_blocks.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// bertUnit is the largest block size in bytes without BERT. A BERT message contains several blocks of this size.
+	// bertUnit is the largest block size in bytes without BERT (RFC 8323). A BERT message contains several blocks of this size.
 	bertUnit = 1024
-	// maxUploadRestarts is the number of times that a transmission restarts an upload after a response 4.08 (Request Entity
-	// Incomplete). It accepts the next such response as final.
+	// maxUploadRestarts is the number of times that a transmission resumes an upload, at the offset that resumeOffset returns,
+	// after a response 4.08 (Request Entity Incomplete). The next such response is the result of the transmission.
 	maxUploadRestarts = 3
 )
 
@@ -54,8 +54,8 @@
 	}
 }
 
-// acceptedBlockSize returns the size of the next blocks. It is the size that the gateway asks for if that is smaller than the
-// current size and the acknowledged bytes are a multiple of it; otherwise it is the current size.
+// acceptedBlockSize returns the size of the next blocks. This is the size in the Block1 option of the response if it is not a BERT
+// size, is smaller than the current size, and divides the number of acknowledged bytes. Otherwise it is the current size.
 func acceptedBlockSize(response *message.Message, size, acknowledged int) int {
 	encoded, err := response.Options.GetBytes(message.Block1)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return size
 }
 
-// resumeOffset returns the offset at which an upload continues: the number of bytes that the gateway reports to have, or 0 if it
-// reports none or no block can start there.
+// resumeOffset returns the offset at which an upload continues. This is the number of bytes that the gateway reports as buffered.
+// It is 0 if the gateway reports no number, or one that is not a multiple of the block size or not less than the body's size.
 func resumeOffset(response *message.Message, size, bodySize int) int {
 	buffered, err := response.Options.GetUint32(coapwire.OptBufferedBytes)
 	if err == nil && int(buffered)%size == 0 && int(buffered) < bodySize {
@@ -78,8 +78,9 @@
 	return 0
 }
 
-// resumeOptions returns the option that requests the rest of a response that an earlier transmission has received in part, or nil
-// if the part is shorter than a block. The part becomes the partial body of the result until more is received.
+// resumeOptions returns the Block2 option that requests the rest of a response of which earlier transmissions have received the
+// first part. It returns nil if that part is shorter than a block. Otherwise it also copies the part to res, which then keeps the
+// part if nothing more is received.
 func resumeOptions(tx *transmission, res *result) message.Options {
 	if len(tx.partial) < bertUnit {
 		return nil
@@ -126,7 +127,7 @@
 	}
 }
 
-// isOtherResponse reports whether a block belongs to another response than the blocks received before, by its ETag.
+// isOtherResponse reports whether a block with the given ETag belongs to another response than the blocks received before.
 func isOtherResponse(etag string, tx *transmission, res result) bool {
 	return res.etag != "" && res.etag != etag || tx.etag != "" && tx.etag != etag
 }
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -1,10 +1,10 @@
-// Package fakedevice is a fake of devices on poor links. Like real devices, it gives up a connection on which no response
+// Package fakedevice provides fakes of devices on poor links. Like a real device, a fake gives up a connection on which no response
 // arrives, reconnects and transmits the request again. Some transmissions are unusual: with another body, over two connections
 // at the same time, or after the response.
 //
 // The package owns the devices' side of an exchange over CoAP, HTTP and SFTP. A [Device] performs one exchange after the other in
-// its caller's goroutine. It starts a second goroutine only to send over two connections at the same time, and waits for it. It
-// records responses in an invariants.Checker. Its behavior depends only on Rand and on what it receives.
+// its caller's goroutine. It starts a second goroutine only to send over two connections at the same time, and waits for that
+// goroutine. The device records responses in an invariants.Checker. Its behavior depends only on Rand and on what it receives.
 package fakedevice
 
 import (
@@ -18,13 +18,13 @@
 )
 
 const (
-	// gatewayResponseTime is the time that a gateway may need for a response that it sends just before the deadline.
+	// gatewayResponseTime is the time that the gateway may need for a response, apart from the transfers over the link.
 	gatewayResponseTime = 150 * time.Millisecond
 	// minTimeLeft is the shortest remaining time with which a device starts another transmission.
 	minTimeLeft = 5 * time.Millisecond
 	// defaultRetryDelay is the delay after a rejection that does not specify one.
 	defaultRetryDelay = 100 * time.Millisecond
-	// maxLateResendDelay is the longest delay from the end of an exchange to a transmission after it.
+	// maxLateResendDelay is the longest delay from the end of an exchange to the transmission that the quirk resendLate adds.
 	maxLateResendDelay = 2 * time.Second
 )
 
@@ -45,9 +45,9 @@
 	Exchange
 	number       int           // number of the transmission within the exchange, counted from 1
 	timeLeft     time.Duration // remaining time until the deadline
-	isRetry      bool          // whether an earlier transmission was sent completely and not rejected
-	firstSentAt  time.Time     // start of the first transmission since the latest rejection
-	firstGateway string        // name of the gateway that received that transmission; empty if it is unknown
+	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
+	firstSentAt  time.Time     // start of the exchange or time of its latest rejection; a retry states the age since then
+	firstGateway string        // name of the gateway to which the latest transmission that is no retry went; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
 	etag         string        // ETag of the response that partial belongs to
 }
@@ -56,11 +56,11 @@
 type Device struct {
 	Name            string
 	Transport       Transport
-	SecondTransport Transport // second connection, for sending over two at the same time; nil: the device never does that
+	SecondTransport Transport // connection for the quirk sendTwice, in addition to that of Transport; nil: the quirk has no effect
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
 	ResponseTimeout time.Duration // time without a response after which the device gives up a connection
-	QuirkRate       float64       // fraction of the exchanges in which the device behaves unusually
+	QuirkRate       float64       // fraction of the exchanges that have a quirk
 }
 
 // quirk is an unusual behavior of a device in one exchange.
@@ -69,9 +69,9 @@
 const (
 	noQuirk    quirk = iota
 	resend           // the device sends the request again after the response
-	changeBody       // the device sends another body with the same key, once
+	changeBody       // the device once sends another body with the same key; only for writes that are transmitted again
 	sendTwice        // the device sends the request over two connections at the same time
-	abandon          // the device disconnects after the first transmission without a response and does not reconnect
+	abandon          // if the first transmission gets no response or a rejection, the device disconnects until the deadline
 	resendLate       // the device disconnects after the exchange and sends the request again later
 )
 
@@ -164,8 +164,9 @@
 	d.send(d.Transport, tx, d.Rand)
 }
 
-// send sends one transmission and records the response. It returns true if no further transmission is needed. This includes a
-// conflict, which is a response to this transmission but not to the exchange.
+// send sends one transmission and records the response. It returns true if no further transmission is needed: after any response
+// but a rejection. That includes a conflict (the gateway has received another body with the same key), which is no outcome of the
+// exchange.
 func (d *Device) send(t Transport, tx *transmission, random *rand.Rand) (responded bool) {
 	timeout := min(tx.timeLeft, d.ResponseTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -189,7 +190,7 @@
 	if res.outcome != invariants.Rejected {
 		return true
 	}
-	// The request was not executed, so the next transmission is again a first one.
+	// The request was not executed, so the next transmission is not a retry.
 	tx.isRetry, tx.firstSentAt, tx.firstGateway = false, time.Now(), ""
 	if res.retryAfter <= 0 {
 		res.retryAfter = defaultRetryDelay
@@ -198,9 +199,10 @@
 	return false
 }
 
-// checkMissingResponse records a missing response if the device waited until the deadline, the link had no fault, and the request
-// was sent so early that the response could have arrived. The time must have sufficed for two transfers, because a gateway that
-// does not know the link yet measures it by a round trip first.
+// checkMissingResponse records a missing response if the link has had no fault since one second before the transmission, and the
+// request was sent so early that the response could have arrived by the deadline. The remaining time must have been long enough for
+// two transfers, because a gateway that does not know the link yet first measures it by a round trip. The caller must have waited
+// until the deadline.
 func (d *Device) checkMissingResponse(link Link, tx *transmission, res result, startedAt time.Time) {
 	if !res.sentCompletely || res.responseStarted || link == nil {
 		return
--- a/internal/testbed/fakedevice/http.go
+++ b/internal/testbed/fakedevice/http.go
@@ -19,12 +19,12 @@
 type HTTP struct {
 	Device               string
 	Dial                 Dialer
-	WithoutDeviceHeaders bool // whether the device sends only the headers that other clients of the platform send
+	WithoutDeviceHeaders bool // whether the device sends only the headers that all clients of the platform send
 
 	client         *http.Client
 	link           Link
 	bytesSent      atomic.Int64
-	gatewayName    string        // name of the gateway in the latest response
+	gatewayName    string        // name of the gateway that sent the latest response
 	correlationIDs int           // number of correlation IDs used so far, if the device sends no device headers
 	roundTrip      time.Duration // estimated round-trip time; 0 before the first response
 }
@@ -79,7 +79,8 @@
 	startedAt := time.Now()
 	resp, err := h.client.Do(req)
 	if err != nil {
-		// A device that gives up before it has sent everything does not know how much has arrived.
+		// If only a part was written, the device does not know how much has arrived: the request may have arrived completely, and
+		// checkMissingResponse must not report a missing response.
 		res.sentCompletely, res.responseStarted = h.bytesSent.Load() > 0, true
 		if progress.sentCompletely.Load() {
 			res.sentAt, res.responseStarted = time.Unix(0, progress.sentAt.Load()), progress.responseStarted.Load()
@@ -170,16 +171,16 @@
 	}
 }
 
-// measureRoundTrip updates the round-trip estimate. The estimate is the shortest time of a response, but a response with status
-// 503 always replaces it, because the gateway sends a rejection without delay.
+// measureRoundTrip updates the round-trip estimate. The estimate is the shortest time from a request to its response. A response
+// with status 503 always replaces the estimate, because the gateway sends a rejection without delay.
 func (h *HTTP) measureRoundTrip(resp *http.Response, elapsed time.Duration) {
 	if resp.StatusCode == http.StatusServiceUnavailable || h.roundTrip == 0 || elapsed < h.roundTrip {
 		h.roundTrip = elapsed
 	}
 }
 
-// readResponse reads the body of a response and interprets its status. The body of a partial response follows the part that was
-// received before.
+// readResponse reads the body of a response and interprets its status. The body of a response with status 206 (Partial Content) is
+// appended to received, the part that earlier transmissions have received.
 func readResponse(resp *http.Response, received []byte) (result, error) {
 	res := result{sentCompletely: true, responseStarted: true}
 	body, err := io.ReadAll(resp.Body)
--- a/internal/testbed/fakedevice/sftp.go
+++ b/internal/testbed/fakedevice/sftp.go
@@ -14,15 +14,17 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// sftpRetryDelay is the delay after a rejection. It is fixed because SFTP has no field for a delay.
+// sftpRetryDelay is the delay from a rejection to the next transmission. It is fixed because SFTP has no field for a delay.
 const sftpRetryDelay = 200 * time.Millisecond
 
 // SFTP is the transport of a client that uses file commands. For each write, it opens the object's file, sends the body in one
 // WRITE and closes the file.
 type SFTP struct {
-	Dial         Dialer
-	Root         string        // directory of the files
-	ResponseTime time.Duration // time within which the gateway responds, because the protocol has no field for a deadline
+	Dial Dialer
+	Root string // directory of the files
+	// ResponseTime is the time that the gateway may take to respond to a WRITE. The device does not record a response as missing if
+	// it waited for a shorter time. The time is fixed because SFTP has no field for a deadline.
+	ResponseTime time.Duration
 
 	client    *sftp.Client
 	conn      net.Conn
--- a/internal/testbed/fakedevice/transport.go
+++ b/internal/testbed/fakedevice/transport.go
@@ -29,7 +29,7 @@
 type Link interface {
 	// FaultySince reports whether the link has had a fault since t.
 	FaultySince(t time.Time) bool
-	// TransferTime returns the time that a message of the given size and a short response take on the link without faults.
+	// TransferTime returns the time that a message of the given size and a short response take if the link has no fault.
 	TransferTime(bytes int) time.Duration
 }
 
@@ -43,8 +43,8 @@
 	retryAfter time.Duration // delay that a rejection asks for; 0: not specified
 	note       string        // status of the response, for violation reports
 
-	sentCompletely  bool      // whether the whole request was sent
-	sentAt          time.Time // when the last byte of the request was sent
+	sentCompletely  bool      // whether the whole request may have arrived
+	sentAt          time.Time // when the last part of the request was sent; valid if sentCompletely is set and no response arrived
 	responseStarted bool      // whether the response had started to arrive
 	bytesSent       int
 
--- a/internal/testbed/fakefileserver/handlers.go
+++ b/internal/testbed/fakefileserver/handlers.go
@@ -34,8 +34,8 @@
 	return h, err
 }
 
-// parseUploadKey returns the upload key from the attributes of an OPEN, or an empty string if there is none. All attributes must
-// be extended attributes.
+// parseUploadKey returns the upload key from the attributes of an OPEN, or an empty string if there is none. attrs must hold only
+// extended attributes: their count, then the name and value of each.
 func parseUploadKey(attrs []byte) string {
 	if len(attrs) < 4 {
 		return ""
@@ -113,7 +113,7 @@
 // Filecmd implements sftp.FileCmder. It supports no command.
 func (s *Server) Filecmd(*sftp.Request) error { return sftp.ErrSSHFxOpUnsupported }
 
-// Filelist implements sftp.FileLister. It supports only STAT.
+// Filelist implements sftp.FileLister. It handles every request as a STAT.
 func (s *Server) Filelist(r *sftp.Request) (sftp.ListerAt, error) {
 	info := fileInfo{name: r.Filepath}
 	err := s.execute(&Command{Op: OpStat, Path: r.Filepath}, func() error {
--- a/internal/testbed/fakefileserver/server.go
+++ b/internal/testbed/fakefileserver/server.go
@@ -1,4 +1,4 @@
-// Package fakefileserver is a fake of the file port of storage servers, which serves SFTP on any listener.
+// Package fakefileserver is a fake of the file port of storage servers. It serves SFTP on any listener.
 //
 // The package owns the files, which are kept in memory, and a log of all commands. A [Server] handles each connection in a
 // separate goroutine, which ends with the connection.
@@ -34,11 +34,11 @@
 	UploadKey    string // upload key of an open or a write; empty if the client sent none
 	Bytes        int    // number of bytes of a read or a write
 	Data         []byte // data of a write
-	Deduplicated bool   // whether a write was dropped because its upload key had been received before; set only for AfterEffect
+	Deduplicated bool   // whether a write was dropped because its upload key had been received before; set only in AfterEffect's argument
 }
 
-// Server keeps files in memory. It drops a WRITE whose upload key it has received before. Its methods are safe for concurrent
-// use; its exported fields must not change while it has connections.
+// Server keeps files in memory. It drops a WRITE whose upload key it has received before; WRITEs without an upload key all have the
+// same, empty key. Its methods are safe for concurrent use. Its exported fields must not change while it has connections.
 type Server struct {
 	// Addr is the address of a server that New has started; otherwise it is empty.
 	Addr string
@@ -75,7 +75,7 @@
 	_ = server.Serve() // Serve returns an error when a test breaks the connection.
 }
 
-// Serve serves a listener until it is closed, and then closes its connections.
+// Serve serves a listener until the listener is closed, and then closes the connections accepted from it.
 func (s *Server) Serve(listener net.Listener) {
 	var conns []net.Conn
 	defer func() {
--- a/internal/testbed/fakestorage/server.go
+++ b/internal/testbed/fakestorage/server.go
@@ -22,7 +22,7 @@
 	"gaugerelay/internal/testbed/invariants"
 )
 
-// drainGrace is how long a gateway may still send to a draining server after it was notified of the drain.
+// drainGrace is how long a gateway may still send to a draining server after the gateway was notified of the drain.
 const drainGrace = time.Second
 
 // Faults holds, for each fault, the fraction of the requests that it affects, and the delay of slow requests.
@@ -82,8 +82,8 @@
 	return data[:size]
 }
 
-// faultDraw is a random number from [0, 1) that decides which fault affects a request. Each comparison with the fraction of a
-// fault subtracts that fraction, so that at most one fault affects a request.
+// faultDraw is a random number from [0, 1) that decides which fault affects a request. Each call of affects subtracts the fraction
+// of its fault, so that at most one fault affects a request.
 type faultDraw float64
 
 // affects reports whether the request is affected by a fault that affects the given fraction of all requests.
@@ -96,7 +96,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || r.Header.Get("X-Correlation-Id") == "" {
-		panic(http.ErrAbortHandler) // The request is incomplete.
+		panic(http.ErrAbortHandler) // The request is incomplete or has no correlation ID.
 	}
 	now := time.Now()
 	s.mu.Lock()
--- a/internal/testbed/fakestorage/shard.go
+++ b/internal/testbed/fakestorage/shard.go
@@ -9,7 +9,7 @@
 // concurrent use.
 type Shard struct {
 	Name        string
-	DedupWindow time.Duration // how long after the first write with a key further writes with it are dropped
+	DedupWindow time.Duration // time after the first write with a key in which further writes with that key are not executed
 
 	mu     sync.Mutex
 	writes map[string]firstWrite // first write within the window, by idempotency key
@@ -21,8 +21,8 @@
 	digest string
 }
 
-// deduplicate records a write and returns the digest of the body that was executed for its key. For a key that was already
-// received within the window, repeated is true and the digest is that of the first write.
+// deduplicate records a write and returns the digest of the body that was executed for its key. If the key was already received
+// within the window, repeated is true and executed is the digest of the first write.
 func (s *Shard) deduplicate(key, digest string, now time.Time) (repeated bool, executed string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/listener.go
+++ b/internal/testbed/listener.go
@@ -1,7 +1,7 @@
 // Package testbed holds helpers that tests of several packages share: loopback listeners and connections, HTTP servers,
 // settings of a scheduler and the gateway program. Fakes of external systems and fault injection are in its subdirectories.
 //
-// Everything that a helper starts is stopped at the end of the test that called it.
+// Everything that a helper starts is stopped at the end of the test that called the helper.
 package testbed
 
 import (
