--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -1,5 +1,5 @@
-// Package faultnet is a TCP network whose system calls (accept, connect, read and write) fail at random. Only a gateway program
-// that is built with the build tag chaos contains it.
+// Package faultnet is a TCP network with random faults: the system calls accept, connect and write fail, and reads are short. Only a
+// gateway program that is built with the build tag chaos contains this package.
 //
 // The failures are drawn from a seed. A Network is safe for concurrent use and starts no goroutine.
 package faultnet
@@ -21,21 +21,21 @@
 )
 
 const (
-	// randomStream selects the stream of the random generator, which is combined with the seed.
+	// randomStream initializes the random generator, together with Options.Seed.
 	randomStream = 99
-	// writeFailureDivisor is the factor by which the failure rate of writes is lower than that of accepts and connects.
+	// writeFailureDivisor divides Options.FailureRate for writes, which fail less often than the other calls.
 	writeFailureDivisor = 10
-	// maxAcceptFailures is the largest number of consecutive accepts that fail.
+	// maxAcceptFailures is the largest number of consecutive accepts that one random draw makes fail.
 	maxAcceptFailures = 8
 	// shortReadSize is the largest number of bytes that a short read returns.
 	shortReadSize = 7
 )
 
-// Options say which system calls fail, and how often.
+// Options say how often system calls fail.
 type Options struct {
 	Seed            uint64
-	FailureRate     float64       // fraction of accepts, connects and reads that fail; writes fail a tenth as often
-	WallClockOffset time.Duration // error of the wall clock; the caller must apply it
+	FailureRate     float64       // probability that accepts begin to fail, a connect fails or a read is short; a tenth of it for writes
+	WallClockOffset time.Duration // offset of the gateway's wall clock from the real time; the caller must apply it
 }
 
 // ParseOptions reads options in the form "seed=1,rate=0.03,wall=1h".
@@ -65,7 +65,7 @@
 
 	mu             sync.Mutex
 	random         *rand.Rand
-	acceptFailures int // number of next accepts that fail
+	acceptFailures int // number of accepts that will fail, from the next one on
 }
 
 // New returns a network whose failures are drawn from the seed in the options.
@@ -159,7 +159,7 @@
 	return n, err
 }
 
-// Read implements net.Conn. At random it returns only the first few bytes that are available.
+// Read implements net.Conn. A random failure is a short read of at most shortReadSize bytes; the drawn error is not used.
 func (c *conn) Read(p []byte) (int, error) {
 	if _, short := c.network.draw(c.network.options.FailureRate, writeErrors); short && len(p) > shortReadSize {
 		p = p[:shortReadSize]
--- a/internal/testbed/faultnet/faultnet_test.go
+++ b/internal/testbed/faultnet/faultnet_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
+// TestParseOptions checks that all options are read, and that an unknown option and a missing or malformed value are errors.
 func TestParseOptions(t *testing.T) {
 	want := Options{Seed: 7, FailureRate: 0.03, WallClockOffset: -time.Hour}
 	if got, err := ParseOptions("seed=7,rate=0.03,wall=-1h0m0s"); err != nil || got != want {
-		t.Errorf("ParseOptions = %+v, %v, want %+v", got, err, want)
+		t.Errorf("ParseOptions returned %+v and error %v, want %+v and no error", got, err, want)
 	}
 	for _, invalid := range []string{"", "seed=x", "rate=", "wall=1", "speed=1"} {
 		if _, err := ParseOptions(invalid); err == nil {
-			t.Errorf("ParseOptions(%q) returned no error", invalid)
+			t.Errorf("ParseOptions(%q) returned no error, want one", invalid)
 		}
 	}
 }
--- a/internal/testbed/linkshaper/link.go
+++ b/internal/testbed/linkshaper/link.go
@@ -70,8 +70,8 @@
 	return 2*(l.profile.Delay+l.profile.Jitter) + l.profile.transmissionTime(bytes+shortResponseSize)
 }
 
-// FaultySince reports whether a fault of the link has affected its traffic since t. Such a fault excuses the client and the server
-// for a missing message.
+// FaultySince reports whether a fault of the link has affected its traffic since t. If so, a message that did not arrive is not the
+// fault of the client or the server.
 func (l *Link) FaultySince(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -25,7 +25,7 @@
 	profile       Profile
 	random        *rand.Rand
 	idleAt        [directions]time.Time // when all segments scheduled so far have been transmitted
-	lastArrivalAt [directions]time.Time // arrival of the latest segment; TCP keeps the order, so none arrives before it
+	lastArrivalAt [directions]time.Time // arrival of the segment scheduled last; no later segment arrives before it, because TCP keeps the order
 	stalls        []stall               // stalls drawn so far, by time; the first one is empty and marks the start of the link
 	lastLossAt    time.Time             // when the latest retransmitted segment arrives
 }
@@ -54,7 +54,7 @@
 	if s.profile.Jitter > 0 {
 		at = at.Add(time.Duration(s.random.Float64() * float64(s.profile.Jitter)))
 	}
-	if s.random.Float64() < s.profile.Loss { // The segment is lost; its retransmission arrives.
+	if s.random.Float64() < s.profile.Loss { // The segment is lost, and its retransmission arrives later.
 		at = at.Add(max(minRetransmissionDelay, 4*s.profile.Delay))
 		s.lastLossAt = at
 	}
@@ -83,7 +83,7 @@
 	return at
 }
 
-// faultySince reports whether a retransmitted segment arrives after t, or a stall has been in effect since t.
+// faultySince reports whether a retransmitted segment arrives after t, or a stall has been in effect at any time since t.
 func (s *schedule) faultySince(t time.Time) bool {
 	if s.lastLossAt.After(t) {
 		return true
--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -44,12 +44,12 @@
 
 // Host returns the loopback address of a gateway process that this program starts. block is the second octet of the address;
 // each package that starts gateway processes uses a different one. Outgoing connections never use these addresses as their
-// source, so none can occupy the port of a gateway while its process is down.
+// source, so they cannot occupy the port of a gateway while its process is down.
 func Host(block, gateway int) string {
 	return fmt.Sprintf("127.%d.%d.%d", block, 1+os.Getpid()%250, gateway+1)
 }
 
-// FreeTCPAddr returns an address of the host with a TCP port that is free at the time of the call.
+// FreeTCPAddr returns an address of the form "host:port" whose TCP port is free at the time of the call.
 func FreeTCPAddr(host string) (string, error) {
 	ln, err := ListenOn(host + ":0")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return ln.Addr().String(), nil
 }
 
-// FreeUDPAddr returns an address of the host with a UDP port that is free at the time of the call.
+// FreeUDPAddr returns an address of the form "host:port" whose UDP port is free at the time of the call.
 func FreeUDPAddr(host string) (string, error) {
 	conn, err := listenPacketOn(host + ":0")
 	if err != nil {
--- a/internal/testbed/membershipsim/events.go
+++ b/internal/testbed/membershipsim/events.go
@@ -9,7 +9,7 @@
 // event is the arrival of a message at a member, or the expiry of the member's timer.
 type event struct {
 	atMs    float64
-	order   int                // sequence number, which orders events of the same time
+	order   int                // sequence number; events of the same time are processed in this order
 	member  int                // number of the member that the event concerns
 	isTimer bool               // whether the event is the expiry of the timer
 	message membership.Message // valid only if isTimer is false
@@ -27,7 +27,7 @@
 	heap.Push(&q.events, e)
 }
 
-// popUntil removes and returns the earliest event. It returns false if there is none or if it is later than atMs.
+// popUntil removes and returns the earliest event. It returns false if there is no event or the earliest one is later than atMs.
 func (q *eventQueue) popUntil(atMs float64) (event, bool) {
 	if len(q.events) == 0 || q.events[0].atMs > atMs {
 		return event{}, false
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -15,17 +15,19 @@
 // Report is the result of Measure.
 type Report struct {
 	// DetectionP50Ms and DetectionP99Ms are the median and the 99th percentile of the detection time: the time from a crash
-	// until another member declares the crashed member dead.
+	// until a running member declares the crashed member dead. Detections after the bound are not included.
 	DetectionP50Ms, DetectionP99Ms float64
 	// BoundMs is the upper bound of the detection time.
 	BoundMs float64
-	// Undetected is the number of pairs of a crash and a running member that did not detect it within the bound.
+	// Undetected is the number of pairs of a crash and a running member in which the member did not detect the crash within the
+	// bound.
 	Undetected int
-	// Unfinished is the number of such pairs without a detection for which the simulation ended before the bound had passed.
+	// Unfinished is the number of pairs in which the member had not detected the crash when the simulation ended, and the bound
+	// had not passed yet. Undetected does not include them.
 	Unfinished int
 	// FalseDeathsPerHour is the number of false deaths per hour and member.
 	FalseDeathsPerHour float64
-	// FalseDeaths is the number of times that a member declared a running member dead.
+	// FalseDeaths is the value of Simulation.FalseDeaths at the end.
 	FalseDeaths int
 	// DatagramsPerSecond and BytesPerSecond are the mean rates at which a member sends.
 	DatagramsPerSecond, BytesPerSecond float64
@@ -50,8 +52,8 @@
 	return report
 }
 
-// crashRandomMembers crashes at most half of the members, spread over the given time in milliseconds, and returns when each of
-// them crashed.
+// crashRandomMembers crashes up to the given number of members, but at most half of all. It spreads the crashes over ms milliseconds
+// and returns the time of the crash of each crashed member.
 func (s *Simulation) crashRandomMembers(ms float64, crashes int) (crashedAtMs map[int]float64) {
 	crashedAtMs = map[int]float64{}
 	for range min(crashes, s.options.MemberCount/2) {
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCrashesAreDetectedWithinBound checks that every crash is detected within the bound at any loss rate, and that at loss rates
-// below 10 % no running member is declared dead.
+// TestCrashesAreDetectedWithinBound checks that every running member detects each crash within the bound, also if 20 % of the
+// messages are lost, and that at loss rates below 10 % no running member is declared dead.
 func TestCrashesAreDetectedWithinBound(t *testing.T) {
 	for _, c := range []struct {
 		memberCount int
@@ -17,7 +17,7 @@
 				options := Options{MemberCount: c.memberCount, LossRate: c.lossRate, MinDelayMs: 1, JitterMs: 8, Seed: seed}
 				report := Measure(options, 30_000, 3)
 				if report.Undetected > 0 || c.lossRate < 0.1 && report.FalseDeaths > 0 {
-					t.Errorf("seed %d: undetected crashes or false deaths: %v", seed, report)
+					t.Errorf("seed %d: got undetected crashes, or false deaths at a low loss rate; want none: %v", seed, report)
 				}
 			}
 		})
--- a/internal/testbed/membershipsim/simulation.go
+++ b/internal/testbed/membershipsim/simulation.go
@@ -25,15 +25,16 @@
 	NowMs float64
 	// Datagrams and Bytes are the numbers of datagrams and bytes that all members have sent.
 	Datagrams, Bytes int
-	// FalseDeaths is the number of times that a member declared dead a running member to which its link was not partitioned.
+	// FalseDeaths is the number of times that a member declared another one dead although the other one was running and the link
+	// to it was not partitioned.
 	FalseDeaths int
 
 	options         Options
 	random          *rand.Rand
 	members         []*member
 	queue           eventQueue
-	isPartitioned   func(from, to int) bool // whether the link loses all messages
-	lastIncarnation uint32
+	isPartitioned   func(from, to int) bool // whether the link from one member to the other loses all messages
+	lastIncarnation uint32                  // process incarnation of the member started last
 	codec           *datagram.Codec
 }
 
@@ -44,8 +45,8 @@
 	paused   bool
 	timerMs  float64              // time of the earliest queued timer event; infinite if there is none
 	received []membership.Message // messages that arrived while the member was paused
-	// deadSinceMs holds for each other member the time at which this member declared it dead, or NaN if it does not regard
-	// it as dead.
+	// deadSinceMs holds for each other member the time at which this member declared it dead, or NaN if this member does not
+	// regard it as dead.
 	deadSinceMs []float64
 }
 
@@ -67,13 +68,13 @@
 	return s
 }
 
-// Settings returns the settings with which StartMember would start a member now.
+// Settings returns the settings of a member, with the process incarnation that StartMember has assigned last.
 func (s *Simulation) Settings(number int) membership.Settings {
 	seed := s.options.Seed<<20 + uint64(s.lastIncarnation)
 	return membership.DefaultSettings(uint16(number), s.options.MemberCount, s.lastIncarnation, seed)
 }
 
-// StartMember replaces a member by a new process, which has no state and a new incarnation.
+// StartMember replaces a member by a new process, which has no state and a new process incarnation.
 func (s *Simulation) StartMember(number int) {
 	s.lastIncarnation++
 	list, err := membership.New(s.Settings(number))
@@ -132,7 +133,7 @@
 	case m.crashed:
 	case e.isTimer:
 		if e.atMs < m.timerMs {
-			return // A timer event for a later time has replaced this one.
+			return // The member's timer has since been set to a later time.
 		}
 		m.timerMs = math.Inf(1)
 		if !m.paused {
@@ -161,7 +162,7 @@
 	}
 }
 
-// recordChange records a change of another member's state that a member reports.
+// recordChange records a state change of another member that the member with the given number reports.
 func (s *Simulation) recordChange(number int, change membership.StateChange) {
 	if change.IdentityConflict {
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// send counts a message and queues its arrival, unless it is lost.
+// send counts a message as sent and queues its arrival, unless the message is lost.
 func (s *Simulation) send(from int, message membership.Message) {
 	to := int(message.Peer)
 	s.countDatagrams(from, message)
--- a/internal/testbed/membershipsim/simulation_test.go
+++ b/internal/testbed/membershipsim/simulation_test.go
@@ -10,7 +10,7 @@
 	return New(Options{MemberCount: memberCount, LossRate: lossRate, MinDelayMs: 1, JitterMs: 8, Seed: seed})
 }
 
-// runDetectionBound advances a simulation by the bound within which failures must be detected.
+// runDetectionBound advances a simulation by the time within which running members must detect a failure.
 func runDetectionBound(s *Simulation) { s.Run(s.Settings(0).DetectionBoundMs()) }
 
 // checkState reports an error unless exactly want other members regard a member as being in the given state.
@@ -39,18 +39,19 @@
 }
 
 // TestOneWayLinkFailureCausesNoDeath checks that no member is declared dead when one direction of a single link fails, because
-// indirect probes take another path.
+// indirect probes take another path. FalseDeaths does not count the case that member 1 declares member 2 dead over the failed
+// link, so the test also checks in which state the members regard each of the two.
 func TestOneWayLinkFailureCausesNoDeath(t *testing.T) {
 	s := newSimulation(6, 0, 8)
 	s.Partition(func(from, to int) bool { return from == 1 && to == 2 })
 	s.Run(60_000)
 	if s.FalseDeaths > 0 || s.CountState(2, membership.Dead)+s.CountState(1, membership.Dead) > 0 {
-		t.Errorf("got %d false deaths, want none, and no member that regards member 1 or 2 as dead", s.FalseDeaths)
+		t.Errorf("got %d false deaths; want none, and want no member that regards member 1 or 2 as dead", s.FalseDeaths)
 	}
 }
 
-// TestPausedMember checks that a member that resumes after a long pause declares no other member dead, and that the others soon
-// regard it as alive again.
+// TestPausedMember checks that a member that resumes after a long pause declares no other member dead, although it has heard
+// nothing from them during the pause, and that the others soon regard it as alive again.
 func TestPausedMember(t *testing.T) {
 	const paused = 2
 	s := newSimulation(6, 0, 6)
@@ -62,7 +63,7 @@
 	for range 20 {
 		for number := range 6 {
 			if number != paused && s.members[paused].list.State(uint16(number)) == membership.Dead {
-				t.Fatalf("the resumed member regards member %d as dead", number)
+				t.Fatalf("the resumed member regards member %d as dead, want no member regarded as dead", number)
 			}
 		}
 		s.Run(500)
@@ -70,8 +71,9 @@
 	checkState(t, s, paused, membership.Alive, 5)
 }
 
-// TestRestartedMember checks that a restarted member is regarded as alive, although the incarnation that it starts with is below
-// the one that was declared dead.
+// TestRestartedMember checks that a restarted member is regarded as alive again. Of two updates about a member, the one with the
+// greater incarnation wins. The restarted member starts with incarnation 0, so it must first raise its incarnation above that of the
+// update that declared it dead.
 func TestRestartedMember(t *testing.T) {
 	s := newSimulation(5, 0.05, 7)
 	for range 3 {
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -53,7 +53,7 @@
 }
 
 // Dial connects to an address and waits until the connection is accepted or ctx is done. It returns ErrConnectionRefused if
-// there is no listener on that address. The network parameter is ignored.
+// there is no listener on that address or the listener is closed. The network parameter is ignored.
 func (n *Net) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
