--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// drawRequest draws a random request of a volume. Gateways at the front of the volume's list get more requests than those at the
-// end.
+// drawRequest draws a random request of a volume. Gateways at the front of the volume's GatewayIndices get more requests than those
+// at the end.
 func (s *simulation) drawRequest(v *volume, random *rand.Rand) *request {
 	units := float64(1 + random.IntN(3))
 	if random.IntN(20) == 0 {
@@ -164,8 +164,9 @@
 	return httpRequest
 }
 
-// checkLostRequest checks that a request without a response is allowed to have none: its connection was refused, or its gateway
-// was killed, was restarted, or was already shutting down for some time when the request was sent. s.mu must be held.
+// checkLostRequest checks that a request may remain without a response: its connection was refused, its gateway was killed or
+// restarted, or the gateway had been shutting down for longer than shutdownAcceptancePeriod when the request was sent. s.mu must be
+// held.
 func (s *simulation) checkLostRequest(ex exchange) {
 	g := ex.gateway
 	stopping := !g.stoppingSince.IsZero()
@@ -200,8 +201,9 @@
 	}
 }
 
-// checkRejection checks that a rejected request was not executed if its execution by a retry would have a second effect, and that
-// the response carries Retry-After only if the settings allow it. s.mu must be held.
+// checkRejection checks that a server cannot have executed a rejected request if a retry by the client would do harm: the class is not
+// idempotent, or only the servers of a zone or shard deduplicate its requests. It also checks that the response carries Retry-After
+// only if the settings allow it. s.mu must be held.
 func (s *simulation) checkRejection(ex exchange) {
 	c := ex.class
 	retryHarmful := c.Idempotency == notIdempotent || c.Idempotency == idempotentWithKey && c.DedupScope != dedupScopeAll
--- a/internal/testbed/simulation/deployment.go
+++ b/internal/testbed/simulation/deployment.go
@@ -61,7 +61,7 @@
 	OverloadWindowMs       float64 // period over which the load of a server in slow start is measured
 	SlowStartUnits         float64 // units that a server which has just started may receive within OverloadWindowMs
 	Capacity               float64 // capacity of a server after its slow start, in units per second
-	ServiceTimeMs          float64 // lower bound of the time per unit at a server
+	ServiceTimeMs          float64 // lower bound of the mean time per unit at a server after its slow start
 	Volumes                []volume
 	ReportsServedElsewhere bool     // whether responses carry the units served for other gateways
 	ReportFields           []string // names of the fields in the servers' load reports
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -20,8 +20,8 @@
 	stateRemoved  endpointState = "Gone"
 )
 
-// endpointChange is a published change of a server's state. The version of the endpoint list that includes it is its index in
-// simulation.updates plus one.
+// endpointChange is a published change of a server's state. Version n of the endpoint list consists of the first n changes in
+// simulation.updates.
 type endpointChange struct {
 	server      *server
 	state       endpointState
@@ -53,7 +53,8 @@
 		Shard: c.server.shard, State: c.state, Weight: 1, StartedMs: c.server.startedMs()}
 }
 
-// publish adds a change to the endpoint list after a delay and wakes the open watches.
+// publish adds a change to the endpoint list after a delay and wakes the open watches. If discovery pushes updates, each gateway
+// whose discovery is not down is then treated as having been notified.
 func (s *simulation) publish(srv *server, state endpointState, delayMs float64) {
 	time.AfterFunc(clock.Duration(delayMs), func() {
 		s.mu.Lock()
@@ -70,8 +71,8 @@
 	})
 }
 
-// markNotified records that a gateway has been notified of all changes published so far: from now on, the drain grace of the
-// servers that are no longer ready applies to it. s.mu must be held.
+// markNotified records that a gateway has been notified of all changes published so far. The drain grace of a server that is no longer
+// ready starts now, unless the gateway was already notified of it. s.mu must be held.
 func (s *simulation) markNotified(g *simulatedGateway) {
 	if g.notifiedAt == nil { // The gateway has not been started yet.
 		return
@@ -83,7 +84,8 @@
 	}
 }
 
-// snapshot returns the complete endpoint list of a version for a gateway. s.mu must be held.
+// snapshot returns the complete endpoint list of a version for a gateway. The removal of a server does not remove a later incarnation
+// with the same name. s.mu must be held.
 func (s *simulation) snapshot(g *simulatedGateway, version int) *endpointUpdate {
 	latest := map[string]endpoint{}
 	for _, c := range s.updates[:version] {
@@ -161,8 +163,8 @@
 	opening     bool             // whether the first message has still to be sent
 }
 
-// nextWatchMessage returns the next line that a watch sends, which is empty for a heartbeat, and the channel that is closed at
-// the next change of the endpoint list.
+// nextWatchMessage returns the next line that a watch sends, and the channel that is closed at the next change of the endpoint list.
+// The line of a heartbeat is empty. If the current incarnation of the gateway opened the watch, the gateway is marked as notified.
 func (s *simulation) nextWatchMessage(watch *watchState) (message []byte, updated chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -86,7 +86,7 @@
 	s.finishReplacement(old, started)
 }
 
-// finishReplacement publishes the new server and stops the old one at the end of its drain time.
+// finishReplacement publishes the new server, waits for the drain time and stops the old server.
 func (s *simulation) finishReplacement(old, started *server) {
 	s.publish(started, stateReady, s.deployment.DiscoveryLagMs+50)
 	time.Sleep(clock.Duration(s.drainTimeMs()))
@@ -96,8 +96,8 @@
 	old.stop()
 }
 
-// drainTimeMs returns how long a draining server keeps running. It runs longer than the drain grace after gateways were notified,
-// so that it receives, and reports, requests that a gateway sends after the grace.
+// drainTimeMs returns how long a draining server keeps running. The server is still running when the drain grace has ended, so that
+// it receives the requests that a gateway wrongly sends after the grace, and checkDrain records them as violations.
 func (s *simulation) drainTimeMs() float64 {
 	return max(3000, s.deployment.DiscoveryLagMs+s.deployment.DrainGraceMs+2500)
 }
@@ -113,7 +113,7 @@
 	return ready
 }
 
-// readyServer returns the ready server of a shard that started last, or nil if there is none. s.mu must be held.
+// readyServer returns the server that started last among the ready servers of a shard, or nil if there is none. s.mu must be held.
 func (s *simulation) readyServer(shard int) *server {
 	var ready *server
 	for _, srv := range s.servers {
@@ -148,7 +148,8 @@
 	})
 }
 
-// scheduleGatewayRestart schedules a restart of a gateway, with probability 1/3 each after a kill and after a graceful shutdown.
+// scheduleGatewayRestart schedules a restart of a gateway: with probability 1/3 after a kill, and with probability 1/3 after a
+// graceful shutdown.
 func (f *faultInjector) scheduleGatewayRestart(g *simulatedGateway) {
 	delay, downtime := 2+8*f.random.Float64(), 0.2+2*f.random.Float64()
 	switch f.random.IntN(3) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// killGateway kills a gateway and starts it again after downtime. It does not restart a gateway that failed to start.
+// killGateway kills a gateway and starts it again after downtime. It does not restart a gateway whose settings were rejected.
 func (s *simulation) killGateway(g *simulatedGateway, downtime time.Duration) {
 	s.mu.Lock()
 	g.killed = true
@@ -174,7 +175,7 @@
 	s.startGateway(g)
 }
 
-// shutDownGateway shuts a gateway down gracefully and starts it again. It does not restart a gateway that failed to start.
+// shutDownGateway shuts a gateway down gracefully and starts it again. It does not restart a gateway whose settings were rejected.
 func (s *simulation) shutDownGateway(g *simulatedGateway) {
 	s.mu.Lock()
 	g.stoppingSince = time.Now()
@@ -188,8 +189,8 @@
 	s.startGateway(g)
 }
 
-// scheduleFreeze schedules, with probability 1/2, a period in which a server does not respond. Some periods are longer than a
-// gateway's shutdown may take.
+// scheduleFreeze schedules, with probability 1/2, a period in which a server does not respond. The longer of the two possible
+// durations exceeds the time that a graceful shutdown of a gateway may take.
 func (f *faultInjector) scheduleFreeze() {
 	if f.random.IntN(2) != 0 {
 		return
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -28,7 +28,7 @@
 	openClients      int                    // number of client connections
 }
 
-// startGateway starts an incarnation of a gateway. The cached snapshot that it starts with may be out of date.
+// startGateway starts an incarnation of a gateway and records a violation if the start fails.
 func (s *simulation) startGateway(g *simulatedGateway) {
 	document := s.prepareStart(g)
 	var started *gateway.Gateway
@@ -50,7 +50,8 @@
 	}
 }
 
-// prepareStart resets the state of the previous incarnation and returns the settings of the next one.
+// prepareStart resets the state of the previous incarnation and returns the settings of the next one. Their cached snapshot may be
+// out of date: it lacks up to maxMissedUpdates changes, but not the initial servers.
 func (s *simulation) prepareStart(g *simulatedGateway) []byte {
 	const maxMissedUpdates = 3
 	s.mu.Lock()
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -38,15 +38,15 @@
 	return arrived
 }
 
-// checkDrain checks that a gateway does not send to a server after the drain grace, which begins when the gateway is notified that
-// the server is no longer ready.
+// checkDrain checks that a gateway does not send to a server after the drain grace. The grace begins when the gateway is notified that
+// the server is no longer ready. A gateway that polls and has no open watch is treated as notified at notificationDeadline.
 func (s *simulation) checkDrain(srv *server, g *simulatedGateway, firstByteAt time.Time) {
 	notifiedAt, notified := g.notifiedAt[srv]
 	if !notified && !s.deployment.Push && len(g.watches) == 0 {
 		notifiedAt, notified = s.notificationDeadline(srv, g)
 	}
 	if late := firstByteAt.Sub(notifiedAt); notified && late > milliseconds(s.deployment.DrainGraceMs)+tolerance {
-		s.recordViolation("drain: gateway %d sent a request to server %s %v after it was notified of the drain", g.index, srv.name, late)
+		s.recordViolation("drain: gateway %d sent a request to server %s %v after the gateway was notified of the drain", g.index, srv.name, late)
 	}
 }
 
@@ -70,7 +70,9 @@
 	return time.Time{}, false
 }
 
-// checkIdempotency checks that a retry at this server is allowed now if a server may have executed an earlier attempt.
+// checkIdempotency checks that a retry at this server is allowed now if a server may have executed an earlier attempt. It is allowed
+// if the class is idempotent, or if the class is idempotent with a key and the retry is within the deduplication window and scope of
+// that attempt.
 func (s *simulation) checkIdempotency(srv *server, req *request, now time.Time) {
 	c := req.class
 	for _, earlier := range req.attempts {
@@ -91,8 +93,8 @@
 	}
 }
 
-// checkNoConcurrentAttempt checks that no other attempt of the request is in flight. The server may notice the end of an earlier
-// attempt's connection with a delay, so it checks after the tolerance.
+// checkNoConcurrentAttempt checks that no other attempt of the request is in flight. A server may notice the end of an earlier
+// attempt's connection with a delay, so the check runs when the tolerance has passed.
 func (s *simulation) checkNoConcurrentAttempt(srv *server, req *request) {
 	for _, earlier := range req.attempts {
 		if !earlier.inFlight {
@@ -103,13 +105,14 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if earlier.inFlight {
-				s.recordViolation("request %s: sent to server %s while it is in flight at server %s", req.id, srv.name, earlier.server.name)
+				s.recordViolation("request %s: sent to server %s while an attempt is in flight at server %s", req.id, srv.name, earlier.server.name)
 			}
 		})
 	}
 }
 
-// checkLimit takes a request's units from the token bucket of its volume's limit and checks that the overdraft is allowed.
+// checkLimit takes a request's units from the token bucket of its volume's limit and checks the bucket's level. The level may be
+// below zero by at most the overdraft of the plan plus the units that the limit adds in 0.15 s.
 func (s *simulation) checkLimit(req *request, now time.Time) {
 	p := s.deployment.Plans[req.volume.Plan]
 	if p.Limit == 0 {
@@ -128,8 +131,9 @@
 	}
 }
 
-// checkSlowStart checks that the units that a server receives within the overload window of its slow start stay below the overload
-// threshold. Two requests of the largest size are allowed in addition.
+// checkSlowStart checks the load of a server during its slow start. Within an overload window, the server may receive at most
+// OverloadMultiple times the units that it can serve in that time at its current capacity. Two requests of the largest size are
+// allowed in addition.
 func (s *simulation) checkSlowStart(srv *server, req *request, now time.Time) {
 	d := s.deployment
 	if srv.startedAt.IsZero() || now.Sub(srv.startedAt) >= milliseconds(d.SlowStartMs) {
@@ -145,6 +149,7 @@
 		sum += arrival.units
 	}
 	if allowed := d.OverloadMultiple * s.capacityFraction(srv, now) * d.Capacity * d.OverloadWindowMs / 1000; sum > allowed+2*maxUnits {
-		s.recordViolation("slow start: server %s received %.0f units in %v, at most %.1f allowed", srv.name, sum, window, allowed)
+		s.recordViolation("slow start: server %s received %.0f units in %v, at most %.1f and two requests of the largest size allowed",
+			srv.name, sum, window, allowed)
 	}
 }
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen            chan struct{}        // closed at the end of a period without responses; nil outside of such a period
 	queued            int                  // number of admitted requests without a response
 	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
-	servedElsewhere   map[uint64][]float64 // by volume and gateway: units served for other gateways, not yet reported to this one
+	servedElsewhere   map[uint64][]float64 // units served for other gateways and not yet reported to this one, by volume ID and gateway index
 }
 
 // slowStartArrival is the arrival of a request at a server during its slow start.
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -13,7 +13,7 @@
 	"gaugerelay/internal/logevent"
 )
 
-// Flags of the test binary, which `make deployments` sets.
+// Flags of the test binary. `make deployments` sets them.
 var (
 	seeds      = flag.Int("seeds", 48, "number of deployments to simulate")
 	from       = flag.Uint64("from", 1, "seed of the first deployment")
@@ -25,7 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// TestDeployments runs randomly generated deployments and checks that no rule is violated in any of them.
+// TestDeployments runs randomly generated deployments and checks that no rule is violated in any of them. It also checks that enough
+// requests were served and enough servers drained, since otherwise most rules could not be violated.
 func TestDeployments(t *testing.T) {
 	var total Result
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
@@ -33,7 +34,8 @@
 		d := GenerateDeployment(seed)
 		synctest.Test(t, func(t *testing.T) {
 			result = Run(d)
-			time.Sleep(time.Minute) // In this time, remaining connections and timers time out.
+			// The bubble can end only when all of its goroutines have ended. The remaining connections and timers end within a minute.
+			time.Sleep(time.Minute)
 		})
 		for _, violation := range result.Violations {
 			t.Errorf("seed %d (push %v, %d of %d gateways, %d shards): %s", seed, d.Push, d.Gateways, d.FleetSize, d.Shards, violation)
@@ -43,7 +45,7 @@
 	t.Logf("served %d, rejected %d, failed %d; %d attempts rejected by servers, %d servers drained", total.Served, total.Rejected,
 		total.Failed, total.RejectedAttempts, total.DrainedServers)
 	if total.Served < 100**seeds || total.DrainedServers < *seeds/2 {
-		t.Error("too few requests were served or servers drained: want at least 100 and 1/2 per deployment")
+		t.Error("too few served requests or drained servers: want at least 100 requests and 1/2 server per deployment")
 	}
 	line := fmt.Sprintf("deployments=%d rules_broken=%d crashed=%d lost=%d\n", *seeds, len(total.Violations), total.CrashedGateways, total.LostRequests)
 	if *resultFile == "" {
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -75,7 +75,7 @@
 			old.Shutdown()
 		}
 		r.resetUpstreamConns()
-		time.Sleep(restartTime) // In this time, servers receive the last requests of the old process.
+		time.Sleep(restartTime) // In this time, servers receive the last requests of the ended incarnation.
 		r.addCounters(old)
 		r.checker.RecordRestart()
 		if err := r.startGateway(); err != nil {
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -133,12 +133,12 @@
 	return (&net.Dialer{}).DialContext
 }
 
-// upstreamDialer returns the function with which the next gateway process connects to servers. resetUpstreamConns closes these
-// connections at the end of the process.
+// upstreamDialer returns the function with which the next incarnation of the gateway connects to servers. resetUpstreamConns closes
+// these connections when the incarnation has ended.
 func (r *run) upstreamDialer() func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dial := r.dialer()
 	r.mu.Lock()
-	endedBefore := r.endedProcesses
+	endedBefore := r.endedIncarnations
 	r.mu.Unlock()
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -147,7 +147,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.endedProcesses != endedBefore { // The process has ended during the dial.
+		if r.endedIncarnations != endedBefore { // The incarnation ended during the dial.
 			conn.Close()
 			return nil, net.ErrClosed
 		}
@@ -156,12 +156,12 @@
 	}
 }
 
-// resetUpstreamConns closes the upstream connections of a gateway process that has ended.
+// resetUpstreamConns closes the upstream connections of an incarnation that has ended, as the end of its process would.
 func (r *run) resetUpstreamConns() {
 	r.mu.Lock()
 	conns := r.upstreamConns
 	r.upstreamConns = nil
-	r.endedProcesses++
+	r.endedIncarnations++
 	r.mu.Unlock()
 	for _, conn := range conns {
 		conn.Close()
--- a/internal/testbed/soak/retry_test.go
+++ b/internal/testbed/soak/retry_test.go
@@ -8,9 +8,10 @@
 	"gaugerelay/internal/testbed/linkshaper"
 )
 
-// TestRetriedWritesExecuteOnce checks that retried writes are executed once. The devices give up before a server has responded,
-// and so send each write at least twice. With deduplication, no write may be executed twice and all must be served, over each
-// protocol. Without deduplication, some writes must be executed twice, which shows that the devices do retry.
+// TestRetriedWritesExecuteOnce checks that retried writes are executed once. The devices give up a connection after 8 ms without a
+// response, and servers respond after 20 ms (serviceTime), so the devices send each write at least twice. With deduplication, no
+// write may be executed twice and all must be served, over each protocol. Without deduplication, at least one write must be executed
+// twice; this shows that the devices do retry.
 func TestRetriedWritesExecuteOnce(t *testing.T) {
 	for _, c := range []struct {
 		protocol      string
--- a/internal/testbed/soak/servers.go
+++ b/internal/testbed/soak/servers.go
@@ -15,7 +15,7 @@
 
 // shard is the state that the servers of one shard share.
 type shard struct {
-	objects *fakestorage.Shard     // state of the HTTP ports
+	objects *fakestorage.Shard     // idempotency keys received on the HTTP ports
 	files   *fakefileserver.Server // serves the file ports
 }
 
@@ -43,8 +43,8 @@
 	return shard{objects: &fakestorage.Shard{Name: shardName(index), DedupWindow: dedupWindow}, files: files}
 }
 
-// beforeFileCommand delays a write by the service time. Before that, it records the gateway's incarnation that sent the write,
-// because another one may be running when the write is executed.
+// beforeFileCommand delays a write by the service time. Before that, it records which incarnation of the gateway sent the write,
+// because another incarnation may be running when the write is executed.
 func (r *run) beforeFileCommand(c fakefileserver.Command) error {
 	if c.Op != fakefileserver.OpWrite {
 		return nil
@@ -56,8 +56,9 @@
 	return nil
 }
 
-// recordFileWrite records the execution of a write, with the gateway's incarnation that sent it: a file client cannot mark a
-// retry, so a restarted gateway regards a retried write as a new write.
+// recordFileWrite records the execution of a write and the incarnation of the gateway that sent it. A file client cannot mark a
+// retry, so a restarted gateway regards a retried write as a new one. The checker therefore allows that a later incarnation sends
+// the write again.
 func (r *run) recordFileWrite(shardIndex int, c fakefileserver.Command) {
 	if c.Op != fakefileserver.OpWrite {
 		return
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -3,7 +3,7 @@
 // executed.
 //
 // The package owns the run: its servers, gateway and devices. [Run] starts a goroutine for each device and for each kind of
-// fault and waits for them. It works with any network and clock: with loopback sockets and the system clock, or in memory in a
+// fault and waits for them. Run works with any network and clock: with loopback sockets and the system clock, or in memory in a
 // bubble of testing/synctest, where ten minutes take seconds. The random draws of devices and faults depend only on the seed.
 package soak
 
@@ -22,16 +22,18 @@
 
 // Options are the parameters of a run.
 type Options struct {
-	Duration            time.Duration // time during which devices begin new exchanges
-	Seed                uint64
-	Devices             int
-	Links               []linkshaper.Profile // profiles of the links, assigned to the devices in turn
-	Deduplication       bool                 // whether CoAP and HTTP devices use the device frontends, not the platform's
-	Protocols           string               // letters from "chf" (CoAP, HTTP, file commands), assigned to the devices in turn
-	RestartInterval     time.Duration        // mean time between restarts of the gateway; 0: no restarts
-	ReplacementInterval time.Duration        // mean time between replacements of servers; 0: no replacements
+	Duration time.Duration // time during which devices begin new exchanges
+	Seed     uint64
+	Devices  int
+	Links    []linkshaper.Profile // profiles of the links, assigned to the devices in turn
+	// Deduplication says whether the gateway deduplicates retransmissions, which the operator's settings for devices turn on. Without
+	// deduplication, CoAP and HTTP devices use the platform's HTTP frontend.
+	Deduplication       bool
+	Protocols           string        // letters from "chf" (CoAP, HTTP, file commands), each for len(Links) devices in turn
+	RestartInterval     time.Duration // mean time between restarts of the gateway; 0: no restarts
+	ReplacementInterval time.Duration // mean time between replacements of servers; 0: no replacements
 	Faults              fakestorage.Faults
-	QuirkRate           float64 // fraction of the exchanges in which a device behaves unusually
+	QuirkRate           float64 // fraction of the exchanges that have a quirk, see fakedevice
 	Network             gateway.Network
 
 	ResponseTimeout time.Duration // time without a response after which a device gives up a connection; 0: random for each device
@@ -43,7 +45,7 @@
 	dedupWindow   = 3 * time.Second // deduplication window of the class "push" in testsettings
 	writeDeadline = 5500 * time.Millisecond
 	readDeadline  = 9 * time.Second
-	restartTime   = 50 * time.Millisecond // time between the end of a gateway process and the start of the next
+	restartTime   = 50 * time.Millisecond // time between the end of an incarnation of the gateway and the start of the next
 	serviceTime   = 20 * time.Millisecond // time that a server needs for a request
 	drainTime     = 3 * time.Second       // time for which a replaced server drains before it is stopped
 	fileRoot      = "/devices"
@@ -54,7 +56,7 @@
 	*invariants.Result
 	Restarts     int              // number of restarts of the gateway
 	Replacements int              // number of replaced servers
-	Counters     map[string]int64 // metrics, summed over the gateway's incarnations
+	Counters     map[string]int64 // the gateway's metrics, summed over its incarnations
 }
 
 // run is the state of one soak run.
@@ -63,20 +65,20 @@
 	checker *invariants.Checker
 	shards  [shardCount]shard
 
-	mu             sync.Mutex // guards the fields below
-	random         *rand.Rand // random generator of the faults
-	servers        []*server  // servers in the endpoint list
-	startedServers int        // number of servers started so far
-	listVersion    uint64     // latest version of the endpoint list
-	gateway        *gateway.Gateway
-	incarnation    int       // number of the gateway's incarnation, counted from 1
-	startedAt      time.Time // when the current incarnation started
-	restarts       int
-	frontendAddrs  map[frontend]string
-	fileAddrs      map[string]string // addresses of the file ports, by name of the server
-	upstreamConns  []net.Conn        // upstream connections of the current gateway process
-	endedProcesses int               // number of gateway processes whose upstream connections were reset
-	counters       map[string]int64  // see Report.Counters
+	mu                sync.Mutex // guards the fields below
+	random            *rand.Rand // random generator of the faults
+	servers           []*server  // servers in the endpoint list
+	startedServers    int        // number of servers started so far
+	listVersion       uint64     // latest version of the endpoint list
+	gateway           *gateway.Gateway
+	incarnation       int       // number of the gateway's incarnation, counted from 1
+	startedAt         time.Time // when the current incarnation started
+	restarts          int
+	frontendAddrs     map[frontend]string
+	fileAddrs         map[string]string // addresses of the file ports, by name of the server
+	upstreamConns     []net.Conn        // upstream connections of the current incarnation
+	endedIncarnations int               // number of ended incarnations
+	counters          map[string]int64  // see Report.Counters
 
 	// writeIncarnations holds the incarnation that sent each file write in progress, by upload key.
 	writeIncarnations map[string]int
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -35,7 +35,8 @@
 		if report, err = Run(options); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Minute) // In this time, remaining links and timers time out.
+		// The bubble can end only when all of its goroutines have ended. The remaining links and timers end within a minute.
+		time.Sleep(time.Minute)
 	})
 	return report
 }
@@ -61,8 +62,9 @@
 	return seeds
 }
 
-// TestSoak runs devices of all protocols over all kinds of links, with all faults. It checks that no invariant is violated, and by
-// counters that the less common code paths were taken.
+// TestSoak runs devices of all protocols over all kinds of links, with all faults. It checks that no invariant is violated. It also
+// checks by counters that the faults led to replaced servers, restarts, joined and conflicting transmissions, uploads in blocks and
+// the other less common cases; otherwise the run would not test them.
 func TestSoak(t *testing.T) {
 	counts := map[string]int64{}
 	for _, seed := range soakSeeds() {
