--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -38,7 +38,7 @@
 	respondedAt time.Time  // when the client received the response or an error; zero before that
 }
 
-// body returns the body that the request has if it is a write.
+// body returns the body that the client sends if the request is a write.
 func (r *request) body() string { return "content of " + r.id }
 
 // timeout returns the time within which the gateway must respond.
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -11,7 +11,7 @@
 
 const (
 	runDuration   = 14 * time.Second      // how long clients send requests
-	settleTime    = 8 * time.Second       // wait after the last response, in which gateway shutdowns finish
+	settleTime    = 8 * time.Second       // wait after all clients and faults have ended, before the gateways are stopped
 	tolerance     = 50 * time.Millisecond // added to each time limit that is checked, because connections add delays
 	maxViolations = 20                    // largest number of entries in Result.Violations
 )
