--- a/internal/testbed/chaos/behavior.go
+++ b/internal/testbed/chaos/behavior.go
@@ -34,7 +34,7 @@
 	failProbability     = 0.7
 	breakProbability    = 0.5
 	truncateProbability = 0.3
-	garbageProbability  = 0.6 // includes truncateProbability, since one draw decides between both faults
+	garbageProbability  = 0.6 // bound of the draw for a malformed response; a draw below truncateProbability truncates it
 	repeatProbability   = 0.3
 )
 
@@ -44,5 +44,6 @@
 // meanServiceMs is the mean time in milliseconds that a server takes for a request of meanUnits.
 const meanServiceMs = 4
 
-// repeatDelayFactor converts execution.chance to the delay of a repeated response, in whole milliseconds.
+// repeatDelayFactor is multiplied by execution.chance, which gives the delay of a repeated response in milliseconds, rounded
+// down.
 const repeatDelayFactor = 10
--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// stallLookback is how long before a late attempt a stall of the machine may have ended and still excuse the attempt.
+// stallLookback is the longest time between the end of a stall of the machine and a late attempt that the stall excuses.
 const stallLookback = 200 * time.Millisecond
 
 // checker checks the invariants against the records of a run, whose clients and faults must have ended.
@@ -71,16 +71,18 @@
 	return start
 }
 
-// stalled reports whether the machine stalled between two times, so that late events then are not faults of the gateway.
+// stalled reports whether the machine stalled at any time between from and to. The gateway is not to blame for events that
+// are late because of a stall.
 func (c *checker) stalled(from, to time.Time) bool { return process.AnyOverlaps(c.stalls, from, to) }
 
-// interrupted reports whether the gateway's process was killed or paused between two times.
+// interrupted reports whether, at any time between from and to, the gateway's process was paused, or killed and not yet ready
+// again.
 func (c *checker) interrupted(gateway int, from, to time.Time) bool {
 	g := c.gateways[gateway]
 	return process.AnyOverlaps(g.kills, from, to) || process.AnyOverlaps(g.pauses, from, to)
 }
 
-// terminating reports whether the gateway was shutting down, or not yet ready again, between two times.
+// terminating reports whether, at any time between from and to, the gateway was shutting down or not yet ready again.
 func (c *checker) terminating(gateway int, from, to time.Time) bool {
 	return process.AnyOverlaps(c.gateways[gateway].terminations, from, to)
 }
@@ -110,8 +112,8 @@
 	}
 }
 
-// checkSlowStart checks that in each overloadWindow, a server that has started recently got no more load than its slow
-// start allows. Only attempts of gateways that had been notified of the start are counted.
+// checkSlowStart checks the load of a server that was started during the run: within each overloadWindow of its slow start, it
+// may get as much load as slowStartBound allows. Only attempts of gateways that had been notified of the start are counted.
 func (c *checker) checkSlowStart(s *server, arrivals []*arrival) {
 	if s.startedAt.IsZero() {
 		return
@@ -152,7 +154,7 @@
 	return counted
 }
 
-// checkCanceled checks that no attempt of a request begins after its client has closed the connection.
+// checkCanceled checks that no attempt of a request begins more than cancelSlack after the client has closed the connection.
 func (c *checker) checkCanceled(r *request, arrivals []*arrival) {
 	if r.closedAt.IsZero() {
 		return
@@ -165,7 +167,8 @@
 	}
 }
 
-// checkDeadline checks that no attempt states a longer remaining time to the server than the client has left.
+// checkDeadline checks that no attempt states a remaining time to the server that exceeds what the client has left by more
+// than deadlineSlack.
 func (c *checker) checkDeadline(r *request, arrivals []*arrival) {
 	for _, a := range arrivals {
 		if r.sentAt.IsZero() || a.lastByteAt.IsZero() {
@@ -180,13 +183,14 @@
 	}
 }
 
-// checkDuplicates checks that a request that is not idempotent was executed at most once, and that a request with a key was
-// executed only once, or repeatedly within one deduplication scope and window.
+// checkDuplicates checks that a request that is not idempotent was executed at most once. A request with a key may be executed
+// again, but only at the shard of its first execution, which is its deduplication scope, and at most dedupWindow (plus
+// socketSlack) after that execution. Each attempt that a server received completely and did not reject is taken as executed.
 func (c *checker) checkDuplicates(r *request, arrivals []*arrival) {
 	if r.class.idempotency == idempotent {
 		return
 	}
-	var first *arrival // first attempt that was executed
+	var first *arrival // the first executed attempt
 	for _, a := range arrivals {
 		if !a.executed {
 			continue
--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -7,7 +7,8 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// record holds the records of a run with one gateway, one server and one request that violates no invariant.
+// record holds what was recorded in a run with one gateway, one server and one request. As newRecord returns it, the run
+// violates no invariant: the request was sent at 1 min and served 20 ms later by the only attempt.
 type record struct {
 	harness *harness
 	server  *server
@@ -33,6 +34,7 @@
 	return &record{harness: h, server: s, request: r, arrival: a}
 }
 
+// setClass gives the request the first class with the given idempotency.
 func (r *record) setClass(idempotency idempotency) {
 	for i := range classes {
 		if classes[i].idempotency == idempotency {
@@ -42,7 +44,7 @@
 	}
 }
 
-// repeat adds a second attempt that arrives later than the first.
+// repeat adds a second attempt that arrives at the same server the given time after the first.
 func (r *record) repeat(later time.Duration) {
 	repeated := *r.arrival
 	repeated.firstByteAt, repeated.lastByteAt = repeated.firstByteAt.Add(later), repeated.lastByteAt.Add(later)
@@ -60,11 +62,12 @@
 	d.deliveries[0] = append(d.deliveries[0], delivery{published, len(d.changes)})
 }
 
-// checkerTests modify the record so that it violates an invariant or just does not.
+// checkerTests modify the record of newRecord. Either it then violates one invariant, or it is close to a violation that a bound
+// or an exception of the checker still allows.
 var checkerTests = []struct {
 	name   string
 	modify func(r *record)
-	want   Result // only the counts of violations
+	want   Result // only the counts of violations, as Result.String prints them
 }{
 	{"no violation", func(*record) {}, Result{}},
 	{"sent within the drain grace", func(r *record) { r.publish(process.EndpointDraining, at(time.Minute-drainGrace)) }, Result{}},
@@ -72,11 +75,11 @@
 		r.publish(process.EndpointDraining, at(time.Minute-drainGrace-2*socketSlack))
 	}, Result{SentAfterDrain: 1}},
 	{"sent to a removed server", func(r *record) { r.publish(process.EndpointRemoved, at(50*time.Second)) }, Result{SentAfterDrain: 1}},
-	{"sent after the drain grace in a stall", func(r *record) {
+	{"sent after the drain grace in a stall", func(r *record) { // stallLookback excuses the attempt
 		r.publish(process.EndpointDraining, at(50*time.Second))
 		r.harness.stalls = []process.Interval{{From: at(59 * time.Second), To: at(time.Minute)}}
 	}, Result{}},
-	{"more than slow start allows", func(r *record) {
+	{"more than slow start allows", func(r *record) { // 100 requests of meanUnits; slowStartBound allows less than 50
 		r.server.startedAt, r.arrival.units = at(time.Minute-time.Second), 200
 		r.harness.discovery.changes[0].at = r.server.startedAt
 		r.harness.discovery.deliveries[0] = []delivery{{r.server.startedAt, 1}}
@@ -89,7 +92,7 @@
 		r.harness.gateways[0].pauses = []process.Interval{{From: at(time.Minute), To: at(time.Minute + time.Second)}}
 	}, Result{}},
 	{"disconnected", (*record).disconnect, Result{Lost: 1}},
-	{"disconnected before the request was read", func(r *record) {
+	{"disconnected before the request was read", func(r *record) { // the gateway may have closed the idle connection
 		r.disconnect()
 		r.request.connReused, r.server.arrivals = true, nil
 	}, Result{}},
@@ -116,6 +119,8 @@
 	}, Result{DuplicateExecutions: 1}},
 }
 
+// TestChecker checks that the checker counts a violation under its kind, and none for what its bounds and exceptions allow. A
+// checker that counts too little would let the chaos runs pass in spite of a fault of the gateway.
 func TestChecker(t *testing.T) {
 	for _, test := range checkerTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -125,7 +130,7 @@
 			got := &Result{}
 			newChecker(r.harness, got).check()
 			if got.String() != want.String() {
-				t.Errorf("got %s: %q, want %s", got, got.Violations, &want)
+				t.Errorf("counts = %s with the violations %q, want the counts %s", got, got.Violations, &want)
 			}
 		})
 	}
--- a/internal/testbed/chaos/client.go
+++ b/internal/testbed/chaos/client.go
@@ -16,7 +16,7 @@
 	// maxIdleConns is how many idle connections the clients of a gateway keep at most.
 	maxIdleConns = 8
 	dialTimeout  = time.Second
-	// responseTimeoutSlack is how much longer than the sum of its deadline and responseSlack a client waits for a response.
+	// responseTimeoutSlack is how long a client goes on waiting after a response is late (deadline plus responseSlack).
 	responseTimeoutSlack = 500 * time.Millisecond
 	// incompleteTimeout is how long a client waits for a response after it has sent only half of its request.
 	incompleteTimeout = 10 * time.Second
@@ -35,7 +35,7 @@
 
 	meanCancelDelay    = 30 * time.Millisecond
 	maxShortDeadlineMs = 40
-	maxTypicalUnits    = 3
+	maxTypicalUnits    = 3 // requests that are not large have from 1 to maxTypicalUnits units
 )
 
 // anyShard is the shard of a request for which the gateway chooses the shard.
@@ -173,7 +173,7 @@
 	c.release(conn)
 }
 
-// write sets the deadline of the connection and writes the request, or its first half if it is to stay incomplete.
+// write sets the deadline of the connection and writes the request, or only its first half if r.incomplete is set.
 func (r *request) write(conn net.Conn) error {
 	message, timeout := r.message(), r.deadline+responseSlack+responseTimeoutSlack
 	if r.incomplete {
--- a/internal/testbed/chaos/client_test.go
+++ b/internal/testbed/chaos/client_test.go
@@ -21,7 +21,7 @@
 			_, _ = fmt.Fprintf(hash, "%v %s %v %v\n", gap, r.message(), r.cancelAfter, r.incomplete) // a hash never fails
 		}
 		if got := hash.Sum64(); got != test.want {
-			t.Errorf("requests to gateway %d have hash %#x, want %#x", test.gateway, got, test.want)
+			t.Errorf("the first 2000 requests to gateway %d have the hash %#x, want %#x", test.gateway, got, test.want)
 		}
 	}
 }
--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -10,7 +10,8 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// defaultCallTime is how long discovery takes to handle a call while no fault slows it down.
+// defaultCallTime is how long discovery takes to handle a poll while no fault slows it down. Agents, which push the list,
+// respond at once.
 const defaultCallTime = 3 * time.Millisecond
 
 // change is one change of the endpoint list. Its version is its position in the list of changes, counted from 1.
@@ -20,10 +21,10 @@
 	at     time.Time
 }
 
-// delivery is a message that was written to a gateway's watch.
+// delivery records that a message was sent on a gateway's watch.
 type delivery struct {
 	at      time.Time
-	version int // version of the endpoint list that the gateway has with this message
+	version int // version of the endpoint list that the gateway has after this message
 }
 
 // outageKind is how discovery fails during an outage.
@@ -44,13 +45,13 @@
 	return fmt.Sprintf("outageKind(%d)", uint8(k))
 }
 
-// discovery fakes the service that publishes the endpoint list. All gateways share it, but each calls it at its own
-// addresses, which identify the gateway. It records what was sent to each gateway.
+// discovery fakes the service that publishes the endpoint list. All gateways share it, but each gateway calls it at addresses
+// of its own, by which discovery knows the gateway. It records what was sent to each gateway.
 type discovery struct {
-	push  bool
+	push  bool        // whether it fakes an agent on the machine of each gateway instead of one shared service
 	addrs [][2]string // by gateway: two addresses; a reload moves the gateway from one to the other
 
-	callSlot chan struct{} // holds a token while a call is handled, so that calls are handled one at a time
+	callSlot chan struct{} // holds a token while a poll is handled, so that polls are handled one at a time
 	servers  []*http.Server
 
 	mu          sync.Mutex
@@ -61,7 +62,7 @@
 	changes     []change
 	changed     chan struct{}        // closed at the next change of the list
 	deliveries  [][]delivery         // by gateway
-	silences    [][]process.Interval // by gateway: when one of its watches was silent, recorded at the end of the watch
+	silences    [][]process.Interval // by gateway: when one of its watches was silent; added when that watch ends
 	openWatches []map[int]*watch     // by gateway and watch ID
 	lastWatchID int
 }
@@ -137,7 +138,7 @@
 	d.upIntervals = append(d.upIntervals, process.Interval{From: time.Now()})
 }
 
-// setCallTime sets how long discovery takes to handle a call.
+// setCallTime sets how long discovery takes to handle a poll.
 func (d *discovery) setCallTime(callTime time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +177,7 @@
 	}
 }
 
-// currentList returns the current endpoint list, which a gateway gets as cached snapshot in its configuration.
+// currentList returns the current endpoint list, which a gateway gets as its cached snapshot in the configuration.
 func (d *discovery) currentList() process.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/chaos/discoveryfaults.go
+++ b/internal/testbed/chaos/discoveryfaults.go
@@ -12,7 +12,7 @@
 	h.discovery.endOutage()
 }
 
-// slowDiscovery makes discovery take longer to handle calls for a while.
+// slowDiscovery makes discovery take longer to handle polls for a while.
 func slowDiscovery(h *harness, random *rand.Rand) {
 	h.discovery.setCallTime(randomDuration(random, 10*time.Millisecond, 150*time.Millisecond))
 	h.sleep(randomDuration(random, time.Second, 6*time.Second))
--- a/internal/testbed/chaos/faults.go
+++ b/internal/testbed/chaos/faults.go
@@ -33,7 +33,8 @@
 	return slices.ContainsFunc(faults, func(f fault) bool { return f.name == name })
 }
 
-// Times without new faults at the beginning and at the end of a run. The effects of earlier faults show during the latter.
+// No fault starts in these times at the beginning and at the end of a run. The time at the end lets the effects of the last
+// faults show.
 const (
 	initialFaultFreeTime = time.Second
 	finalFaultFreeTime   = 2 * time.Second
--- a/internal/testbed/chaos/faults_test.go
+++ b/internal/testbed/chaos/faults_test.go
@@ -7,10 +7,10 @@
 
 func TestParseFaults(t *testing.T) {
 	if names, err := ParseFaults("kill,pause"); err != nil || strings.Join(names, " ") != "kill pause" {
-		t.Errorf("ParseFaults returned %v, error %v, want kill and pause", names, err)
+		t.Errorf("ParseFaults(\"kill,pause\") = %v, error %v, want kill and pause without an error", names, err)
 	}
 	if _, err := ParseFaults("kill,nothing"); err == nil {
-		t.Error("ParseFaults with an unknown fault returned no error")
+		t.Error("ParseFaults with the unknown fault \"nothing\" returned no error, want one")
 	}
 }
 
@@ -19,11 +19,11 @@
 func TestSeedDrawsSameFaults(t *testing.T) {
 	schedule := newFaultSchedule(1, nil)
 	if len(schedule.pool) != 29 {
-		t.Errorf("sum of the weights = %d, want 29", len(schedule.pool))
+		t.Errorf("sum of the weights of all faults = %d, want 29", len(schedule.pool))
 	}
 	for i, want := range []struct {
 		name      string
-		ownNumber uint64 // first random number that the fault itself draws
+		ownNumber uint64 // first random number from scheduledFault.random
 	}{
 		{"server-behavior", 0x69d48dac159e75eb},
 		{"server-behavior", 0xc7d0f112436934de},
@@ -39,7 +39,7 @@
 		{"kill", 0xa23010a920e79d4d},
 	} {
 		if next := schedule.next(); next.name != want.name || next.random.Uint64() != want.ownNumber {
-			t.Errorf("fault %d is %s, want %s with the recorded random number", i, next.name, want.name)
+			t.Errorf("fault %d is %s, want %s whose first own random number is the recorded one", i, next.name, want.name)
 		}
 	}
 }
--- a/internal/testbed/chaos/gateway.go
+++ b/internal/testbed/chaos/gateway.go
@@ -14,27 +14,29 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// loopbackBlock is the block of loopback addresses that the gateways of this package use.
+// loopbackBlock is the second octet of the loopback addresses of this package's gateways. It differs from that of other
+// packages that start gateways; see loopback.Host.
 const loopbackBlock = 2
 
 // systemCallFailureRate is the fraction of system calls that fail in gateways built with the tag chaos.
 const systemCallFailureRate = 0.03
 
-// wallClockOffsets are the errors of the wall clocks of gateways built with the tag chaos. The gateways use them in turn.
+// wallClockOffsets are the errors of the wall clocks of gateways built with the tag chaos. The first
+// gateway has the first offset, and so on; after the last offset, the next gateway has the first one again.
 var wallClockOffsets = []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}
 
 // gateway is a gateway process and the records of its starts and of the faults injected into it. The records are guarded by
 // harness.mu during the run.
 type gateway struct {
 	*process.Process
-	dir           string // directory of its files
-	discoveryAddr int    // index of its current discovery address: 0 or 1
+	dir           string // directory of the files that the gateway reads
+	discoveryAddr int    // 0 or 1: which of its two addresses of discovery the gateway uses
 
-	faultMu sync.Mutex // held by the fault that currently affects the process
+	faultMu sync.Mutex // held by the fault that currently affects the process; another one skips it
 
 	starts       []time.Time
-	kills        []process.Interval // from SIGKILL until it is ready again
-	terminations []process.Interval // from SIGTERM until it is ready again
+	kills        []process.Interval // from SIGKILL until the gateway is ready again
+	terminations []process.Interval // from SIGTERM until the gateway is ready again
 	pauses       []process.Interval // from SIGSTOP to SIGCONT
 }
 
--- a/internal/testbed/chaos/gatewayfaults.go
+++ b/internal/testbed/chaos/gatewayfaults.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A fault affects at most one of every gatewaysPerFault gateways, but at least one.
+// One fault affects at most Options.Gateways/gatewaysPerFault gateways, or one gateway if that is 0.
 const gatewaysPerFault = 6
 
 // reloadTime is how long a gateway that reloads its configuration is not affected by other faults.
@@ -66,7 +66,7 @@
 	})
 }
 
-// reloadGateways makes gateways reload a configuration with their other discovery address.
+// reloadGateways makes gateways reload a configuration that names the other one of their two discovery addresses.
 func reloadGateways(h *harness, random *rand.Rand) {
 	h.onRandomGateways(random, func(g *gateway) {
 		g.discoveryAddr = 1 - g.discoveryAddr
--- a/internal/testbed/chaos/harness.go
+++ b/internal/testbed/chaos/harness.go
@@ -204,7 +204,8 @@
 	h.crashes = append(h.crashes, fmt.Sprintf(format, args...))
 }
 
-// beginInterval appends an interval that begins now to records of a gateway. The returned function ends the interval.
+// beginInterval appends an interval that begins now to one of the lists of a gateway, such as kills. The returned function
+// ends the interval.
 func (h *harness) beginInterval(intervals *[]process.Interval) (end func()) {
 	h.mu.Lock()
 	*intervals = append(*intervals, process.Interval{From: time.Now()})
--- a/internal/testbed/chaos/harness_test.go
+++ b/internal/testbed/chaos/harness_test.go
@@ -8,7 +8,9 @@
 	"gaugerelay/internal/testbed"
 )
 
-// TestInvariantsHoldUnderOverlappingFaults runs for a short time with one seed; `make chaos` runs longer, with any seed.
+// TestInvariantsHoldUnderOverlappingFaults checks that gateways violate no invariant while faults of all kinds overlap, once
+// with polled and once with pushed endpoint lists. It runs for a short time with one seed; `make chaos` runs longer, with any
+// seed.
 func TestInvariantsHoldUnderOverlappingFaults(t *testing.T) {
 	for _, push := range []bool{false, true} {
 		result, err := Run(Options{Binary: testbed.BuildGateway(t), Gateways: 8, Shards: 4, Duration: 20 * time.Second, Seed: 1, RequestRate: 12,
@@ -21,7 +23,7 @@
 			t.Errorf("push discovery %v: %s", push, text)
 		}
 		if result.Served < 500 || result.FaultCount < 10 {
-			t.Errorf("push discovery %v: the run had too few served requests or faults to test the invariants: %+v", push, result)
+			t.Errorf("push discovery %v: want at least 500 served requests and 10 faults to test the invariants, got %+v", push, result)
 		}
 	}
 }
--- a/internal/testbed/chaos/notification.go
+++ b/internal/testbed/chaos/notification.go
@@ -5,9 +5,12 @@
 	"time"
 )
 
-// notifiedAt returns when a gateway is treated as having been notified of the change with the given index: when the change was
-// delivered to it, or at the protocol's deadline for the notification, whichever is earlier. processStart is the start of
-// the gateway's process. The zero time means never.
+// notifiedAt returns when a gateway is treated as having been notified of the change with the given index, or the zero time if
+// it never is. processStart is the start of the gateway's process. The result is the earliest of these times:
+//   - when the change was delivered to the gateway;
+//   - when discovery has been up without interruption for the longest allowed delay since the change and processStart. The
+//     delay is maxNotificationDelay. With push discovery it is 0, unless a watch of the gateway was silent at the change;
+//   - if a watch was silent at the change, the result of silenceDeadline.
 func (d *discovery) notifiedAt(gateway int, processStart time.Time, index int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -16,7 +19,7 @@
 	at = earlierNonzero(at, silenceDeadline)
 	maxDelay := maxNotificationDelay
 	if d.push && silenceDeadline.IsZero() {
-		maxDelay = 0 // the agent runs on the gateway's machine, so what the agent has received counts as delivered
+		maxDelay = 0 // the gateway is treated as notified as soon as the agent on its machine has the change
 	}
 	reachableFrom := later(d.changes[index].at, processStart)
 	for _, up := range d.upIntervals {
@@ -27,8 +30,8 @@
 	return at
 }
 
-// deliveredAt returns when a change was first delivered to the gateway process that was started at processStart, or the zero
-// time if it was not. d.mu must be held.
+// deliveredAt returns when a watch first brought the gateway process that was started at processStart to a version of the list
+// that contains the change, or the zero time if none did. d.mu must be held.
 func (d *discovery) deliveredAt(gateway int, processStart time.Time, index int) time.Time {
 	for _, delivered := range d.deliveries[gateway] {
 		if delivered.version > index && !delivered.at.Before(processStart) {
@@ -38,8 +41,9 @@
 	return time.Time{}
 }
 
-// silenceDeadline returns the deadline by which a gateway has to detect that one of its watches, which was silent at the time
-// of a change, is broken. It returns the zero time if no watch was silent then. d.mu must be held.
+// silenceDeadline returns when a gateway is treated as notified of a change that occurred while one of its watches was silent.
+// The gateway has to replace a silent watch within maxNotificationDelay after the silence has begun, so this is that time, or
+// the time of the change if it is later. The result is the zero time if no watch was silent. d.mu must be held.
 func (d *discovery) silenceDeadline(gateway int, processStart time.Time, c change) (deadline time.Time) {
 	for _, silence := range d.silences[gateway] {
 		if silence.Contains(c.at) && silence.From.After(processStart) {
--- a/internal/testbed/chaos/options.go
+++ b/internal/testbed/chaos/options.go
@@ -11,7 +11,7 @@
 type Options struct {
 	Binary          string // path of the gateway program
 	Gateways        int    // number of processes
-	FleetSize       int    // number of gateways that the settings name; 0: Gateways
+	FleetSize       int    // number of gateways according to the settings; 0: same as Gateways
 	Shards          int
 	Duration        time.Duration
 	Seed            uint64
--- a/internal/testbed/chaos/outage_test.go
+++ b/internal/testbed/chaos/outage_test.go
@@ -8,10 +8,11 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// TestDrainingServerGetsNoRequestsAfterDiscoveryOutage drains a server right after an outage of discovery during which the
-// polls of the gateways have failed repeatedly. The settings of the gateways name a large fleet. The checker reports a
-// gateway that still sends requests to the server after the deadline by which it is treated as notified of the drain, plus
-// the drain grace.
+// TestDrainingServerGetsNoRequestsAfterDiscoveryOutage drains a server right after an outage of discovery. The time between two
+// polls of a gateway grows with the size of its fleet and with each failed poll, so the test sets a large FleetSize and lets
+// the polls fail during the outage. It guards against gateways that poll too late after the outage and so do not know that
+// the server drains: the checker reports an attempt at the server more than maxNotificationDelay plus drainGrace after the
+// drain was published.
 func TestDrainingServerGetsNoRequestsAfterDiscoveryOutage(t *testing.T) {
 	const (
 		gateways        = 8
@@ -36,6 +37,6 @@
 		t.Error(text)
 	}
 	if result.Served < 100*gateways {
-		t.Errorf("%d of %d requests were served, too few to test the invariants", result.Served, result.Requests)
+		t.Errorf("%d of %d requests were served, want at least 100 for each gateway", result.Served, result.Requests)
 	}
 }
--- a/internal/testbed/chaos/request.go
+++ b/internal/testbed/chaos/request.go
@@ -16,8 +16,8 @@
 	outcomeServed               // status 200
 	outcomeRejected             // status 429 or 503
 	outcomeFailed               // another status of 500 and above
-	outcomeInvalid              // any other status: the gateway considers the request invalid
-	outcomeCanceled             // the client closed its connection
+	outcomeInvalid              // any other status; expected only for a request that was sent incompletely
+	outcomeCanceled             // the client closed its connection before the response, as request.cancelAfter says
 	outcomeDisconnected         // the connection ended before a complete response
 	outcomeTimedOut             // no complete response arrived in time
 	outcomeNotConnected         // no connection was established, so the request was never sent
@@ -43,12 +43,12 @@
 	units       int
 	deadline    time.Duration // remaining time that the client states
 	cancelAfter time.Duration // how long after sending the client closes its connection; 0: never
-	incomplete  bool          // the client sends only half of the request and then waits
+	incomplete  bool          // whether the client sends only half of the request and then waits
 
-	connReused   bool      // the connection had carried an earlier request
+	connReused   bool      // whether the connection had carried an earlier request
 	dialedAt     time.Time // zero if the connection was reused
 	sentAt       time.Time // when the client had written the last byte; zero: never
-	closedAt     time.Time // when the client closed the connection without a response; zero: never
+	closedAt     time.Time // when the client closed the connection without a complete response; zero: never
 	endedAt      time.Time
 	outcome      outcome
 	status       int // 0: no response
--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -8,8 +8,9 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// checkResponse counts the outcome of a request. It checks that a request that a gateway has accepted got a final response,
-// and that the response to a served request came from a server.
+// checkResponse counts the outcome of a request and checks its response. A served request must have a response of a server. A
+// complete request must not get a status of outcomeInvalid. A request must get its response in time, unless the client canceled
+// it or could not connect, the gateway was interrupted, or the machine stalled.
 func (c *checker) checkResponse(r *request, arrivals []*arrival) {
 	c.countOutcome(r)
 	switch r.outcome {
@@ -45,7 +46,8 @@
 	}
 }
 
-// checkRejected checks that a rejected request was not executed by a server, unless it is idempotent.
+// checkRejected checks that no server executed a rejected request. Only requests that are idempotent without a key may have
+// been executed.
 func (c *checker) checkRejected(r *request, arrivals []*arrival) {
 	if r.class.idempotency == idempotent {
 		return
@@ -56,10 +58,10 @@
 	}
 }
 
-// checkResponseTime checks that a request that was sent to a running gateway got a response in time. For an incomplete request, it
-// is enough that the gateway closed the connection.
+// checkResponseTime checks that a request to a running gateway got a response in time. For an incomplete request, it is enough
+// that the gateway responded or closed the connection before incompleteTimeout.
 func (c *checker) checkResponseTime(r *request, arrivals []*arrival) {
-	if r.incomplete { // the gateway has to respond or close the connection
+	if r.incomplete {
 		if r.outcome == outcomeTimedOut {
 			c.result.addViolation(&c.result.Lost, "%s %s was sent incompletely, and the gateway neither responded nor closed the connection",
 				c.seconds(r.endedAt), r.id)
@@ -83,14 +85,16 @@
 		c.seconds(r.endedAt), r.id, r.class.name, r.gateway, r.connReused, c.seconds(r.sentAt), r.err, len(arrivals))
 }
 
-// neverAccepted reports whether the gateway may have closed the connection before it read the request. There must have been
-// no attempt of the request.
+// neverAccepted reports whether the connection may have been closed before the gateway read the request. The caller must have
+// checked that no attempt of the request arrived at a server.
 func (c *checker) neverAccepted(r *request) bool {
 	if r.connReused || r.sentAt.IsZero() {
 		return true // the gateway may have closed the idle connection while the client sent the request
 	}
-	// When a gateway that is shutting down stops accepting connections, the operating system resets those that it has
-	// established but that the gateway has not accepted.
+	// When a gateway that is shutting down stops accepting connections, the operating system resets the connections that it
+	// has established and the gateway has not accepted yet. stoppedAccepting: a shutdown, including the restart, overlaps the
+	// time from acceptTime before the dial to the end of the request, but not the acceptTime after the dial. dialedTooLate:
+	// the client dialed during a shutdown, more than acceptTime after SIGTERM.
 	stoppedAccepting := c.terminating(r.gateway, r.dialedAt.Add(-acceptTime), r.endedAt) &&
 		!c.terminating(r.gateway, r.dialedAt.Add(time.Millisecond), r.dialedAt.Add(acceptTime))
 	dialedTooLate := slices.ContainsFunc(c.gateways[r.gateway].terminations, func(termination process.Interval) bool {
--- a/internal/testbed/chaos/result.go
+++ b/internal/testbed/chaos/result.go
@@ -14,14 +14,14 @@
 	Served        int
 	Rejected      int
 	Failed        int
-	NeverAccepted int // requests on a connection that the gateway closed before it read them
+	NeverAccepted int // requests whose connection may have been closed before the gateway read them; no violation
 	Stalls        int // stalls of the whole machine
 
 	// Violations of the invariants, by kind.
-	SentAfterDrain      int // attempts at a server later than the drain grace after the gateway was notified that it drains
+	SentAfterDrain      int // attempts more than drainGrace after their gateway was notified that the server drains or is removed
 	SlowStartExceeded   int // servers that got more load than their slow start allows
-	Lost                int // requests without a final response, with a wrong one, or attempted after the client was gone
-	DuplicateExecutions int // executions that repeat one without protection by idempotency or deduplication
+	Lost                int // requests without a response in time or with a wrong one, and attempts after the client had left
+	DuplicateExecutions int // repeated executions that neither idempotency nor deduplication allows; rejections of executed requests
 	DeadlineExtended    int // attempts that stated a longer remaining time to the server than the client had left
 	GatewayReported     int // nonzero violation counters in the metrics of gateways
 	Crashed             int // gateways that exited unexpectedly, did not exit in time, or did not start
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -21,9 +21,9 @@
 	server        *server
 	firstByteAt   time.Time
 	lastByteAt    time.Time     // zero: the request did not arrive completely
-	remainingTime time.Duration // remaining time that the gateway states
+	remainingTime time.Duration // remaining time that the gateway states in the request
 	units         float64
-	executed      bool // whether the server has executed the request, or may have
+	executed      bool // whether the server may have executed the request: it did not reject it
 }
 
 // server fakes one incarnation of a storage server. It records all arrivals.
@@ -31,7 +31,7 @@
 	name      string
 	shard     int
 	addr      string
-	startedAt time.Time // zero: long ago
+	startedAt time.Time // zero: so long ago that the server is not in slow start
 	listener  net.Listener
 
 	mu             sync.Mutex
@@ -51,7 +51,7 @@
 	name      string
 	shard     int
 	addr      string    // empty: a free port
-	startedAt time.Time // zero: long ago
+	startedAt time.Time // zero: so long ago that the server is not in slow start
 	seed      uint64
 }
 
--- a/internal/testbed/chaos/serverfaults.go
+++ b/internal/testbed/chaos/serverfaults.go
@@ -16,10 +16,11 @@
 	removedRunTime = 4 * time.Second  // from the removal to the end of the drained server
 )
 
-// A fault replaces the servers of at most one of every shardsPerFault shards, but of at least one.
+// One fault replaces the servers of at most Options.Shards/shardsPerFault shards, or of one shard if that is 0.
 const shardsPerFault = 3
 
-// replaceServers drains the servers of some shards and starts replacements for them.
+// replaceServers drains the servers of some shards and starts replacements for them. It skips a shard whose server is already
+// being replaced or restarted.
 func replaceServers(h *harness, random *rand.Rand) {
 	for range 1 + random.IntN(max(1, h.options.Shards/shardsPerFault)) {
 		shard := random.IntN(h.options.Shards)
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -10,15 +10,15 @@
 
 // Settings of the gateways. The bounds of the checker are derived from them.
 const (
-	meanUnits         = 2.0 // mean units of a request
-	maxUnits          = 6.0 // units of the largest request
-	drainGrace        = time.Second
+	meanUnits         = 2.0         // mean units of a request
+	maxUnits          = 6.0         // units of the largest request
+	drainGrace        = time.Second // how long a gateway may still send to a server after the notification that it drains
 	maxPollInterval   = 10 * time.Second
-	overloadWindow    = 3 * time.Second
-	slowStartDuration = 8 * time.Second
-	initialCapacity   = 0.28 // capacity of a server right after its start, as a fraction of its full capacity
-	slowStartUnits    = 51.0 // units that a server can serve in the first overloadWindow after its start
-	dedupWindow       = 3 * time.Second
+	overloadWindow    = 3 * time.Second // sliding window over which the load of a server in slow start is limited
+	slowStartDuration = 8 * time.Second // time from the start of a server until it has its full capacity
+	initialCapacity   = 0.28            // capacity of a server right after its start, as a fraction of its full capacity
+	slowStartUnits    = 51.0            // units that a server can serve in the first overloadWindow after its start
+	dedupWindow       = 3 * time.Second // how long a server recognizes the key of a request that it has executed
 	connectTimeout    = 250 * time.Millisecond
 	connIdleTimeout   = 4 * time.Second
 	maxAttempts       = 3
@@ -27,23 +27,25 @@
 // Tolerances of the checker.
 const (
 	socketSlack          = 50 * time.Millisecond  // added to time limits, for the delay of sockets
-	maxNotificationDelay = 6 * time.Second        // a gateway is treated as notified once discovery has been up this long
-	cancelSlack          = 100 * time.Millisecond // how long after its client has closed the connection an attempt may begin
+	maxNotificationDelay = 6 * time.Second        // after this time a gateway is treated as notified of a change; see notifiedAt
+	cancelSlack          = 100 * time.Millisecond // how long after the client has closed its connection an attempt may still begin
 	deadlineSlack        = 150 * time.Millisecond // how much the time stated to a server may exceed the remaining time
 	responseSlack        = 500 * time.Millisecond // how late a response may be without counting as lost
 	acceptTime           = 400 * time.Millisecond // how long a gateway accepts new connections after SIGTERM
 )
 
-// firstVolume is the volume of the requests to the first gateway. The other gateways have the following volumes.
+// firstVolume is the ID of the volume that the requests to the first gateway name. The requests to the other gateways name
+// the following IDs.
 const firstVolume = 0xb000
 
-// idempotency is the idempotency of the requests of a service class, under its name in the settings.
+// idempotency says whether a request of a service class may be executed more than once. The values are the names in the
+// settings.
 type idempotency string
 
 const (
-	idempotent        idempotency = "repeatable"
-	idempotentWithKey idempotency = "by_key"
-	notIdempotent     idempotency = "once"
+	idempotent        idempotency = "repeatable" // may be executed any number of times
+	idempotentWithKey idempotency = "by_key"     // may be repeated while servers recognize its key
+	notIdempotent     idempotency = "once"       // must not be executed more than once
 )
 
 // class is a service class.
@@ -67,7 +69,8 @@
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // slowStartBound returns how many requests of meanUnits a server may get within an overloadWindow that ends at the given age
-// of the server. It includes a margin of two or three standard deviations for random arrivals.
+// of the server. The capacity of the server rises linearly from initialCapacity to 1 within slowStartDuration. The bound
+// includes a margin of two or three standard deviations, because requests arrive at random.
 func slowStartBound(age time.Duration) float64 {
 	capacity := initialCapacity + (1-initialCapacity)*min(1, age.Seconds()/slowStartDuration.Seconds())
 	requests := slowStartUnits / meanUnits * capacity / initialCapacity
@@ -77,7 +80,7 @@
 	return requests + 2*math.Sqrt(requests) + 2
 }
 
-// gatewayConfig returns the configuration of a gateway, with the current endpoint list as cached snapshot.
+// gatewayConfig returns the configuration of a gateway, with the current endpoint list as its cached snapshot.
 func (h *harness) gatewayConfig(g *gateway) process.Config {
 	return process.Config{
 		Name:      g.Name,
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -11,7 +11,7 @@
 const (
 	// heartbeatInterval is how long a watch sends nothing before a heartbeat, while the endpoint list does not change.
 	heartbeatInterval = 2 * time.Second
-	// callSlotTimeout is how long a call waits for earlier calls before discovery rejects it.
+	// callSlotTimeout is how long a poll waits for earlier polls before discovery rejects it.
 	callSlotTimeout = 2 * time.Second
 )
 
@@ -24,7 +24,7 @@
 	silentSince  time.Time     // zero while the watch sends messages
 }
 
-// serveWatch handles a call of a gateway, which opens a watch of the endpoint list.
+// serveWatch handles a call of a gateway: it opens a watch of the endpoint list and sends its messages until the watch ends.
 func (d *discovery) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
 	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if the gateway has no list
 	if d.failInOutage(w) {
@@ -79,8 +79,8 @@
 	return true
 }
 
-// waitForCallSlot waits until the earlier calls have been handled, and then for as long as discovery takes to handle this
-// call. It returns false if the earlier calls took longer than callSlotTimeout or if the call was canceled.
+// waitForCallSlot waits until the earlier polls have been handled, and then for as long as discovery takes to handle this
+// poll. It returns false if the earlier polls took longer than callSlotTimeout or if the gateway canceled the poll.
 func (d *discovery) waitForCallSlot(r *http.Request) bool {
 	select {
 	case d.callSlot <- struct{}{}:
