--- a/internal/testbed/cluster/byzantine.go
+++ b/internal/testbed/cluster/byzantine.go
@@ -18,7 +18,7 @@
 // datagrams that it receives.
 type byzantinePeer struct {
 	conn       net.PacketConn
-	index      int // index of the peer in the fleet: the one after the last gateway
+	index      int // member index of the peer in the fleet, which follows the index of the last gateway
 	codec      *datagram.Codec
 	lastNumber uint64 // number of the last datagram sent
 }
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -21,7 +21,8 @@
 	trafficStream  = 100 // stream of the first volume; the following volumes use the following numbers
 )
 
-// loopbackBlock is the block of loopback addresses that the gateways of this package use.
+// loopbackBlock is the second octet of the loopback addresses of this package's gateways. It differs from that of other
+// packages that start gateways; see loopback.Host.
 const loopbackBlock = 1
 
 // gossipPeriodMs is the time between two probes that a gateway sends.
@@ -63,7 +64,7 @@
 	platform  *platform
 	byzantine *byzantinePeer
 	gateways  []*process.Process
-	links     [][]*datagramProxy // by sender and receiver; nil from a gateway to itself
+	links     [][]*datagramProxy // indexed by sender, then by receiver; nil from a gateway to itself
 	random    *rand.Rand         // used only by scenarios
 
 	stop       chan struct{}  // closed to end the traffic and the stall detector
@@ -71,7 +72,7 @@
 
 	mu                sync.Mutex
 	result            Result
-	violationPosition int   // position of the first violation in the log; 0: none
+	violationPosition int   // position in the log of the first violation, if addViolation has recorded it; 0: none
 	primaryHosts      []int // by volume: index of the host that receives most of its requests
 	requestCount      int
 }
@@ -161,8 +162,8 @@
 	return gateway.Start()
 }
 
-// edgeConfig returns the operator's file of a gateway, or nil if gateways do not communicate. The peers are listed with the
-// addresses of the proxies to them; the byzantine peer is the last one.
+// edgeConfig returns the operator's file of a gateway, or nil if gateways do not communicate. It lists each other gateway with
+// the address of the proxy to it, and the byzantine peer as the last peer.
 func (c *Cluster) edgeConfig(gateway *process.Process) *process.EdgeConfig {
 	if !c.options.Gossip {
 		return nil
@@ -232,7 +233,7 @@
 	update(&c.result)
 }
 
-// addViolation records and logs a violation of an invariant.
+// addViolation records and logs a violation of an invariant. It does not count the violation under a kind.
 func (c *Cluster) addViolation(format string, args ...any) {
 	text, position := fmt.Sprintf(format, args...), c.log.Position()
 	c.log.Printf("VIOLATION: %s", text)
@@ -244,8 +245,8 @@
 	})
 }
 
-// FirstViolationLog returns the log lines of all processes around the first violation. If the violations were found only in
-// the counts at the servers, it returns the last lines.
+// FirstViolationLog returns the log lines of all processes around the first violation. If the position of the first violation
+// is not known, because it was not recorded with addViolation, FirstViolationLog returns the last lines.
 func (c *Cluster) FirstViolationLog() string {
 	c.mu.Lock()
 	position := c.violationPosition
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -12,8 +12,8 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// TestInvariantsHoldInAllScenarios runs all scenarios with a fifth of their waiting times; `make fleet-soak` runs them at
-// full length.
+// TestInvariantsHoldInAllScenarios checks that gateways violate no invariant in any scenario. It shortens the waiting times to a
+// fifth, except those of waitUnscaled; `make fleet-soak` runs the scenarios at full length.
 func TestInvariantsHoldInAllScenarios(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts several processes")
@@ -29,10 +29,11 @@
 		t.Error(text)
 	}
 	if result.Served < 50 || result.Rejected == 0 || result.Kills < 3 || result.Pauses < 2 || result.Datagrams < 50 {
-		t.Error("the run had too few requests, kills, pauses or datagrams to test the invariants")
+		t.Error("the logged result is too small, want at least 50 served and 1 rejected request, 3 kills, 2 pauses and 50 datagrams")
 	}
 }
 
+// TestStartReportsExitedGateway guards against a start that waits for a gateway to become ready although its process has exited.
 func TestStartReportsExitedGateway(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "ends")
 	if err := os.WriteFile(binary, []byte("#!/bin/sh\nexit 3\n"), 0o755); err != nil {
@@ -44,6 +45,8 @@
 	}
 }
 
+// TestResultCountsUnitsOverLimit takes 24 units more than the burst of a volume at once. If Result did not count that as a
+// violation, the scenarios would pass although the gateways exceed limits.
 func TestResultCountsUnitsOverLimit(t *testing.T) {
 	p, err := newPlatform(1, 1, 1)
 	if err != nil {
@@ -61,6 +64,6 @@
 
 func TestRunRejectsUnknownScenario(t *testing.T) {
 	if _, err := Run(Options{}, time.Second, "nothing", &strings.Builder{}); err == nil {
-		t.Error("Run with an unknown scenario returned no error")
+		t.Error("Run with the unknown scenario \"nothing\" returned no error, want one")
 	}
 }
--- a/internal/testbed/cluster/datagramproxy.go
+++ b/internal/testbed/cluster/datagramproxy.go
@@ -32,7 +32,7 @@
 	random    *rand.Rand
 	faults    DatagramFaults
 	forwarded int // datagrams sent; a duplicated one counts twice
-	impaired  int // datagrams that were lost, duplicated or corrupted
+	impaired  int // datagrams lost, duplicated or corrupted; one that is also corrupted counts twice
 }
 
 // newDatagramProxy starts a proxy that forwards to a UDP address.
--- a/internal/testbed/cluster/datagramproxy_test.go
+++ b/internal/testbed/cluster/datagramproxy_test.go
@@ -51,13 +51,15 @@
 	return string(buffer[:n])
 }
 
+// TestDatagramFaults checks that a link delivers as many copies of a datagram as its faults say, and changes a datagram if and
+// only if bits are inverted. With a proxy that injects no faults, the scenarios would not test the gateways.
 func TestDatagramFaults(t *testing.T) {
 	link := newProxiedLink(t)
 	for _, test := range []struct {
 		name      string
 		faults    DatagramFaults
-		copies    int
-		unchanged bool
+		copies    int  // number of datagrams that the link must deliver
+		unchanged bool // whether the delivered text must equal the sent one
 	}{
 		{"good link", DatagramFaults{}, 1, true},
 		{"duplicated", DatagramFaults{DuplicateRate: 1}, 2, true},
@@ -69,7 +71,7 @@
 			write(t, link.sender, "datagram")
 			for range test.copies {
 				if got := link.receive(t); (got == "datagram") != test.unchanged {
-					t.Errorf("received %q, unlike what the faults of the link should deliver", got)
+					t.Errorf("received %q for the sent text \"datagram\", want it changed if bits are inverted, and otherwise unchanged", got)
 				}
 			}
 		})
@@ -87,11 +89,11 @@
 	link.proxy.setFaults(DatagramFaults{})
 	write(t, link.sender, "again")
 	if got := link.receive(t); got != "again" {
-		t.Errorf("first datagram after the faults = %q, want the one sent last", got)
+		t.Errorf("first datagram received after the faults have ended = %q, want \"again\", which was sent last", got)
 	}
 }
 
-// waitUntilImpaired waits until the proxy has impaired a number of datagrams.
+// waitUntilImpaired waits until the proxy has impaired at least count datagrams.
 func waitUntilImpaired(p *datagramProxy, count int) {
 	for impaired := 0; impaired < count; {
 		p.mu.Lock()
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	// minRequestsToCompare is how many requests a gateway must have sent to the server that another one is compared with.
+	// minRequestsToCompare is how many requests a gateway must have sent to the server of the next shard, so that
+	// checkNotEjected can compare the numbers of requests.
 	minRequestsToCompare = 20
-	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to a
-	// comparable server.
+	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to the
+	// server of the next shard.
 	ejectedRatio = 4
 	// recoveryCheckInterval is the time between two checks whether a server has recovered.
 	recoveryCheckInterval = 400 * time.Millisecond
@@ -31,9 +32,10 @@
 	}
 }
 
-// measureRecovery waits until the server of a shard that has stopped failing gets at least half as many requests, from all
-// gateways together, as the server of the next shard. It records how long that took, and gives up after twice
-// RecoveryBoundMs.
+// measureRecovery waits until the gateways have resumed using the server of a shard that has stopped failing. They have if, in
+// one recoveryCheckInterval, all gateways together sent it at least half as many requests as the server of the next shard, and
+// at least as many requests as there are gateways. measureRecovery records how long that took. It gives up after twice
+// RecoveryBoundMs and records the time until then.
 func (c *Cluster) measureRecovery(shard int) {
 	start, last := time.Now(), c.platform.receivedCounts()
 	next := (shard + 1) % c.options.Shards
--- a/internal/testbed/cluster/partitionscenarios.go
+++ b/internal/testbed/cluster/partitionscenarios.go
@@ -42,6 +42,8 @@
 	c.healLinks()
 }
 
+// loseAcknowledgements drops all datagrams from each gateway to the gateways with lower indexes. So of two gateways, only one
+// receives datagrams of the other, and no request is acknowledged.
 func loseAcknowledgements(c *Cluster) {
 	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Partitioned: from > to, DelayMs: 3} })
 	c.rotatePrimaryHosts()
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -18,8 +18,8 @@
 	heartbeatInterval = 2 * time.Second
 )
 
-// platform fakes the storage servers and discovery, and counts the requests that arrive. Each gateway gets its own addresses
-// of them, so that servers and discovery can treat gateways differently.
+// platform fakes the storage servers and discovery, and counts the requests that arrive. Each gateway gets
+// addresses of its own for the servers and for discovery, so that these can treat gateways differently.
 type platform struct {
 	hosts   int // number of hosts of each volume
 	shards  int
@@ -30,7 +30,7 @@
 	mu          sync.Mutex
 	limits      map[uint64]*tokenBucket // by volume ID
 	arrivals    map[string]int          // number of arrivals, by request ID
-	duplicates  int                     // arrivals of requests that a server had received before
+	duplicates  int                     // arrivals of requests that the same or another server had received before
 	listVersion int
 	listChanged chan struct{} // closed at the next change of an endpoint list
 }
@@ -148,8 +148,8 @@
 	_, _ = fmt.Fprintf(w, "%s from %d", idText, shard) // the gateway may have closed the connection
 }
 
-// recordArrival counts a request and reports whether the server is to fail it. Only the first arrival of a request takes
-// units from the limit of its volume.
+// recordArrival counts the arrival of a request and reports whether the server has to fail the request. Only the first arrival
+// of a request takes units from the limit of its volume.
 func (p *platform) recordArrival(view *gatewayView, shard int, idText string, id requestID) (failing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/cluster/processscenarios.go
+++ b/internal/testbed/cluster/processscenarios.go
@@ -61,7 +61,8 @@
 	c.wait(time.Second)
 }
 
-// runOneWithoutGossip runs one gateway without an operator's file, so that it behaves like a version without gossip.
+// runOneWithoutGossip runs one gateway without an operator's file, so that the gateway behaves like a version of the
+// program without gossip.
 func runOneWithoutGossip(c *Cluster) {
 	gateway := c.gateways[c.random.IntN(len(c.gateways))]
 	args := gateway.Args
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// RecoveryBoundMs is the upper bound of Result.RecoveryMs. It is the sum of the lifetime of outlier reports, the time
-// between two attempts at an ejected server, and recoveryCheckInterval. A lost datagram would add the age of reports, but
-// scenarios that measure the recovery lose none.
+// RecoveryBoundMs is the upper bound of Result.RecoveryMs. It is the sum of three times: how long after the last failure a
+// gateway reports a server as failing (outlier.Settings.FailureDecayBoundMs), the time between two attempts at an ejected
+// server, and recoveryCheckInterval. If a datagram were lost, a report could stay in effect for longer, up to the age at which
+// reports are ignored, but scenarios that measure the recovery lose no datagrams.
 const RecoveryBoundMs = 2408.0 + 400 + 400
 
 // Result holds the counts and the violations of a run.
@@ -16,16 +17,16 @@
 	Datagrams                 int // datagrams forwarded between gateways
 
 	EjectedSendRate   float64 // highest rate of attempts, per second, from one gateway to a server that fails for all gateways
-	StaleListSendRate float64 // the same to a draining server, from a gateway whose own endpoint list does not say that it drains
+	StaleListSendRate float64 // highest rate, per second, from a gateway to a draining server that its own list calls ready
 	RecoveryMs        float64 // longest time until a server that had failed for all gateways was used again
 	MaxOverLimit      float64 // most units by which any volume exceeded its limit
 	AllowedOverLimit  float64 // most units by which the invariant allows a volume to exceed its limit
 
 	// Violations of the invariants, by kind.
 	Lost              int // requests without a response although their gateway was running
-	DuplicateArrivals int // attempts that repeat a request which is not idempotent
+	DuplicateArrivals int // attempts of a request that had arrived before; no request is idempotent
 	Crashed           int // gateways that exited unexpectedly
-	OverLimit         int // volumes that exceeded their limit by more than AllowedOverLimit
+	OverLimit         int // volumes that exceeded their limits by more than AllowedOverLimit
 	WrongEjections    int // gateways that nearly stopped sending to a server that served them without errors
 
 	Violations []string // descriptions of all violations
--- a/internal/testbed/cluster/serverscenarios.go
+++ b/internal/testbed/cluster/serverscenarios.go
@@ -12,6 +12,8 @@
 	stalledShard  = 2 // taken modulo the number of shards
 )
 
+// failServerForAll measures how many requests the gateways still send to a server that fails for all of them, and how long they
+// take to use it again after it has stopped failing.
 func failServerForAll(c *Cluster) {
 	for gateway := range c.gateways {
 		c.platform.setFailing(gateway, true)
@@ -30,6 +32,7 @@
 	c.checkNotEjected(allGateways, failingShard, before)
 }
 
+// failServerForOne makes a server fail for the first gateway only. The other gateways must not eject the server.
 func failServerForOne(c *Cluster) {
 	c.platform.setFailing(0, true)
 	c.wait(time.Second)
@@ -42,6 +45,8 @@
 
 func allButFirstGateway(gateway int) bool { return gateway != 0 }
 
+// sendFalseReports lets the byzantine peer send false reports to all gateways. No gateway may eject a server because of them,
+// which is checked for the servers of shards 0 and 1.
 func sendFalseReports(c *Cluster) {
 	before := c.platform.receivedCounts()
 	for round := range 20 {
@@ -56,12 +61,14 @@
 	c.checkNotEjected(allGateways, 1, before)
 }
 
+// drainServerWithStaleList drains a server and does not tell one gateway in its endpoint list. That gateway may learn of the
+// drain from its peers. The other gateways must stop sending to the server.
 func drainServerWithStaleList(c *Cluster) {
 	c.mu.Lock()
-	stale := c.hosts(0)[c.primaryHosts[0]].Index // a gateway that receives requests
+	stale := c.hosts(0)[c.primaryHosts[0]].Index // the primary host of the first volume, since it receives many requests
 	c.mu.Unlock()
 	c.setDrainingExcept(stale, true)
-	c.waitUnscaled(1500 * time.Millisecond) // drainGraceMs, and half as much for the endpoint list to arrive
+	c.waitUnscaled(1500 * time.Millisecond) // drainGraceMs, plus 500 ms for the endpoint lists to arrive
 	before, start := c.platform.receivedCounts(), time.Now()
 	c.wait(2 * time.Second)
 	now := c.platform.receivedCounts()
@@ -99,6 +106,8 @@
 	c.wait(time.Second)
 }
 
+// impairStreams delays and splits the requests to all servers, resets connections to servers in the middle of responses, and
+// delivers the endpoint lists in small chunks.
 func impairStreams(c *Cluster) {
 	for gateway, view := range c.platform.views {
 		for _, proxy := range view.serverProxies {
--- a/internal/testbed/cluster/settings.go
+++ b/internal/testbed/cluster/settings.go
@@ -13,11 +13,11 @@
 	meanUnits          = 2.0  // mean units of a request
 	deadlineMs         = 1500
 	latencyObjectiveMs = 400
-	drainGraceMs       = 1000
+	drainGraceMs       = 1000 // how long a gateway may still send to a server after the notification that it drains
 )
 
-// limitTimeSlackMs extends the allowed overdraft of a volume by the units that limitRate yields in this time, because
-// sockets delay requests by different times.
+// limitTimeSlackMs extends the allowed overdraft of a volume by the units that limitRate yields in this time. Sockets delay
+// requests by different times, so requests that were sent apart may arrive together.
 const limitTimeSlackMs = 150
 
 // limitBurst returns the size of the token bucket of a volume in units: two of the largest requests for each host, but at
@@ -28,7 +28,7 @@
 // request.
 func limitOverdraft(hosts int) float64 { return max(maxUnits, 0.1*limitBurst(hosts)) }
 
-// gatewayConfig returns the configuration of a gateway, with its current endpoint list as cached snapshot.
+// gatewayConfig returns the configuration of a gateway, with its current endpoint list as its cached snapshot.
 func (p *platform) gatewayConfig(gateway *process.Process, gateways int) process.Config {
 	return process.Config{
 		Name:      gateway.Name,
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -20,7 +20,7 @@
 	Stalled         bool    // no bytes are forwarded; connections stay open
 	DelayMs         float64 // delay of each chunk
 	ChunkSize       int     // bytes forwarded at once, every chunkInterval; 0: all available bytes
-	ResetAfterBytes int     // bytes after which each connection is reset, counted while this is set; 0: never
+	ResetAfterBytes int     // bytes after which each connection is reset; bytes forwarded while this is 0 do not count; 0: never
 }
 
 // direction is the direction of bytes through a streamProxy.
@@ -182,8 +182,8 @@
 	return true
 }
 
-// writeChunk writes a chunk. If resetAfterBytes is reached within the chunk, it writes only the bytes up to there and resets
-// the connection. It returns false if the connection was reset.
+// writeChunk writes a chunk. If the connection would forward more than resetAfterBytes with it, writeChunk writes only the
+// bytes up to resetAfterBytes and resets the connection. It returns false if the connection was reset.
 func (c *copier) writeChunk(chunk []byte, resetAfterBytes int) bool {
 	if resetAfterBytes > 0 && c.countedBytes+len(chunk) > resetAfterBytes {
 		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)]) // the connection is reset anyway
--- a/internal/testbed/cluster/streamproxy_test.go
+++ b/internal/testbed/cluster/streamproxy_test.go
@@ -9,6 +9,8 @@
 	"gaugerelay/internal/testbed"
 )
 
+// TestStreamFaults checks each fault of a streamProxy in turn: chunks and delays lose no bytes, a stall ends when the proxy is
+// healed, and resets end connections. With a proxy that injects no faults, the scenarios would not test the gateways.
 func TestStreamFaults(t *testing.T) {
 	ln := testbed.Listen(t)
 	p, err := newStreamProxy(ln.Addr().String())
@@ -21,16 +23,16 @@
 	write(t, client, "a request")
 	write(t, server, "an answer")
 	if got := read(server, 9); got != "a request" {
-		t.Errorf("server received %q in chunks, want the whole request", got)
+		t.Errorf("server received %q in chunks of 3 bytes, want the whole request \"a request\"", got)
 	}
 	p.heal()
 	if got := read(client, 9); got != "an answer" {
-		t.Errorf("client received %q after a stall, want the whole response", got)
+		t.Errorf("client received %q after the stall has ended, want the whole response \"an answer\"", got)
 	}
 	p.setFaults(StreamFaults{}, StreamFaults{ResetAfterBytes: 4})
 	write(t, server, "another answer")
 	if got := read(client, 14); len(got) > 4 {
-		t.Errorf("client received %q of a response that is reset after 4 bytes, want at most 4 bytes", got)
+		t.Errorf("client received %q over a connection that is reset after 4 bytes, want at most 4 bytes", got)
 	}
 	p.heal()
 	client, server = connectThrough(t, p, ln)
@@ -38,7 +40,7 @@
 	read(server, 1)
 	p.resetConns()
 	if got := read(client, 1); got != "" {
-		t.Errorf("client received %q after a reset, want nothing", got)
+		t.Errorf("client received %q after resetConns, want nothing", got)
 	}
 }
 
--- a/internal/testbed/cluster/traffic.go
+++ b/internal/testbed/cluster/traffic.go
@@ -15,7 +15,7 @@
 
 // Distribution of the requests that clients draw.
 const (
-	otherHostOneIn    = 20 // one in this many requests goes to a random host instead of the primary one
+	otherHostOneIn    = 20 // one in this many requests goes to a random host of its volume instead of the primary host
 	largeRequestOneIn = 25 // one in this many requests has maxUnits
 	maxTypicalUnits   = 3  // other requests have from 1 to maxTypicalUnits units
 )
@@ -25,8 +25,8 @@
 	clientTimeoutSlack = time.Second
 	// maxIdleConnsPerHost is how many idle connections the clients of a volume keep to each gateway.
 	maxIdleConnsPerHost = 64
-	// interruptionSlack is how long before a request an interruption of its gateway may have ended and still excuse a missing
-	// response.
+	// interruptionSlack is the longest time between the end of an interruption of a gateway and the start of a request to it
+	// whose missing or late response the interruption excuses.
 	interruptionSlack = 50 * time.Millisecond
 	// responseSlack is how long after the deadline a response may arrive.
 	responseSlack = 500 * time.Millisecond
@@ -37,7 +37,7 @@
 
 func volumeID(volume int) uint64 { return uint64(firstVolume + volume) }
 
-// requestID identifies a request. It contains the units of the request, so that servers know its cost.
+// requestID identifies a request. It contains the units of the request, so that the fake servers know them.
 type requestID struct {
 	volume uint64
 	units  int
@@ -177,7 +177,7 @@
 	return req, nil
 }
 
-// addResponse counts the response to a request.
+// addResponse counts the response to a request, or records a violation if the response is unexpected.
 func (r *Result) addResponse(id requestID, status int, body string) {
 	switch {
 	case status == http.StatusOK && strings.HasPrefix(body, id.String()+" "):
--- a/internal/testbed/cluster/traffic_test.go
+++ b/internal/testbed/cluster/traffic_test.go
@@ -21,7 +21,7 @@
 			_, _ = fmt.Fprintf(hash, "%v %d %d %d\n", gap, drawn.host, drawn.units, drawn.shard) // a hash never fails
 		}
 		if got := hash.Sum64(); got != test.want {
-			t.Errorf("requests of volume %d have hash %#x, want %#x", test.volume, got, test.want)
+			t.Errorf("the first 2000 requests of volume %d have the hash %#x, want %#x", test.volume, got, test.want)
 		}
 	}
 }
