--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -42,7 +42,7 @@
 	ID          string
 	Write       bool
 	Weight      float64       // priority weight of the service class
-	DedupWindow time.Duration // how long servers do not execute a request with the same key again
+	DedupWindow time.Duration // how long servers recognize a key and do not execute the request again
 	Deadline    time.Time
 	Size        int // size of the body in bytes
 }
@@ -53,7 +53,7 @@
 	Content            string // digest of the body
 	At                 time.Time
 	Deduplicated       bool // whether the server recognized the key of an earlier request and did not execute this one
-	Incarnation        int  // incarnation of the gateway, for protocols whose clients cannot mark a retry; otherwise 0
+	Incarnation        int  // incarnation of the gateway if clients of the protocol cannot mark a request as a retry; otherwise 0
 	DrainNotified      bool // whether the gateway had been notified more than 1 s earlier that the server drains
 }
 
@@ -75,7 +75,7 @@
 	responses       []response
 	executions      []Execution
 	missingResponse string // what the device had sent when it timed out on a working link; empty if it did not time out
-	bytesSent       int    // by the device, over its link
+	bytesSent       int    // bytes that the device has sent over its link
 }
 
 // Checker records exchanges, their responses and executions. It is safe for concurrent use.
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -16,18 +16,18 @@
 	Writes    int
 
 	DuplicateResponses int // transmissions with two responses, and final responses that differ from the first one of their exchange
-	DisallowedRetries  int // repeated executions of writes without protection by deduplication
+	DisallowedRetries  int // repeated executions of writes that deduplication does not cover
 	MissingResponses   int // exchanges without a response by the deadline over a working link
 	LostWrites         int // writes that were served but never executed
 	SendsToDraining    int // requests to a server more than 1 s after the gateway was notified that it drains
 
 	ServedInTime         int
-	Weight               float64 // sum of the priority weights of all exchanges
-	WeightInTime         float64 // sum of the priority weights of the exchanges served in time
-	ChangedByRestart     int     // final responses that differ from the first because the gateway had restarted; no violation
-	RewritesAfterRestart int     // file writes that were executed again for a restarted gateway; no violation
-	WriteExecutions      int
-	BytesSent            int             // by the devices, over their links
+	Weight               float64         // sum of the priority weights of all exchanges
+	WeightInTime         float64         // sum of the priority weights of the exchanges served in time
+	ChangedByRestart     int             // final responses that differ from the first because the gateway had restarted; no violation
+	RewritesAfterRestart int             // file writes that were executed again for a restarted gateway; no violation
+	WriteExecutions      int             // executions of writes, without those that a server deduplicated
+	BytesSent            int             // bytes that the devices sent over their links
 	PayloadBytes         int             // sum of the body sizes of all exchanges
 	ResponseTimes        []time.Duration // from the beginning of an exchange to its first final response, sorted
 	Unserved             map[string]int  // number of exchanges not served in time, by the last response received
@@ -82,8 +82,9 @@
 	}
 }
 
-// checkResponses checks that each transmission received at most one response and that all final responses agree. It returns
-// the first final response, or nil if there is none, and whether the exchange was served by its deadline.
+// checkResponses checks that each transmission received at most one response and that all final responses agree, apart from the
+// differences that compareFinal allows. It returns the first final response, or nil if there is none, and whether the exchange
+// was served by its deadline.
 func (r *Result) checkResponses(record *exchangeRecord) (final *response, servedInTime bool) {
 	responseCounts := map[int]int{} // by transmission
 	for i := range record.responses {
@@ -94,7 +95,7 @@
 				record.history())
 		}
 		if !received.outcome.final() || !record.Write && final != nil && received.at.After(record.Deadline) {
-			continue // A read that is repeated after its deadline may get another response.
+			continue // A read may be executed again for a retry after its deadline, so a later response to it may differ.
 		}
 		if final == nil {
 			final = received
@@ -148,7 +149,7 @@
 		switch {
 		case i == 0:
 		case e.Incarnation != first.Incarnation:
-			r.RewritesAfterRestart++ // By the protocol, a WRITE that is repeated to a restarted gateway is a new one.
+			r.RewritesAfterRestart++ // A restarted gateway cannot recognize a repeated WRITE of the file protocol, so it is a new write.
 		case e.isUnprotectedRetryOf(first, record.DedupWindow):
 			r.addViolation(&r.DisallowedRetries, "%s: executed again without protection by deduplication: %s", record.ID,
 				record.history())
@@ -159,8 +160,8 @@
 	}
 }
 
-// isUnprotectedRetryOf reports whether deduplication does not cover an execution that follows another one: it was at another
-// shard, after the deduplication window, with another key, or executed another body.
+// isUnprotectedRetryOf reports whether deduplication does not cover e, which is a later execution of the same write: e was at
+// another shard, at or after the end of the deduplication window, with another key, or executed another body.
 func (e Execution) isUnprotectedRetryOf(first Execution, window time.Duration) bool {
 	return e.Shard != first.Shard || e.Key != first.Key || e.Content != first.Content && !e.Deduplicated ||
 		e.At.Sub(first.At) >= window
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -66,7 +66,7 @@
 	EndpointRemoved  = "Gone"
 )
 
-// EdgeConfig is the content of a gateway's operator's file.
+// EdgeConfig is the content of the operator's file, which a gateway reads if it is started with -edge.
 type EdgeConfig struct {
 	Fleet FleetConfig `json:"fleet"`
 }
@@ -111,7 +111,7 @@
 		return fmt.Errorf("process: encode %s: %w", path, err)
 	}
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("process: write a gateway file: %w", err)
+		return fmt.Errorf("process: write a configuration file: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -52,7 +52,7 @@
 	mu            sync.Mutex
 	cmd           *exec.Cmd     // nil until the first start
 	exited        chan struct{} // closed when cmd has exited
-	interruptions []Interval    // when the process was paused, terminating or dead: requests may then get no response
+	interruptions []Interval    // pauses, times from SIGTERM or SIGKILL to the exit, and stalls: requests may then get no response
 }
 
 // Start starts the program and waits until it is ready. It returns ErrExited if the process exits first, and ErrNotReady
@@ -114,8 +114,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Signal sends a signal to the running process. A signal that pauses or terminates the process begins an interruption;
-// SIGCONT ends it.
+// Signal sends a signal to the running process. A signal that pauses or terminates the process begins an interruption, which
+// ends with SIGCONT, or when Kill or Stop has seen the process exit.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,7 +155,7 @@
 	p.interruptions = append([]Interval{stall}, p.interruptions...)
 }
 
-// InterruptedDuring reports whether the process was interrupted at any time between from and to.
+// InterruptedDuring reports whether the process was interrupted, or the machine stalled, at any time between from and to.
 func (p *Process) InterruptedDuring(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/process/stall.go
+++ b/internal/testbed/process/stall.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// DetectStalls sleeps for interval in a loop until stop is closed. For each sleep that took longer than limit, the machine
-// was too busy for timing checks: DetectStalls calls onStall synchronously with the time of the sleep. Both From and To of
-// that Interval are set.
+// DetectStalls sleeps for interval in a loop until stop is closed. A sleep that took longer than limit means that the machine
+// was too busy for timing checks. DetectStalls then calls onStall synchronously with the time of the sleep, whose From and To
+// are both set.
 func DetectStalls(stop <-chan struct{}, interval, limit time.Duration, onStall func(Interval)) {
 	for last := time.Now(); ; {
 		select {
