--- a/internal/testbed/cluster/partitionscenarios.go
+++ b/internal/testbed/cluster/partitionscenarios.go
@@ -18,6 +18,7 @@
 	c.wait(time.Second)
 }
 
+// partitionInEachDirection drops the datagrams from the first gateway to the others, and then those to it instead.
 func partitionInEachDirection(c *Cluster) {
 	for _, side := range []func(gateway int) bool{
 		func(gateway int) bool { return gateway == 0 },
--- a/internal/testbed/cluster/processscenarios.go
+++ b/internal/testbed/cluster/processscenarios.go
@@ -16,6 +16,8 @@
 	}
 }
 
+// pauseLeaseHolders pauses a random gateway for 2.5 times the lifetime of a lease. At full length, the leases of the gateway
+// expire during the pause; a TimeScale below 0.4 makes the pause shorter than a lease.
 func pauseLeaseHolders(c *Cluster) {
 	for range 2 {
 		gateway := c.random.IntN(len(c.gateways))
@@ -46,6 +48,8 @@
 	}
 }
 
+// pauseAndKillInPartition partitions gateway 1 from the others, pauses gateway 0 meanwhile, and kills gateway 1 before the
+// partition ends.
 func pauseAndKillInPartition(c *Cluster) {
 	c.partition(func(gateway int) bool { return gateway == 1 })
 	c.rotatePrimaryHosts()
