--- a/internal/testbed/cluster/partitionscenarios.go
+++ b/internal/testbed/cluster/partitionscenarios.go
@@ -18,6 +18,7 @@
 	c.wait(time.Second)
 }
 
+// partitionInEachDirection drops the datagrams from the first gateway to the others, and then those to it instead.
 func partitionInEachDirection(c *Cluster) {
 	for _, side := range []func(gateway int) bool{
 		func(gateway int) bool { return gateway == 0 },
@@ -42,6 +43,8 @@
 	c.healLinks()
 }
 
+// loseAcknowledgements drops all datagrams from each gateway to the gateways with lower indexes. So of two gateways, only one
+// receives datagrams of the other, and no request is acknowledged.
 func loseAcknowledgements(c *Cluster) {
 	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Partitioned: from > to, DelayMs: 3} })
 	c.rotatePrimaryHosts()
