--- a/internal/scheduler/retry.go
+++ b/internal/scheduler/retry.go
@@ -23,7 +23,8 @@
 	return r.mayHaveExecutedSince + r.class.DedupWindow
 }
 
-// retryOrEnd queues a request again after a failed attempt. It ends the request if a retry is not allowed or would come too late.
+// retryOrEnd queues a request again after a failed attempt. It ends the request if the attempt has timed out, or if a retry is
+// not allowed or would come too late.
 func (s *Scheduler) retryOrEnd(request *request, server *serverEntry, status Status) {
 	request.retryNotBefore = s.now + server.congestion.latency/4
 	if request.Shard == -1 && !request.mayHaveExecuted { // a new object that no server can have stored yet
@@ -39,9 +40,9 @@
 	}
 }
 
-// retryAfter returns how long a rejected client should wait before it retries: until the server has probably completed its present
-// requests, and until the volume's limit has tokens for the request. The wait for the server is at most twice the latency threshold,
-// so that the client does not miss its objective by the wait alone.
+// retryAfter returns how long a rejected client should wait before it retries: until the server has probably completed the
+// requests that it has now, and until the volume's limit has tokens for the request. The wait for the server is at most twice the
+// latency threshold, so that the client does not miss its objective by the wait alone.
 func (s *Scheduler) retryAfter(request *request) time.Duration {
 	wait := s.latencyThreshold
 	for _, server := range request.shard.servers {
