--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -28,7 +28,7 @@
 	ProbePeriodMs, ProbeTimeoutMs float64
 	// LeaseMs is the duration of a quota lease.
 	LeaseMs float64
-	// ClockDrift is the largest relative difference between the rates of two gateways' clocks.
+	// ClockDrift is the largest fraction by which a gateway's clock is faster or slower than true time.
 	ClockDrift float64
 	// MaxGrantedFraction is the largest fraction of its own share of a quota that a gateway grants to others.
 	MaxGrantedFraction float64
@@ -118,15 +118,16 @@
 type Bounds struct {
 	// FailureDetectionMs bounds the time until a gateway that died is declared dead.
 	FailureDetectionMs float64
-	// QuotaReturnMs bounds the time until the quota that a dead gateway had borrowed has returned to its lenders.
+	// QuotaReturnMs bounds the time from the death of a gateway until the quota that it had borrowed has returned to its lenders.
 	QuotaReturnMs float64
-	// StartupHoldMs is the time after its start during which a gateway does not use the part of its share that an earlier
+	// StartupHoldMs is the time after the start of a gateway during which it does not use the part of its share that an earlier
 	// process may have granted.
 	StartupHoldMs float64
 	// ReportAgeMs is the age beyond which an outlier report is ignored.
 	ReportAgeMs float64
-	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. The bound is ReportAgeMs
-	// longer if a datagram is lost.
+	// EjectionMs bounds the time from the last failure of a server until it is no longer ejected. The gateways retract their
+	// reports when the failures have decayed. If a datagram with a retraction is lost, the report has to expire, and the bound
+	// is ReportAgeMs longer.
 	EjectionMs float64
 }
 
