--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -15,6 +15,7 @@
 	"gaugerelay/internal/testbed/fakefileserver"
 )
 
+// TestWriteReadStat checks that OPEN, WRITE, READ and STAT reach the storage server, and that each of them is one request.
 func TestWriteReadStat(t *testing.T) {
 	g := newTestGateway(t)
 	client := g.client()
@@ -69,12 +70,14 @@
 	if err := g.advanceUntil(done); err != nil || !bytes.Equal(got.Bytes(), data) {
 		t.Errorf("download: error %v, got %d bytes; want the whole file", err, got.Len())
 	}
-	// READs past the end of the file may still be in flight.
+	// The served requests are not counted, because READs past the end of the file may still be in flight.
 	if n := g.counters.Get("answers_rejected") + g.counters.Get("answers_failed"); n != 0 {
 		t.Errorf("%d requests were rejected or failed, want 0", n)
 	}
 }
 
+// TestUnsupportedCommandsAreNotSubmitted checks that commands that are not supported, or whose path is invalid or below no root, get
+// an error and are not submitted. An OPEN of a missing file below a root is submitted.
 func TestUnsupportedCommandsAreNotSubmitted(t *testing.T) {
 	g := newTestGateway(t)
 	client := g.client()
@@ -104,6 +107,7 @@
 	}
 }
 
+// TestUnknownHandle checks that a READ of a handle that was never opened fails and is not submitted.
 func TestUnknownHandle(t *testing.T) {
 	g := newTestGateway(t)
 	conn := g.dialRaw()
@@ -212,7 +216,7 @@
 	done := make(chan error, 1)
 	go func() { done <- errorOf(file.WriteAt([]byte("x"), 0)) }()
 	<-reached
-	g.clock.Advance(3100)
+	g.clock.Advance(3100) // the deadline of the write class is 3 s
 	if err := <-done; statusOf(err) != sftpwire.StatusFailure || !strings.Contains(err.Error(), "may have taken effect") {
 		t.Errorf("%v", err)
 	}
