--- a/internal/scheduler/names_test.go
+++ b/internal/scheduler/names_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// checkNames checks that each value up to last has a distinct name and that the next value has none.
+// checkNames checks that each value up to last has a distinct name and that the value after last is named unknown.
 func checkNames[E interface {
 	~uint8
 	fmt.Stringer
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -27,7 +27,7 @@
 		"overdue":                 {stuck, trialDue},
 		"overdue after a trial":   {tried, unresponsive},
 		"has responded to others": {responding, responsive},
-		"attempt ended meanwhile": {endedAttempt(newServer(now - time.Minute)), responsive},
+		"attempt ended meanwhile": {withEndedAttempt(newServer(now - time.Minute)), responsive},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := test.server.responsiveness(now, threshold); got != test.want {
@@ -37,8 +37,8 @@
 	}
 }
 
-// endedAttempt ends the oldest attempt of a server.
-func endedAttempt(server *serverEntry) *serverEntry {
+// withEndedAttempt ends the oldest attempt of a server and returns the server.
+func withEndedAttempt(server *serverEntry) *serverEntry {
 	server.outstanding[0].ended = true
 	return server
 }
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -8,8 +8,9 @@
 )
 
 // For any number of gateways and any arrival pattern, the units that all gateways together send to a starting server in any
-// OverloadWindow stay within the bound of slow start: the allowance plus slowStartSlack. With ordinary demand (see check) the
-// gateways also use at least a sixth of the allowance.
+// OverloadWindow stay within the bound of slow start: the allowance plus slowStartSlack. With ordinary demand
+// the gateways also use at least a sixth of the allowance. Ordinary demand is steady and at least about twice the allowance, which is
+// itself more than 50 units at the start (see check).
 func TestSlowStartBound(t *testing.T) {
 	for _, gateways := range []int{1, 3, 10, 80} {
 		for _, tolerance := range []float64{2, 10, 51, 400} {
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -10,8 +10,8 @@
 
 // Gateways that do not coordinate must not overload a server that restarts, even with a backlog of requests and with some gateways
 // stalled: in no OverloadWindow may they send more than OverloadMultiple times what the server can execute in that time. The full
-// capacity of the server is 80 units per second. After the restart, the server has only the fraction InitialCapacity of it:
-// the settings promise no more. The capacity then grows over SlowStartDuration.
+// capacity of the server is 80 units per second. After the restart, the server has only the fraction InitialCapacity of it,
+// the least that a starting server has according to the settings. The capacity then grows over SlowStartDuration.
 func TestGatewaysDoNotOverloadStartingServer(t *testing.T) {
 	for gateways, seeds := range map[int]uint64{1: 40, 5: 40, 120: 40, 300: 10} {
 		for seed := range seeds {
