--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -77,7 +77,7 @@
 	SurplusWeight       float64 // the same fraction for a request beyond its volume's fair share; not negative; not used by the scheduler
 
 	PollEndpoints   bool          // whether the endpoint list is sent only in response to WatchEndpoints
-	MaxPollInterval time.Duration // a gateway whose last poll is older than this is treated as notified of all changes; 0: no bound
+	MaxPollInterval time.Duration // without a watch, a gateway is treated as notified of all changes this long after its last poll; 0: never
 
 	MaxAttempts   int           // attempts per request, including the first; at least 1
 	AllowHedging  bool          // not used by the scheduler, which sends no hedged requests
