--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -59,7 +59,7 @@
 type endpointPoller struct {
 	gateways    int           // number of gateways that poll the same discovery service, including this one
 	maxInterval time.Duration // Settings.MaxPollInterval; 0: unbounded
-	minDelay    time.Duration // shortest delay before the next poll: Settings.MinStepInterval
+	minDelay    time.Duration // Settings.MinStepInterval; lower bound of the spread of polls and of the pause after a failed one
 	random      *rand.Rand
 
 	nextPollAt   time.Duration
