--- a/internal/dedup/content.go
+++ b/internal/dedup/content.go
@@ -33,7 +33,7 @@
 	return stored
 }
 
-// release frees the parts of an exchange's content that the action names. The digest of a released body is kept until the
+// release frees the parts of an exchange's content that are set in the action. The digest of a released body is kept until the
 // exchange is forgotten, because assembleBody needs it if the device sends the last block again.
 func (c *Coordinator) release(action exchange.Release) {
 	stored := c.contents[action.ID]
--- a/internal/dedup/coordinator.go
+++ b/internal/dedup/coordinator.go
@@ -25,7 +25,7 @@
 	// ExecutionIDPrefix is the prefix of the execution ids that servers receive. It must differ from that of every other gateway
 	// and of every earlier start of this gateway.
 	ExecutionIDPrefix string
-	// GatewayName is the name of this gateway for devices. It differs at each start.
+	// GatewayName is the name by which devices identify this gateway. It differs at each start.
 	GatewayName string
 	// Metrics receives the counters.
 	Metrics *metrics.Registry
@@ -155,7 +155,7 @@
 	c.step(nowMs, exchange.BodyAssembled{TransmissionReceived: received})
 }
 
-// respond sends the response to a transmission, unless it was canceled.
+// respond sends the response to a transmission, unless the transmission was canceled.
 func (c *Coordinator) respond(action exchange.Respond) {
 	request := c.transmissions[action.Transmission]
 	delete(c.transmissions, action.Transmission)
--- a/internal/dedup/coordinator_test.go
+++ b/internal/dedup/coordinator_test.go
@@ -29,8 +29,8 @@
 	*Coordinator
 	nowMs    float64
 	executed []*lifecycle.Request // requests submitted for execution, in order
-	timer    func(nowMs float64)  // callback of the timer; nil: not set
-	timerMs  float64              // when the timer fires
+	timer    func(nowMs float64)  // callback of the timer; nil if no timer is set
+	timerMs  float64              // time at which the timer fires
 }
 
 // newTestCoordinator returns a coordinator with small limits. change adjusts them unless it is nil.
@@ -116,7 +116,7 @@
 // cancel reports that the connection of a transmission is closed.
 func (c *testCoordinator) cancel(sent *sentTransmission) { c.Cancel(c.nowMs, sent.Request) }
 
-// serve ends an execution with testResult. Its first attempt was sent attemptAgeMs ago.
+// serve ends an execution with testResult. The first attempt of the execution was sent attemptAgeMs ago.
 func (c *testCoordinator) serve(execution *lifecycle.Request, attemptAgeMs float64) {
 	execution.Respond(lifecycle.Response{Body: []byte(testResult), MayHaveExecuted: true, FirstAttemptMs: c.nowMs - attemptAgeMs,
 		Shard: testShard})
--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -13,7 +13,7 @@
 	ExecutionNumber int // number of the execution in its exchange, counted from 1
 	Transmission    TransmissionID
 	RemainingMs     float64 // longest time that the execution may take
-	ClientDelayMs   float64 // part of the device's time that the link took
+	ClientDelayMs   float64 // time that the request took to arrive, which counts against the device's time
 	Shard           int     // shard that must execute the request; -1: any
 }
 
@@ -22,7 +22,7 @@
 
 // The kinds of response.
 const (
-	ResponseServed     ResponseKind = iota // the response of the exchange
+	ResponseServed     ResponseKind = iota // a server responded; the response is stored in the exchange
 	ResponseRejected                       // the request was not executed; the device may retry
 	ResponseBusy                           // like ResponseRejected; the reason is a limit of the store or a shutdown
 	ResponseTooLate                        // like ResponseRejected; the reason is that the response could not arrive in time
@@ -45,7 +45,7 @@
 	Transmission  TransmissionID
 	Kind          ResponseKind
 	ID            ID      // exchange whose response is sent; set for ResponseServed
-	RetryAfterMs  float64 // delay before a retry; set for ResponseRejected and ResponseBusy; 0: none is given
+	RetryAfterMs  float64 // delay before a retry; set for ResponseRejected and ResponseBusy; 0: no recommendation
 	BufferedBytes int     // bytes of the body received so far; set for ResponseContinue and ResponseIncomplete
 	Cached        bool    // the response was stored before the transmission arrived
 	Advice        LinkAdvice
--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -2,8 +2,8 @@
 
 import "gaugerelay/internal/scheduler"
 
-// dedupWindowMarginMs is how long before the end of the deduplication window a repeated execution must end, so that even an
-// attempt that is sent last reaches its server within the window.
+// dedupWindowMarginMs is how long before the end of the deduplication window a repeated execution must end. An attempt that is
+// sent right before the end of the execution then still reaches its server within the window.
 const dedupWindowMarginMs = 20
 
 // onTransmission handles a transmission with its entire body.
@@ -47,7 +47,7 @@
 		s.beginUploaded(exchange, received)
 	case !exchange.matches(received):
 		s.respond(received.Transmission, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
-		s.dropUpload(exchange) // an execution must not use the bytes of this upload
+		s.dropUpload(exchange) // the content of this upload differs, so no execution may use its bytes
 	default:
 		s.join(exchange, received)
 	}
@@ -60,7 +60,8 @@
 
 // earlierMayHaveExecuted reports whether an earlier transmission of an exchange that is not in the store may have been
 // executed. None was executed if the device sent all of them to this gateway since its start, less than RetentionMs ago, and
-// after latestEvictedActivityMs: if one of them had arrived completely, the exchange would still be in the store.
+// after latestEvictedActivityMs: if one of them had arrived completely, the exchange would still be in the store. For an
+// idempotent request the result is false, because it is safe to execute such a request again.
 func (s *Store) earlierMayHaveExecuted(idempotency scheduler.Idempotency, history *ResendHistory) bool {
 	if !history.IsRetry || idempotency == scheduler.Idempotent {
 		return false
@@ -73,7 +74,8 @@
 
 // safeRepeatMs returns the longest safe duration of an execution whose request may already have been executed through another
 // gateway. The execution must end before the deduplication window ends, and it must be certain to reach the group of servers
-// that drop it as a repeat (Class.DedupScope). The result is negative if there is no safe duration.
+// that drop it as a repeat (Class.DedupScope). An execution can be restricted to a shard, but not to a zone. The result is
+// negative if there is no safe duration.
 func safeRepeatMs(received *TransmissionReceived) float64 {
 	class := &received.Class
 	if class.Idempotency != scheduler.IdempotentWithKey || !(received.AgeMs >= 0) || class.DedupScope == scheduler.DedupZone {
@@ -168,7 +170,8 @@
 func (s *Store) join(exchange *storedExchange, received *TransmissionReceived) {
 	device := exchange.device
 	exchange.lastActivityMs = s.nowMs
-	if exchange.deadlineMs > s.nowMs { // the earliest deadline is from the transmission with the least delay on the link
+	if exchange.deadlineMs > s.nowMs {
+		// A transmission that is delayed on the link yields a deadline that is too late, so the earliest deadline is used.
 		exchange.deadlineMs = min(exchange.deadlineMs, s.nowMs+device.link.remainingOnArrivalMs(received.RemainingMs))
 	}
 	switch exchange.state {
--- a/internal/dedup/exchange/admission_test.go
+++ b/internal/dedup/exchange/admission_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// The time that the link takes is not available to the execution. With a round trip of 400 ms, at most 1600 of 2000 ms are left
-// for it. The safety margins must not take more than 900 ms of these.
+// The time that a request and its response spend on the link is not available to the execution. Of 2000 ms remaining, a round
+// trip of 400 ms leaves at most 1600 ms. The safety margins may take at most 900 ms of these 1600 ms.
 func TestExecutionTimeExcludesLinkOverhead(t *testing.T) {
 	send := newTransmissionSender(t)
 	if execution, ok := send(1, 2000, 400).(StartExecution); !ok || execution.RemainingMs > 1600 || execution.RemainingMs < 700 {
--- a/internal/dedup/exchange/device.go
+++ b/internal/dedup/exchange/device.go
@@ -11,7 +11,7 @@
 	link                 LinkEstimator
 	exchanges            map[string]*storedExchange // exchanges of the device by key
 	active               int                        // number of exchanges in stateReceiving or stateRunning
-	averageResponseBytes float64                    // exponential moving average
+	averageResponseBytes float64                    // exponential moving average of the sizes of responses
 	idleElement          *list.Element              // element of Store.idleDevices; nil if the device has exchanges
 }
 
@@ -25,8 +25,8 @@
 	return remainingMs - d.link.ExpectedOverheadMs(int(d.averageResponseBytes), remainingMs)
 }
 
-// findOrAddDevice returns the device with a name and adds it if it is new. At the limit it removes the least recently seen
-// device without exchanges, and returns nil if there is none.
+// findOrAddDevice returns the device with a name and adds it if it is new. At the limit it first removes the least recently seen
+// device without exchanges, and returns nil if every device has exchanges.
 func (s *Store) findOrAddDevice(name string) *trackedDevice {
 	device := s.devices[name]
 	if device == nil {
--- a/internal/dedup/exchange/events.go
+++ b/internal/dedup/exchange/events.go
@@ -13,7 +13,7 @@
 	Digest        Digest
 	BodyBytes     int
 	RemainingMs   float64 // time that the device waits for the response, counted from when it sent the request
-	ClientDelayMs float64 // part of the device's time that the transfer took
+	ClientDelayMs float64 // time that the request took to arrive, which counts against the device's time
 	Shard         int     // shard that the request names; -1: none, the request creates an object
 	ResendHistory
 	Link LinkSample
@@ -80,13 +80,13 @@
 // ExecutionEnded reports the end of an execution. Each StartExecution is followed by exactly one ExecutionEnded.
 type ExecutionEnded struct {
 	ID              ID
-	ExecutionNumber int // number from StartExecution
+	ExecutionNumber int // ExecutionNumber of the StartExecution action
 	Result          ExecutionResult
-	ResponseBytes   int     // size of the response of ExecutionServed
-	RetryAfterMs    float64 // delay before a retry after ExecutionRejected
+	ResponseBytes   int     // size of the response; set for ExecutionServed
+	RetryAfterMs    float64 // delay before a retry; set for ExecutionRejected
 	MayHaveExecuted bool    // a server may have executed an attempt
 	FirstAttemptMs  float64 // when the first attempt that may have been executed was sent
-	Shard           int     // shard that this attempt was sent to
+	Shard           int     // shard that the attempt of FirstAttemptMs was sent to
 }
 
 // ShutdownStarted reports that the gateway is shutting down. No exchange is added from then on. The exchanges in the store
--- a/internal/dedup/exchange/exchange.go
+++ b/internal/dedup/exchange/exchange.go
@@ -2,10 +2,10 @@
 // either starts an execution, waits for the response to an execution in progress, gets the retained response, or is
 // rejected.
 //
-// An exchange is identified by the name of the device and an upload key, or a request id for a read. An execution is one
+// An exchange is identified by the name of the device and a key: the upload key or, for a read, the request id. An execution is one
 // pass of the request through the request life cycle. An exchange has at most one execution at a time, however many
 // transmissions arrive over however many connections, and it gets one final response. An exchange whose request may have
-// been executed by a server is not forgotten while servers or devices may still receive repeats of it.
+// been executed by a server is not forgotten while its device may still send, or a server may still receive, a repeat of it.
 //
 // The package does no I/O, reads no clock and starts no goroutine. Store.Step receives the events of one moment and
 // returns the actions that its owner must perform. The same settings and events give the same actions. One goroutine
--- a/internal/dedup/exchange/fuzz_test.go
+++ b/internal/dedup/exchange/fuzz_test.go
@@ -27,7 +27,7 @@
 // key returns the number of the key of the step's request, from 0 to 4.
 func (s fuzzStep) key() int { return s.a / 5 % 5 }
 
-// content returns the body of the step's request. One step in 16 has another body than the other transmissions.
+// content returns the body of the step's request. One step in 16 has another body than the other steps with the same key.
 func (s fuzzStep) content() []byte { return bodyOfKey(s.key(), s.b%16/15) }
 
 // history returns what the device reports about earlier transmissions.
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -34,8 +34,8 @@
 
 	minSafetyMarginMs      = 25
 	maxMeasurementMs       = 3600_000 // longer durations are ignored as implausible
-	minRateSampleBytes     = 512      // for fewer bytes the transfer time depends on the round trip, not on the rate
-	minGapSamples          = 8        // fewer samples may come from a single disturbance
+	minRateSampleBytes     = 512      // smaller samples are ignored: their transfer time depends on the round trip, not on the rate
+	minGapSamples          = 8        // minimum number of gaps whose quantiles are used; fewer may come from a single disturbance
 	medianGapQuantile      = 0.5      // quantile of the gaps from which the delay of a response is estimated
 	highGapQuantile        = 0.99     // quantile of the gaps from which the idle timeout is derived
 	idleTimeoutGapMultiple = 2        // ratio of the idle timeout to the high quantile of the gaps
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -50,7 +50,7 @@
 	t                *testing.T
 	store            *Store
 	nowMs            float64
-	timerMs          float64 // when the timer fires; 0: not set
+	timerMs          float64 // time at which the timer fires; 0 if no timer is set
 	log              []string
 	transmissions    map[TransmissionID]*modelTransmission
 	lastTransmission TransmissionID
@@ -167,7 +167,7 @@
 	for _, event := range events {
 		m.log = append(m.log, fmt.Sprintf("%.0f %T%+v", m.nowMs, event, event))
 	}
-	var assemblies []AssembleBody // each requires a separate step after this one
+	var assemblies []AssembleBody // actions that each require a separate step after this one
 	for _, action := range m.store.Step(m.nowMs, events...) {
 		m.log = append(m.log, fmt.Sprintf("     -> %T%+v", action, action))
 		switch action := action.(type) {
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -52,12 +52,12 @@
 	createdMs      float64 // arrival time of the first transmission or block
 	lastActivityMs float64 // time of the latest transmission, block or end of an execution
 	deadlineMs     float64 // when the device stops waiting, according to the transmission with the earliest deadline
-	clientDelayMs  float64 // part of the device's time that the transfer of the request took
+	clientDelayMs  float64 // time that the request took to arrive, which counts against the device's time
 
 	executionNumber   int     // number of the latest execution, counted from 1
 	mayHaveExecuted   bool    // a server may have executed the request
 	firstAttemptMs    float64 // when the first attempt that may have been executed was sent
-	firstAttemptShard int     // shard that this attempt was sent to; -1: unknown
+	firstAttemptShard int     // shard that the attempt of firstAttemptMs was sent to; -1: unknown
 	// latestAttemptMs is the latest known send time of an attempt that may have been executed. If the earlier attempts
 	// did not arrive, the deduplication window of the servers starts at this time.
 	latestAttemptMs float64
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -39,8 +39,8 @@
 	timerAtMs float64 // when the owner's timer fires; 0: not set
 
 	// The eviction lists. Each exchange is in at most one of them.
-	endedReads  list.List // oldest first
-	openUploads list.List // longest time without a block first
+	endedReads  list.List // ended reads, oldest first
+	openUploads list.List // uploads in stateReceiving, sorted by the time of their last block, oldest first
 	endedWrites list.List // writes that were not executed or whose deduplication window has ended, oldest first
 
 	stats Stats
--- a/internal/dedup/exchange/waiting.go
+++ b/internal/dedup/exchange/waiting.go
@@ -62,7 +62,7 @@
 			waiting = append(waiting, exchange)
 		}
 	}
-	// Timers are set in a fixed order, because the iteration order of a map is random.
+	// The iteration order of a map is random. A fixed order is needed, because the same events must give the same actions.
 	slices.SortFunc(waiting, func(a, b *storedExchange) int { return cmp.Compare(a.id, b.id) })
 	for _, exchange := range waiting {
 		s.armTimer(exchange)
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -128,7 +128,7 @@
 				if len(coordinator.executed) != 0 || sent.response(t).Kind != lifecycle.Failed {
 					t.Fatalf("got %d executions, want none; the retry got %+v, want a failure", len(coordinator.executed), sent.responses)
 				}
-				// A delayed first transmission must not be executed after that.
+				// A delayed first transmission must not be executed after the retry has failed.
 				late := coordinator.send("push", "k", "body", class(sent.Class), shard(sent.Shard))
 				if len(coordinator.executed) != 0 || late.response(t).Kind != lifecycle.Failed {
 					t.Errorf("after a delayed first transmission: got %d executions, want none; responses %+v, want a failure",
