--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// handleHeartbeat records that the list was complete when a heartbeat was received, unless the session is not confirmed yet.
-// It reports the heartbeat only if the list is polled, because a pushed list has no lease to renew.
+// handleHeartbeat handles a heartbeat, which has no effect until the session is confirmed. It records that the list was complete
+// when the heartbeat was received. It calls the notify function only if the list is polled: a pushed list has no lease to renew.
 func (w *Watcher) handleHeartbeat(session *watchSession, receivedMs float64) {
 	if !session.confirmed(receivedMs) {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// handleObject decodes an object and reports the part of its update that applies.
+// handleObject decodes an object and passes the accepted part of its update to the notify function.
 func (w *Watcher) handleObject(session *watchSession, object []byte, receivedMs float64) error {
 	message, err := decodeMessage(&session.parser, object)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// decide records the version of a message and decides which of its entries apply. A message without a version is given the
+// decide records the version of a message and decides which of its entries to apply. A message without a version is given the
 // current version, because messages of one watch arrive in order. The error is errAddressChanged or errVersionReset.
 func (w *Watcher) decide(message *watchMessage) (endpoints.Decision, error) {
 	w.mu.Lock()
@@ -67,7 +67,7 @@
 	w.version = message.update.Version
 	decision := w.tracker.Apply(w.clock.NowMs(), trackerUpdate(message.update))
 	if decision.Resync {
-		w.version = 0 // the next watch requests a snapshot
+		w.version = 0 // version 0 makes the next watch request a snapshot
 		return decision, errVersionReset
 	}
 	return decision, nil
@@ -91,7 +91,7 @@
 	return converted
 }
 
-// acceptedUpdate returns the part of an update that applies.
+// acceptedUpdate returns the part of an update that the decision says to apply.
 func acceptedUpdate(update lifecycle.EndpointUpdate, decision endpoints.Decision) lifecycle.EndpointUpdate {
 	accepted := lifecycle.EndpointUpdate{Version: update.Version, Kind: scheduler.Delta}
 	if decision.Snapshot {
@@ -104,7 +104,7 @@
 	return accepted
 }
 
-// markComplete records that the reported list contains all changes that were made before a time.
+// markComplete records that the reported list contains all changes that were made before atMs.
 func (w *Watcher) markComplete(atMs float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -29,14 +29,14 @@
 type responseTest struct {
 	response        string
 	staysOpen       bool                 // whether the connection stays open, without another byte, after the response
-	updates         int                  // number of updates that apply
+	updates         int                  // number of updates that are reported
 	invalidMessages int64                // number of messages that are counted as invalid
 	endsAfterMs     float64              // time from the start of the watch to its end
-	end             scheduler.UpdateKind // kind of update that reports the end (see Options.Notify); 0: WatchFailed
+	end             scheduler.UpdateKind // kind of update that reports the end (see Options.Notify); 0 stands for WatchFailed
 }
 
 // TestInvalidResponses checks that an invalid or missing response ends the call within a bounded time, is counted, and does
-// not damage the list: updates before the fault apply, and no part of the invalid data does.
+// not damage the list: updates before the fault are reported, and no part of the invalid data is.
 func TestInvalidResponses(t *testing.T) {
 	tests := map[string]responseTest{
 		"error status":   {response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
@@ -206,7 +206,7 @@
 		if kind != scheduler.WatchIdle || afterMs != 5*heartbeatIntervalMs+idleTimeoutMs {
 			t.Errorf("watch ended as %v after %v ms, want WatchIdle one idle timeout after the last of five heartbeats", kind, afterMs)
 		}
-		if heartbeats != 4 { // the first of the five arrives before confirmationDelayMs
+		if heartbeats != 4 { // the first of the five arrives before the watch is confirmed
 			t.Errorf("%d heartbeats reported, want 4", heartbeats)
 		}
 		<-served
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -31,7 +31,7 @@
 	readStartedMs float64
 	conn          *trackedConn  // connection of the latest watch; nil if there is none
 	processing    bool          // whether bytes that were read from conn are being processed
-	processed     chan struct{} // closed when these bytes have been processed; nil if no goroutine waits for it
+	processed     chan struct{} // closed when the bytes read from conn have been processed; nil if no goroutine waits for that
 }
 
 // trackedConn is the connection of a watch. Its reader calls Read only after it has processed all bytes of the previous call.
@@ -100,7 +100,8 @@
 	}
 }
 
-// pending returns a channel that is closed when all bytes that have arrived are processed, or nil if they already are.
+// pending returns nil if all bytes that have arrived are processed. Otherwise it returns a channel that is closed when the reader
+// has processed the bytes that it has read. More bytes may be unread by then, so the caller has to call pending again.
 func (t *receiveTracker) pending() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -8,8 +8,9 @@
 )
 
 // Bounds of the delay before a continuous watch that has ended is reopened. The delay doubles from one reconnect to the next.
-// A watch that lasted for maxReconnectDelayMs or longer is reopened at once. The upper bound is short compared with the time for
-// which a draining server still accepts requests. That time starts when the agent is notified of the drain.
+// A watch that lasted for maxReconnectDelayMs or longer is reopened at once. While no watch is open, the gateway does not learn
+// that a server drains. The longest delay is therefore short compared with the time for which a draining server still accepts
+// requests. That time starts when the discovery agent on this machine is notified of the drain.
 const (
 	minReconnectDelayMs = 10
 	maxReconnectDelayMs = 160
@@ -27,8 +28,8 @@
 // reset makes the next delay the shortest one.
 func (b *backoff) reset() { b.delayMs = 0 }
 
-// availability logs one record when this machine's agent becomes unavailable and one when it recovers. Its zero value means
-// that the agent is available.
+// availability logs one record when the discovery agent on this machine becomes unavailable and one when it recovers. The zero
+// value means that the agent is available.
 type availability struct{ unavailable bool }
 
 // recordFailure records that a watch has failed with an error.
@@ -47,8 +48,8 @@
 	}
 }
 
-// runContinuously keeps a watch open until ctx is done. The delays limit the rate of calls while the agent is unavailable or
-// ends each watch as soon as it is open.
+// runContinuously keeps a watch open until ctx is done. The delays between watches limit the rate of calls while the agent is
+// unavailable or ends each watch as soon as it is open.
 func (w *Watcher) runContinuously(ctx context.Context) {
 	defer w.setClosed(ctx)
 	var agent availability
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -38,21 +38,21 @@
 // watchSession is the state of one watch, from its request to its end. Only the goroutine of the watch uses it.
 type watchSession struct {
 	mode      watchMode
-	onMessage func() // called for each object and each heartbeat
+	onMessage func() // function that is called for each object and each heartbeat
 
 	startedMs float64 // time at which the request was sent
 	responded bool    // whether a response with status 200 has begun
-	updated   bool    // whether an update has applied, which may be an empty snapshot
+	updated   bool    // whether an update was applied, be it an empty snapshot
 	parser    fastjson.Parser
 }
 
-// confirmed reports whether a message that is received at a time proves that no change made before that time is missing.
+// confirmed reports whether a message received at atMs proves that the gateway has received all changes made before atMs.
 func (s *watchSession) confirmed(atMs float64) bool {
 	return s.updated || atMs-s.startedMs >= confirmationDelayMs
 }
 
-// recordUpdate records that an update of the session has applied. It returns the duration of the call in milliseconds if
-// this is the first update, and 0 otherwise.
+// recordUpdate records that an update of the session is applied. For the first update it returns the time since the request was
+// sent, in milliseconds. For later updates it returns 0.
 func (s *watchSession) recordUpdate(nowMs float64) float64 {
 	if s.updated {
 		return 0
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -39,9 +39,9 @@
 type watchMode uint8
 
 const (
-	// modeOnDemand means that the scheduler opens it, by a call of Open.
+	// modeOnDemand means that the scheduler opens the next watch, by a call of Open.
 	modeOnDemand watchMode = iota
-	// modeContinuous means that the Watcher opens it without being asked.
+	// modeContinuous means that the Watcher opens the next watch by itself.
 	modeContinuous
 )
 
@@ -105,11 +105,12 @@
 	CachedEndpoints lifecycle.EndpointUpdate
 	Clock           clock.Clock
 	Metrics         *metrics.Registry
-	// Notify is called for each update that applies. If the list is polled, it is also called with scheduler.Heartbeat for a
-	// heartbeat, and with one of these kinds when a watch ends, unless SwitchAddress or its context ended it:
+	// Notify is called for each update, with the part of the update that is to be applied. If the list is polled, it is also called
+	// with scheduler.Heartbeat for a heartbeat of a confirmed watch, and with one of these kinds when a watch ends, unless
+	// SwitchAddress or the end of the context ended the watch:
 	//
 	//   - scheduler.WatchIdle if discovery responded and then stopped sending,
-	//   - scheduler.WatchClosed if the watch ended in another way, after an update applied or confirmationDelayMs passed,
+	//   - scheduler.WatchClosed if the watch ended in another way, after an update was applied or confirmationDelayMs passed,
 	//   - scheduler.WatchFailed otherwise.
 	//
 	// The callee decides when to open the next watch. Notify is called from the goroutine of the watch, one call at a time.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -74,7 +74,7 @@
 	stopTimer func()
 
 	ready        atomic.Bool
-	openRequests atomic.Int64 // as of the last step
+	openRequests atomic.Int64 // number of open requests after the last step
 }
 
 // New returns a Loop that handles nothing until Run is called.
@@ -146,10 +146,12 @@
 	return l.options.Clock.AfterFunc(ms, func() { l.post(f) })
 }
 
-// Sync waits until all tasks that were posted before it have been handled and the scheduler has stepped, or the loop has ended.
-// It must not be called on the loop's goroutine.
+// Sync waits until all tasks that were posted before it have been handled and the scheduler has stepped after them, or the
+// loop has ended. It must not be called on the loop's goroutine.
 func (l *Loop) Sync() {
-	for range 2 { // the second task is handled after the step that follows the first
+	// If the first task begins a step, the earlier tasks were handled in steps that have ended. Otherwise the second task is handled
+	// only after the step of the first has ended.
+	for range 2 {
 		handled := make(chan struct{})
 		if !l.post(func(float64) { close(handled) }) {
 			return
