--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -14,8 +14,8 @@
 // further request. A client that exceeds them is not on a slow link: it occupies a connection that another client could use.
 const (
 	readHeaderTimeout = 2700 * time.Millisecond
-	readTimeout       = 2700 * time.Millisecond // for the whole request
-	writeGrace        = 2 * time.Second         // for the client to read a response that is written at the longest deadline
+	readTimeout       = 2700 * time.Millisecond // time for reading a whole request
+	writeGrace        = 2 * time.Second         // time for the client to read a response that is written at the longest deadline
 	idleConnTimeout   = 30 * time.Second
 )
 
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -64,8 +64,8 @@
 	return accept.Wrap(listener, g.Clock, g.Metrics, clock.Ms(g.shortestDeadline), g.pauseDetector.RecordStall), nil
 }
 
-// serve runs a server in its own goroutine, which ends when the server's listener is closed. Any other error is reported as a
-// failure of the gateway.
+// serve runs a server in its own goroutine, which ends when the server's listener is closed. If the server ends with any
+// other error, that error is reported as a failure of the gateway.
 func (g *Gateway) serve(name string, run func() error) {
 	go func() {
 		err := run()
--- a/internal/gateway/shutdowntimes.go
+++ b/internal/gateway/shutdowntimes.go
@@ -8,7 +8,7 @@
 	// killGraceMs is the time that the platform adds to the longest deadline of all classes. When the sum of both has passed since
 	// SIGTERM, the platform kills the program.
 	killGraceMs = 700
-	// maxAwaitedDeadlineMs is the maximum of the longest deadline in that sum.
+	// maxAwaitedDeadlineMs replaces the longest deadline in that sum if the longest deadline exceeds it.
 	maxAwaitedDeadlineMs = 3000
 )
 
@@ -18,8 +18,8 @@
 	// exitMarginMs is the time between the exit and the kill. It is also the time between the last response and the exit,
 	// during which clients read that response.
 	exitMarginMs = 75
-	// lastRequestsMs is the time that requests have for their responses if they are open when connections begin to close, or the
-	// longest deadline if that is shorter. Requests with longer deadlines nearly always need no more time.
+	// lastRequestsMs is the time from when connections begin to close until all requests must have their responses. If the longest
+	// deadline is shorter, it is used instead. Requests with longer deadlines nearly always need no more time.
 	lastRequestsMs = 350
 )
 
@@ -27,10 +27,10 @@
 // They are derived from the longest deadline: with constant times, the phases would take longer than the platform waits if all
 // deadlines are short.
 type shutdownTimes struct {
-	acceptUntilMs float64 // until then new connections are accepted
-	reuseUntilMs  float64 // until then clients may reuse connections; each later response closes its connection
-	respondByMs   float64 // by then every request has its response
-	exitByMs      float64 // by then the program has exited
+	acceptUntilMs float64 // time until which new connections are accepted
+	reuseUntilMs  float64 // time until which clients may reuse connections; each later response closes its connection
+	respondByMs   float64 // time by which every request has its response
+	exitByMs      float64 // time by which the program has exited
 }
 
 // newShutdownTimes returns the times for a gateway whose longest deadline is given in milliseconds.
--- a/internal/gateway/shutdowntimes_test.go
+++ b/internal/gateway/shutdowntimes_test.go
@@ -4,8 +4,8 @@
 
 // Whatever the longest deadline of all classes is, the times of a shutdown must meet three conditions. The gateway accepts
 // connections for longer than clients open new ones (newConnArrivalMs). Requests that are open when connections begin to close
-// have 350 ms for their responses, or the longest deadline if that is shorter. The program exits before killMs, the time at
-// which the platform kills it (see killGraceMs).
+// have 350 ms (lastRequestsMs) for their responses, or the longest deadline if that is shorter. The program exits before killMs,
+// the time at which the platform kills it (see killGraceMs).
 func TestShutdownTimes(t *testing.T) {
 	for _, longest := range []float64{1, 20, 50, 100, 250, 299, 350, 399, 400, 700, 1200, 3000, 5000, 10_000, 1e12} {
 		times, killMs := newShutdownTimes(longest), min(longest, 3000)+700
--- a/internal/lifecycle/authorizer.go
+++ b/internal/lifecycle/authorizer.go
@@ -18,8 +18,8 @@
 	violationLateDeadline = "late_deadline" // the announced remaining time ends after the deadline of the attempt
 )
 
-// Authorizer holds the hooks and the time limit of the endpoint list that Attempt.Authorize uses. The attempts of all upstreams
-// share one Authorizer. It is safe for concurrent use.
+// Authorizer holds the hooks that Attempt.Authorize calls, and the time until which the endpoint list may be used. The attempts of
+// all upstreams share one Authorizer. It is safe for concurrent use.
 type Authorizer struct {
 	options               AuthorizerOptions
 	endpointsValidUntilMs atomic.Uint64 // a float64, stored as its math.Float64bits
@@ -46,7 +46,8 @@
 	a.endpointsValidUntilMs.Store(math.Float64bits(ms))
 }
 
-// EndpointsValidUntilMs returns the time in milliseconds from which on the endpoint list must not be used, +Inf if there is none.
+// EndpointsValidUntilMs returns the time in milliseconds from which on the endpoint list must not be used, or +Inf if the
+// use is not limited.
 func (a *Authorizer) EndpointsValidUntilMs() float64 {
 	return math.Float64frombits(a.endpointsValidUntilMs.Load())
 }
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -21,7 +21,7 @@
 	CompleteAsOfMs float64
 	// CallDurationMs is how long discovery took to respond to a call. It is set in the first update of a call only.
 	CallDurationMs float64
-	// Failure is set if Kind is scheduler.WatchFailed.
+	// Failure classifies the failed call. It is set if Kind is scheduler.WatchFailed.
 	Failure CallFailure
 }
 
--- a/internal/lifecycle/endpoints_test.go
+++ b/internal/lifecycle/endpoints_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// An attempt may hold an entry that a later one has replaced. A drain closes both entries, and a server that becomes ready again
+// An attempt may hold an entry that a later entry has replaced. A drain closes both entries, and a server that becomes ready again
 // does not reopen them, because they refer to its earlier process.
 func TestReplacedEntryClosesWithItsServer(t *testing.T) {
 	manager := newManager(&scriptedScheduler{})
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -102,7 +102,8 @@
 		return
 	}
 	if request.ClientID != "" && m.requestsByClientID[request.ClientID] != nil {
-		// Servers identify requests by ClientID. The client of the open request must get the response to its own request only.
+		// Servers identify requests by ClientID, so a server could take this request for the open one. The client of the open
+		// request must get the response to its own request only.
 		m.environment.Count(counterRequestsDuplicate)
 		request.Respond(Response{Kind: DuplicateID})
 		return
--- a/internal/lifecycle/manager_test.go
+++ b/internal/lifecycle/manager_test.go
@@ -8,7 +8,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// scriptedScheduler returns the actions that a test has set in its next step only, and records the events that it gets.
+// scriptedScheduler records the events that it gets. Once a test has set actions, the next step returns them, and later steps
+// return none.
 type scriptedScheduler struct {
 	actions []scheduler.Action
 	events  []scheduler.Event
--- a/internal/lifecycle/timer.go
+++ b/internal/lifecycle/timer.go
@@ -7,8 +7,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// maxTimerRoundingError is an upper bound of the rounding error when a time is converted to float64 milliseconds since the epoch,
-// which Environment.SetTimer takes, and back.
+// maxTimerRoundingError bounds the rounding error of a timer's time. Environment.SetTimer takes the time as float64 milliseconds
+// since the epoch, and the conversion to that form and back rounds it.
 const maxTimerRoundingError = time.Microsecond
 
 // setTimer schedules the scheduler's next TimerFired event.
--- a/internal/lifecycle/upstream.go
+++ b/internal/lifecycle/upstream.go
@@ -20,7 +20,7 @@
 	// StartDeadlineMs is the time from which on the first byte must not be sent, because something that the attempt depends on,
 	// such as a quota lease, expires then. 0 means that there is no such time.
 	StartDeadlineMs float64
-	// Authorizer holds the hooks and the time limit of the endpoint list that Authorize uses. nil means that there are none.
+	// Authorizer holds the hooks that Authorize calls, and the time limit of the endpoint list. nil means neither hooks nor a limit.
 	Authorizer *Authorizer
 }
 
--- a/internal/shutdown/pacer.go
+++ b/internal/shutdown/pacer.go
@@ -20,7 +20,7 @@
 )
 
 // AdmissionPacer decides which requests to reject during a graceful shutdown, from moving averages of the arrival rate
-// and the service time. The zero value is ready to use. It is not safe for concurrent use.
+// and the service time. The zero value is ready to use. An AdmissionPacer is not safe for concurrent use.
 type AdmissionPacer struct {
 	// arrivals and completions are exponentially decayed counts of requests and of responses, and serviceMs is the decayed sum
 	// of the service times of these responses.
@@ -53,8 +53,8 @@
 //     1-exp(-r*s/busy).
 //   - That request would be rejected as well. All i idle connections are therefore in use at once only if i requests arrive
 //     within the time of one rejection, which has the probability (r*rejectionTimeMs)^i/i!.
-//   - When no connection is idle, the gateway loses those of the r*remainingMs further requests that it would have served over
-//     open-1 connections. Their number follows from Erlang's loss formula.
+//   - When no connection is idle, clients consider the gateway down. It then loses those of the r*remainingMs further requests
+//     that it would have served over open-1 connections. Their number follows from Erlang's loss formula.
 //
 // If only one connection is open, no request is rejected, because no other connection could serve any.
 func (p *AdmissionPacer) ShouldReject(nowMs float64, open, busy int, remainingMs float64) bool {
