--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -16,7 +16,7 @@
 	}
 	device.link.Observe(received.Link)
 	exchange := device.exchanges[received.Key]
-	if exchange != nil && exchange.state == stateReceiving { // the device sends the body in one piece instead of in blocks
+	if exchange != nil && exchange.state == stateReceiving { // the device now sends the body in one piece, so its blocks are dropped
 		s.forget(exchange)
 		exchange = nil
 	}
--- a/internal/dedup/exchange/exchange.go
+++ b/internal/dedup/exchange/exchange.go
@@ -2,8 +2,8 @@
 // either starts an execution, waits for the response to an execution in progress, gets the retained response, or is
 // rejected.
 //
-// An exchange is identified by the name of the device and a key: the upload key or, for a read, the request id. An execution is one
-// pass of the request through the request life cycle. An exchange has at most one execution at a time, however many
+// An exchange is identified by the name of the device and a key: the upload key or, for a read, the request id. An execution
+// is one pass of the request through the request life cycle. An exchange has at most one execution at a time, however many
 // transmissions arrive over however many connections, and it gets one final response. An exchange whose request may have
 // been executed by a server is not forgotten while its device may still send, or a server may still receive, a repeat of it.
 //
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -21,7 +21,7 @@
 }
 
 const (
-	// Gains of the moving averages: the round trip and its deviation as in RFC 6298, and the delivery rate.
+	// Gains of the moving averages of the round trip and its deviation, which are those of RFC 6298, and of the delivery rate.
 	roundTripGain = 1.0 / 8
 	deviationGain = 1.0 / 4
 	rateGain      = 1.0 / 4
@@ -46,7 +46,7 @@
 // LinkEstimator estimates the round trip, delivery rate and gaps of one device's link from samples. It stores three numbers
 // and a quantile sketch. The zero value has no measurements. It is not safe for concurrent use.
 type LinkEstimator struct {
-	roundTripMs float64 // moving average; 0: unknown
+	roundTripMs float64 // moving average of the round trip; 0: unknown
 	deviationMs float64 // moving average of the deviation of the round trip
 	bytesPerMs  float64 // moving average of the delivery rate; 0: unknown
 	gaps        quantile.Sketch
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -67,7 +67,7 @@
 	uploadBytes   int // bytes stored of an upload that has not been executed
 	responseBytes int // bytes stored of the response or reserved for it
 	waiting       []waitingTransmission
-	upload        *upload // nil: no block has been received
+	upload        *upload // body that is received in blocks; nil if there is none or it was dropped
 
 	timer           timerwheel.Timer[*storedExchange]
 	evictionList    *list.List // list that contains the exchange; nil: the exchange must not be evicted
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -36,7 +36,7 @@
 	idleDevices list.List // devices without exchanges, least recently seen first
 
 	wheel     *timerwheel.Wheel[*storedExchange]
-	timerAtMs float64 // when the owner's timer fires; 0: not set
+	timerAtMs float64 // time at which the owner's timer fires; 0 if it is not set
 
 	// The eviction lists. Each exchange is in at most one of them.
 	endedReads  list.List // ended reads, oldest first
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -27,7 +27,8 @@
 	clock clock.Clock
 
 	mu sync.Mutex
-	// readStartedMs is the time at which the latest completed read was started. Its bytes are treated as having arrived after that.
+	// readStartedMs is the time at which the latest completed read was started. The bytes of this read are treated as having
+	// arrived after that time.
 	readStartedMs float64
 	conn          *trackedConn  // connection of the latest watch; nil if there is none
 	processing    bool          // whether bytes that were read from conn are being processed
@@ -82,8 +83,8 @@
 	t.readStartedMs = startedMs
 }
 
-// lastReadStartedMs returns the time at which the latest completed read was started. Its bytes are treated as having arrived
-// after that.
+// lastReadStartedMs returns the time at which the latest completed read was started. The bytes of this read are treated as
+// having arrived after that time.
 func (t *receiveTracker) lastReadStartedMs() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -45,14 +45,14 @@
 	l.congested = latencyMs >= congestedLatencyMs
 }
 
-// RecordUnreachable renews the lease as of startedMs, when a call started that could not connect. Discovery was unreachable then,
+// RecordUnreachable renews the lease as of startedMs, the start of a call that could not connect. Discovery was unreachable then,
 // so the time by which the gateway must have been notified of a missed change counts from a later moment.
 func (l *Lease) RecordUnreachable(startedMs float64) { l.Renew(startedMs) }
 
 // RecordRejection records that discovery rejected or interrupted a call that started at startedMs. Discovery does so while it is
-// down, which renews the lease like unreachability. It also does so when it gets too many calls, which does not justify a renewal.
-// Gateways pace their calls so that this is rare. If the last call that got a response indicated congestion, a rejection does not
-// renew the lease.
+// down, which renews the lease like unreachability. It also does so when it gets too many calls. It is reachable then, so the
+// lease must not be renewed. Gateways pace their calls so that this is rare. If the last call that got a response indicated
+// congestion, a rejection does not renew the lease.
 func (l *Lease) RecordRejection(startedMs float64) {
 	if !l.congested {
 		l.Renew(startedMs)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -4,8 +4,8 @@
 // In each step the loop handles all tasks that wait in the inbox, in order, and then steps the scheduler once. The loop itself
 // never waits for another goroutine, so a full inbox soon has room again.
 //
-// Methods of Loop may be called from any goroutine unless their comments say otherwise. The caller of Run owns the goroutine.
-// Tasks that are in the inbox when Run returns, or that are posted later, are not handled.
+// Methods of Loop may be called from any goroutine unless their comments say otherwise. The loop's goroutine is the one that
+// calls Run. Tasks that are in the inbox when Run returns, or that are posted later, are not handled.
 package eventloop
 
 import (
--- a/internal/incarnation/tracker.go
+++ b/internal/incarnation/tracker.go
@@ -13,7 +13,8 @@
 	// implies a longer delay, this gateway's own observation is used instead.
 	maxReportDelayMs = 2500
 
-	// maxIncarnations is the maximum number of incarnations that are kept. All are discarded before a further one is added.
+	// maxIncarnations is the maximum number of incarnations that are kept. At the maximum, all are discarded before a further one
+	// is added.
 	maxIncarnations = 1 << 13
 )
 
@@ -30,8 +31,8 @@
 	startedMs       float64 // start time on this gateway's clock
 }
 
-// MarkComplete records that the list was complete at atMs, in milliseconds on this gateway's clock. It has no effect if a
-// later time was recorded before.
+// MarkComplete records that the list was complete at atMs, which means that it contained all changes made before that time. atMs
+// is in milliseconds on this gateway's clock. MarkComplete has no effect if a later time was recorded before.
 func (t *Tracker) MarkComplete(atMs float64) { t.completeAtMs = max(t.completeAtMs, atMs) }
 
 // StartedAtMs returns when a listed server was started, in milliseconds on this gateway's clock. reportedStartMs is the start
--- a/internal/lifecycle/deduplicator.go
+++ b/internal/lifecycle/deduplicator.go
@@ -3,7 +3,7 @@
 // Deduplicator handles device requests. A device may transmit the same request several times; the Deduplicator submits a request
 // for each execution that is needed. Its methods are called on the Manager's goroutine; nowMs is the current time in milliseconds.
 type Deduplicator interface {
-	// Submit handles a transmission of a request, whose Device field is set.
+	// Submit handles a transmission of a device request. Its field Device must be set.
 	Submit(nowMs float64, request *Request)
 	// Cancel handles the cancellation of a request, including one that was never passed to Submit.
 	Cancel(nowMs float64, request *Request)
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -60,8 +60,8 @@
 	return u.Kind == scheduler.Snapshot || u.Kind == scheduler.CachedSnapshot
 }
 
-// providesEndpoints reports whether the gateway has a usable endpoint list once the update is applied. A cached snapshot, which
-// dates from before the start, is usable only if it lists a server.
+// providesEndpoints reports whether the update gives the gateway a usable endpoint list. A cached snapshot, which dates from before
+// the start, is usable only if it lists a server.
 func (u *EndpointUpdate) providesEndpoints() bool {
 	switch u.Kind {
 	case scheduler.Delta, scheduler.Snapshot:
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -41,7 +41,7 @@
 	pendingEvents []scheduler.Event
 
 	requests map[scheduler.RequestID]*requestState
-	// requestsByClientID holds the entries of requests that have a ClientID.
+	// requestsByClientID holds the states of the requests that have a ClientID, by ClientID.
 	requestsByClientID map[string]*requestState
 	lastRequestID      scheduler.RequestID
 
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -8,8 +8,8 @@
 )
 
 // Server is an entry of the endpoint list. Its exported fields are never modified: an update contains new entries, and attempts
-// may still hold the old ones. An entry shares its closed state with the entry that it replaces if that is open and has the same
-// address.
+// may still hold the old ones. An entry shares its closed state with the entry that it replaces if the replaced entry is open
+// and has the same address.
 type Server struct {
 	Name, Addr, Zone, Kind string
 	Shard                  int
