--- a/internal/dedup/exchange/modelactions_test.go
+++ b/internal/dedup/exchange/modelactions_test.go
@@ -59,7 +59,7 @@
 	m.checkRepeat(action, sent)
 }
 
-// checkRepeat checks an execution of a request that a server has already executed: it must reach servers that drop it as a repeat.
+// checkRepeat checks an execution of a request that a server has already executed. The repeat must reach servers that drop it.
 func (m *gatewayModel) checkRepeat(action StartExecution, sent *modelTransmission) {
 	m.t.Helper()
 	execution := m.serverExecutions[sent.name()]
@@ -190,7 +190,7 @@
 		m.nowMs < execution.windowEndMs() {
 		m.fail("exchange %d is forgotten %v ms before its deduplication window ends", action.ID, execution.windowEndMs()-m.nowMs)
 	}
-	if exchange.class.Idempotency == scheduler.NotIdempotent { // the model's window for such a request never ends
+	if exchange.class.Idempotency == scheduler.NotIdempotent { // the record of such a request has an infinite window
 		delete(m.serverExecutions, exchange.name())
 	}
 	delete(m.exchanges, action.ID)
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -38,9 +38,9 @@
 }
 
 // If an execution failed and no transmission got that response, the next transmission starts a second execution, provided that this
-// is safe: no server can have executed the request, the request is idempotent, or the deduplication window lasts and the second
-// execution goes to the shard of the first attempt, whose servers drop a repeat. Otherwise the transmission fails. A failure that
-// a transmission got as its response is final.
+// is safe: no server can have executed the request, the request is idempotent, or the deduplication window has not ended and the
+// second execution goes to the shard of the first attempt, whose servers drop a repeat. Otherwise the transmission fails. A
+// failure that a transmission got as its response is final.
 func TestTransmissionAfterFailure(t *testing.T) {
 	const noExecution = -2
 	for name, c := range map[string]struct {
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// handleHeartbeat handles a heartbeat, which has no effect until the session is confirmed. It records that the list was complete
-// when the heartbeat was received. It calls the notify function only if the list is polled: a pushed list has no lease to renew.
+// handleHeartbeat records that the list was complete when a heartbeat was received. A heartbeat has no effect until the session is
+// confirmed. The notify function is called only if the list is polled, because a pushed list has no lease to renew.
 func (w *Watcher) handleHeartbeat(session *watchSession, receivedMs float64) {
 	if !session.confirmed(receivedMs) {
 		return
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -206,7 +206,7 @@
 		if kind != scheduler.WatchIdle || afterMs != 5*heartbeatIntervalMs+idleTimeoutMs {
 			t.Errorf("watch ended as %v after %v ms, want WatchIdle one idle timeout after the last of five heartbeats", kind, afterMs)
 		}
-		if heartbeats != 4 { // the first of the five arrives before the watch is confirmed
+		if heartbeats != 4 { // the first of the five is not reported, because it arrives before the watch is confirmed
 			t.Errorf("%d heartbeats reported, want 4", heartbeats)
 		}
 		<-served
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -42,7 +42,7 @@
 
 	startedMs float64 // time at which the request was sent
 	responded bool    // whether a response with status 200 has begun
-	updated   bool    // whether an update was applied, be it an empty snapshot
+	updated   bool    // whether an update was applied; an empty snapshot counts
 	parser    fastjson.Parser
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -107,7 +107,7 @@
 	Metrics         *metrics.Registry
 	// Notify is called for each update, with the part of the update that is to be applied. If the list is polled, it is also called
 	// with scheduler.Heartbeat for a heartbeat of a confirmed watch, and with one of these kinds when a watch ends, unless
-	// SwitchAddress or the end of the context ended the watch:
+	// SwitchAddress or the end of its context ended the watch:
 	//
 	//   - scheduler.WatchIdle if discovery responded and then stopped sending,
 	//   - scheduler.WatchClosed if the watch ended in another way, after an update was applied or confirmationDelayMs passed,
--- a/internal/endpoints/tracker_test.go
+++ b/internal/endpoints/tracker_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// referenceModel records every accepted endpoint and checks the decisions: an older update may report a server as ready only
-// if the server is ready already or has started again since it was closed.
+// referenceModel records every accepted endpoint and checks the decisions: a ready endpoint of an older update may be accepted only
+// if its server is ready already or has started again since it was reported as draining.
 type referenceModel struct {
 	version uint64
 	ready   map[string]float64 // start times of the ready servers, by name
--- a/internal/incarnation/tracker_test.go
+++ b/internal/incarnation/tracker_test.go
@@ -19,7 +19,7 @@
 // checkSkew checks the start times of servers at a gateway whose clock is off by skewMs.
 func checkSkew(t *testing.T, skewMs float64) {
 	t.Helper()
-	nowMs := 100*hourMs + skewMs // on this gateway's clock
+	nowMs := 100*hourMs + skewMs // current time on this gateway's clock
 	var tracker Tracker
 	old := tracker.StartedAtMs("old", 99.5*hourMs, nowMs)
 	if old > nowMs || skewMs == 0 && old != 99.5*hourMs {
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -52,7 +52,7 @@
 }
 
 // Cancel marks the request as canceled: its client no longer waits for the response. It may be called at any time from any
-// goroutine. It takes effect at once, because an attempt that waits for a connection may be about to start.
+// goroutine. It takes effect at once, so that an attempt that still waits for a connection does not start.
 func (r *Request) Cancel() { r.canceled.Store(true) }
 
 // Canceled reports whether the request was canceled or its client has disconnected. It may be called from any goroutine.
