--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -21,7 +21,7 @@
 }
 
 const (
-	// Gains of the moving averages: the round trip and its deviation as in RFC 6298, and the delivery rate.
+	// Gains of the moving averages of the round trip and its deviation, which are those of RFC 6298, and of the delivery rate.
 	roundTripGain = 1.0 / 8
 	deviationGain = 1.0 / 4
 	rateGain      = 1.0 / 4
@@ -34,8 +34,8 @@
 
 	minSafetyMarginMs      = 25
 	maxMeasurementMs       = 3600_000 // longer durations are ignored as implausible
-	minRateSampleBytes     = 512      // for fewer bytes the transfer time depends on the round trip, not on the rate
-	minGapSamples          = 8        // fewer samples may come from a single disturbance
+	minRateSampleBytes     = 512      // smaller samples are ignored: their transfer time depends on the round trip, not on the rate
+	minGapSamples          = 8        // minimum number of gaps whose quantiles are used; fewer may come from a single disturbance
 	medianGapQuantile      = 0.5      // quantile of the gaps from which the delay of a response is estimated
 	highGapQuantile        = 0.99     // quantile of the gaps from which the idle timeout is derived
 	idleTimeoutGapMultiple = 2        // ratio of the idle timeout to the high quantile of the gaps
@@ -46,7 +46,7 @@
 // LinkEstimator estimates the round trip, delivery rate and gaps of one device's link from samples. It stores three numbers
 // and a quantile sketch. The zero value has no measurements. It is not safe for concurrent use.
 type LinkEstimator struct {
-	roundTripMs float64 // moving average; 0: unknown
+	roundTripMs float64 // moving average of the round trip; 0: unknown
 	deviationMs float64 // moving average of the deviation of the round trip
 	bytesPerMs  float64 // moving average of the delivery rate; 0: unknown
 	gaps        quantile.Sketch
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -27,11 +27,12 @@
 	clock clock.Clock
 
 	mu sync.Mutex
-	// readStartedMs is the time at which the latest completed read was started. Its bytes are treated as having arrived after that.
+	// readStartedMs is the time at which the latest completed read was started. The bytes of this read are treated as having
+	// arrived after that time.
 	readStartedMs float64
 	conn          *trackedConn  // connection of the latest watch; nil if there is none
 	processing    bool          // whether bytes that were read from conn are being processed
-	processed     chan struct{} // closed when these bytes have been processed; nil if no goroutine waits for it
+	processed     chan struct{} // closed when the bytes read from conn have been processed; nil if no goroutine waits for that
 }
 
 // trackedConn is the connection of a watch. Its reader calls Read only after it has processed all bytes of the previous call.
@@ -82,8 +83,8 @@
 	t.readStartedMs = startedMs
 }
 
-// lastReadStartedMs returns the time at which the latest completed read was started. Its bytes are treated as having arrived
-// after that.
+// lastReadStartedMs returns the time at which the latest completed read was started. The bytes of this read are treated as
+// having arrived after that time.
 func (t *receiveTracker) lastReadStartedMs() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,7 +101,8 @@
 	}
 }
 
-// pending returns a channel that is closed when all bytes that have arrived are processed, or nil if they already are.
+// pending returns nil if all bytes that have arrived are processed. Otherwise it returns a channel that is closed when the reader
+// has processed the bytes that it has read. More bytes may be unread by then, so the caller has to call pending again.
 func (t *receiveTracker) pending() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -21,7 +21,7 @@
 	CompleteAsOfMs float64
 	// CallDurationMs is how long discovery took to respond to a call. It is set in the first update of a call only.
 	CallDurationMs float64
-	// Failure is set if Kind is scheduler.WatchFailed.
+	// Failure classifies the failed call. It is set if Kind is scheduler.WatchFailed.
 	Failure CallFailure
 }
 
@@ -60,8 +60,8 @@
 	return u.Kind == scheduler.Snapshot || u.Kind == scheduler.CachedSnapshot
 }
 
-// providesEndpoints reports whether the gateway has a usable endpoint list once the update is applied. A cached snapshot, which
-// dates from before the start, is usable only if it lists a server.
+// providesEndpoints reports whether the update gives the gateway a usable endpoint list. A cached snapshot, which dates from before
+// the start, is usable only if it lists a server.
 func (u *EndpointUpdate) providesEndpoints() bool {
 	switch u.Kind {
 	case scheduler.Delta, scheduler.Snapshot:
