--- a/cmd/gaugerelay/main_test.go
+++ b/cmd/gaugerelay/main_test.go
@@ -66,7 +66,8 @@
 	log        *bufio.Scanner // lines of the program's standard error
 }
 
-// startProgram starts the program with a configuration file that contains config. It is killed at the end of the test.
+// startProgram starts the program with a configuration file that contains config. The program is killed at the end of the
+// test.
 func startProgram(t *testing.T, config string, args ...string) *program {
 	t.Helper()
 	configFile := writeFile(t, "config.json", config)
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -51,7 +51,8 @@
 	return append(append(encoded, messageType), body...)
 }
 
-// openFrame returns the router's OPEN with the given optional parameters. lastOctet is the last octet of its identifier.
+// openFrame returns the router's OPEN with the given optional parameters. lastOctet is the last octet of
+// the router's BGP identifier.
 func openFrame(version byte, as, holdSeconds uint16, lastOctet byte, parameters ...byte) []byte {
 	body := binary.BigEndian.AppendUint16([]byte{version}, as)
 	body = binary.BigEndian.AppendUint16(body, holdSeconds)
@@ -197,9 +198,9 @@
 	<-r.clock.armed // the clock must not advance after the speaker has read it and before the speaker has set its timer
 	r.write(fourOctetOpen())
 	r.read()
-	// Each advance is as long as the keepalive interval without jitter, so the keepalive timer expires before its end. The
-	// speaker reads the time at the end of the advance. After the third one both timers have expired, and the speaker handles
-	// the hold timer first.
+	// Each advance is as long as the keepalive interval without jitter. Jitter shortens the interval, so the keepalive timer
+	// expires before the advance ends. The speaker reads the time at the end of the advance. After the third advance both
+	// timers have expired, and the speaker handles the hold timer first.
 	for range 2 {
 		<-r.clock.armed
 		r.clock.Advance(holdTimeMs / 3)
@@ -212,8 +213,8 @@
 	testbed.CompareGolden(t, "timers", r.record.String())
 }
 
-// Records the speaker's NOTIFICATION to a router that violates the protocol. The violation follows the speaker's OPEN or happens
-// in an established session.
+// Records the speaker's NOTIFICATION to a router that violates the protocol. The router does so in its first message, after
+// the speaker's OPEN, or in an established session.
 func TestGoldenNotifications(t *testing.T) {
 	badMarker := frame(typeKeepalive)
 	badMarker[0] = 0
--- a/internal/bgp/message.go
+++ b/internal/bgp/message.go
@@ -20,7 +20,7 @@
 )
 
 // minMessageSize returns the minimum length of a message of the given type. ok is false for unknown types and for
-// ROUTE-REFRESH, a capability that the speaker's OPEN does not advertise.
+// ROUTE-REFRESH, for which the speaker's OPEN does not advertise the capability.
 func minMessageSize(messageType uint8) (size int, ok bool) {
 	switch messageType {
 	case bgp.BGP_MSG_OPEN:
--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -15,7 +15,7 @@
 
 // The states of a session.
 const (
-	stateIdle sessionState = iota // not started, or ended
+	stateIdle sessionState = iota // the session has not started or has ended
 	stateOpenSent
 	stateOpenConfirm
 	stateEstablished
--- a/internal/bgp/session_test.go
+++ b/internal/bgp/session_test.go
@@ -157,8 +157,8 @@
 	r.compare()
 }
 
-// advance moves the time forward and handles the timers. The model does not predict KEEPALIVEs, whose interval is random, so
-// the messages of a session that has not ended are not compared with it.
+// advance moves the time forward and handles the timers. The model does not predict KEEPALIVEs, because their interval is
+// random. While a session may send them, its messages are therefore not compared with the model.
 func (r *modelRun) advance(ms float64) {
 	r.t.Helper()
 	r.nowMs += ms
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -9,7 +9,7 @@
 type Manual struct {
 	mu     sync.Mutex
 	nowMs  float64
-	timers []*manualTimer // in the order of their creation
+	timers []*manualTimer // pending timers in the order of their creation
 }
 
 // manualTimer is a pending callback of a Manual clock.
@@ -47,7 +47,7 @@
 }
 
 // Advance moves the clock forward by ms. It runs the callbacks that become due in the order of their times, and sets the
-// clock to the time of each before it runs. Callbacks may use the clock.
+// clock to the time of each callback before the callback runs. Callbacks may use the clock.
 func (m *Manual) Advance(ms float64) {
 	m.mu.Lock()
 	endMs := m.nowMs + ms
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -20,7 +20,7 @@
 	mu              sync.Mutex
 	lastHeartbeatMs float64
 	pauseStartMs    float64 // start of the last pause
-	pauseEndMs      float64 // end of the last pause; 0 before the first
+	pauseEndMs      float64 // end of the last pause; 0 if there was none
 	stopHeartbeat   func()
 	closed          bool
 }
@@ -67,7 +67,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.isLate(nowMs) { // after a pause that the next heartbeat has not recorded yet
+	if d.isLate(nowMs) { // the process was paused, and no heartbeat has recorded the pause yet
 		d.observe(nowMs)
 	}
 	if d.pauseEndMs > 0 && nowMs-d.pauseEndMs <= backlogMs {
@@ -96,7 +96,8 @@
 // observe records that the process is running at nowMs, and the preceding pause if there was one. The caller holds d.mu.
 func (d *PauseDetector) observe(nowMs float64) {
 	if d.isLate(nowMs) {
-		// A pause that begins within backlogMs after another extends it: the process has hardly run in between.
+		// A pause that begins within backlogMs after another one counts as part of it, since the process has hardly run in
+		// between.
 		if d.pauseEndMs == 0 || d.lastHeartbeatMs-d.pauseEndMs > backlogMs {
 			d.pauseStartMs = d.lastHeartbeatMs
 		}
--- a/internal/clock/pause_test.go
+++ b/internal/clock/pause_test.go
@@ -12,8 +12,9 @@
 }
 
 // TestPauseDetector checks that bytes that are read within 250 ms (backlogMs) after a pause may have arrived since the last
-// heartbeat before the pause, and all other bytes only now. Heartbeats are due every 100 ms (heartbeatIntervalMs), and one that
-// is more than 50 ms (pauseThresholdMs) late shows a pause. Pauses that are at most backlogMs apart count as one.
+// heartbeat before the pause, and that all other bytes arrive when they are read. Heartbeats are due every 100 ms
+// (heartbeatIntervalMs), and one that is more than 50 ms (pauseThresholdMs) late shows a pause. Pauses that are at most
+// backlogMs apart count as one.
 func TestPauseDetector(t *testing.T) {
 	clock := pausedClock{NewManual(1000)}
 	detector := StartPauseDetector(clock)
--- a/internal/config/bgp.go
+++ b/internal/config/bgp.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxAnnouncedPrefixes is the largest number of prefixes. That many fit in one UPDATE message.
+	// maxAnnouncedPrefixes is the largest number of prefixes that may be announced. That many fit in one UPDATE message.
 	maxAnnouncedPrefixes = 256
 
 	// Default and bounds of the hold time in milliseconds. A hold time of 0 is also valid: it disables the hold timer.
--- a/internal/config/edge.go
+++ b/internal/config/edge.go
@@ -12,7 +12,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// Edge is the configuration in the operator's file, which supplements the platform's. A part that is nil is disabled.
+// Edge is the configuration in the operator's file, which supplements the platform's configuration. A part that is
+// nil is disabled.
 type Edge struct {
 	SFTP    *SFTP
 	BGP     *bgp.Options
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -38,9 +38,9 @@
 // Fleet configures the communication between gateways. Resolve takes the values that are left out from the platform's
 // configuration.
 type Fleet struct {
-	Listen       string       // address to listen on; "" means the platform's
+	Listen       string       // address to listen on; "" means the platform's address
 	GatewayIndex int          // index of this gateway in Peers; negative means the platform's index
-	Peers        []string     // addresses of all gateways; empty means the platform's
+	Peers        []string     // addresses of all gateways; empty means the platform's addresses
 	Options      peer.Options // all options except Self, Peers, Incarnation and Seed
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -182,7 +182,8 @@
 	return string(text)
 }
 
-// replaced returns text with the first occurrence of old replaced by new. It fails the test if there is none.
+// replaced returns text with the first occurrence of old replaced by new. It fails the test if text does not
+// contain old.
 func replaced(t *testing.T, text, old, new string) string {
 	t.Helper()
 	if !strings.Contains(text, old) {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -56,7 +56,7 @@
 	if known != nil && known.Type() == fastjson.TypeObject {
 		c.KnownEndpoints, c.InvalidKnownEntries = discovery.Decode(known)
 	}
-	c.KnownEndpoints.Kind = scheduler.CachedSnapshot // the list may be out of date, whatever kind the file gives
+	c.KnownEndpoints.Kind = scheduler.CachedSnapshot // the list may be out of date, so the kind in the file is ignored
 }
 
 // setDefaults sets the limits that the file omits to their defaults.
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -48,19 +48,19 @@
 	SchedulerMessage  = "scheduler_message"
 )
 
-// Keys of the fields of log records. Times are in milliseconds.
+// Keys of the fields of log records. The comment on a key describes the field's value. Times are in milliseconds.
 const (
 	Address       = "addr"
 	Announced     = "announced" // true if the BGP prefixes are announced, false if they are withdrawn
 	Attempt       = "attempt"
-	Changed       = "changed" // changed parts of the configuration that require a restart
+	Changed       = "changed" // names of the changed parts of the configuration that require a restart
 	Client        = "client"
-	Discovery     = "discovery" // address of discovery
+	Discovery     = "discovery" // address of the discovery service in use after a reload
 	Error         = "error"
 	Name          = "name" // name of the gateway
 	PacketType    = "type" // type of an SFTP packet
 	Peer          = "peer" // address of a BGP peer
-	Purpose       = "for"  // what a listener serves, such as clients or file commands
+	Purpose       = "for"  // purpose of a listener, such as clients or file commands
 	Reason        = "reason"
 	Request       = "request"
 	RetryWithinMs = "retry_within_ms"
--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -12,14 +12,14 @@
 	transmissions int // number of messages that have carried the state
 }
 
-// enqueueBroadcast schedules the current state of a member for gossip. It replaces an earlier broadcast of that member.
+// enqueueBroadcast schedules the current state of a member for gossip. It replaces an earlier broadcast about that member.
 func (l *Memberlist) enqueueBroadcast(index uint16) {
 	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(b broadcast) bool { return b.member == index })
 	l.broadcasts = append(l.broadcasts, broadcast{member: index})
 }
 
 // send adds updates to a message and queues it. The updates are, in this order: the state of this member; the state of the
-// receiver if it is not alive, so that the receiver can refute it; and the broadcasts with the fewest transmissions.
+// receiver unless that is Alive, so that the receiver can refute it; and the broadcasts with the fewest transmissions.
 func (l *Memberlist) send(m Message) {
 	m.Updates = append(m.Updates, l.updateFor(l.settings.Self))
 	if l.members[m.Peer].state != Alive {
@@ -39,8 +39,8 @@
 	l.outgoing = append(l.outgoing, m)
 }
 
-// dropFinishedBroadcasts removes broadcasts that were sent often enough. It also removes the broadcast of this member,
-// because every message carries the state of its sender.
+// dropFinishedBroadcasts removes broadcasts that were sent often enough. It also removes the broadcast about this member
+// itself, because every message carries the state of its sender anyway.
 func (l *Memberlist) dropFinishedBroadcasts() {
 	limit := int(math.Ceil(l.settings.RetransmitFactor * math.Log10(float64(len(l.members)+1))))
 	l.broadcasts = slices.DeleteFunc(l.broadcasts, func(b broadcast) bool {
@@ -48,7 +48,8 @@
 	})
 }
 
-// updateFor returns an update with the current state of a member. For a suspect it names a random member that suspects it.
+// updateFor returns an update with the current state of a member. If the member is a suspect, the update also
+// names one of the members that suspect it, chosen at random.
 func (l *Memberlist) updateFor(index uint16) Update {
 	m := &l.members[index]
 	u := Update{Member: index, State: m.state, Incarnation: m.incarnation, ProcessIncarnation: m.processIncarnation}
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -12,7 +12,7 @@
 
 	suspectedAtMs float64
 	directPings   int      // pings sent to the suspect itself since it became suspect
-	suspectedBy   []uint16 // at most ExpectedConfirmations+1 members
+	suspectedBy   []uint16 // members that suspect this member; at most ExpectedConfirmations+1
 }
 
 // Memberlist is the view that one member has of the fleet. It is not safe for concurrent use.
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -86,7 +86,7 @@
 	Member             uint16
 	State              State
 	ProcessIncarnation uint32
-	// IdentityConflict reports that another process uses, or has used, the index of this member. Member is then this member,
-	// and ProcessIncarnation identifies the other process.
+	// IdentityConflict reports that another process uses, or has used, the index of the local member. Member is then the local
+	// member, and ProcessIncarnation identifies the other process.
 	IdentityConflict bool
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -12,7 +12,7 @@
 type probePhase uint8
 
 const (
-	probeFinished probePhase = iota // acknowledged, timed out at the end of its period, or not started yet
+	probeFinished probePhase = iota // no probe is pending: the last one has ended, or none has started
 	probeDirect                     // the target has been pinged
 	probeIndirect                   // other members have been asked to ping the target
 )
@@ -57,7 +57,7 @@
 	return l.probe.startMs + l.scaled(l.settings.ProbeTimeoutMs)
 }
 
-// probeIndirectly asks other members to ping the target of the pending probe once its timeout has expired.
+// probeIndirectly asks other members to ping the target of the pending probe once the probe's timeout has expired.
 func (l *Memberlist) probeIndirectly(nowMs float64) {
 	p := &l.probe
 	if p.phase != probeDirect || nowMs < l.indirectProbeAtMs() {
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -15,7 +15,8 @@
 	return list
 }
 
-// supersedes reports whether an update with the first incarnation and state wins over one with the other two.
+// supersedes reports whether an update with the given incarnation and state wins over an update with otherIncarnation and
+// otherState.
 func supersedes(incarnation uint64, state State, otherIncarnation uint64, otherState State) bool {
 	return cmp.Or(cmp.Compare(incarnation, otherIncarnation), cmp.Compare(state, otherState)) > 0
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,8 +7,8 @@
 // ping lets the suspect refute the suspicion to that member itself.
 const maxDirectPings = 4
 
-// suspicionTimeoutMs returns the time that a suspect has to refute the suspicion. The more members suspect it, the shorter
-// the time.
+// suspicionTimeoutMs returns the time after which a suspect is declared dead unless it refutes the suspicion. The more
+// members suspect it, the shorter the time.
 func (l *Memberlist) suspicionTimeoutMs(suspect *member) float64 {
 	shortest, longest := l.settings.SuspicionBoundsMs()
 	if l.settings.ExpectedConfirmations == 0 {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,7 +14,7 @@
 // creation.
 type Registry struct {
 	mu       sync.Mutex
-	names    []string // names in the order of creation
+	names    []string // names of the counters, in the order of their creation
 	counters map[string]*atomic.Int64
 }
 
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -14,7 +14,7 @@
 type Detector struct {
 	settings      Settings
 	servers       map[uint64]*server
-	order         []uint64 // keys of servers, in the order of SetServers
+	order         []uint64 // keys of the map servers, in the order given to SetServers
 	aliveGateways int
 	lastVersion   uint64 // version of this gateway's latest report, or 0 before the first one
 	ejections     []Ejection
--- a/internal/peer/datagram/decode.go
+++ b/internal/peer/datagram/decode.go
@@ -34,7 +34,7 @@
 		return nil, ErrFormat
 	}
 	if b[versionOffset] != version {
-		return nil, ErrVersion // checked before the checksum, which another version may compute differently
+		return nil, ErrVersion // the checksum is verified later, since another version may compute it differently
 	}
 	end := len(b) - checksumSize
 	if sum := c.checksum(b[:end]); !hmac.Equal(sum[:], b[end:]) {
--- a/internal/peer/datagram/doc.go
+++ b/internal/peer/datagram/doc.go
@@ -3,7 +3,7 @@
 //
 // # Format
 //
-// All integers are big-endian.
+// All integers are big-endian. An offset of -8 means 8 bytes before the end of the datagram.
 //
 //	offset  size  field
 //	     0     2  magic "GR"
@@ -15,7 +15,7 @@
 //	    18     -  items: type (1), length of the body (1), body
 //	    -8     8  checksum of all preceding bytes: the first 8 bytes of HMAC-SHA256 if there is a key, else xxhash64
 //
-// The bodies of items, by type:
+// The bodies of items, by type, with the sizes of their fields in bytes:
 //
 //	1 membership message  kind (1), sequence number (4), target (2)
 //	2 membership update   member (2), state (1), incarnation (8), process incarnation (4), suspected by (2)
--- a/internal/peer/datagram/socket.go
+++ b/internal/peer/datagram/socket.go
@@ -17,7 +17,7 @@
 	counterReadErrors      = "fleet_read_errors"
 	counterWriteErrors     = "fleet_write_errors"
 	counterDatagramsSent   = "fleet_datagrams_sent"
-	counterDatagramsUnsent = "fleet_datagrams_unsent" // dropped because the queue was full
+	counterDatagramsUnsent = "fleet_datagrams_unsent" // datagrams that were dropped because the queue was full
 	counterBytesSent       = "fleet_bytes_sent"
 )
 
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -32,7 +32,7 @@
 	ClockDrift float64
 	// MaxGrantedFraction is the largest fraction of its own share of a quota that a gateway grants to others.
 	MaxGrantedFraction float64
-	// MaxVolumes bounds the volumes whose quota is shared.
+	// MaxVolumes bounds the volumes whose quota can be leased.
 	MaxVolumes int
 }
 
@@ -43,7 +43,8 @@
 	// maxServers bounds the servers about which gateways report.
 	maxServers = 4096
 
-	// requestsPerLease is the number of times that a quota lease may be requested during its duration.
+	// requestsPerLease is the number of rounds of quota messages that a gateway may initiate for a volume within the duration
+	// of a lease.
 	requestsPerLease = 10
 	// quotaIdleTimeoutMs is the time after the last demand for a volume during which a gateway grants leases of the volume's
 	// quota.
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -65,9 +65,9 @@
 
 // packetSet holds one packet for each recipient, in the order in which packetFor was first called for the recipients.
 type packetSet struct {
-	template   datagram.Packet // new packets are copies of it
+	template   datagram.Packet // new packets are copies of this packet
 	recipients []uint16
-	packets    []*datagram.Packet // parallel to recipients
+	packets    []*datagram.Packet // packets of the recipients, in the same order
 }
 
 // packetFor returns the packet for a recipient, which it adds if necessary.
--- a/internal/peer/servers.go
+++ b/internal/peer/servers.go
@@ -10,8 +10,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// removedServerRetentionMs is the time for which this gateway reports a removed server as withdrawn. It is longer than
-// endpoint updates take to reach all gateways.
+// removedServerRetentionMs is the time for which this gateway reports a removed server as withdrawn, for the sake of gateways
+// that do not know of the removal yet. It is longer than endpoint updates take to reach all gateways.
 const removedServerRetentionMs = 10_000
 
 // ServerKey returns the key by which all gateways identify one process of a server: a hash of the server's identifier and its
@@ -24,7 +24,7 @@
 
 // serverTable holds the servers of the current endpoint list and the servers that were removed recently.
 type serverTable struct {
-	listed    map[uint64]*lifecycle.Server // by serverKey
+	listed    map[uint64]*lifecycle.Server // servers of the current list, by serverKey
 	removedAt map[uint64]float64           // time of removal in ms, by serverKey
 }
 
--- a/internal/peerlatency/aggregator.go
+++ b/internal/peerlatency/aggregator.go
@@ -9,7 +9,7 @@
 type Aggregator struct {
 	settings     Settings
 	servers      map[uint64]*server
-	order        []uint64 // keys of servers in the order of SetServers
+	order        []uint64 // keys of the map servers, in the order given to SetServers
 	lastReportMs float64  // time of the last round of reports
 }
 
--- a/internal/peerlatency/doc.go
+++ b/internal/peerlatency/doc.go
@@ -1,5 +1,5 @@
 // Package peerlatency combines the server latencies that several gateways measure. A gateway that receives few responses
-// from a server detects late that the server has become slow, or fast again. Other gateways may already have measured it.
+// from a server detects late that the server has become slow, or fast again. Other gateways may already have measured the change.
 //
 // Each gateway reports only the mean latency of the responses that it has received itself. The combined estimate for a server
 // is the lower median of the recent reports of at least two other gateways. A single gateway that reports wrong values, or
--- a/internal/peerlatency/server.go
+++ b/internal/peerlatency/server.go
@@ -12,13 +12,14 @@
 type server struct {
 	id uint64
 
-	// latencySum and weight are exponentially decayed sums over the responses to this gateway, as of observedAtMs.
+	// latencySum is the sum of the latencies of the responses to this gateway, and weight is their number. Both decay
+	// exponentially with time, and hold the values at observedAtMs.
 	latencySum, weight float64
 	observedAtMs       float64
-	unreported         int // number of responses to this gateway since its last report
+	unreported         int // number of responses to this gateway since its last report about the server
 
 	reports       []peerReport // at most one for each peer
-	hasNewReports bool         // whether reports have changed since the last estimate
+	hasNewReports bool         // whether the field reports has changed since the last estimate
 }
 
 // peerReport is the most recent report of one peer.
@@ -63,8 +64,8 @@
 	s.hasNewReports = true
 }
 
-// supersedes reports whether r is more recent than another report of the same peer. The lower latency decides between
-// reports of the same time, so that their order does not matter.
+// supersedes reports whether r is more recent than another report of the same peer. Of two reports of the same
+// time, the one with the lower latency supersedes the other one, so that the order in which they arrive does not matter.
 func (r peerReport) supersedes(other peerReport) bool {
 	return r.measuredAtMs > other.measuredAtMs || r.measuredAtMs == other.measuredAtMs && r.latencyMs < other.latencyMs
 }
--- a/internal/quantile/sketch.go
+++ b/internal/quantile/sketch.go
@@ -2,9 +2,9 @@
 // device.
 //
 // A Sketch is a histogram with logarithmic buckets, four for each doubling of the duration, from 1 ms to 4.6 hours. Each
-// bucket has a counter of 16 bits. A quantile differs from the value of that rank by at most 9.1 % if all values are in that
-// range. When a counter is full, all counters are halved, so that old values lose weight and the quantiles follow the
-// stream. The package runs no goroutine.
+// bucket has a counter of 16 bits. An estimated quantile differs from the exact one by at most 9.1 % if all values are in
+// the range of the buckets. When a counter is full, all counters are halved, so that old values lose weight and the quantiles
+// follow the stream. The package runs no goroutine.
 package quantile
 
 import "math"
--- a/internal/quantile/sketch_test.go
+++ b/internal/quantile/sketch_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// maxError is the largest allowed ratio between a quantile of the sketch and the value of that rank.
+// maxError is the largest allowed ratio between a quantile of the sketch and the exact quantile of the values.
 const maxError = 1.0911
 
 func TestQuantileWithinRelativeError(t *testing.T) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFullBucketDecaysAll checks that a value for a full bucket (maxBucketValue) halves the counts of all buckets, so that the
-// counts do not overflow and earlier values lose weight.
+// TestFullBucketDecaysAll checks that adding a value to a bucket whose counter is full (maxBucketValue) halves the counts of
+// all buckets, so that no counter overflows and earlier values lose weight.
 func TestFullBucketDecaysAll(t *testing.T) {
 	sketch := &Sketch{}
 	for range 200_000 {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -28,8 +28,8 @@
 func (a *Allocator) SetPeers(peers []uint16) { a.peers = slices.Clone(peers) }
 
 // Step applies the demands and then the messages that have arrived. It returns the messages to send and the shares that
-// have changed. nowMs must not decrease from call to call. Leases expire without a message, so the caller must call Step
-// or AvailableFraction before it uses any quota.
+// have changed. nowMs must not decrease from call to call. Leases expire without a message: before the caller uses any
+// quota, it must call Step or AvailableFraction to learn how much it may still use.
 func (a *Allocator) Step(nowMs float64, demands []Demand, received []Message) (outgoing []Message, changed []Share) {
 	if !a.started {
 		a.started, a.startMs = true, nowMs
@@ -101,7 +101,8 @@
 	return next
 }
 
-// startupHoldEndMs returns the time by which all leases that an earlier incarnation may have granted have expired.
+// startupHoldEndMs returns the time by which all leases that an earlier incarnation of this gateway may have granted have
+// expired.
 func (a *Allocator) startupHoldEndMs() float64 { return a.startMs + a.settings.GrantHoldMs() }
 
 func (a *Allocator) inStartupHold(nowMs float64) bool { return nowMs < a.startupHoldEndMs() }
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// lenderProbesPerRound is the number of peers that one round of requests takes in rotation, to find further lenders of a
-	// pool.
+	// lenderProbesPerRound is the number of peers, taken in rotation, that one round of requests tries as further lenders of
+	// a pool.
 	lenderProbesPerRound = 4
-	// borrowedLeasesPerPeer times MaxPeers bounds the borrowed leases of a pool. A restarted lender may grant a lease
-	// while a lease of its previous incarnation has not expired.
+	// borrowedLeasesPerPeer times MaxPeers bounds the borrowed leases of a pool. Two leases of one peer exist if a
+	// restarted lender grants a lease while a lease of its previous incarnation has not expired.
 	borrowedLeasesPerPeer = 2
 )
 
-// handleGrant records a borrowed lease. It ignores a grant that does not answer the latest request to its lender. The lease
-// starts at the time of that request.
+// handleGrant records a borrowed lease. It ignores a grant that does not answer the latest request to the granting gateway.
+// The lease starts at the time at which that request was sent.
 func (a *Allocator) handleGrant(p *pool, nowMs float64, grant Message) {
 	i := slices.IndexFunc(p.pending, func(r pendingRequest) bool { return r.lender == grant.Peer && r.seq == grant.Seq })
 	if i < 0 {
@@ -41,7 +41,7 @@
 }
 
 // handleRecall immediately returns the quota that a lender recalls. A borrower that does not receive the recall keeps the
-// quota until its lease expires.
+// quota until the lease expires.
 func (a *Allocator) handleRecall(p *pool, recall Message) []Message {
 	borrowed := findLease(p.borrowed, recall.Peer, recall.SenderIncarnation)
 	if borrowed == nil || borrowed.fraction <= recall.Fraction {
@@ -94,7 +94,7 @@
 }
 
 // borrowedFrom returns the fraction that is borrowed from all incarnations of a lender, and the time at which the first of
-// these leases expires.
+// these leases expires, or +Inf if there are none.
 func (p *pool) borrowedFrom(lender uint16) (fraction, expiresAtMs float64) {
 	expiresAtMs = math.Inf(1)
 	for _, l := range p.borrowed {
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -22,13 +22,13 @@
 //     quota, so that expired leases are dropped first.
 //   - During its startup hold, which lasts [Settings.GrantHoldMs], a gateway does not use the part of its share that it
 //     could have lent, because its previous incarnation may have lent that part.
-//   - Messages carry state rather than changes, with sequence numbers that the borrower assigns. Any of them may be lost
-//     or delivered more than once.
+//   - Messages carry totals rather than changes of them, and the borrower's sequence numbers identify outdated messages. A
+//     lost, repeated or reordered message therefore makes no gateway use more than its lender has recorded as lent.
 //
 // While all links to its peers fail, a gateway loses only the quota that it has borrowed, and it can use all of its own
 // share again at most [Settings.GrantHoldMs] after the last grant that it issued. It can use at least
-// 1 - MaxGrantedFraction of its own share at any time, unless the number of gateways that receive the pool's traffic has
-// grown since it granted the rest.
+// 1 - MaxGrantedFraction of its own share at any time, unless its own share has shrunk since it granted the
+// rest, because more gateways receive the pool's traffic.
 //
 // # Concurrency
 //
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// advance replaces a sequence of numbers below base by the next sequence. It returns false after the last sequence.
+// advance replaces a sequence of numbers below base by the next one in lexicographic order. It returns false after the last
+// sequence.
 func advance(sequence []int, base int) bool {
 	for i := len(sequence) - 1; i >= 0; i-- {
 		sequence[i]++
@@ -117,7 +118,7 @@
 		step1   = eventStep*n + 1
 		demand0 = eventChangeDemandAndStep*n + 0
 		demand1 = eventChangeDemandAndStep*n + 1
-		crash0  = eventCrashOrStart*n + 0 // the second occurrence starts the gateway again
+		crash0  = eventCrashOrStart*n + 0 // crashes gateway 0, or starts it if it has crashed
 	)
 	pass, half := networkEvent(n, eventTimePasses), networkEvent(n, eventHalfLeasePasses)
 	oldest, newest := networkEvent(n, eventDeliverOldest), networkEvent(n, eventDuplicateNewest)
@@ -174,7 +175,7 @@
 	const (
 		seeds            = 300
 		events           = 1500
-		minLendingEvents = 1000 // with fewer, lending would hardly be tested
+		minLendingEvents = 1000 // minimum number of events after which gateway 0 has lent quota, so that lending is tested
 	)
 	maxInUse, lendingEvents := 0.0, 0
 	for seed := range uint64(seeds) {
@@ -184,7 +185,7 @@
 		for range events {
 			event := random.IntN(eventCount(n))
 			if random.IntN(3) == 0 {
-				event = networkEvent(n, eventDeliverOldest) // so that most messages arrive
+				event = networkEvent(n, eventDeliverOldest) // preferred, so that most messages arrive
 			}
 			net.apply(t, event)
 			if err := net.checkInvariant(); err != nil {
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -31,8 +31,8 @@
 	return []Message{reply}
 }
 
-// recordGrant renews the lease of a grant or records a new one. It returns false if there is no lease to renew and the pool
-// already has MaxPeers lent leases.
+// recordGrant records a grant: it renews the borrower's lease, or adds one if the borrower has none. It returns false if the
+// borrower has no lease and the pool already has MaxPeers lent leases.
 func (a *Allocator) recordGrant(p *pool, nowMs float64, grant Message) bool {
 	granted := findLease(p.lent, grant.Peer, grant.RecipientIncarnation)
 	if granted == nil {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -59,7 +59,7 @@
 	Gateways int
 	// Fraction is the fraction of the whole pool that the traffic of this gateway could use.
 	Fraction float64
-	// Resync makes Step return the pool's share even if it has not changed, for a caller that has lost its state.
+	// Resync makes Step return the pool's share even if it has not changed, for a caller that no longer knows the share.
 	Resync bool
 }
 
--- a/internal/quota/network_test.go
+++ b/internal/quota/network_test.go
@@ -31,7 +31,7 @@
 	inbox         []Message
 }
 
-// packet is a message in flight. Its Peer is the recipient.
+// packet is a message in flight. The field Peer of the message is the recipient.
 type packet struct {
 	sender  uint16
 	message Message
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -10,7 +10,8 @@
 	demandTimeoutMs = 1000
 	// demandHeadroom is the quota that a gateway keeps or requests, as a multiple of its demand.
 	demandHeadroom = 1.15
-	// minTransferRatio is the size that a transfer must exceed to be sent, as a fraction of the gateway's own share.
+	// minTransferRatio is the fraction of a gateway's own share that an amount of quota must exceed to be requested, recalled
+	// or returned.
 	minTransferRatio = 0.05
 )
 
@@ -34,7 +35,7 @@
 // pool is the state that this gateway has for one pool.
 type pool struct {
 	id          uint64
-	ownFraction float64 // the share that this gateway owns
+	ownFraction float64 // fraction of the pool that this gateway owns
 	gateways    int     // number of gateways that receive the pool's traffic, including this one
 
 	demand     float64
@@ -42,22 +43,22 @@
 
 	lent     []lease
 	borrowed []lease
-	pending  []pendingRequest // at most one for each lender
+	pending  []pendingRequest // unanswered requests, at most one for each lender
 
 	knownLenders    []uint16 // peers that have answered a request, which shows that they also receive the pool's traffic
-	nextProbeIndex  int      // index of the next peer to probe in Allocator.peers, modulo their number
+	nextProbeIndex  int      // index in Allocator.peers, modulo its length, of the next peer to try as a lender
 	lastSeq         uint32
 	lastInitiatedMs float64 // time at which this gateway last sent a message that was not a reply
 
-	reportedFraction float64 // share that Step last returned; NaN makes the next Step return it again
+	reportedFraction float64 // share that Step last returned; NaN makes the next Step return the share even if it has not changed
 }
 
 func newPool(id uint64, gateways int) *pool {
 	return &pool{id: id, ownFraction: 1 / float64(gateways), gateways: gateways, lastInitiatedMs: math.Inf(-1)}
 }
 
-// recordDemand replaces the pool's demand. The own share shrinks when more gateways receive the pool's traffic, and never
-// grows.
+// recordDemand replaces the pool's demand. If more gateways than before receive the pool's traffic, the share that this
+// gateway owns shrinks. It does not grow again if fewer do.
 func (p *pool) recordDemand(nowMs float64, demand Demand) {
 	if own := 1 / float64(demand.Gateways); own < p.ownFraction {
 		p.ownFraction, p.gateways = own, demand.Gateways
@@ -68,7 +69,8 @@
 	}
 }
 
-// usage returns the fraction that the traffic of this gateway needs: its demand with headroom, or 0 after the timeout.
+// usage returns the fraction that the traffic of this gateway needs: its demand with headroom, or 0 if the
+// demand is older than demandTimeoutMs.
 func (p *pool) usage(nowMs float64) float64 {
 	if nowMs-p.demandAtMs > demandTimeoutMs {
 		return 0
@@ -85,7 +87,7 @@
 	return 0
 }
 
-// minTransfer returns the fraction that a transfer must exceed to be sent.
+// minTransfer returns the fraction of the pool that an amount of quota must exceed to be requested, recalled or returned.
 func (p *pool) minTransfer() float64 { return minTransferRatio * p.ownFraction }
 
 // nextSeq returns the sequence number of the next message that this gateway sends as a borrower.
@@ -134,5 +136,5 @@
 }
 
 // compareSeq returns a negative number if a comes before b, 0 if they are equal, and a positive one if a comes after b.
-// Sequence numbers wrap around.
+// Sequence numbers wrap around, so the sign of their difference decides.
 func compareSeq(a, b uint32) int32 { return int32(a - b) }
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -121,8 +121,8 @@
 			if sum := net.available(nowMs, pool, gateways); sum > 1+roundingError {
 				t.Fatalf("at %.0f ms the gateways may use %.4f of pool %d, want at most 1", nowMs, sum, pool)
 			}
-			// The own share of 1/3 and the 3/4 (MaxGrantedFraction) that one lender can lend of its 1/3 are 0.58. More than 0.8
-			// needs leases from both lenders.
+			// The busy gateway owns 1/3 of the pool, and each lender can lend it 3/4 (MaxGrantedFraction) of another 1/3. With one
+			// lender it has at most 0.58, so more than 0.8 needs leases from both.
 			if foundAfterMs[pool] == 0 && net.available(nowMs, pool, gateways[:1]) > 0.8 {
 				foundAfterMs[pool] = nowMs - startMs
 			}
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -18,7 +18,7 @@
 	Self uint16
 	// Incarnation distinguishes this process from earlier processes with the same index.
 	Incarnation uint32
-	// LeaseMs is the time for which a borrower may use a grant, counted from its request.
+	// LeaseMs is the time for which a borrower may use a grant, counted from the request for it.
 	LeaseMs float64
 	// ClockDrift is the largest fraction by which a gateway's clock is faster or slower than true time.
 	ClockDrift float64
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -9,11 +9,12 @@
 
 const (
 	stepsPerMs   = 16  // number of steps per simulated millisecond
-	maxMapTimers = 1e5 // largest number of timers for the map; searching a larger one takes seconds
-	timersPerMs  = 4   // timers per ms of their time to expiry; about 2 % of the timers fire before they are rescheduled
+	maxMapTimers = 1e5 // largest number of timers for the map, since searching a larger map takes seconds
+	timersPerMs  = 4   // number of timers per ms of their time to expiry, so that about 2 % fire before they are rescheduled
 )
 
-// heapEntry is a timer in the heap that is compared with the wheel. A canceled entry stays in the heap until its time.
+// heapEntry is a timer in the heap that is compared with the wheel. A canceled entry stays in the heap until it would have
+// fired.
 type heapEntry struct {
 	at       float64
 	canceled bool
--- a/internal/timerwheel/timer.go
+++ b/internal/timerwheel/timer.go
@@ -7,7 +7,7 @@
 	Value T
 
 	tick       int64
-	sequence   uint64 // position of the last Schedule of this timer among all calls of Schedule
+	sequence   uint64 // sequence number of the call of Schedule that last scheduled this timer
 	prev, next *Timer[T]
 	list       *timerList[T] // list that contains the timer; nil if it is not pending
 	level      int8
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -99,7 +99,7 @@
 }
 
 // NextExpiry returns the time in milliseconds at which Advance should be called next. ok is false if no timer is pending.
-// The time is never after the first expiry. It may be before it, if timers must first be moved to a lower level.
+// The time is never after the first expiry. It may be earlier, if timers must first be moved to a lower level.
 func (w *Wheel[T]) NextExpiry() (ms float64, ok bool) {
 	if w.count == 0 {
 		return 0, false
@@ -130,9 +130,9 @@
 	return earliest
 }
 
-// Advance moves the wheel to nowMs and calls fire for each timer that expires, in the order of their ticks. A timer is not
-// pending when fire is called for it. fire may schedule and cancel timers. A timer that fire schedules for a time that has
-// passed expires at the next tick.
+// Advance moves the wheel to nowMs and calls fire for each timer that expires, in the order of the timers' ticks. A timer is
+// not pending when fire is called for it. fire may schedule and cancel timers. A timer that fire schedules for a time that
+// has passed expires at the next tick.
 func (w *Wheel[T]) Advance(nowMs float64, fire func(*Timer[T])) {
 	endTick := int64(math.Floor((nowMs - w.baseMs) / w.tickMs))
 	for w.count > 0 {
@@ -182,13 +182,13 @@
 		return
 	}
 	expired := w.expired[:0]
-	w.expired = nil // fire may call Advance again
+	w.expired = nil // fire may call Advance, which must not use the same buffer
 	sorted := true
 	for timer := list.root.next; timer != &list.root; timer = timer.next {
 		sorted = sorted && (len(expired) == 0 || expired[len(expired)-1].sequence < timer.sequence)
 		expired = append(expired, timer)
 	}
-	if !sorted { // a timer that was cascaded from a higher level follows one that was scheduled later
+	if !sorted { // a timer that was cascaded from a higher level may follow one that was scheduled later
 		slices.SortFunc(expired, func(a, b *Timer[T]) int { return cmp.Compare(a.sequence, b.sequence) })
 	}
 	for i, timer := range expired {
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -25,7 +25,7 @@
 	pending []modelTimer
 	all     []*Timer[int]
 	tick    int64 // current tick
-	order   int   // order of the last timer that was scheduled
+	order   int   // number of times that a timer was scheduled
 }
 
 func newWheelModel(t *testing.T) *wheelModel {
