--- a/cmd/gaugerelay/environment_chaos.go
+++ b/cmd/gaugerelay/environment_chaos.go
@@ -11,8 +11,8 @@
 	"gaugerelay/internal/testbed/faultnet"
 )
 
-// faultsVariable is the environment variable with the faults to inject, as faultnet.ParseOptions reads them. If it is not
-// set, no faults are injected.
+// faultsVariable is the environment variable that lists the faults to inject, in the format of faultnet.ParseOptions. If it
+// is not set, no faults are injected.
 const faultsVariable = "GAUGERELAY_FAULTS"
 
 // environment returns a clock whose wall time has an offset, and a network whose system calls fail at random. It exists only
--- a/internal/architecture/dependencies_test.go
+++ b/internal/architecture/dependencies_test.go
@@ -180,7 +180,8 @@
 	}
 }
 
-// TestOnlyTestsUseTestbed checks that production code does not import the fakes of external systems.
+// TestOnlyTestsUseTestbed checks that production code does not import the fakes of external systems. cmd/faultbench, which
+// tests the gateway, may import them.
 func TestOnlyTestsUseTestbed(t *testing.T) {
 	for _, dir := range packagesBelow(t, "internal") {
 		if !strings.HasPrefix(dir, "internal/testbed") {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
 // Package config reads and validates the configuration of a gateway, and converts it to typed settings. The platform's
-// configuration is the JSON file whose path is in ROUTER_CONFIG, and the other ROUTER_ variables, which override the file.
-// The operator's file is optional: it configures further frontends, communication between gateways and BGP announcements.
+// configuration consists of the JSON file whose path is in ROUTER_CONFIG, and of the other ROUTER_ variables, which override
+// the file. The operator's file is optional: it configures further frontends, communication between gateways and BGP
+// announcements.
 //
 // The text of an error is one line that names the invalid value. The package runs no goroutine, and does not modify what
 // it has returned.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -70,8 +70,9 @@
 	}
 }
 
-// On a reload, a discovery address that has changed in the file overrides ROUTER_DISCOVERY. Changes that take effect only after a
-// restart are reported by name. An invalid file is an error. Each step replaces a text in validConfig and reloads the file.
+// On a reload, a discovery address that has changed in the file overrides ROUTER_DISCOVERY. Without such a change the address
+// in use stays. Changes that take effect only after a restart are reported by name. An invalid file is an error. Each step
+// replaces a text in validConfig and reloads the file.
 func TestReload(t *testing.T) {
 	path := writeConfig(t, validConfig)
 	rewrite := func(text string) {
--- a/internal/config/edge_test.go
+++ b/internal/config/edge_test.go
@@ -24,7 +24,7 @@
 	if b := edge.BGP; b == nil || b.LocalAS != 65001 || b.HoldTimeMs != 90000 || len(b.Prefixes) != 1 || b.NextHop.IsValid() {
 		t.Errorf("%+v", b)
 	}
-	// The example shows the defaults, so a devices part that has only the addresses must be equal to it.
+	// The example shows the defaults, so a devices part that has only the addresses must equal the example's.
 	defaults, err := ParseEdge([]byte(`{"devices":{"coap":"127.0.0.1:5683","http":"127.0.0.1:8081"}}`), &settings)
 	if err != nil || edge.Devices == nil || *defaults.Devices != *edge.Devices {
 		t.Errorf("devices of the example are %+v, with defaults %+v, error %v; want equal devices", edge.Devices, defaults, err)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -35,8 +35,7 @@
 // configuration is then used.
 const platformIndex = -1
 
-// Fleet configures the communication between gateways. Resolve takes the values that are left out from the platform's
-// configuration.
+// Fleet configures the communication between gateways. Resolve fills in omitted values from the platform's configuration.
 type Fleet struct {
 	Listen       string       // address to listen on; "" means the platform's address
 	GatewayIndex int          // index of this gateway in Peers; negative means the platform's index
--- a/internal/outlier/doc.go
+++ b/internal/outlier/doc.go
@@ -3,7 +3,7 @@
 //
 // # Invariants
 //
-// A report counts only if it comes from the gateway that observed the condition, is the latest version of that gateway and
+// A report counts only if it comes from the gateway that observed the condition, is that gateway's latest report about it and
 // is not older than [Settings.MaxReportAgeMs]. Lost, reordered and repeated reports therefore do not change a decision,
 // and the reports of a gateway that crashes or is partitioned expire.
 //
--- a/internal/outlier/server.go
+++ b/internal/outlier/server.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// addPeerReport adds a report if there is room. Otherwise it replaces an expired report, or drops the new one.
+// addPeerReport adds a report if there is room. Otherwise it replaces an expired report, or drops the new one if
+// none has expired.
 func (s *server) addPeerReport(nowMs float64, report storedReport, settings *Settings) {
 	if len(s.peerReports) < len(conditions)*settings.MaxPeers {
 		s.peerReports = append(s.peerReports, report)
--- a/internal/outlier/settings.go
+++ b/internal/outlier/settings.go
@@ -11,7 +11,7 @@
 
 // Settings configure a Detector.
 type Settings struct {
-	// DecayMs is the time after which the weight of an attempt has decayed to 1/e.
+	// DecayMs is the time after which the weight of an attempt, which is 1 at first, has decayed to 1/e.
 	DecayMs float64
 	// MinFailures is the smallest weight of failures at which this gateway observes a server as failing. It is also the
 	// smallest weight of attempts at which this gateway regards a server as healthy.
@@ -41,7 +41,7 @@
 }
 
 // FailureDecayBoundMs returns the longest time after the last failure for which this gateway reports a server as failing. By
-// then the weight of the failures has decayed to MinFailures, even if there was no successful attempt.
+// then the weight of the failures has decayed from at most MaxAttemptWeight to MinFailures, even if no attempt succeeded.
 func (s Settings) FailureDecayBoundMs() float64 {
 	return s.DecayMs * math.Log(s.MaxAttemptWeight/s.MinFailures)
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -36,7 +36,7 @@
 	MaxVolumes int
 }
 
-// Settings of the state machines that operators cannot configure.
+// Settings of the state machines. Operators cannot configure them.
 const (
 	// maxReportingPeers bounds the gateways whose state is kept for each server and volume.
 	maxReportingPeers = 64
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -24,7 +24,7 @@
 }
 
 // Service exchanges state with the other gateways. Its methods must be called on the goroutine of the event loop, with these
-// exceptions: Start and Close need not, and InitialQuotaShare may be called from any goroutine at any time.
+// exceptions: Start and Close may be called on another goroutine, and InitialQuotaShare on any goroutine at any time.
 type Service struct {
 	options Options
 	metrics *metrics.Registry
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -103,6 +103,7 @@
 	if invalid == 0 || received == 0 {
 		t.Errorf("busy gateway counted %d invalid and %d received datagrams, want some of each", invalid, received)
 	}
+	// 1020 ms is the lease of 1000 ms, lengthened for a clock drift of 0.01: see quota.Settings.GrantHoldMs.
 	requireStatus(t, busy.service,
 		"bound part_back_ms 1020", "bound start_hold_ms 1020", "member 2", "volume 0000000000000007 held")
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,7 +1,7 @@
 // Package quota divides limits that apply to all gateways together, such as the rate limit of a volume, and moves unused
 // quota between gateways with leases.
 //
-// Each limit is a pool. The number of gateways that receive the pool's traffic is known, and each of these gateways
+// Each limit is a pool. Callers state the number of gateways that receive the pool's traffic, and each of these gateways
 // permanently owns an equal share of the pool. No gateway needs a peer to use its own share, so a gateway without peers
 // behaves as it would without this package. A gateway that does not use its whole share grants a fraction of it to a peer
 // for the duration of a lease.
@@ -14,9 +14,9 @@
 // that the set of gateways that receive a pool's traffic changes no faster than [Settings.IdleTimeoutMs]. The invariant holds
 // because:
 //
-//   - A lender records a grant before it sends it, and reclaims it only when the lease has expired on the lender's own
-//     clock. The lender's lease is longer than the borrower's, to allow for clocks of different rates; see
-//     [Settings.GrantHoldMs].
+//   - A lender records a grant before it sends the grant, and uses the granted quota again only when the lease has
+//     expired on the lender's own clock or the borrower has returned the quota. The lender's lease is longer than the
+//     borrower's, to allow for clocks of different rates; see [Settings.GrantHoldMs].
 //   - A borrower's lease starts when the borrower sends the request, which is before the lender records the grant. A
 //     borrower that was paused must call [Allocator.Step] or [Allocator.AvailableFraction] before it uses any
 //     quota, so that expired leases are dropped first.
@@ -27,8 +27,8 @@
 //
 // While all links to its peers fail, a gateway loses only the quota that it has borrowed, and it can use all of its own
 // share again at most [Settings.GrantHoldMs] after the last grant that it issued. It can use at least
-// 1 - MaxGrantedFraction of its own share at any time, unless its own share has shrunk since it granted the
-// rest, because more gateways receive the pool's traffic.
+// 1 - MaxGrantedFraction of its own share at any time, unless its own share has shrunk since it granted the rest, because
+// more gateways receive the pool's traffic.
 //
 // # Concurrency
 //
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -46,7 +46,8 @@
 	return true
 }
 
-// lendable returns the fraction that this gateway can lend in addition to what it has lent. It may be negative.
+// lendable returns the fraction that this gateway can lend in addition to what it has lent. The result may be
+// negative.
 func (a *Allocator) lendable(p *pool, nowMs float64) float64 {
 	reserved := max(p.usage(nowMs), p.ownFraction*(1-a.settings.MaxGrantedFraction))
 	return a.available(p, nowMs) - totalFraction(p.borrowed) - reserved
--- a/internal/quota/transfer_test.go
+++ b/internal/quota/transfer_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestLenderReclaimsShare checks that a lender whose own traffic resumes can use its whole share again after GrantHoldMs.
+// TestLenderReclaimsShare checks that a lender whose own traffic resumes can use its whole share again after GrantHoldMs. Each
+// of the two gateways owns 0.5 of the pool and lends at most 3/4 of that (MaxGrantedFraction), so an idle one keeps 0.125.
 func TestLenderReclaimsShare(t *testing.T) {
 	net := newNetwork(t, 2)
 	net.gateways[0].demand, net.gateways[1].demand = 1, 0
