--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -45,7 +45,7 @@
 	keepalivesPerHoldTime = 3
 )
 
-// Reasons for the end of a session, which are logged.
+// Reasons for the end of a session. They are logged.
 var (
 	errHoldTimerExpired     = errors.New("hold timer expired")
 	errNotificationReceived = errors.New("the peer sent a NOTIFICATION")
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -11,8 +11,8 @@
 	"gaugerelay/internal/clock"
 )
 
-// Upper bounds of values. A time of more than 30 years is as good as unlimited, and is cut to maxMs. A count of more than a
-// million would need more memory than a machine has, and is an error.
+// Upper bounds of values. maxMs is more than 30 years, which is as good as unlimited, and a longer time is cut to maxMs. A
+// count of more than maxCount, about a million, would need more memory than a machine has, and is an error.
 const (
 	maxMs    = 1e12
 	maxCount = 1 << 20
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -19,7 +19,7 @@
 type Memberlist struct {
 	settings Settings
 	random   *rand.Rand
-	members  []member // by member index
+	members  []member // states of all members, by member index
 	leaving  bool
 
 	started     bool
@@ -32,7 +32,7 @@
 	lastSeq     uint32
 	healthScore int // 0 is healthy; see Settings.MaxHealthScore
 
-	broadcasts []broadcast // at most one for each member
+	broadcasts []broadcast // pending broadcasts, at most one for each member
 	outgoing   []Message   // messages to send in the current step
 	changes    []StateChange
 }
--- a/internal/outlier/server.go
+++ b/internal/outlier/server.go
@@ -17,7 +17,7 @@
 	withdrawn   bool
 
 	ownReports  [conditionArraySize]storedReport // latest report that this gateway has sent, by condition
-	peerReports []storedReport                   // at most one for each peer and condition
+	peerReports []storedReport                   // latest reports of peers, at most one for each peer and condition
 }
 
 // decay reduces the weights of attempts and failures according to the time that has passed.
--- a/internal/peer/datagram/replay.go
+++ b/internal/peer/datagram/replay.go
@@ -12,7 +12,8 @@
 }
 
 // Replayed records the datagram with the given sequence number and reports whether it was received before. It also returns
-// true for datagrams that are too old for the window. A datagram of another incarnation resets the window.
+// true for a datagram that is too old for the window, which no longer shows whether the datagram was received. A datagram of
+// another incarnation resets the window.
 func (w *ReplayWindow) Replayed(incarnation uint32, seq uint64) bool {
 	switch {
 	case incarnation != w.incarnation:
--- a/internal/peerlatency/server.go
+++ b/internal/peerlatency/server.go
@@ -18,7 +18,7 @@
 	observedAtMs       float64
 	unreported         int // number of responses to this gateway since its last report about the server
 
-	reports       []peerReport // at most one for each peer
+	reports       []peerReport // latest reports of peers, at most one for each peer
 	hasNewReports bool         // whether the field reports has changed since the last estimate
 }
 
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -1,9 +1,9 @@
 package quota
 
 // handleRequest answers a lease request. It never reduces a granted lease that has not expired, because the borrower may
-// still use it. If this gateway's own traffic needs quota that is lent, it does not answer a request to renew or increase a
-// lease, so that the lease expires. It does not answer for an idle pool either: the pool's traffic arrives at other gateways,
-// so this gateway owns no share of it.
+// still use it. While this gateway's own traffic needs quota that is lent, requests to renew or increase a lease get no
+// answer, so that the lease expires. Requests for an idle pool get no answer either: the pool's traffic arrives at other
+// gateways, so this gateway owns no share of it.
 func (a *Allocator) handleRequest(p *pool, nowMs float64, request Message) []Message {
 	if a.isIdle(p, nowMs) {
 		return nil
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -7,11 +7,12 @@
 
 // The kinds of messages. In each of them, Fraction is a total for one borrower and one lender, not a change of that total.
 const (
-	// LeaseRequest is sent by a borrower. Fraction is the total that it could use from this lender.
+	// LeaseRequest is sent by a borrower. Fraction is the total that the borrower could use from this lender.
 	LeaseRequest MessageKind = iota + 1
-	// LeaseGrant is sent by a lender in reply to the LeaseRequest with the same Seq. Fraction is the total that it lends.
+	// LeaseGrant is sent by a lender in reply to the LeaseRequest with the same Seq. Fraction is the total that the
+	// lender lends.
 	LeaseGrant
-	// LeaseReturn is sent by a borrower. Fraction is the total that it keeps from now on.
+	// LeaseReturn is sent by a borrower. Fraction is the total that the borrower keeps from now on.
 	LeaseReturn
 	// LeaseRecall is sent by a lender whose own traffic needs quota that it has lent. Fraction is the total that the
 	// borrower may keep.
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -15,8 +15,8 @@
 	minTransferRatio = 0.05
 )
 
-// lease is a fraction of a pool that one incarnation of a gateway has lent to another one. The lender and the borrower each
-// keep a record of it, with the expiry time on their own clock.
+// lease is a fraction of a pool that one incarnation of a gateway has lent to an incarnation of another gateway. The lender
+// and the borrower each keep a record of it, with the expiry time on their own clock.
 type lease struct {
 	peer        uint16 // the borrower in the lender's record, the lender in the borrower's record
 	incarnation uint32 // incarnation of peer
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -36,10 +36,10 @@
 	MaxPeers int
 }
 
-// GrantHoldMs returns the time, on the lender's clock, for which a lender counts a fraction as lent after it has received
-// the request. The borrower uses the fraction for LeaseMs of its own clock, starting earlier. A borrower's clock that is
-// slow by ClockDrift reaches LeaseMs after a true time of LeaseMs/(1-ClockDrift). In that time, a lender's clock that is
-// fast by ClockDrift advances by 1+ClockDrift times as much.
+// GrantHoldMs returns the time, on the lender's clock, for which a lender counts a fraction as lent after it has received the
+// request. The borrower uses the fraction for LeaseMs of its own clock from the time at which it sent the request. A
+// borrower's clock that is slow by ClockDrift reaches LeaseMs after a true time of LeaseMs/(1-ClockDrift). In that time, a
+// lender's clock that is fast by ClockDrift advances by 1+ClockDrift times as much.
 func (s Settings) GrantHoldMs() float64 { return s.LeaseMs * (1 + s.ClockDrift) / (1 - s.ClockDrift) }
 
 // LenderSearchBoundMs returns the longest time until a gateway that lacks quota has sent a request to every other gateway of a
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	stepsPerMs   = 16  // number of steps per simulated millisecond
+	stepsPerMs   = 16  // number of steps of a benchmark per simulated millisecond
 	maxMapTimers = 1e5 // largest number of timers for the map, since searching a larger map takes seconds
 	timersPerMs  = 4   // number of timers per ms of their time to expiry, so that about 2 % fire before they are rescheduled
 )
