--- a/internal/bgp/session.go
+++ b/internal/bgp/session.go
@@ -15,7 +15,7 @@
 
 // The states of a session.
 const (
-	stateIdle sessionState = iota // not started, or ended
+	stateIdle sessionState = iota // the session has not started or has ended
 	stateOpenSent
 	stateOpenConfirm
 	stateEstablished
@@ -45,7 +45,7 @@
 	keepalivesPerHoldTime = 3
 )
 
-// Reasons for the end of a session, which are logged.
+// Reasons for the end of a session. They are logged.
 var (
 	errHoldTimerExpired     = errors.New("hold timer expired")
 	errNotificationReceived = errors.New("the peer sent a NOTIFICATION")
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -12,14 +12,14 @@
 
 	suspectedAtMs float64
 	directPings   int      // pings sent to the suspect itself since it became suspect
-	suspectedBy   []uint16 // at most ExpectedConfirmations+1 members
+	suspectedBy   []uint16 // members that suspect this member; at most ExpectedConfirmations+1
 }
 
 // Memberlist is the view that one member has of the fleet. It is not safe for concurrent use.
 type Memberlist struct {
 	settings Settings
 	random   *rand.Rand
-	members  []member // by member index
+	members  []member // states of all members, by member index
 	leaving  bool
 
 	started     bool
@@ -32,7 +32,7 @@
 	lastSeq     uint32
 	healthScore int // 0 is healthy; see Settings.MaxHealthScore
 
-	broadcasts []broadcast // at most one for each member
+	broadcasts []broadcast // pending broadcasts, at most one for each member
 	outgoing   []Message   // messages to send in the current step
 	changes    []StateChange
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -32,18 +32,19 @@
 	ClockDrift float64
 	// MaxGrantedFraction is the largest fraction of its own share of a quota that a gateway grants to others.
 	MaxGrantedFraction float64
-	// MaxVolumes bounds the volumes whose quota is shared.
+	// MaxVolumes bounds the volumes whose quota can be leased.
 	MaxVolumes int
 }
 
-// Settings of the state machines that operators cannot configure.
+// Settings of the state machines. Operators cannot configure them.
 const (
 	// maxReportingPeers bounds the gateways whose state is kept for each server and volume.
 	maxReportingPeers = 64
 	// maxServers bounds the servers about which gateways report.
 	maxServers = 4096
 
-	// requestsPerLease is the number of times that a quota lease may be requested during its duration.
+	// requestsPerLease is the number of rounds of quota messages that a gateway may initiate for a volume within the duration
+	// of a lease.
 	requestsPerLease = 10
 	// quotaIdleTimeoutMs is the time after the last demand for a volume during which a gateway grants leases of the volume's
 	// quota.
