--- a/internal/coapwire/block.go
+++ b/internal/coapwire/block.go
@@ -2,7 +2,7 @@
 
 import "github.com/plgd-dev/go-coap/v3/message"
 
-// BERTBlockSize is the size, in bytes, of the blocks that a Block option with BERT counts (RFC 8323, section 6).
+// BERTBlockSize is the size, in bytes, of the blocks that a Block option numbers if it uses BERT (RFC 8323, section 6).
 const BERTBlockSize = 1024
 
 // Layout of the value of a Block option (RFC 7959, section 2.2): the block number, the flag "more", and the size exponent.
--- a/internal/frontend/coapserver/blockwise.go
+++ b/internal/frontend/coapserver/blockwise.go
@@ -9,10 +9,10 @@
 
 // peerLimits holds what a device can receive and which block size suits its link.
 type peerLimits struct {
-	maxPayload         int  // bytes
+	maxPayload         int  // maximum payload of a served response in bytes
 	blockwise          bool // the device supports block-wise transfer
 	bert               bool // the device accepts several blocks of 1 KiB in a message (RFC 8323, 6)
-	preferredBlockSize int  // bytes that suit the measured link; 0: not known
+	preferredBlockSize int  // block size in bytes that suits the measured link; 0: not known
 }
 
 // peerLimits returns the current limits of the device.
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -21,12 +21,13 @@
 	// The fields of this block are used only by the goroutine that runs serve.
 	buf         []byte
 	buffered    int       // number of bytes in buf that have been read
-	frameStart  time.Time // when the current frame began to arrive; until the CSM has arrived: when the device connected
+	frameStart  time.Time // time at which the current frame began to arrive; before the CSM: time at which the device connected
 	csmReceived bool
 	device      string               // name of the device; "" until a request has stated it
-	linkSample  lifecycle.LinkSample // measurements since the last request
+	linkSample  lifecycle.LinkSample // link measurements since the last request
 	// earliestSendTime is the earliest time at which the device can have sent a message that is not read yet: when the device
-	// connected, or when the server sent the last Ping that the device has answered.
+	// connected, or when the server sent the last Ping that the device has answered. (Messages arrive in order, so an unread message
+	// was sent after the Pong.)
 	earliestSendTime time.Time
 
 	mu                 sync.Mutex
@@ -37,12 +38,12 @@
 	closed             bool
 	released           bool // a Release has been queued
 	closingWhenIdle    bool
-	pending            map[string]*pendingRequest // by token
+	pending            map[string]*pendingRequest // requests without a response, by token
 	pingSentAt         time.Time                  // when the unanswered Ping was queued; zero: no Ping is unanswered
 	peerMaxMessageSize int                        // bytes; Max-Message-Size of the device
 	peerBlockwise      bool                       // the device supports block-wise transfer
 	idleTimeout        time.Duration
-	preferredBlockSize int // bytes that suit the measured link; 0: not known
+	preferredBlockSize int // block size in bytes that suits the measured link; 0: not known
 }
 
 // newConn returns a connection. The caller must run serve on it.
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -20,10 +20,10 @@
 
 const (
 	maxDeviceNameLength   = 64 // bytes
-	overLimitRetrySeconds = 1  // Max-Age of the response to a request beyond MaxPendingRequests
+	overLimitRetrySeconds = 1  // Max-Age of the response that rejects a request beyond MaxPendingRequests
 )
 
-// pendingRequest is a request of a connection that has no response yet.
+// pendingRequest is a request that was received on a connection and has not been answered yet.
 type pendingRequest struct {
 	token     message.Token
 	parsed    *parsedRequest
@@ -76,7 +76,7 @@
 		payload.Header.Set("Content-Type", parsed.contentType)
 	}
 	if parsed.ageMs >= 0 {
-		// The device stated the age at the time of sending. The time in transit is unknown; this adds its upper bound.
+		// The device stated the age at the time of sending. The time in transit is unknown, so its upper bound is added.
 		parsed.ageMs += clock.Ms(now.Sub(c.earliestSendTime))
 	}
 	deviceFields := requestparse.DeviceFields{
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// setRemainingTime subtracts the time that the message took to arrive from the remaining time of the request. During a
-// shutdown it also limits the remaining time to the response deadline.
+// setRemainingTime reduces the remaining time of the request by the time that the message took to arrive. During a shutdown, it
+// also limits the remaining time so that it ends at the response deadline or earlier.
 func (c *conn) setRemainingTime(request *lifecycle.Request, now time.Time) {
 	request.ClientDelayMs = clock.Ms(now.Sub(c.frameStart))
 	request.RemainingMs -= request.ClientDelayMs
@@ -133,7 +133,7 @@
 	}
 	c.pending[string(p.token)] = p
 	// The exchange store answers a retransmission at once even if its remaining time was over on arrival. The timer must
-	// not fire before that: the device would receive a failure for a write that an earlier transmission has completed.
+	// not fire before that answer: the device would receive a failure for a write that an earlier transmission has completed.
 	timeoutMs := max(0, p.request.RemainingMs) + frontend.ResponseGraceMs
 	p.stopTimer = c.server.Clock.AfterFunc(timeoutMs, func() { c.expire(p) })
 	return true
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -20,10 +20,10 @@
 // outgoingMessage is a queued message: either an encoded one or the response to a request. A response is encoded only when it
 // is written, since its form depends on what the device can receive at that time.
 type outgoingMessage struct {
-	encoded    []byte
-	pending    *pendingRequest // request that response belongs to; nil: the message is in encoded
-	response   lifecycle.Response
-	closeAfter bool // close the connection after this message
+	encoded    []byte             // encoded message; used only if pending is nil
+	pending    *pendingRequest    // request that the field response answers; nil if the field encoded holds the message
+	response   lifecycle.Response // response to the pending request
+	closeAfter bool               // whether to close the connection after this message
 }
 
 // send queues a message.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -11,7 +11,8 @@
 	// Submit passes a request to the event loop. It returns false, without any effect, if the inbox is too full or closed; the
 	// request's Respond is then never called.
 	Submit(*lifecycle.Request) bool
-	// Cancel reports that the client has stopped waiting for the response to a request.
+	// Cancel reports that the frontend no longer waits for the response to a request, or that the response could not be written
+	// completely.
 	Cancel(*lifecycle.Request)
 	// ResponseWritten reports that the response to a device's request was written completely.
 	ResponseWritten(*lifecycle.Request, lifecycle.LinkSample)
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -48,7 +48,7 @@
 	pipelinedBytes    int
 	newConns          list.List     // *clientConn from which nothing has been read, oldest first
 	idleConns         list.List     // *clientConn between two requests, longest idle first
-	closingConns      list.List     // *clientConn whose sending side is closed, oldest first; counted in open until StateClosed unless shed
+	closingConns      list.List     // *clientConn whose sending side is closed, oldest first; open includes those not shed
 	sheddingScheduled bool          // whether a timer is set to call shedScheduled
 	drained           chan struct{} // nil unless draining; closed when no connection is left
 }
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -23,7 +23,7 @@
 //	X-Device-Id         id of the device, on every request
 //	Idempotency-Key     key of the exchange of a write, the same on every transmission
 //	X-Correlation-Id    key of the exchange of a read, the same on every transmission
-//	X-Repeat: 1         set if the device has sent the request before, to its last byte
+//	X-Repeat: 1         set if the device has already sent the whole request before
 //	X-Age-Ms            time since the device first sent the request
 //	X-Gateway           id of the gateway, on every response; it changes with each start
 //	X-Sent-To           the X-Gateway that the device knew when it first sent the request; all transmissions went to that gateway
@@ -104,7 +104,7 @@
 	control := http.NewResponseController(w)
 	if response.IdleTimeoutMs > 0 {
 		deadline := time.Now().Add(clock.Duration(response.IdleTimeoutMs) + minTransferTime(len(body)))
-		_ = control.SetWriteDeadline(deadline) // if it can't be set, a write may take longer, nothing else
+		_ = control.SetWriteDeadline(deadline) // the error is ignored: without a deadline, a stalled write only takes longer
 	}
 	if r.Method == http.MethodGet {
 		http.ServeContent(out, r, "", time.Time{}, bytes.NewReader(body))
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -60,8 +60,8 @@
 	FleetStatus http.HandlerFunc
 	// GatewayName identifies this gateway to devices. It changes with each start.
 	GatewayName string
-	// Conns counts the open and the busy connections. If it is not nil, the handler rejects requests during a shutdown to keep a
-	// connection idle once no new connections are expected.
+	// Conns counts the open and the busy connections. If it is not nil, the handler rejects some requests during a shutdown, once no
+	// new connections are expected, so that a connection stays idle (see shouldRejectForShutdown).
 	Conns *ConnTracker
 	// PauseDetector returns the earliest time at which a request can have arrived if this process paused before it read the
 	// request. If PauseDetector is nil, no pause is assumed.
@@ -118,7 +118,7 @@
 			return true
 		}
 	case "/metrics":
-		if !h.ServesDevices { // only operators may read the counters
+		if !h.ServesDevices { // the counters are for operators and are not shown to devices
 			h.Metrics.WriteText(w)
 			return true
 		}
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// parseFields reads the headers of a request.
+// parseFields returns the fields of a request, which it takes from the method, the path and the headers.
 func parseFields(r *http.Request) (requestparse.Fields, error) {
 	remainingMs, err := strconv.ParseUint(r.Header.Get("X-Time-Left-Ms"), 10, 31)
 	if err != nil {
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -13,7 +13,7 @@
 // writeResponse writes the final response to a request. If a transmission on a newer connection of the device has superseded
 // the request, it panics with http.ErrAbortHandler.
 func (h *Handler) writeResponse(w http.ResponseWriter, r *http.Request, request *lifecycle.Request, response lifecycle.Response) {
-	if h.keepAlivesDisabled.Load() { // they may have been disabled since ServeHTTP checked
+	if h.keepAlivesDisabled.Load() { // keep-alives may have been disabled since ServeHTTP checked
 		w.Header().Set("Connection", "close")
 	}
 	switch response.Kind {
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -160,8 +160,8 @@
 	return c.SetReadDeadline(time.Now())
 }
 
-// abort closes the connection at once. It also reports the disconnect, since a read that would notice it may be missing: the library
-// stops reading while many commands are waiting.
+// abort closes the connection at once. It also reports the disconnect, since there may be no read that fails and reports it: the
+// library stops reading while many commands are waiting.
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.disconnectLocked()
--- a/internal/frontend/sftpserver/server.go
+++ b/internal/frontend/sftpserver/server.go
@@ -153,7 +153,8 @@
 	s.reportConnEnd(c, err)
 }
 
-// register adds a connection to s.conns, so that Shutdown and Close end it. During a shutdown it stops reading from it.
+// register adds a connection to s.conns, so that Shutdown and Close end it. If either has already been called, register stops
+// reading from the connection.
 func (s *Server) register(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -38,8 +38,9 @@
 	return r.offset < other.offset+int64(other.size) && other.offset < r.offset+int64(r.size)
 }
 
-// writeHistory holds the recent writes of all handles. The connection of a handle may be lost, or may appear to be open long
-// after the client has abandoned it. The zero value is empty. Its methods may be called from any goroutine.
+// writeHistory holds the recent writes of all handles, whether or not the connection of a handle is still open: a connection may
+// appear to be open long after the client has abandoned it. The zero value is an empty history. The methods may be called from any
+// goroutine.
 type writeHistory struct {
 	mu              sync.Mutex
 	order           list.List // of *historyEntry, oldest first
--- a/internal/sftpwire/command.go
+++ b/internal/sftpwire/command.go
@@ -53,7 +53,7 @@
 
 // Reply is a server's response to a Command.
 type Reply struct {
-	// Code is StatusOK if the response has no status code, because it is not a STATUS packet.
+	// Code is the status code of a STATUS packet. For a response of any other packet type, Code is StatusOK.
 	Code StatusCode
 	// Message is the error message of a STATUS packet.
 	Message string
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -11,7 +11,7 @@
 	lineInstanceOpened  = "OPEN_INSTANCE"
 	lineInstanceKilled  = "KILL"
 	lineEndpointUpdate  = "BACKENDS_CHANGED"
-	lineEndpoint        = "ITEM" // one for each server, after lineEndpointUpdate
+	lineEndpoint        = "ITEM" // describes one server; these lines follow the lineEndpointUpdate to which they belong
 	lineRequestArrived  = "NEW_REQUEST"
 	lineTimerFired      = "REMINDER"
 	lineResponseStarted = "STREAMING"
@@ -20,18 +20,18 @@
 	lineAttemptEnded    = "CLOSED_ATTEMPT"
 )
 
-// statuses maps the status codes of the wire.
+// statuses maps the status codes of the wire to statuses of the scheduler.
 var statuses = map[uint64]scheduler.Status{
 	10: scheduler.StatusOK, 20: scheduler.StatusError, 30: scheduler.StatusOverloaded, 40: scheduler.StatusTimedOut,
 	50: scheduler.StatusConnectFailed, 60: scheduler.StatusConnectionReset, 70: scheduler.StatusCanceled, 80: scheduler.StatusNotSent,
 }
 
-// updateKinds maps the wire's scopes of endpoint lists.
+// updateKinds maps the wire's scopes of endpoint lists to kinds of endpoint updates.
 var updateKinds = map[string]scheduler.UpdateKind{
 	"patch": scheduler.Delta, "whole": scheduler.Snapshot, "stale_copy": scheduler.CachedSnapshot, "broken": scheduler.WatchFailed,
 }
 
-// serverStates maps the wire's names of server states.
+// serverStates maps the wire's names of server states to states of the scheduler.
 var serverStates = map[string]scheduler.ServerState{
 	"live": scheduler.Ready, "quiescing": scheduler.Draining, "dead": scheduler.Removed,
 }
@@ -39,8 +39,8 @@
 // retryOption is the bit in the options of NEW_REQUEST that marks a retry by the client.
 const retryOption = 2
 
-// parseItem parses the item that begins with the line, and reads the further lines that belong to it. known is false if the
-// item is of an unknown type.
+// parseItem parses the item that begins with the given line, and reads the further lines that belong to the item. known is false
+// if the item is of an unknown type.
 func (r *Reader) parseItem(line *fieldParser) (item Item, known bool, err error) {
 	switch line.name {
 	case lineInstanceOpened:
@@ -75,7 +75,7 @@
 	request := scheduler.RequestArrived{ID: parseRequestID(line), Class: line.text("TierClass"), Plan: line.optionalText(),
 		Key: scheduler.NoKey}
 	if key := line.optionalText(); key != "" {
-		line.err = nil // a key discards errors of the values before it; this is fixed behavior of the wire
+		line.err = nil // if a key is present, errors in the values before it are discarded; this behavior of the wire must not change
 		request.Key = line.parseInteger("Region", key, wordBits)
 	}
 	request.Remaining = line.ms("TtlMs")
@@ -87,7 +87,7 @@
 	return request
 }
 
-// parseShard parses the shard of a request, and returns -1 if it has none.
+// parseShard parses the shard of a request. It returns -1 if the request has none.
 func parseShard(line *fieldParser) int {
 	shard := line.optionalText()
 	if shard == "" {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -20,7 +20,8 @@
 )
 
 // fieldParser consumes the values of one line from left to right. Its methods return the zero value for a value that is absent
-// or malformed, and keep the first error in err. Their parameter field names the value in that error.
+// or malformed, and keep the first error in err. The parameter field of these methods is the name of the value; it is used only in
+// the text of an error.
 type fieldParser struct {
 	name   string   // name of the line
 	values []string // values that are not consumed yet
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -60,9 +60,9 @@
 type Item struct {
 	Kind     ItemKind
 	Instance int
-	Seed     uint64             // set for InstanceOpened
-	Settings scheduler.Settings // set for InstanceOpened
-	Event    scheduler.Event    // set for EventOccurred
+	Seed     uint64             // seed of the instance's random numbers; set only if Kind is InstanceOpened
+	Settings scheduler.Settings // settings of the instance; set only if Kind is InstanceOpened
+	Event    scheduler.Event    // set only if Kind is EventOccurred
 }
 
 // Batch holds everything that happens at one time, in the order of the wire.
@@ -126,8 +126,8 @@
 	}
 }
 
-// readItem adds the item that begins with the line to the batch. It skips an unknown item, and sets line.err if the line is
-// malformed.
+// readItem parses the item that begins with the given line, and adds it to the batch. It skips an unknown item, and sets line.err
+// if the line is malformed.
 func (r *Reader) readItem(batch *Batch, instance int, line *fieldParser) error {
 	item, known, err := r.parseItem(line)
 	if err != nil {
--- a/internal/simwire/replies.go
+++ b/internal/simwire/replies.go
@@ -8,8 +8,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// WriteActions writes the actions of one instance in order. It writes nothing if there are none. w keeps its first error for
-// Flush.
+// WriteActions writes the actions of one instance in order. It writes nothing if there are none. A write error is not returned
+// here; w.Flush returns it. The same holds for the other Write functions.
 func WriteActions(w *bufio.Writer, instance int, actions []scheduler.Action) {
 	if len(actions) == 0 {
 		return
@@ -53,7 +53,7 @@
 // WriteEnd writes the end of the reply to a batch.
 func WriteEnd(w *bufio.Writer, batch *Batch) { writeLine(w, "FINISHED %s", batch.Seq) }
 
-// writeLine writes one line. The writer keeps the first error for Flush.
+// writeLine writes one line. A write error is not returned here; w.Flush returns it.
 func writeLine(w *bufio.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(w, format+"\n", values...)
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -88,7 +88,7 @@
 	return strings.Split(text, ",")
 }
 
-// Objects implements platformsettings.Source. The length of the list is the setting "count" in the group of its name.
+// Objects implements platformsettings.Source. The setting with the path "name.count" holds the length of the list.
 func (s settingsSource) Objects(name string) (objects []platformsettings.Source) {
 	for i := range s.Count(name, "count") {
 		objects = append(objects, settingsSource{line: s.line, prefix: fmt.Sprintf("%s%s.%d.", s.prefix, name, i)})
--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -38,7 +38,7 @@
 	headWritten bool              // the head is complete and the attempt was authorized to write it
 	denial      permission.Denial // reason why the attempt was not authorized to start
 
-	conn    *conn // connection that the transport chose; nil before
+	conn    *conn // connection that the transport chose; nil until it has chosen one
 	started bool  // conn is about to write the first byte, or has written it; guarded by conn.mu
 
 	requestWritten atomic.Bool // conn is about to write the last byte of the request, or has written it
@@ -80,7 +80,7 @@
 	return c.readResult(response, body)
 }
 
-// newRequest builds the request of an attempt. It records the connection that the transport chooses for it.
+// newRequest builds the request of an attempt. When the transport chooses a connection for the request, attempt.conn is set to it.
 func newRequest(ctx context.Context, attempt *attemptState) *http.Request {
 	payload := attempt.Request.Payload.(*httpmessage.Request)
 	request := (&http.Request{
@@ -89,8 +89,8 @@
 			RawQuery: payload.RawQuery},
 		Header: payload.Header.Clone(), Host: "api.internal",
 		// The transport resends a request on another connection if it is a GET or carries an Idempotency-Key, and has no body
-		// or one that can be rewound (GetBody). The scheduler would not know of that attempt. Therefore even an empty body is
-		// passed as a reader, which cannot be rewound.
+		// or one that can be rewound (GetBody). The scheduler would not know of the resent request. Therefore even an empty body
+		// is passed as a reader, which cannot be rewound.
 		Body: io.NopCloser(bytes.NewReader(payload.Body)), ContentLength: int64(len(payload.Body)),
 	}).WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
--- a/internal/upstream/httpclient/framing.go
+++ b/internal/upstream/httpclient/framing.go
@@ -113,7 +113,7 @@
 	return code, nil
 }
 
-// parseHeader reads how the body is delimited from a header line. Other headers are ignored.
+// parseHeader evaluates a header line if it says where the body ends. Other headers are ignored.
 func (f *responseFraming) parseHeader(line string) error {
 	name, value, _ := strings.Cut(line, ":")
 	switch value = strings.TrimSpace(value); {
--- a/internal/upstream/httpclient/response.go
+++ b/internal/upstream/httpclient/response.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// parseNumber parses the number in a header. It returns false if the text is empty or invalid, and counts invalid ones.
+// parseNumber parses the number in a header. It returns false if the text is empty or invalid, and counts an invalid text.
 func (c *Client) parseNumber(text string) (number float64, ok bool) {
 	if text == "" {
 		return 0, false
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -19,7 +19,7 @@
 	clock   clock.Clock
 
 	mu           sync.Mutex
-	idle         map[string][]*session // by address; the most recently used session is last
+	idle         map[string][]*session // idle sessions by the address of their server; the most recently used session is last
 	openSessions int                   // sessions that are open or being opened
 }
 
@@ -101,7 +101,7 @@
 	p.mu.Unlock()
 }
 
-// evictIdleLocked closes one idle session, to whichever address, if there is one. The caller holds p.mu.
+// evictIdleLocked closes one idle session to any address. It does nothing if no session is idle. The caller holds p.mu.
 func (p *sessionPool) evictIdleLocked() {
 	for address, sessions := range p.idle {
 		if len(sessions) > 0 {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -12,7 +12,8 @@
 )
 
 // IdleTimeoutFraction is how long a client keeps an idle connection, as a fraction of the idle timeout of the network or the
-// server. It is below 1 because a request on a connection that the other side has dropped fails with a connection reset.
+// server. It is below 1, so that the client closes the connection before the other side drops it: a request on a dropped connection
+// fails with a connection reset.
 const IdleTimeoutFraction = 0.6
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
