--- a/internal/coapwire/message.go
+++ b/internal/coapwire/message.go
@@ -20,8 +20,9 @@
 // maxOptions is the maximum number of options that Decode accepts in one message.
 const maxOptions = 48
 
-// Layout of the first byte of a frame (RFC 8323, section 3.2). The upper half is the length of the options and the payload, or
-// one of the values below, which say that the length follows as a number of that size. The lower half is the token's length.
+// Layout of the first byte of a frame (RFC 8323, section 3.2). The upper four bits are the length of the options and the payload,
+// or one of the values length8Bit, length16Bit and length32Bit, which say that the length follows as a number of so many bits. The
+// lower four bits are the length of the token.
 const (
 	lengthShift     = 4
 	tokenLengthMask = 0x0f
--- a/internal/frontend/coapserver/blockwise.go
+++ b/internal/frontend/coapserver/blockwise.go
@@ -36,8 +36,8 @@
 	return l.preferredBlockSize == 0 || length <= l.preferredBlockSize || !l.blockwise
 }
 
-// responseBlock returns the block to send for a requested one and how many bytes of the body it may hold. The block has the
-// requested offset and at most the requested size. The caller sets More.
+// responseBlock returns the block to send when the device requests a block, and how many bytes of the body it may hold. The returned
+// block has the requested offset and at most the requested size. The caller sets its field More.
 func (l peerLimits) responseBlock(requested coapwire.Block) (block coapwire.Block, length int) {
 	if requested.BERT && l.bert {
 		length = l.bertLength()
--- a/internal/frontend/coapserver/blockwise_test.go
+++ b/internal/frontend/coapserver/blockwise_test.go
@@ -41,8 +41,8 @@
 
 // A response that is too large for the device or its link is sent in blocks, and the device can request each of them. The length of
 // the first block is limited by the preferred block size and by Max-Message-Size less maxResponseOverhead. Several blocks of 1 KiB
-// fit into one message (BERT) if Max-Message-Size is above 1152. Each block belongs to a separate request: only the one with the last
-// block is reported to the Loop as written, and the others are canceled.
+// fit into one message (BERT) if Max-Message-Size is above 1152. Each block is the response to a separate request: only the request
+// for the last block is reported to the Loop as written, and the others are canceled.
 func TestBlockwiseResponse(t *testing.T) {
 	body := make([]byte, 5000)
 	for i := range body {
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -64,7 +64,7 @@
 	return c
 }
 
-// sendCSM sends the server's CSM, which must be its first message (RFC 8323, 5.3).
+// sendCSM sends the server's CSM, which must be the first message that the server sends (RFC 8323, 5.3).
 func (c *conn) sendCSM() {
 	c.send(message.Message{Code: codes.CSM, Options: message.Options{
 		coapwire.UintOption(message.TCPMaxMessageSize, uint32(c.server.MaxMessageSize)),
--- a/internal/frontend/coapserver/device_test.go
+++ b/internal/frontend/coapserver/device_test.go
@@ -32,7 +32,7 @@
 	onSubmit func(*lifecycle.Request) // called in a new goroutine for each request; nil: requests stay pending
 
 	mu                           sync.Mutex
-	full                         bool // if set, Submit returns false
+	full                         bool // whether the inbox is full, so that Submit returns false
 	submitted, canceled, written []*lifecycle.Request
 }
 
--- a/internal/frontend/coapserver/parse.go
+++ b/internal/frontend/coapserver/parse.go
@@ -29,7 +29,7 @@
 	etags           string // concatenated ETags of the responses that the device has
 	requestTag      string
 	contentType     string
-	block1, block2  *coapwire.Block // nil: not given
+	block1, block2  *coapwire.Block // values of the Block1 and Block2 options; nil: not given
 	totalSize       int             // bytes of the whole upload (Size1); negative: not given
 }
 
@@ -106,7 +106,7 @@
 func (p *requestParser) parseOption(option message.Option) error {
 	switch option.ID {
 	case message.URIHost, message.URIPort:
-		return nil // the server has one service, whatever host and port the request names
+		return nil // ignored: the server has the same service for all hosts and ports
 	case message.IfNoneMatch:
 		return requestErrorf(codes.BadOption, "If-None-Match is not served")
 	case message.URIPath:
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// addPathSegment adds a segment of the path. It must be usable unchanged in an HTTP path.
+// addPathSegment adds a segment of the path. It returns an error if the segment cannot be used unchanged in an HTTP path.
 func (p *requestParser) addPathSegment(segment string) error {
 	forbidden := func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune("/%?#", c) }
 	if segment == "" || segment == "." || segment == ".." || strings.ContainsFunc(segment, forbidden) {
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// addQueryPart adds a part of the query. It must be usable unchanged in an HTTP query.
+// addQueryPart adds a part of the query. It returns an error if the part cannot be used unchanged in an HTTP query.
 func (p *requestParser) addQueryPart(part string) error {
 	forbidden := func(c rune) bool { return c <= ' ' || c > '~' || strings.ContainsRune("&#", c) }
 	if strings.ContainsFunc(part, forbidden) {
@@ -236,7 +236,7 @@
 	return value, nil
 }
 
-// finish joins the path and the query, and checks that the path and the remaining time are present.
+// finish joins the segments of the path and the parts of the query, and checks that the path and the remaining time are present.
 func (p *requestParser) finish() error {
 	if len(p.path) == 0 || len(p.path) > maxPathSegments {
 		return requestErrorf(codes.NotFound, "no such path")
@@ -250,7 +250,7 @@
 	return nil
 }
 
-// checkPayload checks the payload against the method and the Block1 option, which is nil if absent.
+// checkPayload checks that the payload fits the method and the Block1 option. block1 is nil if the request has no such option.
 func checkPayload(m *message.Message, block1 *coapwire.Block) error {
 	length := len(m.Payload)
 	if m.Code == codes.GET && (length > 0 || block1 != nil) {
@@ -268,7 +268,7 @@
 	return nil
 }
 
-// isFullBlock reports whether a block has the length that is required of all blocks except the last one.
+// isFullBlock reports whether a payload of the given length fills the block, as is required of all blocks except the last one.
 func isFullBlock(block coapwire.Block, length int) bool {
 	if block.BERT {
 		return length > 0 && length%coapwire.BERTBlockSize == 0
--- a/internal/frontend/coapserver/read.go
+++ b/internal/frontend/coapserver/read.go
@@ -93,7 +93,7 @@
 }
 
 // handleReadTimeout handles an expired read deadline. If the connection is considered lost, it returns the name of the counter
-// to increment. Otherwise it returns "", after sending a Ping unless the deadline has been extended in the meantime.
+// to increment. Otherwise it returns "". In that case it has sent a Ping, unless the deadline has been extended in the meantime.
 func (c *conn) handleReadTimeout(now time.Time) (counter string) {
 	c.mu.Lock()
 	early := now.Before(c.readDeadline()) // the deadline has been extended since it was set
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// newRequest checks the fields of a request and converts it to a lifecycle.Request without body and remaining time. The request
-// carries the link measurements that have been collected since the previous request.
+// newRequest checks the fields of a request and converts it to a lifecycle.Request. The caller sets the body and adjusts the remaining
+// time. The request carries the link measurements that have been collected since the previous request.
 func (c *conn) newRequest(parsed *parsedRequest, now time.Time) (*lifecycle.Request, error) {
 	if parsed.device == "" {
 		parsed.device = c.device
@@ -95,7 +95,8 @@
 	return request, nil
 }
 
-// setBody stores a copy of the payload, which is either a block of an upload or a complete body.
+// setBody stores a copy of the payload, which is either a block of an upload or a complete body. It returns an error if a complete
+// body is too large.
 func setBody(device *lifecycle.DeviceRequest, parsed *parsedRequest, payload []byte) error {
 	device.Body = bytes.Clone(payload)
 	if block := parsed.block1; block != nil && (block.More || block.Offset > 0) {
--- a/internal/frontend/coapserver/response_test.go
+++ b/internal/frontend/coapserver/response_test.go
@@ -11,7 +11,7 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// hasUintOption returns a check that a message has an option of format uint with the wanted value.
+// hasUintOption returns a function that reports whether a message has an option of format uint with the wanted value.
 func hasUintOption(id message.OptionID, want uint32) func(*message.Message) bool {
 	return func(m *message.Message) bool {
 		got, err := m.Options.GetUint32(id)
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -53,8 +53,8 @@
 	c.csmReceived = true
 	err := c.applyCSM(m.Options)
 	if first {
-		// The round trip must be known before the first response, since the remaining time of a request counts from when the
-		// device sent it.
+		// The remaining time of a request counts from when the device sent it. The gateway needs the round trip to estimate by when
+		// it must send the response, so the round trip is measured before the first response.
 		c.ping(now)
 	}
 	return err
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// dequeue removes and returns the first message of the queue. It returns false if the queue is empty or the connection is
-// closed; writeLoop must then return.
+// dequeue removes and returns the first message of the queue, and returns the idle timeout for writing it. It returns false if the
+// queue is empty or the connection is closed; writeLoop must then return.
 func (c *conn) dequeue() (item outgoingMessage, idleTimeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -43,12 +43,14 @@
 	Clock             clock.Clock
 	Metrics           *metrics.Registry
 
-	mu                sync.Mutex
-	open              int // connections that are neither closed nor shed
-	pipelinedBytes    int
-	newConns          list.List     // *clientConn from which nothing has been read, oldest first
-	idleConns         list.List     // *clientConn between two requests, longest idle first
-	closingConns      list.List     // *clientConn whose sending side is closed, oldest first; open includes those not shed
+	mu             sync.Mutex
+	open           int       // number of connections that are neither closed nor shed
+	pipelinedBytes int       // number of pipelined bytes that are buffered for all connections together
+	newConns       list.List // *clientConn from which nothing has been read, oldest first
+	idleConns      list.List // *clientConn between two requests, longest idle first
+	// closingConns holds each *clientConn whose sending side is closed, oldest first. Those that were not shed are still counted
+	// in open until the server reports StateClosed.
+	closingConns      list.List
 	sheddingScheduled bool          // whether a timer is set to call shedScheduled
 	drained           chan struct{} // nil unless draining; closed when no connection is left
 }
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -81,8 +81,8 @@
 	return httptest.NewRequestWithContext(context.Background(), "GET", path, nil)
 }
 
-// expectAbort checks that a call panics with http.ErrAbortHandler, which makes the server close the connection without a
-// response.
+// expectAbort checks that the given function panics with http.ErrAbortHandler, which makes the server close the connection
+// without a response.
 func expectAbort(t *testing.T, call func()) {
 	t.Helper()
 	defer func() {
@@ -129,7 +129,8 @@
 	}
 }
 
-// A request for which the inbox is full must get a response with Retry-After.
+// A request that arrives while the inbox of the event loop is full must be rejected with a Retry-After header, which tells the client
+// when to send the request again.
 func TestFullInbox(t *testing.T) {
 	h := newTestHandler(nil)
 	h.loop.full = true
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -61,7 +61,8 @@
 }
 
 // The disconnect of a client must be detected even after the client has pipelined more bytes than the server reads while a request
-// is open (maxPipelinedBytes and maxDiscardBytes). Reading then no longer detects it, but Request.Canceled asks the kernel.
+// is open (maxPipelinedBytes and maxDiscardBytes). The server then no longer reads, so no read reports the disconnect, but
+// Request.Canceled asks the kernel.
 func TestDisconnectAfterDiscardLimit(t *testing.T) {
 	s := startServer(t, nil)
 	client := s.dial(t)
--- a/internal/frontend/httpserver/request_test.go
+++ b/internal/frontend/httpserver/request_test.go
@@ -49,7 +49,8 @@
 		"negative units":     {header("X-IO", "volume=1,units=-2,shard=3,hosts=1"), 400},
 		"shard":              {header("X-IO", "volume=1,units=2,shard=-2,hosts=1"), 400},
 		"volume":             {header("X-IO", "volume=x,units=2,shard=3,hosts=1"), 400},
-		// net/http drops a Content-Length that comes with a Transfer-Encoding before the handler sees the request.
+		// A request that has both a Content-Length and a Transfer-Encoding looks the same to the handler as a request with a
+		// Transfer-Encoding only, because net/http drops the Content-Length.
 		"encoded body":   {func(r *http.Request) { r.TransferEncoding, r.ContentLength = []string{"chunked"}, -1 }, 411},
 		"unknown length": {func(r *http.Request) { r.ContentLength = -1 }, 411},
 		"large body": {func(r *http.Request) {
--- a/internal/frontend/httpserver/shutdown_test.go
+++ b/internal/frontend/httpserver/shutdown_test.go
@@ -9,9 +9,9 @@
 	"gaugerelay/internal/metrics"
 )
 
-// During a shutdown, a request on the last idle connection must be rejected at once: otherwise the next request would find all
-// connections busy, and its client would regard the gateway as unavailable. No request must be rejected before the shutdown, or in
-// its first newConnsExpectedMs, while clients may still open new connections.
+// Clients regard a gateway that is shutting down as unavailable if they find all its connections busy. During a shutdown, a request
+// on the last idle connection must therefore be rejected at once, so that the connection becomes idle again. Before the shutdown and
+// in the first newConnsExpectedMs milliseconds of it, no request must be rejected: clients can then still open new connections.
 func TestShutdownKeepsConnectionIdle(t *testing.T) {
 	h := newTestHandler(nil)
 	h.Conns = &ConnTracker{SheddingThreshold: 9, Clock: h.manualClock, Metrics: metrics.New()}
@@ -64,8 +64,8 @@
 	}
 }
 
-// During a shutdown, the remaining time of a request must end at respondByMs at the latest, when the gateway must have responded to
-// all requests. After DisableKeepAlives, the server must close the connection after the response.
+// During a shutdown, the remaining time of a request must end at respondByMs at the latest, because the gateway must have responded
+// to all requests by then. After DisableKeepAlives, the server must close the connection after the response.
 func TestShutdownLimitsRemainingTime(t *testing.T) {
 	h := newTestHandler(respondWith(lifecycle.Response{Body: []byte("x")}))
 	h.BeginShutdown(h.manualClock.NowMs() + 100)
--- a/internal/frontend/httpserver/testserver_test.go
+++ b/internal/frontend/httpserver/testserver_test.go
@@ -99,7 +99,7 @@
 type gatedListener struct {
 	net.Listener
 	mu        sync.Mutex
-	bytesLeft int           // number of bytes to read until allRead is closed
+	bytesLeft int           // number of bytes that the server must still read before allRead is closed
 	allRead   chan struct{} // closed when bytesLeft has reached 0
 }
 
--- a/internal/frontend/requestparse/device.go
+++ b/internal/frontend/requestparse/device.go
@@ -12,7 +12,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// A key identifies an exchange among those of one device. The prefix keeps the keys of reads and writes distinct.
+// Prefixes of the keys of exchanges. A key identifies an exchange among the exchanges of one device. The prefix keeps the keys of
+// reads and writes distinct.
 const (
 	readKeyPrefix  = "r\x00"
 	writeKeyPrefix = "w\x00"
@@ -32,7 +33,7 @@
 
 // MakeDeviceRequest turns a parsed request into a transmission of a device's exchange by setting request.Device. The caller
 // sets the body of request.Device. payload is the request that is sent to servers: each execution of the exchange sends a
-// clone of it with its own header and body. The exchange of a request does not depend on the frontend that received it.
+// clone of payload that has a header and a body of its own. A request belongs to the same exchange whichever frontend received it.
 func MakeDeviceRequest(request *lifecycle.Request, class *scheduler.Class, fields Fields, device DeviceFields, payload *httpmessage.Request) error {
 	if !IsIdentifier(device.DeviceID) {
 		return errors.New("the device's name is missing, too long or not plain text")
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -64,7 +64,7 @@
 	if length < 1 || length > sftpwire.MaxPacket {
 		return errPacketLength
 	}
-	t.remaining = int(length) - 1 // the type has arrived with the header
+	t.remaining = int(length) - 1 // the length includes the type, which has arrived with the header
 	return nil
 }
 
@@ -81,7 +81,7 @@
 // and reports a disconnect of the client at once.
 type conn struct {
 	net.Conn
-	onDisconnect func() // called with mu held, possibly more than once
+	onDisconnect func() // called with mu held when the client has disconnected, possibly more than once
 	acceptedAt   time.Time
 	received     packetTracker // used only by the reading goroutine until that goroutine has ended
 
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -63,8 +63,8 @@
 }
 
 // TestDisconnectBehindManyCommands checks that Request.Canceled detects a disconnect even if unread commands precede it. The library
-// stops reading while many commands are waiting, so no read reports the disconnect. Without this check, an attempt that still waits
-// for a connection to its server would start.
+// stops reading while many commands are waiting, so no read reports the disconnect. If Request.Canceled did not detect it either, an
+// attempt that still waits for a connection to its server would start.
 func TestDisconnectBehindManyCommands(t *testing.T) {
 	g := newTestGateway(t)
 	requests := make(chan *lifecycle.Request, 64)
--- a/internal/frontend/sftpserver/golden_test.go
+++ b/internal/frontend/sftpserver/golden_test.go
@@ -17,7 +17,7 @@
 
 // cannedLoop gives the same response to each request at once. A test changes its fields only while no packet is being handled.
 type cannedLoop struct {
-	full     bool // if set, Submit returns false
+	full     bool // whether the inbox is full, so that Submit returns false
 	response lifecycle.Response
 }
 
--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -122,8 +122,8 @@
 }
 
 // TestRetriedWriteKeepsUploadKey checks that the gateway's retry of a WRITE has the upload key of the first attempt, so that the
-// server applies the WRITE once. A client's retry of a failed WRITE must also have that key, unless the client has overwritten
-// the range in between.
+// server applies the WRITE once. A client's retry of a failed WRITE must have the upload key of the failed WRITE, unless the client
+// has overwritten the range in between.
 func TestRetriedWriteKeepsUploadKey(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", nil)
@@ -142,7 +142,7 @@
 		failures.Store(failing)
 		done := make(chan error, 1)
 		go func() { done <- errorOf(file.WriteAt([]byte(text), 0)) }()
-		return g.advanceUntil(done) // retries are delayed
+		return g.advanceUntil(done) // the gateway retries after a delay, so the clock must advance
 	}
 	if err := write("A", 1); err != nil {
 		t.Fatal(err)
--- a/internal/frontend/sftpserver/traffic_test.go
+++ b/internal/frontend/sftpserver/traffic_test.go
@@ -169,8 +169,8 @@
 		test.listener)
 }
 
-// fillBuckets advances the clock until the token buckets of the new gateway, which start empty, are full. The steps are small enough
-// for the gateway's timers.
+// fillBuckets advances the clock until the token buckets of the new gateway, which start empty, are full. The clock advances in small
+// steps, so that the gateway can handle its timers in between.
 func (test *trafficTest) fillBuckets() {
 	for range 300 {
 		test.clock.Advance(10)
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	for name, value := range map[string]string{
-		"X-Correlation-Id": fmt.Sprintf("%d-%d-%d", volume, worker, sequence), // a second open request with the same ID gets 409
+		"X-Correlation-Id": fmt.Sprintf("%d-%d-%d", volume, worker, sequence), // unique: a second open request with the same ID gets 409
 		"X-Service-Class":  class,
 		"X-Plan":           "basic",
 		"X-Time-Left-Ms":   "1500",
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -10,8 +10,8 @@
 // offset and data, and one of these conditions holds:
 //
 //   - The earlier WRITE was sent on the same handle and failed.
-//   - The earlier WRITE was sent on another handle, and the client did not close that handle before it opened this one. (A client
-//     closes a handle only after it has received all responses.)
+//   - The earlier WRITE was sent on another handle, and the client did not close that handle before it opened the handle of the
+//     later WRITE. (A client closes a handle only after it has received all responses, and does not retransmit a WRITE after that.)
 //
 // A retransmission has the upload key of the earlier WRITE. A WRITE whose range has been overwritten in between must be executed
 // again, so it gets a new upload key.
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -68,7 +68,7 @@
 	twoClients  bool // handle numbers above 1 belong to a second client
 	handles     map[int]*openFile
 	connections map[int]chan struct{} // by handle; a channel is closed when its connection is lost
-	keys        []string              // upload keys of the WRITEs, in order
+	keys        []string              // exchange keys of the WRITEs in the order of sending; each contains the upload key
 }
 
 func newWriteClients(twoClients bool) *writeClients {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -151,7 +151,7 @@
 		{"bad setting", open + "OPEN_INSTANCE 5 Siblings=three\nEND\n"},
 		{"bad time setting", open + "OPEN_INSTANCE 5 TickMs=x\nEND\n"},
 		{"bad request id without key", open + "NEW_REQUEST 4294967296 get small - 1 1 1 0 1 0\nEND\n"},
-		// The next batch is accepted, because parsing the key clears the error of the id.
+		// The batch of the next test case is accepted, because parsing the key clears the error of the id.
 		{"bad request id with key", open + "NEW_REQUEST 4294967296 get small 1 1 1 1 0 1 0\nEND\n"},
 		{"missing class", open + "NEW_REQUEST 7\nEND\n"},
 		{"bad key", open + "NEW_REQUEST 7 get small k 1 1 1 0 1 0\nEND\n"},
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,8 +1,8 @@
 // Package simwire is the adapter between the scheduler and the simulator's text protocol. It parses batches of events and
 // writes replies, and makes no decisions.
 //
-// A batch is a group of lines from CLOCK to END. Each line is a name and values, separated by single spaces; the value "-" is
-// absent. Unknown lines, and additional values of known lines, belong to a later version of the protocol and are skipped. The
+// A batch is a group of lines from CLOCK to END. Each line is a name and values, separated by single spaces; "-" stands for an absent
+// value. Unknown lines, and additional values of known lines, belong to a later version of the protocol and are skipped. The
 // names on the wire are those of the simulator. Apart from the names of settings, no other package knows them.
 //
 // The package starts no goroutine. Readers and the writer functions are not safe for concurrent use.
@@ -75,7 +75,7 @@
 // Reader reads batches.
 type Reader struct {
 	in   *bufio.Reader
-	line int // number of the last line that was read, counted from 1
+	line int // number of the last line that was read, counted from 1; 0 if no line was read yet
 }
 
 // NewReader returns a Reader that reads from r.
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// A malformed batch must be reported by an error other than io.EOF, which would mean that the input ends between two batches. Its text
-// must not contain a line break.
+// A malformed batch must be reported by an error other than io.EOF, which would mean that the input ends between two batches. The text
+// of the error must not contain a line break.
 func TestReaderReportsMalformedInputInOneLine(t *testing.T) {
 	for name, text := range map[string]string{
 		"no END":           "CLOCK 1 1\nTARGET_INSTANCE 3\nDROPPED 7\n",
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// A request that the server has read only in part was not executed: the connection ends before its last byte is written.
+// If the connection ends before the last byte of a request is written, the request was not executed. The attempt then ends with
+// StatusConnectFailed.
 func TestConnectionClosedBeforeLastByte(t *testing.T) {
 	addr := testbed.Serve(t, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 10)) // the connection is closed afterwards, whether or not the read succeeds
@@ -39,8 +40,9 @@
 	}
 }
 
-// An attempt writes nothing if its client disconnected, if it was canceled, or if its start deadline passed while it waited for
-// its connection, even if the scheduler has not canceled it. A disconnect is not reported as a failure of the server.
+// While an attempt waits for its connection, its client may disconnect, the attempt may be canceled, or its start deadline may pass.
+// The attempt must then write nothing, even if the scheduler has not canceled it yet. A disconnect of the client is not reported as a
+// failure of the server.
 func TestCanceledOrExpiredAttemptIsNotStarted(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -62,7 +64,8 @@
 	}
 }
 
-// connectingAttempt is an attempt that waits for its connection, with the means to end it.
+// connectingAttempt is an attempt that waits for its connection. With the fields, a test can cancel the request or the attempt, make
+// the client disconnect, or advance the clock past the start deadline.
 type connectingAttempt struct {
 	request      *lifecycle.Request
 	disconnected atomic.Bool
@@ -94,7 +97,7 @@
 	if result := <-c.results.attempts; result.Status != want {
 		t.Errorf("the attempt ended with the unexpected status %v", result.Status)
 	}
-	for len(received) == 0 { // Close has no effect before the connection is idle
+	for len(received) == 0 { // c.Close closes only idle connections, and the connection may not be idle yet
 		c.Close()
 	}
 	if got := <-received; got != "" {
@@ -120,7 +123,7 @@
 // connection above MaxConns is not sent.
 func TestTimeoutCancelAndConnectionLimit(t *testing.T) {
 	server, c := newFakeServer(t), newTestClient()
-	waitForRequests := func(count int32) { // the server does not respond, because it has no behavior to follow
+	waitForRequests := func(count int32) { // the fake server does not respond, because the test gives it no behavior
 		for server.requests.Load() < count {
 			runtime.Gosched()
 		}
--- a/internal/upstream/httpclient/fakeserver_test.go
+++ b/internal/upstream/httpclient/fakeserver_test.go
@@ -15,7 +15,7 @@
 	"gaugerelay/internal/testbed"
 )
 
-// behavior is what a fake server does with a request. The fuzz corpus stores the numeric values.
+// behavior is what a fake server does with a request. The numeric values must not change, because the fuzz corpus stores them.
 type behavior byte
 
 const (
@@ -23,7 +23,7 @@
 	respondAndClose
 	internalError
 	rejectUnprocessed
-	rejectWithoutProof // without X-Unprocessed, which proves that the request was not executed
+	rejectWithoutProof // 503 response without X-Unprocessed, the header that proves that the request was not executed
 	closeWithoutResponse
 	garbageAndClose
 	halfResponse
--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -96,7 +96,8 @@
 		c.complete(attempt, lifecycle.AttemptResult{Status: statusWithoutResponse(ctx, notExecuted)})
 		return
 	}
-	// The server may have started to drain, or the client may have disconnected, while the session was being opened.
+	// The server may have started to drain, or the client may have disconnected, while the session was being opened. The
+	// authorization is therefore checked when the session is open.
 	remainingMs, denial := attempt.Authorize(c.clock)
 	if denial != permission.Allowed {
 		c.sessions.release(session)
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -116,7 +116,7 @@
 	if result := <-results; result.Status != scheduler.StatusOverloaded {
 		t.Errorf("got status %d, want StatusOverloaded", result.Status)
 	}
-	for open := true; open; { // the goroutine of the attempt discards the session last
+	for open := true; open; { // the goroutine of the attempt ends after it has discarded the session
 		client.sessions.mu.Lock()
 		open = client.sessions.openSessions > 0
 		client.sessions.mu.Unlock()
--- a/internal/upstream/sftpclient/fuzz_test.go
+++ b/internal/upstream/sftpclient/fuzz_test.go
@@ -20,7 +20,8 @@
 // maxFuzzSteps bounds the steps that are taken from one input.
 const maxFuzzSteps = 12
 
-// statusAfterResponse is the status of an attempt, by the response to its command.
+// statusAfterResponse is the status of an attempt, by the response to its command or, if the OPEN failed, to the OPEN. The status
+// after a disconnect during the OPEN is another one, which FuzzSession sets.
 var statusAfterResponse = [responseKinds]scheduler.Status{
 	respondOK:          scheduler.StatusOK,
 	respondFailure:     scheduler.StatusError,
