--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -72,7 +72,7 @@
 		}
 		l.metrics.Add(acceptsFailedPrefix+errnoName(err), 1)
 		if isConnectionError(err) {
-			continue // accepting the next connection needs no delay
+			continue // the error does not affect the next accept, so no delay is needed
 		}
 		if failedSinceMs == 0 {
 			failedSinceMs = l.clock.NowMs()
@@ -108,7 +108,7 @@
 }
 
 // isConnectionError reports whether accept failed only for the connection that it would have returned, or was interrupted by a
-// signal. It can then be retried without a delay.
+// signal. The accept can then be retried without a delay.
 func isConnectionError(err error) bool {
 	return errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR)
 }
--- a/internal/frontend/coapserver/fuzz_test.go
+++ b/internal/frontend/coapserver/fuzz_test.go
@@ -64,7 +64,8 @@
 	seed(get, csm)
 }
 
-// varyResponses returns an onSubmit function that gives each kind of response in turn, starting at index first.
+// varyResponses returns an onSubmit function that gives each of several kinds of response in turn. The parameter first selects the
+// kind to start with.
 func varyResponses(first int) func(*lifecycle.Request) {
 	responses := []lifecycle.Response{
 		{Body: make([]byte, 3000), ETag: 5},
--- a/internal/frontend/coapserver/parse.go
+++ b/internal/frontend/coapserver/parse.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	if request.block2 != nil {
-		request.block2.More = false // More of a Block2 option has no meaning in a request
+		request.block2.More = false // the flag More has no meaning in the Block2 option of a request
 	}
 	return request, nil
 }
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -182,8 +182,8 @@
 	c.enqueue(outgoingMessage{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
 }
 
-// expire is the response guard: it responds to a request that the Loop has not responded to in time. A call that finds the request
-// still pending indicates a bug.
+// expire is the response guard: it responds to a request that the Loop has not responded to in time. The Loop must respond before
+// expire is called, so a request that is still pending indicates a bug.
 func (c *conn) expire(p *pendingRequest) {
 	c.mu.Lock()
 	expired := c.removePending(p)
--- a/internal/frontend/coapserver/response.go
+++ b/internal/frontend/coapserver/response.go
@@ -14,7 +14,7 @@
 	"gaugerelay/internal/lifecycle"
 )
 
-// textFailed is the payload of a response to a request that may have been executed.
+// textFailed is the payload of a response to a request that failed but may have been executed.
 const textFailed = "failed, it may have been done"
 
 // textMessage returns a response whose payload is a diagnostic text (RFC 7252, 5.5.2).
--- a/internal/frontend/coapserver/server.go
+++ b/internal/frontend/coapserver/server.go
@@ -46,7 +46,7 @@
 	// is then adapted to the measured link.
 	MinIdleTimeout time.Duration
 	MaxIdleTimeout time.Duration
-	// HoldOff is how long a device must wait before it connects again, as sent with Release (RFC 8323, 5.5).
+	// HoldOff is the time that a Release tells the device to wait before it connects again (RFC 8323, 5.5).
 	HoldOff time.Duration
 }
 
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -135,5 +135,5 @@
 	c.mu.Unlock()
 }
 
-// isCritical reports whether a receiver that does not know the option must reject its message (RFC 7252, 5.4.1).
+// isCritical reports whether a receiver that does not know the option must reject the message that carries it (RFC 7252, 5.4.1).
 func isCritical(id message.OptionID) bool { return id%2 == 1 }
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxQueuedMessages = 16      // no further requests are handled while this many messages are queued
+	maxQueuedMessages = 16      // a connection handles no further requests while this many messages are queued on it
 	writeChunkSize    = 4 << 10 // bytes; the idle timeout applies to each chunk
 )
 
--- a/internal/frontend/httpserver/clientconn.go
+++ b/internal/frontend/httpserver/clientconn.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// finishClose closes the connection and updates the tracker, which may shed others.
+// finishClose closes the connection and updates the tracker, which may then shed other connections.
 func (c *clientConn) finishClose() {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
--- a/internal/frontend/httpserver/device.go
+++ b/internal/frontend/httpserver/device.go
@@ -28,7 +28,7 @@
 //	X-Gateway           id of the gateway, on every response; it changes with each start
 //	X-Sent-To           the X-Gateway that the device knew when it first sent the request; all transmissions went to that gateway
 //	X-Round-Trip-Ms     round-trip time of the link, measured by the device because the gateway can't measure it
-//	ETag, Range, If-Range  with status 206, resume an interrupted response where it stopped
+//	ETag, Range, If-Range  let the device resume an interrupted response where it stopped (status 206)
 
 // earliestSendKey is the context key of an *atomic.Uint64. It holds the earliest time in milliseconds, as the bits of a float64,
 // at which the device can have sent the current request of a connection: when the connection was opened, or when the last
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -116,7 +116,7 @@
 			h := newTestHandler(respondWith(test.response))
 			w := h.serve(newRequest(nil))
 			if w.Code != test.code || w.Body.String() != test.body || w.Header().Get("Retry-After") != test.retryAfter {
-				t.Errorf("got status %d, body %q, Retry-After %q; want the test case's", w.Code, w.Body, w.Header().Get("Retry-After"))
+				t.Errorf("got status %d, body %q, Retry-After %q; want those of the test case", w.Code, w.Body, w.Header().Get("Retry-After"))
 			}
 			r := h.loop.submitted[0]
 			payload := r.Payload.(*httpmessage.Request)
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -210,7 +210,7 @@
 	if n != 1 {
 		t.Errorf("%d connections wait for their clients to close, want 1", n)
 	}
-	s.clock.Advance(gracefulclose.TimeoutMs) // then the last one must be closed, too
+	s.clock.Advance(gracefulclose.TimeoutMs) // the last connection must now be closed, too
 	// A write of a client fails once the server has closed the connection.
 	for _, client := range conns {
 		for _, err := io.WriteString(client, "more"); err == nil; _, err = io.WriteString(client, "more") {
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -37,7 +37,7 @@
 	class   *scheduler.Class
 	fields  requestparse.Fields
 	payload *httpmessage.Request
-	link    lifecycle.LinkSample // measured while the body was read
+	link    lifecycle.LinkSample // measurements of the link, made while the body was read
 }
 
 // parseRequest reads and parses a client's request. The text of its error is sent to the client, with status 400 unless the error
--- a/internal/frontend/httpserver/request_test.go
+++ b/internal/frontend/httpserver/request_test.go
@@ -62,7 +62,7 @@
 			w := h.serve(newRequest(test.change))
 			if w.Code != test.code || len(h.loop.submitted) != 0 || strings.Count(w.Body.String(), "\n") != 1 ||
 				w.Header().Get("Connection") != "close" {
-				t.Errorf("got status %d, body %q and %d submitted requests; want the test case's status, one line and 0", w.Code, w.Body,
+				t.Errorf("got status %d, body %q and %d submitted requests; want the status of the test case, one line and 0", w.Code, w.Body,
 					len(h.loop.submitted))
 			}
 		})
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -44,7 +44,7 @@
 	_, _ = w.Write(body) // a client that has disconnected needs no response
 }
 
-// writeFailure writes the response to a request that may have been executed.
+// writeFailure writes the response to a request that failed but may have been executed.
 func writeFailure(w http.ResponseWriter) {
 	http.Error(w, "failed", http.StatusBadGateway)
 }
--- a/internal/frontend/requestparse/device.go
+++ b/internal/frontend/requestparse/device.go
@@ -28,7 +28,7 @@
 	ReadID          string               // identifies the exchange of a read, which has no idempotency key
 	AgeMs           float64              // time since the device first sent the request; negative if unknown
 	PreviousGateway string               // id of the gateway that received the earlier transmissions; empty if unknown
-	Link            lifecycle.LinkSample // measurements of the device's link made during this transmission
+	Link            lifecycle.LinkSample // measurements of the device's link that are reported with this transmission
 }
 
 // MakeDeviceRequest turns a parsed request into a transmission of a device's exchange by setting request.Device. The caller
--- a/internal/frontend/requestparse/request.go
+++ b/internal/frontend/requestparse/request.go
@@ -22,7 +22,8 @@
 	// objectKeyDigits is the number of hexadecimal digits of an object key.
 	objectKeyDigits = 16
 	// maxDeadlineFactor limits the remaining time of a request to a multiple of the deadline of its class. A client may wait
-	// longer than that deadline, but the gateway keeps the state of a request for as long as its client waits.
+	// longer than that deadline, but the gateway keeps the state of a request for as long as its client waits, so that time must
+	// be bounded.
 	maxDeadlineFactor = 2
 )
 
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -116,7 +116,8 @@
 	select {
 	case response := <-responses:
 		if request.Device != nil && response.Kind == lifecycle.Served {
-			// The library has yet to write the response. If the write fails, the exchange store still has the response.
+			// The response is reported as written before the library writes it. That is safe, because the exchange store still
+			// has the response if the write fails.
 			server.Loop.ResponseWritten(request, lifecycle.LinkSample{})
 		}
 		return replyFromResponse(response)
--- a/internal/frontend/sftpserver/traffic_test.go
+++ b/internal/frontend/sftpserver/traffic_test.go
@@ -197,7 +197,7 @@
 			test.t.Error(err)
 			return
 		}
-		// Rejected and canceled requests are ignored, since the test checks only the meter.
+		// The response is not checked, since rejections and cancellations are expected.
 		if response, err := http.DefaultClient.Do(request); err == nil {
 			response.Body.Close()
 		}
@@ -239,7 +239,7 @@
 		if size := trafficUnitBytes * (1 + sequence%6); sequence%2 == 0 {
 			_, _ = file.WriteAt(make([]byte, size), 0)
 		} else {
-			// Reads no more than the file has, since the library sends another READ after a short one.
+			// Reads no more than the file has: after a short READ, the library would send another one.
 			_, _ = file.ReadAt(make([]byte, min(size, trafficUnitBytes)), 0)
 		}
 	})
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -65,9 +65,9 @@
 	server      *Server
 	loop        *recordingLoop
 	clock       *clock.Manual
-	twoClients  bool // handle numbers above 1 belong to a second client
+	twoClients  bool // whether the handles with numbers above 1 belong to a second client
 	handles     map[int]*openFile
-	connections map[int]chan struct{} // by handle; a channel is closed when its connection is lost
+	connections map[int]chan struct{} // one channel for each handle number; closed when the connection of the handle is lost
 	keys        []string              // exchange keys of the WRITEs in the order of sending; each contains the upload key
 }
 
--- a/internal/httpmessage/request.go
+++ b/internal/httpmessage/request.go
@@ -11,6 +11,6 @@
 // []byte. A Request must not be changed after it was submitted, because attempts may be reading it.
 type Request struct {
 	Method, Path, RawPath, RawQuery string
-	Header                          http.Header // forwarded unchanged
+	Header                          http.Header // sent unchanged; the HTTP upstream adds X-Time-Left-Ms
 	Body                            []byte
 }
--- a/internal/sftpwire/command.go
+++ b/internal/sftpwire/command.go
@@ -46,8 +46,8 @@
 	Length uint32
 	// Data holds the bytes that an OpWrite writes.
 	Data []byte
-	// UploadKey is an idempotency key: the servers of one shard drop a command whose key they have seen before. It is empty for
-	// commands that change nothing.
+	// UploadKey is an idempotency key: the servers of one shard do not execute a command whose key they have seen before. It is
+	// empty for commands that change nothing.
 	UploadKey string
 }
 
--- a/internal/sftpwire/sftpwire.go
+++ b/internal/sftpwire/sftpwire.go
@@ -8,7 +8,7 @@
 const (
 	// MaxData bounds the data of a READ or a WRITE.
 	MaxData = 64 << 10
-	// MaxPacket bounds a packet including its other fields, but excluding the four-byte length field.
+	// MaxPacket bounds a whole packet, without its four-byte length field.
 	MaxPacket = MaxData + 4<<10
 )
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -174,7 +174,7 @@
 	server := scheduler.Server{Size: line.optionalNumber("Share")}
 	state, ok := serverStates[line.text("Readiness")]
 	if !ok {
-		state = scheduler.Draining // an unknown state of a later version: the server is listed, but gets no new requests
+		state = scheduler.Draining // the state belongs to a later version of the protocol; a draining server gets no new requests
 	}
 	server.State = state
 	server.Kind = line.optionalText()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// absent is the text of an absent value.
+// absent is the text that stands for an absent value.
 const absent = "-"
 
 // Sizes of integers on the wire, in bits.
@@ -129,7 +129,7 @@
 // durationFromMs converts a time in milliseconds from the wire, rounded to nanoseconds.
 func durationFromMs(ms float64) time.Duration { return time.Duration(math.Round(ms * nanosPerMs)) }
 
-// formatMs formats a time for the wire, in milliseconds; 0 is formatted as absent.
+// formatMs formats a time for the wire, in milliseconds. It formats 0 as an absent value.
 func formatMs(d time.Duration) string {
 	if d == 0 {
 		return absent
--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -21,7 +21,7 @@
 const timeLeftHeader = "X-Time-Left-Ms"
 
 // timeLeftPlaceholder is the value of timeLeftHeader until the head is written. An attempt may have to wait for its connection,
-// which reduces the remaining time. Therefore conn.Write inserts the value.
+// which reduces the remaining time. Therefore conn.Write inserts the value just before it writes the head.
 const timeLeftPlaceholder = "?"
 
 var timeLeftPlaceholderLine = []byte("\r\n" + timeLeftHeader + ": " + timeLeftPlaceholder + "\r\n")
@@ -106,7 +106,7 @@
 func (c *Client) statusWithoutResponse(ctx context.Context, attempt *attemptState) scheduler.Status {
 	written := attempt.requestWritten.Load()
 	switch cause := context.Cause(ctx); {
-	case !written && attempt.Request.Canceled(): // the server is not at fault
+	case !written && attempt.Request.Canceled(): // canceled before it was sent completely; the server is not at fault
 		return scheduler.StatusCanceled
 	case !written && attempt.denial.IsIndependentOfServer(): // not executed, for a reason that says nothing about the server
 		return scheduler.StatusNotSent
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// connectingAttempt is an attempt that waits for its connection. With the fields, a test can cancel the request or the attempt, make
+// connectingAttempt is an attempt that waits for its connection. With its fields, a test can cancel the request or the attempt, make
 // the client disconnect, or advance the clock past the start deadline.
 type connectingAttempt struct {
 	request      *lifecycle.Request
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -41,7 +41,7 @@
 	used           bool             // the connection has carried a request
 	lastResponseMs float64          // time at which the last response was complete
 	response       *responseFraming // framing of the awaited response; nil if no response is awaited
-	unusable       bool             // no request is written and no data is returned any more
+	unusable       bool             // the connection must not be used any more: no request is written, and no data is returned
 	stopTimeout    func()           // stops the response timeout; nil unless a response has begun
 }
 
--- a/internal/upstream/httpclient/framing.go
+++ b/internal/upstream/httpclient/framing.go
@@ -22,7 +22,7 @@
 type responseFraming struct {
 	head         []byte // bytes received of the head; nil once the head is complete
 	interimBytes int    // size of the heads of the interim (1xx) responses so far
-	inBody       bool   // the final head is complete
+	inBody       bool   // the head of the final response is complete
 	bodyLeft     int    // bytes of the body still to be received; valid if inBody is set
 	endUnknown   bool   // the end of the body cannot be found, so the connection must not carry another request
 }
--- a/internal/upstream/httpclient/golden_test.go
+++ b/internal/upstream/httpclient/golden_test.go
@@ -13,8 +13,8 @@
 	"gaugerelay/internal/testbed"
 )
 
-// recordRequests starts a server that answers each request with status 200 and sends the exact bytes of the request to the
-// channel.
+// recordRequests starts a server that answers each request with status 200. The returned channel receives the exact bytes of each
+// request.
 func recordRequests(t *testing.T) (addr string, requests <-chan []byte) {
 	t.Helper()
 	recorded := make(chan []byte, 16)
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -116,7 +116,7 @@
 	if result := <-results; result.Status != scheduler.StatusOverloaded {
 		t.Errorf("got status %d, want StatusOverloaded", result.Status)
 	}
-	for open := true; open; { // the goroutine of the attempt ends after it has discarded the session
+	for open := true; open; { // waits until the attempt's goroutine has discarded the session and so reports nothing more
 		client.sessions.mu.Lock()
 		open = client.sessions.openSessions > 0
 		client.sessions.mu.Unlock()
@@ -220,7 +220,7 @@
 	}
 }
 
-// expiringClock is a manual clock that shows the start deadline once expired is set.
+// expiringClock is a manual clock whose time is startDeadlineMs as soon as the field expired is set.
 type expiringClock struct {
 	*clock.Manual
 	expired *atomic.Bool
--- a/internal/upstream/sftpclient/fuzz_test.go
+++ b/internal/upstream/sftpclient/fuzz_test.go
@@ -45,8 +45,8 @@
 		writeBit + respondUnprocessed})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		server, now := newScriptedServer(t), clock.NewManual(startMs)
-		// A session returns to the pool only after the CLOSE of its handle, and the result is reported before. The next attempt
-		// may therefore need another session, so the limit of 100 sessions is high enough for every input.
+		// A session returns to the pool only after the CLOSE of its handle, but the result of the attempt is reported before the
+		// CLOSE. The next attempt may therefore need another session. The limit of 100 sessions is high enough for every input.
 		client, results := newTestClient(now, server.address, 100)
 		defer client.Close()
 		commands := int32(0)
--- a/internal/upstream/sftpclient/golden_test.go
+++ b/internal/upstream/sftpclient/golden_test.go
@@ -43,9 +43,9 @@
 	return out
 }
 
-// recordPackets starts an SFTP server that sends the exact bytes of each packet it receives to the channel. It answers INIT by
-// VERSION, the following packets by responses, in order, and all further packets by a STATUS with code OK. The first byte of
-// a response is the packet type; the rest is what follows the id.
+// recordPackets starts an SFTP server. The returned channel receives the exact bytes of each packet that arrives at the server. The
+// server answers INIT with VERSION, the following packets with the elements of the parameter responses, in order, and all further
+// packets with a STATUS with code OK. The first byte of a response is the packet type; the rest is what follows the id.
 func recordPackets(t *testing.T, responses [][]byte) (address string, packets <-chan []byte) {
 	t.Helper()
 	recorded := make(chan []byte, 16)
--- a/internal/upstream/sftpclient/pool.go
+++ b/internal/upstream/sftpclient/pool.go
@@ -20,7 +20,7 @@
 
 	mu           sync.Mutex
 	idle         map[string][]*session // idle sessions by the address of their server; the most recently used session is last
-	openSessions int                   // sessions that are open or being opened
+	openSessions int                   // number of sessions that are open or being opened
 }
 
 func newSessionPool(options Options, c clock.Clock) *sessionPool {
--- a/internal/upstream/sftpclient/session.go
+++ b/internal/upstream/sftpclient/session.go
@@ -109,7 +109,8 @@
 	return packetType, body, body.err
 }
 
-// execute sends the command of an attempt. remainingMs is the time until the client's deadline, which is sent to the server.
+// execute sends the command of an attempt. It also sends remainingMs, the time until the client's deadline, to the server if the
+// command needs an OPEN.
 func (s *session) execute(attempt lifecycle.Attempt, remainingMs float64) commandOutcome {
 	command := attempt.Request.Payload.(*sftpwire.Command)
 	if command.Op == sftpwire.OpStat {
