--- a/internal/frontend/coapserver/blockwise.go
+++ b/internal/frontend/coapserver/blockwise.go
@@ -9,10 +9,10 @@
 
 // peerLimits holds what a device can receive and which block size suits its link.
 type peerLimits struct {
-	maxPayload         int  // bytes
+	maxPayload         int  // maximum payload of a served response in bytes
 	blockwise          bool // the device supports block-wise transfer
 	bert               bool // the device accepts several blocks of 1 KiB in a message (RFC 8323, 6)
-	preferredBlockSize int  // bytes that suit the measured link; 0: not known
+	preferredBlockSize int  // block size in bytes that suits the measured link; 0: not known
 }
 
 // peerLimits returns the current limits of the device.
@@ -36,8 +36,8 @@
 	return l.preferredBlockSize == 0 || length <= l.preferredBlockSize || !l.blockwise
 }
 
-// responseBlock returns the block to send for a requested one and how many bytes of the body it may hold. The block has the
-// requested offset and at most the requested size. The caller sets More.
+// responseBlock returns the block to send when the device requests a block, and how many bytes of the body it may hold. The returned
+// block has the requested offset and at most the requested size. The caller sets its field More.
 func (l peerLimits) responseBlock(requested coapwire.Block) (block coapwire.Block, length int) {
 	if requested.BERT && l.bert {
 		length = l.bertLength()
--- a/internal/frontend/coapserver/request.go
+++ b/internal/frontend/coapserver/request.go
@@ -20,10 +20,10 @@
 
 const (
 	maxDeviceNameLength   = 64 // bytes
-	overLimitRetrySeconds = 1  // Max-Age of the response to a request beyond MaxPendingRequests
+	overLimitRetrySeconds = 1  // Max-Age of the response that rejects a request beyond MaxPendingRequests
 )
 
-// pendingRequest is a request of a connection that has no response yet.
+// pendingRequest is a request that was received on a connection and has not been answered yet.
 type pendingRequest struct {
 	token     message.Token
 	parsed    *parsedRequest
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// newRequest checks the fields of a request and converts it to a lifecycle.Request without body and remaining time. The request
-// carries the link measurements that have been collected since the previous request.
+// newRequest checks the fields of a request and converts it to a lifecycle.Request. The caller sets the body and adjusts the remaining
+// time. The request carries the link measurements that have been collected since the previous request.
 func (c *conn) newRequest(parsed *parsedRequest, now time.Time) (*lifecycle.Request, error) {
 	if parsed.device == "" {
 		parsed.device = c.device
@@ -76,7 +76,7 @@
 		payload.Header.Set("Content-Type", parsed.contentType)
 	}
 	if parsed.ageMs >= 0 {
-		// The device stated the age at the time of sending. The time in transit is unknown; this adds its upper bound.
+		// The device stated the age at the time of sending. The time in transit is unknown, so its upper bound is added.
 		parsed.ageMs += clock.Ms(now.Sub(c.earliestSendTime))
 	}
 	deviceFields := requestparse.DeviceFields{
@@ -95,7 +95,8 @@
 	return request, nil
 }
 
-// setBody stores a copy of the payload, which is either a block of an upload or a complete body.
+// setBody stores a copy of the payload, which is either a block of an upload or a complete body. It returns an error if a complete
+// body is too large.
 func setBody(device *lifecycle.DeviceRequest, parsed *parsedRequest, payload []byte) error {
 	device.Body = bytes.Clone(payload)
 	if block := parsed.block1; block != nil && (block.More || block.Offset > 0) {
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// setRemainingTime subtracts the time that the message took to arrive from the remaining time of the request. During a
-// shutdown it also limits the remaining time to the response deadline.
+// setRemainingTime reduces the remaining time of the request by the time that the message took to arrive. During a shutdown, it
+// also limits the remaining time so that it ends at the response deadline or earlier.
 func (c *conn) setRemainingTime(request *lifecycle.Request, now time.Time) {
 	request.ClientDelayMs = clock.Ms(now.Sub(c.frameStart))
 	request.RemainingMs -= request.ClientDelayMs
@@ -133,7 +134,7 @@
 	}
 	c.pending[string(p.token)] = p
 	// The exchange store answers a retransmission at once even if its remaining time was over on arrival. The timer must
-	// not fire before that: the device would receive a failure for a write that an earlier transmission has completed.
+	// not fire before that answer: the device would receive a failure for a write that an earlier transmission has completed.
 	timeoutMs := max(0, p.request.RemainingMs) + frontend.ResponseGraceMs
 	p.stopTimer = c.server.Clock.AfterFunc(timeoutMs, func() { c.expire(p) })
 	return true
@@ -181,8 +182,8 @@
 	c.enqueue(outgoingMessage{pending: p, response: response, closeAfter: response.Kind == lifecycle.Superseded})
 }
 
-// expire is the response guard: it responds to a request that the Loop has not responded to in time. A call that finds the request
-// still pending indicates a bug.
+// expire is the response guard: it responds to a request that the Loop has not responded to in time. The Loop must respond before
+// expire is called, so a request that is still pending indicates a bug.
 func (c *conn) expire(p *pendingRequest) {
 	c.mu.Lock()
 	expired := c.removePending(p)
--- a/internal/frontend/httpserver/handler_test.go
+++ b/internal/frontend/httpserver/handler_test.go
@@ -81,8 +81,8 @@
 	return httptest.NewRequestWithContext(context.Background(), "GET", path, nil)
 }
 
-// expectAbort checks that a call panics with http.ErrAbortHandler, which makes the server close the connection without a
-// response.
+// expectAbort checks that the given function panics with http.ErrAbortHandler, which makes the server close the connection
+// without a response.
 func expectAbort(t *testing.T, call func()) {
 	t.Helper()
 	defer func() {
@@ -116,7 +116,7 @@
 			h := newTestHandler(respondWith(test.response))
 			w := h.serve(newRequest(nil))
 			if w.Code != test.code || w.Body.String() != test.body || w.Header().Get("Retry-After") != test.retryAfter {
-				t.Errorf("got status %d, body %q, Retry-After %q; want the test case's", w.Code, w.Body, w.Header().Get("Retry-After"))
+				t.Errorf("got status %d, body %q, Retry-After %q; want those of the test case", w.Code, w.Body, w.Header().Get("Retry-After"))
 			}
 			r := h.loop.submitted[0]
 			payload := r.Payload.(*httpmessage.Request)
@@ -129,7 +129,8 @@
 	}
 }
 
-// A request for which the inbox is full must get a response with Retry-After.
+// A request that arrives while the inbox of the event loop is full must be rejected with a Retry-After header, which tells the client
+// when to send the request again.
 func TestFullInbox(t *testing.T) {
 	h := newTestHandler(nil)
 	h.loop.full = true
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -61,7 +61,8 @@
 }
 
 // The disconnect of a client must be detected even after the client has pipelined more bytes than the server reads while a request
-// is open (maxPipelinedBytes and maxDiscardBytes). Reading then no longer detects it, but Request.Canceled asks the kernel.
+// is open (maxPipelinedBytes and maxDiscardBytes). The server then no longer reads, so no read reports the disconnect, but
+// Request.Canceled asks the kernel.
 func TestDisconnectAfterDiscardLimit(t *testing.T) {
 	s := startServer(t, nil)
 	client := s.dial(t)
@@ -209,7 +210,7 @@
 	if n != 1 {
 		t.Errorf("%d connections wait for their clients to close, want 1", n)
 	}
-	s.clock.Advance(gracefulclose.TimeoutMs) // then the last one must be closed, too
+	s.clock.Advance(gracefulclose.TimeoutMs) // the last connection must now be closed, too
 	// A write of a client fails once the server has closed the connection.
 	for _, client := range conns {
 		for _, err := io.WriteString(client, "more"); err == nil; _, err = io.WriteString(client, "more") {
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -37,7 +37,7 @@
 	class   *scheduler.Class
 	fields  requestparse.Fields
 	payload *httpmessage.Request
-	link    lifecycle.LinkSample // measured while the body was read
+	link    lifecycle.LinkSample // measurements of the link, made while the body was read
 }
 
 // parseRequest reads and parses a client's request. The text of its error is sent to the client, with status 400 unless the error
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// parseFields reads the headers of a request.
+// parseFields returns the fields of a request, which it takes from the method, the path and the headers.
 func parseFields(r *http.Request) (requestparse.Fields, error) {
 	remainingMs, err := strconv.ParseUint(r.Header.Get("X-Time-Left-Ms"), 10, 31)
 	if err != nil {
--- a/internal/frontend/sftpserver/writehistory_test.go
+++ b/internal/frontend/sftpserver/writehistory_test.go
@@ -65,10 +65,10 @@
 	server      *Server
 	loop        *recordingLoop
 	clock       *clock.Manual
-	twoClients  bool // handle numbers above 1 belong to a second client
+	twoClients  bool // whether the handles with numbers above 1 belong to a second client
 	handles     map[int]*openFile
-	connections map[int]chan struct{} // by handle; a channel is closed when its connection is lost
-	keys        []string              // upload keys of the WRITEs, in order
+	connections map[int]chan struct{} // one channel for each handle number; closed when the connection of the handle is lost
+	keys        []string              // exchange keys of the WRITEs in the order of sending; each contains the upload key
 }
 
 func newWriteClients(twoClients bool) *writeClients {
