--- a/internal/testbed/cluster/processscenarios.go
+++ b/internal/testbed/cluster/processscenarios.go
@@ -16,6 +16,8 @@
 	}
 }
 
+// pauseLeaseHolders pauses a random gateway for 2.5 times the lifetime of a lease. At full length, the leases of the gateway
+// expire during the pause; a TimeScale below 0.4 makes the pause shorter than a lease.
 func pauseLeaseHolders(c *Cluster) {
 	for range 2 {
 		gateway := c.random.IntN(len(c.gateways))
@@ -46,6 +48,8 @@
 	}
 }
 
+// pauseAndKillInPartition partitions gateway 1 from the others, pauses gateway 0 meanwhile, and kills gateway 1 before the
+// partition ends.
 func pauseAndKillInPartition(c *Cluster) {
 	c.partition(func(gateway int) bool { return gateway == 1 })
 	c.rotatePrimaryHosts()
@@ -61,7 +65,8 @@
 	c.wait(time.Second)
 }
 
-// runOneWithoutGossip runs one gateway without an operator's file, so that it behaves like a version without gossip.
+// runOneWithoutGossip runs one gateway without an operator's file, so that the gateway behaves like a version of the
+// program without gossip.
 func runOneWithoutGossip(c *Cluster) {
 	gateway := c.gateways[c.random.IntN(len(c.gateways))]
 	args := gateway.Args
