--- a/internal/testbed/chaos/behavior.go
+++ b/internal/testbed/chaos/behavior.go
@@ -34,7 +34,7 @@
 	failProbability     = 0.7
 	breakProbability    = 0.5
 	truncateProbability = 0.3
-	garbageProbability  = 0.6 // bound of the draw for a malformed response; a draw below truncateProbability truncates it
+	garbageProbability  = 0.6 // a draw from truncateProbability up to this value makes the response malformed; a smaller one truncates it
 	repeatProbability   = 0.3
 )
 
@@ -44,6 +44,5 @@
 // meanServiceMs is the mean time in milliseconds that a server takes for a request of meanUnits.
 const meanServiceMs = 4
 
-// repeatDelayFactor is multiplied by execution.chance, which gives the delay of a repeated response in milliseconds, rounded
-// down.
+// repeatDelayFactor times execution.chance, rounded down, is the delay of a repeated response in milliseconds.
 const repeatDelayFactor = 10
--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// stallLookback is the longest time between the end of a stall of the machine and a late attempt that the stall excuses.
+// stallLookback is the time after the end of a stall of the machine in which the stall still excuses an attempt that is too late.
 const stallLookback = 200 * time.Millisecond
 
 // checker checks the invariants against the records of a run, whose clients and faults must have ended.
--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -75,11 +75,11 @@
 		r.publish(process.EndpointDraining, at(time.Minute-drainGrace-2*socketSlack))
 	}, Result{SentAfterDrain: 1}},
 	{"sent to a removed server", func(r *record) { r.publish(process.EndpointRemoved, at(50*time.Second)) }, Result{SentAfterDrain: 1}},
-	{"sent after the drain grace in a stall", func(r *record) { // stallLookback excuses the attempt
+	{"sent after the drain grace in a stall", func(r *record) { // the stall ended less than stallLookback before the attempt and so excuses it
 		r.publish(process.EndpointDraining, at(50*time.Second))
 		r.harness.stalls = []process.Interval{{From: at(59 * time.Second), To: at(time.Minute)}}
 	}, Result{}},
-	{"more than slow start allows", func(r *record) { // 100 requests of meanUnits; slowStartBound allows less than 50
+	{"more than slow start allows", func(r *record) { // the attempt has the units of 100 requests of meanUnits; slowStartBound allows less than 50
 		r.server.startedAt, r.arrival.units = at(time.Minute-time.Second), 200
 		r.harness.discovery.changes[0].at = r.server.startedAt
 		r.harness.discovery.deliveries[0] = []delivery{{r.server.startedAt, 1}}
--- a/internal/testbed/chaos/client.go
+++ b/internal/testbed/chaos/client.go
@@ -16,7 +16,8 @@
 	// maxIdleConns is how many idle connections the clients of a gateway keep at most.
 	maxIdleConns = 8
 	dialTimeout  = time.Second
-	// responseTimeoutSlack is how long a client goes on waiting after a response is late (deadline plus responseSlack).
+	// responseTimeoutSlack is how long a client still waits for a response that is already late, that is, later than the deadline
+	// plus responseSlack.
 	responseTimeoutSlack = 500 * time.Millisecond
 	// incompleteTimeout is how long a client waits for a response after it has sent only half of its request.
 	incompleteTimeout = 10 * time.Second
@@ -45,7 +46,7 @@
 type clientGroup struct {
 	gateway int
 	addr    string
-	random  *rand.Rand // used only by sendRequests
+	random  *rand.Rand // used only in the goroutine of sendRequests
 
 	mu       sync.Mutex
 	idle     []net.Conn
--- a/internal/testbed/chaos/client_test.go
+++ b/internal/testbed/chaos/client_test.go
@@ -18,7 +18,7 @@
 		for range 2000 {
 			gap := clients.random.ExpFloat64() / 12.0
 			r := clients.drawRequest(4)
-			_, _ = fmt.Fprintf(hash, "%v %s %v %v\n", gap, r.message(), r.cancelAfter, r.incomplete) // a hash never fails
+			_, _ = fmt.Fprintf(hash, "%v %s %v %v\n", gap, r.message(), r.cancelAfter, r.incomplete) // writing to a hash never fails
 		}
 		if got := hash.Sum64(); got != test.want {
 			t.Errorf("the first 2000 requests to gateway %d have the hash %#x, want %#x", test.gateway, got, test.want)
--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -10,11 +10,11 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// defaultCallTime is how long discovery takes to handle a poll while no fault slows it down. Agents, which push the list,
-// respond at once.
+// defaultCallTime is how long discovery takes to handle a poll while no fault slows it down. With push discovery, an agent on the
+// machine of each gateway pushes the list; it responds to a call without this delay.
 const defaultCallTime = 3 * time.Millisecond
 
-// change is one change of the endpoint list. Its version is its position in the list of changes, counted from 1.
+// change is one change of the endpoint list. The n-th change, counted from 1, creates version n of the list.
 type change struct {
 	server *server
 	state  string // one of process.EndpointReady, EndpointDraining and EndpointRemoved
@@ -48,7 +48,7 @@
 // discovery fakes the service that publishes the endpoint list. All gateways share it, but each gateway calls it at addresses
 // of its own, by which discovery knows the gateway. It records what was sent to each gateway.
 type discovery struct {
-	push  bool        // whether it fakes an agent on the machine of each gateway instead of one shared service
+	push  bool        // whether each gateway has an agent on its machine that pushes the list, instead of one service that all gateways poll
 	addrs [][2]string // by gateway: two addresses; a reload moves the gateway from one to the other
 
 	callSlot chan struct{} // holds a token while a poll is handled, so that polls are handled one at a time
@@ -62,13 +62,13 @@
 	changes     []change
 	changed     chan struct{}        // closed at the next change of the list
 	deliveries  [][]delivery         // by gateway
-	silences    [][]process.Interval // by gateway: when one of its watches was silent; added when that watch ends
+	silences    [][]process.Interval // by gateway: times in which one of its watches was silent; each is added when that watch ends
 	openWatches []map[int]*watch     // by gateway and watch ID
 	lastWatchID int
 }
 
-// newDiscovery starts discovery with an empty endpoint list. On an error, the caller must still close the discovery that it
-// returns.
+// newDiscovery starts discovery with an empty endpoint list. On an error, the caller must still close the returned
+// discovery.
 func newDiscovery(gateways int, push bool) (*discovery, error) {
 	d := &discovery{push: push, callSlot: make(chan struct{}, 1), callTime: defaultCallTime, changed: make(chan struct{}),
 		upIntervals: []process.Interval{{From: time.Now()}}, deliveries: make([][]delivery, gateways),
--- a/internal/testbed/chaos/gateway.go
+++ b/internal/testbed/chaos/gateway.go
@@ -32,7 +32,7 @@
 	dir           string // directory of the files that the gateway reads
 	discoveryAddr int    // 0 or 1: which of its two addresses of discovery the gateway uses
 
-	faultMu sync.Mutex // held by the fault that currently affects the process; another one skips it
+	faultMu sync.Mutex // held by the fault that currently affects the process; meanwhile, other faults skip the process
 
 	starts       []time.Time
 	kills        []process.Interval // from SIGKILL until the gateway is ready again
@@ -113,7 +113,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // counters that were read before an error are recorded
+	text, _ := io.ReadAll(resp.Body) // after a read error, the counters read so far are recorded
 	for _, match := range violationCounter.FindAllStringSubmatch(string(text), -1) {
 		if counter, value := match[1], match[2]; counter == unansweredCounter || len(g.pauses) == 0 {
 			h.mu.Lock()
--- a/internal/testbed/chaos/harness.go
+++ b/internal/testbed/chaos/harness.go
@@ -32,7 +32,7 @@
 	http      *http.Client   // reads the metrics of gateways
 
 	stop       chan struct{}  // closed to end clients, faults and the stall detector
-	goroutines sync.WaitGroup // clients, faults and the stall detector
+	goroutines sync.WaitGroup // goroutines of clients, faults and the stall detector
 
 	mu               sync.Mutex
 	servers          []*server // all servers that were started, also those that are closed
@@ -56,7 +56,7 @@
 	return h.finish(), nil
 }
 
-// newHarness starts the fakes and the gateways. On an error, the caller must still close the harness that it returns.
+// newHarness starts the fakes and the gateways. On an error, the caller must still close the returned harness.
 func newHarness(options Options) (*harness, error) {
 	h := &harness{options: options, startedAt: time.Now(), log: process.NewLog(), stop: make(chan struct{}),
 		http: &http.Client{Timeout: metricsTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -158,7 +158,7 @@
 		return
 	}
 	for _, line := range h.log.Lines() {
-		_, _ = fmt.Fprintln(h.options.LogOutput, line) // ignored, since the result does not depend on the log
+		_, _ = fmt.Fprintln(h.options.LogOutput, line) // a write error is ignored, since the result does not depend on the log
 	}
 }
 
--- a/internal/testbed/chaos/notification.go
+++ b/internal/testbed/chaos/notification.go
@@ -8,8 +8,9 @@
 // notifiedAt returns when a gateway is treated as having been notified of the change with the given index, or the zero time if
 // it never is. processStart is the start of the gateway's process. The result is the earliest of these times:
 //   - when the change was delivered to the gateway;
-//   - when discovery has been up without interruption for the longest allowed delay since the change and processStart. The
-//     delay is maxNotificationDelay. With push discovery it is 0, unless a watch of the gateway was silent at the change;
+//   - when discovery has been up without interruption for the longest allowed delay since the later of the change and
+//     processStart. This delay is maxNotificationDelay, but 0 with push discovery if no watch of the gateway was silent at the
+//     change;
 //   - if a watch was silent at the change, the result of silenceDeadline.
 func (d *discovery) notifiedAt(gateway int, processStart time.Time, index int) time.Time {
 	d.mu.Lock()
@@ -19,7 +20,7 @@
 	at = earlierNonzero(at, silenceDeadline)
 	maxDelay := maxNotificationDelay
 	if d.push && silenceDeadline.IsZero() {
-		maxDelay = 0 // the gateway is treated as notified as soon as the agent on its machine has the change
+		maxDelay = 0 // the gateway is treated as having been notified as soon as the agent on its machine has the change
 	}
 	reachableFrom := later(d.changes[index].at, processStart)
 	for _, up := range d.upIntervals {
@@ -41,9 +42,9 @@
 	return time.Time{}
 }
 
-// silenceDeadline returns when a gateway is treated as notified of a change that occurred while one of its watches was silent.
-// The gateway has to replace a silent watch within maxNotificationDelay after the silence has begun, so this is that time, or
-// the time of the change if it is later. The result is the zero time if no watch was silent. d.mu must be held.
+// silenceDeadline returns when a gateway is treated as having been notified of a change that occurred while one of its watches was
+// silent. The gateway has to replace a silent watch within maxNotificationDelay after the silence has begun. The result is the end of
+// that delay, or the time of the change if the change came later. It is the zero time if no watch was silent. d.mu must be held.
 func (d *discovery) silenceDeadline(gateway int, processStart time.Time, c change) (deadline time.Time) {
 	for _, silence := range d.silences[gateway] {
 		if silence.Contains(c.at) && silence.From.After(processStart) {
--- a/internal/testbed/chaos/outage_test.go
+++ b/internal/testbed/chaos/outage_test.go
@@ -8,11 +8,12 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// TestDrainingServerGetsNoRequestsAfterDiscoveryOutage drains a server right after an outage of discovery. The time between two
-// polls of a gateway grows with the size of its fleet and with each failed poll, so the test sets a large FleetSize and lets
-// the polls fail during the outage. It guards against gateways that poll too late after the outage and so do not know that
-// the server drains: the checker reports an attempt at the server more than maxNotificationDelay plus drainGrace after the
-// drain was published.
+// TestDrainingServerGetsNoRequestsAfterDiscoveryOutage drains a server right after an outage of discovery. It guards against
+// gateways that poll too late after the outage and so do not know that the server drains. The time between two polls of a
+// gateway grows with the size of its fleet and with each failed poll. The settings therefore claim 300 gateways, although only 8
+// run, and the polls fail during the outage. A gateway is treated as having been notified of the drain at the latest
+// maxNotificationDelay after the drain was published, and may send to the server for another drainGrace. The checker reports each
+// later attempt at the server.
 func TestDrainingServerGetsNoRequestsAfterDiscoveryOutage(t *testing.T) {
 	const (
 		gateways        = 8
--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -91,10 +91,10 @@
 	if r.connReused || r.sentAt.IsZero() {
 		return true // the gateway may have closed the idle connection while the client sent the request
 	}
-	// When a gateway that is shutting down stops accepting connections, the operating system resets the connections that it
-	// has established and the gateway has not accepted yet. stoppedAccepting: a shutdown, including the restart, overlaps the
-	// time from acceptTime before the dial to the end of the request, but not the acceptTime after the dial. dialedTooLate:
-	// the client dialed during a shutdown, more than acceptTime after SIGTERM.
+	// When a gateway that is shutting down stops accepting connections, the operating system resets the established connections
+	// that the gateway has not accepted yet. There are two cases. stoppedAccepting is set if a shutdown, including the restart,
+	// overlaps the time from acceptTime before the dial to the end of the request, but not the time from 1 ms to acceptTime after
+	// the dial. dialedTooLate is set if the client dialed during a shutdown, more than acceptTime after SIGTERM.
 	stoppedAccepting := c.terminating(r.gateway, r.dialedAt.Add(-acceptTime), r.endedAt) &&
 		!c.terminating(r.gateway, r.dialedAt.Add(time.Millisecond), r.dialedAt.Add(acceptTime))
 	dialedTooLate := slices.ContainsFunc(c.gateways[r.gateway].terminations, func(termination process.Interval) bool {
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -23,7 +23,7 @@
 	lastByteAt    time.Time     // zero: the request did not arrive completely
 	remainingTime time.Duration // remaining time that the gateway states in the request
 	units         float64
-	executed      bool // whether the server may have executed the request: it did not reject it
+	executed      bool // whether the server may have executed the request, because it arrived completely and was not rejected
 }
 
 // server fakes one incarnation of a storage server. It records all arrivals.
@@ -105,7 +105,7 @@
 	return s.behavior
 }
 
-// setBehavior sets the behavior for a while.
+// setBehavior sets the behavior for the given duration.
 func (s *server) setBehavior(b behavior, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +190,7 @@
 		if id, ok := parseRequestID(a.id); ok {
 			a.gateway, a.units = id.gateway, float64(id.units)
 		}
-		left, _ := strconv.ParseFloat(req.Header.Get("X-Time-Left-Ms"), 64) // 0 if it is missing
+		left, _ := strconv.ParseFloat(req.Header.Get("X-Time-Left-Ms"), 64) // 0 if the header is missing
 		a.remainingTime = time.Duration(left * float64(time.Millisecond))
 		_, err = io.Copy(io.Discard, req.Body)
 	}
--- a/internal/testbed/chaos/serverfaults.go
+++ b/internal/testbed/chaos/serverfaults.go
@@ -12,8 +12,8 @@
 // Times of the replacement of a server. A draining server keeps running for longer than the drain grace, so that a gateway
 // that goes on using it is detected.
 const (
-	drainTime      = 14 * time.Second // from the listing of the replacement to the removal of the drained server
-	removedRunTime = 4 * time.Second  // from the removal to the end of the drained server
+	drainTime      = 14 * time.Second // time from the addition of the replacement to the endpoint list to the removal of the drained server from it
+	removedRunTime = 4 * time.Second  // time from the removal of the drained server from the list to its end
 )
 
 // One fault replaces the servers of at most Options.Shards/shardsPerFault shards, or of one shard if that is 0.
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -12,7 +12,7 @@
 const (
 	meanUnits         = 2.0         // mean units of a request
 	maxUnits          = 6.0         // units of the largest request
-	drainGrace        = time.Second // how long a gateway may still send to a server after the notification that it drains
+	drainGrace        = time.Second // how long a gateway may still send to a server after the gateway was notified that the server drains
 	maxPollInterval   = 10 * time.Second
 	overloadWindow    = 3 * time.Second // sliding window over which the load of a server in slow start is limited
 	slowStartDuration = 8 * time.Second // time from the start of a server until it has its full capacity
@@ -27,7 +27,7 @@
 // Tolerances of the checker.
 const (
 	socketSlack          = 50 * time.Millisecond  // added to time limits, for the delay of sockets
-	maxNotificationDelay = 6 * time.Second        // after this time a gateway is treated as notified of a change; see notifiedAt
+	maxNotificationDelay = 6 * time.Second        // delay after which a gateway is treated as having been notified of a change; see notifiedAt
 	cancelSlack          = 100 * time.Millisecond // how long after the client has closed its connection an attempt may still begin
 	deadlineSlack        = 150 * time.Millisecond // how much the time stated to a server may exceed the remaining time
 	responseSlack        = 500 * time.Millisecond // how late a response may be without counting as lost
@@ -44,7 +44,7 @@
 
 const (
 	idempotent        idempotency = "repeatable" // may be executed any number of times
-	idempotentWithKey idempotency = "by_key"     // may be repeated while servers recognize its key
+	idempotentWithKey idempotency = "by_key"     // may be retried while servers recognize its key
 	notIdempotent     idempotency = "once"       // must not be executed more than once
 )
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// gatewaySettings returns the settings of a gateway, under the names that it reads.
+// gatewaySettings returns the settings of a gateway, under the names that the gateway reads.
 func gatewaySettings(options *Options, index int) map[string]any {
 	mode := "ask"
 	if options.PushDiscovery {
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// heartbeatInterval is how long a watch sends nothing before a heartbeat, while the endpoint list does not change.
+	// heartbeatInterval is the time from a message of a watch to the next heartbeat, while the endpoint list does not change.
 	heartbeatInterval = 2 * time.Second
-	// callSlotTimeout is how long a poll waits for earlier polls before discovery rejects it.
+	// callSlotTimeout is how long a poll waits for earlier polls before discovery rejects the poll.
 	callSlotTimeout = 2 * time.Second
 )
 
@@ -20,7 +20,7 @@
 	gateway      int
 	end          chan struct{} // closed to reset the watch
 	version      int           // version of the list that the gateway has
-	firstPending bool          // whether its first message has not been sent yet
+	firstPending bool          // whether the first message of the watch has not been sent yet
 	silentSince  time.Time     // zero while the watch sends messages
 }
 
@@ -52,7 +52,7 @@
 		if _, err := w.Write(message.line); err != nil {
 			return
 		}
-		_ = http.NewResponseController(w).Flush() // if the connection is broken, the request's context ends
+		_ = http.NewResponseController(w).Flush() // if the connection is broken, the request's context ends, which ends the watch
 		select {
 		case <-message.changed:
 		case <-time.After(heartbeatInterval):
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -47,13 +47,13 @@
 type Options struct {
 	Binary         string // path of the gateway program
 	Gateways       int
-	HostsPerVolume int // gateways that receive the requests of each volume
+	HostsPerVolume int // number of gateways that receive the requests of each volume
 	Volumes        int
 	Shards         int
 	Seed           uint64
 	Gossip         bool    // whether gateways communicate with each other
 	LeaseMs        float64 // lifetime of a quota lease
-	TimeScale      float64 // factor on the waiting times of scenarios, below 1 for short runs; 0: 1
+	TimeScale      float64 // factor by which the waiting times of scenarios are multiplied, below 1 for short runs; 0 means 1
 }
 
 // Cluster is a running fleet of gateways with its fakes.
@@ -68,12 +68,12 @@
 	random    *rand.Rand         // used only by scenarios
 
 	stop       chan struct{}  // closed to end the traffic and the stall detector
-	goroutines sync.WaitGroup // traffic and the stall detector
+	goroutines sync.WaitGroup // goroutines of the traffic and of the stall detector
 
 	mu                sync.Mutex
 	result            Result
-	violationPosition int   // position in the log of the first violation, if addViolation has recorded it; 0: none
-	primaryHosts      []int // by volume: index of the host that receives most of its requests
+	violationPosition int   // position in the log of the first violation; 0: none yet, or addViolation did not record it
+	primaryHosts      []int // by volume: index of the host that receives most of the volume's requests
 	requestCount      int
 }
 
@@ -162,8 +162,8 @@
 	return gateway.Start()
 }
 
-// edgeConfig returns the operator's file of a gateway, or nil if gateways do not communicate. It lists each other gateway with
-// the address of the proxy to it, and the byzantine peer as the last peer.
+// edgeConfig returns the operator's file of a gateway, or nil if gateways do not communicate. The file lists each other gateway
+// with the address of the proxy to it, and the byzantine peer as the last peer.
 func (c *Cluster) edgeConfig(gateway *process.Process) *process.EdgeConfig {
 	if !c.options.Gossip {
 		return nil
@@ -233,7 +233,8 @@
 	update(&c.result)
 }
 
-// addViolation records and logs a violation of an invariant. It does not count the violation under a kind.
+// addViolation records and logs a violation of an invariant. It increments none of the counts of Result
+// by kind; that is left to the caller.
 func (c *Cluster) addViolation(format string, args ...any) {
 	text, position := fmt.Sprintf(format, args...), c.log.Position()
 	c.log.Printf("VIOLATION: %s", text)
--- a/internal/testbed/cluster/datagramproxy.go
+++ b/internal/testbed/cluster/datagramproxy.go
@@ -31,8 +31,8 @@
 	mu        sync.Mutex
 	random    *rand.Rand
 	faults    DatagramFaults
-	forwarded int // datagrams sent; a duplicated one counts twice
-	impaired  int // datagrams lost, duplicated or corrupted; one that is also corrupted counts twice
+	forwarded int // datagrams passed on to the receiver; a duplicated one counts twice
+	impaired  int // datagrams lost, duplicated or corrupted; a duplicated or lost one that is also corrupted counts twice
 }
 
 // newDatagramProxy starts a proxy that forwards to a UDP address.
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// measureRecovery waits until the gateways have resumed using the server of a shard that has stopped failing. They have if, in
-// one recoveryCheckInterval, all gateways together sent it at least half as many requests as the server of the next shard, and
-// at least as many requests as there are gateways. measureRecovery records how long that took. It gives up after twice
-// RecoveryBoundMs and records the time until then.
+// measureRecovery waits until the gateways use the server of a shard again after it has stopped failing, and records how long
+// that took. The server counts as used again if, within one recoveryCheckInterval, all gateways together sent it at least half as
+// many requests as the server of the next shard, and at least as many requests as there are gateways. measureRecovery gives up
+// after twice RecoveryBoundMs and then records the time that has passed.
 func (c *Cluster) measureRecovery(shard int) {
 	start, last := time.Now(), c.platform.receivedCounts()
 	next := (shard + 1) % c.options.Shards
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -16,13 +16,13 @@
 	c.setLinks(func(int, int) DatagramFaults { return DatagramFaults{} })
 }
 
-// partition drops all datagrams between the gateways of a side and the others, in both directions.
+// partition drops all datagrams between the gateways for which side returns true and the others, in both directions.
 func (c *Cluster) partition(side func(gateway int) bool) {
 	c.log.Printf("(partition)")
 	c.partitionLinks(func(from, to int) bool { return side(from) != side(to) })
 }
 
-// partitionOneWay drops all datagrams from the gateways of a side to the others.
+// partitionOneWay drops all datagrams from the gateways for which side returns true to the others.
 func (c *Cluster) partitionOneWay(side func(gateway int) bool) {
 	c.log.Printf("(partition in one direction)")
 	c.partitionLinks(func(from, to int) bool { return side(from) && !side(to) })
--- a/internal/testbed/cluster/partitionscenarios.go
+++ b/internal/testbed/cluster/partitionscenarios.go
@@ -18,7 +18,8 @@
 	c.wait(time.Second)
 }
 
-// partitionInEachDirection drops the datagrams from the first gateway to the others, and then those to it instead.
+// partitionInEachDirection drops the datagrams from the first gateway to the others, and after that only the datagrams from the
+// others to the first gateway.
 func partitionInEachDirection(c *Cluster) {
 	for _, side := range []func(gateway int) bool{
 		func(gateway int) bool { return gateway == 0 },
@@ -44,7 +45,7 @@
 }
 
 // loseAcknowledgements drops all datagrams from each gateway to the gateways with lower indexes. So of two gateways, only one
-// receives datagrams of the other, and no request is acknowledged.
+// receives the datagrams of the other, and no request for a lease is acknowledged.
 func loseAcknowledgements(c *Cluster) {
 	c.setLinks(func(from, to int) DatagramFaults { return DatagramFaults{Partitioned: from > to, DelayMs: 3} })
 	c.rotatePrimaryHosts()
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -14,7 +14,7 @@
 const (
 	// serviceTime is how long a server takes to process a request.
 	serviceTime = 5 * time.Millisecond
-	// heartbeatInterval is how long a watch sends nothing before a heartbeat, while the endpoint list does not change.
+	// heartbeatInterval is the time from a message of a watch to the next heartbeat, while the endpoint list does not change.
 	heartbeatInterval = 2 * time.Second
 )
 
@@ -30,7 +30,7 @@
 	mu          sync.Mutex
 	limits      map[uint64]*tokenBucket // by volume ID
 	arrivals    map[string]int          // number of arrivals, by request ID
-	duplicates  int                     // arrivals of requests that the same or another server had received before
+	duplicates  int                     // number of arrivals, at any server, of requests that had arrived at any server before
 	listVersion int
 	listChanged chan struct{} // closed at the next change of an endpoint list
 }
@@ -41,12 +41,12 @@
 	serverProxies []*streamProxy
 	listProxy     *streamProxy
 	listAddr      string
-	draining      []bool // whether the endpoint list says that the server drains
-	failing       []bool // whether the server responds with errors
-	received      []int  // number of requests that have arrived at the server
+	draining      []bool // whether the gateway's endpoint list says that the server of the shard drains
+	failing       []bool // whether the server of the shard responds to the gateway with errors
+	received      []int  // number of the gateway's requests that have arrived at the server of the shard
 }
 
-// newPlatform starts the servers and discovery. On an error, the caller must still close the platform that it returns.
+// newPlatform starts the servers and discovery. On an error, the caller must still close the returned platform.
 func newPlatform(gateways, shards, hosts int) (*platform, error) {
 	p := &platform{limits: map[uint64]*tokenBucket{}, arrivals: map[string]int{}, hosts: hosts, shards: shards, listVersion: 1,
 		listChanged: make(chan struct{})}
@@ -208,7 +208,7 @@
 		if _, err := w.Write(append(line, '\n')); err != nil {
 			return
 		}
-		_ = http.NewResponseController(w).Flush() // if the connection is broken, the request's context ends
+		_ = http.NewResponseController(w).Flush() // if the connection is broken, the request's context ends, which ends the watch
 		select {
 		case <-r.Context().Done():
 			return
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -17,7 +17,7 @@
 	Datagrams                 int // datagrams forwarded between gateways
 
 	EjectedSendRate   float64 // highest rate of attempts, per second, from one gateway to a server that fails for all gateways
-	StaleListSendRate float64 // highest rate, per second, from a gateway to a draining server that its own list calls ready
+	StaleListSendRate float64 // highest rate of requests, per second, from a gateway to a draining server that the gateway's own list calls ready
 	RecoveryMs        float64 // longest time until a server that had failed for all gateways was used again
 	MaxOverLimit      float64 // most units by which any volume exceeded its limit
 	AllowedOverLimit  float64 // most units by which the invariant allows a volume to exceed its limit
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -66,5 +66,5 @@
 	}
 }
 
-// writef writes progress to out. Errors are ignored, since the result does not depend on it.
+// writef writes progress to out. Write errors are ignored, since the result does not depend on the output.
 func writef(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
--- a/internal/testbed/cluster/serverscenarios.go
+++ b/internal/testbed/cluster/serverscenarios.go
@@ -9,7 +9,7 @@
 const (
 	failingShard  = 0
 	drainingShard = 1
-	stalledShard  = 2 // taken modulo the number of shards
+	stalledShard  = 2 // the scenario takes this value modulo the number of shards
 )
 
 // failServerForAll measures how many requests the gateways still send to a server that fails for all of them, and how long they
@@ -61,8 +61,8 @@
 	c.checkNotEjected(allGateways, 1, before)
 }
 
-// drainServerWithStaleList drains a server and does not tell one gateway in its endpoint list. That gateway may learn of the
-// drain from its peers. The other gateways must stop sending to the server.
+// drainServerWithStaleList drains a server while the endpoint list of one gateway still says that the server is ready. That
+// gateway may learn of the drain from its peers. The other gateways must stop sending to the server.
 func drainServerWithStaleList(c *Cluster) {
 	c.mu.Lock()
 	stale := c.hosts(0)[c.primaryHosts[0]].Index // the primary host of the first volume, since it receives many requests
--- a/internal/testbed/cluster/settings.go
+++ b/internal/testbed/cluster/settings.go
@@ -8,12 +8,12 @@
 
 // Settings of the gateways.
 const (
-	limitRate          = 60.0 // units per second of each volume
+	limitRate          = 60.0 // limit of each volume in units per second
 	maxUnits           = 6.0  // units of the largest request
 	meanUnits          = 2.0  // mean units of a request
 	deadlineMs         = 1500
 	latencyObjectiveMs = 400
-	drainGraceMs       = 1000 // how long a gateway may still send to a server after the notification that it drains
+	drainGraceMs       = 1000 // how long a gateway may still send to a server after the gateway was notified that the server drains
 )
 
 // limitTimeSlackMs extends the allowed overdraft of a volume by the units that limitRate yields in this time. Sockets delay
@@ -21,7 +21,7 @@
 const limitTimeSlackMs = 150
 
 // limitBurst returns the size of the token bucket of a volume in units: two of the largest requests for each host, but at
-// least the units of one second.
+// least the units that limitRate yields in one second.
 func limitBurst(hosts int) float64 { return max(limitRate, 2*maxUnits*float64(hosts)) }
 
 // limitOverdraft returns the units by which a volume may exceed its limit: a tenth of the burst, but at least the largest
@@ -41,7 +41,7 @@
 	}
 }
 
-// gatewaySettings returns the settings of a gateway, under the names that it reads.
+// gatewaySettings returns the settings of a gateway, under the names that the gateway reads.
 func gatewaySettings(index, gateways, hosts, shards int) map[string]any {
 	return map[string]any{"Siblings": gateways, "SelfIndex": index, "TickMs": 2, "Discovery": "push", "Zones": []string{"a"},
 		"Lanes": []any{map[string]any{"Name": "pull", "PromiseMs": latencyObjectiveMs, "DeadlineMs": deadlineMs, "Idempotency": "once",
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -159,7 +159,7 @@
 		n, err := c.src.Read(buffer)
 		if err != nil {
 			if tcp, ok := c.dst.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // fails only if the connection is broken already
+				_ = tcp.CloseWrite() // CloseWrite fails only if the connection is broken already
 			}
 			return
 		}
@@ -186,7 +186,7 @@
 // bytes up to resetAfterBytes and resets the connection. It returns false if the connection was reset.
 func (c *copier) writeChunk(chunk []byte, resetAfterBytes int) bool {
 	if resetAfterBytes > 0 && c.countedBytes+len(chunk) > resetAfterBytes {
-		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)]) // the connection is reset anyway
+		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)]) // a write error does not matter, because the connection is reset anyway
 		loopback.Reset(c.src)
 		loopback.Reset(c.dst)
 		return false
--- a/internal/testbed/cluster/tokenbucket.go
+++ b/internal/testbed/cluster/tokenbucket.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// tokenBucket counts the units that arrive at the servers against the limit of a volume, to check the invariant.
+// tokenBucket counts the units that arrive at the servers against the limit of a volume, to check
+// that the volume does not exceed its limit by more than the invariant allows.
 type tokenBucket struct {
 	level, burst float64   // units; the level is negative while the volume exceeds its limit
 	lowest       float64   // lowest level so far
--- a/internal/testbed/cluster/traffic_test.go
+++ b/internal/testbed/cluster/traffic_test.go
@@ -18,7 +18,7 @@
 		for range 2000 {
 			gap := source.random.ExpFloat64()
 			drawn := source.drawRequest(1)
-			_, _ = fmt.Fprintf(hash, "%v %d %d %d\n", gap, drawn.host, drawn.units, drawn.shard) // a hash never fails
+			_, _ = fmt.Fprintf(hash, "%v %d %d %d\n", gap, drawn.host, drawn.units, drawn.shard) // writing to a hash never fails
 		}
 		if got := hash.Sum64(); got != test.want {
 			t.Errorf("the first 2000 requests of volume %d have the hash %#x, want %#x", test.volume, got, test.want)
--- a/internal/testbed/fakedevice/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -26,7 +26,7 @@
 	received        []byte // received bytes that are not decoded yet
 	lastToken       uint32
 	gatewayName     string         // latest name that the gateway has announced
-	uploaded        map[string]int // number of bytes of an upload that the gateway has acknowledged, by key and digest of the body
+	uploaded        map[string]int // number of bytes of an upload that the gateway has acknowledged, by idempotency key and digest of the body
 	bytesSent       int            // number of bytes sent in the current transmission
 	responseStarted bool           // whether the response to the current transmission has started to arrive
 }
@@ -155,7 +155,7 @@
 			if err := t.writeMessage(ctx, message.Message{Code: codes.Pong, Token: m.Token}); err != nil {
 				return nil, err
 			}
-		case codes.Release: // The device goes on using the connection until the connection ends.
+		case codes.Release: // The gateway is going to close the connection. The device uses the connection until it ends.
 		case codes.Abort:
 			return nil, fmt.Errorf("fakedevice: the gateway aborted the connection: %s", m.Payload)
 		default:
--- a/internal/testbed/fakedevice/coap_blocks.go
+++ b/internal/testbed/fakedevice/coap_blocks.go
@@ -106,7 +106,7 @@
 		if !ok {
 			return res, ErrNoResponse
 		}
-		etag, _ := response.Options.GetBytes(message.ETag) // Empty if the option is absent.
+		etag, _ := response.Options.GetBytes(message.ETag) // The ETag is empty if the option is absent.
 		if isOtherResponse(string(etag), tx, res) {
 			body, tx.etag = nil, ""
 		}
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -46,8 +46,8 @@
 	number       int           // number of the transmission within the exchange, counted from 1
 	timeLeft     time.Duration // remaining time until the deadline
 	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
-	firstSentAt  time.Time     // start of the exchange or time of its latest rejection; a retry states the age since then
-	firstGateway string        // name of the gateway to which the latest transmission that is no retry went; empty if unknown
+	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states how much time has passed since then
+	firstGateway string        // name of the gateway that the latest transmission that is no retry was sent to; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
 	etag         string        // ETag of the response that partial belongs to
 }
@@ -131,7 +131,8 @@
 	}
 }
 
-// sendOverBoth sends a request over both connections at the same time. It reports whether a response has arrived on the first.
+// sendOverBoth sends a request over both transports at the same time and waits for both transmissions. It returns the result of
+// send for d.Transport.
 func (d *Device) sendOverBoth(tx *transmission) (responded bool) {
 	second := *tx
 	tx.number++
@@ -164,9 +165,9 @@
 	d.send(d.Transport, tx, d.Rand)
 }
 
-// send sends one transmission and records the response. It returns true if no further transmission is needed: after any response
-// but a rejection. That includes a conflict (the gateway has received another body with the same key), which is no outcome of the
-// exchange.
+// send sends one transmission and records the response. It returns true if a response other than a rejection has arrived, so that
+// no further transmission is needed. A conflict is such a response, although it is not the final outcome of the exchange: it says
+// that the gateway has received another body with the same key.
 func (d *Device) send(t Transport, tx *transmission, random *rand.Rand) (responded bool) {
 	timeout := min(tx.timeLeft, d.ResponseTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/testbed/fakedevice/http.go
+++ b/internal/testbed/fakedevice/http.go
@@ -19,7 +19,7 @@
 type HTTP struct {
 	Device               string
 	Dial                 Dialer
-	WithoutDeviceHeaders bool // whether the device sends only the headers that all clients of the platform send
+	WithoutDeviceHeaders bool // whether the device sends only the headers that all clients send, and none of those that only devices send
 
 	client         *http.Client
 	link           Link
--- a/internal/testbed/fakedevice/transport.go
+++ b/internal/testbed/fakedevice/transport.go
@@ -45,11 +45,11 @@
 
 	sentCompletely  bool      // whether the whole request may have arrived
 	sentAt          time.Time // when the last part of the request was sent; valid if sentCompletely is set and no response arrived
-	responseStarted bool      // whether the response had started to arrive
+	responseStarted bool      // whether the response had started to arrive when the transmission ended
 	bytesSent       int
 
 	partial []byte // received part of the body of an incomplete response
-	etag    string // ETag of that response
+	etag    string // ETag of the incomplete response
 }
 
 // countingConn counts the bytes that are written to a connection.
--- a/internal/testbed/fakefileserver/server.go
+++ b/internal/testbed/fakefileserver/server.go
@@ -30,22 +30,24 @@
 type Command struct {
 	Op           Op
 	Path         string
-	Flags        uint32 // flags of an open
+	Flags        uint32 // flags of an OPEN
 	UploadKey    string // upload key of an open or a write; empty if the client sent none
 	Bytes        int    // number of bytes of a read or a write
 	Data         []byte // data of a write
-	Deduplicated bool   // whether a write was dropped because its upload key had been received before; set only in AfterEffect's argument
+	Deduplicated bool   // whether a write was dropped because its upload key had been received before; set only in the argument of AfterEffect
 }
 
-// Server keeps files in memory. It drops a WRITE whose upload key it has received before; WRITEs without an upload key all have the
-// same, empty key. Its methods are safe for concurrent use. Its exported fields must not change while it has connections.
+// Server keeps files in memory. It drops a WRITE whose upload key it has received before. A missing key counts as a key too: of all
+// WRITEs without one, only the first is executed. The methods of Server are safe for concurrent use. The exported fields must not
+// change while the server has connections.
 type Server struct {
 	// Addr is the address of a server that New has started; otherwise it is empty.
 	Addr string
-	// BeforeEffect, if set, is called before each command takes effect. An error becomes the response, and the command then has
-	// no effect.
+	// BeforeEffect, if set, is called before each command takes effect. If it returns an error, the server sends that error as the
+	// response, and the command has no effect.
 	BeforeEffect func(Command) error
-	// AfterEffect, if set, is called after each command that has taken effect. An error becomes the response.
+	// AfterEffect, if set, is called after each command that did not fail, including a dropped WRITE. If it returns an error, the
+	// server sends that error as the response.
 	AfterEffect func(Command) error
 
 	mu         sync.Mutex        // guards the fields below
--- a/internal/testbed/fakestorage/shard.go
+++ b/internal/testbed/fakestorage/shard.go
@@ -12,10 +12,10 @@
 	DedupWindow time.Duration // time after the first write with a key in which further writes with that key are not executed
 
 	mu     sync.Mutex
-	writes map[string]firstWrite // first write within the window, by idempotency key
+	writes map[string]firstWrite // by idempotency key: the latest write with the key that was executed
 }
 
-// firstWrite is the first write with an idempotency key.
+// firstWrite is the write that began the current deduplication window of an idempotency key.
 type firstWrite struct {
 	at     time.Time
 	digest string
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -19,7 +19,7 @@
 	DisallowedRetries  int // repeated executions of writes that deduplication does not cover
 	MissingResponses   int // exchanges without a response by the deadline over a working link
 	LostWrites         int // writes that were served but never executed
-	SendsToDraining    int // requests to a server more than 1 s after the gateway was notified that it drains
+	SendsToDraining    int // requests to a server more than 1 s after the gateway was notified that the server drains
 
 	ServedInTime         int
 	Weight               float64         // sum of the priority weights of all exchanges
@@ -89,13 +89,13 @@
 	responseCounts := map[int]int{} // by transmission
 	for i := range record.responses {
 		received := &record.responses[i]
-		responseCounts[received.copy]++
-		if responseCounts[received.copy] == 2 {
-			r.addViolation(&r.DuplicateResponses, "%s: transmission %d received two responses: %s", record.ID, received.copy,
+		responseCounts[received.transmission]++
+		if responseCounts[received.transmission] == 2 {
+			r.addViolation(&r.DuplicateResponses, "%s: transmission %d received two responses: %s", record.ID, received.transmission,
 				record.history())
 		}
 		if !received.outcome.final() || !record.Write && final != nil && received.at.After(record.Deadline) {
-			continue // A read may be executed again for a retry after its deadline, so a later response to it may differ.
+			continue // A retry after the read's deadline may be executed again, so its response may differ from the first.
 		}
 		if final == nil {
 			final = received
@@ -111,7 +111,7 @@
 // compareFinal checks that a further final response agrees with the first.
 func (r *Result) compareFinal(record *exchangeRecord, first, further *response) {
 	// A restarted gateway fails a repeated write, since it cannot know whether the write was executed, and it executes a
-	// repeated read again.
+	// repeated read again. Both may therefore have another outcome than before.
 	restarted := further.incarnation != record.incarnation
 	switch {
 	case restarted && further.outcome != first.outcome && (further.outcome == Failed || !record.Write):
@@ -149,7 +149,8 @@
 		switch {
 		case i == 0:
 		case e.Incarnation != first.Incarnation:
-			r.RewritesAfterRestart++ // A restarted gateway cannot recognize a repeated WRITE of the file protocol, so it is a new write.
+			// A restarted gateway cannot recognize a repeated WRITE of the file protocol, so the WRITE counts as a new write.
+			r.RewritesAfterRestart++
 		case e.isUnprotectedRetryOf(first, record.DedupWindow):
 			r.addViolation(&r.DisallowedRetries, "%s: executed again without protection by deduplication: %s", record.ID,
 				record.history())
--- a/internal/testbed/linkshaper/profile.go
+++ b/internal/testbed/linkshaper/profile.go
@@ -14,7 +14,7 @@
 	StallMax          time.Duration // longest duration of a stall
 	ResetInterval     time.Duration // mean time until the link is reset
 	BlackholeInterval time.Duration // mean time until the link starts to drop all data
-	BlackholeDuration time.Duration // time from the start of the drop until both connections are reset
+	BlackholeDuration time.Duration // time from the start of a black hole until both connections are reset
 }
 
 // Good is a link without faults.
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -24,9 +24,9 @@
 type schedule struct {
 	profile       Profile
 	random        *rand.Rand
-	idleAt        [directions]time.Time // when all segments scheduled so far have been transmitted
-	lastArrivalAt [directions]time.Time // arrival of the segment scheduled last; no later segment arrives before it, because TCP keeps the order
-	stalls        []stall               // stalls drawn so far, by time; the first one is empty and marks the start of the link
+	idleAt        [directions]time.Time // when all segments scheduled so far in the direction have been transmitted
+	lastArrivalAt [directions]time.Time // arrival of the segment scheduled last in the direction; no later segment arrives before it, because TCP keeps the order
+	stalls        []stall               // stalls drawn so far, in the order of time; the first one is empty and marks the start of the link
 	lastLossAt    time.Time             // when the latest retransmitted segment arrives
 }
 
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -81,7 +81,8 @@
 	LeaseMs  float64  `json:"lease_ms"`
 }
 
-// WriteConfig creates a directory, writes the files that the process reads into it, and sets Env and Args to their paths.
+// WriteConfig creates a directory, writes the files that the process reads into it, and sets Env and Args so that the
+// process finds them.
 // If edge is nil, no operator's file is written. A running process rereads the configuration file on SIGHUP.
 func (p *Process) WriteConfig(dir string, config Config, edge *EdgeConfig) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/testbed/process/interval.go
+++ b/internal/testbed/process/interval.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Interval is a span of time. A zero To means that it has not ended yet.
+// Interval is a span of time. A zero To means that the interval has not ended yet.
 type Interval struct{ From, To time.Time }
 
 // Contains reports whether a time lies in the interval, which includes From and excludes To.
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -44,7 +44,7 @@
 	Name       string   // name of the gateway and prefix of its lines in the log
 	ListenAddr string   // address for requests of clients and for GET /ready
 	PeerAddr   string   // address for datagrams of other gateways; empty without a fleet
-	Env        []string // variables that are added to the environment of this program
+	Env        []string // environment variables of the process, in addition to those of this program
 	Args       []string // command-line arguments
 	Binary     string   // path of the gateway program
 	Log        *Log     // receives the standard error of the process
--- a/internal/testbed/process/stall.go
+++ b/internal/testbed/process/stall.go
@@ -3,8 +3,8 @@
 import "time"
 
 // DetectStalls sleeps for interval in a loop until stop is closed. A sleep that took longer than limit means that the machine
-// was too busy for timing checks. DetectStalls then calls onStall synchronously with the time of the sleep, whose From and To
-// are both set.
+// was too busy for timing checks. DetectStalls then calls onStall synchronously with the interval of the sleep, whose
+// From and To are both set.
 func DetectStalls(stop <-chan struct{}, interval, limit time.Duration, onStall func(Interval)) {
 	for last := time.Now(); ; {
 		select {
--- a/internal/testbed/simulation/deployment.go
+++ b/internal/testbed/simulation/deployment.go
@@ -55,7 +55,7 @@
 	DrainGraceMs       float64
 	ServersHonorCancel bool // whether servers drop canceled requests from their queues
 
-	InitialCapacity        float64 // fraction of its capacity that a server has when it starts
+	InitialCapacity        float64 // fraction of its full capacity that a server has right after its start
 	SlowStartMs            float64 // time from a server's start until it has its full capacity
 	OverloadMultiple       float64 // largest load of a server in slow start, as a multiple of its capacity
 	OverloadWindowMs       float64 // period over which the load of a server in slow start is measured
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -72,7 +72,7 @@
 }
 
 // markNotified records that a gateway has been notified of all changes published so far. The drain grace of a server that is no longer
-// ready starts now, unless the gateway was already notified of it. s.mu must be held.
+// ready starts now, unless the gateway had already been notified that the server is no longer ready. s.mu must be held.
 func (s *simulation) markNotified(g *simulatedGateway) {
 	if g.notifiedAt == nil { // The gateway has not been started yet.
 		return
@@ -132,7 +132,7 @@
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if the parameter is absent.
+	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // The version is 0 if the parameter is absent.
 	watch := watchState{gateway: g, incarnation: g.gateway, version: version, opening: true}
 	g.watches[reset] = true
 	s.mu.Unlock()
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/clock"
 )
 
-// faultInjector schedules the faults of a run. It makes all random draws during scheduling, in a fixed order, so that they do not
-// depend on the run.
+// faultInjector schedules the faults of a run. It makes all random draws during scheduling, in a fixed order, so that the
+// draws do not depend on the course of the run.
 type faultInjector struct {
 	*simulation
 	random *rand.Rand
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// prepareStart resets the state of the previous incarnation and returns the settings of the next one. Their cached snapshot may be
-// out of date: it lacks up to maxMissedUpdates changes, but not the initial servers.
+// prepareStart resets the state of the previous incarnation and returns the settings of the next one. The cached snapshot in the
+// settings may be out of date: it lacks up to maxMissedUpdates changes, but not the initial servers.
 func (s *simulation) prepareStart(g *simulatedGateway) []byte {
 	const maxMissedUpdates = 3
 	s.mu.Lock()
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -39,7 +39,8 @@
 }
 
 // checkDrain checks that a gateway does not send to a server after the drain grace. The grace begins when the gateway is notified that
-// the server is no longer ready. A gateway that polls and has no open watch is treated as notified at notificationDeadline.
+// the server is no longer ready. A gateway that polls and has no open watch is treated as having been notified at
+// notificationDeadline.
 func (s *simulation) checkDrain(srv *server, g *simulatedGateway, firstByteAt time.Time) {
 	notifiedAt, notified := g.notifiedAt[srv]
 	if !notified && !s.deployment.Push && len(g.watches) == 0 {
@@ -50,8 +51,8 @@
 	}
 }
 
-// notificationDeadline returns the time from which a gateway without an open watch is treated as notified that a server is no
-// longer ready: four poll intervals after the latest of the change, the gateway's start and the end of its last watch. It returns
+// notificationDeadline returns the time from which a gateway without an open watch is treated as having been notified that a
+// server is no longer ready: four poll intervals after the latest of the change, the gateway's start and the end of its last watch. It returns
 // false if the server is still ready.
 func (s *simulation) notificationDeadline(srv *server, g *simulatedGateway) (time.Time, bool) {
 	const pollIntervals = 4
@@ -70,9 +71,9 @@
 	return time.Time{}, false
 }
 
-// checkIdempotency checks that a retry at this server is allowed now if a server may have executed an earlier attempt. It is allowed
-// if the class is idempotent, or if the class is idempotent with a key and the retry is within the deduplication window and scope of
-// that attempt.
+// checkIdempotency checks that a new attempt at a server is an allowed retry of each earlier attempt that may have been executed. The
+// retry is allowed if the class is idempotent, or if the class is idempotent with a key and the retry is within the deduplication
+// window and scope of the earlier attempt.
 func (s *simulation) checkIdempotency(srv *server, req *request, now time.Time) {
 	c := req.class
 	for _, earlier := range req.attempts {
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen            chan struct{}        // closed at the end of a period without responses; nil outside of such a period
 	queued            int                  // number of admitted requests without a response
 	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
-	servedElsewhere   map[uint64][]float64 // units served for other gateways and not yet reported to this one, by volume ID and gateway index
+	servedElsewhere   map[uint64][]float64 // by volume ID and gateway index: units served for others and not yet reported to that gateway
 }
 
 // slowStartArrival is the arrival of a request at a server during its slow start.
--- a/internal/testbed/simulation/simulation.go
+++ b/internal/testbed/simulation/simulation.go
@@ -23,7 +23,7 @@
 	LostRequests     int      // number of requests without a response although the gateway was running
 	Served           int      // number of requests that were served
 	Rejected         int      // number of requests that the gateways rejected
-	Failed           int      // number of requests that failed
+	Failed           int      // number of requests whose response has status 500 or above, except 503
 	RejectedAttempts int      // number of attempts that servers rejected
 	DrainedServers   int      // number of servers that were drained or restarted under load
 }
@@ -41,7 +41,7 @@
 	servers      []*server               // all servers, including stopped ones, in the order of their starts
 	updates      []endpointChange        // all published changes of the endpoint list
 	requests     map[string]*request     // requests by correlation ID
-	limits       map[uint64]*limitBucket // token buckets by volume
+	limits       map[uint64]*limitBucket // token buckets by volume ID
 }
 
 // Run runs the gateways of a deployment under load and faults and returns the result. It must be called in a bubble of
@@ -95,8 +95,8 @@
 	}
 }
 
-// milliseconds converts a time of the settings to a duration. It truncates fractions of a millisecond, which is the precision of
-// the settings.
+// milliseconds converts a time of the settings to a duration. It truncates fractions of a millisecond, because the settings have
+// a precision of one millisecond.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // seconds converts a number of seconds to a duration.
--- a/internal/testbed/soak/devices.go
+++ b/internal/testbed/soak/devices.go
@@ -65,8 +65,8 @@
 	blockSize := []int{0, 1024, 4096, 8192}[random.IntN(4)]
 	device.Transport = r.newTransport(device.Name, protocol, blockSize, link)
 	if protocol == protocolSFTP {
-		// A file client cannot mark a retry, and the gateway cannot see that two connections belong to the same client. A write that
-		// a quirk repeats would be a new write to the gateway.
+		// A file client cannot mark a retry, and the gateway cannot see that two connections belong to the same client. The gateway
+		// would therefore execute a write that a quirk repeats as a new write.
 		device.QuirkRate = 0
 	} else {
 		device.SecondTransport = r.newTransport(device.Name, protocol, blockSize, link)
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -26,10 +26,10 @@
 	Seed     uint64
 	Devices  int
 	Links    []linkshaper.Profile // profiles of the links, assigned to the devices in turn
-	// Deduplication says whether the gateway deduplicates retransmissions, which the operator's settings for devices turn on. Without
-	// deduplication, CoAP and HTTP devices use the platform's HTTP frontend.
+	// Deduplication says whether the gateway gets the operator's settings for devices, with which it deduplicates retransmissions.
+	// Without these settings, devices that would use CoAP or HTTP send HTTP requests without device headers to platformFrontend.
 	Deduplication       bool
-	Protocols           string        // letters from "chf" (CoAP, HTTP, file commands), each for len(Links) devices in turn
+	Protocols           string        // letters from "chf" (CoAP, HTTP, file commands), assigned in turn, each to len(Links) devices in a row
 	RestartInterval     time.Duration // mean time between restarts of the gateway; 0: no restarts
 	ReplacementInterval time.Duration // mean time between replacements of servers; 0: no replacements
 	Faults              fakestorage.Faults
