--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -75,11 +75,11 @@
 		r.publish(process.EndpointDraining, at(time.Minute-drainGrace-2*socketSlack))
 	}, Result{SentAfterDrain: 1}},
 	{"sent to a removed server", func(r *record) { r.publish(process.EndpointRemoved, at(50*time.Second)) }, Result{SentAfterDrain: 1}},
-	{"sent after the drain grace in a stall", func(r *record) { // the stall ended less than stallLookback before the attempt and so excuses it
+	{"sent after the drain grace in a stall", func(r *record) { // stallLookback lets the stall excuse the attempt
 		r.publish(process.EndpointDraining, at(50*time.Second))
 		r.harness.stalls = []process.Interval{{From: at(59 * time.Second), To: at(time.Minute)}}
 	}, Result{}},
-	{"more than slow start allows", func(r *record) { // the attempt has the units of 100 requests of meanUnits; slowStartBound allows less than 50
+	{"more than slow start allows", func(r *record) { // as much as 100 requests of meanUnits; slowStartBound allows less than 50
 		r.server.startedAt, r.arrival.units = at(time.Minute-time.Second), 200
 		r.harness.discovery.changes[0].at = r.server.startedAt
 		r.harness.discovery.deliveries[0] = []delivery{{r.server.startedAt, 1}}
@@ -92,7 +92,8 @@
 		r.harness.gateways[0].pauses = []process.Interval{{From: at(time.Minute), To: at(time.Minute + time.Second)}}
 	}, Result{}},
 	{"disconnected", (*record).disconnect, Result{Lost: 1}},
-	{"disconnected before the request was read", func(r *record) { // the gateway may have closed the idle connection
+	{"disconnected before the request was read", func(r *record) {
+		// The connection was reused, so the gateway may have closed it while it was idle.
 		r.disconnect()
 		r.request.connReused, r.server.arrivals = true, nil
 	}, Result{}},
--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -8,9 +8,9 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// checkResponse counts the outcome of a request and checks its response. A served request must have a response of a server. A
-// complete request must not get a status of outcomeInvalid. A request must get its response in time, unless the client canceled
-// it or could not connect, the gateway was interrupted, or the machine stalled.
+// checkResponse counts the outcome of a request and checks its response. A served request must have a response that a server sent
+// to it. A complete request must not get a status of outcomeInvalid. A request must get its response in time, unless the client
+// canceled it or could not connect, the gateway was interrupted, or the machine stalled.
 func (c *checker) checkResponse(r *request, arrivals []*arrival) {
 	c.countOutcome(r)
 	switch r.outcome {
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// minRequestsToCompare is how many requests a gateway must have sent to the server of the next shard, so that
-	// checkNotEjected can compare the numbers of requests.
+	// minRequestsToCompare is how many requests a gateway must have sent to the server of the next shard. checkNotEjected does not
+	// check a gateway that sent fewer.
 	minRequestsToCompare = 20
-	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to the
-	// server of the next shard.
+	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to the server of
+	// the next shard as to that server.
 	ejectedRatio = 4
 	// recoveryCheckInterval is the time between two checks whether a server has recovered.
 	recoveryCheckInterval = 400 * time.Millisecond
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -145,7 +145,7 @@
 		return
 	}
 	time.Sleep(serviceTime)
-	_, _ = fmt.Fprintf(w, "%s from %d", idText, shard) // the gateway may have closed the connection
+	_, _ = fmt.Fprintf(w, "%s from %d", idText, shard) // a write error is ignored, because the gateway may have closed the connection
 }
 
 // recordArrival counts the arrival of a request and reports whether the server has to fail the request. Only the first arrival
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -182,11 +182,12 @@
 	return true
 }
 
-// writeChunk writes a chunk. If the connection would forward more than resetAfterBytes with it, writeChunk writes only the
-// bytes up to resetAfterBytes and resets the connection. It returns false if the connection was reset.
+// writeChunk writes a chunk. If the chunk would bring the counted bytes above resetAfterBytes, writeChunk writes only the bytes
+// up to resetAfterBytes and resets the connection. It returns false if the connection was reset.
 func (c *copier) writeChunk(chunk []byte, resetAfterBytes int) bool {
 	if resetAfterBytes > 0 && c.countedBytes+len(chunk) > resetAfterBytes {
-		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)]) // a write error does not matter, because the connection is reset anyway
+		// A write error does not matter, because the connection is reset anyway.
+		_, _ = c.dst.Write(chunk[:max(0, resetAfterBytes-c.countedBytes)])
 		loopback.Reset(c.src)
 		loopback.Reset(c.dst)
 		return false
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -46,7 +46,7 @@
 	number       int           // number of the transmission within the exchange, counted from 1
 	timeLeft     time.Duration // remaining time until the deadline
 	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
-	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states how much time has passed since then
+	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states the time since then
 	firstGateway string        // name of the gateway that the latest transmission that is no retry was sent to; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
 	etag         string        // ETag of the response that partial belongs to
@@ -136,7 +136,7 @@
 func (d *Device) sendOverBoth(tx *transmission) (responded bool) {
 	second := *tx
 	tx.number++
-	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // A rand.Rand is not safe for concurrent use.
+	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // The goroutine needs its own, because a rand.Rand is not safe for concurrent use.
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/testbed/fakedevice/http.go
+++ b/internal/testbed/fakedevice/http.go
@@ -19,7 +19,7 @@
 type HTTP struct {
 	Device               string
 	Dial                 Dialer
-	WithoutDeviceHeaders bool // whether the device sends only the headers that all clients send, and none of those that only devices send
+	WithoutDeviceHeaders bool // whether the device leaves out the headers that only devices send
 
 	client         *http.Client
 	link           Link
@@ -50,7 +50,7 @@
 
 // sendProgress is the progress of a request. net/http updates it from its own goroutines.
 type sendProgress struct {
-	sentAt          atomic.Int64 // Unix nanoseconds; valid if sentCompletely is set
+	sentAt          atomic.Int64 // when the whole request had been written, in Unix nanoseconds; valid if sentCompletely is set
 	sentCompletely  atomic.Bool
 	responseStarted atomic.Bool
 }
--- a/internal/testbed/fakedevice/sftp.go
+++ b/internal/testbed/fakedevice/sftp.go
@@ -94,7 +94,7 @@
 	res, err = interpretStatus(res, err, invariants.Failed)
 	res.responseStarted = time.Since(res.sentAt) < f.ResponseTime
 	if err == nil {
-		_ = file.Close() // Only the response to the WRITE determines the outcome.
+		_ = file.Close() // An error is ignored, because only the response to the WRITE determines the outcome.
 	}
 	return res, err
 }
--- a/internal/testbed/fakestorage/server.go
+++ b/internal/testbed/fakestorage/server.go
@@ -96,7 +96,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || r.Header.Get("X-Correlation-Id") == "" {
-		panic(http.ErrAbortHandler) // The request is incomplete or has no correlation ID.
+		panic(http.ErrAbortHandler) // A request that is incomplete or has no correlation ID gets no response.
 	}
 	now := time.Now()
 	s.mu.Lock()
@@ -131,7 +131,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
-	_, _ = w.Write(response) // The gateway may have closed the connection.
+	_, _ = w.Write(response) // A write error is ignored, because the gateway may have closed the connection.
 }
 
 // objectName returns the object that a request names: the last segment of its path.
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -87,7 +87,8 @@
 	return errnos[n.random.IntN(len(errnos))], n.random.Float64() < rate
 }
 
-// drawAccept decides at random whether an accept fails, and with which error. A failure can start a series of failures.
+// drawAccept decides at random whether an accept fails, and with which error. Each failure that
+// it draws makes a random number of accepts in a row fail, at most maxAcceptFailures.
 func (n *Network) drawAccept() (errno syscall.Errno, fails bool) {
 	errno, fails = n.draw(n.options.FailureRate, acceptErrors)
 	n.mu.Lock()
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -59,12 +59,12 @@
 
 // response is the response to one transmission of an exchange.
 type response struct {
-	transmission int // number of the transmission within its exchange
-	outcome      Outcome
-	content      string // digest of the body
-	at           time.Time
-	incarnation  int    // incarnation of the gateway when the response was received
-	note         string // details for reports
+	copy        int // number of the transmission within its exchange
+	outcome     Outcome
+	content     string // digest of the body
+	at          time.Time
+	incarnation int    // incarnation of the gateway when the response was received
+	note        string // details for reports
 }
 
 // exchangeRecord is everything that was recorded about an exchange.
@@ -153,7 +153,7 @@
 	sinceBegin := func(t time.Time) int64 { return t.Sub(record.beganAt).Milliseconds() }
 	fmt.Fprintf(&b, "deadline at %d ms", sinceBegin(record.Deadline))
 	for _, r := range record.responses {
-		fmt.Fprintf(&b, "; transmission %d %s (%s) by incarnation %d at %d ms", r.transmission, r.outcome, r.note, r.incarnation,
+		fmt.Fprintf(&b, "; transmission %d %s (%s) by incarnation %d at %d ms", r.copy, r.outcome, r.note, r.incarnation,
 			sinceBegin(r.at))
 	}
 	for _, e := range record.executions {
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -89,9 +89,9 @@
 	responseCounts := map[int]int{} // by transmission
 	for i := range record.responses {
 		received := &record.responses[i]
-		responseCounts[received.transmission]++
-		if responseCounts[received.transmission] == 2 {
-			r.addViolation(&r.DuplicateResponses, "%s: transmission %d received two responses: %s", record.ID, received.transmission,
+		responseCounts[received.copy]++
+		if responseCounts[received.copy] == 2 {
+			r.addViolation(&r.DuplicateResponses, "%s: transmission %d received two responses: %s", record.ID, received.copy,
 				record.history())
 		}
 		if !received.outcome.final() || !record.Write && final != nil && received.at.After(record.Deadline) {
--- a/internal/testbed/linkshaper/link.go
+++ b/internal/testbed/linkshaper/link.go
@@ -3,8 +3,8 @@
 // holes, which drop all data without notice to either side.
 //
 // The package owns the links. A [Link] runs two goroutines for each direction, and timers for its faults. They end with the
-// link, that is when either connection ends or the link is reset; nothing waits for them. A blocked Write ends when its
-// connection is closed. The same seed shapes a link in the same way if the same bytes are sent at the same times.
+// link: when the link is reset, or when either connection ends while the link is not a black hole. Nothing waits for them. A blocked
+// Write ends when its connection is closed. The same seed shapes a link in the same way if the same bytes are sent at the same times.
 package linkshaper
 
 import (
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -52,8 +52,8 @@
 }
 
 // notificationDeadline returns the time from which a gateway without an open watch is treated as having been notified that a
-// server is no longer ready: four poll intervals after the latest of the change, the gateway's start and the end of its last watch. It returns
-// false if the server is still ready.
+// server is no longer ready: four poll intervals after the latest of the change, the gateway's start and the end of its last watch.
+// It returns false if the server is still ready.
 func (s *simulation) notificationDeadline(srv *server, g *simulatedGateway) (time.Time, bool) {
 	const pollIntervals = 4
 	for _, c := range s.updates {
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -192,7 +192,8 @@
 		}
 		w.Header().Set("X-Backend-Load", "{"+strings.Join(report, ",")+"}")
 	}
-	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // The gateway may have closed the connection.
+	// A write error is ignored, because the gateway may have closed the connection.
+	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name)
 }
 
 // recordServed adds a request's units to those that have to be reported to the other gateways. It returns the units of the same
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -18,7 +18,7 @@
 type frontend string
 
 const (
-	platformFrontend frontend = "platform" // HTTP listener for clients that are not devices; devices use it only without Options.Deduplication
+	platformFrontend frontend = "platform" // HTTP listener for other clients than devices; devices use it only without Deduplication
 	coapFrontend     frontend = "coap"     // CoAP listener for devices
 	httpFrontend     frontend = "http"     // HTTP listener for devices
 	sftpFrontend     frontend = "files"    // SFTP listener for file commands
