--- a/internal/testbed/chaos/options.go
+++ b/internal/testbed/chaos/options.go
@@ -15,7 +15,7 @@
 	Shards          int
 	Duration        time.Duration
 	Seed            uint64
-	PushDiscovery   bool     // endpoint lists are pushed by an agent; otherwise the gateways poll for them
+	PushDiscovery   bool     // an agent on each gateway's machine pushes endpoint lists; otherwise the gateways poll for them
 	RequestRate     float64  // requests per second to each gateway
 	FailSystemCalls bool     // system calls of the gateways fail at random; Binary must have been built with the tag chaos
 	DebugLog        bool     // gateways log each request
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -56,7 +56,7 @@
 type Device struct {
 	Name            string
 	Transport       Transport
-	SecondTransport Transport // connection for the quirk sendTwice, in addition to that of Transport; nil: the quirk has no effect
+	SecondTransport Transport // second transport for the quirk sendTwice; nil: the quirk has no effect
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
 	ResponseTimeout time.Duration // time without a response after which the device gives up a connection
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -95,7 +95,7 @@
 				record.history())
 		}
 		if !received.outcome.final() || !record.Write && final != nil && received.at.After(record.Deadline) {
-			continue // A retry after the read's deadline may be executed again, so its response may differ from the first.
+			continue // A read may be executed again for a retry after its deadline. The response to the retry is not compared.
 		}
 		if final == nil {
 			final = received
--- a/internal/testbed/membershipsim/simulation_test.go
+++ b/internal/testbed/membershipsim/simulation_test.go
@@ -51,7 +51,7 @@
 }
 
 // TestPausedMember checks that a member that resumes after a long pause declares no other member dead, although it has heard
-// nothing from them during the pause, and that the others soon regard it as alive again.
+// nothing from the others during the pause, and that the others soon regard it as alive again.
 func TestPausedMember(t *testing.T) {
 	const paused = 2
 	s := newSimulation(6, 0, 6)
--- a/internal/testbed/simulation/deployment.go
+++ b/internal/testbed/simulation/deployment.go
@@ -7,7 +7,8 @@
 	notIdempotent     = "once"
 )
 
-// Values of the key "KeyScope" in the settings: the group of servers that deduplicate requests by idempotency key.
+// Values of the key "KeyScope" in the settings: the group of servers within which a repeated idempotency key is
+// recognized.
 const (
 	dedupScopeAll   = "all"
 	dedupScopeZone  = "zone"
