--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -11,7 +11,7 @@
 )
 
 // defaultCallTime is how long discovery takes to handle a poll while no fault slows it down. With push discovery, an agent on the
-// machine of each gateway pushes the list; it responds to a call without this delay.
+// machine of each gateway pushes the list; the agent responds to a call without this delay.
 const defaultCallTime = 3 * time.Millisecond
 
 // change is one change of the endpoint list. The n-th change, counted from 1, creates version n of the list.
--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -89,7 +89,7 @@
 // checked that no attempt of the request arrived at a server.
 func (c *checker) neverAccepted(r *request) bool {
 	if r.connReused || r.sentAt.IsZero() {
-		return true // the gateway may have closed the idle connection before it read the request
+		return true // the gateway may have closed an idle connection before it read the request
 	}
 	// When a gateway that is shutting down stops accepting connections, the operating system resets the established connections
 	// that the gateway has not accepted yet. There are two cases. stoppedAccepting is set if a shutdown, including the restart,
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -233,8 +233,7 @@
 	update(&c.result)
 }
 
-// addViolation records and logs a violation of an invariant. It increments none of the counts of Result
-// by kind; that is left to the caller.
+// addViolation records and logs a violation of an invariant. It increments no count of Result.
 func (c *Cluster) addViolation(format string, args ...any) {
 	text, position := fmt.Sprintf(format, args...), c.log.Position()
 	c.log.Printf("VIOLATION: %s", text)
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // RecoveryBoundMs is the upper bound of Result.RecoveryMs. It is the sum of three times: how long after the last failure a
-// gateway reports a server as failing (outlier.Settings.FailureDecayBoundMs), the time between two attempts at an ejected
+// gateway may still report a server as failing (outlier.Settings.FailureDecayBoundMs), the time between two attempts at an ejected
 // server, and recoveryCheckInterval. If a datagram were lost, a report could stay in effect for longer, up to the age at which
 // reports are ignored, but scenarios that measure the recovery lose no datagrams.
 const RecoveryBoundMs = 2408.0 + 400 + 400
