--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -16,8 +16,8 @@
 	*harness
 	result   *Result
 	changes  []change              // all changes of the endpoint list
-	requests map[string]*request   // by ID
-	arrivals map[string][]*arrival // by request ID
+	requests map[string]*request   // requests by ID
+	arrivals map[string][]*arrival // arrived attempts by ID of their request
 }
 
 func newChecker(h *harness, result *Result) *checker {
--- a/internal/testbed/chaos/client.go
+++ b/internal/testbed/chaos/client.go
@@ -46,7 +46,7 @@
 type clientGroup struct {
 	gateway int
 	addr    string
-	random  *rand.Rand // used only in the goroutine of sendRequests
+	random  *rand.Rand // random generator of the requests; used only in the goroutine of sendRequests
 
 	mu       sync.Mutex
 	idle     []net.Conn
--- a/internal/testbed/chaos/harness.go
+++ b/internal/testbed/chaos/harness.go
@@ -28,16 +28,16 @@
 	log       *process.Log
 	discovery *discovery
 	gateways  []*gateway
-	clients   []*clientGroup // by gateway
+	clients   []*clientGroup // clients by gateway
 	http      *http.Client   // reads the metrics of gateways
 
-	stop       chan struct{}  // closed to end clients, faults and the stall detector
+	stop       chan struct{}  // channel that is closed to end clients, faults and the stall detector
 	goroutines sync.WaitGroup // goroutines of clients, faults and the stall detector
 
 	mu               sync.Mutex
 	servers          []*server // all servers that were started, also those that are closed
-	current          []*server // by shard: the server in service
-	replacing        []bool    // by shard: whether its server is being replaced or restarted
+	current          []*server // for each shard: the server that was added to the endpoint list last
+	replacing        []bool    // for each shard: whether its server is being replaced or restarted
 	stalls           []process.Interval
 	faultCount       int
 	crashes          []string
--- a/internal/testbed/chaos/request.go
+++ b/internal/testbed/chaos/request.go
@@ -42,16 +42,16 @@
 	shard       int
 	units       int
 	deadline    time.Duration // remaining time that the client states
-	cancelAfter time.Duration // how long after sending the client closes its connection; 0: never
+	cancelAfter time.Duration // time from the end of sending until the client closes its connection; 0: it does not
 	incomplete  bool          // whether the client sends only half of the request and then waits
 
 	connReused   bool      // whether the connection had carried an earlier request
-	dialedAt     time.Time // zero if the connection was reused
+	dialedAt     time.Time // when the client began to connect; zero if the connection was reused
 	sentAt       time.Time // when the client had written the last byte; zero: never
 	closedAt     time.Time // when the client closed the connection without a complete response; zero: never
 	endedAt      time.Time
 	outcome      outcome
-	status       int // 0: no response
+	status       int // status of the response; 0: no response
 	responseBody string
 	err          error
 }
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -20,7 +20,7 @@
 	gateway       int    // index of the gateway that sent the attempt; -1: unknown
 	server        *server
 	firstByteAt   time.Time
-	lastByteAt    time.Time     // zero: the request did not arrive completely
+	lastByteAt    time.Time     // arrival of the last byte; zero if the request did not arrive completely
 	remainingTime time.Duration // remaining time that the gateway states in the request
 	units         float64
 	executed      bool // whether the server may have executed the request, because it arrived completely and was not rejected
@@ -31,7 +31,7 @@
 	name      string
 	shard     int
 	addr      string
-	startedAt time.Time // zero: so long ago that the server is not in slow start
+	startedAt time.Time // start of the server; zero: so long ago that the server is not in slow start
 	listener  net.Listener
 
 	mu             sync.Mutex
@@ -50,8 +50,8 @@
 type serverOptions struct {
 	name      string
 	shard     int
-	addr      string    // empty: a free port
-	startedAt time.Time // zero: so long ago that the server is not in slow start
+	addr      string    // address to listen on; empty: a loopback address with a free port
+	startedAt time.Time // start of the server; zero: so long ago that the server is not in slow start
 	seed      uint64
 }
 
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -18,15 +18,15 @@
 // watch is an open watch of a gateway. Its fields are guarded by discovery.mu, except gateway and end, which do not change.
 type watch struct {
 	gateway      int
-	end          chan struct{} // closed to reset the watch
+	end          chan struct{} // channel that is closed to reset the watch
 	version      int           // version of the list that the gateway has
 	firstPending bool          // whether the first message of the watch has not been sent yet
-	silentSince  time.Time     // zero while the watch sends messages
+	silentSince  time.Time     // start of the silence of the watch; zero while the watch sends messages
 }
 
 // serveWatch handles a call of a gateway: it opens a watch of the endpoint list and sends its messages until the watch ends.
 func (d *discovery) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
-	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // 0 if the gateway has no list
+	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // The version is 0 if the gateway has no list.
 	if d.failInOutage(w) {
 		return
 	}
@@ -113,7 +113,7 @@
 // watchMessage is one line of a watch.
 type watchMessage struct {
 	line    []byte          // a snapshot, a delta, or an empty line as a heartbeat
-	changed <-chan struct{} // closed at the first change that the line does not contain
+	changed <-chan struct{} // channel that is closed at the first change that the line does not contain
 }
 
 // nextMessage returns the next message of a watch and records its delivery. It returns false if the watch is silent.
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -65,15 +65,15 @@
 	byzantine *byzantinePeer
 	gateways  []*process.Process
 	links     [][]*datagramProxy // indexed by sender, then by receiver; nil from a gateway to itself
-	random    *rand.Rand         // used only by scenarios
+	random    *rand.Rand         // random generator of the scenarios
 
-	stop       chan struct{}  // closed to end the traffic and the stall detector
+	stop       chan struct{}  // channel that is closed to end the traffic and the stall detector
 	goroutines sync.WaitGroup // goroutines of the traffic and of the stall detector
 
 	mu                sync.Mutex
 	result            Result
 	violationPosition int   // position in the log of the first violation; 0: none yet, or addViolation did not record it
-	primaryHosts      []int // by volume: index of the host that receives most of the volume's requests
+	primaryHosts      []int // for each volume: index of the host that receives most of the volume's requests
 	requestCount      int
 }
 
--- a/internal/testbed/cluster/platform.go
+++ b/internal/testbed/cluster/platform.go
@@ -23,16 +23,16 @@
 type platform struct {
 	hosts   int // number of hosts of each volume
 	shards  int
-	views   []*gatewayView // by gateway
+	views   []*gatewayView // views by gateway
 	servers []*http.Server
 	proxies []*streamProxy
 
 	mu          sync.Mutex
-	limits      map[uint64]*tokenBucket // by volume ID
+	limits      map[uint64]*tokenBucket // token bucket of each volume, by volume ID
 	arrivals    map[string]int          // number of arrivals, by request ID
 	duplicates  int                     // number of arrivals, at any server, of requests that had arrived at any server before
 	listVersion int
-	listChanged chan struct{} // closed at the next change of an endpoint list
+	listChanged chan struct{} // channel that is closed at the next change of an endpoint list
 }
 
 // gatewayView is the platform as one gateway sees it. The slices are indexed by shard; draining, failing and received are
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -47,7 +47,7 @@
 
 	mu      sync.Mutex
 	faults  [directionCount]StreamFaults
-	changed chan struct{} // closed at the next change of the faults
+	changed chan struct{} // channel that is closed at the next change of the faults
 	conns   map[net.Conn]bool
 	closed  bool
 }
--- a/internal/testbed/cluster/streamproxy_test.go
+++ b/internal/testbed/cluster/streamproxy_test.go
@@ -65,6 +65,6 @@
 // read reads size bytes, or fewer if the connection ends or times out.
 func read(conn net.Conn, size int) string {
 	buffer := make([]byte, size)
-	n, _ := io.ReadFull(conn, buffer) // the caller checks what has arrived
+	n, _ := io.ReadFull(conn, buffer) // the error is ignored, because the caller checks what has arrived
 	return string(buffer[:n])
 }
--- a/internal/testbed/fakestorage/server.go
+++ b/internal/testbed/fakestorage/server.go
@@ -47,7 +47,7 @@
 
 	mu              sync.Mutex // guards the fields below
 	random          *rand.Rand
-	drainNotifiedAt time.Time // when the gateway was notified of the drain; zero while the server is not draining
+	drainNotifiedAt time.Time // time at which the gateway was notified of the drain; zero while the server is not draining
 }
 
 // Start starts a goroutine that serves the listener until Stop is called.
--- a/internal/testbed/fakestorage/shard.go
+++ b/internal/testbed/fakestorage/shard.go
@@ -12,7 +12,7 @@
 	DedupWindow time.Duration // time after the first write with a key in which further writes with that key are not executed
 
 	mu     sync.Mutex
-	writes map[string]firstWrite // by idempotency key: the latest write with the key that was executed
+	writes map[string]firstWrite // latest executed write of each idempotency key
 }
 
 // firstWrite is the write that began the current deduplication window of an idempotency key.
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -86,7 +86,7 @@
 // differences that compareFinal allows. It returns the first final response, or nil if there is none, and whether the exchange
 // was served by its deadline.
 func (r *Result) checkResponses(record *exchangeRecord) (final *response, servedInTime bool) {
-	responseCounts := map[int]int{} // by transmission
+	responseCounts := map[int]int{} // number of responses to each transmission
 	for i := range record.responses {
 		received := &record.responses[i]
 		responseCounts[received.copy]++
--- a/internal/testbed/membershipsim/events.go
+++ b/internal/testbed/membershipsim/events.go
@@ -12,7 +12,7 @@
 	order   int                // sequence number; events of the same time are processed in this order
 	member  int                // number of the member that the event concerns
 	isTimer bool               // whether the event is the expiry of the timer
-	message membership.Message // valid only if isTimer is false
+	message membership.Message // arriving message; valid only if isTimer is false
 }
 
 // eventQueue holds future events, earliest first.
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -50,8 +50,8 @@
 	Log        *Log     // receives the standard error of the process
 
 	mu            sync.Mutex
-	cmd           *exec.Cmd     // nil until the first start
-	exited        chan struct{} // closed when cmd has exited
+	cmd           *exec.Cmd     // process started last; nil before the first start
+	exited        chan struct{} // channel that is closed when cmd has exited
 	interruptions []Interval    // pauses, times from SIGTERM or SIGKILL to the exit, and stalls: requests may then get no response
 }
 
@@ -70,7 +70,7 @@
 	exited := make(chan struct{})
 	go func() {
 		p.copyToLog(stderr)
-		_ = cmd.Wait() // only the exit matters, not its code
+		_ = cmd.Wait() // the error is ignored, because only the exit matters and not its code
 		close(exited)
 	}()
 	p.mu.Lock()
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -24,7 +24,7 @@
 	discoveryDown    bool                   // whether the discovery fake refuses watches
 	watches          map[chan struct{}]bool // open watches; closing the channel resets the watch
 	lastWatchEndedAt time.Time              // when the latest watch ended, or the start of the incarnation
-	updated          chan struct{}          // closed and replaced at each change of the endpoint list
+	updated          chan struct{}          // channel that is closed and replaced at each change of the endpoint list
 	openClients      int                    // number of client connections
 }
 
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -21,8 +21,8 @@
 	name      string
 	shard     int
 	zone      string
-	startedAt time.Time      // zero for a server that started long before the simulation
-	listeners []*http.Server // one for each gateway
+	startedAt time.Time      // start of the server; zero if it was long before the simulation
+	listeners []*http.Server // HTTP servers, one for each gateway
 	slots     chan struct{}  // semaphore that limits the requests in process to serverConcurrency
 
 	// The fields below are guarded by simulation.mu.
@@ -30,10 +30,10 @@
 	published         bool // whether discovery has published a state of the server
 	draining          bool
 	stopped           bool
-	frozen            chan struct{}        // closed at the end of a period without responses; nil outside of such a period
+	frozen            chan struct{}        // channel that is closed at the end of a period without responses; nil outside of such a period
 	queued            int                  // number of admitted requests without a response
 	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
-	servedElsewhere   map[uint64][]float64 // by volume ID and gateway index: units served for others and not yet reported to that gateway
+	servedElsewhere   map[uint64][]float64 // units served for others and not yet reported to a gateway, by volume ID and gateway index
 }
 
 // slowStartArrival is the arrival of a request at a server during its slow start.
@@ -111,7 +111,7 @@
 	server  *server
 	gateway *simulatedGateway
 	request *request
-	frozen  chan struct{} // closed when a server that was frozen at admission responds again; nil if it was not frozen
+	frozen  chan struct{} // channel that is closed when a server that was frozen at admission responds again; nil if it was not frozen
 	outcome float64       // random number from [0, 1) that selects the fault and whether the response carries a load report
 	noise   float64       // random factor of the service time
 }
