--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -62,7 +62,7 @@
 	d.deliveries[0] = append(d.deliveries[0], delivery{published, len(d.changes)})
 }
 
-// checkerTests modify the record of newRecord. Either it then violates one invariant, or it is close to a violation that a bound
+// checkerTests modify the record of newRecord. The record then either violates one invariant, or is close to a violation that a bound
 // or an exception of the checker still allows.
 var checkerTests = []struct {
 	name   string
--- a/internal/testbed/chaos/gatewayfaults.go
+++ b/internal/testbed/chaos/gatewayfaults.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// One fault affects at most Options.Gateways/gatewaysPerFault gateways, or one gateway if that is 0.
+// One fault affects at most Options.Gateways/gatewaysPerFault gateways, or one gateway if the quotient is 0.
 const gatewaysPerFault = 6
 
 // reloadTime is how long a gateway that reloads its configuration is not affected by other faults.
--- a/internal/testbed/chaos/serverfaults.go
+++ b/internal/testbed/chaos/serverfaults.go
@@ -16,7 +16,7 @@
 	removedRunTime = 4 * time.Second  // time from the removal of the drained server from the list to its end
 )
 
-// One fault replaces the servers of at most Options.Shards/shardsPerFault shards, or of one shard if that is 0.
+// One fault replaces the servers of at most Options.Shards/shardsPerFault shards, or of one shard if the quotient is 0.
 const shardsPerFault = 3
 
 // replaceServers drains the servers of some shards and starts replacements for them. It skips a shard whose server is already
--- a/internal/testbed/conn.go
+++ b/internal/testbed/conn.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TryWrite writes text to a peer that may close the connection before it has read all of it. A write error does not fail the
+// TryWrite writes text to a peer that may close the connection before it has read the whole text. A write error does not fail the
 // test: tests that use TryWrite check how the peer reacts to what it has read, not whether it reads everything.
 func TryWrite(w io.Writer, text string) {
 	_, _ = io.WriteString(w, text) // A write error is ignored, because the peer may close the connection early.
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -66,7 +66,7 @@
 	return at
 }
 
-// afterStalls returns the end of the stall that is in effect at the given time, or that time if there is none. It first draws
+// afterStalls returns the end of the stall that is in effect at the given time, or the given time if there is none. It first draws
 // further stalls, until one ends after that time.
 func (s *schedule) afterStalls(at time.Time) time.Time {
 	p := s.profile
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the gateway program as a child process on loopback, sends it signals, and records when it was
-// interrupted. It also provides what tests with several gateways share: the files that a gateway reads, the merged log of
+// Package process runs the gateway program as a child process on loopback, sends it signals, and records when the
+// process was interrupted. It also provides what tests with several gateways share: the files that a gateway reads, the merged log of
 // all processes, and the detection of stalls of the test machine.
 //
 // A Process may be used from any goroutine, but Start, Stop and Kill of one process must not run at the same time. Each
