--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// stallLookback is the longest time between the end of a stall of the machine and a late attempt that the stall excuses.
+// stallLookback is the time after the end of a stall of the machine in which the stall still excuses an attempt that is too late.
 const stallLookback = 200 * time.Millisecond
 
 // checker checks the invariants against the records of a run, whose clients and faults must have ended.
@@ -16,8 +16,8 @@
 	*harness
 	result   *Result
 	changes  []change              // all changes of the endpoint list
-	requests map[string]*request   // by ID
-	arrivals map[string][]*arrival // by request ID
+	requests map[string]*request   // requests by ID
+	arrivals map[string][]*arrival // arrived attempts by ID of their request
 }
 
 func newChecker(h *harness, result *Result) *checker {
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// minRequestsToCompare is how many requests a gateway must have sent to the server of the next shard, so that
-	// checkNotEjected can compare the numbers of requests.
+	// minRequestsToCompare is how many requests a gateway must have sent to the server of the next shard. checkNotEjected does not
+	// check a gateway that sent fewer.
 	minRequestsToCompare = 20
-	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to the
-	// server of the next shard.
+	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to the server of
+	// the next shard as to that server.
 	ejectedRatio = 4
 	// recoveryCheckInterval is the time between two checks whether a server has recovered.
 	recoveryCheckInterval = 400 * time.Millisecond
@@ -32,10 +32,10 @@
 	}
 }
 
-// measureRecovery waits until the gateways have resumed using the server of a shard that has stopped failing. They have if, in
-// one recoveryCheckInterval, all gateways together sent it at least half as many requests as the server of the next shard, and
-// at least as many requests as there are gateways. measureRecovery records how long that took. It gives up after twice
-// RecoveryBoundMs and records the time until then.
+// measureRecovery waits until the gateways use the server of a shard again after it has stopped failing, and records how long
+// that took. The server counts as used again if, within one recoveryCheckInterval, all gateways together sent it at least half as
+// many requests as the server of the next shard, and at least as many requests as there are gateways. measureRecovery gives up
+// after twice RecoveryBoundMs and then records the time that has passed.
 func (c *Cluster) measureRecovery(shard int) {
 	start, last := time.Now(), c.platform.receivedCounts()
 	next := (shard + 1) % c.options.Shards
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -24,9 +24,9 @@
 type schedule struct {
 	profile       Profile
 	random        *rand.Rand
-	idleAt        [directions]time.Time // when all segments scheduled so far have been transmitted
-	lastArrivalAt [directions]time.Time // arrival of the segment scheduled last; no later segment arrives before it, because TCP keeps the order
-	stalls        []stall               // stalls drawn so far, by time; the first one is empty and marks the start of the link
+	idleAt        [directions]time.Time // when all segments scheduled so far in the direction have been transmitted
+	lastArrivalAt [directions]time.Time // arrival of the last segment of the direction; no later one arrives before it, as on TCP
+	stalls        []stall               // stalls drawn so far, in the order of time; the first one is empty and marks the start of the link
 	lastLossAt    time.Time             // when the latest retransmitted segment arrives
 }
 
@@ -66,7 +66,7 @@
 	return at
 }
 
-// afterStalls returns the end of the stall that is in effect at the given time, or that time if there is none. It first draws
+// afterStalls returns the end of the stall that is in effect at the given time, or the given time if there is none. It first draws
 // further stalls, until one ends after that time.
 func (s *schedule) afterStalls(at time.Time) time.Time {
 	p := s.profile
--- a/internal/testbed/process/process.go
+++ b/internal/testbed/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the gateway program as a child process on loopback, sends it signals, and records when it was
-// interrupted. It also provides what tests with several gateways share: the files that a gateway reads, the merged log of
+// Package process runs the gateway program as a child process on loopback, sends it signals, and records when the
+// process was interrupted. It also provides what tests with several gateways share: the files that a gateway reads, the merged log of
 // all processes, and the detection of stalls of the test machine.
 //
 // A Process may be used from any goroutine, but Start, Stop and Kill of one process must not run at the same time. Each
@@ -44,14 +44,14 @@
 	Name       string   // name of the gateway and prefix of its lines in the log
 	ListenAddr string   // address for requests of clients and for GET /ready
 	PeerAddr   string   // address for datagrams of other gateways; empty without a fleet
-	Env        []string // variables that are added to the environment of this program
+	Env        []string // environment variables of the process, in addition to those of this program
 	Args       []string // command-line arguments
 	Binary     string   // path of the gateway program
 	Log        *Log     // receives the standard error of the process
 
 	mu            sync.Mutex
-	cmd           *exec.Cmd     // nil until the first start
-	exited        chan struct{} // closed when cmd has exited
+	cmd           *exec.Cmd     // process started last; nil before the first start
+	exited        chan struct{} // channel that is closed when cmd has exited
 	interruptions []Interval    // pauses, times from SIGTERM or SIGKILL to the exit, and stalls: requests may then get no response
 }
 
@@ -70,7 +70,7 @@
 	exited := make(chan struct{})
 	go func() {
 		p.copyToLog(stderr)
-		_ = cmd.Wait() // only the exit matters, not its code
+		_ = cmd.Wait() // the error is ignored, because only the exit matters and not its code
 		close(exited)
 	}()
 	p.mu.Lock()
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -24,7 +24,7 @@
 	discoveryDown    bool                   // whether the discovery fake refuses watches
 	watches          map[chan struct{}]bool // open watches; closing the channel resets the watch
 	lastWatchEndedAt time.Time              // when the latest watch ended, or the start of the incarnation
-	updated          chan struct{}          // closed and replaced at each change of the endpoint list
+	updated          chan struct{}          // channel that is closed and replaced at each change of the endpoint list
 	openClients      int                    // number of client connections
 }
 
@@ -50,8 +50,8 @@
 	}
 }
 
-// prepareStart resets the state of the previous incarnation and returns the settings of the next one. Their cached snapshot may be
-// out of date: it lacks up to maxMissedUpdates changes, but not the initial servers.
+// prepareStart resets the state of the previous incarnation and returns the settings of the next one. The cached snapshot in the
+// settings may be out of date: it lacks up to maxMissedUpdates changes, but not the initial servers.
 func (s *simulation) prepareStart(g *simulatedGateway) []byte {
 	const maxMissedUpdates = 3
 	s.mu.Lock()
