--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -36,11 +36,11 @@
 	idleDevices list.List // devices without exchanges, least recently seen first
 
 	wheel     *timerwheel.Wheel[*storedExchange]
-	timerAtMs float64 // when the owner's timer fires; 0: not set
+	timerAtMs float64 // time at which the owner's timer fires; 0 if it is not set
 
 	// The eviction lists. Each exchange is in at most one of them.
-	endedReads  list.List // oldest first
-	openUploads list.List // longest time without a block first
+	endedReads  list.List // ended reads, oldest first
+	openUploads list.List // uploads in stateReceiving, sorted by the time of their last block, oldest first
 	endedWrites list.List // writes that were not executed or whose deduplication window has ended, oldest first
 
 	stats Stats
