--- a/internal/outlier/server.go
+++ b/internal/outlier/server.go
@@ -17,7 +17,7 @@
 	withdrawn   bool
 
 	ownReports  [conditionArraySize]storedReport // latest report that this gateway has sent, by condition
-	peerReports []storedReport                   // at most one for each peer and condition
+	peerReports []storedReport                   // latest reports of peers, at most one for each peer and condition
 }
 
 // decay reduces the weights of attempts and failures according to the time that has passed.
@@ -76,7 +76,8 @@
 	}
 }
 
-// addPeerReport adds a report if there is room. Otherwise it replaces an expired report, or drops the new one.
+// addPeerReport adds a report if there is room. Otherwise it replaces an expired report, or drops the new one if
+// none has expired.
 func (s *server) addPeerReport(nowMs float64, report storedReport, settings *Settings) {
 	if len(s.peerReports) < len(conditions)*settings.MaxPeers {
 		s.peerReports = append(s.peerReports, report)
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -1,9 +1,9 @@
 package quota
 
 // handleRequest answers a lease request. It never reduces a granted lease that has not expired, because the borrower may
-// still use it. If this gateway's own traffic needs quota that is lent, it does not answer a request to renew or increase a
-// lease, so that the lease expires. It does not answer for an idle pool either: the pool's traffic arrives at other gateways,
-// so this gateway owns no share of it.
+// still use it. While this gateway's own traffic needs quota that is lent, requests to renew or increase a lease get no
+// answer, so that the lease expires. Requests for an idle pool get no answer either: the pool's traffic arrives at other
+// gateways, so this gateway owns no share of it.
 func (a *Allocator) handleRequest(p *pool, nowMs float64, request Message) []Message {
 	if a.isIdle(p, nowMs) {
 		return nil
@@ -31,8 +31,8 @@
 	return []Message{reply}
 }
 
-// recordGrant renews the lease of a grant or records a new one. It returns false if there is no lease to renew and the pool
-// already has MaxPeers lent leases.
+// recordGrant records a grant: it renews the borrower's lease, or adds one if the borrower has none. It returns false if the
+// borrower has no lease and the pool already has MaxPeers lent leases.
 func (a *Allocator) recordGrant(p *pool, nowMs float64, grant Message) bool {
 	granted := findLease(p.lent, grant.Peer, grant.RecipientIncarnation)
 	if granted == nil {
@@ -46,7 +46,8 @@
 	return true
 }
 
-// lendable returns the fraction that this gateway can lend in addition to what it has lent. It may be negative.
+// lendable returns the fraction that this gateway can lend in addition to what it has lent. The result may be
+// negative.
 func (a *Allocator) lendable(p *pool, nowMs float64) float64 {
 	reserved := max(p.usage(nowMs), p.ownFraction*(1-a.settings.MaxGrantedFraction))
 	return a.available(p, nowMs) - totalFraction(p.borrowed) - reserved
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -18,7 +18,7 @@
 	Self uint16
 	// Incarnation distinguishes this process from earlier processes with the same index.
 	Incarnation uint32
-	// LeaseMs is the time for which a borrower may use a grant, counted from its request.
+	// LeaseMs is the time for which a borrower may use a grant, counted from the request for it.
 	LeaseMs float64
 	// ClockDrift is the largest fraction by which a gateway's clock is faster or slower than true time.
 	ClockDrift float64
@@ -36,10 +36,10 @@
 	MaxPeers int
 }
 
-// GrantHoldMs returns the time, on the lender's clock, for which a lender counts a fraction as lent after it has received
-// the request. The borrower uses the fraction for LeaseMs of its own clock, starting earlier. A borrower's clock that is
-// slow by ClockDrift reaches LeaseMs after a true time of LeaseMs/(1-ClockDrift). In that time, a lender's clock that is
-// fast by ClockDrift advances by 1+ClockDrift times as much.
+// GrantHoldMs returns the time, on the lender's clock, for which a lender counts a fraction as lent after it has received the
+// request. The borrower uses the fraction for LeaseMs of its own clock from the time at which it sent the request. A
+// borrower's clock that is slow by ClockDrift reaches LeaseMs after a true time of LeaseMs/(1-ClockDrift). In that time, a
+// lender's clock that is fast by ClockDrift advances by 1+ClockDrift times as much.
 func (s Settings) GrantHoldMs() float64 { return s.LeaseMs * (1 + s.ClockDrift) / (1 - s.ClockDrift) }
 
 // LenderSearchBoundMs returns the longest time until a gateway that lacks quota has sent a request to every other gateway of a
