--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	maxQueuedMessages = 16      // no further requests are handled while this many messages are queued
+	maxQueuedMessages = 16      // a connection handles no further requests while this many messages are queued on it
 	writeChunkSize    = 4 << 10 // bytes; the idle timeout applies to each chunk
 )
 
 // outgoingMessage is a queued message: either an encoded one or the response to a request. A response is encoded only when it
 // is written, since its form depends on what the device can receive at that time.
 type outgoingMessage struct {
-	encoded    []byte
-	pending    *pendingRequest // request that response belongs to; nil: the message is in encoded
-	response   lifecycle.Response
-	closeAfter bool // close the connection after this message
+	encoded    []byte             // encoded message; used only if pending is nil
+	pending    *pendingRequest    // request that the field response answers; nil if the field encoded holds the message
+	response   lifecycle.Response // response to the pending request
+	closeAfter bool               // whether to close the connection after this message
 }
 
 // send queues a message.
@@ -59,8 +59,8 @@
 	}
 }
 
-// dequeue removes and returns the first message of the queue. It returns false if the queue is empty or the connection is
-// closed; writeLoop must then return.
+// dequeue removes and returns the first message of the queue, and returns the idle timeout for writing it. It returns false if the
+// queue is empty or the connection is closed; writeLoop must then return.
 func (c *conn) dequeue() (item outgoingMessage, idleTimeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -61,16 +61,18 @@
 }
 
 // The disconnect of a client must be detected even after the client has pipelined more bytes than the server reads while a request
-// is open (maxPipelinedBytes and maxDiscardBytes). Reading then no longer detects it, but Request.Canceled asks the kernel.
+// is open (maxPipelinedBytes and maxDiscardBytes). The server then no longer reads, so no read reports the disconnect, but
+// Request.Canceled asks the kernel.
 func TestDisconnectAfterDiscardLimit(t *testing.T) {
-	s := startServer(t, nil)
+	s := startServer(t, func(_ *testServer, ln net.Listener) net.Listener { return largeBufferListener{ln} })
 	client := s.dial(t)
 	testbed.Write(t, client, rawGet(1))
 	request := receive(t, "the request", s.submitted)
 	if request.Canceled() {
 		t.Fatal("the request was canceled while the client was connected")
 	}
-	// The bytes beyond the two limits must fit into the socket buffers. Otherwise the client's FIN does not reach the server.
+	// The bytes beyond the two limits must fit into the server's receive buffer. Otherwise the client's FIN does not reach the
+	// server.
 	testbed.Write(t, client, strings.Repeat("x", maxDiscardBytes+maxPipelinedBytes+8<<10))
 	testbed.Close(t, client)
 	for end := time.Now().Add(20 * time.Second); !request.Canceled(); runtime.Gosched() {
@@ -209,7 +211,7 @@
 	if n != 1 {
 		t.Errorf("%d connections wait for their clients to close, want 1", n)
 	}
-	s.clock.Advance(gracefulclose.TimeoutMs) // then the last one must be closed, too
+	s.clock.Advance(gracefulclose.TimeoutMs) // the last connection must now be closed, too
 	// A write of a client fails once the server has closed the connection.
 	for _, client := range conns {
 		for _, err := io.WriteString(client, "more"); err == nil; _, err = io.WriteString(client, "more") {
--- a/internal/sftpwire/command.go
+++ b/internal/sftpwire/command.go
@@ -46,14 +46,14 @@
 	Length uint32
 	// Data holds the bytes that an OpWrite writes.
 	Data []byte
-	// UploadKey is an idempotency key: the servers of one shard drop a command whose key they have seen before. It is empty for
-	// commands that change nothing.
+	// UploadKey is an idempotency key: the servers of one shard do not execute a command whose key they have seen before. It is
+	// empty for commands that change nothing.
 	UploadKey string
 }
 
 // Reply is a server's response to a Command.
 type Reply struct {
-	// Code is StatusOK if the response has no status code, because it is not a STATUS packet.
+	// Code is the status code of a STATUS packet. For a response of any other packet type, Code is StatusOK.
 	Code StatusCode
 	// Message is the error message of a STATUS packet.
 	Message string
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// absent is the text of an absent value.
+// absent is the text that stands for an absent value.
 const absent = "-"
 
 // Sizes of integers on the wire, in bits.
@@ -20,7 +20,8 @@
 )
 
 // fieldParser consumes the values of one line from left to right. Its methods return the zero value for a value that is absent
-// or malformed, and keep the first error in err. Their parameter field names the value in that error.
+// or malformed, and keep the first error in err. The parameter field of these methods is the name of the value; it is used only in
+// the text of an error.
 type fieldParser struct {
 	name   string   // name of the line
 	values []string // values that are not consumed yet
@@ -128,7 +129,7 @@
 // durationFromMs converts a time in milliseconds from the wire, rounded to nanoseconds.
 func durationFromMs(ms float64) time.Duration { return time.Duration(math.Round(ms * nanosPerMs)) }
 
-// formatMs formats a time for the wire, in milliseconds; 0 is formatted as absent.
+// formatMs formats a time for the wire, in milliseconds. It formats 0 as an absent value.
 func formatMs(d time.Duration) string {
 	if d == 0 {
 		return absent
