--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -8,9 +8,9 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// checkResponse counts the outcome of a request and checks its response. A served request must have a response of a server. A
-// complete request must not get a status of outcomeInvalid. A request must get its response in time, unless the client canceled
-// it or could not connect, the gateway was interrupted, or the machine stalled.
+// checkResponse counts the outcome of a request and checks its response. A served request must have a response that a server sent
+// to it. A complete request must not get a status of outcomeInvalid. A request must get its response in time, unless the client
+// canceled it or could not connect, the gateway was interrupted, or the machine stalled.
 func (c *checker) checkResponse(r *request, arrivals []*arrival) {
 	c.countOutcome(r)
 	switch r.outcome {
@@ -89,12 +89,12 @@
 // checked that no attempt of the request arrived at a server.
 func (c *checker) neverAccepted(r *request) bool {
 	if r.connReused || r.sentAt.IsZero() {
-		return true // the gateway may have closed the idle connection while the client sent the request
+		return true // the gateway may have closed the idle connection before it read the request
 	}
-	// When a gateway that is shutting down stops accepting connections, the operating system resets the connections that it
-	// has established and the gateway has not accepted yet. stoppedAccepting: a shutdown, including the restart, overlaps the
-	// time from acceptTime before the dial to the end of the request, but not the acceptTime after the dial. dialedTooLate:
-	// the client dialed during a shutdown, more than acceptTime after SIGTERM.
+	// When a gateway that is shutting down stops accepting connections, the operating system resets the established connections
+	// that the gateway has not accepted yet. There are two cases. stoppedAccepting is set if a shutdown, including the restart,
+	// overlaps the time from acceptTime before the dial to the end of the request, but not the time from 1 ms to acceptTime after
+	// the dial. dialedTooLate is set if the client dialed during a shutdown, more than acceptTime after SIGTERM.
 	stoppedAccepting := c.terminating(r.gateway, r.dialedAt.Add(-acceptTime), r.endedAt) &&
 		!c.terminating(r.gateway, r.dialedAt.Add(time.Millisecond), r.dialedAt.Add(acceptTime))
 	dialedTooLate := slices.ContainsFunc(c.gateways[r.gateway].terminations, func(termination process.Interval) bool {
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen            chan struct{}        // closed at the end of a period without responses; nil outside of such a period
 	queued            int                  // number of admitted requests without a response
 	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
-	servedElsewhere   map[uint64][]float64 // units served for other gateways and not yet reported to this one, by volume ID and gateway index
+	servedElsewhere   map[uint64][]float64 // by volume ID and gateway index: units served for others and not yet reported to that gateway
 }
 
 // slowStartArrival is the arrival of a request at a server during its slow start.
@@ -192,7 +192,8 @@
 		}
 		w.Header().Set("X-Backend-Load", "{"+strings.Join(report, ",")+"}")
 	}
-	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name) // The gateway may have closed the connection.
+	// A write error is ignored, because the gateway may have closed the connection.
+	_, _ = fmt.Fprintf(w, "%s from %s", task.request.id, task.server.name)
 }
 
 // recordServed adds a request's units to those that have to be reported to the other gateways. It returns the units of the same
