--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -25,8 +25,8 @@
 	excessWindowFactor = 1.5
 	// idleDoublings is how many times a window below one request doubles per latencyHalfLife while nothing is in flight.
 	idleDoublings = 4.0
-	// targetQueuePerFlow is what a flow of mean weight adds to PARDA's β, the number of requests to keep queued at a server. It is
-	// summed over all gateways of the flow's volume.
+	// targetQueuePerFlow is what a flow of mean weight adds to PARDA's β, the number of requests to keep queued at a server. The
+	// gateways that receive requests of the flow's volume add it in equal parts.
 	targetQueuePerFlow = 0.5
 	// maxPeerSamples bounds the latency samples that accumulate from peers for a server to which this gateway sends no requests.
 	maxPeerSamples = 8
@@ -38,7 +38,7 @@
 // zero value belongs to a server that has not been listed yet.
 type congestionControl struct {
 	window       float64 // limit on requests in flight; below 1, it is the fraction of the time in which one request may be in flight
-	excessWindow float64 // further limit, for requests beyond the baseline rate of their volume; the lower of the two limits applies
+	excessWindow float64 // limit for requests beyond the baseline rate of their volume; used where it is lower than window
 
 	latency          time.Duration // smoothed latency; L in PARDA
 	latencyUpdatedAt time.Duration
