--- a/internal/dedup/exchange/actions.go
+++ b/internal/dedup/exchange/actions.go
@@ -24,8 +24,8 @@
 const (
 	ResponseServed     ResponseKind = iota // a server responded; the response is stored in the exchange
 	ResponseRejected                       // the request was not executed; the device may retry
-	ResponseBusy                           // like ResponseRejected; the reason is a limit of the store or a shutdown
-	ResponseTooLate                        // like ResponseRejected; the reason is that the response could not arrive in time
+	ResponseBusy                           // a limit of the store or a shutdown prevented the execution; the device may retry
+	ResponseTooLate                        // not executed, because the response could not arrive in time; the device may retry
 	ResponseFailed                         // there is no response; the request may have been executed
 	ResponseConflict                       // the content differs from that of the exchange with the same key
 	ResponseContinue                       // the block was received; the next one may be sent
--- a/internal/dedup/exchange/device.go
+++ b/internal/dedup/exchange/device.go
@@ -25,8 +25,8 @@
 	return remainingMs - d.link.ExpectedOverheadMs(int(d.averageResponseBytes), remainingMs)
 }
 
-// findOrAddDevice returns the device with a name and adds it if it is new. At the limit it first removes the least recently seen
-// device without exchanges, and returns nil if every device has exchanges.
+// findOrAddDevice returns the device with a name and adds it if it is new. If Settings.MaxDevices are stored, it first
+// removes the least recently seen device without exchanges. If every stored device has exchanges, it adds none and returns nil.
 func (s *Store) findOrAddDevice(name string) *trackedDevice {
 	device := s.devices[name]
 	if device == nil {
--- a/internal/dedup/exchange/link.go
+++ b/internal/dedup/exchange/link.go
@@ -104,7 +104,8 @@
 }
 
 // ExpectedOverheadMs returns the part of the device's remaining time that the link is expected to take: the delay of the
-// request, because the device counts from when it sent the request, and the transfer of a response of responseBytes.
+// request, because the remaining time counts from when the device sent the request, and the transfer of a response of
+// responseBytes.
 func (l *LinkEstimator) ExpectedOverheadMs(responseBytes int, remainingMs float64) float64 {
 	ms := l.expectedRoundTripMs(remainingMs) + l.safetyMarginMs() + float64(responseBytes)/l.expectedBytesPerMs()
 	if l.gaps.Count() >= minGapSamples {
--- a/internal/dedup/exchange/waiting.go
+++ b/internal/dedup/exchange/waiting.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// addWaiting adds a transmission to those that wait for the response of an exchange. At the limit, the oldest one is
-// superseded.
+// addWaiting adds a transmission to those that wait for the response of an exchange. If
+// Settings.MaxWaitingTransmissions already wait, the oldest of them is superseded.
 func (s *Store) addWaiting(exchange *storedExchange, received *TransmissionReceived) {
 	if len(exchange.waiting) >= s.settings.MaxWaitingTransmissions { // the oldest connection is the most likely to be half-open
 		s.respond(exchange.waiting[0].id, Respond{Kind: ResponseSuperseded})
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,5 +1,5 @@
 // Package discovery maintains the watch of the endpoint list: it keeps a connection to the discovery service open, decodes
-// the messages that arrive on it, decides which updates apply, and reports when the watch has ended or is idle.
+// the messages that arrive on it, decides which updates are applied, and reports when the watch has ended or is idle.
 //
 // The list reaches a gateway in one of two ways:
 //
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -35,7 +35,8 @@
 	processed     chan struct{} // closed when the bytes read from conn have been processed; nil if no goroutine waits for that
 }
 
-// trackedConn is the connection of a watch. Its reader calls Read only after it has processed all bytes of the previous call.
+// trackedConn is the connection of a watch. Its reader calls Read only after it has processed all bytes that the
+// previous call returned.
 type trackedConn struct {
 	net.Conn
 	tracker *receiveTracker
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -81,7 +81,8 @@
 		"answered", session.responded, logevent.Version, version)
 }
 
-// idleTimer cancels a watch on which no message arrives before a timeout. clock and cancel must be set.
+// idleTimer cancels a watch with errWatchIdle unless reset or close is called before the timeout of the latest reset has passed.
+// clock and cancel must be set.
 type idleTimer struct {
 	clock  clock.Clock
 	cancel context.CancelCauseFunc
@@ -102,7 +103,7 @@
 }
 
 // watch runs one session until it ends, and returns the reason as an error, which is never nil. The error is errWatchIdle if
-// no message arrived before the timeout.
+// discovery did not respond within responseTimeoutMs, or if no message arrived for idleTimeoutMs after that.
 func (w *Watcher) watch(ctx context.Context, session *watchSession) error {
 	w.mu.Lock()
 	addr, version := w.addr, w.version
@@ -159,8 +160,8 @@
 	}
 }
 
-// readError returns the reason why the body of a watch could not be read. If the context was canceled, that is its cause,
-// because the read error is only a consequence of the cancellation.
+// readError returns the reason why the body of a watch could not be read. If ctx was canceled, the reason is the cause of the
+// cancellation, because the read error is only its consequence.
 func (w *Watcher) readError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -49,10 +49,10 @@
 // so the time by which the gateway must have been notified of a missed change counts from a later moment.
 func (l *Lease) RecordUnreachable(startedMs float64) { l.Renew(startedMs) }
 
-// RecordRejection records that discovery rejected or interrupted a call that started at startedMs. Discovery does so while it is
-// down, which renews the lease like unreachability. It also does so when it gets too many calls. It is reachable then, so the
-// lease must not be renewed. Gateways pace their calls so that this is rare. If the last call that got a response indicated
-// congestion, a rejection does not renew the lease.
+// RecordRejection records that discovery rejected or interrupted a call that started at startedMs. Discovery rejects calls while
+// it is down. A rejection then renews the lease, as RecordUnreachable does. Discovery also rejects calls while it gets too many of
+// them, which is rare because gateways pace their calls. It is reachable then, so the lease must not be renewed. This case is
+// assumed if the last call that got a response indicated congestion.
 func (l *Lease) RecordRejection(startedMs float64) {
 	if !l.congested {
 		l.Renew(startedMs)
--- a/internal/endpoints/tracker.go
+++ b/internal/endpoints/tracker.go
@@ -10,7 +10,7 @@
 
 // RegressionTimeoutMs is how long, in milliseconds, updates may stay behind the current version before the Tracker
 // concludes that the source has begun to number its versions anew. A gateway is treated as having been notified of every
-// change within 6 s, so by then an older source has either caught up or will never do so.
+// change within 6 s, so by then a source with an older list has either caught up or will never do so.
 const RegressionTimeoutMs = 6000
 
 // Endpoint is the entry of one server in an update.
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -10,8 +10,9 @@
 	"gaugerelay/internal/logevent"
 )
 
-// Timeouts of client connections. Those for reading a request begin when the connection is opened, or with the first byte of a
-// further request. A client that exceeds them is not on a slow link: it occupies a connection that another client could use.
+// Timeouts of client connections. readHeaderTimeout and readTimeout begin when the connection is opened, or with the first byte
+// of a further request. If a client exceeds one of these two, a slow link is not the reason. Its connection is closed, so that
+// another client can use one.
 const (
 	readHeaderTimeout = 2700 * time.Millisecond
 	readTimeout       = 2700 * time.Millisecond // time for reading a whole request
@@ -31,7 +32,7 @@
 	handler  *httpserver.Handler
 	conns    *httpserver.ConnTracker
 	server   *http.Server
-	after    func(ms float64) <-chan time.Time // the function after; replaced in tests
+	after    func(ms float64) <-chan time.Time // returns a channel that receives the time after ms milliseconds; replaced in tests
 }
 
 // newClientFrontend builds the frontend. It opens no listener.
@@ -75,7 +76,7 @@
 }
 
 // drain closes connections as late as possible. Clients that have not been notified of the shutdown keep using their open
-// connections. If these were closed earlier, the clients could reach no gateway until the next start.
+// connections. If these were closed earlier, the clients could reach no gateway until the next start of this one.
 func (f *clientFrontend) drain(times shutdownTimes) {
 	<-f.after(times.acceptUntilMs)
 	f.listener.Close()
@@ -89,6 +90,6 @@
 
 // close closes the listener and all connections.
 func (f *clientFrontend) close() {
-	f.listener.Close() // f.server closes the listener only if it has begun to serve it
+	f.listener.Close() // f.server.Close closes the listener only if f.server has begun to serve it
 	f.server.Close()
 }
--- a/internal/gateway/component.go
+++ b/internal/gateway/component.go
@@ -55,7 +55,7 @@
 // below maxConns, the limit on open connections, so that clients can connect while connections are being closed. It is at least 1.
 func sheddingThreshold(maxConns int) int { return max(1, maxConns*15/16) }
 
-// listen opens a listener for clients. Its Accept fails only after the listener was closed.
+// listen opens a listener for clients. The listener's Accept method fails only after the listener was closed.
 func (g *Gateway) listen(addr string) (net.Listener, error) {
 	listener, err := g.network.Listen(addr)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return accept.Wrap(listener, g.Clock, g.Metrics, clock.Ms(g.shortestDeadline), g.pauseDetector.RecordStall), nil
 }
 
-// serve runs a server in its own goroutine, which ends when the server's listener is closed. If the server ends with any
-// other error, that error is reported as a failure of the gateway.
+// serve runs a server in its own goroutine, which ends when the server's listener is closed. If the server
+// ends for another reason, its error is reported as a failure of the gateway.
 func (g *Gateway) serve(name string, run func() error) {
 	go func() {
 		err := run()
--- a/internal/lifecycle/deduplicator.go
+++ b/internal/lifecycle/deduplicator.go
@@ -31,7 +31,7 @@
 	AgeMs float64
 	// PreviousGateway is the name of the gateway that the device sent earlier transmissions to. The empty string means unknown.
 	PreviousGateway string
-	// Link holds the measurements of the connection since its last sample.
+	// Link holds what the connection has measured since its previous LinkSample was taken.
 	Link LinkSample
 	// BuildPayload returns the Request.Payload for an execution of the exchange. id is the id under which servers know that
 	// execution; each execution has a different one.
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -156,7 +156,8 @@
 	}
 }
 
-// renewEndpointLease renews the lease on the endpoint list if the update proves that no change is missing.
+// renewEndpointLease records in the lease on the endpoint list what an update shows about discovery and the list, and passes the
+// resulting expiry to the Authorizer. The lease is renewed if the update proves that the list contains every change so far.
 func (m *Manager) renewEndpointLease(update EndpointUpdate) {
 	if m.endpointLease == nil {
 		return
--- a/internal/lifecycle/manager.go
+++ b/internal/lifecycle/manager.go
@@ -17,7 +17,7 @@
 	Deduplicator Deduplicator
 	// Peers coordinates with the other gateways. nil means that there are none.
 	Peers Peers
-	// EndpointLease limits how long the endpoint list is used while it cannot be refreshed. nil means without a limit.
+	// EndpointLease limits how long the endpoint list is used while it cannot be refreshed. nil means that there is no limit.
 	EndpointLease *endpointlease.Lease
 	// Authorizer authorizes the first byte of each attempt. nil means NewAuthorizer(AuthorizerOptions{}).
 	Authorizer *Authorizer
--- a/internal/permission/permission.go
+++ b/internal/permission/permission.go
@@ -25,7 +25,7 @@
 	// StartDeadlineExceeded means that something that the attempt depends on has expired, such as the deduplication window of
 	// the servers or a quota lease.
 	StartDeadlineExceeded
-	// DeadlineExceeded means that less than a millisecond remains until the client's deadline.
+	// DeadlineExceeded means that less than a millisecond remains until the deadline of the attempt.
 	DeadlineExceeded
 
 	denialCount = iota
@@ -70,7 +70,7 @@
 	UpdatePending bool
 	// StartDeadlineMs is the time from which on the attempt must not start. 0 means that there is none.
 	StartDeadlineMs float64
-	// DeadlineMs is the client's deadline.
+	// DeadlineMs is the deadline of the attempt, which is not later than the client's deadline.
 	DeadlineMs float64
 }
 
