--- a/internal/dedup/exchange/bench_test.go
+++ b/internal/dedup/exchange/bench_test.go
@@ -16,7 +16,7 @@
 	store     *Store
 	nowMs     float64
 	copy      TransmissionID // id of the latest transmission
-	execution ID             // exchange of the latest execution
+	execution ID             // id of the exchange that was executed last
 }
 
 // write performs a write from its first transmission to the delivery of its response.
--- a/internal/dedup/exchange/link_test.go
+++ b/internal/dedup/exchange/link_test.go
@@ -58,7 +58,7 @@
 // A link without samples must be assumed to be poor.
 func TestEstimatorWithoutSamples(t *testing.T) {
 	link := &LinkEstimator{}
-	// The expected round trip is 600 ms or a quarter of the remaining time, whichever is less.
+	// The expected round trip is 600 ms or a quarter of the remaining time, whichever is less, and 0 after the deadline.
 	for remainingMs, want := range map[float64]float64{400: 100, 2400: 600, 1e5: 600, -3: 0} {
 		if got := link.expectedRoundTripMs(remainingMs); got != want {
 			t.Errorf("got an expected round trip of %v ms with %v ms remaining, want %v", got, remainingMs, want)
--- a/internal/dedup/exchange/modelactions_test.go
+++ b/internal/dedup/exchange/modelactions_test.go
@@ -59,7 +59,8 @@
 	m.checkRepeat(action, sent)
 }
 
-// checkRepeat checks an execution of a request that a server has already executed. The repeat must reach servers that drop it.
+// checkRepeat checks an execution of a request that a server has already executed. A request that is not idempotent must not be
+// repeated. While the deduplication window lasts, a repeat with a key must reach servers that drop it.
 func (m *gatewayModel) checkRepeat(action StartExecution, sent *modelTransmission) {
 	m.t.Helper()
 	execution := m.serverExecutions[sent.name()]
@@ -190,7 +191,8 @@
 		m.nowMs < execution.windowEndMs() {
 		m.fail("exchange %d is forgotten %v ms before its deduplication window ends", action.ID, execution.windowEndMs()-m.nowMs)
 	}
-	if exchange.class.Idempotency == scheduler.NotIdempotent { // the record of such a request has an infinite window
+	if exchange.class.Idempotency == scheduler.NotIdempotent {
+		// The record has an infinite window. It would forbid a new exchange with the same key, which is allowed from now on.
 		delete(m.serverExecutions, exchange.name())
 	}
 	delete(m.exchanges, action.ID)
--- a/internal/endpointlease/lease.go
+++ b/internal/endpointlease/lease.go
@@ -50,8 +50,8 @@
 func (l *Lease) RecordUnreachable(startedMs float64) { l.Renew(startedMs) }
 
 // RecordRejection records that discovery rejected or interrupted a call that started at startedMs. Discovery rejects calls while
-// it is down. A rejection then renews the lease, as RecordUnreachable does. Discovery also rejects calls while it gets too many of
-// them, which is rare because gateways pace their calls. It is reachable then, so the lease must not be renewed. This case is
+// it is down. A rejection then renews the lease, as RecordUnreachable does. Discovery also rejects calls while it gets too many
+// of them, which is rare because gateways pace their calls. It is reachable then, so the lease must not be renewed. This case is
 // assumed if the last call that got a response indicated congestion.
 func (l *Lease) RecordRejection(startedMs float64) {
 	if !l.congested {
--- a/internal/gateway/clientfrontend_test.go
+++ b/internal/gateway/clientfrontend_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// The steps of a drain, in order. At the start of each step, the frontend calls the function in its field after once.
+// The steps of a drain, in order. The frontend calls clientFrontend.after exactly once at the start of each step.
 const (
 	stepAccepting = iota + 1
 	stepReusing
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -19,7 +19,8 @@
 	"gaugerelay/internal/testbed"
 )
 
-// gatedConn is a connection whose Read waits while the test holds the write lock. Arriving bytes then stay unread in the socket.
+// gatedConn is a connection whose Read waits while the test holds the field lock for writing. Arriving bytes then stay unread in
+// the socket.
 type gatedConn struct {
 	*net.TCPConn
 	lock *sync.RWMutex
@@ -72,8 +73,8 @@
 }
 
 // An update may have arrived but still be unread in the socket of the watch, for example after a pause of the whole process. It
-// must be applied before the first byte of an attempt that was decided without it: if the update reports the server as
-// draining, the server must get no request.
+// must be applied before the first byte is sent of an attempt that the scheduler started without knowing the update. If the
+// update reports the server as draining, the server must get no request.
 func TestPendingEndpointUpdateAppliesBeforeFirstByte(t *testing.T) {
 	serverRequests := make(chan bool, 4)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
