--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -135,7 +135,7 @@
 		agent.send(`{"version":43,"servers":[` + entry("Terminating") + `]}`)
 		agent.send(`{"servers":[` + entry("Terminating") + `]}`)
 		agent.expectRequests(t)
-		// Invalid data ends the watch, which is reopened at once.
+		// Invalid data ends the watch. It has lasted longer than maxReconnectDelayMs, so it is reopened at once.
 		agent.send(`nonsense`)
 		agent.expectRequests(t, "43 at 0")
 		time.Sleep(idleTime)
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -34,7 +34,8 @@
 	CallRejected CallFailure = iota
 	// CallUnreachable means that no connection to discovery could be established.
 	CallUnreachable
-	// CallInconclusive means that the call failed on this machine or timed out, which proves nothing about discovery.
+	// CallInconclusive means that the failure does not prove that discovery is down: the call failed on this machine, timed out, or
+	// ended because discovery had restarted its version numbers.
 	CallInconclusive
 
 	callFailureCount = iota
