--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -76,7 +76,7 @@
 }
 
 // drain closes connections as late as possible. Clients that have not been notified of the shutdown keep using their open
-// connections. If these were closed earlier, the clients could reach no gateway until the next start of this one.
+// connections. If these were closed earlier, the clients could reach no gateway until the next start.
 func (f *clientFrontend) drain(times shutdownTimes) {
 	<-f.after(times.acceptUntilMs)
 	f.listener.Close()
