--- a/cmd/faultbench/members.go
+++ b/cmd/faultbench/members.go
@@ -29,7 +29,7 @@
 }
 
 // Run simulates membership in fleets of several sizes. It returns an error if the failure of a gateway was not detected
-// within the bound.
+// within membership.Settings.DetectionBoundMs.
 func (c *membersCmd) Run() error {
 	falseDeaths, undetected := 0, 0
 	for _, size := range fleetSizes {
--- a/cmd/faultbench/soak.go
+++ b/cmd/faultbench/soak.go
@@ -71,7 +71,7 @@
 }
 
 // runWithBaseline runs the soak test and the baseline concurrently, since they share no state. The baseline's report is nil
-// if the flags disable it.
+// if the flags disable the baseline.
 func (c *soakCmd) runWithBaseline() (report, baseline *soak.Report, err error) {
 	options := c.options()
 	var baselineErr error
--- a/cmd/gaugerelay/reload_test.go
+++ b/cmd/gaugerelay/reload_test.go
@@ -28,7 +28,7 @@
 // SIGHUP moves the watch to the discovery address in the changed file. An invalid file changes nothing. The gateway stays
 // ready. SIGTERM ends the program without an error, even if another SIGHUP precedes or follows it. The first watch asks for
 // the updates after version 1, which the gateway has from the configuration file. A watch at another address asks for a
-// snapshot, after=0.
+// snapshot: after=0.
 func TestReload(t *testing.T) {
 	watches := make(chan string, 4)
 	first, second := startDiscovery(t, "first", watches), startDiscovery(t, "second", watches)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// run reads batches from in and writes the reply to each, until in ends.
+// run reads batches of events and writes the reply to each batch to out, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	h := &host{out: bufio.NewWriterSize(out, bufferSize), schedulers: map[int]*scheduler.Scheduler{}}
@@ -44,7 +44,7 @@
 // host holds the schedulers of all running instances.
 type host struct {
 	out        *bufio.Writer
-	schedulers map[int]*scheduler.Scheduler // schedulers by the number of their instance
+	schedulers map[int]*scheduler.Scheduler // schedulers, keyed by the number of their instance
 }
 
 // handle handles the items of a batch in order and writes the reply.
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -12,7 +12,7 @@
 	" Plans.0.Pays=1.0 Siblings=2 FamilyInfo.NShards=1 FamilyInfo.MeanUnits=2.0 Limits.AttemptsCap=4 TickMs=2.0\n" +
 	"BACKENDS_CHANGED 1 stale_copy 1\nITEM 1 live k - 0 51 z\n"
 
-// reply returns the whole output for the input in, which must be valid.
+// reply returns the whole output for the given input, which must be valid.
 func reply(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -12,7 +12,7 @@
 const (
 	architecturePage = "docs/ARCHITECTURE.md"
 	// minCheckedNames is the minimum number of names that must be recognized on the page. The page has many more; fewer mean
-	// that the test does not parse it correctly.
+	// that the test does not parse the page correctly.
 	minCheckedNames = 80
 )
 
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -75,8 +75,8 @@
 	record  strings.Builder
 }
 
-// armingClock is a manual clock that sends to armed when a timer is set. NowMs blocks while Advance runs. The speaker, which
-// runs in another goroutine, therefore reads the time at the end of an advance, and never a time in between.
+// armingClock is a manual clock that sends to the channel armed when a timer is set. NowMs blocks while Advance runs. The
+// speaker, which runs in another goroutine, therefore reads the time at the end of an advance, and never a time in between.
 type armingClock struct {
 	*clock.Manual
 	advancing sync.RWMutex
@@ -213,8 +213,8 @@
 	testbed.CompareGolden(t, "timers", r.record.String())
 }
 
-// Records the speaker's NOTIFICATION to a router that violates the protocol. The router does so in its first message, after
-// the speaker's OPEN, or in an established session.
+// Records the speaker's NOTIFICATION to a router that violates the protocol. The violation is either the router's first
+// message, which follows the speaker's OPEN, or a message in an established session.
 func TestGoldenNotifications(t *testing.T) {
 	badMarker := frame(typeKeepalive)
 	badMarker[0] = 0
--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -46,7 +46,7 @@
 	done      chan struct{} // closed when Run returns
 	dial      func(ctx context.Context) (net.Conn, error)
 
-	ready bool // last value received from readiness; used only in Run's goroutine
+	ready bool // last value received from the channel readiness; used only in Run's goroutine
 }
 
 // New returns a speaker that announces nothing until SetReady(true) is called. Run must be called once.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,7 +15,7 @@
 	// NowMs returns the current time in milliseconds since the Unix epoch. It never runs backwards.
 	NowMs() float64
 	// AfterFunc calls f once after ms milliseconds, or as soon as possible if ms is 0 or less. It does not wait for f, so its
-	// caller may hold a lock that f acquires. Calling stop prevents the call of f if that has not begun.
+	// caller may hold a lock that f acquires. Calling stop prevents the call of f, unless f has already been called.
 	AfterFunc(ms float64, f func()) (stop func())
 }
 
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -23,18 +23,18 @@
 type SFTP struct {
 	Listen     string
 	MaxConns   int
-	UnitBytes  float64 // bytes of data that count as one unit
+	UnitBytes  float64 // number of bytes of data that are charged as one unit
 	ReadClass  scheduler.Class
 	WriteClass scheduler.Class
 	Roots      []SFTPRoot
 	// BackendPort is the port for file commands on the hosts of servers that Backends does not list; 0 means none.
 	BackendPort int
-	Backends    map[string]string // addresses for file commands by server id
+	Backends    map[string]string // addresses at which servers accept file commands, keyed by server id
 	// LookupBackend, if not nil, replaces BackendPort: it returns the addresses of servers that Backends does not list.
 	LookupBackend func(server string) (addr string, ok bool)
 }
 
-// SFTPRoot is a subtree of the file tree. Its commands are charged to a volume and a plan.
+// SFTPRoot is a subtree of the file tree. Commands on its files are charged to a volume and a plan.
 type SFTPRoot struct {
 	Path, Plan string
 	Volume     uint64
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -84,7 +84,7 @@
 	return parsed
 }
 
-// ms reads a time in milliseconds, cut to maxMs. The last key of path is given without its suffix Ms.
+// ms reads a time in milliseconds, cut to maxMs. It appends the suffix Ms to the last key of path.
 func (r *valueReader) ms(object *fastjson.Value, path ...string) time.Duration {
 	path[len(path)-1] += "Ms"
 	return clock.Duration(min(r.number(object, path...), maxMs))
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -129,8 +129,8 @@
 	wantOneReport(t, reports, 2, Withdrawn, 0)
 }
 
-// TestFailingObservationEnds checks that, after a long failure, a server is reported as failing for no longer than
-// FailureDecayBoundMs, and for a shorter time if attempts succeed.
+// TestFailingObservationEnds checks that a server that has failed for 10 s is reported as failing for no longer than
+// FailureDecayBoundMs after its last failure, and for a shorter time if attempts succeed.
 func TestFailingObservationEnds(t *testing.T) {
 	const (
 		lastFailureMs = 10_000
--- a/internal/outlier/server.go
+++ b/internal/outlier/server.go
@@ -16,7 +16,7 @@
 	decayedAtMs float64
 	withdrawn   bool
 
-	ownReports  [conditionArraySize]storedReport // latest report that this gateway has sent, by condition
+	ownReports  [conditionArraySize]storedReport // latest reports of this gateway, indexed by condition
 	peerReports []storedReport                   // latest reports of peers, at most one for each peer and condition
 }
 
--- a/internal/outlier/settings.go
+++ b/internal/outlier/settings.go
@@ -18,8 +18,8 @@
 	MinFailures float64
 	// MinFailureRatio is the smallest ratio of failures to attempts at which this gateway observes a server as failing.
 	MinFailureRatio float64
-	// MaxAttemptWeight bounds the weight of the attempts at a server, so that a long failure does not take longer to decay
-	// than a short one.
+	// MaxAttemptWeight bounds the total weight of the attempts at a server, and with it the weight of their failures. However
+	// long a server has failed, it is therefore reported as failing for at most FailureDecayBoundMs after its last failure.
 	MaxAttemptWeight float64
 
 	// MaxReportAgeMs is the age beyond which a report is ignored.
@@ -27,9 +27,9 @@
 	// ReportIntervalMs is the interval at which this gateway repeats a report whose condition persists.
 	ReportIntervalMs float64
 
-	// MinQuorum is the smallest number of gateways that must report the same condition.
+	// MinQuorum is the smallest number of gateways that must report the same condition of a server to eject it.
 	MinQuorum int
-	// QuorumFraction is the fraction of the alive gateways that must report the same condition.
+	// QuorumFraction is the fraction of the alive gateways that must report the same condition of a server to eject it.
 	QuorumFraction float64
 	// MaxEjectedFraction is the fraction of the listed servers that may be ejected at once.
 	MaxEjectedFraction float64
--- a/internal/peer/datagram/codec_test.go
+++ b/internal/peer/datagram/codec_test.go
@@ -36,8 +36,8 @@
 	return append(bytes.Clone(body), sum[:]...)
 }
 
-// TestRoundTrip checks that a packet is decoded as it was encoded, and that a datagram with another key or with a flipped bit is
-// rejected.
+// TestRoundTrip checks that a packet is decoded as it was encoded, and that a datagram that was authenticated with another
+// key or has a flipped bit is rejected.
 func TestRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "of this fleet"} {
 		var lastSeq uint64
--- a/internal/peer/datagram/packet.go
+++ b/internal/peer/datagram/packet.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/quota"
 )
 
-// Packet holds the messages and reports that one gateway sends to another one. Their Peer fields are not part of the wire
-// format: Decode sets them to From.
+// Packet holds the messages and reports that one gateway sends to another one. The Peer fields of messages and reports are not
+// part of the wire format: Decode sets them to From.
 type Packet struct {
 	// From is the index of the sending gateway.
 	From uint16
--- a/internal/peer/servers.go
+++ b/internal/peer/servers.go
@@ -24,8 +24,8 @@
 
 // serverTable holds the servers of the current endpoint list and the servers that were removed recently.
 type serverTable struct {
-	listed    map[uint64]*lifecycle.Server // servers of the current list, by serverKey
-	removedAt map[uint64]float64           // time of removal in ms, by serverKey
+	listed    map[uint64]*lifecycle.Server // servers of the current list, keyed by ServerKey
+	removedAt map[uint64]float64           // times of removal in ms, keyed by ServerKey
 }
 
 func newServerTable() serverTable {
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -71,8 +71,9 @@
 }
 
 // TestQuotaLeaseByDatagrams checks that a busy gateway obtains a lease of quota that another gateway does not use, and that
-// datagrams with another key are ignored. Each of the three gateways owns 1/3 of the volume's quota. It lends at most half of its
-// share (MaxGrantedFraction), and after its start it may use only the other half until the startup hold has ended.
+// datagrams that were authenticated with another key are ignored. Each of the three gateways owns 1/3 of the volume's quota.
+// It lends at most half of its share (MaxGrantedFraction), and after its start it may use only the other half until the
+// startup hold has ended.
 func TestQuotaLeaseByDatagrams(t *testing.T) {
 	const (
 		ownShare    = 1.0 / testGateways
--- a/internal/peerlatency/server.go
+++ b/internal/peerlatency/server.go
@@ -13,7 +13,7 @@
 	id uint64
 
 	// latencySum is the sum of the latencies of the responses to this gateway, and weight is their number. Both decay
-	// exponentially with time, and hold the values at observedAtMs.
+	// exponentially with time; the stored values are those at observedAtMs.
 	latencySum, weight float64
 	observedAtMs       float64
 	unreported         int // number of responses to this gateway since its last report about the server
@@ -49,8 +49,8 @@
 	s.reports = slices.DeleteFunc(s.reports, func(r peerReport) bool { return nowMs-r.measuredAtMs > maxAgeMs })
 }
 
-// record stores a report if it supersedes the stored report of the same peer. If there is no stored report of that peer, it
-// stores the report if it has stored fewer than maxPeers reports.
+// record stores a report if it supersedes the stored report of the same peer. The report of a peer without a
+// stored report is stored only if fewer than maxPeers reports are stored.
 func (s *server) record(r peerReport, maxPeers int) {
 	i := slices.IndexFunc(s.reports, func(stored peerReport) bool { return stored.peer == r.peer })
 	switch {
@@ -70,7 +70,8 @@
 	return r.measuredAtMs > other.measuredAtMs || r.measuredAtMs == other.measuredAtMs && r.latencyMs < other.latencyMs
 }
 
-// estimate returns the lower median of the reports that have not expired. It returns false if there are fewer than minReports.
+// estimate returns the lower median of the reports that have not expired. It returns false if fewer than minReports
+// of them remain.
 func (s *server) estimate(nowMs, maxAgeMs float64) (Estimate, bool) {
 	var latencies []float64
 	for _, r := range s.reports {
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -75,7 +75,7 @@
 }
 
 // requestLeases requests the whole shortfall of this gateway from every candidate lender, and renews leases of which less
-// than half of the duration is left.
+// than half of the duration is left. If the lenders together grant more than the shortfall, returnUnused returns the excess.
 func (a *Allocator) requestLeases(p *pool, nowMs, available float64) (messages []Message) {
 	shortfall := p.shortfall(nowMs, available)
 	for _, lender := range a.lenderCandidates(p) {
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -27,8 +27,8 @@
 //
 // While all links to its peers fail, a gateway loses only the quota that it has borrowed, and it can use all of its own
 // share again at most [Settings.GrantHoldMs] after the last grant that it issued. It can use at least
-// 1 - MaxGrantedFraction of its own share at any time, unless its own share has shrunk since it granted the rest, because
-// more gateways receive the pool's traffic.
+// 1 - MaxGrantedFraction of its own share at any time, unless that share has shrunk since it granted leases, because more
+// gateways now receive the pool's traffic.
 //
 // # Concurrency
 //
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -108,9 +108,9 @@
 	return false
 }
 
-// TestAllInterleavings applies every sequence of depth events to two gateways. After each event it checks that the gateways
-// together may use no more than the whole pool, whatever messages are lost, duplicated or delayed and whichever gateways pause
-// or crash. The sequences follow several prefixes, in most of which one gateway has lent quota to the other one.
+// TestAllInterleavings applies every event sequence of length depth to two gateways. After each event it checks that the
+// gateways together may use no more than the whole pool, whatever messages are lost, duplicated or delayed and whichever
+// gateways pause or crash. The sequences follow several prefixes, in most of which one gateway has lent quota to the other one.
 func TestAllInterleavings(t *testing.T) {
 	const (
 		n       = 2
@@ -149,7 +149,7 @@
 	}
 }
 
-// applyAllSequences applies every sequence of depth events after a prefix, and returns the number of sequences.
+// applyAllSequences applies every event sequence of length depth after a prefix, and returns the number of sequences.
 func applyAllSequences(t *testing.T, gateways int, prefix []int) (sequences int) {
 	t.Helper()
 	sequence := make([]int, *depth)
@@ -185,7 +185,7 @@
 		for range events {
 			event := random.IntN(eventCount(n))
 			if random.IntN(3) == 0 {
-				event = networkEvent(n, eventDeliverOldest) // preferred, so that most messages arrive
+				event = networkEvent(n, eventDeliverOldest) // deliveries are frequent, so that most messages arrive
 			}
 			net.apply(t, event)
 			if err := net.checkInvariant(); err != nil {
--- a/internal/quota/network_test.go
+++ b/internal/quota/network_test.go
@@ -43,7 +43,7 @@
 	gateways        []*gateway
 	inFlight        []packet
 	lastIncarnation uint32
-	maxInUse        float64 // largest fraction of the pool that checkInvariant found usable
+	maxInUse        float64 // largest fraction that the gateways together could use in any call of checkInvariant
 }
 
 // newNetwork returns a network of started gateways whose startup hold has ended. The clocks of gateways with even indexes are
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -58,7 +58,7 @@
 }
 
 // recordDemand replaces the pool's demand. If more gateways than before receive the pool's traffic, the share that this
-// gateway owns shrinks. It does not grow again if fewer do.
+// gateway owns shrinks. The share does not grow again if fewer gateways receive the traffic.
 func (p *pool) recordDemand(nowMs float64, demand Demand) {
 	if own := 1 / float64(demand.Gateways); own < p.ownFraction {
 		p.ownFraction, p.gateways = own, demand.Gateways
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -12,7 +12,7 @@
 	allocators []*Allocator
 	random     *rand.Rand
 	lossRate   float64
-	arrivals   map[int][]packet // packets in flight by the tick in which they arrive
+	arrivals   map[int][]packet // packets in flight, keyed by the tick in which they arrive
 	sent       int
 }
 
@@ -78,7 +78,7 @@
 }
 
 // demandsOf returns the demands of each gateway, given the gateways of each pool. The first gateway of a pool needs most of
-// it.
+// the pool.
 func demandsOf(gatewaysByPool [][]int) map[int][]Demand {
 	demands := map[int][]Demand{}
 	for pool, gateways := range gatewaysByPool {
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -10,7 +10,7 @@
 const (
 	stepsPerMs   = 16  // number of steps of a benchmark per simulated millisecond
 	maxMapTimers = 1e5 // largest number of timers for the map, since searching a larger map takes seconds
-	timersPerMs  = 4   // number of timers per ms of their time to expiry, so that about 2 % fire before they are rescheduled
+	timersPerMs  = 4   // n timers expire n/timersPerMs ms after scheduling, so that about 2 % fire before they are rescheduled
 )
 
 // heapEntry is a timer in the heap that is compared with the wheel. A canceled entry stays in the heap until it would have
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -72,8 +72,8 @@
 	if tick-w.currentTick >= horizonTicks {
 		tick = w.currentTick + horizonTicks - 1
 	}
-	// Each level stands for one digit of the tick, of slotBits bits. The level is that of the highest digit in which the tick
-	// differs from the current one. The slot is therefore reached before the level wraps around.
+	// Each level stands for one digit of the tick. A digit has slotBits bits. The level is that of the highest digit in which
+	// the tick differs from the current one. The slot is therefore reached before the level wraps around.
 	level := 0
 	if diff := uint64(tick ^ w.currentTick); diff != 0 {
 		level = min((bits.Len64(diff)-1)/slotBits, levelCount-1)
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -25,7 +25,7 @@
 	pending []modelTimer
 	all     []*Timer[int]
 	tick    int64 // current tick
-	order   int   // number of times that a timer was scheduled
+	order   int   // number of calls of schedule so far
 }
 
 func newWheelModel(t *testing.T) *wheelModel {
