--- a/cmd/gaugerelay/reload_test.go
+++ b/cmd/gaugerelay/reload_test.go
@@ -53,7 +53,7 @@
 	wantWatch("first watch=1&after=1")
 	reload(`{"listen":`)
 	p.waitForLog("msg=reload_failed")
-	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // valid JSON that the scheduler rejects, since it has no classes
+	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // valid JSON that the scheduler rejects, since the file has no classes
 	p.waitForLog("msg=reload_failed")
 	reload(withDiscovery(second))
 	p.waitForLog("msg=reload_done discovery=" + second)
--- a/internal/outlier/doc.go
+++ b/internal/outlier/doc.go
@@ -3,9 +3,9 @@
 //
 // # Invariants
 //
-// A report counts only if it comes from the gateway that observed the condition, is that gateway's latest report about it and
-// is not older than [Settings.MaxReportAgeMs]. Lost, reordered and repeated reports therefore do not change a decision,
-// and the reports of a gateway that crashes or is partitioned expire.
+// A report counts only if it comes from the gateway that observed the condition, is that gateway's latest report about the
+// condition and is not older than [Settings.MaxReportAgeMs]. Lost, reordered and repeated reports therefore do not change
+// a decision, and the reports of a gateway that crashes or is partitioned expire.
 //
 // A single gateway that has a bad link or sends false reports cannot eject a server at all gateways. A quorum must report the
 // same condition, and at most [Settings.MaxEjectedFraction] of the listed servers is ejected at once. A gateway whose own
--- a/internal/peer/fakes_test.go
+++ b/internal/peer/fakes_test.go
@@ -11,7 +11,7 @@
 // returns.
 type memoryNetwork struct {
 	mu     sync.Mutex
-	queues map[string]chan []byte // datagrams that have not been read, by address of the receiver
+	queues map[string]chan []byte // datagrams that have not been read, keyed by the address of the receiver
 }
 
 // memoryConn is a connection of a memoryNetwork.
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -33,7 +33,7 @@
 
 	codec           *datagram.Codec
 	socket          *datagram.Socket        // nil before Start
-	replayWindows   []datagram.ReplayWindow // replay windows of the senders, by gateway index
+	replayWindows   []datagram.ReplayWindow // replay windows of the senders, indexed by gateway
 	lastDatagramSeq uint64                  // sequence number of the last datagram that was sent
 
 	members   *membership.Memberlist
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -35,7 +35,7 @@
 	return net
 }
 
-// receive returns the messages that arrive in a tick, by recipient.
+// receive returns the messages that arrive in a tick, keyed by recipient.
 func (net *lossyNetwork) receive(tick int) map[int][]Message {
 	inboxes := map[int][]Message{}
 	for _, p := range net.arrivals[tick] {
