--- a/cmd/gaugerelay/edge_test.go
+++ b/cmd/gaugerelay/edge_test.go
@@ -27,7 +27,7 @@
 	 "bgp":{"peer":"%s","local_as":65001,"peer_as":65001,"router_id":"127.0.0.1","announce":["192.0.2.7/32"]}}`,
 		files.Addr, router.Addr()))
 	p := startProgram(t, settingsFor(unusedServer), "-edge", edge)
-	addr := p.waitForAddr(`for="file commands"`) // before acceptBGP: waiting for a later log record would skip this one
+	addr := p.waitForAddr(`for="file commands"`) // awaited first: waiting for the later BGP records skips this one
 	session := acceptBGP(t, router)
 	changeFirstByte(t, addr)
 	if got := string(files.File("/layers/a")); got != "Layer" {
