--- a/cmd/gaugerelay/reload_test.go
+++ b/cmd/gaugerelay/reload_test.go
@@ -28,7 +28,7 @@
 // SIGHUP moves the watch to the discovery address in the changed file. An invalid file changes nothing. The gateway stays
 // ready. SIGTERM ends the program without an error, even if another SIGHUP precedes or follows it. The first watch asks for
 // the updates after version 1, which the gateway has from the configuration file. A watch at another address asks for a
-// snapshot, after=0.
+// snapshot: after=0.
 func TestReload(t *testing.T) {
 	watches := make(chan string, 4)
 	first, second := startDiscovery(t, "first", watches), startDiscovery(t, "second", watches)
@@ -53,7 +53,7 @@
 	wantWatch("first watch=1&after=1")
 	reload(`{"listen":`)
 	p.waitForLog("msg=reload_failed")
-	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // valid JSON that the scheduler rejects, since it has no classes
+	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // valid JSON that the scheduler rejects, since the file has no classes
 	p.waitForLog("msg=reload_failed")
 	reload(withDiscovery(second))
 	p.waitForLog("msg=reload_done discovery=" + second)
