--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -22,7 +22,7 @@
 	minBackoffMs = 1.0
 	// maxBackoffMs limits the delay before a retry, in milliseconds.
 	maxBackoffMs = 10.0
-	// maxBackoffFraction also limits the delay before a retry, as a fraction of the shortest request deadline.
+	// maxBackoffFraction limits the delay before a retry to this fraction of the shortest request deadline.
 	maxBackoffFraction = 0.02
 )
 
@@ -41,8 +41,8 @@
 	closed    chan struct{}
 }
 
-// Wrap returns a Listener that accepts from ln. The delay before a retry doubles with each failure, up to a small fraction of
-// shortestDeadlineMs. When an accept succeeds after at least one delay, Accept calls onDelay with the time of the first failure that
+// Wrap returns a Listener that accepts from ln. The delay before a retry doubles with each failure, up to maxBackoffMs or
+// maxBackoffFraction of shortestDeadlineMs, whichever is less, but at least to minBackoffMs. When an accept succeeds after at least one delay, Accept calls onDelay with the time of the first failure that
 // caused a delay and the current time: a connection that arrived in between may have waited in the kernel's queue until now.
 func Wrap(ln net.Listener, clk clock.Clock, registry *metrics.Registry, shortestDeadlineMs float64,
 	onDelay func(fromMs, toMs float64)) *Listener {
--- a/internal/frontend/coapserver/signaling.go
+++ b/internal/frontend/coapserver/signaling.go
@@ -114,7 +114,7 @@
 		c.linkSample.RoundTripMs = roundTripMs // reported with the first request, which names the device
 		return
 	}
-	// Reported at once, since pending requests may have to be answered earlier with the new round trip.
+	// The round trip is reported at once, since a longer one may require that pending requests are answered earlier.
 	c.server.Loop.LinkMeasured(c.device, lifecycle.LinkSample{RoundTripMs: roundTripMs})
 }
 
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -109,8 +109,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.receivedCount = c.received.completePackets
-	// A client that closes its sending side is considered disconnected. During a drain, the error may result from the
-	// server's own read deadline.
+	// A client that closes its sending side is considered disconnected. During a drain, an error does not show a disconnect,
+	// because stopReading makes reads fail by an expired deadline.
 	if err != nil && !c.draining {
 		c.disconnectLocked()
 	}
@@ -148,8 +148,8 @@
 	return n, err
 }
 
-// Close is called by the library when it stops reading. It closes only the sending side if the connection supports that, since
-// serveConn closes the connection.
+// Close implements net.Conn. The library calls it when it stops reading. Close records a disconnect and closes only the sending side,
+// because serveConn closes the connection afterwards. A connection without CloseWrite is closed completely.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.disconnectLocked()
@@ -160,8 +160,8 @@
 	return c.SetReadDeadline(time.Now())
 }
 
-// abort closes the connection at once. It also reports the disconnect, since there may be no read that fails and reports it: the
-// library stops reading while many commands are waiting.
+// abort closes the connection at once. It also reports the disconnect itself and does not rely on Read to do so: the library calls
+// no Read while many commands are waiting.
 func (c *conn) abort() {
 	c.mu.Lock()
 	c.disconnectLocked()
--- a/internal/frontend/sftpserver/file.go
+++ b/internal/frontend/sftpserver/file.go
@@ -14,7 +14,7 @@
 // maxFailedWrites bounds the number of failed writes that are recorded for each handle.
 const maxFailedWrites = 64
 
-// notRetransmitted is used in place of the age of a command that is not a retransmission over another connection.
+// notRetransmitted is used in place of the age of a command that does not retransmit a WRITE of another handle.
 const notRetransmitted = -1
 
 // openFile is an open handle. Its methods may be called concurrently.
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -43,7 +43,7 @@
 // goroutine.
 type writeHistory struct {
 	mu              sync.Mutex
-	order           list.List // of *historyEntry, oldest first
+	order           list.List // the *historyEntry of all recorded writes, oldest first
 	byClientAndPath map[string][]*list.Element
 }
 
--- a/internal/platformsettings/settings.go
+++ b/internal/platformsettings/settings.go
@@ -12,7 +12,7 @@
 )
 
 // Source reads settings from one of the formats. A path has one name for each level. The methods return the zero value for a
-// setting that is absent or invalid. If settings are invalid, the Source keeps the error of the call that came first.
+// setting that is absent or invalid. If several settings are invalid, the Source keeps the error of the one that was read first.
 type Source interface {
 	Bool(path ...string) bool
 	// Count returns a whole number.
@@ -140,7 +140,8 @@
 	settings.KeyCooldown = source.Ms("Invariants", "KeyRest")
 }
 
-// readBudgets reads the retry budget, what servers report, and the minimum time between two steps of the scheduler.
+// readBudgets reads the retry budget, the settings that describe the reports of servers, and the minimum time between two steps of
+// the scheduler.
 func readBudgets(settings *scheduler.Settings, source Source) {
 	settings.RetryBudgetMin = source.Number("Invariants", "ExtraFloor")
 	settings.RetryBudgetRatio = source.Number("Invariants", "ExtraRatio")
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -3,7 +3,8 @@
 //
 // A batch is a group of lines from CLOCK to END. Each line is a name and values, separated by single spaces; "-" stands for an absent
 // value. Unknown lines, and additional values of known lines, belong to a later version of the protocol and are skipped. The
-// names on the wire are those of the simulator. Apart from the names of settings, no other package knows them.
+// names on the wire are those of the simulator. No other package knows them, except that platformsettings knows the names of
+// settings.
 //
 // The package starts no goroutine. Readers and the writer functions are not safe for concurrent use.
 package simwire
@@ -65,7 +66,7 @@
 	Event    scheduler.Event    // set only if Kind is EventOccurred
 }
 
-// Batch holds everything that happens at one time, in the order of the wire.
+// Batch holds the items of one batch in the order in which they were received. All of them happen at the same time.
 type Batch struct {
 	Now   time.Duration // time on the simulator's clock
 	Seq   string        // number of the batch, which WriteEnd repeats in the reply
@@ -126,8 +127,9 @@
 	}
 }
 
-// readItem parses the item that begins with the given line, and adds it to the batch. It skips an unknown item, and sets line.err
-// if the line is malformed.
+// readItem parses the item that begins with the given line, and adds it to the batch as an item of the given instance. It skips an
+// item of an unknown type. If the line is malformed, or if no TARGET_INSTANCE line precedes it in the batch, readItem sets line.err
+// and adds nothing.
 func (r *Reader) readItem(batch *Batch, instance int, line *fieldParser) error {
 	item, known, err := r.parseItem(line)
 	if err != nil {
@@ -159,5 +161,5 @@
 	return &fieldParser{name: fields[0], values: fields[1:]}, nil
 }
 
-// atLine prefixes an error with the number of the last line.
+// atLine prefixes an error with the number of the line that was read last.
 func (r *Reader) atLine(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -25,8 +25,8 @@
 	errInvalidResponse = errors.New("httpclient: invalid response")
 )
 
-// conn is a connection to a server. It carries one attempt or probe at a time, and returns only the response to that one to the
-// transport. The transport puts a connection back into its pool before it checks what follows a response (in readLoop,
+// conn is a connection to a server. It carries one attempt or probe at a time, and passes only the response to that attempt or probe
+// to the transport. The transport puts a connection back into its pool before it checks what follows a response (in readLoop,
 // tryPutIdleConn comes before the next Peek). Without conn, the transport would therefore take a duplicate response, or other
 // unsolicited data, for the response to the next request.
 //
@@ -133,7 +133,8 @@
 }
 
 // waitReuseDelay waits until a duplicate of the last response would have arrived. A server may send a duplicate some milliseconds
-// later, and if it arrived after the next request, it would be taken for the response to that request.
+// after the response. If the duplicate arrived after the next request was written, it would be taken for the response to that
+// request.
 func (c *conn) waitReuseDelay() {
 	c.mu.Lock()
 	waitMs := 0.0
--- a/internal/upstream/sftpclient/client.go
+++ b/internal/upstream/sftpclient/client.go
@@ -10,7 +10,7 @@
 //   - A session carries one attempt at a time. A session on which anything unexpected happens is not used again.
 //
 // Each attempt runs on its own goroutine. The goroutine ends at the latest when the attempt's deadline passes or the attempt is
-// canceled, because either closes the session.
+// canceled, because each of these events closes the session.
 package sftpclient
 
 import (
