--- a/internal/frontend/accept/accept.go
+++ b/internal/frontend/accept/accept.go
@@ -41,9 +41,10 @@
 	closed    chan struct{}
 }
 
-// Wrap returns a Listener that accepts from ln. The delay before a retry doubles with each failure, up to maxBackoffMs or
-// maxBackoffFraction of shortestDeadlineMs, whichever is less, but at least to minBackoffMs. When an accept succeeds after at least one delay, Accept calls onDelay with the time of the first failure that
-// caused a delay and the current time: a connection that arrived in between may have waited in the kernel's queue until now.
+// Wrap returns a Listener that accepts from ln. The delay before a retry starts at minBackoffMs and doubles with each failure, up to
+// the smaller of maxBackoffMs and maxBackoffFraction of shortestDeadlineMs. When an accept succeeds after at least one delay, Accept
+// calls onDelay with the time of the first failure that caused a delay and the current time: a connection that arrived in between
+// may have waited in the kernel's queue until now.
 func Wrap(ln net.Listener, clk clock.Clock, registry *metrics.Registry, shortestDeadlineMs float64,
 	onDelay func(fromMs, toMs float64)) *Listener {
 	return &Listener{
--- a/internal/frontend/coapserver/conn.go
+++ b/internal/frontend/coapserver/conn.go
@@ -36,12 +36,12 @@
 	queue              []outgoingMessage
 	writeLoopRunning   bool
 	closed             bool
-	released           bool // a Release has been queued
+	released           bool // whether a Release has been queued
 	closingWhenIdle    bool
 	pending            map[string]*pendingRequest // requests without a response, by token
 	pingSentAt         time.Time                  // when the unanswered Ping was queued; zero: no Ping is unanswered
 	peerMaxMessageSize int                        // bytes; Max-Message-Size of the device
-	peerBlockwise      bool                       // the device supports block-wise transfer
+	peerBlockwise      bool                       // whether the device supports block-wise transfer
 	idleTimeout        time.Duration
 	preferredBlockSize int // block size in bytes that suits the measured link; 0: not known
 }
--- a/internal/frontend/coapserver/fuzz_test.go
+++ b/internal/frontend/coapserver/fuzz_test.go
@@ -13,7 +13,7 @@
 )
 
 // FuzzConn sends arbitrary bytes in writes of chunkSize+1 bytes. Each submitted request must be reported as written or
-// canceled at most once, the server must send only well-formed messages, and it must enforce its limits.
+// canceled at most once, and its body must not exceed MaxMessageSize. The server must send only well-formed messages.
 func FuzzConn(f *testing.F) {
 	addFuzzSeeds(f)
 	f.Fuzz(func(t *testing.T, data []byte, chunkSize uint8) {
--- a/internal/frontend/coapserver/read_test.go
+++ b/internal/frontend/coapserver/read_test.go
@@ -14,7 +14,7 @@
 )
 
 // A silent device with a pending request, or with an idle connection, is sent a Ping. Its connection ends only if the Ping is not
-// answered. A connection with an incomplete frame or without a CSM ends after its timeout.
+// answered. A connection with an incomplete frame ends after the idle timeout, and one without a CSM after FirstMessageTimeout.
 func TestIdleTimeouts(t *testing.T) {
 	t.Run("incomplete frame", func(t *testing.T) {
 		withDevice(t, 4096, nil, func(server *Server, loop *fakeLoop, device *testDevice) {
@@ -35,7 +35,7 @@
 				device.expect(codes.Ping)
 				device.send(message.Message{Code: codes.Pong})
 			}
-			device.expect(codes.Ping) // this one gets no Pong
+			device.expect(codes.Ping) // the third Ping gets no Pong, so the connection must end
 			<-device.closed
 			synctest.Wait()
 			if submitted, canceled, _ := loop.counts(); submitted != 1 || canceled != 1 {
--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -23,7 +23,7 @@
 	encoded    []byte             // encoded message; used only if pending is nil
 	pending    *pendingRequest    // request that the field response answers; nil if the field encoded holds the message
 	response   lifecycle.Response // response to the pending request
-	closeAfter bool               // whether to close the connection after this message
+	closeAfter bool               // whether the connection is closed after this message is written
 }
 
 // send queues a message.
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// clientSends makes the client of a new or idle connection send a byte, and reads it.
+// clientSends makes the client of a new or idle connection send a byte, and reads the byte from the server's end.
 func (m *trackerModel) clientSends(i int, c *connModel) {
 	if c.state != http.StateNew && c.state != http.StateIdle {
 		return
@@ -127,7 +127,7 @@
 			i, n, err, c.conn.isShed)
 	}
 	if n == 1 {
-		c.state = http.StateActive // only in the model: the server reports this state when the whole head has arrived
+		c.state = http.StateActive // the server would report this state to the tracker only after the whole head
 	}
 }
 
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -132,7 +132,7 @@
 	testbed.Write(t, client, rawGet(1))
 	request := receive(t, "the first request", s.submitted)
 	testbed.Write(t, client, rawGet(2)+rawGet(3)+rawGet(4))
-	s.submitted <- request // respond receives the first request from this channel again
+	s.submitted <- request // put back, because respond takes the request from this channel
 	for _, content := range []string{"one", "two", "three", "four"} {
 		respond(content)
 	}
@@ -229,7 +229,7 @@
 	testbed.Write(t, client, rawGet(1))
 	receive(t, "the first request", s.submitted).Respond(lifecycle.Response{Body: []byte("x")})
 	readResponse(t, "to the first request", reader)
-	receive(t, "idle", idle) // the server may enter this state after the client has received the response
+	receive(t, "idle", idle) // the server may report StateIdle only after the client has received the response
 	gate.mu.Lock()
 	testbed.Write(t, client, rawGet(2))
 	drained := s.tracker.Drain()
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -31,7 +31,7 @@
 
 var errBodyTooLarge = &malformedError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
 
-// parsedRequest is a parsed request with the values from which makeDeviceRequest sets its Device.
+// parsedRequest is a parsed request with the values from which makeDeviceRequest sets request.Device.
 type parsedRequest struct {
 	request *lifecycle.Request
 	class   *scheduler.Class
--- a/internal/frontend/httpserver/testserver_test.go
+++ b/internal/frontend/httpserver/testserver_test.go
@@ -129,12 +129,13 @@
 	return n, err
 }
 
-// largeReceiveBuffer is the size of the receive buffer of a largeBufferListener's connections, in bytes. It is smaller than the
-// limits up to which a server reads pipelined bytes, so that it holds only the last of them.
+// largeReceiveBuffer is the size of the receive buffer of a largeBufferListener's connections, in bytes. It is smaller than
+// maxDiscardBytes, up to which a server reads and discards pipelined bytes, so that the buffer holds only the last of these bytes.
 const largeReceiveBuffer = 256 << 10
 
 // largeBufferListener accepts connections with a receive buffer of a fixed size. With the buffer that the kernel sizes by itself,
-// the receive window can stay closed although only a few KiB are unread. The peer then keeps its last bytes and its FIN.
+// the receive window can stay closed although only a few KiB are unread. The peer then cannot send its last bytes
+// and its FIN.
 type largeBufferListener struct{ net.Listener }
 
 func (l largeBufferListener) Accept() (net.Conn, error) {
--- a/internal/frontend/sftpserver/conn.go
+++ b/internal/frontend/sftpserver/conn.go
@@ -148,8 +148,8 @@
 	return n, err
 }
 
-// Close implements net.Conn. The library calls it when it stops reading. Close records a disconnect and closes only the sending side,
-// because serveConn closes the connection afterwards. A connection without CloseWrite is closed completely.
+// Close implements net.Conn. The library calls it when it stops reading. Close records a disconnect and closes only the sending
+// side, because serveConn closes the connection afterwards. If the sending side cannot be closed alone, Close closes the connection.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.disconnectLocked()
--- a/internal/frontend/sftpserver/handler.go
+++ b/internal/frontend/sftpserver/handler.go
@@ -84,8 +84,8 @@
 	return newOpenFile(h, r.Filepath, r.Flags), nil
 }
 
-// execute submits a command on the file at filePath and waits for its response. If the command is a retransmission of one that
-// was sent over another connection, ageMs is the time since the first transmission; otherwise it is notRetransmitted.
+// execute submits a command on the file at filePath and waits for its response. If the command
+// retransmits a WRITE of another handle, ageMs is the time since that WRITE was first received; otherwise it is notRetransmitted.
 func (h *handler) execute(filePath string, command *sftpwire.Command, ageMs float64) (*sftpwire.Reply, error) {
 	server := h.server
 	request, err := server.newRequest(filePath, command)
--- a/internal/frontend/sftpserver/traffic_test.go
+++ b/internal/frontend/sftpserver/traffic_test.go
@@ -239,7 +239,7 @@
 		if size := trafficUnitBytes * (1 + sequence%6); sequence%2 == 0 {
 			_, _ = file.WriteAt(make([]byte, size), 0)
 		} else {
-			// Reads no more than the file has: after a short READ, the library would send another one.
+			// The READ asks for no more than the smallest WRITE stores: after a short READ, the library would send a second one.
 			_, _ = file.ReadAt(make([]byte, min(size, trafficUnitBytes)), 0)
 		}
 	})
--- a/internal/frontend/sftpserver/writehistory.go
+++ b/internal/frontend/sftpserver/writehistory.go
@@ -25,7 +25,7 @@
 	digest          [sha256.Size]byte // SHA-256 of the data
 	size            int               // length of the data in bytes
 	uploadKey       string
-	firstReceivedMs float64 // when the first transmission was received
+	firstReceivedMs float64 // time at which the first transmission was received
 }
 
 // equals reports whether both records write the same data to the same range.
@@ -52,7 +52,7 @@
 	writeRecord
 	clientAndPath string
 	file          *openFile
-	closedMs      float64 // when the client closed the handle; 0: not closed by the client
+	closedMs      float64 // time at which the client closed the handle; 0: not closed by the client
 }
 
 // mayBeRetransmittedOn reports whether a WRITE on the given handle can be a retransmission of the entry.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -118,7 +118,7 @@
 func parseAttemptEnded(line *fieldParser) scheduler.AttemptEnded {
 	attempt := scheduler.AttemptEnded{ID: parseRequestID(line)}
 	attempt.Latency = line.optionalMs("LagMs")
-	if usage := line.optionalNumber("VolumeUse"); usage > 0 { // the value is the usage in percent plus 1; 0 means that the usage is absent
+	if usage := line.optionalNumber("VolumeUse"); usage > 0 { // percentage plus 1; 0 means that the usage is absent
 		attempt.VolumeUsage, attempt.HasVolumeUsage = (usage-1)/100, true
 	}
 	attempt.RequestDone = line.optionalText() == "1"
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -28,7 +28,7 @@
 	err    error
 }
 
-// fail records an error unless an earlier one is recorded.
+// fail records an error in err unless err already holds an earlier one.
 func (p *fieldParser) fail(err error) {
 	if p.err == nil {
 		p.err = err
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -129,7 +129,7 @@
 
 // readItem parses the item that begins with the given line, and adds it to the batch as an item of the given instance. It skips an
 // item of an unknown type. If the line is malformed, or if no TARGET_INSTANCE line precedes it in the batch, readItem sets line.err
-// and adds nothing.
+// and adds nothing. It returns an error if the lines of an endpoint list do not follow the given line.
 func (r *Reader) readItem(batch *Batch, instance int, line *fieldParser) error {
 	item, known, err := r.parseItem(line)
 	if err != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -10,8 +10,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// parsedSettings holds the settings of one line by path. The names in a path are separated by dots. err is the error of the
-// first invalid setting that was read.
+// parsedSettings holds the settings of one line by path. The names in a path are separated by dots. err describes the invalid
+// setting that was read first; it is nil if no invalid setting was read.
 type parsedSettings struct {
 	values map[string]string
 	err    error
--- a/internal/upstream/httpclient/attempt.go
+++ b/internal/upstream/httpclient/attempt.go
@@ -26,7 +26,7 @@
 
 var timeLeftPlaceholderLine = []byte("\r\n" + timeLeftHeader + ": " + timeLeftPlaceholder + "\r\n")
 
-// attemptState is the state of one attempt on one connection. The attempt's goroutine shares it with those of the transport.
+// attemptState is the state of one attempt on one connection. The attempt's goroutine shares it with the transport's goroutines.
 type attemptState struct {
 	lifecycle.Attempt
 	isCanceled func() bool // reports whether the attempt's context has ended
--- a/internal/upstream/httpclient/attempt_test.go
+++ b/internal/upstream/httpclient/attempt_test.go
@@ -77,7 +77,7 @@
 	t.Helper()
 	received := make(chan string, 1)
 	addr := testbed.Serve(t, func(c net.Conn) {
-		b := make([]byte, 1) // one byte is enough to fail the test; the connection is closed after it
+		b := make([]byte, 1) // one byte is enough to fail the test; the connection is closed after the read
 		n, _ := c.Read(b)
 		received <- string(b[:n])
 	})
--- a/internal/upstream/httpclient/client.go
+++ b/internal/upstream/httpclient/client.go
@@ -99,7 +99,7 @@
 func (c *Client) Start(attempt lifecycle.Attempt) (cancel func()) {
 	ctx, cancelCause := clock.WithDeadline(c.clock, attempt.DeadlineMs)
 	go func() {
-		defer cancelCause(nil) // interrupts no read: run has read the whole response body when it returns
+		defer cancelCause(nil) // this cancels no read, because run returns only after it has read the whole response body
 		c.results.Complete(attempt, c.run(ctx, attempt))
 	}()
 	return func() { cancelCause(context.Canceled) }
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -193,7 +193,8 @@
 			c.client.metrics.Add(serverDataUnsolicited, 1)
 			c.unusable = true
 		}
-		// A request that was answered before it was written completely may be answered a second time. No other request may follow it.
+		// A request that was answered before it was written completely may be answered a second time. No other
+		// request may follow it on this connection.
 		c.unusable = c.unusable || attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	case c.stopTimeout == nil:
 		awaited := c.response
@@ -202,8 +203,8 @@
 	return n, nil
 }
 
-// readAndCheck reads from the connection and checks, under the same lock of c.mu, whether a request awaits the data. If it
-// checked later, a request that was written in between would get data that arrived before it as its response.
+// readAndCheck reads from the connection and checks, under the same lock of c.mu, whether a request awaits the data. If the check
+// came later, a request could be written after the read and before the check, and the data would be taken for its response.
 func (c *conn) readAndCheck(p []byte) (n int, err error) {
 	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/sftpclient/fuzz_test.go
+++ b/internal/upstream/sftpclient/fuzz_test.go
@@ -20,8 +20,8 @@
 // maxFuzzSteps bounds the steps that are taken from one input.
 const maxFuzzSteps = 12
 
-// statusAfterResponse is the status of an attempt, by the response to its command or, if the OPEN failed, to the OPEN. The status
-// after a disconnect during the OPEN is another one, which FuzzSession sets.
+// statusAfterResponse is the status of an attempt, by the response to its command or, if the OPEN failed, to the OPEN. After a
+// disconnect during the OPEN, FuzzSession expects StatusOverloaded instead, because the command was not sent.
 var statusAfterResponse = [responseKinds]scheduler.Status{
 	respondOK:          scheduler.StatusOK,
 	respondFailure:     scheduler.StatusError,
