--- a/internal/frontend/coapserver/write.go
+++ b/internal/frontend/coapserver/write.go
@@ -14,7 +14,7 @@
 
 const (
 	maxQueuedMessages = 16      // a connection handles no further requests while this many messages are queued on it
-	writeChunkSize    = 4 << 10 // bytes; the idle timeout applies to each chunk
+	writeChunkSize    = 4 << 10 // size in bytes of the chunks in which a message is written; the idle timeout applies to each
 )
 
 // outgoingMessage is a queued message: either an encoded one or the response to a request. A response is encoded only when it
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -30,7 +30,7 @@
 // ConnTracker tracks the client connections of an http.Server. While the number of open connections is above SheddingThreshold,
 // it sheds new and idle ones, so that the connections of clients that send requests can be accepted and read. It sheds a
 // connection only if nothing has been read from it since its last response: a request that has been read is served, and its
-// connection stays open until the response is written. The number can therefore stay above SheddingThreshold.
+// connection stays open until the response is written. The number of open connections can therefore stay above SheddingThreshold.
 //
 // The exported fields are set before use. The methods may be called from any goroutine.
 type ConnTracker struct {
--- a/internal/frontend/sftpserver/file.go
+++ b/internal/frontend/sftpserver/file.go
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// identifyWrite returns the record of a WRITE. Its upload key is that of the earlier WRITE that it retransmits, or a new one.
+// identifyWrite returns the record of a WRITE. If the WRITE is a retransmission, the record is that of the earlier WRITE; otherwise it
+// is a new record with a new upload key.
 // ageMs is the time since the earlier WRITE was first received if that was on another handle; otherwise it is notRetransmitted.
 func (f *openFile) identifyWrite(data []byte, offset int64) (record writeRecord, ageMs float64) {
 	server := f.handler.server
