--- a/internal/frontend/sftpserver/file.go
+++ b/internal/frontend/sftpserver/file.go
@@ -14,7 +14,7 @@
 // maxFailedWrites bounds the number of failed writes that are recorded for each handle.
 const maxFailedWrites = 64
 
-// notRetransmitted is used in place of the age of a command that is not a retransmission over another connection.
+// notRetransmitted is used in place of the age of a command that does not retransmit a WRITE of another handle.
 const notRetransmitted = -1
 
 // openFile is an open handle. Its methods may be called concurrently.
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// identifyWrite returns the record of a WRITE. Its upload key is that of the earlier WRITE that it retransmits, or a new one.
+// identifyWrite returns the record of a WRITE. If the WRITE is a retransmission, the record is that of the earlier WRITE; otherwise it
+// is a new record with a new upload key.
 // ageMs is the time since the earlier WRITE was first received if that was on another handle; otherwise it is notRetransmitted.
 func (f *openFile) identifyWrite(data []byte, offset int64) (record writeRecord, ageMs float64) {
 	server := f.handler.server
