--- a/internal/testbed/chaos/behavior.go
+++ b/internal/testbed/chaos/behavior.go
@@ -34,7 +34,7 @@
 	failProbability     = 0.7
 	breakProbability    = 0.5
 	truncateProbability = 0.3
-	garbageProbability  = 0.6 // a draw between truncateProbability and this bound makes the response malformed
+	garbageProbability  = 0.6 // a draw between truncateProbability and garbageProbability makes the response malformed
 	repeatProbability   = 0.3
 )
 
--- a/internal/testbed/chaos/checker.go
+++ b/internal/testbed/chaos/checker.go
@@ -8,7 +8,7 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// stallLookback is the time after the end of a stall of the machine in which the stall still excuses an attempt that is too late.
+// stallLookback is how long after its end a stall of the machine still excuses an attempt that begins after the drain grace.
 const stallLookback = 200 * time.Millisecond
 
 // checker checks the invariants against the records of a run, whose clients and faults must have ended.
--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -79,7 +79,7 @@
 		r.publish(process.EndpointDraining, at(50*time.Second))
 		r.harness.stalls = []process.Interval{{From: at(59 * time.Second), To: at(time.Minute)}}
 	}, Result{}},
-	{"more than slow start allows", func(r *record) { // as much as 100 requests of meanUnits; slowStartBound allows less than 50
+	{"more than slow start allows", func(r *record) { // 200 units are 100 requests of meanUnits; slowStartBound allows less than 50
 		r.server.startedAt, r.arrival.units = at(time.Minute-time.Second), 200
 		r.harness.discovery.changes[0].at = r.server.startedAt
 		r.harness.discovery.deliveries[0] = []delivery{{r.server.startedAt, 1}}
--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -49,7 +49,7 @@
 // of its own, by which discovery knows the gateway. It records what was sent to each gateway.
 type discovery struct {
 	push  bool        // whether each gateway has an agent on its machine that pushes the list, instead of one service that all gateways poll
-	addrs [][2]string // for each gateway: its two addresses of discovery; a reload moves the gateway from one to the other
+	addrs [][2]string // for each gateway: its two addresses of discovery; reloads switch the gateway between them
 
 	callSlot chan struct{} // holds a token while a poll is handled, so that polls are handled one at a time
 	servers  []*http.Server
@@ -62,7 +62,7 @@
 	changes     []change
 	changed     chan struct{}        // channel that is closed at the next change of the list
 	deliveries  [][]delivery         // deliveries by gateway
-	silences    [][]process.Interval // for each gateway: times in which one of its watches was silent; each is added when that watch ends
+	silences    [][]process.Interval // for each gateway: intervals in which one of its watches was silent; added when that watch ends
 	openWatches []map[int]*watch     // open watches by gateway and watch ID
 	lastWatchID int
 }
--- a/internal/testbed/chaos/faults.go
+++ b/internal/testbed/chaos/faults.go
@@ -40,7 +40,7 @@
 	finalFaultFreeTime   = 2 * time.Second
 )
 
-// meanFaultInterval is the mean time between the starts of two faults. Most faults last longer, so that they overlap.
+// meanFaultInterval is the mean time between the starts of successive faults. Most faults last longer, so that they overlap.
 const meanFaultInterval = 700 * time.Millisecond
 
 // faultSchedule draws the faults of a run from its seed.
--- a/internal/testbed/chaos/gateway.go
+++ b/internal/testbed/chaos/gateway.go
@@ -30,7 +30,7 @@
 type gateway struct {
 	*process.Process
 	dir           string // directory of the files that the gateway reads
-	discoveryAddr int    // 0 or 1: which of its two addresses of discovery the gateway uses
+	discoveryAddr int    // 0 or 1: index of the discovery address that the gateway uses, in discovery.addrs
 
 	faultMu sync.Mutex // held by the fault that currently affects the process; meanwhile, other faults skip the process
 
@@ -40,7 +40,7 @@
 	pauses       []process.Interval // from SIGSTOP to SIGCONT
 }
 
-// newGateway writes the files of a gateway and does not start the process.
+// newGateway writes the files of a gateway but does not start the process.
 func (h *harness) newGateway(index int) (*gateway, error) {
 	listenAddr, err := loopback.FreeTCPAddr(loopback.Host(loopbackBlock, index))
 	if err != nil {
@@ -98,8 +98,8 @@
 // violationCounter matches the nonzero metrics in which a gateway counts violations that it has detected itself.
 var violationCounter = regexp.MustCompile(`(?m)^(rule_violations_\w+) ([1-9]\d*)$`)
 
-// unansweredCounter is the only violation counter that is also checked for a gateway that was paused. A pause between a
-// decision of the gateway and the first byte that it sends can increment the other counters without a bug.
+// unansweredCounter is the only violation counter that is also checked for a gateway that was paused. The other counters
+// can also increase without a bug, if the pause lies between a decision of the gateway and the first byte that the gateway sends.
 const unansweredCounter = "rule_violations_closed_without_response"
 
 // recordMetricViolations records the nonzero violation counters of a gateway. It ignores a gateway that does not respond.
--- a/internal/testbed/chaos/gatewayfaults.go
+++ b/internal/testbed/chaos/gatewayfaults.go
@@ -9,7 +9,7 @@
 // One fault affects at most Options.Gateways/gatewaysPerFault gateways, or one gateway if the quotient is 0.
 const gatewaysPerFault = 6
 
-// reloadTime is how long a gateway that reloads its configuration is not affected by other faults.
+// reloadTime is how long other faults skip a gateway after it was sent SIGHUP to reload its configuration.
 const reloadTime = 100 * time.Millisecond
 
 // onRandomGateways calls inject concurrently for a few random gateways. It skips gateways that another fault affects.
--- a/internal/testbed/chaos/options.go
+++ b/internal/testbed/chaos/options.go
@@ -15,11 +15,11 @@
 	Shards          int
 	Duration        time.Duration
 	Seed            uint64
-	PushDiscovery   bool     // an agent on each gateway's machine pushes endpoint lists; otherwise the gateways poll for them
+	PushDiscovery   bool     // whether an agent on each gateway's machine pushes endpoint lists; otherwise the gateways poll
 	RequestRate     float64  // requests per second to each gateway
-	FailSystemCalls bool     // system calls of the gateways fail at random; Binary must have been built with the tag chaos
-	DebugLog        bool     // gateways log each request
-	Faults          []string // names of the faults to inject; empty: all
+	FailSystemCalls bool     // whether system calls of the gateways fail at random; requires a Binary built with the tag chaos
+	DebugLog        bool     // whether gateways log each request
+	Faults          []string // names of the faults to inject; empty: all faults
 	// LogOutput receives the merged log of all processes if an invariant was violated. It may be nil.
 	LogOutput io.Writer
 }
--- a/internal/testbed/chaos/request.go
+++ b/internal/testbed/chaos/request.go
@@ -42,13 +42,13 @@
 	shard       int
 	units       int
 	deadline    time.Duration // remaining time that the client states
-	cancelAfter time.Duration // time from the end of sending until the client closes its connection; 0: it does not
+	cancelAfter time.Duration // time for which the client waits for the response before it cancels; 0: it does not cancel
 	incomplete  bool          // whether the client sends only half of the request and then waits
 
 	connReused   bool      // whether the connection had carried an earlier request
 	dialedAt     time.Time // when the client began to connect; zero if the connection was reused
-	sentAt       time.Time // when the client had written the last byte; zero: never
-	closedAt     time.Time // when the client closed the connection without a complete response; zero: never
+	sentAt       time.Time // when the client had finished writing; zero: the write failed or did not begin
+	closedAt     time.Time // when the client closed the connection without a complete response; zero: it did not
 	endedAt      time.Time
 	outcome      outcome
 	status       int // status of the response; 0: no response
@@ -73,7 +73,7 @@
 	return b.String() + "\r\n" + body
 }
 
-// requestID identifies a request. It contains the gateway and the units of the request, so that servers know them.
+// requestID identifies a request. It contains the gateway and the units of the request, so that the fake servers know them.
 type requestID struct {
 	gateway int // gateway that the client sends the request to
 	units   int
--- a/internal/testbed/chaos/responsecheck.go
+++ b/internal/testbed/chaos/responsecheck.go
@@ -85,11 +85,11 @@
 		c.seconds(r.endedAt), r.id, r.class.name, r.gateway, r.connReused, c.seconds(r.sentAt), r.err, len(arrivals))
 }
 
-// neverAccepted reports whether the connection may have been closed before the gateway read the request. The caller must have
-// checked that no attempt of the request arrived at a server.
+// neverAccepted reports whether the connection of a request may have been closed before the gateway read the request. The caller
+// must have checked that no attempt of the request arrived at a server.
 func (c *checker) neverAccepted(r *request) bool {
 	if r.connReused || r.sentAt.IsZero() {
-		return true // the gateway may have closed an idle connection before it read the request
+		return true // the gateway may have closed an idle connection, or the client could not write the request
 	}
 	// When a gateway that is shutting down stops accepting connections, the operating system resets the established connections
 	// that the gateway has not accepted yet. There are two cases. stoppedAccepting is set if a shutdown, including the restart,
--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -23,7 +23,7 @@
 	lastByteAt    time.Time     // arrival of the last byte; zero if the request did not arrive completely
 	remainingTime time.Duration // remaining time that the gateway states in the request
 	units         float64
-	executed      bool // whether the server may have executed the request, because it arrived completely and was not rejected
+	executed      bool // whether the request arrived completely and was not rejected, so that the server may have executed it
 }
 
 // server fakes one incarnation of a storage server. It records all arrivals.
--- a/internal/testbed/chaos/serverfaults.go
+++ b/internal/testbed/chaos/serverfaults.go
@@ -9,8 +9,8 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// Times of the replacement of a server. A draining server keeps running for longer than the drain grace, so that a gateway
-// that goes on using it is detected.
+// Times of the replacement of a server. A draining server keeps running for longer than the drain grace, so that the
+// server records the requests of a gateway that wrongly goes on using it.
 const (
 	drainTime      = 14 * time.Second // time from listing the replacement to removing the drained server from the endpoint list
 	removedRunTime = 4 * time.Second  // time from the removal of the drained server from the list to its end
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -26,7 +26,7 @@
 
 // serveWatch handles a call of a gateway: it opens a watch of the endpoint list and sends its messages until the watch ends.
 func (d *discovery) serveWatch(gateway int, w http.ResponseWriter, r *http.Request) {
-	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // The version is 0 if the gateway has no list.
+	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // Atoi returns 0 if the parameter is absent: the gateway has no list.
 	if d.failInOutage(w) {
 		return
 	}
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -53,7 +53,7 @@
 	Seed           uint64
 	Gossip         bool    // whether gateways communicate with each other
 	LeaseMs        float64 // lifetime of a quota lease
-	TimeScale      float64 // factor by which the waiting times of scenarios are multiplied, below 1 for short runs; 0 means 1
+	TimeScale      float64 // factor for the waiting times of scenarios, below 1 for short runs; 0: the waiting times are not changed
 }
 
 // Cluster is a running fleet of gateways with its fakes.
@@ -72,7 +72,7 @@
 
 	mu                sync.Mutex
 	result            Result
-	violationPosition int   // position in the log of the first violation; 0: none yet, or addViolation did not record it
+	violationPosition int   // log position of the first violation that addViolation recorded; 0: none
 	primaryHosts      []int // for each volume: index of the host that receives most of the volume's requests
 	requestCount      int
 }
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -54,7 +54,7 @@
 	c.gateways[gateway].Signal(syscall.SIGCONT)
 }
 
-// rotatePrimaryHosts makes the next host of each volume its primary host, which receives most of its requests.
+// rotatePrimaryHosts makes the next host of each volume its primary host, which receives most of the volume's requests.
 func (c *Cluster) rotatePrimaryHosts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,7 @@
 	c.waitUnscaled(duration)
 }
 
-// waitUnscaled waits for a duration that depends on the gateways' own timeouts, which TimeScale does not shorten.
+// waitUnscaled waits for a duration without scaling it: TimeScale does not shorten the gateways' own timeouts.
 func (c *Cluster) waitUnscaled(duration time.Duration) {
 	select {
 	case <-c.stop:
--- a/internal/testbed/cluster/serverscenarios.go
+++ b/internal/testbed/cluster/serverscenarios.go
@@ -9,7 +9,7 @@
 const (
 	failingShard  = 0
 	drainingShard = 1
-	stalledShard  = 2 // the scenario takes this value modulo the number of shards
+	stalledShard  = 2 // stallResponses uses stalledShard modulo the number of shards
 )
 
 // failServerForAll measures how many requests the gateways still send to a server that fails for all of them, and how long they
--- a/internal/testbed/cluster/streamproxy.go
+++ b/internal/testbed/cluster/streamproxy.go
@@ -20,7 +20,7 @@
 	Stalled         bool    // no bytes are forwarded; connections stay open
 	DelayMs         float64 // delay of each chunk
 	ChunkSize       int     // bytes forwarded at once, every chunkInterval; 0: all available bytes
-	ResetAfterBytes int     // bytes after which each connection is reset; bytes forwarded while this is 0 do not count; 0: never
+	ResetAfterBytes int     // bytes after which each connection is reset; 0: it is not reset, and forwarded bytes are not counted
 }
 
 // direction is the direction of bytes through a streamProxy.
--- a/internal/testbed/fakedevice/coap.go
+++ b/internal/testbed/fakedevice/coap.go
@@ -155,7 +155,7 @@
 			if err := t.writeMessage(ctx, message.Message{Code: codes.Pong, Token: m.Token}); err != nil {
 				return nil, err
 			}
-		case codes.Release: // The gateway is going to close the connection. The device uses the connection until it ends.
+		case codes.Release: // The gateway will close the connection. Until it does, the device uses the connection.
 		case codes.Abort:
 			return nil, fmt.Errorf("fakedevice: the gateway aborted the connection: %s", m.Payload)
 		default:
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -225,5 +225,5 @@
 	}
 }
 
-// digest returns a short hexadecimal digest of a body.
+// digest returns the short hexadecimal digest of a body.
 func digest(body []byte) string { return fakestorage.Digest(body) }
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -65,7 +65,7 @@
 
 	mu             sync.Mutex
 	random         *rand.Rand
-	acceptFailures int // number of accepts that will fail, from the next one on
+	acceptFailures int // number of accepts, starting with the next one, that will fail
 }
 
 // New returns a network whose failures are drawn from the seed in the options.
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -64,7 +64,7 @@
 	content     string // digest of the body
 	at          time.Time
 	incarnation int    // incarnation of the gateway when the response was received
-	note        string // details for reports
+	note        string // status of the response, for the texts of violations
 }
 
 // exchangeRecord is everything that was recorded about an exchange.
--- a/internal/testbed/linkshaper/schedule.go
+++ b/internal/testbed/linkshaper/schedule.go
@@ -25,8 +25,8 @@
 	profile       Profile
 	random        *rand.Rand
 	idleAt        [directions]time.Time // when all segments scheduled so far in the direction have been transmitted
-	lastArrivalAt [directions]time.Time // arrival of the last segment of the direction; no later one arrives before it, as on TCP
-	stalls        []stall               // stalls drawn so far, in the order of time; the first one is empty and marks the start of the link
+	lastArrivalAt [directions]time.Time // latest arrival scheduled for the direction; as on TCP, segments do not overtake each other
+	stalls        []stall               // stalls drawn so far, in the order of time, after an empty stall at the start of the link
 	lastLossAt    time.Time             // when the latest retransmitted segment arrives
 }
 
--- a/internal/testbed/membershipsim/events.go
+++ b/internal/testbed/membershipsim/events.go
@@ -9,7 +9,7 @@
 // event is the arrival of a message at a member, or the expiry of the member's timer.
 type event struct {
 	atMs    float64
-	order   int                // sequence number; events of the same time are processed in this order
+	order   int                // sequence number; events of the same time are processed in the order of these numbers
 	member  int                // number of the member that the event concerns
 	isTimer bool               // whether the event is the expiry of the timer
 	message membership.Message // arriving message; valid only if isTimer is false
--- a/internal/testbed/membershipsim/measure.go
+++ b/internal/testbed/membershipsim/measure.go
@@ -15,17 +15,17 @@
 // Report is the result of Measure.
 type Report struct {
 	// DetectionP50Ms and DetectionP99Ms are the median and the 99th percentile of the detection time: the time from a crash
-	// until a running member declares the crashed member dead. Detections after the bound are not included.
+	// until a running member declares the crashed member dead. Detections later than BoundMs are not included.
 	DetectionP50Ms, DetectionP99Ms float64
 	// BoundMs is the upper bound of the detection time.
 	BoundMs float64
-	// Undetected is the number of pairs of a crash and a running member in which the member did not detect the crash within the
-	// bound.
+	// Undetected is the number of pairs of a crash and a running member in which the member did not detect the crash within
+	// BoundMs.
 	Undetected int
-	// Unfinished is the number of pairs in which the member had not detected the crash when the simulation ended, and the bound
-	// had not passed yet. Undetected does not include them.
+	// Unfinished is the number of pairs in which the member had not detected the crash when the simulation ended, and less
+	// than BoundMs had passed since the crash. Undetected does not include them.
 	Unfinished int
-	// FalseDeathsPerHour is the number of false deaths per hour and member.
+	// FalseDeathsPerHour is FalseDeaths per simulated hour and member.
 	FalseDeathsPerHour float64
 	// FalseDeaths is the value of Simulation.FalseDeaths at the end.
 	FalseDeaths int
@@ -34,8 +34,8 @@
 }
 
 // Measure simulates a fleet in three phases: without crashes, with up to the given number of crashes, and without further
-// crashes. The first two phases take ms/3 each. The third phase lasts for the detection bound, but at least ms/3; a bound above
-// 4*ms is cut to 4*ms.
+// crashes. The first two phases take ms/3 each. The third phase lasts for Report.BoundMs, but at least ms/3 and at
+// most 4*ms.
 func Measure(options Options, ms float64, crashes int) Report {
 	s := New(options)
 	s.Run(ms / 3)
--- a/internal/testbed/membershipsim/measure_test.go
+++ b/internal/testbed/membershipsim/measure_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCrashesAreDetectedWithinBound checks that every running member detects each crash within the bound, also if 20 % of the
-// messages are lost, and that at loss rates below 10 % no running member is declared dead.
+// TestCrashesAreDetectedWithinBound checks that every running member detects each crash within Report.BoundMs, also if 20 % of
+// the messages are lost, and that at loss rates below 10 % no running member is declared dead.
 func TestCrashesAreDetectedWithinBound(t *testing.T) {
 	for _, c := range []struct {
 		memberCount int
--- a/internal/testbed/membershipsim/simulation.go
+++ b/internal/testbed/membershipsim/simulation.go
@@ -50,7 +50,7 @@
 	deadSinceMs []float64
 }
 
-// isRunning reports whether the member takes part in the protocol.
+// isRunning reports whether the member is neither crashed nor paused.
 func (m *member) isRunning() bool { return !m.crashed && !m.paused }
 
 // New starts a simulation of a fleet. At the start, each member regards all others as alive.
@@ -68,7 +68,8 @@
 	return s
 }
 
-// Settings returns the settings of a member, with the process incarnation that StartMember has assigned last.
+// Settings returns the settings of the member with the given number. Their process incarnation is the one that StartMember
+// assigned last, to whichever member.
 func (s *Simulation) Settings(number int) membership.Settings {
 	seed := s.options.Seed<<20 + uint64(s.lastIncarnation)
 	return membership.DefaultSettings(uint16(number), s.options.MemberCount, s.lastIncarnation, seed)
@@ -162,7 +163,7 @@
 	}
 }
 
-// recordChange records a state change of another member that the member with the given number reports.
+// recordChange records that the member with the given number has changed its view of the state of another member.
 func (s *Simulation) recordChange(number int, change membership.StateChange) {
 	if change.IdentityConflict {
 		return
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -82,8 +82,7 @@
 }
 
 // WriteConfig creates a directory, writes the files that the process reads into it, and sets Env and Args so that the
-// process finds them.
-// If edge is nil, no operator's file is written. A running process rereads the configuration file on SIGHUP.
+// process finds them. If edge is nil, no operator's file is written. A running process rereads the configuration file on SIGHUP.
 func (p *Process) WriteConfig(dir string, config Config, edge *EdgeConfig) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("process: create the directory of %s: %w", p.Name, err)
--- a/internal/testbed/process/interval_test.go
+++ b/internal/testbed/process/interval_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestInterruptedDuring checks spans against one interruption from 10 s to 20 s and one since 30 s that has not ended.
+// TestInterruptedDuring checks which time spans overlap an interruption from 10 s to 20 s or one that began at 30 s and has not
+// ended.
 func TestInterruptedDuring(t *testing.T) {
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
 	p := &Process{interruptions: []Interval{{at(10), at(20)}, {at(30), time.Time{}}}}
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -132,7 +132,7 @@
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // The version is 0 if the parameter is absent.
+	version, _ := strconv.Atoi(r.URL.Query().Get("after")) // Atoi returns 0 if the parameter is absent.
 	watch := watchState{gateway: g, incarnation: g.gateway, version: version, opening: true}
 	g.watches[reset] = true
 	s.mu.Unlock()
@@ -160,7 +160,7 @@
 	gateway     *simulatedGateway
 	incarnation *gateway.Gateway // incarnation of the gateway that opened the watch
 	version     int              // latest version that the watch has sent
-	opening     bool             // whether the first message has still to be sent
+	opening     bool             // whether the watch has not sent its first message yet
 }
 
 // nextWatchMessage returns the next line that a watch sends, and the channel that is closed at the next change of the endpoint list.
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -124,8 +124,8 @@
 	return ready
 }
 
-// scheduleDiscoveryOutage schedules, with probability 1/2, an outage of a gateway's discovery fake: either its watches are reset
-// and it is down for up to two seconds, or its watches are only reset.
+// scheduleDiscoveryOutage schedules, with probability 1/2, an outage of a gateway's discovery fake: the open watches are
+// reset, and in some outages the fake also refuses new watches for up to two seconds.
 func (f *faultInjector) scheduleDiscoveryOutage(g *simulatedGateway) {
 	if f.random.IntN(2) != 0 {
 		return
@@ -160,7 +160,8 @@
 	}
 }
 
-// killGateway kills a gateway and starts it again after downtime. It does not restart a gateway whose settings were rejected.
+// killGateway kills a gateway and starts it again after downtime. A gateway whose settings were rejected is not running, so it
+// is neither killed nor started.
 func (s *simulation) killGateway(g *simulatedGateway, downtime time.Duration) {
 	s.mu.Lock()
 	g.killed = true
@@ -175,7 +176,8 @@
 	s.startGateway(g)
 }
 
-// shutDownGateway shuts a gateway down gracefully and starts it again. It does not restart a gateway whose settings were rejected.
+// shutDownGateway shuts a gateway down gracefully and starts it again. A gateway whose settings were rejected is not running, so
+// it is neither shut down nor started.
 func (s *simulation) shutDownGateway(g *simulatedGateway) {
 	s.mu.Lock()
 	g.stoppingSince = time.Now()
@@ -190,7 +192,7 @@
 }
 
 // scheduleFreeze schedules, with probability 1/2, a period in which a server does not respond. The longer of the two possible
-// durations exceeds the time that a graceful shutdown of a gateway may take.
+// freeze durations exceeds the time that a graceful shutdown of a gateway may take.
 func (f *faultInjector) scheduleFreeze() {
 	if f.random.IntN(2) != 0 {
 		return
--- a/internal/testbed/simulation/gateway.go
+++ b/internal/testbed/simulation/gateway.go
@@ -9,7 +9,7 @@
 	"gaugerelay/internal/gateway"
 )
 
-// simulatedGateway is a gateway, across its restarts, with the discovery fake that it watches.
+// simulatedGateway is a gateway with the discovery fake that it watches. It remains the same when the gateway is restarted.
 type simulatedGateway struct {
 	index     int
 	discovery *http.Server
--- a/internal/testbed/simulation/rules.go
+++ b/internal/testbed/simulation/rules.go
@@ -16,8 +16,8 @@
 	updatedAt time.Time
 }
 
-// recordArrival adds an attempt to its request and checks the rules that the arrival can violate. The first byte arrived at
-// firstByteAt, the last one now. s.mu must be held.
+// recordArrival adds an attempt to its request and checks the rules that the arrival can violate. The first byte of the attempt
+// arrived at firstByteAt; the last byte has just arrived. s.mu must be held.
 func (s *simulation) recordArrival(srv *server, g *simulatedGateway, req *request, firstByteAt time.Time) *attempt {
 	now := time.Now()
 	s.checkDrain(srv, g, firstByteAt)
@@ -95,7 +95,7 @@
 }
 
 // checkNoConcurrentAttempt checks that no other attempt of the request is in flight. A server may notice the end of an earlier
-// attempt's connection with a delay, so the check runs when the tolerance has passed.
+// attempt's connection with a delay, so the check runs after a wait of tolerance.
 func (s *simulation) checkNoConcurrentAttempt(srv *server, req *request) {
 	for _, earlier := range req.attempts {
 		if !earlier.inFlight {
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen            chan struct{}        // channel that is closed at the end of a period without responses; nil outside of such a period
 	queued            int                  // number of admitted requests without a response
 	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
-	servedElsewhere   map[uint64][]float64 // units served for others and not yet reported to a gateway, by volume ID and gateway index
+	servedElsewhere   map[uint64][]float64 // by volume ID and gateway index: units served for other gateways, not yet reported
 }
 
 // slowStartArrival is the arrival of a request at a server during its slow start.
@@ -127,7 +127,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	attempt := s.recordArrival(srv, g, request, firstByteAt)
-	context.AfterFunc(r.Context(), func() { // The attempt was canceled or has its response.
+	context.AfterFunc(r.Context(), func() { // r.Context() ends when the attempt was canceled or has its response.
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		attempt.inFlight = false
--- a/internal/testbed/simulation/settings.go
+++ b/internal/testbed/simulation/settings.go
@@ -9,8 +9,8 @@
 // maxSockets is the number of sockets that each gateway may use.
 const maxSockets = 512
 
-// settingsDocument is the document that the platform gives a gateway at its start. The JSON names of the fields in this type and
-// the types below are those of the platform.
+// settingsDocument is the document that the platform gives a gateway at its start. The platform determines the JSON names of
+// the fields in this type and the types below.
 type settingsDocument struct {
 	Discovery string          `json:"discovery"`
 	Known     *endpointUpdate `json:"known"`
--- a/internal/testbed/soak/devices.go
+++ b/internal/testbed/soak/devices.go
@@ -22,7 +22,7 @@
 	protocolSFTP = 'f'
 )
 
-// Classes of testsettings that devices use, and their priority weights.
+// Classes of package testsettings that devices use, and their priority weights.
 const (
 	writeClass  = "push"
 	writeWeight = 2.0
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -36,7 +36,7 @@
 	QuirkRate           float64 // fraction of the exchanges that have a quirk, see fakedevice
 	Network             gateway.Network
 
-	ResponseTimeout time.Duration // time without a response after which a device gives up a connection; 0: random for each device
+	ResponseTimeout time.Duration // time without a response after which a device gives up a connection; 0: each device draws its own
 	WritesOnly      bool          // whether devices send only writes
 }
 
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -41,7 +41,8 @@
 	return report
 }
 
-// soakLinks returns the profiles of the links: all three, or only Bad if the environment variable SOAK_LINKS is "bad".
+// soakLinks returns the profiles of the links: all three of package linkshaper, or only linkshaper.Bad if the environment variable
+// SOAK_LINKS is "bad".
 func soakLinks() []linkshaper.Profile {
 	if os.Getenv("SOAK_LINKS") == "bad" {
 		return []linkshaper.Profile{linkshaper.Bad}
