--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -62,8 +62,8 @@
 	d.deliveries[0] = append(d.deliveries[0], delivery{published, len(d.changes)})
 }
 
-// checkerTests modify the record of newRecord. The record then either violates one invariant, or is close to a violation that a bound
-// or an exception of the checker still allows.
+// checkerTests modify the record of newRecord. The record then either violates one invariant, or comes close to a violation
+// but is still allowed by a bound or an exception of the checker.
 var checkerTests = []struct {
 	name   string
 	modify func(r *record)
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// gatewaySettings returns the settings of a gateway, under the names that the gateway reads.
+// gatewaySettings returns the settings of a gateway. The gateway determines the names of the keys.
 func gatewaySettings(options *Options, index int) map[string]any {
 	mode := "ask"
 	if options.PushDiscovery {
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minRequestsToCompare is how many requests a gateway must have sent to the server of the next shard. checkNotEjected does not
-	// check a gateway that sent fewer.
+	// checkNotEjected compares the requests that a gateway sent to the server of a shard with those to the server of the next shard.
+	// It does not check a gateway that sent fewer than minRequestsToCompare requests to the server of the next shard.
 	minRequestsToCompare = 20
 	// A gateway is considered to have ejected a server if it sent more than ejectedRatio times as many requests to the server of
 	// the next shard as to that server.
--- a/internal/testbed/cluster/settings.go
+++ b/internal/testbed/cluster/settings.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// gatewaySettings returns the settings of a gateway, under the names that the gateway reads.
+// gatewaySettings returns the settings of a gateway. The gateway determines the names of the keys.
 func gatewaySettings(index, gateways, hosts, shards int) map[string]any {
 	return map[string]any{"Siblings": gateways, "SelfIndex": index, "TickMs": 2, "Discovery": "push", "Zones": []string{"a"},
 		"Lanes": []any{map[string]any{"Name": "pull", "PromiseMs": latencyObjectiveMs, "DeadlineMs": deadlineMs, "Idempotency": "once",
--- a/internal/testbed/cluster/traffic.go
+++ b/internal/testbed/cluster/traffic.go
@@ -25,8 +25,8 @@
 	clientTimeoutSlack = time.Second
 	// maxIdleConnsPerHost is how many idle connections the clients of a volume keep to each gateway.
 	maxIdleConnsPerHost = 64
-	// interruptionSlack is the time after an interruption of a gateway in which the interruption still excuses that a request,
-	// sent to the gateway in this time, gets its response late or not at all.
+	// interruptionSlack is how long after its end an interruption of a gateway still has an effect: a request that is sent to the
+	// gateway in this time may get its response late or not at all.
 	interruptionSlack = 50 * time.Millisecond
 	// responseSlack is how long after the deadline a response may arrive.
 	responseSlack = 500 * time.Millisecond
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -22,7 +22,7 @@
 	gatewayResponseTime = 150 * time.Millisecond
 	// minTimeLeft is the shortest remaining time with which a device starts another transmission.
 	minTimeLeft = 5 * time.Millisecond
-	// defaultRetryDelay is the delay after a rejection that does not specify one.
+	// defaultRetryDelay is the delay after a rejection that specifies no delay.
 	defaultRetryDelay = 100 * time.Millisecond
 	// maxLateResendDelay is the longest delay from the end of an exchange to the transmission that the quirk resendLate adds.
 	maxLateResendDelay = 2 * time.Second
@@ -47,9 +47,9 @@
 	timeLeft     time.Duration // remaining time until the deadline
 	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
 	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states the time since then
-	firstGateway string        // name of the gateway that the latest transmission that is no retry was sent to; empty if unknown
+	firstGateway string        // gateway to which the latest transmission that was not a retry was sent; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
-	etag         string        // ETag of the response that partial belongs to
+	etag         string        // ETag of the response whose first part is held in partial
 }
 
 // Device performs exchanges, one after the other.
@@ -136,7 +136,7 @@
 func (d *Device) sendOverBoth(tx *transmission) (responded bool) {
 	second := *tx
 	tx.number++
-	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // The goroutine needs its own, because a rand.Rand is not safe for concurrent use.
+	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // generator for the goroutine: a rand.Rand is not safe for concurrent use
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/testbed/fakefileserver/server.go
+++ b/internal/testbed/fakefileserver/server.go
@@ -34,7 +34,7 @@
 	UploadKey    string // upload key of an open or a write; empty if the client sent none
 	Bytes        int    // number of bytes of a read or a write
 	Data         []byte // data of a write
-	Deduplicated bool   // whether a write was dropped because of an earlier write with its upload key; set only when passed to AfterEffect
+	Deduplicated bool   // whether a write was dropped because of an earlier write with its upload key; set only for AfterEffect
 }
 
 // Server keeps files in memory. It drops a WRITE whose upload key it has received before. A missing key counts as a key too: of all
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -111,7 +111,7 @@
 // compareFinal checks that a further final response agrees with the first.
 func (r *Result) compareFinal(record *exchangeRecord, first, further *response) {
 	// A restarted gateway fails a repeated write, since it cannot know whether the write was executed, and it executes a
-	// repeated read again. Both may therefore have another outcome than before.
+	// repeated read again. After a restart, either may therefore have another outcome.
 	restarted := further.incarnation != record.incarnation
 	switch {
 	case restarted && further.outcome != first.outcome && (further.outcome == Failed || !record.Write):
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -1,6 +1,7 @@
 // Package memnet is a network in memory, without sockets, for tests that run in a bubble of testing/synctest.
 //
-// A [Net] owns its listeners, by address. Connections are pipes (net.Pipe) with addresses. The package starts no goroutine.
+// A [Net] owns its listeners and finds them by their addresses. Connections are pipes (net.Pipe) with addresses. The package
+// starts no goroutine.
 package memnet
 
 import (
--- a/internal/testbed/process/config.go
+++ b/internal/testbed/process/config.go
@@ -13,7 +13,7 @@
 	edgeFile   = "edge.json"
 )
 
-// Config is the content of a gateway's configuration file, under the names that the gateway reads.
+// Config is the content of a gateway's configuration file. The gateway determines the JSON names of the fields.
 type Config struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
