--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -62,7 +62,7 @@
 	changes     []change
 	changed     chan struct{}        // channel that is closed at the next change of the list
 	deliveries  [][]delivery         // deliveries by gateway
-	silences    [][]process.Interval // for each gateway: intervals in which one of its watches was silent; added when that watch ends
+	silences    [][]process.Interval // for each gateway: intervals in which a watch was silent, added when the watch ends
 	openWatches []map[int]*watch     // open watches by gateway and watch ID
 	lastWatchID int
 }
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -45,7 +45,7 @@
 	Exchange
 	number       int           // number of the transmission within the exchange, counted from 1
 	timeLeft     time.Duration // remaining time until the deadline
-	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
+	isRetry      bool          // whether a transmission since the latest rejection may have arrived completely
 	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states the time since then
 	firstGateway string        // gateway to which the latest transmission that was not a retry was sent; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
@@ -68,7 +68,7 @@
 
 const (
 	noQuirk    quirk = iota
-	resend           // the device sends the request again after the response
+	resend           // the device sends the request once more after it has received the response
 	changeBody       // the device once sends another body with the same key; only for writes that are transmitted again
 	sendTwice        // the device sends the request over two connections at the same time
 	abandon          // if the first transmission gets no response or a rejection, the device disconnects until the deadline
@@ -97,8 +97,8 @@
 	return quirk(1 + d.Rand.IntN(quirkCount))
 }
 
-// Do performs an exchange, which ends with a response or at the deadline. The quirks resend and resendLate then add another
-// transmission.
+// Do performs an exchange, which ends with a response or at the deadline. The quirk resendLate then adds another
+// transmission, and so does resend if a response arrived.
 func (d *Device) Do(e Exchange) {
 	tx := &transmission{Exchange: e, firstSentAt: time.Now()}
 	behavior := d.drawQuirk()
--- a/internal/testbed/simulation/client.go
+++ b/internal/testbed/simulation/client.go
@@ -98,7 +98,7 @@
 	status      int
 	header      http.Header
 	body        string
-	err         error // set if there was no complete response; status, header and body are not valid then
+	err         error // not nil if there was no complete response; status, header and body are then not valid
 }
 
 // send sends a request and checks its response. It does nothing if maxClientConns clients are connected to the gateway.
