--- a/internal/testbed/chaos/request.go
+++ b/internal/testbed/chaos/request.go
@@ -48,7 +48,7 @@
 	connReused   bool      // whether the connection had carried an earlier request
 	dialedAt     time.Time // when the client began to connect; zero if the connection was reused
 	sentAt       time.Time // when the client had finished writing; zero: the write failed or did not begin
-	closedAt     time.Time // when the client, having sent the request, closed the connection without a complete response; otherwise zero
+	closedAt     time.Time // when the client closed the connection after sending, without a complete response; otherwise zero
 	endedAt      time.Time
 	outcome      outcome
 	status       int // status of the response; 0: no response
--- a/internal/testbed/linkshaper/link.go
+++ b/internal/testbed/linkshaper/link.go
@@ -126,7 +126,8 @@
 }
 
 // forward carries the data of one direction until either connection ends, and then closes the link. A black hole also drops the
-// end of a connection: the other connection stays open until the reset.
+// end of a connection: the other connection stays open until the reset that
+// ends the black hole.
 func (l *Link) forward(dir direction, from, to net.Conn) {
 	inFlight := make(chan segment, maxSegmentsInFlight)
 	go l.readSegments(dir, from, inFlight)
@@ -160,8 +161,8 @@
 	}
 }
 
-// deliver writes each segment at its arrival time, until inFlight is closed or a write fails. It returns false if the link was
-// closed before that.
+// deliver writes each segment at its arrival time, or drops it if the link is a black hole, until inFlight is closed or a write
+// fails. It returns false if the link was closed before that.
 func (l *Link) deliver(inFlight <-chan segment, to net.Conn) bool {
 	for s := range inFlight {
 		if !l.waitUntil(s.arrivesAt) {
--- a/internal/testbed/simulation/discovery.go
+++ b/internal/testbed/simulation/discovery.go
@@ -159,7 +159,7 @@
 type watchState struct {
 	gateway     *simulatedGateway
 	incarnation *gateway.Gateway // incarnation of the gateway that opened the watch
-	version     int              // latest version that the watch has sent
+	version     int              // version of the endpoint list that the gateway has
 	opening     bool             // whether the watch has not sent its first message yet
 }
 
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -180,7 +180,8 @@
 	return time.Duration(float64(atFullCapacity) / s.capacityFraction(task.server, time.Now()))
 }
 
-// respond sends the response, with a load report and the units served for other gateways if the deployment uses them.
+// respond sends the response. It adds the units served for other gateways if the deployment reports them, and to about half of the
+// responses a load report if the deployment names fields for it.
 func (s *simulation) respond(task serverTask, w http.ResponseWriter) {
 	if elsewhere := s.recordServed(task); s.deployment.ReportsServedElsewhere && elsewhere > 0 {
 		w.Header().Set("X-Served-Elsewhere", strconv.FormatFloat(elsewhere, 'f', -1, 64))
