--- a/internal/testbed/chaos/gateway.go
+++ b/internal/testbed/chaos/gateway.go
@@ -30,7 +30,7 @@
 type gateway struct {
 	*process.Process
 	dir           string // directory of the files that the gateway reads
-	discoveryAddr int    // 0 or 1: index of the discovery address that the gateway uses, in discovery.addrs
+	discoveryAddr int    // 0 or 1: which of the two addresses in discovery.addrs the gateway uses
 
 	faultMu sync.Mutex // held by the fault that currently affects the process; meanwhile, other faults skip the process
 
--- a/internal/testbed/chaos/result.go
+++ b/internal/testbed/chaos/result.go
@@ -21,7 +21,7 @@
 	SentAfterDrain      int // attempts more than drainGrace after their gateway was notified that the server drains or is removed
 	SlowStartExceeded   int // servers that got more load than their slow start allows
 	Lost                int // requests without a response in time or with a wrong one, and attempts after the client had left
-	DuplicateExecutions int // repeated executions without idempotency or deduplication; also rejections of executed requests
+	DuplicateExecutions int // repeated executions that neither idempotency nor deduplication allows, and rejections of executed requests
 	DeadlineExtended    int // attempts that stated a longer remaining time to the server than the client had left
 	GatewayReported     int // nonzero violation counters in the metrics of gateways
 	Crashed             int // gateways that exited unexpectedly, did not exit in time, or did not start
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -71,7 +71,8 @@
 	c.waitUnscaled(duration)
 }
 
-// waitUnscaled waits for a duration without scaling it: TimeScale does not shorten the gateways' own timeouts.
+// waitUnscaled waits for a duration that depends on timeouts of the gateways. Options.TimeScale does not shorten those timeouts, so
+// it does not shorten the wait either.
 func (c *Cluster) waitUnscaled(duration time.Duration) {
 	select {
 	case <-c.stop:
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -34,7 +34,7 @@
 // Options say how often system calls fail.
 type Options struct {
 	Seed            uint64
-	FailureRate     float64       // probability that accepts or a connect fail, or a read is short; a write fails with a tenth of it
+	FailureRate     float64       // probability that accepts or a connect fail, or a read is short; writes fail with a tenth of this probability
 	WallClockOffset time.Duration // offset of the gateway's wall clock from the real time; the caller must apply it
 }
 
--- a/internal/testbed/process/log.go
+++ b/internal/testbed/process/log.go
@@ -40,8 +40,8 @@
 	return l.dropped + len(l.lines)
 }
 
-// LinesAround returns the lines around a position: at most as many as the parameter before says that precede the position, and at
-// most as many as the parameter after says from the position on. Dropped lines are missing.
+// LinesAround returns the lines around a position: the last lines in front of it, at most the number given by before, and the
+// first lines from it on, at most the number given by after. Lines that were dropped are missing.
 func (l *Log) LinesAround(position, before, after int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -111,7 +111,7 @@
 	server  *server
 	gateway *simulatedGateway
 	request *request
-	frozen  chan struct{} // server.frozen at the admission of the request; unless nil, the server responds only after its close
+	frozen  chan struct{} // server.frozen at the admission of the request; unless nil, it delays the response until it is closed
 	outcome float64       // random number from [0, 1) that selects the fault and whether the response carries a load report
 	noise   float64       // random factor of the service time
 }
