--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -34,7 +34,7 @@
 // Options say how often system calls fail.
 type Options struct {
 	Seed            uint64
-	FailureRate     float64       // probability that a series of accepts fails, a connect fails or a read is short; writes fail with a tenth of it
+	FailureRate     float64       // probability that accepts or a connect fail, or a read is short; writes fail with a tenth of this probability
 	WallClockOffset time.Duration // offset of the gateway's wall clock from the real time; the caller must apply it
 }
 
@@ -65,7 +65,7 @@
 
 	mu             sync.Mutex
 	random         *rand.Rand
-	acceptFailures int // number of accepts that will fail, from the next one on
+	acceptFailures int // number of accepts, starting with the next one, that will fail
 }
 
 // New returns a network whose failures are drawn from the seed in the options.
