--- a/internal/testbed/chaos/server.go
+++ b/internal/testbed/chaos/server.go
@@ -20,10 +20,10 @@
 	gateway       int    // index of the gateway that sent the attempt; -1: unknown
 	server        *server
 	firstByteAt   time.Time
-	lastByteAt    time.Time     // zero: the request did not arrive completely
+	lastByteAt    time.Time     // arrival of the last byte; zero if the request did not arrive completely
 	remainingTime time.Duration // remaining time that the gateway states in the request
 	units         float64
-	executed      bool // whether the server may have executed the request: it did not reject it
+	executed      bool // whether the server may have executed the request, because it arrived completely and was not rejected
 }
 
 // server fakes one incarnation of a storage server. It records all arrivals.
@@ -31,7 +31,7 @@
 	name      string
 	shard     int
 	addr      string
-	startedAt time.Time // zero: so long ago that the server is not in slow start
+	startedAt time.Time // start of the server; zero: so long ago that the server is not in slow start
 	listener  net.Listener
 
 	mu             sync.Mutex
@@ -50,8 +50,8 @@
 type serverOptions struct {
 	name      string
 	shard     int
-	addr      string    // empty: a free port
-	startedAt time.Time // zero: so long ago that the server is not in slow start
+	addr      string    // address to listen on; empty: a loopback address with a free port
+	startedAt time.Time // start of the server; zero: so long ago that the server is not in slow start
 	seed      uint64
 }
 
@@ -105,7 +105,7 @@
 	return s.behavior
 }
 
-// setBehavior sets the behavior for a while.
+// setBehavior sets the behavior for the given duration.
 func (s *server) setBehavior(b behavior, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +190,7 @@
 		if id, ok := parseRequestID(a.id); ok {
 			a.gateway, a.units = id.gateway, float64(id.units)
 		}
-		left, _ := strconv.ParseFloat(req.Header.Get("X-Time-Left-Ms"), 64) // 0 if it is missing
+		left, _ := strconv.ParseFloat(req.Header.Get("X-Time-Left-Ms"), 64) // 0 if the header is missing
 		a.remainingTime = time.Duration(left * float64(time.Millisecond))
 		_, err = io.Copy(io.Discard, req.Body)
 	}
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -46,8 +46,8 @@
 	number       int           // number of the transmission within the exchange, counted from 1
 	timeLeft     time.Duration // remaining time until the deadline
 	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
-	firstSentAt  time.Time     // start of the exchange or time of its latest rejection; a retry states the age since then
-	firstGateway string        // name of the gateway to which the latest transmission that is no retry went; empty if unknown
+	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states the time since then
+	firstGateway string        // name of the gateway that the latest transmission that is no retry was sent to; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
 	etag         string        // ETag of the response that partial belongs to
 }
@@ -56,7 +56,7 @@
 type Device struct {
 	Name            string
 	Transport       Transport
-	SecondTransport Transport // connection for the quirk sendTwice, in addition to that of Transport; nil: the quirk has no effect
+	SecondTransport Transport // second transport for the quirk sendTwice; nil: the quirk has no effect
 	Checker         *invariants.Checker
 	Rand            *rand.Rand
 	ResponseTimeout time.Duration // time without a response after which the device gives up a connection
@@ -131,11 +131,12 @@
 	}
 }
 
-// sendOverBoth sends a request over both connections at the same time. It reports whether a response has arrived on the first.
+// sendOverBoth sends a request over both transports at the same time and waits for both transmissions. It returns the result of
+// send for d.Transport.
 func (d *Device) sendOverBoth(tx *transmission) (responded bool) {
 	second := *tx
 	tx.number++
-	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // A rand.Rand is not safe for concurrent use.
+	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // The goroutine needs its own, because a rand.Rand is not safe for concurrent use.
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -164,9 +165,9 @@
 	d.send(d.Transport, tx, d.Rand)
 }
 
-// send sends one transmission and records the response. It returns true if no further transmission is needed: after any response
-// but a rejection. That includes a conflict (the gateway has received another body with the same key), which is no outcome of the
-// exchange.
+// send sends one transmission and records the response. It returns true if a response other than a rejection has arrived, so that
+// no further transmission is needed. A conflict is such a response, although it is not the final outcome of the exchange: it says
+// that the gateway has received another body with the same key.
 func (d *Device) send(t Transport, tx *transmission, random *rand.Rand) (responded bool) {
 	timeout := min(tx.timeLeft, d.ResponseTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
