--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -34,7 +34,8 @@
 	CallRejected CallFailure = iota
 	// CallUnreachable means that no connection to discovery could be established.
 	CallUnreachable
-	// CallInconclusive means that the call failed on this machine or timed out, which proves nothing about discovery.
+	// CallInconclusive means that the failure does not prove that discovery is down: the call failed on this machine, timed out, or
+	// ended because discovery had restarted its version numbers.
 	CallInconclusive
 
 	callFailureCount = iota
@@ -156,7 +157,8 @@
 	}
 }
 
-// renewEndpointLease renews the lease on the endpoint list if the update proves that no change is missing.
+// renewEndpointLease records in the lease on the endpoint list what an update shows about discovery and the list, and passes the
+// resulting expiry to the Authorizer. The lease is renewed if the update proves that the list contains every change so far.
 func (m *Manager) renewEndpointLease(update EndpointUpdate) {
 	if m.endpointLease == nil {
 		return
