--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -62,8 +62,8 @@
 	d.deliveries[0] = append(d.deliveries[0], delivery{published, len(d.changes)})
 }
 
-// checkerTests modify the record of newRecord. The record then either violates one invariant, or is close to a violation that a bound
-// or an exception of the checker still allows.
+// checkerTests modify the record of newRecord. The record then either violates one invariant, or comes close to a violation
+// but is still allowed by a bound or an exception of the checker.
 var checkerTests = []struct {
 	name   string
 	modify func(r *record)
@@ -79,7 +79,7 @@
 		r.publish(process.EndpointDraining, at(50*time.Second))
 		r.harness.stalls = []process.Interval{{From: at(59 * time.Second), To: at(time.Minute)}}
 	}, Result{}},
-	{"more than slow start allows", func(r *record) { // as much as 100 requests of meanUnits; slowStartBound allows less than 50
+	{"more than slow start allows", func(r *record) { // 200 units are 100 requests of meanUnits; slowStartBound allows less than 50
 		r.server.startedAt, r.arrival.units = at(time.Minute-time.Second), 200
 		r.harness.discovery.changes[0].at = r.server.startedAt
 		r.harness.discovery.deliveries[0] = []delivery{{r.server.startedAt, 1}}
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -22,7 +22,7 @@
 	gatewayResponseTime = 150 * time.Millisecond
 	// minTimeLeft is the shortest remaining time with which a device starts another transmission.
 	minTimeLeft = 5 * time.Millisecond
-	// defaultRetryDelay is the delay after a rejection that does not specify one.
+	// defaultRetryDelay is the delay after a rejection that specifies no delay.
 	defaultRetryDelay = 100 * time.Millisecond
 	// maxLateResendDelay is the longest delay from the end of an exchange to the transmission that the quirk resendLate adds.
 	maxLateResendDelay = 2 * time.Second
@@ -45,11 +45,11 @@
 	Exchange
 	number       int           // number of the transmission within the exchange, counted from 1
 	timeLeft     time.Duration // remaining time until the deadline
-	isRetry      bool          // whether an earlier transmission may have arrived completely and was not rejected
+	isRetry      bool          // whether a transmission since the latest rejection may have arrived completely
 	firstSentAt  time.Time     // start of the exchange, or time of its latest rejection; a retry states the time since then
-	firstGateway string        // name of the gateway that the latest transmission that is no retry was sent to; empty if unknown
+	firstGateway string        // gateway to which the latest transmission that was not a retry was sent; empty if unknown
 	partial      []byte        // first part of the response's body, received by an earlier transmission
-	etag         string        // ETag of the response that partial belongs to
+	etag         string        // ETag of the response whose first part is held in partial
 }
 
 // Device performs exchanges, one after the other.
@@ -68,7 +68,7 @@
 
 const (
 	noQuirk    quirk = iota
-	resend           // the device sends the request again after the response
+	resend           // the device sends the request once more after it has received the response
 	changeBody       // the device once sends another body with the same key; only for writes that are transmitted again
 	sendTwice        // the device sends the request over two connections at the same time
 	abandon          // if the first transmission gets no response or a rejection, the device disconnects until the deadline
@@ -97,8 +97,8 @@
 	return quirk(1 + d.Rand.IntN(quirkCount))
 }
 
-// Do performs an exchange, which ends with a response or at the deadline. The quirks resend and resendLate then add another
-// transmission.
+// Do performs an exchange, which ends with a response or at the deadline. The quirk resendLate then adds another
+// transmission, and so does resend if a response arrived.
 func (d *Device) Do(e Exchange) {
 	tx := &transmission{Exchange: e, firstSentAt: time.Now()}
 	behavior := d.drawQuirk()
@@ -136,7 +136,7 @@
 func (d *Device) sendOverBoth(tx *transmission) (responded bool) {
 	second := *tx
 	tx.number++
-	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // The goroutine needs its own, because a rand.Rand is not safe for concurrent use.
+	random := rand.New(rand.NewPCG(d.Rand.Uint64(), 1)) // generator for the goroutine: a rand.Rand is not safe for concurrent use
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -225,5 +225,5 @@
 	}
 }
 
-// digest returns a short hexadecimal digest of a body.
+// digest returns the short hexadecimal digest of a body.
 func digest(body []byte) string { return fakestorage.Digest(body) }
--- a/internal/testbed/simulation/server.go
+++ b/internal/testbed/simulation/server.go
@@ -33,7 +33,7 @@
 	frozen            chan struct{}        // channel that is closed at the end of a period without responses; nil outside of such a period
 	queued            int                  // number of admitted requests without a response
 	slowStartArrivals []slowStartArrival   // arrivals during the slow start, within the latest overload window
-	servedElsewhere   map[uint64][]float64 // units served for others and not yet reported to a gateway, by volume ID and gateway index
+	servedElsewhere   map[uint64][]float64 // by volume ID and gateway index: units served for other gateways, not yet reported
 }
 
 // slowStartArrival is the arrival of a request at a server during its slow start.
@@ -111,7 +111,7 @@
 	server  *server
 	gateway *simulatedGateway
 	request *request
-	frozen  chan struct{} // channel that is closed when a server that was frozen at admission responds again; nil if it was not frozen
+	frozen  chan struct{} // server.frozen at the admission of the request; unless nil, it delays the response until it is closed
 	outcome float64       // random number from [0, 1) that selects the fault and whether the response carries a load report
 	noise   float64       // random factor of the service time
 }
@@ -127,7 +127,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	attempt := s.recordArrival(srv, g, request, firstByteAt)
-	context.AfterFunc(r.Context(), func() { // The attempt was canceled or has its response.
+	context.AfterFunc(r.Context(), func() { // r.Context() ends when the attempt was canceled or has its response.
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		attempt.inFlight = false
@@ -180,7 +180,8 @@
 	return time.Duration(float64(atFullCapacity) / s.capacityFraction(task.server, time.Now()))
 }
 
-// respond sends the response, with a load report and the units served for other gateways if the deployment uses them.
+// respond sends the response. It adds the units served for other gateways if the deployment reports them, and to about half of the
+// responses a load report if the deployment names fields for it.
 func (s *simulation) respond(task serverTask, w http.ResponseWriter) {
 	if elsewhere := s.recordServed(task); s.deployment.ReportsServedElsewhere && elsewhere > 0 {
 		w.Header().Set("X-Served-Elsewhere", strconv.FormatFloat(elsewhere, 'f', -1, 64))
