--- a/internal/scheduler/actions.go
+++ b/internal/scheduler/actions.go
@@ -78,7 +78,7 @@
 }
 
 // SetTimer asks for a TimerFired at the given clock time or soon after. While a timer is pending, the scheduler sets only timers
-// that fire earlier.
+// that fire earlier than the pending one.
 type SetTimer struct{ At time.Duration }
 
 // Log is a line of text for operators. The scheduler never emits it.
--- a/internal/scheduler/admission_test.go
+++ b/internal/scheduler/admission_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// setDeadlines takes a request with less remaining time than others of its class for a retry, and makes its objective earlier by
-// the estimated age. It treats a request as a first attempt, however, if the age is not below the request's remaining time. Here
-// one request has 150 ms left and an estimated age of 2850 ms, so it is treated as a first attempt and must not be rejected. The
-// other has 2 s left and an estimated age of 1 s, more than its objective of 400 ms, so it must be rejected.
+// setDeadlines takes a request with less remaining time than others of its class for a retry. It estimates the age of the request
+// from the difference and makes the objective earlier by this age. It treats the request as a first attempt, however, if the age is
+// not below the request's remaining time. Here one request has 150 ms left and an estimated age of 2850 ms, so it is treated as a
+// first attempt and must not be rejected. The other has 2 s left and an estimated age of 1 s, more than its objective of 400 ms, so
+// it must be rejected.
 func TestRequestWithShortDeadlineIsNotTakenForRetry(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.step(gateway.newArrival("read", "gold", 1, 2, 5)) // sets the longest remaining time of the class to 3 s
--- a/internal/scheduler/congestion.go
+++ b/internal/scheduler/congestion.go
@@ -155,8 +155,9 @@
 // equalShare returns this gateway's equal share of an amount that applies to all gateways together.
 func (s *Scheduler) equalShare(total float64) float64 { return total / float64(s.settings.Gateways) }
 
-// hasCapacity reports whether a server's window has room for a request. After a failed connect, only one request at a time may be
-// in flight until the server responds. An unresponsive server gets one request whenever a trial is due.
+// hasCapacity reports whether a server's window has room for a request. During a backoff there is no room. After a failed connect,
+// only one request at a time may be in flight until the server responds. An unresponsive server gets one request whenever a trial
+// is due.
 func (s *Scheduler) hasCapacity(server *serverEntry, request *request) bool {
 	if s.now < server.backoffUntil || server.connectFailures > 0 && server.inFlight > 0 {
 		return false
--- a/internal/scheduler/deadlines_test.go
+++ b/internal/scheduler/deadlines_test.go
@@ -48,7 +48,7 @@
 	t.Run("a started response has no deadline", func(t *testing.T) {
 		heap := newHeap(5)
 		request := heap.entries[0].request
-		request.expiresAt = 0 // the response has started
+		request.expiresAt = 0 // no deadline, because the response has started
 		heap.shortenTo(3)
 		if request.expiresAt != 0 || request.objectiveAt != 5 {
 			t.Errorf("request expires at %v and has its objective at %v, want 0s and 5ns", request.expiresAt, request.objectiveAt)
--- a/internal/scheduler/fairqueue.go
+++ b/internal/scheduler/fairqueue.go
@@ -30,7 +30,7 @@
 // isIdle reports whether the flow has neither queued nor outstanding requests.
 func (f *flow) isIdle() bool { return f.outstanding == 0 && len(f.queue) == 0 }
 
-// insert puts a request into the queue, which is in the order of objectives, after requests with the same objective.
+// insert puts a request into the queue, which is ordered by objective. The request follows those with the same objective.
 func (f *flow) insert(request *request) {
 	i, _ := slices.BinarySearchFunc(f.queue, request, compareObjectives)
 	f.queue = slices.Insert(f.queue, i, request)
--- a/internal/scheduler/goldenscenarios_test.go
+++ b/internal/scheduler/goldenscenarios_test.go
@@ -79,7 +79,8 @@
 	return settings
 }
 
-// goldenOutageSettings returns settings with so many gateways that discovery cannot respond to all of them in time.
+// goldenOutageSettings returns settings with so many gateways that, by the estimate of fleetPollTime, discovery needs 18 s
+// for one poll of each. That is longer than maxPollCycle.
 func goldenOutageSettings() Settings {
 	settings := goldenPolledSettings()
 	settings.Gateways, settings.MeanUnits = 300, 0
--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -17,7 +17,7 @@
 	// fleetPollTime).
 	pollSpreadFactor = 1.25
 
-	// pollCycleFactor is the cycle, as a multiple of the fleet's poll time. The cycle is the time from the start of a failed poll
+	// pollCycleFactor is the cycle before it grows, as a multiple of the fleet's poll time. The cycle is the time from the start of a failed poll
 	// to the start of the next poll.
 	pollCycleFactor = 1.5
 	// pollCycleGrowth is the factor by which the cycle grows with each consecutive failure after the first.
@@ -79,7 +79,7 @@
 }
 
 // entriesReceived records a snapshot or a delta and, if a poll is in flight, its latency. Only the shortest latency is kept: the
-// poll with the shortest one waited least for the polls of other gateways. A delta without entries gives no latency, because
+// poll with the shortest latency waited least for the polls of other gateways. A delta without entries gives no latency, because
 // discovery may send it before it has processed the poll.
 func (p *endpointPoller) entriesReceived(now time.Duration, update *EndpointUpdate) {
 	if p.pollInFlight && (update.Kind == Snapshot || len(update.Servers) > 0) {
--- a/internal/scheduler/polling_fleet_test.go
+++ b/internal/scheduler/polling_fleet_test.go
@@ -42,7 +42,7 @@
 	snapshots int // number of gateways that got a list
 }
 
-// poll adds a poll.
+// poll queues a gateway's poll and sets the time at which discovery will have finished the work for it.
 func (d *overloadableDiscovery) poll(gateway int) {
 	d.idleAt = max(d.idleAt, d.fleet.now) + d.cost
 	d.polls = append(d.polls, &simulatedPoll{gateway: gateway, startedAt: d.fleet.now, respondedAt: d.idleAt})
@@ -134,7 +134,7 @@
 	}
 }
 
-// poll adds a poll.
+// poll queues a gateway's poll. It fails the test if the gateway already has a poll in flight or an open watch.
 func (d *failingDiscovery) poll(gateway int) {
 	if d.watching[gateway] || d.polling[gateway] {
 		d.fleet.t.Fatalf("gateway %d polls while it has a poll in flight or an open watch", gateway)
--- a/internal/scheduler/retry_test.go
+++ b/internal/scheduler/retry_test.go
@@ -16,8 +16,8 @@
 	})
 }
 
-// Server 1 may have executed a request whose duplicates only the servers of zone za drop. When another server replaces server 1, a
-// retry must not go to the new server if the new server is in another zone.
+// Server 1 is in zone za and may have executed a request. Only the servers of zone za drop duplicates of this request. When another
+// server replaces server 1, a retry must not go to the new server if the new server is in another zone.
 func TestRetryStaysInDedupZone(t *testing.T) {
 	for zone, want := range map[string]int{"za": 1, "zb": 0} {
 		t.Run("successor in "+zone, func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A retry of a request that may have been executed has a start deadline, since servers drop duplicates only during the DedupWindow,
-// counted from the first such attempt. Other retries have none.
+// A retry of an IdempotentWithKey request that may have been executed has a start deadline, since servers drop duplicates only
+// during the DedupWindow, counted from the first attempt that may have been executed. Other retries have none.
 func TestRetryStartDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotency Idempotency
@@ -70,7 +70,7 @@
 }
 
 // RetryAfter of a rejected request is short enough for the client to meet its objective. If the request exceeds its volume's
-// limit, RetryAfter lasts until the limit allows the request.
+// limit, RetryAfter may last until the limit allows the request.
 func TestRetryAfter(t *testing.T) {
 	gateway := newTestGateway(t, func(s *Settings) { s.MaxRetryAfter = 500 * ms })
 	limited, late := gateway.newArrival("read", "capped", 1, 6, 1), gateway.newArrival("read", "gold", 2, 6, 2)
--- a/internal/scheduler/rulechecker_test.go
+++ b/internal/scheduler/rulechecker_test.go
@@ -264,7 +264,7 @@
 	}
 }
 
-// countInWindow returns how many of the times lie in the window of the retry budget that ends now.
+// countInWindow returns how many of the times lie in the retry budget's window, which ends now.
 func (c *ruleChecker) countInWindow(times []time.Duration) (count int) {
 	for _, at := range times {
 		if c.now-at < c.settings.RetryBudgetWindow {
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -233,7 +233,7 @@
 	status := statuses[s.random.IntN(len(statuses))]
 	end := AttemptEnded{ID: send.ID, Attempt: len(request.attempts) - 1, Server: send.Server, Status: status}
 	at := s.checker.now + time.Duration(s.random.ExpFloat64()*float64(80*ms))
-	if s.random.IntN(20) == 0 { // a hang
+	if s.random.IntN(20) == 0 { // the attempt hangs until the client's deadline
 		at = request.expiresAt
 	}
 	if at >= request.expiresAt {
--- a/internal/scheduler/servers_test.go
+++ b/internal/scheduler/servers_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// The window has room for one attempt. An attempt whose response was lost must not occupy it forever: detectLostAttempts releases
-// the slot of the attempt.
+// The window has room for one attempt. An attempt whose response was lost must not occupy the window forever: detectLostAttempts
+// releases the slot of the attempt.
 func TestLostResponseDoesNotBlockServer(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	gateway.server(1).congestion.window = 1
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -45,7 +45,7 @@
 	Deadline         time.Duration // how long a client waits for a response in total, including its own retries; positive
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // group of servers that drop duplicates; used only with IdempotentWithKey
-	DedupWindow      time.Duration // how long after the first send duplicates are dropped; used only with IdempotentWithKey
+	DedupWindow      time.Duration // time after the first send during which duplicates are dropped; used only with IdempotentWithKey
 	OrderedByKey     bool          // whether requests with the same key run one at a time, in order of arrival
 	Stream           bool          // whether responses begin with ResponseStarted; not used by the scheduler
 	Write            bool          // whether requests of the class write data; not used by the scheduler
--- a/internal/scheduler/slowstart_overload_test.go
+++ b/internal/scheduler/slowstart_overload_test.go
@@ -173,7 +173,7 @@
 	s.t.Helper()
 	usedFraction := 0.15
 	if len(s.schedulers) == 300 {
-		usedFraction = 0.06 // a gateway has only one request every seven windows
+		usedFraction = 0.06 // a gateway has a request only every seven windows, too rarely to use most of its equal share
 	}
 	if s.unitsBeforeRestart < 0.4*overloadCapacity*30 || s.unitsAfterRestart < usedFraction*s.allowedUnits {
 		s.t.Errorf("%.0f units were sent before the restart and %.0f of %.0f allowed ones after it, want more: see checkUtilization",
--- a/internal/scheduler/volumes_test.go
+++ b/internal/scheduler/volumes_test.go
@@ -59,7 +59,7 @@
 }
 
 // If a volume's requests come through more gateways than known at first, each gateway gets a smaller share of the limit. The share
-// does not grow back if a later request names fewer gateways.
+// does not grow back if a later request has a lower RequestArrived.Gateways.
 func TestLimitFollowsGatewayCount(t *testing.T) {
 	gateway := newTestGateway(t, nil)
 	arrival, plan := gateway.newArrival("read", "capped", 1, 1, 1), gateway.scheduler.plans["capped"]
