--- a/internal/scheduler/polling.go
+++ b/internal/scheduler/polling.go
@@ -17,8 +17,8 @@
 	// fleetPollTime).
 	pollSpreadFactor = 1.25
 
-	// pollCycleFactor is the cycle before it grows, as a multiple of the fleet's poll time. The cycle is the time from the start of a failed poll
-	// to the start of the next poll.
+	// pollCycleFactor is the cycle before it grows, as a multiple of the fleet's poll time. The cycle is the time from
+	// the start of a failed poll to the start of the next poll.
 	pollCycleFactor = 1.5
 	// pollCycleGrowth is the factor by which the cycle grows with each consecutive failure after the first.
 	pollCycleGrowth = 1.5
