--- a/internal/dedup/exchange/admission.go
+++ b/internal/dedup/exchange/admission.go
@@ -47,7 +47,7 @@
 		s.beginUploaded(exchange, received)
 	case !exchange.matches(received):
 		s.respond(received.Transmission, Respond{Kind: ResponseConflict, Advice: s.advice(device)})
-		s.dropUpload(exchange) // its content differs from that of the exchange, so no execution may use its bytes
+		s.dropUpload(exchange) // the upload differs from the content of the exchange, so no execution may use its bytes
 	default:
 		s.join(exchange, received)
 	}
--- a/internal/dedup/exchange/events.go
+++ b/internal/dedup/exchange/events.go
@@ -14,7 +14,7 @@
 	BodyBytes     int
 	RemainingMs   float64 // time that the device waits for the response, counted from when it sent the request
 	ClientDelayMs float64 // time that the request took to arrive, which counts against the device's time
-	Shard         int     // shard that the request names; -1: none, the request creates an object
+	Shard         int     // shard that the request names; -1 if it names none, because it creates an object
 	ResendHistory
 	Link LinkSample
 }
--- a/internal/dedup/exchange/modelactions_test.go
+++ b/internal/dedup/exchange/modelactions_test.go
@@ -192,7 +192,8 @@
 		m.fail("exchange %d is forgotten %v ms before its deduplication window ends", action.ID, execution.windowEndMs()-m.nowMs)
 	}
 	if exchange.class.Idempotency == scheduler.NotIdempotent {
-		// The record has an infinite window. It would forbid a new exchange with the same key, which is allowed from now on.
+		// The window of this record never ends. If the record were kept, checkRepeat would fail any later execution with the same
+		// key, although one is allowed once the exchange is forgotten.
 		delete(m.serverExecutions, exchange.name())
 	}
 	delete(m.exchanges, action.ID)
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -61,7 +61,7 @@
 	// latestAttemptMs is the latest known send time of an attempt that may have been executed. If the earlier attempts
 	// did not arrive, the deduplication window of the servers starts at this time.
 	latestAttemptMs float64
-	failureReported bool // a transmission got the response that the exchange failed, which makes the failure final
+	failureReported bool // the failure of the exchange was reported to a transmission, which makes the failure final
 
 	bodyBytes     int // bytes stored of the body for an execution
 	uploadBytes   int // bytes stored of an upload that has not been executed
@@ -74,8 +74,8 @@
 	evictionElement *list.Element
 }
 
-// outcomeUnknown reports whether the exchange failed but no transmission got that response yet. Another execution may still
-// determine the outcome.
+// outcomeUnknown reports whether the exchange failed but the failure was not reported to any transmission yet. Another
+// execution may still determine the outcome.
 func (e *storedExchange) outcomeUnknown() bool { return e.state == stateFailed && !e.failureReported }
 
 // repeatUntilMs returns the earliest time at which servers may stop dropping repeats of the first attempt. No repeat is sent
--- a/internal/dedup/exchange/stats.go
+++ b/internal/dedup/exchange/stats.go
@@ -6,7 +6,7 @@
 	Executions         int // started executions
 	Joined             int // transmissions that joined an execution in progress
 	ServedFromCache    int // transmissions that got a retained response
-	RepeatedExecutions int // executions of exchanges whose previous execution failed with no transmission waiting
+	RepeatedExecutions int // executions of exchanges whose previous execution failed while no transmission was waiting
 
 	Conflicts            int // transmissions whose content differs from that of their exchange
 	Busy                 int // transmissions rejected because of the limits of the store or a shutdown
--- a/internal/dedup/exchange/store.go
+++ b/internal/dedup/exchange/store.go
@@ -36,7 +36,7 @@
 	idleDevices list.List // devices without exchanges, least recently seen first
 
 	wheel     *timerwheel.Wheel[*storedExchange]
-	timerAtMs float64 // time at which the owner's timer fires; 0 if it is not set
+	timerAtMs float64 // time at which the timer of the latest SetTimer action fires; 0 if no timer is set
 
 	// The eviction lists. Each exchange is in at most one of them.
 	endedReads  list.List // ended reads, oldest first
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// Stats returns the statistics as of the latest step.
+// Stats returns the statistics after the latest step.
 func (s *Store) Stats() Stats {
 	stats := s.stats
 	stats.Exchanges, stats.Devices = len(s.exchanges), len(s.devices)
--- a/internal/dedup/exchange/upload.go
+++ b/internal/dedup/exchange/upload.go
@@ -12,8 +12,8 @@
 }
 
 // upload is a body that is received in blocks, in order, over any number of connections. A complete upload is kept with its
-// exchange, though not its bytes. It serves to distinguish blocks that the device repeats, because their acknowledgements were
-// lost, from blocks of another body.
+// exchange, though not its bytes. Its list of blocks serves to distinguish blocks that the device repeats, because their
+// acknowledgements were lost, from blocks of another body.
 type upload struct {
 	tag      string
 	received int // number of bytes received
--- a/internal/dedup/resend_test.go
+++ b/internal/dedup/resend_test.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// If an execution failed and no transmission got that response, the next transmission starts a second execution, provided that this
-// is safe: no server can have executed the request, the request is idempotent, or the deduplication window has not ended and the
-// second execution goes to the shard of the first attempt, whose servers drop a repeat. Otherwise the transmission fails. A
-// failure that a transmission got as its response is final.
+// If an execution failed and the failure was not reported to any transmission, the next transmission starts a second execution,
+// provided that this is safe: no server can have executed the request, the request is idempotent, or the deduplication window has
+// not ended and the second execution goes to the shard of the first attempt, whose servers drop a repeat. Otherwise the
+// transmission fails. A failure that was reported to a transmission is final.
 func TestTransmissionAfterFailure(t *testing.T) {
 	const noExecution = -2
 	for name, c := range map[string]struct {
@@ -114,7 +114,7 @@
 		executed bool
 	}{
 		"inside of the window":   {[]option{resent(1000)}, true},
-		"after the window":       {[]option{resent(2990)}, false}, // the rest of the window is too short for an execution
+		"after the window":       {[]option{resent(2990)}, false}, // the last 10 ms of testDedupWindowMs are too short for an execution
 		"of unknown age":         {[]option{resent(-1)}, false},
 		"in an unknown shard":    {[]option{resent(1000), shard(unknownShard)}, false},
 		"no retry":               {[]option{shard(unknownShard)}, true},
--- a/internal/dedup/upload_test.go
+++ b/internal/dedup/upload_test.go
@@ -125,7 +125,7 @@
 			len(c.transmissions) > testMaxExchanges {
 			t.Fatalf("stats %+v, %d contents and %d transmissions exceed the limits", stats, len(c.contents), len(c.transmissions))
 		}
-		if i == 1000 { // about 1000 ms after the write, so within its deduplication window
+		if i == 1000 { // about 1000 ms after the write, so within the deduplication window of testDedupWindowMs
 			response := c.send("push", "write", "body", resent(1000)).response(t)
 			if response.Kind != lifecycle.Served || !response.Cached {
 				t.Fatalf("the write got %+v, want the cached response", response)
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -36,7 +36,8 @@
 }
 
 // TestInvalidResponses checks that an invalid or missing response ends the call within a bounded time, is counted, and does
-// not damage the list: updates before the fault are reported, and no part of the invalid data is.
+// not damage the list: updates before the fault are reported, and no part of the invalid data is
+// reported.
 func TestInvalidResponses(t *testing.T) {
 	tests := map[string]responseTest{
 		"error status":   {response: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"},
--- a/internal/discovery/receivetracker.go
+++ b/internal/discovery/receivetracker.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxPendingWaitMs bounds the wait of AwaitPendingUpdates. It is half of the delay that the platform's rules allow, 50 ms.
+	// maxPendingWaitMs bounds the wait of AwaitPendingUpdates. The platform's rules allow a delay of 50 ms; this is half of it.
 	maxPendingWaitMs = 25
 
 	// readTimeoutMs is the interval at which a blocked read is restarted. The start of the read, and not its end, is taken as the
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -27,7 +27,7 @@
 
 	mu        sync.Mutex
 	requests  []string  // for each request, its version and the milliseconds since startedAt
-	startedAt time.Time // start of the agent, or latest call of expectRequests
+	startedAt time.Time // time of the latest call of expectRequests; before the first call, the start of the agent
 }
 
 // newFakeAgent starts a fake agent at an address of a network.
@@ -130,12 +130,12 @@
 		time.Sleep(80 * time.Millisecond)
 		agent := newFakeAgent(t, network, "127.0.0.1:1")
 		time.Sleep(idleTimeoutMs * time.Millisecond / 2)
-		// Calls failed 0, 10, 30 and 70 ms after KeepOpen. The next one came after 150 ms, 70 ms after the start of the agent.
+		// Calls failed 0, 10, 30 and 70 ms after KeepOpen. The agent started after 80 ms, and the next call came after 150 ms.
 		agent.expectRequests(t, "41 at 70")
 		agent.send(`{"version":43,"servers":[` + entry("Terminating") + `]}`)
 		agent.send(`{"servers":[` + entry("Terminating") + `]}`)
 		agent.expectRequests(t)
-		// Invalid data ends the watch. It has lasted longer than maxReconnectDelayMs, so it is reopened at once.
+		// Invalid data ends the watch. The watch lasted longer than maxReconnectDelayMs, so it is reopened at once.
 		agent.send(`nonsense`)
 		agent.expectRequests(t, "43 at 0")
 		time.Sleep(idleTime)
--- a/internal/endpoints/tracker_test.go
+++ b/internal/endpoints/tracker_test.go
@@ -38,13 +38,14 @@
 		want   string
 	}{
 		{1, Update{Version: 42, Endpoints: []Endpoint{draining("a", 0)}}, "delta [0]"},
-		// A restarted agent serves an empty list, then an older one. Neither may remove all servers or reopen one.
+		// The discovery agent restarts and serves an empty list, then one that is older than version 42. Neither may remove all
+		// servers, or make a draining server ready that has not restarted.
 		{2, Update{Version: 0, Snapshot: true}, "delta []"},
 		{3, Update{Version: 40, Snapshot: true, Endpoints: []Endpoint{ready("a", 0), ready("b", 0), ready("gone", 0)}}, "delta []"},
 		{4, Update{Version: 40, Endpoints: []Endpoint{draining("b", 0), draining("c", 4), ready("c", 4)}}, "delta [0]"},
 		{5, Update{Version: 40, Endpoints: []Endpoint{ready("b", 0), ready("c", 6)}}, "delta [1]"},
-		// The agent catches up, then serves older versions. After RegressionTimeoutMs they are taken for a new numbering, so the
-		// tracker demands a snapshot.
+		// The agent catches up, then serves older versions. After RegressionTimeoutMs the tracker concludes that the
+		// source numbers its versions anew, and demands a snapshot.
 		{6, Update{Version: 42, Endpoints: []Endpoint{ready("b", 0)}}, "delta [0]"},
 		{7, Update{Version: 3, Endpoints: []Endpoint{ready("x", 0)}}, "delta []"},
 		{6 + RegressionTimeoutMs, Update{Version: 4}, "delta []"},
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// step handles first and all tasks that wait in the inbox, and then steps the scheduler.
+// step handles the given task and all tasks that wait in the inbox, and then steps the scheduler.
 func (l *Loop) step(first task) {
 	nowMs := l.options.Clock.NowMs()
 	first(nowMs)
@@ -167,7 +167,7 @@
 // Ready reports whether the gateway can serve requests. Once true, it stays true.
 func (l *Loop) Ready() bool { return l.ready.Load() }
 
-// OpenRequests returns the number of open requests as of the last step.
+// OpenRequests returns the number of requests that were open after the last step.
 func (l *Loop) OpenRequests() int { return int(l.openRequests.Load()) }
 
 // Deduplicator returns Options.Deduplicator.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -75,7 +75,7 @@
 }
 
 // A timer that fires while the tasks of a step are handled is part of that step. The time of the step must not be before the
-// timer's, because the scheduler would then regard the timer as too early.
+// time of the timer, because the scheduler would then regard the timer as too early.
 func TestTimerFiresDuringStep(t *testing.T) {
 	l := startLoop(t)
 	l.Post(func(float64) { l.clock.Advance(70) }) // the timer fires after the loop has read the clock for this step
--- a/internal/gateway/clientfrontend.go
+++ b/internal/gateway/clientfrontend.go
@@ -11,8 +11,8 @@
 )
 
 // Timeouts of client connections. readHeaderTimeout and readTimeout begin when the connection is opened, or with the first byte
-// of a further request. If a client exceeds one of these two, a slow link is not the reason. Its connection is closed, so that
-// another client can use one.
+// of a further request. A client that exceeds one of these two is not merely on a slow link. Its connection is closed to make
+// room for one of another client, because the number of connections is limited (see maxClientConns).
 const (
 	readHeaderTimeout = 2700 * time.Millisecond
 	readTimeout       = 2700 * time.Millisecond // time for reading a whole request
@@ -75,8 +75,8 @@
 	f.handler.BeginShutdown(f.gateway.Clock.NowMs() + times.respondByMs)
 }
 
-// drain closes connections as late as possible. Clients that have not been notified of the shutdown keep using their open
-// connections. If these were closed earlier, the clients could reach no gateway until the next start.
+// drain closes connections as late as possible. A client that has not been notified of the shutdown keeps its connections to
+// this gateway. Once these are closed, the client cannot open another one, because the listener is closed.
 func (f *clientFrontend) drain(times shutdownTimes) {
 	<-f.after(times.acceptUntilMs)
 	f.listener.Close()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -47,8 +47,8 @@
 // bubbleHeader matches the first line of the stack trace of a goroutine in a bubble, and captures the number of the bubble.
 var bubbleHeader = regexp.MustCompile(`(?m)^goroutine \d+ \[[^\]]*synctest bubble (\d+)[^\]]*\]:`)
 
-// With an empty config.Edge, as without an operator's file, a gateway opens a single listener and has no deduplicator. Otherwise
-// it has exactly the frontends that the config.Edge specifies.
+// With an empty config.Edge, which a gateway without an operator's file has, a gateway opens a single listener and has no
+// deduplicator. Otherwise it has exactly the frontends that the config.Edge specifies.
 func TestOnlyConfiguredComponentsAreBuilt(t *testing.T) {
 	exchanges := exchange.Settings{MaxExchanges: 16, MaxDevices: 8, MaxActivePerDevice: 4, MaxWaitingTransmissions: 2,
 		MaxStoredBytes: 1 << 20, MaxBodyBytes: 64 << 10, MaxUploadBlocks: 64, RetentionMs: 1000, UploadIdleTimeoutMs: 2000,
--- a/internal/gateway/pendingupdates_test.go
+++ b/internal/gateway/pendingupdates_test.go
@@ -116,7 +116,7 @@
 	<-discovery.drained
 	connected <- true
 	for g.Metrics.Get("attempts_delayed_by_endpoint_update") == 0 && len(serverRequests) == 0 && len(response) == 0 {
-		g.loop.Sync() // an attempt that did not wait for the update would reach the server
+		g.loop.Sync() // if the attempt did not wait for the update, it would reach the server, which also ends this loop
 	}
 	watchGate.Unlock()
 	for g.Metrics.Get("attempts_connect_failed") == 0 && len(serverRequests) == 0 {
--- a/internal/gateway/sftpfrontend.go
+++ b/internal/gateway/sftpfrontend.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// drain waits for a bounded time, because a client may never read its response.
+// drain waits for open requests, but only for a bounded time, because a client may never read its response.
 func (f *sftpFrontend) drain(times shutdownTimes) {
 	<-after(times.acceptUntilMs)
 	f.listener.Close()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -35,7 +35,7 @@
 // shutDownWithOpenRequests checks the shutdown of a gateway whose classes all have the given deadline. The requests are open
 // when the shutdown begins, because the only server never responds.
 func shutDownWithOpenRequests(t *testing.T, deadline time.Duration) {
-	killedAfter := min(deadline, 3*time.Second) + 700*time.Millisecond // see maxAwaitedDeadlineMs and killGraceMs
+	killedAfter := min(deadline, 3*time.Second) + 700*time.Millisecond // time of the kill (see killGraceMs)
 	network := &memnet.Net{}
 	listenWithoutResponding(t, network, "127.0.0.2:1")
 	g := startWithDeadline(t, network, deadline)
--- a/internal/gateway/shutdowntimes.go
+++ b/internal/gateway/shutdowntimes.go
@@ -8,7 +8,7 @@
 	// killGraceMs is the time that the platform adds to the longest deadline of all classes. When the sum of both has passed since
 	// SIGTERM, the platform kills the program.
 	killGraceMs = 700
-	// maxAwaitedDeadlineMs replaces the longest deadline in the sum with killGraceMs if the longest deadline exceeds it.
+	// maxAwaitedDeadlineMs bounds the longest deadline in the sum that determines the time of the kill (see killGraceMs).
 	maxAwaitedDeadlineMs = 3000
 )
 
--- a/internal/incarnation/tracker_test.go
+++ b/internal/incarnation/tracker_test.go
@@ -9,7 +9,8 @@
 
 // TestClockSkewDoesNotEndSlowStart guards against a slow start that ends early because this gateway's clock is wrong, so that a
 // server appears to have started long ago. With each of the skews below, a server that starts while the list is watched must
-// appear to be at most as old as the last complete list without it. Its start time must not change later on.
+// not appear to have started before the last time at which a complete list did not contain it. Its start time must not change
+// later on.
 func TestClockSkewDoesNotEndSlowStart(t *testing.T) {
 	for _, skewMs := range []float64{0, 5000, -5000, hourMs, -hourMs} {
 		t.Run(fmt.Sprintf("skew %v ms", skewMs), func(t *testing.T) { checkSkew(t, skewMs) })
--- a/internal/lifecycle/attempts_test.go
+++ b/internal/lifecycle/attempts_test.go
@@ -8,7 +8,8 @@
 	"gaugerelay/internal/scheduler"
 )
 
-// An attempt expires at the scheduler's start deadline or, without one, when less than a millisecond of the client's time remains.
+// An attempt expires at the scheduler's start deadline or, without one, when less than a millisecond remains until the
+// client's deadline.
 func TestStartDeadlineExpiresAttempt(t *testing.T) {
 	fakeScheduler, upstream := &scriptedScheduler{}, &recordingUpstream{}
 	manager := newManager(fakeScheduler)
--- a/internal/shutdown/pacer_test.go
+++ b/internal/shutdown/pacer_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// FuzzShouldReject checks that no arguments and no service time, including infinities and NaN, lead to a rejection that cannot
-// save any request.
+// FuzzShouldReject checks that ShouldReject admits a request if its rejection cannot save any other request. Arguments and
+// service times may have any value, including infinities and NaN.
 func FuzzShouldReject(f *testing.F) {
 	f.Add(4, 4, 2500.0, 30.0, uint8(50))
 	f.Add(1, 1, 2500.0, 30.0, uint8(50))
