--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -130,7 +130,8 @@
 		time.Sleep(80 * time.Millisecond)
 		agent := newFakeAgent(t, network, "127.0.0.1:1")
 		time.Sleep(idleTimeoutMs * time.Millisecond / 2)
-		// Calls failed 0, 10, 30 and 70 ms after KeepOpen. The agent started after 80 ms, and the next call came after 150 ms.
+		// Calls failed 0, 10, 30 and 70 ms after KeepOpen. The agent started after 80 ms. The next call came after 150 ms,
+		// which is 70 ms after the start of the agent.
 		agent.expectRequests(t, "41 at 70")
 		agent.send(`{"version":43,"servers":[` + entry("Terminating") + `]}`)
 		agent.send(`{"servers":[` + entry("Terminating") + `]}`)
--- a/internal/shutdown/pacer_test.go
+++ b/internal/shutdown/pacer_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// FuzzShouldReject checks that ShouldReject admits a request if its rejection cannot save any other request. Arguments and
-// service times may have any value, including infinities and NaN.
+// FuzzShouldReject checks that ShouldReject admits a request if its rejection cannot save any other request. The remaining
+// time and the service times may have any value, including infinities and NaN.
 func FuzzShouldReject(f *testing.F) {
 	f.Add(4, 4, 2500.0, 30.0, uint8(50))
 	f.Add(1, 1, 2500.0, 30.0, uint8(50))
