--- a/cmd/faultbench/members.go
+++ b/cmd/faultbench/members.go
@@ -11,8 +11,8 @@
 	minDelayMs   = 1  // shortest delay of a datagram
 	jitterMs     = 12 // range of the random part of the delay
 	failureCount = 5  // number of gateways that fail in each run
-	// fullDurationSize is the size of the largest fleet that is simulated for the full duration. The duration of larger fleets
-	// is shorter by the factor fullDurationSize/size, since 10 s of 1,000 gateways take a minute to simulate.
+	// fullDurationSize is the size of the largest fleet that is simulated for the full duration. For larger fleets
+	// the duration is multiplied by fullDurationSize/size, since simulating 10 s of 1,000 gateways takes a minute.
 	fullDurationSize = 200
 )
 
--- a/cmd/gaugerelay/reload_test.go
+++ b/cmd/gaugerelay/reload_test.go
@@ -53,7 +53,8 @@
 	wantWatch("first watch=1&after=1")
 	reload(`{"listen":`)
 	p.waitForLog("msg=reload_failed")
-	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1)) // valid JSON that the scheduler rejects, since the file has no classes
+	// Without the key Lanes the file has no classes: it is valid JSON, but the scheduler rejects the settings.
+	reload(strings.Replace(text, `"Lanes"`, `"Gone"`, 1))
 	p.waitForLog("msg=reload_failed")
 	reload(withDiscovery(second))
 	p.waitForLog("msg=reload_done discovery=" + second)
--- a/cmd/gaugerelay/show_test.go
+++ b/cmd/gaugerelay/show_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The command fleet show prints the status of a gateway in a fleet. It fails for a gateway that is in no fleet. The bound of
-// 2040 ms is the default lease of 2000 ms, lengthened for the default clock drift of 0.01.
+// The command fleet show prints the status of a gateway in a fleet. It fails for a gateway that is in no fleet. The printed
+// bound part_back_ms is 2040 ms: the default quota lease of 2000 ms, lengthened for the default clock drift of 0.01.
 func TestFleetShow(t *testing.T) {
 	show := func(addr string) (string, error) {
 		out, err := newCommand(t.Context(), writeFile(t, "config.json", ""), "fleet", "show", addr).Output()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// host holds the schedulers of all running instances.
+// host holds the schedulers of all running instances. An instance is a scheduler that the simulator has opened under a number
+// and has not killed.
 type host struct {
 	out        *bufio.Writer
 	schedulers map[int]*scheduler.Scheduler // schedulers, keyed by the number of their instance
--- a/internal/bgp/announcement.go
+++ b/internal/bgp/announcement.go
@@ -43,7 +43,9 @@
 	}
 	twoOctetPath := bgp.NewAsPathParam(bgp.BGP_ASPATH_ATTR_TYPE_SEQ, []uint16{twoOctetAS(localAS)})
 	attributes := []bgp.PathAttributeInterface{origin, asPath(twoOctetPath), nextHop}
-	if localAS > math.MaxUint16 { // RFC 6793, 4.2.2: the peer forwards the real path in AS4_PATH without interpreting it
+	if localAS > math.MaxUint16 {
+		// AS_PATH contains AS_TRANS instead of the local AS, so AS4_PATH carries the real path. The peer forwards AS4_PATH
+		// without interpreting it (RFC 6793, 4.2.2).
 		attributes = append(attributes, bgp.NewPathAttributeAs4Path([]*bgp.As4PathParam{fourOctetPath}))
 	}
 	return attributes
--- a/internal/bgp/golden_test.go
+++ b/internal/bgp/golden_test.go
@@ -195,7 +195,7 @@
 func TestGoldenTimers(t *testing.T) {
 	r := connect(t, options(localAS))
 	r.read()
-	<-r.clock.armed // the clock must not advance after the speaker has read it and before the speaker has set its timer
+	<-r.clock.armed // waits until the speaker has set its timer: the clock must not advance while the speaker computes it
 	r.write(fourOctetOpen())
 	r.read()
 	// Each advance is as long as the keepalive interval without jitter. Jitter shortens the interval, so the keepalive timer
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,7 +11,7 @@
 	record := func() { ran = append(ran, clock.NowMs()) }
 	clock.AfterFunc(20, func() { record(); clock.AfterFunc(5, record) })
 	clock.AfterFunc(10, record)
-	clock.AfterFunc(15, record)() // stopped, so it must not run
+	clock.AfterFunc(15, record)() // stopped at once, so the callback must not run
 	clock.AfterFunc(50, record)
 	clock.Advance(30)
 	if want := []float64{110, 120, 125}; !slices.Equal(ran, want) || clock.NowMs() != 130 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -90,7 +90,7 @@
 		{"127.0.0.2:8500", "127.0.0.4:8500", "127.0.0.4:8500", ""},
 		{"127.0.0.2:8500", "127.0.0.4:8500", "127.0.0.4:8500", ""},
 		{`"Shares":1`, `"Shares":3`, "127.0.0.2:8500", "settings"},
-		{`"sockets":1024`, `"sockets":512`, "127.0.0.2:8500", "limits,settings"}, // settings, because Shares is 1 again
+		{`"sockets":1024`, `"sockets":512`, "127.0.0.2:8500", "limits,settings"}, // settings change because Shares is 1 again
 	} {
 		rewrite(strings.Replace(validConfig, step.old, step.new, 1))
 		next, err := current.Reload(getenv)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -102,7 +102,7 @@
 	return func(name string) string { return variables[name] }
 }
 
-// load loads the full configuration.
+// load returns the configuration that is loaded from the file fullConfig.
 func load(t *testing.T) *config.Config {
 	t.Helper()
 	c, err := config.Load(environment(map[string]string{"ROUTER_CONFIG": fullConfig}))
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -58,7 +58,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			const farFuture = time.Duration(2e18) // time since the epoch, 63 years; adding the settings must not overflow
+			const farFuture = time.Duration(2e18) // 63 years after the epoch; adding the settings to it must not overflow
 			settings := config.Settings
 			window := settings.Classes[1].DedupWindow
 			if window <= 0 || settings.MaxPollInterval <= 0 || config.IdleConnTimeoutMs > maxMs ||
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -121,7 +121,9 @@
 			errs = append(errs, fmt.Errorf("root %q: wants a clean absolute path, a volume in hex and a known plan", root.Path))
 		}
 		if root.Gateways == 0 {
-			root.Gateways = max(1, settings.Gateways) // conservative: divides the volume's limit among all gateways
+			// Without the key hosts, all gateways are assumed to receive requests for the volume. This is conservative: the
+			// volume's limit is divided among all of them.
+			root.Gateways = max(1, settings.Gateways)
 		}
 		s.Roots = append(s.Roots, root)
 	}
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -37,8 +37,8 @@
 	changes    []StateChange
 }
 
-// New returns the Memberlist of a process that has just started and assumes that all other members are alive. It returns
-// an error that wraps ErrInvalidSettings if the settings are out of range.
+// New returns the Memberlist of a process that has just started, in which all other members are alive. It returns an error
+// that wraps ErrInvalidSettings if the settings are out of range.
 func New(settings Settings) (*Memberlist, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
--- a/internal/membership/receive_test.go
+++ b/internal/membership/receive_test.go
@@ -50,7 +50,7 @@
 			list.Step(0, nil)
 			for range 2 {
 				random.Shuffle(len(updates), func(i, j int) { updates[i], updates[j] = updates[j], updates[i] })
-				for _, u := range updates { // a Nack without a pending probe has no other effect than its updates
+				for _, u := range updates { // a Nack that answers no pending probe only applies its updates
 					list.Step(0, []Message{{Kind: Nack, Peer: 2, Updates: []Update{u}}})
 				}
 			}
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -43,7 +43,7 @@
 
 	// MaxUpdatesPerMessage bounds the updates that one message carries.
 	MaxUpdatesPerMessage int
-	// RetransmitFactor times the decimal logarithm of MemberCount+1 is the number of times that each update is sent, rounded up.
+	// RetransmitFactor determines how many times each update is sent: RetransmitFactor*log10(MemberCount+1), rounded up.
 	RetransmitFactor float64
 	// DeadProbeEvery is the interval, in probes, at which a dead member is probed, so that the parts of a partitioned fleet
 	// find each other again.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -4,7 +4,7 @@
 
 // maxDirectPings is the number of times that a suspect is pinged directly: after 1/2, 3/4, 7/8 and 15/16 of its suspicion
 // timeout. With message loss, there is always some member that the gossiped refutation of a suspect does not reach. A direct
-// ping lets the suspect refute the suspicion to that member itself.
+// ping from that member tells the suspect of the suspicion, and the answer to the ping refutes it.
 const maxDirectPings = 4
 
 // suspicionTimeoutMs returns the time after which a suspect is declared dead unless it refutes the suspicion. The more
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -28,9 +28,9 @@
 	return &Detector{settings: settings, servers: map[uint64]*server{}, aliveGateways: 1}, nil
 }
 
-// SetServers replaces the list of servers by the first MaxServers of ids, which come from this gateway's endpoint list. It
-// undoes earlier calls of MarkWithdrawn. The detector removes the state of servers that are not listed, and ignores reports
-// about them.
+// SetServers replaces the list of servers by the first MaxServers of ids. The caller passes the servers of this gateway's
+// endpoint list and those that were removed from it recently. SetServers undoes earlier calls of
+// MarkWithdrawn. The detector removes the state of servers that are not listed, and ignores reports about them.
 func (d *Detector) SetServers(ids []uint64) {
 	d.order = nil
 	listed := map[uint64]*server{}
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -36,7 +36,7 @@
 	return Report{Peer: peer, Server: server, Condition: Failing, Percent: percent, Version: version}
 }
 
-// wantEjected checks that a step has ejected the wanted servers, in this order.
+// wantEjected checks that a step has ejected the wanted servers, in the wanted order.
 func wantEjected(t *testing.T, ejections []Ejection, want ...uint64) {
 	t.Helper()
 	if got := ejectedServers(ejections); !slices.Equal(got, want) {
@@ -103,7 +103,7 @@
 		t.Errorf("got reports %+v before the report interval ended, want none", reports)
 	}
 
-	// The report is repeated while the server fails, and forms a quorum with the report of another gateway.
+	// This gateway repeats its report while the server fails. The report forms a quorum with that of another gateway.
 	d.RecordAttempt(900, 1, true)
 	reports, ejections = d.Step(1000, []Report{failingReport(5, 1, 100, 1)})
 	wantOneReport(t, reports, 1, Failing, 100)
@@ -203,7 +203,7 @@
 	_, ejections = d.Step(5200, nil)
 	wantEjected(t, ejections)
 
-	// Earlier versions do not count, even if they arrive after the later ones have expired.
+	// A report with an earlier version is ignored, even if it arrives after the report with the later version has expired.
 	_, ejections = d.Step(9000, []Report{failingReport(1, 1, 100, 8), failingReport(2, 1, 100, 8)})
 	wantEjected(t, ejections)
 }
@@ -234,7 +234,8 @@
 		var reports []Report
 		for range 40 {
 			peer, server, version := uint16(random.IntN(5)), uint64(1+random.IntN(4)), uint64(random.IntN(6))
-			percent := uint8((version*37 + uint64(peer)*11 + server) % 3 * 50) // same percentage for the same peer, server and version
+			// Reports with the same peer, server and version are duplicates, so they must have the same percentage.
+			percent := uint8((version*37 + uint64(peer)*11 + server) % 3 * 50)
 			reports = append(reports, failingReport(peer, server, percent, version))
 		}
 		var want []uint64
--- a/internal/peer/inbox.go
+++ b/internal/peer/inbox.go
@@ -32,7 +32,7 @@
 	m.latencyReports = append(m.latencyReports, p.LatencyReports...)
 }
 
-// receive decodes a datagram and posts it to the event loop. It runs on a goroutine of the socket.
+// receive decodes a datagram and posts the packet to the event loop. It runs on a goroutine of the socket.
 func (s *Service) receive(b []byte) {
 	packet, err := s.codec.Decode(b)
 	if err != nil || !s.isPeer(packet.From) {
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -19,7 +19,7 @@
 	gatewayEventKinds
 )
 
-// Kinds of events of the whole network. Their numbers are the kind plus gatewayEventKinds*n.
+// Kinds of events of the whole network. The number of such an event is its kind plus gatewayEventKinds*n.
 const (
 	eventTimePasses = iota
 	eventHalfLeasePasses
--- a/internal/quota/scale_test.go
+++ b/internal/quota/scale_test.go
@@ -95,7 +95,7 @@
 
 // TestLendersAreFoundAmongManyGateways runs 300 gateways with message loss. The traffic of each pool arrives at three of
 // them, mostly at the first one, and at the start none of the three knows the other two. The test checks that the median
-// borrower finds both lenders within LenderSearchBoundMs and four ticks for the transfer of messages, and that the gateways of a
+// borrower finds both lenders within LenderSearchBoundMs plus four ticks for the transfer of messages, and that the gateways of a
 // pool together may never use more than the whole pool.
 func TestLendersAreFoundAmongManyGateways(t *testing.T) {
 	const (
--- a/internal/quota/transfer_test.go
+++ b/internal/quota/transfer_test.go
@@ -28,7 +28,7 @@
 	before := net.available(0)
 	net.runReliably(testSettings(0, 0).GrantHoldMs() + 300)
 	// The quota that the dead gateway had borrowed has returned to its lenders. The dead gateway's own share stays unused,
-	// since a dead gateway cannot lend it. Gateway 0 therefore has its own 1/3 and up to 3/4 of the 1/3 of gateway 2, 0.58.
+	// since a dead gateway cannot lend it. Gateway 0 therefore has its own 1/3 and up to 3/4 of the 1/3 of gateway 2: 0.58 in all.
 	if got := net.available(0); got < 0.57 || got < before {
 		t.Errorf("after a borrower's crash, a lender may use %.3f of the pool, want at least 0.57 and at least %.3f as before",
 			got, before)
--- a/internal/timerwheel/bench_test.go
+++ b/internal/timerwheel/bench_test.go
@@ -9,8 +9,8 @@
 
 const (
 	stepsPerMs   = 16  // number of steps of a benchmark per simulated millisecond
-	maxMapTimers = 1e5 // largest number of timers for the map, since searching a larger map takes seconds
-	timersPerMs  = 4   // n timers expire n/timersPerMs ms after scheduling, so that about 2 % fire before they are rescheduled
+	maxMapTimers = 1e5 // largest number of timers with which the map is measured, since searching a larger map takes seconds
+	timersPerMs  = 4   // each of n timers is set to expire after n/timersPerMs ms, so that about 2 % fire before they are rescheduled
 )
 
 // heapEntry is a timer in the heap that is compared with the wheel. A canceled entry stays in the heap until it would have
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -19,8 +19,8 @@
 	slotsPerLevel = 1 << slotBits
 	slotMask      = slotsPerLevel - 1
 	levelCount    = 5
-	// horizonTicks is the number of ticks that all levels cover. A timer that expires later is put into the slot of the last
-	// tick that they cover, and is placed again when that slot is cascaded.
+	// horizonTicks is the number of ticks that all levels cover. A timer that expires after them is put into the slot of
+	// the last of these ticks, and is placed again when that slot is cascaded.
 	horizonTicks = 1 << (slotBits * levelCount)
 )
 
