--- a/internal/frontend/accept/accept_test.go
+++ b/internal/frontend/accept/accept_test.go
@@ -39,8 +39,8 @@
 func (f *failingListener) Close() error { close(f.closed); return nil }
 
 // Accept must retry after every error. The delay before a retry doubles with each failure, from minBackoffMs up to 5 ms, which is
-// maxBackoffFraction of the shortest deadline (250 ms here). The total delay must not exceed the max of the test
-// case. Errors of a single connection cause no delay.
+// maxBackoffFraction of the shortest deadline (250 ms here). The total delay must not exceed the field max of the
+// test case. Errors of a single connection cause no delay.
 func TestAcceptSurvivesErrors(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/frontend/coapserver/server_test.go
+++ b/internal/frontend/coapserver/server_test.go
@@ -88,7 +88,8 @@
 		t.Fatal(err)
 	}
 	defer netConn.Close()
-	// The message is not a CSM, and it is longer than what the server reads at once.
+	// The server aborts the connection, because its first message is not a CSM. The message is longer than what the server reads
+	// at once, so unread bytes are left.
 	mustWrite(t, netConn, append([]byte{0x00, byte(codes.GET)}, make([]byte, 64<<10)...))
 	got, err := io.ReadAll(netConn)
 	if err != nil || !bytes.Contains(got, []byte("the first message must be a CSM")) {
--- a/internal/frontend/httpserver/conntracker_test.go
+++ b/internal/frontend/httpserver/conntracker_test.go
@@ -23,7 +23,7 @@
 }
 
 // writeInBackground writes to a pipe, where a write blocks until the other end reads. Errors are ignored, because the connection
-// may be shed before it is read.
+// may be shed before the text is read.
 func writeInBackground(client net.Conn, text string) {
 	go testbed.TryWrite(client, text)
 }
@@ -127,7 +127,7 @@
 			i, n, err, c.conn.isShed)
 	}
 	if n == 1 {
-		c.state = http.StateActive // the server would report this state to the tracker only after the whole head
+		c.state = http.StateActive // the server would report this state to the tracker only after the whole head has arrived
 	}
 }
 
--- a/internal/frontend/httpserver/device_test.go
+++ b/internal/frontend/httpserver/device_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Conflict and Superseded occur for devices only. If the inbox is full, a repeated write must fail, because an earlier
-// transmission may have been executed, while a first transmission must be rejected.
+// The response kinds Conflict and Superseded occur for devices only. If the inbox is full, a repeated write must fail, because an
+// earlier transmission may have been executed, while a first transmission must be rejected.
 func TestDeviceResponses(t *testing.T) {
 	h := newDeviceHandler(respondWith(lifecycle.Response{Kind: lifecycle.Conflict}))
 	if w := h.serve(deviceRequest(nil)); w.Code != 409 || w.Header().Get("Connection") == "close" {
--- a/internal/frontend/httpserver/handler.go
+++ b/internal/frontend/httpserver/handler.go
@@ -190,7 +190,7 @@
 		panic(http.ErrAbortHandler) // returning would write an empty 200 response, which no server has sent
 	case <-guardExpired:
 		select {
-		case response := <-responses: // the response arrived at the same time
+		case response := <-responses: // the response arrived when the guard expired
 			h.writeResponse(w, r, request, response)
 			return
 		default:
--- a/internal/frontend/httpserver/link.go
+++ b/internal/frontend/httpserver/link.go
@@ -24,7 +24,7 @@
 
 	startMs, lastMs float64 // times of the first call of Read and of the last read that returned bytes
 	bytes           int
-	maxGapMs        float64 // longest time without a byte
+	maxGapMs        float64 // longest time in which no byte of the body arrived
 	spanMs          float64 // time from startMs to lastMs
 }
 
--- a/internal/frontend/httpserver/races_test.go
+++ b/internal/frontend/httpserver/races_test.go
@@ -61,8 +61,8 @@
 }
 
 // The disconnect of a client must be detected even after the client has pipelined more bytes than the server reads while a request
-// is open (maxPipelinedBytes and maxDiscardBytes). The server then no longer reads, so no read reports the disconnect, but
-// Request.Canceled asks the kernel.
+// is open (maxPipelinedBytes and maxDiscardBytes). The server then no longer reads, so no read reports the disconnect.
+// Request.Canceled must detect it by asking the kernel.
 func TestDisconnectAfterDiscardLimit(t *testing.T) {
 	s := startServer(t, func(_ *testServer, ln net.Listener) net.Listener { return largeBufferListener{ln} })
 	client := s.dial(t)
@@ -102,7 +102,7 @@
 		testbed.Write(t, client, strings.Repeat("x", maxPipelinedBytes))
 		conns = append(conns, client)
 	}
-	receive(t, "all bytes sent", gate.allRead) // only the bytes of the last reads may be neither buffered nor discarded yet
+	receive(t, "all bytes sent", gate.allRead) // only the bytes of the last reads may still have to be buffered or discarded
 	if bytes := buffered(); bytes == 0 || bytes > s.tracker.MaxPipelinedBytes {
 		t.Errorf("%d bytes are buffered, want 1 to %d", bytes, s.tracker.MaxPipelinedBytes)
 	}
@@ -211,8 +211,8 @@
 	if n != 1 {
 		t.Errorf("%d connections wait for their clients to close, want 1", n)
 	}
-	s.clock.Advance(gracefulclose.TimeoutMs) // the last connection must now be closed, too
-	// A write of a client fails once the server has closed the connection.
+	s.clock.Advance(gracefulclose.TimeoutMs) // a connection that still waits for its client must now be closed
+	// Each inner loop ends only when a write fails, which shows that the server has closed the connection.
 	for _, client := range conns {
 		for _, err := io.WriteString(client, "more"); err == nil; _, err = io.WriteString(client, "more") {
 			runtime.Gosched()
--- a/internal/frontend/sftpserver/disconnect_test.go
+++ b/internal/frontend/sftpserver/disconnect_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestTruncatedWriteIsNotSubmitted checks that a WRITE that arrives only in part is counted once and not submitted.
+// TestTruncatedWriteIsNotSubmitted checks that a WRITE that arrives only in part is not submitted, and is counted once
+// as a truncated command.
 func TestTruncatedWriteIsNotSubmitted(t *testing.T) {
 	g := newTestGateway(t)
 	g.files.Put("/layers/a", []byte("old"))
@@ -122,7 +123,7 @@
 	mustWrite(t, conn, append(bytes.Clone(initPacket), statPacket...))
 	<-reached
 	ended := g.startShutdown()
-	for !sftpserver.Draining(g.server) { // commands that arrive later are not read
+	for !sftpserver.Draining(g.server) { // commands that arrive once the server is draining are not read
 		runtime.Gosched()
 	}
 	mustWrite(t, conn, statPacket)
--- a/internal/frontend/sftpserver/file.go
+++ b/internal/frontend/sftpserver/file.go
@@ -90,7 +90,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if failed, ok := f.failedWrites[offset]; ok && failed.equals(&record) && record.firstReceivedMs-failed.firstReceivedMs < windowMs {
-		return failed, notRetransmitted // the exchange store, if there is one, recognizes the upload key
+		return failed, notRetransmitted // an exchange store, if there is one, recognizes the retransmission by its upload key
 	}
 	f.removeOverwritten(&record)
 	ageMs = notRetransmitted
--- a/internal/frontend/sftpserver/helper_test.go
+++ b/internal/frontend/sftpserver/helper_test.go
@@ -161,13 +161,13 @@
 	}
 }
 
-// waitCountedOnce waits until the counter is 1.
+// waitCountedOnce waits until the counter with the given name is 1.
 func (g *testGateway) waitCountedOnce(name string) {
 	g.waitUntil(func() bool { return g.counters.Get(name) == 1 })
 }
 
-// advanceUntil advances the clock in small steps until done has a value, which it returns. It advances the clock only while requests
-// are queued and no attempt is in flight.
+// advanceUntil advances the clock in small steps until done yields a value, and returns that value. It advances the clock only while
+// requests are queued and no attempt is in flight.
 func (g *testGateway) advanceUntil(done chan error) error {
 	for {
 		select {
--- a/internal/frontend/sftpserver/server_test.go
+++ b/internal/frontend/sftpserver/server_test.go
@@ -70,7 +70,7 @@
 	if err := g.advanceUntil(done); err != nil || !bytes.Equal(got.Bytes(), data) {
 		t.Errorf("download: error %v, got %d bytes; want the whole file", err, got.Len())
 	}
-	// The served requests are not counted, because READs past the end of the file may still be in flight.
+	// The number of served requests is not checked, because READs past the end of the file may still be in flight.
 	if n := g.counters.Get("answers_rejected") + g.counters.Get("answers_failed"); n != 0 {
 		t.Errorf("%d requests were rejected or failed, want 0", n)
 	}
--- a/internal/frontend/sftpserver/traffic_test.go
+++ b/internal/frontend/sftpserver/traffic_test.go
@@ -71,7 +71,7 @@
 	m.arrivals++
 }
 
-// serveHTTP handles the requests of the HTTP storage servers.
+// serveHTTP handles a request that has arrived at an HTTP storage server.
 func (m *limitMeter) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	volume, volumeErr := strconv.ParseUint(query.Get("volume"), 10, 64)
--- a/internal/upstream/httpclient/conn.go
+++ b/internal/upstream/httpclient/conn.go
@@ -15,7 +15,7 @@
 )
 
 // responseTimeoutMs bounds the time from the first to the last byte of a response. Servers send a response without pauses.
-// Without this bound, a response that arrives slowly, or whose length is given too large, would hold its request until the
+// Without this bound, a response that arrives slowly, or whose stated length is too large, would hold its request until the
 // client's deadline.
 const responseTimeoutMs = 250
 
@@ -114,7 +114,8 @@
 func (c *conn) startRequest(attempt *attemptState) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// A server may respond before it has received the whole request. Writing the rest does not start another request.
+	// A server may respond before it has received the whole request. The rest may still be written, since that starts no new
+	// request.
 	continues := attempt != nil && attempt.started && !attempt.requestWritten.Load()
 	if c.response == nil && !continues {
 		if c.unusable || c.used && c.hasUnreadInput() {
--- a/internal/upstream/httpclient/conn_test.go
+++ b/internal/upstream/httpclient/conn_test.go
@@ -119,7 +119,7 @@
 }
 
 // A request that is answered before it was written completely is the last one on its connection. The server may send a second
-// response when it has the whole request, and this would be taken for the response to the next request.
+// response when it has the whole request, and that response would be taken for the response to the next request.
 func TestEarlyResponseEndsConnectionReuse(t *testing.T) {
 	received := make(chan string, 1)
 	addr := testbed.Serve(t, func(netConn net.Conn) {
--- a/internal/upstream/httpclient/framing.go
+++ b/internal/upstream/httpclient/framing.go
@@ -107,7 +107,7 @@
 		return 0, errInvalidResponse
 	}
 	code, err := strconv.Atoi(fields[1])
-	if err != nil || code == http.StatusSwitchingProtocols { // the client never requests an upgrade
+	if err != nil || code == http.StatusSwitchingProtocols { // status 101 is invalid, because the client never requests an upgrade
 		return 0, errInvalidResponse
 	}
 	return code, nil
--- a/internal/upstream/sftpclient/client_test.go
+++ b/internal/upstream/sftpclient/client_test.go
@@ -51,7 +51,8 @@
 }
 
 // TestSessionsExpireAndAreLimited checks that an idle session is not used again after ConnIdleTimeoutMs *
-// upstream.IdleTimeoutFraction, which is 18 s here, and that an attempt above MaxSessions does not execute.
+// upstream.IdleTimeoutFraction, which is 18 s here, and that an attempt that would need a session above MaxSessions is
+// not executed.
 func TestSessionsExpireAndAreLimited(t *testing.T) {
 	server, now := newScriptedServer(t), clock.NewManual(startMs)
 	client, results := newTestClient(now, server.address, 1)
@@ -116,7 +117,7 @@
 	if result := <-results; result.Status != scheduler.StatusOverloaded {
 		t.Errorf("got status %d, want StatusOverloaded", result.Status)
 	}
-	for open := true; open; { // waits until the attempt's goroutine has discarded the session and so reports nothing more
+	for open := true; open; { // waits until the attempt's goroutine has discarded the session; it reports no result after that
 		client.sessions.mu.Lock()
 		open = client.sessions.openSessions > 0
 		client.sessions.mu.Unlock()
--- a/internal/upstream/sftpclient/session.go
+++ b/internal/upstream/sftpclient/session.go
@@ -58,7 +58,7 @@
 type commandOutcome struct {
 	// reply is valid if err is nil.
 	reply *sftpwire.Reply
-	// handle is a handle that is still open, or nil.
+	// handle is the file handle that the OPEN returned, if it is not closed yet; otherwise nil.
 	handle []byte
 	// execution is the state of the command itself. The OPEN that precedes a READ or WRITE does not count, because it changes
 	// nothing on the server.
@@ -109,8 +109,8 @@
 	return packetType, body, body.err
 }
 
-// execute sends the command of an attempt. It also sends remainingMs, the time until the client's deadline, to the server if the
-// command needs an OPEN.
+// execute sends the command of an attempt. If the command needs an OPEN, the OPEN also carries remainingMs, the time until the
+// client's deadline.
 func (s *session) execute(attempt lifecycle.Attempt, remainingMs float64) commandOutcome {
 	command := attempt.Request.Payload.(*sftpwire.Command)
 	if command.Op == sftpwire.OpStat {
@@ -120,14 +120,14 @@
 	if opened.err != nil || opened.handle == nil || command.Op == sftpwire.OpOpen {
 		return opened
 	}
-	// The attempt may have lost its authorization during the round trip of the OPEN.
+	// The round trip of the OPEN took time, so the authorization is checked again before the READ or WRITE is sent.
 	if _, denial := attempt.Authorize(s.clock); denial != permission.Allowed {
 		return commandOutcome{err: errNotAuthorized}
 	}
 	return s.transfer(command, opened.handle)
 }
 
-// stat sends a STAT.
+// stat sends a STAT and decodes the response.
 func (s *session) stat(command *sftpwire.Command) commandOutcome {
 	packetType, body, err := s.roundTrip(s.newRequest(typeStat).string(command.Path))
 	outcome := commandOutcome{execution: executionAfter(err), err: err}
@@ -137,7 +137,7 @@
 	return outcome
 }
 
-// open sends an OPEN. The outcome has a handle if the server opened the file.
+// open sends an OPEN. If the server opened the file, the field handle of the outcome holds the file's handle.
 func (s *session) open(command *sftpwire.Command, remainingMs float64) commandOutcome {
 	packetType, body, err := s.roundTrip(s.openRequest(command, remainingMs))
 	outcome := commandOutcome{err: err}
@@ -201,7 +201,8 @@
 	return outcome
 }
 
-// isRequestedData reports whether the data in the reply is what the command asked for: at most the bytes of a READ.
+// isRequestedData reports whether the command may be answered with the data in the reply: it must be a READ, and the data must
+// not be longer than the READ requested.
 func isRequestedData(command *sftpwire.Command, reply *sftpwire.Reply) bool {
 	return command.Op == sftpwire.OpRead && len(reply.Data) <= int(command.Length)
 }
