--- a/internal/testbed/chaos/checker_test.go
+++ b/internal/testbed/chaos/checker_test.go
@@ -7,8 +7,8 @@
 	"gaugerelay/internal/testbed/process"
 )
 
-// record holds what was recorded in a run with one gateway, one server and one request. As newRecord returns it, the run
-// violates no invariant: the request was sent at 1 min and served 20 ms later by the only attempt.
+// record holds what was recorded in a run with one gateway, one server and one request. The record
+// that newRecord returns violates no invariant: the request was sent at 1 min and served 20 ms later by the only attempt.
 type record struct {
 	harness *harness
 	server  *server
@@ -75,11 +75,15 @@
 		r.publish(process.EndpointDraining, at(time.Minute-drainGrace-2*socketSlack))
 	}, Result{SentAfterDrain: 1}},
 	{"sent to a removed server", func(r *record) { r.publish(process.EndpointRemoved, at(50*time.Second)) }, Result{SentAfterDrain: 1}},
-	{"sent after the drain grace in a stall", func(r *record) { // stallLookback lets the stall excuse the attempt
+	{"sent after the drain grace in a stall", func(r *record) {
+		// The attempt begins 9 s after the drain grace has ended. The checker excuses it, because it begins less than stallLookback
+		// after the end of a stall.
 		r.publish(process.EndpointDraining, at(50*time.Second))
 		r.harness.stalls = []process.Interval{{From: at(59 * time.Second), To: at(time.Minute)}}
 	}, Result{}},
-	{"more than slow start allows", func(r *record) { // 200 units are 100 requests of meanUnits; slowStartBound allows less than 50
+	{"more than slow start allows", func(r *record) {
+		// The attempt has 200 units, as many as 100 requests of meanUnits. 1 s after the start of a server, slowStartBound allows
+		// less than 50 such requests.
 		r.server.startedAt, r.arrival.units = at(time.Minute-time.Second), 200
 		r.harness.discovery.changes[0].at = r.server.startedAt
 		r.harness.discovery.deliveries[0] = []delivery{{r.server.startedAt, 1}}
@@ -93,7 +97,7 @@
 	}, Result{}},
 	{"disconnected", (*record).disconnect, Result{Lost: 1}},
 	{"disconnected before the request was read", func(r *record) {
-		// The connection was reused, so the gateway may have closed it while it was idle.
+		// The request reuses an idle connection. The gateway may have closed that connection before the request arrived.
 		r.disconnect()
 		r.request.connReused, r.server.arrivals = true, nil
 	}, Result{}},
@@ -120,8 +124,8 @@
 	}, Result{DuplicateExecutions: 1}},
 }
 
-// TestChecker checks that the checker counts a violation under its kind, and none for what its bounds and exceptions allow. A
-// checker that counts too little would let the chaos runs pass in spite of a fault of the gateway.
+// TestChecker checks that the checker counts each violation under the kind of the violation, and counts nothing that a bound or an
+// exception allows. A checker that counts too little would let the chaos runs pass in spite of a fault of the gateway.
 func TestChecker(t *testing.T) {
 	for _, test := range checkerTests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/testbed/chaos/discovery.go
+++ b/internal/testbed/chaos/discovery.go
@@ -46,7 +46,7 @@
 }
 
 // discovery fakes the service that publishes the endpoint list. All gateways share it, but each gateway calls it at addresses
-// of its own, by which discovery knows the gateway. It records what was sent to each gateway.
+// that no other gateway uses, so that discovery can tell the gateways apart. It records what was sent to each gateway.
 type discovery struct {
 	push  bool        // whether each gateway has an agent on its machine that pushes the list, instead of one service that all gateways poll
 	addrs [][2]string // for each gateway: its two addresses of discovery; reloads switch the gateway between them
--- a/internal/testbed/chaos/result.go
+++ b/internal/testbed/chaos/result.go
@@ -20,7 +20,7 @@
 	// Violations of the invariants, by kind.
 	SentAfterDrain      int // attempts more than drainGrace after their gateway was notified that the server drains or is removed
 	SlowStartExceeded   int // servers that got more load than their slow start allows
-	Lost                int // requests without a response in time or with a wrong one, and attempts after the client had left
+	Lost                int // requests without a correct response in time, and attempts begun after the client had disconnected
 	DuplicateExecutions int // repeated executions that neither idempotency nor deduplication allows, and rejections of executed requests
 	DeadlineExtended    int // attempts that stated a longer remaining time to the server than the client had left
 	GatewayReported     int // nonzero violation counters in the metrics of gateways
--- a/internal/testbed/chaos/settings.go
+++ b/internal/testbed/chaos/settings.go
@@ -28,7 +28,7 @@
 const (
 	socketSlack          = 50 * time.Millisecond  // added to time limits, for the delay of sockets
 	maxNotificationDelay = 6 * time.Second        // delay after which a gateway is treated as having been notified of a change; see notifiedAt
-	cancelSlack          = 100 * time.Millisecond // how long after the client has closed its connection an attempt may still begin
+	cancelSlack          = 100 * time.Millisecond // an attempt may still begin this long after the client has closed its connection
 	deadlineSlack        = 150 * time.Millisecond // by how much the remaining time stated to a server may exceed that of the client
 	responseSlack        = 500 * time.Millisecond // how late a response may be without counting as lost
 	acceptTime           = 400 * time.Millisecond // how long a gateway goes on accepting new connections after SIGTERM
--- a/internal/testbed/chaos/watch.go
+++ b/internal/testbed/chaos/watch.go
@@ -136,7 +136,7 @@
 	return watchMessage{line: append(line, '\n'), changed: d.changed}, true
 }
 
-// waitSilently keeps a silent watch open until either side ends it, and records the time in which it was silent. It does not
+// waitSilently keeps a silent watch open until either side ends it, and records the interval of the silence. It does not
 // return but aborts the response with a panic.
 func (d *discovery) waitSilently(opened *watch, r *http.Request) {
 	select {
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestResultCountsUnitsOverLimit takes 24 units more than the burst of a volume at once. If Result did not count that as a
-// violation, the scenarios would pass although the gateways exceed limits.
+// TestResultCountsUnitsOverLimit takes the burst of a volume and 24 units more at once. Only 15 units more are allowed: the overdraft
+// and the yield of limitRate in limitTimeSlackMs. If Result did not count the excess as a violation, the scenarios would pass although
+// the gateways exceed limits.
 func TestResultCountsUnitsOverLimit(t *testing.T) {
 	p, err := newPlatform(1, 1, 1)
 	if err != nil {
--- a/internal/testbed/cluster/ejection.go
+++ b/internal/testbed/cluster/ejection.go
@@ -17,8 +17,8 @@
 func allGateways(int) bool { return true }
 
 // checkNotEjected checks that no selected gateway has nearly stopped sending requests to the server of a shard while it
-// went on sending to the server of the next shard. It compares the requests received since before. The shard of a request
-// is uniformly random, so both servers should get about the same number.
+// went on sending to the server of the next shard. before holds the request counts at the start of the comparison. The shard
+// of a request is uniformly random, so both servers should get about the same number.
 func (c *Cluster) checkNotEjected(selected func(gateway int) bool, shard int, before [][]int) {
 	now := c.platform.receivedCounts()
 	next := (shard + 1) % c.options.Shards
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -24,7 +24,7 @@
 
 	// Violations of the invariants, by kind.
 	Lost              int // requests without a response although their gateway was running
-	DuplicateArrivals int // attempts of a request that had arrived before; no request is idempotent
+	DuplicateArrivals int // attempts of requests that had already arrived at a server; not allowed, because no request is idempotent
 	Crashed           int // gateways that exited unexpectedly
 	OverLimit         int // volumes that exceeded their limits by more than AllowedOverLimit
 	WrongEjections    int // gateways that nearly stopped sending to a server that served them without errors
--- a/internal/testbed/cluster/serverscenarios.go
+++ b/internal/testbed/cluster/serverscenarios.go
@@ -45,8 +45,8 @@
 
 func allButFirstGateway(gateway int) bool { return gateway != 0 }
 
-// sendFalseReports lets the byzantine peer send false reports to all gateways. No gateway may eject a server because of them,
-// which is checked for the servers of shards 0 and 1.
+// sendFalseReports lets the byzantine peer send false reports to all gateways. No gateway may eject a server because of these
+// reports. The scenario checks this for the servers of shards 0 and 1.
 func sendFalseReports(c *Cluster) {
 	before := c.platform.receivedCounts()
 	for round := range 20 {
--- a/internal/testbed/fakedevice/device.go
+++ b/internal/testbed/fakedevice/device.go
@@ -4,7 +4,8 @@
 //
 // The package owns the devices' side of an exchange over CoAP, HTTP and SFTP. A [Device] performs one exchange after the other in
 // its caller's goroutine. It starts a second goroutine only to send over two connections at the same time, and waits for that
-// goroutine. The device records responses in an invariants.Checker. Its behavior depends only on Rand and on what it receives.
+// goroutine. The Device records responses in an invariants.Checker. The behavior of a Device depends only on its field Rand and on
+// what the Device receives.
 package fakedevice
 
 import (
--- a/internal/testbed/fakestorage/shard.go
+++ b/internal/testbed/fakestorage/shard.go
@@ -9,7 +9,7 @@
 // concurrent use.
 type Shard struct {
 	Name        string
-	DedupWindow time.Duration // time after the first write with a key in which further writes with that key are not executed
+	DedupWindow time.Duration // time, counted from the first write with a key, in which further writes with that key are not executed
 
 	mu     sync.Mutex
 	writes map[string]firstWrite // latest executed write of each idempotency key
--- a/internal/testbed/faultnet/faultnet.go
+++ b/internal/testbed/faultnet/faultnet.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// conn is a connection whose writes fail and whose reads are short at random.
+// conn is a connection with random faults: some writes fail, and some reads are short.
 type conn struct {
 	*net.TCPConn
 	network *Network
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -53,7 +53,7 @@
 	Content            string // digest of the body
 	At                 time.Time
 	Deduplicated       bool // whether the server recognized the key of an earlier request and did not execute this one
-	Incarnation        int  // incarnation of the gateway that sent the request; 0 if the protocol lets clients mark retries
+	Incarnation        int  // incarnation of the gateway that sent the request; always 0 for protocols in which clients mark retries
 	DrainNotified      bool // whether the gateway had been notified more than 1 s earlier that the server drains
 }
 
--- a/internal/testbed/invariants/result.go
+++ b/internal/testbed/invariants/result.go
@@ -16,7 +16,7 @@
 	Writes    int
 
 	DuplicateResponses int // transmissions with two responses, and final responses that differ from the first one of their exchange
-	DisallowedRetries  int // repeated executions of writes that deduplication does not cover
+	DisallowedRetries  int // repeated executions of a write, if deduplication does not cover the repetition
 	MissingResponses   int // exchanges without a response by the deadline over a working link
 	LostWrites         int // writes that were served but never executed
 	SendsToDraining    int // requests to a server more than 1 s after the gateway was notified that the server drains
@@ -26,7 +26,7 @@
 	WeightInTime         float64         // sum of the priority weights of the exchanges served in time
 	ChangedByRestart     int             // final responses that differ from the first because the gateway had restarted; no violation
 	RewritesAfterRestart int             // file writes that were executed again for a restarted gateway; no violation
-	WriteExecutions      int             // executions of writes, without those that a server deduplicated
+	WriteExecutions      int             // number of executed writes; a write that a server deduplicated is not counted
 	BytesSent            int             // bytes that the devices sent over their links
 	PayloadBytes         int             // sum of the body sizes of all exchanges
 	ResponseTimes        []time.Duration // from the beginning of an exchange to its first final response, sorted
--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -43,8 +43,8 @@
 }
 
 // Host returns the loopback address of a gateway process that this program starts. block is the second octet of the address;
-// each package that starts gateway processes uses a different one. Outgoing connections never use these addresses as their
-// source, so they cannot occupy the port of a gateway while its process is down.
+// each package that starts gateway processes uses a different block. No outgoing connection has such an address as its source.
+// A gateway's port therefore stays free while the gateway process is down.
 func Host(block, gateway int) string {
 	return fmt.Sprintf("127.%d.%d.%d", block, 1+os.Getpid()%250, gateway+1)
 }
