--- a/internal/bgp/speaker.go
+++ b/internal/bgp/speaker.go
@@ -16,8 +16,8 @@
 	dialTimeout  = 5 * time.Second
 	writeTimeout = 5 * time.Second
 
-	// minRetryDelayMs is the delay before the next connection attempt. The delay doubles, up to maxRetryDelayMs, after each
-	// attempt that establishes no session.
+	// minRetryDelayMs is the delay before a new connection attempt, at first and after the end of an established session. After
+	// each attempt that establishes no session, the delay doubles, up to maxRetryDelayMs.
 	minRetryDelayMs = 5_000
 	maxRetryDelayMs = 60_000
 
--- a/internal/dedup/exchange/fuzz_test.go
+++ b/internal/dedup/exchange/fuzz_test.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// drain ends all executions, advances the time until the store is empty, and checks that every transmission got a response.
+// drain ends all executions, advances the time until the store is empty, and checks that every transmission that was not
+// canceled got a response.
 func (m *gatewayModel) drain() {
 	m.t.Helper()
 	for id, exchange := range m.exchanges {
--- a/internal/dedup/exchange/model_test.go
+++ b/internal/dedup/exchange/model_test.go
@@ -140,8 +140,8 @@
 // keyNumber returns the number of a key, for instance 2 for "/k2".
 func keyNumber(key string) int { return int(key[2] - '0') }
 
-// bodyOfKey returns the body of the requests with a key, given the number of the key. The size depends on the number only, and
-// the content also on the variant.
+// bodyOfKey returns a body for a request, given the number of its key. Variants 0 and 1 are different bodies of the same size, so
+// that requests with the same key can differ in content.
 func bodyOfKey(key, variant int) []byte {
 	return bytes.Repeat([]byte{byte(key), byte(variant), 7}, 20+key*15)
 }
--- a/internal/dedup/exchange/state.go
+++ b/internal/dedup/exchange/state.go
@@ -63,8 +63,8 @@
 	latestAttemptMs float64
 	failureReported bool // the failure of the exchange was reported to a transmission, which makes the failure final
 
-	bodyBytes     int // bytes stored of the body for an execution
-	uploadBytes   int // bytes stored of an upload that has not been executed
+	bodyBytes     int // number of stored bytes of the body that is being executed, or is kept for a repeated execution
+	uploadBytes   int // number of stored bytes of an upload that has not been executed
 	responseBytes int // bytes stored of the response or reserved for it
 	waiting       []waitingTransmission
 	upload        *upload // body that is received in blocks; nil if there is none or it was dropped
--- a/internal/discovery/invalidresponse_test.go
+++ b/internal/discovery/invalidresponse_test.go
@@ -29,7 +29,7 @@
 type responseTest struct {
 	response        string
 	staysOpen       bool                 // whether the connection stays open, without another byte, after the response
-	updates         int                  // number of updates that are reported
+	updates         int                  // number of reported updates, without heartbeats and the update that reports the end
 	invalidMessages int64                // number of messages that are counted as invalid
 	endsAfterMs     float64              // time from the start of the watch to its end
 	end             scheduler.UpdateKind // kind of update that reports the end (see Options.Notify); 0 stands for WatchFailed
--- a/internal/discovery/switchaddress_test.go
+++ b/internal/discovery/switchaddress_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestSwitchAddressWaitsForNotify checks that SwitchAddress waits for a call of the notify function that has begun before.
-// Otherwise an update of the old address could be delivered after the list of the new one.
+// TestSwitchAddressWaitsForNotify checks that SwitchAddress waits for a call of the notify function that began before
+// SwitchAddress was called. Otherwise an update of the old address could be delivered after the list of the new one.
 func TestSwitchAddressWaitsForNotify(t *testing.T) {
 	previous, next := newWatchServer(t), newWatchServer(t)
 	notifying, release, versions := make(chan bool), make(chan bool), make(chan uint64, 4)
--- a/internal/endpoints/tracker.go
+++ b/internal/endpoints/tracker.go
@@ -9,8 +9,9 @@
 package endpoints
 
 // RegressionTimeoutMs is how long, in milliseconds, updates may stay behind the current version before the Tracker
-// concludes that the source has begun to number its versions anew. A gateway is treated as having been notified of every
-// change within 6 s, so by then a source with an older list has either caught up or will never do so.
+// concludes that the source has begun to number its versions anew. The platform treats a gateway as having been notified
+// of every change within 6 s. A source that merely had an older list is therefore expected to have caught up by then; if its
+// updates are still behind, it is taken to number its versions anew.
 const RegressionTimeoutMs = 6000
 
 // Endpoint is the entry of one server in an update.
--- a/internal/frontend/httpserver/conntracker.go
+++ b/internal/frontend/httpserver/conntracker.go
@@ -17,7 +17,7 @@
 	// the number of open connections is above half of SheddingThreshold.
 	idleTimeoutMs = 2000
 	// firstByteTimeoutMs is how long, in milliseconds, a new connection may send nothing before it is shed in preference to
-	// idle connections.
+	// idle connections. This shedding happens only while the number of open connections is above SheddingThreshold.
 	firstByteTimeoutMs = 500
 	// closingLimitDivisor limits the number of connections that wait for their clients to close: it is at most
 	// SheddingThreshold / closingLimitDivisor, or 1 if that is less than 1.
--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Slow start limits the requests that are sent to a server that has just started. Its allowance N is the number of requests of
-// mean size that all gateways together may send it per OverloadWindow: SlowStartUnits/MeanUnits at its start, growing with its
-// age. In any window, a slack of two to three times the square root of N, plus a constant, is allowed beyond N (slowStartSlack).
+// Slow start limits the requests that are sent to a server that has just started. The server's allowance N is the number of
+// requests of mean size that all gateways together may send it per OverloadWindow: SlowStartUnits/MeanUnits at its start, growing
+// with its age. In any window, a slack of 2√N + 2 requests (3√N + 3 if N is below 30) is allowed beyond N (slowStartSlack).
 // Gateways do not coordinate, so each has an equal share. A gateway stays within its share in one of two ways:
 //
 // With few gateways, each gateway's share of the slack has room for a burst. Each gateway then has a token bucket that fills at its
 // equal share of N per window and whose capacity is at most its share of the slack.
 //
-// With many gateways, a gateway's share may be far below one request per window. Each gateway then gets single tokens, at times
-// that it draws independently, at its equal share of a rate of r·N tokens per window. A token that is not used during its
-// lifetime F is lost, and r is slowStartRateFactor/(1 + F/OverloadWindow). However requests arrive, the requests in
-// a window are therefore at most the tokens issued in it and in the time F before it: r·N·(1 + F/OverloadWindow) in the mean.
+// With many gateways, a gateway's share may be far below one request per window. Each gateway then gets single tokens. A token
+// that is not used during its lifetime F is lost. All gateways together get r·N tokens per window, where r is
+// slowStartRateFactor/(1 + F/OverloadWindow), and each has an equal share of this rate. The tokens of a gateway come at regular
+// times; only their offset is drawn, independently of the other gateways. Whatever the arrival pattern, the requests in a window
+// are therefore at most the tokens issued in it and in the time F before it: r·N·(1 + F/OverloadWindow) in the mean.
 // Few tokens with a long lifetime suit a gateway with little demand, many tokens with a short one suit a gateway with high demand.
 // In both cases the gateway may use the same number per window. The draws are independent, so the standard deviation of their sum
 // is at most the square root of the mean. With the value of slowStartRateFactor below, the bound on the requests in a window, which
--- a/internal/scheduler/slowstart_bound_test.go
+++ b/internal/scheduler/slowstart_bound_test.go
@@ -90,7 +90,7 @@
 	nextID     RequestID
 
 	window unitsWindow
-	units  float64 // units sent by gateways that have been informed of the restart
+	units  float64 // units sent during SlowStartDuration by gateways that have been informed of the restart
 	worst  float64 // largest sum over a window, as a fraction of the bound
 }
 
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// RecoveryBoundMs is the upper bound of Result.RecoveryMs. It is the sum of three times: how long after the last failure a
-// gateway may still report a server as failing (outlier.Settings.FailureDecayBoundMs), the time between two attempts at an ejected
-// server, and recoveryCheckInterval. If a datagram were lost, a report could stay in effect for longer, up to the age at which
-// reports are ignored, but scenarios that measure the recovery lose no datagrams.
+// RecoveryBoundMs is the largest Result.RecoveryMs that is not a violation in a run without a TimeScale. It is the sum of three
+// durations: how long after the last failure a gateway may still report a server as failing
+// (outlier.Settings.FailureDecayBoundMs), the time between two attempts at an ejected server, and recoveryCheckInterval. If a
+// datagram were lost, a report could stay in effect for longer, up to the age at which reports are ignored, but scenarios that
+// measure the recovery lose no datagrams.
 const RecoveryBoundMs = 2408.0 + 400 + 400
 
 // Result holds the counts and the violations of a run.
