--- a/internal/scheduler/slowstart.go
+++ b/internal/scheduler/slowstart.go
@@ -14,10 +14,12 @@
 // equal share of N per window and whose capacity is at most its share of the slack.
 //
 // With many gateways, a gateway's share may be far below one request per window. Each gateway then gets single tokens. A token
-// that is not used during its lifetime F is lost. All gateways together get r·N tokens per window, where r is
-// slowStartRateFactor/(1 + F/OverloadWindow), and each has an equal share of this rate. The tokens of a gateway come at regular
+// that is not used during its lifetime F is lost. Each gateway chooses F by its demand, and gets its equal share of a rate of
+// r·N tokens per window, where r is slowStartRateFactor/(1 + F/OverloadWindow). The tokens of a gateway come at regular
 // times; only their offset is drawn, independently of the other gateways. Whatever the arrival pattern, the requests in a window
-// are therefore at most the tokens issued in it and in the time F before it: r·N·(1 + F/OverloadWindow) in the mean.
+// that come from one gateway are therefore at most its tokens issued in it and in the time F before it: in the mean, its equal
+// share of r·N·(1 + F/OverloadWindow), which is slowStartRateFactor·N for any F. All gateways together therefore send at most
+// slowStartRateFactor·N in the mean, even if each has a different F.
 // Few tokens with a long lifetime suit a gateway with little demand, many tokens with a short one suit a gateway with high demand.
 // In both cases the gateway may use the same number per window. The draws are independent, so the standard deviation of their sum
 // is at most the square root of the mean. With the value of slowStartRateFactor below, the bound on the requests in a window, which
